--- /dev/null
+++ b/src/test/java/io/quincelead/world/HistoryDigest.java
@@ -0,0 +1,42 @@
+package io.quincelead.world;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+
+/** SHA-256 over all calls and answers of one simulation, in the order of simulated events: equal digests mean equal behaviour, byte for byte. */
+final class HistoryDigest {
+    private final MessageDigest sha256;
+    private long messages;
+
+    HistoryDigest() {
+        try {
+            sha256 = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("every Java platform has SHA-256", e);
+        }
+    }
+
+    void call(long now, String from, String to, String method, String path, byte[] body) {
+        add(now + from + to + method + path, body);
+    }
+
+    /** An answer as its caller sees it; status 0 is a time-out. */
+    void answer(long now, int status, int retryAfterS, byte[] body) {
+        add(now + " " + status + retryAfterS, body);
+    }
+
+    private void add(String head, byte[] body) {
+        messages++;
+        sha256.update(head.getBytes(StandardCharsets.UTF_8));
+        if (body != null) {
+            sha256.update(body);
+        }
+    }
+
+    /** The number of calls and answers, and the digest in hexadecimal; ends the history. */
+    String finish() {
+        return messages + "\t" + HexFormat.of().formatHex(sha256.digest());
+    }
+}
--- a/src/test/java/io/quincelead/world/Net.java
+++ b/src/test/java/io/quincelead/world/Net.java
@@ -51,6 +51,8 @@
     /** How many copies of reports arrived, and how many commands were held up. */
     public int reportedLate;
     public int commandsHeld;
+    /** Everything that was called and answered. */
+    final HistoryDigest history = new HistoryDigest();
     /** Sees path and body of each request as it is sent. */
     public java.util.function.BiConsumer<String, byte[]> sending = (path, body) -> { };
     /** Who sent what is being handled. */
@@ -116,10 +118,12 @@
 
     public void call(String from, String to, String method, String path, byte[] body, long timeoutMs, Answer got) {
         sending.accept(path, body);
+        history.call(sim.now(), from, to, method, path, body);
         boolean[] over = {false};
         mostOpen = Math.max(mostOpen, ++open);
         Answer answer = (status, out, retry) -> {
             open--;
+            history.answer(sim.now(), status, retry, out);
             got.got(status, out, retry);
         };
         sim.after(timeoutMs, () -> {
--- a/src/test/java/io/quincelead/world/OperatorsTest.java
+++ b/src/test/java/io/quincelead/world/OperatorsTest.java
@@ -336,11 +336,11 @@
     // 103: a late gang saved up its team's allowance for ever, for services held what it needed; the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void anyDayWithOperatorsRecords(long seed) {
-        assertEquals("", random(seed));
+        assertEquals("", random(seed).wrong());
     }
 
     /** Plays a random day; what is wrong with it, in words. */
-    static String random(long seed) {
+    static Seeds.Played random(long seed) {
         World w = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
         w.net.lossy = 0.003;
         w.net.copies = 0.01;
@@ -405,6 +405,6 @@
         if (w.store.value("a/oc/head").path("last").asLong() != 4) {
             wrong.add("classes " + w.store.value("a/oc/head"));
         }
-        return String.join("; ", wrong);
+        return new Seeds.Played(w, String.join("; ", wrong));
     }
 }
--- a/src/test/java/io/quincelead/world/ZonesTest.java
+++ b/src/test/java/io/quincelead/world/ZonesTest.java
@@ -220,11 +220,11 @@
     @ParameterizedTest
     @ValueSource(longs = {201, 202, 203, 204})
     void anyDayWithLostZones(long seed) {
-        assertEquals("", random(seed));
+        assertEquals("", random(seed).wrong());
     }
 
     /** A random day: zones die, are cut, come back, while leaders end at every step, the cloud and the store have trouble; what is wrong, in words. */
-    static String random(long seed) {
+    static Seeds.Played random(long seed) {
         World w = zoned(seed, true);
         w.net.lossy = 0.002;
         if (w.sim.random.nextBoolean()) {
@@ -276,6 +276,6 @@
                 wrong.add(m + " has " + byZone);
             }
         });
-        return String.join("; ", wrong);
+        return new Seeds.Played(w, String.join("; ", wrong));
     }
 }
