--- a/src/bench/java/io/quincelead/placing/RoundBench.java
+++ b/src/bench/java/io/quincelead/placing/RoundBench.java
@@ -39,28 +39,28 @@
     int classes;
     private Cluster cluster;
 
-    @Setup(Level.Trial) public void fill() {
+    @Setup(Level.Trial) public void fillCluster() {
         SplittableRandom random = new SplittableRandom(7);
         cluster = new Cluster(machines, random);
-        double cpus = cluster.hosts.values().stream().mapToDouble(s -> s.vcpus()).sum();
+        double cpus = cluster.machineTypeByHost.values().stream().mapToDouble(s -> s.cpus()).sum();
         int id = 0;
-        for (int left = running; left > 0; left -= 100) {
-            JobSpec.Urgency urgency = id % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL;
-            cluster.running(Jobs.array(++id, "red", urgency, Math.min(100, left), Math.min(4, 0.95 * cpus / running), 60), random);
+        for (int remaining = running; remaining > 0; remaining -= 100) {
+            JobSpec.Urgency priority = id % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL;
+            cluster.addRunningJob(Jobs.array(++id, "red", priority, Math.min(100, remaining), Math.min(4, 0.95 * cpus / running), 60), random);
         }
         for (int i = 0; i < waiting; i++) {
-            JobSpec.Urgency urgency = JobSpec.Urgency.values()[1 + Math.min(2, random.nextInt(5) / 2)];
-            cluster.waiting(Jobs.array(++id, "red", urgency, 1 + random.nextInt(60), 1 + random.nextDouble() * 3, 20));
+            JobSpec.Urgency priority = JobSpec.Urgency.values()[1 + Math.min(2, random.nextInt(5) / 2)];
+            cluster.addWaitingJob(Jobs.array(++id, "red", priority, 1 + random.nextInt(60), 1 + random.nextDouble() * 3, 20));
         }
         if (classes > 0) {
-            cluster.operators(classes, 1_000, 20);
+            cluster.addOperatorRecords(classes, 1_000, 20);
         }
     }
 
     /** At most 12 records, as the store takes. */
-    @Benchmark public int round() {
-        Plan plan = cluster.plan(12);
-        cluster.pass.place(plan, null, cluster.noEnds);
+    @Benchmark public int runCycle() {
+        Plan plan = cluster.newPlan(12);
+        cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
         return plan.edits.size();
     }
 }
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -40,124 +40,124 @@
 /** One controller: the slices, wired. It knows no sockets and no clocks but the loop's and the transport's. */
 public final class Controller {
     private final Settings settings;
-    private final Session session;
-    private final Mirror mirror;
-    private final Desk desk;
-    private final UserApi users;
-    private final Peers peers;
+    private final Session membershipLease;
+    private final Mirror watchCache;
+    private final Desk workerGateway;
+    private final UserApi userApi;
+    private final Peers peerMessenger;
     private final JobTable jobs;
-    private final Blocks blocks;
-    private final Rounds rounds;
-    private final Office office;
+    private final Blocks clusterMembership;
+    private final Rounds schedulingCycle;
+    private final Office operatorApi;
 
-    public Controller(Loop loop, Transport transport, Settings settings, OperatorSettings operator) {
+    public Controller(Loop loop, Transport transport, Settings settings, OperatorSettings operatorSettings) {
         this.settings = settings;
         StoreClient store = new StoreClient(loop, transport, settings);
-        mirror = new Mirror(loop, store, settings.store().rps() / settings.count());
-        session = new Session(loop, store, settings.member(), settings.clusterListen(),
-                Session.lifeMs(operator.blockLeaseS(), settings.workers().leaseS()));
-        blocks = new Blocks(settings, mirror);
-        jobs = new JobTable(loop, mirror);
-        Policy policy = new Policy(mirror);
-        ZoneTable zones = new ZoneTable(mirror);
-        Kinds kinds = new Kinds(loop, jobs);
-        MachineTable machines = new MachineTable(mirror);
-        Catalog catalog = new Catalog(mirror);
-        ImageCaches images = new ImageCaches(machines, label -> catalog.get(label) == null ? 0 : catalog.get(label).localGb());
-        jobs.onPlaced(p -> images.used(p.host, p.job.spec));
-        loop.every(Constants.LIST_EVERY_MS, images::prune);
-        Leader leader = new Leader(loop, settings, session, mirror, store, blocks, jobs, machines, catalog, policy);
-        peers = new Peers(loop, settings, blocks, transport, leader);
-        rounds = new Rounds(loop, settings, operator, session, mirror, store, blocks, jobs, machines, catalog, images, kinds, policy, this::settle);
-        desk = new Desk(loop, settings, session, blocks, jobs, machines, catalog, mirror, store, transport, policy, zones, new Desk.Office() {
-            @Override public void stray(Stray stray) {
-                peers.stray(stray);
+        watchCache = new Mirror(loop, store, settings.storeLimits().requestsPerSecond() / settings.controllerCount());
+        membershipLease = new Session(loop, store, settings.memberId(), settings.clusterListenAddress(),
+                Session.leaseMillis(operatorSettings.shardLeaseSeconds(), settings.workerTimings().leaseSeconds()));
+        clusterMembership = new Blocks(settings, watchCache);
+        jobs = new JobTable(loop, watchCache);
+        Policy policy = new Policy(watchCache);
+        ZoneTable zones = new ZoneTable(watchCache);
+        Kinds constrainedDemand = new Kinds(loop, jobs);
+        MachineTable machines = new MachineTable(watchCache);
+        Catalog machineTypeCatalog = new Catalog(watchCache);
+        ImageCaches imageCaches = new ImageCaches(machines, label -> machineTypeCatalog.get(label) == null ? 0 : machineTypeCatalog.get(label).localDiskGb());
+        jobs.onPlacementRecorded(p -> imageCaches.recordUse(p.host, p.job.spec));
+        loop.runEvery(Constants.LIST_EVERY_MS, imageCaches::pruneUnrecordedMachines);
+        Leader leader = new Leader(loop, settings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, policy);
+        peerMessenger = new Peers(loop, settings, clusterMembership, transport, leader);
+        schedulingCycle = new Rounds(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, imageCaches, constrainedDemand, policy, this::flushWorkerResponses);
+        workerGateway = new Desk(loop, settings, membershipLease, clusterMembership, jobs, machines, machineTypeCatalog, watchCache, store, transport, policy, zones, new Desk.Office() {
+            @Override public void onMisroutedWorker(Stray stray) {
+                peerMessenger.reportMisroutedWorker(stray);
             }
 
-            @Override public void wake() {
-                rounds.wake();
+            @Override public void requestCycle() {
+                schedulingCycle.requestCycle();
             }
 
-            @Override public void over(Placement p) {
-                ended(p);
+            @Override public void onTaskTerminated(Placement p) {
+                recordTaskTermination(p);
             }
 
-            @Override public boolean roundPending() {
-                return rounds.pending();
+            @Override public boolean isCyclePending() {
+                return schedulingCycle.isCyclePending();
             }
         });
-        rounds.wire(desk, leader, peers);
-        peers.wire(desk);
-        ZoneWatch.Eyes eyes = new ZoneWatch.Eyes() {
-            @Override public Boolean booting(String host) {
-                return blocks.owner(host) == null ? null : Controller.this.booting(blocks.owner(host), host);
+        schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
+        peerMessenger.setWorkerGateway(workerGateway);
+        ZoneWatch.Eyes machineVisibility = new ZoneWatch.Eyes() {
+            @Override public Boolean isBooting(String host) {
+                return clusterMembership.ownerOf(host) == null ? null : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
             }
 
-            @Override public boolean heard(String host) {
-                Own own = desk.own(host);
-                return own != null ? own.fit() : blocks.owner(host) != null && peers.fit(blocks.owner(host), host);
+            @Override public boolean isReachable(String host) {
+                Own own = workerGateway.worker(host);
+                return own != null ? own.isSchedulable() : clusterMembership.ownerOf(host) != null && peerMessenger.isReportedSchedulable(clusterMembership.ownerOf(host), host);
             }
         };
-        ZoneWatch watch = null;
-        if (operator.zones().on()) {
-            machines.recordHeavy(host -> images.heavy(host, operator.zones().heavyGb()), images::recorded);
-            watch = new ZoneWatch(loop, operator.zones(), settings.workers().leaseS() * 1000 + Constants.SILENCE_SLACK_MS, mirror, store, jobs, blocks, machines, catalog, images, zones,
-                    policy, leader, eyes);
+        ZoneWatch zoneRecoveryController = null;
+        if (operatorSettings.zoneRecovery().enabled()) {
+            machines.trackLargeImages(host -> imageCaches.largeImages(host, operatorSettings.zoneRecovery().heavyImageGb()), imageCaches::mergeRecorded);
+            zoneRecoveryController = new ZoneWatch(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + Constants.SILENCE_SLACK_MS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
+                    policy, leader, machineVisibility);
         }
-        Fleet fleet = new Fleet(loop, settings, operator, session, mirror, store, blocks, jobs, machines, catalog, leader, transport,
-                this::booting, this::ended, kinds, policy, zones, watch == null ? Map::of : watch::wanted);
-        leader.wire(fleet::rentalsOpen);
-        Committer committer = new Committer(loop, store, mirror);
-        users = new UserApi(loop, settings, session, mirror, store, committer, blocks, jobs, catalog, policy, rounds::take);
-        new Clerk(loop, settings.member(), mirror, store, jobs, policy, new Clerk.Chair() {
-            @Override public boolean leading() {
-                return leader.leading();
+        Fleet autoscaler = new Fleet(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, leader, transport,
+                this::isBooting, this::recordTaskTermination, constrainedDemand, policy, zones, zoneRecoveryController == null ? Map::of : zoneRecoveryController::rebalanceDemand);
+        leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
+        Committer groupCommitter = new Committer(loop, store, watchCache);
+        userApi = new UserApi(loop, settings, membershipLease, watchCache, store, groupCommitter, clusterMembership, jobs, machineTypeCatalog, policy, schedulingCycle::admit);
+        new Clerk(loop, settings.memberId(), watchCache, store, jobs, policy, new Clerk.Chair() {
+            @Override public boolean isLeader() {
+                return leader.isLeading();
             }
 
-            @Override public Txn txn() {
-                return leader.txn();
+            @Override public Txn newTransaction() {
+                return leader.newTransaction();
             }
 
             @Override public long term() {
-                return blocks.lead() == null ? 0 : blocks.lead().term();
+                return clusterMembership.leaderRecord() == null ? 0 : clusterMembership.leaderRecord().fencingToken();
             }
 
-            @Override public Collection<String> members() {
-                return blocks.nodes().stream().map(Blocks.Node::member).toList();
+            @Override public Collection<String> activeMemberIds() {
+                return clusterMembership.members().stream().map(Blocks.Node::memberId).toList();
             }
         });
-        office = new Office(loop, settings.member(), mirror, store, jobs, policy);
-        new ZoneDesk(operator.zones().on(), mirror, jobs, machines, catalog, images, zones, policy, office, eyes);
-        new Explainer(loop, settings, blocks, jobs, policy, office);
-        mirror.onChange(() -> {
-            Blocks.Node me = blocks.node(settings.member());
-            session.look(me == null ? 0 : me.grant(), mirror.generation());
-            rounds.look();
-            desk.settle();
+        operatorApi = new Office(loop, settings.memberId(), watchCache, store, jobs, policy);
+        new ZoneDesk(operatorSettings.zoneRecovery().enabled(), watchCache, jobs, machines, machineTypeCatalog, imageCaches, zones, policy, operatorApi, machineVisibility);
+        new Explainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
+        watchCache.addChangeListener(() -> {
+            Blocks.Node ownNode = clusterMembership.member(settings.memberId());
+            membershipLease.verifyMemberRecord(ownNode == null ? 0 : ownNode.leaseId(), watchCache.storeRevision());
+            schedulingCycle.requestCycleIfNeeded();
+            workerGateway.dispatchPendingCommands();
         });
-        loop.every(Constants.IDLE_ROUND_MS, rounds::look);
-        session.start();
-        mirror.start();
+        loop.runEvery(Constants.IDLE_ROUND_MS, schedulingCycle::requestCycleIfNeeded);
+        membershipLease.start();
+        watchCache.start();
     }
 
-    private void ended(Placement p) {
-        rounds.over(p);
-        if (p.job.seenComplete()) {
-            users.finish();
+    private void recordTaskTermination(Placement placement) {
+        schedulingCycle.onTaskTerminated(placement);
+        if (placement.job.isCompleteByEvidence()) {
+            userApi.completeTerminatedJobs();
         }
     }
 
-    private void settle() {
-        desk.settle();
+    private void flushWorkerResponses() {
+        workerGateway.dispatchPendingCommands();
     }
 
     /** Whether a machine, as its owner says, has not come up yet; null when that isn't known. */
-    private Boolean booting(String owner, String host) {
-        if (!settings.member().equals(owner)) {
-            return peers.booting(owner, host);
+    private Boolean isBooting(String owner, String host) {
+        if (!settings.memberId().equals(owner)) {
+            return peerMessenger.reportedBooting(owner, host);
         }
-        Own own = desk.own(host);
-        return own == null ? null : own.booting();
+        Own shardWorker = workerGateway.worker(host);
+        return shardWorker == null ? null : shardWorker.isBooting();
     }
 
     /** Users, workers and health checks. */
@@ -165,32 +165,32 @@
         switch (request.path) {
             case "/ready" -> {
                 if (!request.method.equals("GET")) {
-                    request.refuse(405, "only GET is allowed here");
-                } else if (users.ready()) {
-                    request.answer(200, Codec.map().put("ready", true));
+                    request.respondError(405, "only GET is allowed here");
+                } else if (userApi.isReady()) {
+                    request.respond(200, Codec.newMap().put("ready", true));
                 } else {
-                    request.later(503, "not ready");
+                    request.respondRetryLater(503, "not ready");
                 }
             }
             case "/v1/report" -> {
                 if (request.method.equals("POST")) {
-                    desk.report(request);
+                    workerGateway.handleHeartbeat(request);
                 } else {
-                    request.refuse(405, "only POST is allowed here");
+                    request.respondError(405, "only POST is allowed here");
                 }
             }
-            default -> users.handle(request);
+            default -> userApi.handle(request);
         }
     }
 
     /** Other controllers. */
-    public void handlePeer(Request request) {
-        if (request.method.equals("POST") && office.takes(request.path)) {
-            office.handle(request);
+    public void handlePeerRequest(Request request) {
+        if (request.method.equals("POST") && operatorApi.handles(request.path)) {
+            operatorApi.handle(request);
         } else if (request.method.equals("POST")) {
-            peers.handle(request);
+            peerMessenger.handle(request);
         } else {
-            request.answer(405, Codec.JSON, Codec.map().put("error", "only POST is allowed here"), 0);
+            request.respond(405, Codec.JSON, Codec.newMap().put("error", "only POST is allowed here"), 0);
         }
     }
 }
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -30,37 +30,37 @@
             "Commands of operators: classes, calendar, zones, explain (quincelead classes --help).", "Exit: 1 when settings can't be used, 2 for a wrong command line."})
 public final class Main implements Callable<Integer> {
     @CommandLine.Option(names = "--config", paramLabel = "FILE", description = "The platform's settings (TOML).")
-    private File config;
+    private File settingsFile;
 
     @CommandLine.Option(names = "--operator-settings", paramLabel = "FILE", description = "The operators' own settings (JSON).")
-    private File operatorFile;
+    private File operatorSettingsFile;
 
     @CommandLine.Option(names = "--check", description = "Check the settings and exit.")
-    private boolean check;
+    private boolean checkOnly;
 
     @CommandLine.Option(names = "--rehearse", hidden = true, description = "Exercise the start for the class-data archive and exit.")
-    private boolean rehearse;
+    private boolean trainClassDataArchive;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     public static void main(String[] args) {
-        logging();
-        if (args.length > 0 && OPERATORS.contains(args[0])) {
+        configureLogging();
+        if (args.length > 0 && OPERATOR_COMMANDS.contains(args[0])) {
             // Loaded only here: a controller has no use for them.
             System.exit(Cli.run(args));
         }
-        int code = new CommandLine(new Main()).execute(args);
-        if (code != RUNNING) {
-            System.exit(code);
+        int exitCode = new CommandLine(new Main()).execute(args);
+        if (exitCode != KEEP_RUNNING) {
+            System.exit(exitCode);
         }
     }
 
-    private static final int RUNNING = -1;
+    private static final int KEEP_RUNNING = -1;
     /** First words of operators' commands, known without loading them. */
-    public static final Set<String> OPERATORS = Set.of("classes", "calendar", "zones", "explain");
+    public static final Set<String> OPERATOR_COMMANDS = Set.of("classes", "calendar", "zones", "explain");
 
-    private static void logging() {
+    private static void configureLogging() {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         if (!Set.of("error", "info", "debug").contains(level)) {
             level = "info";
@@ -74,32 +74,32 @@
 
     @Override public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
-        if (rehearse) {
+        if (trainClassDataArchive) {
             Rehearsal.run();
             return 0;
         }
-        if (config == null) {
+        if (settingsFile == null) {
             throw new CommandLine.ParameterException(spec.commandLine(), "Missing required option: '--config=FILE'");
         }
         Settings settings;
-        OperatorSettings operator;
+        OperatorSettings operatorSettings;
         try {
-            settings = Settings.load(config);
-            operator = operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.load(operatorFile);
+            settings = Settings.load(settingsFile);
+            operatorSettings = operatorSettingsFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.load(operatorSettingsFile);
         } catch (Settings.Invalid e) {
             err.println("quincelead: " + e.getMessage());
             return 1;
         }
-        if (check) {
+        if (checkOnly) {
             err.println("quincelead: the settings are in order");
             return 0;
         }
-        start(settings, operator);
-        return RUNNING;
+        start(settings, operatorSettings);
+        return KEEP_RUNNING;
     }
 
     /** Starts a controller on real sockets. */
-    static void start(Settings settings, OperatorSettings operator) throws Exception {
+    static void start(Settings settings, OperatorSettings operatorSettings) throws Exception {
         Logger log = LoggerFactory.getLogger(Main.class);
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder()
                 .set(Options.WORKER_IO_THREADS, 1)
@@ -109,21 +109,21 @@
                 .set(Options.THREAD_DAEMON, false)
                 .getMap());
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        int limit = settings.limits().maxConnections();
-        Set<String> core = new HashSet<>(settings.peers().values());
-        core.addAll(List.of(settings.state(), settings.cloud()));
-        int calls = Math.max(1, (int) (limit * Constants.WORKER_CALLS_SHARE));
-        int sockets = Math.max(limit / 2, limit - calls - core.size() * Constants.MAX_SOCKETS_PER_TARGET - Constants.PEER_SOCKETS - Constants.SPARE_SOCKETS);
-        loop.after(0, () -> {
-            Controller controller = new Controller(loop, new HttpClient(loop, worker.getIoThread(), core, calls), settings, operator);
+        int maxConnections = settings.processLimits().maxConnections();
+        Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
+        criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
+        int maxSharedConnections = Math.max(1, (int) (maxConnections * Constants.WORKER_CALLS_SHARE));
+        int maxServerConnections = Math.max(maxConnections / 2, maxConnections - maxSharedConnections - criticalAddresses.size() * Constants.MAX_SOCKETS_PER_TARGET - Constants.PEER_SOCKETS - Constants.SPARE_SOCKETS);
+        loop.runAfter(0, () -> {
+            Controller controller = new Controller(loop, new HttpClient(loop, worker.getIoThread(), criticalAddresses, maxSharedConnections), settings, operatorSettings);
             // Servers are started off the loop: binding waits for the accept thread.
             Thread starter = new Thread(() -> {
                 try {
-                    new HttpServer(worker, settings.listen(), sockets, controller::handle).start();
-                    new HttpServer(worker, settings.clusterListen(), Constants.PEER_SOCKETS, controller::handlePeer).start();
-                    log.info("{} serves on {} and {}", settings.member(), settings.listen(), settings.clusterListen());
+                    new HttpServer(worker, settings.listenAddress(), maxServerConnections, controller::handle).start();
+                    new HttpServer(worker, settings.clusterListenAddress(), Constants.PEER_SOCKETS, controller::handlePeerRequest).start();
+                    log.info("{} serves on {} and {}", settings.memberId(), settings.listenAddress(), settings.clusterListenAddress());
                 } catch (RuntimeException e) {
-                    log.error("can't listen on {} or {}: {}", settings.listen(), settings.clusterListen(), e.getMessage());
+                    log.error("can't listen on {} or {}: {}", settings.listenAddress(), settings.clusterListenAddress(), e.getMessage());
                     System.exit(1);
                 }
             }, "starter");
@@ -133,9 +133,9 @@
 
     /** A free port on loopback, for the rehearsal. */
     static int freePort() throws Exception {
-        try (ServerSocket s = new ServerSocket()) {
-            s.bind(new InetSocketAddress("127.0.0.1", 0));
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket()) {
+            socket.bind(new InetSocketAddress("127.0.0.1", 0));
+            return socket.getLocalPort();
         }
     }
 }
--- a/src/main/java/io/quincelead/app/Rehearsal.java
+++ b/src/main/java/io/quincelead/app/Rehearsal.java
@@ -23,9 +23,9 @@
     private Rehearsal() { }
 
     static void run() throws Exception {
-        int user = Main.freePort();
-        int peer = Main.freePort();
-        int outside = Main.freePort();
+        int userPort = Main.freePort();
+        int peerPort = Main.freePort();
+        int externalPort = Main.freePort();
         String toml = """
                 member = "r"
                 domain = "z"
@@ -59,37 +59,37 @@
                 rps = 2.0
                 [settings.limits]
                 max_connections = 100
-                """.formatted(user, peer, outside, outside);
+                """.formatted(userPort, peerPort, externalPort, externalPort);
         Settings settings = Settings.read(new TomlMapper().readTree(toml), "rehearsal");
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        new HttpServer(worker, "127.0.0.1:" + outside, 10, Rehearsal::stand).start();
+        new HttpServer(worker, "127.0.0.1:" + externalPort, 10, Rehearsal::respondAsStore).start();
         Main.start(settings, OperatorSettings.DEFAULTS);
         HttpClient client = new HttpClient(new XnioLoop(worker.getIoThread()), worker.getIoThread(), Set.of(), 8);
-        byte[] job = Codec.CBOR.write(Codec.map().put("nameId", "wk-1").put("vcpus", 1.5));
+        byte[] submission = Codec.CBOR.encode(Codec.newMap().put("nameId", "wk-1").put("vcpus", 1.5));
         Thread.sleep(1500);
-        CountDownLatch done = new CountDownLatch(4);
+        CountDownLatch responses = new CountDownLatch(4);
         worker.getIoThread().execute(() -> {
-            client.call("127.0.0.1:" + user, "GET", "/ready", Codec.CBOR, null, 2000, (s, b) -> done.countDown());
-            client.call("127.0.0.1:" + user, "POST", "/v2/runs", Codec.CBOR, job, 2000, (s, b) -> done.countDown());
-            client.call("127.0.0.1:" + user, "POST", "/v1/report", Codec.CBOR, job, 2000, (s, b) -> done.countDown());
-            client.call("127.0.0.1:" + peer, "POST", "/peer/news", Codec.JSON, Codec.JSON.write(Codec.map().put("from", "x")), 2000, (s, b) -> done.countDown());
+            client.call("127.0.0.1:" + userPort, "GET", "/ready", Codec.CBOR, null, 2000, (status, body) -> responses.countDown());
+            client.call("127.0.0.1:" + userPort, "POST", "/v2/runs", Codec.CBOR, submission, 2000, (status, body) -> responses.countDown());
+            client.call("127.0.0.1:" + userPort, "POST", "/v1/report", Codec.CBOR, submission, 2000, (status, body) -> responses.countDown());
+            client.call("127.0.0.1:" + peerPort, "POST", "/peer/news", Codec.JSON, Codec.JSON.encode(Codec.newMap().put("from", "x")), 2000, (status, body) -> responses.countDown());
         });
-        done.await(5, TimeUnit.SECONDS);
+        responses.await(5, TimeUnit.SECONDS);
         Thread.sleep(500);
     }
 
     /** A store with nothing in it that grants holds, so the start goes as far as a real one. */
-    private static void stand(Request r) {
-        if (r.path.equals("/holds") || r.path.endsWith("/touch")) {
-            r.answer(200, Codec.map().put("grant", 1));
-        } else if (r.path.equals("/commit")) {
-            r.answer(200, Codec.map().put("generation", 2));
-        } else if (r.path.equals("/store")) {
-            r.answer(200, Codec.map().put("generation", 1).set("items", Codec.list()));
-        } else if (r.path.equals("/watch")) {
-            r.refuse(503, "trouble");
+    private static void respondAsStore(Request request) {
+        if (request.path.equals("/holds") || request.path.endsWith("/touch")) {
+            request.respond(200, Codec.newMap().put("grant", 1));
+        } else if (request.path.equals("/commit")) {
+            request.respond(200, Codec.newMap().put("generation", 2));
+        } else if (request.path.equals("/store")) {
+            request.respond(200, Codec.newMap().put("generation", 1).set("items", Codec.newList()));
+        } else if (request.path.equals("/watch")) {
+            request.respondError(503, "trouble");
         } else {
-            r.answer(404, Codec.map().put("generation", 1));
+            request.respond(404, Codec.newMap().put("generation", 1));
         }
     }
 }
--- a/src/main/java/io/quincelead/app/XnioLoop.java
+++ b/src/main/java/io/quincelead/app/XnioLoop.java
@@ -15,26 +15,26 @@
         this.thread = thread;
     }
 
-    @Override public long now() {
+    @Override public long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
-    @Override public long wall() {
+    @Override public long wallClockMillis() {
         return System.currentTimeMillis();
     }
 
-    @Override public void after(long ms, Runnable task) {
-        Runnable guarded = () -> {
+    @Override public void runAfter(long delayMillis, Runnable task) {
+        Runnable loggedTask = () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
                 LOG.error("a task of the event loop failed", e);
             }
         };
-        if (ms <= 0) {
-            thread.execute(guarded);
+        if (delayMillis <= 0) {
+            thread.execute(loggedTask);
         } else {
-            thread.executeAfter(guarded, ms, TimeUnit.MILLISECONDS);
+            thread.executeAfter(loggedTask, delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/io/quincelead/app/cli/Cli.java
+++ b/src/main/java/io/quincelead/app/cli/Cli.java
@@ -29,10 +29,10 @@
         footer = {"", "Exit: 0 done; 1 a file or settings that can't be used; 2 a wrong command line; 3 the outcome is unknown: repeat with the same",
             "--change ID; 4 refused, nothing has changed; 5 no controller answers."})
 public final class Cli {
-    private static final int UNUSABLE = 1;
-    private static final int UNKNOWN = 3;
-    private static final int REFUSED = 4;
-    private static final int UNREACHABLE = 5;
+    private static final int EXIT_UNUSABLE_INPUT = 1;
+    private static final int EXIT_OUTCOME_UNKNOWN = 3;
+    private static final int EXIT_REFUSED = 4;
+    private static final int EXIT_UNREACHABLE = 5;
 
     private Cli() { }
 
@@ -47,16 +47,16 @@
     /** What every command has. */
     abstract static class Asking implements Callable<Integer> {
         @Mixin
-        private Connection.Where where;
+        private Connection.Where controllerAddresses;
 
         @Option(names = "--json", description = "Print the answer as it came.")
-        private boolean json;
+        private boolean printJson;
 
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
         /** Path of the command and its body. */
-        abstract String ask(ObjectNode body) throws Settings.Invalid;
+        abstract String buildRequest(ObjectNode body) throws Settings.Invalid;
 
         /** The columns of its list, in order. */
         List<String> columns() {
@@ -66,30 +66,30 @@
         @Override public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            ObjectNode body = Codec.map();
-            Connection.Answer answer;
+            ObjectNode body = Codec.newMap();
+            Connection.Answer response;
             try {
-                answer = Connection.ask(where, ask(body), body);
+                response = Connection.send(controllerAddresses, buildRequest(body), body);
             } catch (Settings.Invalid e) {
                 err.println("quincelead: " + e.getMessage());
-                return UNUSABLE;
+                return EXIT_UNUSABLE_INPUT;
             }
-            if (answer == null) {
+            if (response == null) {
                 err.println("quincelead: no controller answers" + (body.has("change") ? "; if one took it, a repeat with --change " + body.path("change").asText() + " changes nothing more" : ""));
-                return body.has("change") ? UNKNOWN : UNREACHABLE;
+                return body.has("change") ? EXIT_OUTCOME_UNKNOWN : EXIT_UNREACHABLE;
             }
-            if (json) {
-                out.println(answer.body());
-            } else if (answer.status() == 200) {
-                Table.print(answer.body(), columns(), out);
+            if (printJson) {
+                out.println(response.body());
+            } else if (response.status() == 200) {
+                Table.print(response.body(), columns(), out);
             } else {
-                err.println("quincelead: " + answer.body().path("error").asText() + " (" + answer.body().path("by").asText() + ")");
+                err.println("quincelead: " + response.body().path("error").asText() + " (" + response.body().path("by").asText() + ")");
             }
-            if (answer.body().path("unknown").asBoolean()) {
+            if (response.body().path("unknown").asBoolean()) {
                 err.println("quincelead: repeat with --change " + body.path("change").asText());
-                return UNKNOWN;
+                return EXIT_OUTCOME_UNKNOWN;
             }
-            return answer.status() == 200 ? 0 : answer.status() == 503 ? UNREACHABLE : REFUSED;
+            return response.status() == 200 ? 0 : response.status() == 503 ? EXIT_UNREACHABLE : EXIT_REFUSED;
         }
     }
 
@@ -99,32 +99,32 @@
         private boolean dryRun;
 
         @Option(names = "--change", paramLabel = "ID", description = "Name of the change: a repeat with the same name takes effect once.")
-        private String change;
+        private String changeId;
 
-        void change(ObjectNode body) {
+        void putChangeFields(ObjectNode body) {
             if (dryRun) {
                 body.put("dryRun", true);
             } else {
-                body.put("change", change == null ? UUID.randomUUID().toString() : change);
+                body.put("change", changeId == null ? UUID.randomUUID().toString() : changeId);
             }
         }
     }
 
     /** Reads a file and checks it against a schema of the jar: the error names file, field and what is allowed. */
-    static JsonNode read(File file, String schema) throws Settings.Invalid {
+    static JsonNode readValidated(File file, String schemaName) throws Settings.Invalid {
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(file);
         } catch (IOException e) {
             throw new Settings.Invalid(file + ": can't be read as JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable"));
         }
-        try (InputStream in = Cli.class.getResourceAsStream("/" + schema)) {
-            Set<String> wrong = new LinkedHashSet<>();
-            for (ValidationMessage m : JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in).validate(root)) {
-                wrong.add(m.getMessage());
+        try (InputStream schemaStream = Cli.class.getResourceAsStream("/" + schemaName)) {
+            Set<String> violations = new LinkedHashSet<>();
+            for (ValidationMessage message : JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream).validate(root)) {
+                violations.add(message.getMessage());
             }
-            if (!wrong.isEmpty()) {
-                throw new Settings.Invalid(file + ": " + String.join("; ", wrong));
+            if (!violations.isEmpty()) {
+                throw new Settings.Invalid(file + ": " + String.join("; ", violations));
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema is not in the jar", e);
@@ -143,16 +143,16 @@
         @Parameters(paramLabel = "FILE", description = "Classes (JSON, see deploy/classes.example.json).")
         private File file;
 
-        @Override String ask(ObjectNode body) throws Settings.Invalid {
-            change(body);
-            body.put("file", file.getName()).set("classes", read(file, "classes.schema.json").get("classes"));
+        @Override String buildRequest(ObjectNode body) throws Settings.Invalid {
+            putChangeFields(body);
+            body.put("file", file.getName()).set("classes", readValidated(file, "classes.schema.json").get("classes"));
             return "/ops/classes/apply";
         }
     }
 
     @Command(name = "list", description = "The classes in force, and how their jobs fare.", mixinStandardHelpOptions = true)
     static final class ListClasses extends Asking {
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             return "/ops/classes/list";
         }
 
@@ -163,7 +163,7 @@
 
     @Command(name = "history", description = "The generations on record.", mixinStandardHelpOptions = true)
     static final class History extends Asking {
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             return "/ops/classes/history";
         }
 
@@ -175,12 +175,12 @@
     @Command(name = "rollback", description = "Proposes an earlier generation anew.", mixinStandardHelpOptions = true)
     static final class Rollback extends Changing {
         @Option(names = "--to", paramLabel = "N", description = "Generation; the one before the ruling one if left out, 0 for none.")
-        private Long to;
+        private Long generation;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
-            if (to != null) {
-                body.put("to", to);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
+            if (generation != null) {
+                body.put("to", generation);
             }
             return "/ops/classes/rollback";
         }
@@ -200,9 +200,9 @@
         @Option(names = "--replace", description = "Put it in the place of the entry of the same name.")
         private boolean replace;
 
-        @Override String ask(ObjectNode body) throws Settings.Invalid {
-            change(body);
-            body.put("file", file.getName()).put("replace", replace).set("entry", read(file, "calendar.schema.json"));
+        @Override String buildRequest(ObjectNode body) throws Settings.Invalid {
+            putChangeFields(body);
+            body.put("file", file.getName()).put("replace", replace).set("entry", readValidated(file, "calendar.schema.json"));
             return "/ops/calendar/add";
         }
     }
@@ -216,8 +216,8 @@
         @Parameters(index = "2", paramLabel = "TIME")
         private String time;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
             body.put("name", name).put("date", date).put("time", time);
             return "/ops/calendar/move";
         }
@@ -230,8 +230,8 @@
         @Parameters(index = "1", paramLabel = "DATE")
         private String date;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
             body.put("name", name).put("date", date);
             return "/ops/calendar/skip";
         }
@@ -242,8 +242,8 @@
         @Parameters(paramLabel = "NAME")
         private String name;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
             body.put("name", name);
             return "/ops/calendar/remove";
         }
@@ -254,7 +254,7 @@
         @Option(names = "--days", paramLabel = "N", description = "Days to look ahead, at most 31.")
         private int days = 2;
 
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             body.put("days", days);
             return "/ops/calendar/next";
         }
@@ -266,7 +266,7 @@
 
     @Command(name = "list", description = "The entries, and the occurrences under way.", mixinStandardHelpOptions = true)
     static final class ListEntries extends Asking {
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             return "/ops/calendar/list";
         }
 
@@ -280,7 +280,7 @@
         @Parameters(paramLabel = "NAME")
         private String name;
 
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             body.put("name", name);
             return "/ops/calendar/ledger";
         }
@@ -298,7 +298,7 @@
 
     @Command(name = "list", description = "The zones, their states, and what led there.", mixinStandardHelpOptions = true)
     static final class ListZones extends Asking {
-        @Override String ask(ObjectNode body) {
+        @Override String buildRequest(ObjectNode body) {
             return "/ops/zones/list";
         }
 
@@ -310,10 +310,10 @@
     @Command(name = "plan", description = "Which models return first and where to, now or if a zone went.", mixinStandardHelpOptions = true)
     static final class PlanZone extends Asking {
         @Option(names = "--lost", paramLabel = "ZONE", description = "As if this zone were gone now.")
-        private List<String> lost = new ArrayList<>();
+        private List<String> lostZones = new ArrayList<>();
 
-        @Override String ask(ObjectNode body) {
-            lost.forEach(body.putArray("lost")::add);
+        @Override String buildRequest(ObjectNode body) {
+            lostZones.forEach(body.putArray("lost")::add);
             return "/ops/zones/plan";
         }
 
@@ -327,8 +327,8 @@
         @Parameters(paramLabel = "ZONE")
         private String zone;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
             body.put("zone", zone);
             return "/ops/zones/hold";
         }
@@ -339,8 +339,8 @@
         @Parameters(paramLabel = "ZONE")
         private String zone;
 
-        @Override String ask(ObjectNode body) {
-            change(body);
+        @Override String buildRequest(ObjectNode body) {
+            putChangeFields(body);
             body.put("zone", zone);
             return "/ops/zones/release";
         }
@@ -351,10 +351,10 @@
     @Command(name = "explain", description = "Why a job is where it is in the queue.", mixinStandardHelpOptions = true)
     static final class Explain extends Asking {
         @Parameters(paramLabel = "JOB")
-        private String job;
+        private String jobId;
 
-        @Override String ask(ObjectNode body) {
-            body.put("job", job);
+        @Override String buildRequest(ObjectNode body) {
+            body.put("job", jobId);
             return "/ops/explain";
         }
     }
--- a/src/main/java/io/quincelead/app/cli/Connection.java
+++ b/src/main/java/io/quincelead/app/cli/Connection.java
@@ -25,10 +25,10 @@
     /** Where controllers listen for each other. */
     static final class Where {
         @CommandLine.Option(names = "--at", paramLabel = "HOST:PORT", description = "A controller's cluster_listen address; may be repeated.")
-        private List<String> at = new ArrayList<>();
+        private List<String> addresses = new ArrayList<>();
 
         @CommandLine.Option(names = "--config", paramLabel = "FILE", description = "The platform's settings (TOML), which name the controllers.")
-        private File config;
+        private File settingsFile;
     }
 
     /** Status and body of an answer. */
@@ -37,12 +37,12 @@
     private Connection() { }
 
     /** The first answer of a controller that is ready; null if none answers. Only what was surely not carried out is asked of the next one. */
-    static Answer ask(Where where, String path, ObjectNode body) throws Settings.Invalid {
-        List<String> addresses = new ArrayList<>(where.at);
-        if (where.config != null) {
-            Settings s = Settings.load(where.config);
-            addresses.add(s.clusterListen());
-            addresses.addAll(s.peers().values());
+    static Answer send(Where options, String path, ObjectNode body) throws Settings.Invalid {
+        List<String> addresses = new ArrayList<>(options.addresses);
+        if (options.settingsFile != null) {
+            Settings settings = Settings.load(options.settingsFile);
+            addresses.add(settings.clusterListenAddress());
+            addresses.addAll(settings.peerAddresses().values());
         }
         if (addresses.isEmpty()) {
             throw new Settings.Invalid("--at or --config is required, to know where the controllers are");
@@ -55,12 +55,12 @@
             throw new Settings.Invalid("no connections can be made: " + e.getMessage());
         }
         try {
-            CompletableFuture<Answer> answer = new CompletableFuture<>();
+            CompletableFuture<Answer> response = new CompletableFuture<>();
             worker.getIoThread().execute(() -> {
                 HttpClient client = new HttpClient(new XnioLoop(worker.getIoThread()), worker.getIoThread(), Set.copyOf(addresses), 1);
-                next(client, addresses, 0, path, Codec.JSON.write(body), answer, null);
+                sendToNext(client, addresses, 0, path, Codec.JSON.encode(body), response, null);
             });
-            return answer.get(addresses.size() * 2 * Constants.OPERATOR_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            return response.get(addresses.size() * 2 * Constants.OPERATOR_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             return null;
         } finally {
@@ -68,19 +68,19 @@
         }
     }
 
-    private static void next(HttpClient client, List<String> addresses, int i, String path, byte[] body, CompletableFuture<Answer> answer, Answer best) {
-        if (i == addresses.size()) {
-            answer.complete(best);
+    private static void sendToNext(HttpClient client, List<String> addresses, int index, String path, byte[] body, CompletableFuture<Answer> response, Answer fallback) {
+        if (index == addresses.size()) {
+            response.complete(fallback);
             return;
         }
-        client.call(addresses.get(i), "POST", path, Codec.JSON, body, Constants.OPERATOR_TIMEOUT_MS, (status, bytes) -> {
-            ObjectNode out = Codec.JSON.readMap(bytes);
-            boolean later = status == 503 && out != null && !out.path("unknown").asBoolean();
-            if (status == 0 || later || out == null) {
+        client.call(addresses.get(index), "POST", path, Codec.JSON, body, Constants.OPERATOR_TIMEOUT_MS, (status, bytes) -> {
+            ObjectNode responseBody = Codec.JSON.decodeMap(bytes);
+            boolean retryable = status == 503 && responseBody != null && !responseBody.path("unknown").asBoolean();
+            if (status == 0 || retryable || responseBody == null) {
                 // An answer that didn't come may have been carried out: the next one knows the change by its id.
-                next(client, addresses, i + 1, path, body, answer, out == null ? best : new Answer(status, out));
+                sendToNext(client, addresses, index + 1, path, body, response, responseBody == null ? fallback : new Answer(status, responseBody));
             } else {
-                answer.complete(new Answer(status, out));
+                response.complete(new Answer(status, responseBody));
             }
         });
     }
--- a/src/main/java/io/quincelead/app/cli/Table.java
+++ b/src/main/java/io/quincelead/app/cli/Table.java
@@ -12,62 +12,62 @@
 
 /** Prints an answer for people: single values a line each, lists as tables. */
 final class Table {
-    private static final Set<String> TIMES = Set.of("pub", "last", "open", "closed", "since");
+    private static final Set<String> EPOCH_MILLIS_FIELDS = Set.of("pub", "last", "open", "closed", "since");
 
     private Table() { }
 
-    static void print(ObjectNode answer, List<String> columns, PrintWriter out) {
-        for (Iterator<Map.Entry<String, JsonNode>> i = answer.fields(); i.hasNext();) {
-            Map.Entry<String, JsonNode> f = i.next();
-            if (f.getKey().equals("list")) {
-                list(f.getValue(), columns, out);
-            } else if (f.getValue().isArray() && !f.getValue().isEmpty() && f.getValue().get(0).isObject()) {
-                out.println(f.getKey() + ":");
-                List<String> all = new ArrayList<>();
-                f.getValue().get(0).fieldNames().forEachRemaining(all::add);
-                list(f.getValue(), all, out);
-            } else if (f.getValue().isObject()) {
-                out.println(f.getKey() + ":");
-                f.getValue().fields().forEachRemaining(g -> out.println("  " + (g.getKey().isEmpty() ? "(no class)" : g.getKey()) + "  " + cell(g.getKey(), g.getValue())));
-            } else if (f.getValue().isArray()) {
-                f.getValue().forEach(v -> out.println(f.getKey() + ": " + v.asText()));
+    static void print(ObjectNode response, List<String> columns, PrintWriter out) {
+        for (Iterator<Map.Entry<String, JsonNode>> fields = response.fields(); fields.hasNext();) {
+            Map.Entry<String, JsonNode> field = fields.next();
+            if (field.getKey().equals("list")) {
+                printTable(field.getValue(), columns, out);
+            } else if (field.getValue().isArray() && !field.getValue().isEmpty() && field.getValue().get(0).isObject()) {
+                out.println(field.getKey() + ":");
+                List<String> fieldNames = new ArrayList<>();
+                field.getValue().get(0).fieldNames().forEachRemaining(fieldNames::add);
+                printTable(field.getValue(), fieldNames, out);
+            } else if (field.getValue().isObject()) {
+                out.println(field.getKey() + ":");
+                field.getValue().fields().forEachRemaining(g -> out.println("  " + (g.getKey().isEmpty() ? "(no class)" : g.getKey()) + "  " + formatCell(g.getKey(), g.getValue())));
+            } else if (field.getValue().isArray()) {
+                field.getValue().forEach(v -> out.println(field.getKey() + ": " + v.asText()));
             } else {
-                out.println(f.getKey() + ": " + cell(f.getKey(), f.getValue()));
+                out.println(field.getKey() + ": " + formatCell(field.getKey(), field.getValue()));
             }
         }
     }
 
-    private static void list(JsonNode rows, List<String> columns, PrintWriter out) {
+    private static void printTable(JsonNode rows, List<String> columns, PrintWriter out) {
         List<List<String>> lines = new ArrayList<>(List.of(columns));
-        rows.forEach(r -> lines.add(columns.stream().map(c -> cell(c, r.path(c))).toList()));
+        rows.forEach(row -> lines.add(columns.stream().map(column -> formatCell(column, row.path(column))).toList()));
         for (List<String> line : lines) {
             StringBuilder text = new StringBuilder();
-            for (int c = 0; c < columns.size(); c++) {
-                int at = c;
-                int width = lines.stream().mapToInt(l -> l.get(at).length()).max().orElse(0);
-                text.append(line.get(c)).append(" ".repeat(width - line.get(c).length() + 2));
+            for (int column = 0; column < columns.size(); column++) {
+                int index = column;
+                int width = lines.stream().mapToInt(l -> l.get(index).length()).max().orElse(0);
+                text.append(line.get(column)).append(" ".repeat(width - line.get(column).length() + 2));
             }
             out.println(text.toString().stripTrailing());
         }
     }
 
-    private static String cell(String name, JsonNode v) {
-        if (v.isMissingNode() || v.isNull()) {
+    private static String formatCell(String name, JsonNode value) {
+        if (value.isMissingNode() || value.isNull()) {
             return "-";
         }
-        if (TIMES.contains(name) && v.isIntegralNumber() && v.asLong() > 0) {
-            return Instant.ofEpochMilli(v.asLong()).toString();
+        if (EPOCH_MILLIS_FIELDS.contains(name) && value.isIntegralNumber() && value.asLong() > 0) {
+            return Instant.ofEpochMilli(value.asLong()).toString();
         }
-        if (v.isObject()) {
+        if (value.isObject()) {
             List<String> parts = new ArrayList<>();
-            v.fields().forEachRemaining(f -> parts.add(f.getKey() + "=" + cell(f.getKey(), f.getValue())));
+            value.fields().forEachRemaining(f -> parts.add(f.getKey() + "=" + formatCell(f.getKey(), f.getValue())));
             return parts.isEmpty() ? "all" : String.join(" ", parts);
         }
-        if (v.isArray()) {
+        if (value.isArray()) {
             List<String> parts = new ArrayList<>();
-            v.forEach(x -> parts.add(cell("", x)));
+            value.forEach(x -> parts.add(formatCell("", x)));
             return String.join(",", parts);
         }
-        return v.asText();
+        return value.asText();
     }
 }
--- a/src/main/java/io/quincelead/base/OperatorSettings.java
+++ b/src/main/java/io/quincelead/base/OperatorSettings.java
@@ -15,54 +15,54 @@
  * The operators' own settings (JSON, checked against {@code operator-settings.schema.json}).
  * Every field is optional; the defaults are those the design states.
  */
-public record OperatorSettings(double alpha, int beta, double blockLeaseS, Map<String, Double> frequency,
-        double drainBacklogS, double idleReturnS, double headroom, Zones zones) {
+public record OperatorSettings(double parallelFraction, int tebasGroupSize, double shardLeaseSeconds, Map<String, Double> clockSpeedByMachineType,
+        double drainBacklogSeconds, double idleReturnSeconds, double reserveFraction, Zones zoneRecovery) {
 
     /**
      * How lost zones are met; off unless stated. {@code settleS}: seconds for which a zone that came back must hold before work is moved
      * to it; {@code movesPerMinute}: replicas moved at most, of all models together; {@code heavyGb}: images from this size on are recorded
      * with their machines.
      */
-    public record Zones(boolean on, double settleS, double movesPerMinute, double heavyGb) {
-        public static final Zones OFF = new Zones(false, 60, 6, 5);
+    public record Zones(boolean enabled, double settleSeconds, double movesPerMinute, double heavyImageGb) {
+        public static final Zones DISABLED = new Zones(false, 60, 6, 5);
     }
 
-    public static final OperatorSettings DEFAULTS = new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, Zones.OFF);
+    public static final OperatorSettings DEFAULTS = new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, Zones.DISABLED);
 
     /** The same with zones met in this way. */
-    public OperatorSettings with(Zones z) {
-        return new OperatorSettings(alpha, beta, blockLeaseS, frequency, drainBacklogS, idleReturnS, headroom, z);
+    public OperatorSettings withZoneRecovery(Zones zoneRecovery) {
+        return new OperatorSettings(parallelFraction, tebasGroupSize, shardLeaseSeconds, clockSpeedByMachineType, drainBacklogSeconds, idleReturnSeconds, reserveFraction, zoneRecovery);
     }
 
     public static OperatorSettings load(File file) throws Settings.Invalid {
-        ObjectMapper json = new ObjectMapper();
+        ObjectMapper mapper = new ObjectMapper();
         JsonNode root;
         try {
-            root = json.readTree(file);
+            root = mapper.readTree(file);
         } catch (IOException e) {
-            String first = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
-            throw new Settings.Invalid(file + ": can't be read as JSON: " + first);
+            String firstLine = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
+            throw new Settings.Invalid(file + ": can't be read as JSON: " + firstLine);
         }
-        try (InputStream in = OperatorSettings.class.getResourceAsStream("/operator-settings.schema.json")) {
-            var schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
-            for (ValidationMessage m : schema.validate(root)) {
-                throw new Settings.Invalid(file + ": " + m.getMessage());
+        try (InputStream schemaStream = OperatorSettings.class.getResourceAsStream("/operator-settings.schema.json")) {
+            var schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream);
+            for (ValidationMessage violation : schema.validate(root)) {
+                throw new Settings.Invalid(file + ": " + violation.getMessage());
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema is not in the jar", e);
         }
-        Map<String, Double> frequency = new HashMap<>();
-        root.path("frequencyByType").fields().forEachRemaining(f -> frequency.put(f.getKey(), f.getValue().asDouble()));
-        OperatorSettings d = DEFAULTS;
-        return new OperatorSettings(root.path("alpha").asDouble(d.alpha), root.path("beta").asInt(d.beta),
-                root.path("blockLeaseSeconds").asDouble(d.blockLeaseS), frequency,
-                root.path("drainBacklogSeconds").asDouble(d.drainBacklogS),
-                root.path("idleReturnSeconds").asDouble(d.idleReturnS), root.path("headroom").asDouble(d.headroom), zones(root.path("zones")));
+        Map<String, Double> clockSpeedByMachineType = new HashMap<>();
+        root.path("frequencyByType").fields().forEachRemaining(field -> clockSpeedByMachineType.put(field.getKey(), field.getValue().asDouble()));
+        OperatorSettings defaults = DEFAULTS;
+        return new OperatorSettings(root.path("alpha").asDouble(defaults.parallelFraction), root.path("beta").asInt(defaults.tebasGroupSize),
+                root.path("blockLeaseSeconds").asDouble(defaults.shardLeaseSeconds), clockSpeedByMachineType,
+                root.path("drainBacklogSeconds").asDouble(defaults.drainBacklogSeconds),
+                root.path("idleReturnSeconds").asDouble(defaults.idleReturnSeconds), root.path("headroom").asDouble(defaults.reserveFraction), readZoneRecovery(root.path("zones")));
     }
 
-    private static Zones zones(JsonNode n) {
-        Zones off = Zones.OFF;
-        return n.isMissingNode() ? off : new Zones(n.path("on").asBoolean(true), n.path("settleSeconds").asDouble(off.settleS),
-                n.path("movesPerMinute").asDouble(off.movesPerMinute), n.path("heavyImageGb").asDouble(off.heavyGb));
+    private static Zones readZoneRecovery(JsonNode node) {
+        Zones defaults = Zones.DISABLED;
+        return node.isMissingNode() ? defaults : new Zones(node.path("on").asBoolean(true), node.path("settleSeconds").asDouble(defaults.settleSeconds),
+                node.path("movesPerMinute").asDouble(defaults.movesPerMinute), node.path("heavyImageGb").asDouble(defaults.heavyImageGb));
     }
 }
--- a/src/main/java/io/quincelead/cloud/Changes.java
+++ b/src/main/java/io/quincelead/cloud/Changes.java
@@ -8,29 +8,29 @@
 /** The leader's changes of what it rents and returns, one at a time. */
 final class Changes {
     private final StoreClient store;
-    private final Mirror mirror;
+    private final Mirror watchCache;
     private final Leader leader;
-    private boolean writing;
+    private boolean isCommitInFlight;
 
-    Changes(StoreClient store, Mirror mirror, Leader leader) {
+    Changes(StoreClient store, Mirror watchCache, Leader leader) {
         this.store = store;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.leader = leader;
     }
 
     /** Whether another change has to wait: one is on its way, or one without an answer may still land. */
-    boolean writing() {
-        return writing || !leader.settled();
+    boolean isBusy() {
+        return isCommitInFlight || !leader.areWritesSettled();
     }
 
-    void commit(Txn txn, Runnable done) {
-        writing = true;
-        store.commit(txn, outcome -> {
-            writing = false;
-            leader.heard(txn, outcome);
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
-                done.run();
+    void commit(Txn transaction, Runnable onCommitted) {
+        isCommitInFlight = true;
+        store.commit(transaction, outcome -> {
+            isCommitInFlight = false;
+            leader.onOutcome(transaction, outcome);
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
+                onCommitted.run();
             }
         });
     }
--- a/src/main/java/io/quincelead/cloud/CloudClient.java
+++ b/src/main/java/io/quincelead/cloud/CloudClient.java
@@ -11,58 +11,58 @@
 
 /** The cloud's protocol, within its limit of calls a second. */
 final class CloudClient {
-    private final Loop loop;
+    private final Loop eventLoop;
     private final Transport transport;
-    private final String address;
-    private final RateBudget budget;
-    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private boolean pumping;
+    private final String cloudAddress;
+    private final RateBudget rateBudget;
+    private final ArrayDeque<Runnable> pendingCalls = new ArrayDeque<>();
+    private boolean isSendScheduled;
 
-    CloudClient(Loop loop, Transport transport, Settings settings) {
-        this.loop = loop;
+    CloudClient(Loop eventLoop, Transport transport, Settings settings) {
+        this.eventLoop = eventLoop;
         this.transport = transport;
-        this.address = settings.cloud();
-        this.budget = new RateBudget(loop, settings.cloudLimits().rps() * 0.9, 1.5);
+        this.cloudAddress = settings.cloudAddress();
+        this.rateBudget = new RateBudget(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
     }
 
     /** status 0 also stands for a 200 whose body can't be read. */
     @FunctionalInterface
     interface Answer {
-        void got(int status, ObjectNode body);
+        void onResponse(int status, ObjectNode body);
     }
 
     /** Whether a call that is not urgent should wait its turn. */
-    boolean crowded() {
-        return waiting.size() > 2;
+    boolean isBacklogged() {
+        return pendingCalls.size() > 2;
     }
 
-    void call(String method, String path, ObjectNode body, boolean urgent, Answer answer) {
-        Runnable send = () -> transport.call(address, method, path, Codec.CBOR, body == null ? null : Codec.CBOR.write(body),
-                Constants.CLOUD_TIMEOUT_MS, (status, bytes) -> {
-                    ObjectNode map = Codec.CBOR.readMap(bytes);
+    void call(String method, String path, ObjectNode body, boolean isUrgent, Answer responseHandler) {
+        Runnable sendCall = () -> transport.call(cloudAddress, method, path, Codec.CBOR, body == null ? null : Codec.CBOR.encode(body),
+                Constants.CLOUD_TIMEOUT_MS, (status, responseBytes) -> {
+                    ObjectNode responseBody = Codec.CBOR.decodeMap(responseBytes);
                     if (status == 429) {
-                        budget.drain();
+                        rateBudget.drain();
                     }
-                    boolean unreadable = status == 200 && map == null && !path.endsWith("/release");
-                    answer.got(unreadable ? Transport.NO_ANSWER : status, map);
+                    boolean isUnreadable = status == 200 && responseBody == null && !path.endsWith("/release");
+                    responseHandler.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, responseBody);
                 });
-        if (urgent) {
-            waiting.addFirst(send);
+        if (isUrgent) {
+            pendingCalls.addFirst(sendCall);
         } else {
-            waiting.addLast(send);
+            pendingCalls.addLast(sendCall);
         }
-        pump();
+        sendPending();
     }
 
-    private void pump() {
-        while (!pumping && !waiting.isEmpty()) {
-            if (budget.take(1)) {
-                waiting.pollFirst().run();
+    private void sendPending() {
+        while (!isSendScheduled && !pendingCalls.isEmpty()) {
+            if (rateBudget.tryTake(1)) {
+                pendingCalls.pollFirst().run();
             } else {
-                pumping = true;
-                loop.after(Math.max(1, budget.waitMs(1)), () -> {
-                    pumping = false;
-                    pump();
+                isSendScheduled = true;
+                eventLoop.runAfter(Math.max(1, rateBudget.millisUntilAvailable(1)), () -> {
+                    isSendScheduled = false;
+                    sendPending();
                 });
             }
         }
--- a/src/main/java/io/quincelead/cloud/CloudList.java
+++ b/src/main/java/io/quincelead/cloud/CloudList.java
@@ -19,127 +19,127 @@
 /** What the cloud says without being asked for anything: its machine types with their prices, and its list of machines. */
 final class CloudList {
     private static final Logger LOG = LoggerFactory.getLogger(CloudList.class);
-    private final Loop loop;
+    private final Loop eventLoop;
     private final Settings settings;
-    private final Mirror mirror;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final MachineTable machines;
     private final Catalog catalog;
     private final Leader leader;
-    private final CloudClient cloud;
-    private final Changes changes;
-    private final Returns returns;
-    private boolean fetching;
-    private long catalogAt = Long.MIN_VALUE / 2;
-    private long listAt = Long.MIN_VALUE / 2;
-    private long ledSince;
+    private final CloudClient cloudClient;
+    private final Changes committer;
+    private final Returns scaleInController;
+    private boolean isCatalogReadInFlight;
+    private long catalogReadAtMillis = Long.MIN_VALUE / 2;
+    private long instancesReadAtMillis = Long.MIN_VALUE / 2;
+    private long notLeadingAtMillis;
 
-    CloudList(Loop loop, Settings settings, Mirror mirror, StoreClient store, MachineTable machines, Catalog catalog, Leader leader,
-            CloudClient cloud, Changes changes, Returns returns) {
-        this.loop = loop;
+    CloudList(Loop eventLoop, Settings settings, Mirror watchCache, StoreClient store, MachineTable machines, Catalog catalog, Leader leader,
+            CloudClient cloudClient, Changes committer, Returns scaleInController) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.store = store;
         this.machines = machines;
         this.catalog = catalog;
         this.leader = leader;
-        this.cloud = cloud;
-        this.changes = changes;
-        this.returns = returns;
+        this.cloudClient = cloudClient;
+        this.committer = committer;
+        this.scaleInController = scaleInController;
     }
 
     /** Another controller leads. */
-    void followed() {
-        ledSince = loop.now();
+    void onNotLeading() {
+        notLeadingAtMillis = eventLoop.nowMillis();
     }
 
     void readCatalogIfDue() {
-        if (!fetching && loop.now() - catalogAt > (catalog.known() ? Constants.CATALOG_EVERY_MS : Constants.RENT_TICK_MS)) {
+        if (!isCatalogReadInFlight && eventLoop.nowMillis() - catalogReadAtMillis > (catalog.isLoaded() ? Constants.CATALOG_EVERY_MS : Constants.RENT_TICK_MS)) {
             readCatalog();
         }
     }
 
-    void readListIfDue() {
-        if (loop.now() - listAt > Constants.LIST_EVERY_MS && !cloud.crowded()) {
-            listAt = loop.now();
-            readList(null);
+    void readInstancesIfDue() {
+        if (eventLoop.nowMillis() - instancesReadAtMillis > Constants.LIST_EVERY_MS && !cloudClient.isBacklogged()) {
+            instancesReadAtMillis = eventLoop.nowMillis();
+            readInstances(null);
         }
     }
 
     private void readCatalog() {
-        fetching = true;
-        cloud.call("GET", "/catalog", null, true, (status, body) -> {
-            fetching = false;
-            if (status != 200 || !body.path("shapes").isArray()) {
+        isCatalogReadInFlight = true;
+        cloudClient.call("GET", "/catalog", null, true, (status, response) -> {
+            isCatalogReadInFlight = false;
+            if (status != 200 || !response.path("shapes").isArray()) {
                 return;
             }
-            catalogAt = loop.now();
-            Txn txn = leader.txn();
-            List<Catalog.Shape> read = new ArrayList<>();
-            for (JsonNode n : body.path("shapes")) {
-                Catalog.Shape s = Catalog.Shape.read(n);
-                if (s.label().isEmpty() || s.vcpus() <= 0 || s.ramGb() <= 0 || s.sites().isEmpty()) {
-                    LOG.info("a machine type of the catalog can't be read: {}", n);
+            catalogReadAtMillis = eventLoop.nowMillis();
+            Txn transaction = leader.newTransaction();
+            List<Catalog.Shape> machineTypes = new ArrayList<>();
+            for (JsonNode node : response.path("shapes")) {
+                Catalog.Shape machineType = Catalog.Shape.decode(node);
+                if (machineType.name().isEmpty() || machineType.cpus() <= 0 || machineType.memoryGb() <= 0 || machineType.zones().isEmpty()) {
+                    LOG.info("a machine type of the catalog can't be read: {}", node);
                     continue;
                 }
-                read.add(s);
-                if (mirror.stamp(Keys.SHAPE + s.label()) == 0 && txn.fits(1, 0, store.txnOps())) {
-                    txn.put(Keys.SHAPE + s.label(), s.encode());
+                machineTypes.add(machineType);
+                if (watchCache.modRevision(Keys.MACHINE_TYPE_PREFIX + machineType.name()) == 0 && transaction.fits(1, 0, store.maxTransactionOperations())) {
+                    transaction.put(Keys.MACHINE_TYPE_PREFIX + machineType.name(), machineType.encode());
                 }
             }
-            if (txn.isEmpty()) {
-                read.forEach(catalog::current);
+            if (transaction.isEmpty()) {
+                machineTypes.forEach(catalog::overrideLocally);
             } else {
-                changes.commit(txn, () -> read.stream().filter(s -> catalog.get(s.label()) != null).forEach(catalog::current));
+                committer.commit(transaction, () -> machineTypes.stream().filter(machineType -> catalog.get(machineType.name()) != null).forEach(catalog::overrideLocally));
             }
         });
     }
 
     /** Looks for machines that nobody knows, and for failed ones. The list lags: absence from it means nothing. */
-    private void readList(String after) {
-        cloud.call("GET", "/rentals?limit=500" + (after == null ? "" : "&after=" + after), null, false, (status, body) -> {
-            if (status != 200 || !leader.leading()) {
+    private void readInstances(String afterHost) {
+        cloudClient.call("GET", "/rentals?limit=500" + (afterHost == null ? "" : "&after=" + afterHost), null, false, (status, response) -> {
+            if (status != 200 || !leader.isLeading()) {
                 return;
             }
-            long now = loop.now();
-            returns.forgetReleased();
-            String last = after;
-            Returns.Leaving leaving = returns.leaving();
-            Txn txn = leaving.txn;
+            long nowMillis = eventLoop.nowMillis();
+            scaleInController.forgetOldReleases();
+            String lastHost = afterHost;
+            Returns.Leaving returnBatch = scaleInController.newReturnBatch();
+            Txn transaction = returnBatch.transaction;
             // What a predecessor returned stays listed for a while; a service that starts on a cluster that is up has none.
-            boolean adopt = leader.mayAdopt() && (machines.all().isEmpty() || now - ledSince > Constants.STRANGER_LAGS * settings.cloudLimits().listLagS() * 1000);
-            int adopted = 0;
-            for (JsonNode h : body.path("hosts")) {
-                String host = h.path("nameId").asText();
-                last = host;
-                MachineTable.Machine m = machines.get(host);
-                boolean failed = h.path("status").asText().equals("failed");
-                double age = h.path("ageS").asDouble();
-                if (m == null) {
-                    if (adopt && !failed && !returns.released(host) && !txn.fits(2, 2, store.txnOps())) {
-                        listAt = now - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
-                    } else if (adopt && !failed && !returns.released(host)) {
-                        adopted++;
-                        leaving.edits.adopt(host, h.path("shape").asText(), h.path("site").asText(), h.path("preemptible").asBoolean(),
-                                h.path("addr").asText(null), loop.wall() - (long) (age * 1000));
+            boolean mayRegister = leader.mayRegisterUnexpectedMachines() && (machines.all().isEmpty() || nowMillis - notLeadingAtMillis > Constants.STRANGER_LAGS * settings.cloudLimits().listLagSeconds() * 1000);
+            int registeredCount = 0;
+            for (JsonNode instance : response.path("hosts")) {
+                String host = instance.path("nameId").asText();
+                lastHost = host;
+                MachineTable.Machine machine = machines.get(host);
+                boolean hasFailed = instance.path("status").asText().equals("failed");
+                double ageSeconds = instance.path("ageS").asDouble();
+                if (machine == null) {
+                    if (mayRegister && !hasFailed && !scaleInController.wasReleased(host) && !transaction.fits(2, 2, store.maxTransactionOperations())) {
+                        instancesReadAtMillis = nowMillis - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
+                    } else if (mayRegister && !hasFailed && !scaleInController.wasReleased(host)) {
+                        registeredCount++;
+                        returnBatch.edits.addUnexpected(host, instance.path("shape").asText(), instance.path("site").asText(), instance.path("preemptible").asBoolean(),
+                                instance.path("addr").asText(null), eventLoop.wallClockMillis() - (long) (ageSeconds * 1000));
                     }
-                } else if (failed && !m.returning()) {
-                    if (!returns.giveBack(leaving, m, "failed")) {
+                } else if (hasFailed && !machine.releasing()) {
+                    if (!scaleInController.addReturn(returnBatch, machine, "failed")) {
                         // A zone's machines may fail together: what one change has no room for is looked at again at once.
-                        listAt = now - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
+                        instancesReadAtMillis = nowMillis - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
                     }
-                } else if (m.addr() == null && h.hasNonNull("addr") && txn.fits(1, 1, store.txnOps())) {
-                    leaving.edits.put(m.at(h.path("addr").asText()));
+                } else if (machine.address() == null && instance.hasNonNull("addr") && transaction.fits(1, 1, store.maxTransactionOperations())) {
+                    returnBatch.edits.put(machine.withAddress(instance.path("addr").asText()));
                 }
             }
-            if (adopted > 0) {
-                LOG.info("{} machines are in the cloud's list and on no record; they are taken in", adopted);
+            if (registeredCount > 0) {
+                LOG.info("{} machines are in the cloud's list and on no record; they are taken in", registeredCount);
             }
-            if (!txn.isEmpty() && !changes.writing()) {
-                changes.commit(txn, () -> { });
+            if (!transaction.isEmpty() && !committer.isBusy()) {
+                committer.commit(transaction, () -> { });
             }
-            if (body.path("truncated").asBoolean() && last != null) {
-                readList(last);
+            if (response.path("truncated").asBoolean() && lastHost != null) {
+                readInstances(lastHost);
             }
         });
     }
--- a/src/main/java/io/quincelead/cloud/Demand.java
+++ b/src/main/java/io/quincelead/cloud/Demand.java
@@ -20,45 +20,45 @@
  * the queue is done by its due times (demand bound: for each due time, the work due by then against the CPU time until then).
  */
 final class Demand {
-    private final Loop loop;
-    private final QueueOrder order;
+    private final Loop eventLoop;
+    private final QueueOrder queueOrder;
     private final Settings settings;
-    private final Set<String> seen = new HashSet<>();
-    private static final double[] WINDOWS_S = {Constants.LOAD_SHORT_S, Constants.LOAD_LONG_S};
-    private final double[][] arrivedWork = new double[WINDOWS_S.length][JobSpec.Urgency.values().length];
-    private final double[] open = new double[JobSpec.Urgency.values().length];
-    private long arrivedAt;
-    private long observing = -1;
-
-    Demand(Loop loop, QueueOrder order, Settings settings) {
-        this.loop = loop;
-        this.order = order;
+    private final Set<String> observedJobIds = new HashSet<>();
+    private static final double[] WINDOWS_SECONDS = {Constants.LOAD_SHORT_S, Constants.LOAD_LONG_S};
+    private final double[][] arrivedCpuSeconds = new double[WINDOWS_SECONDS.length][JobSpec.Urgency.values().length];
+    private final double[] openCpus = new double[JobSpec.Urgency.values().length];
+    private long observedAtMillis;
+    private long observingSinceMillis = -1;
+
+    Demand(Loop eventLoop, QueueOrder queueOrder, Settings settings) {
+        this.eventLoop = eventLoop;
+        this.queueOrder = queueOrder;
         this.settings = settings;
     }
 
     /** CPUs that are up, or will be after a while; those that come up within the same second count as one. */
     static final class Capacity {
-        private final TreeMap<Integer, Double> cpusByReadyS = new TreeMap<>();
+        private final TreeMap<Integer, Double> cpusByReadySeconds = new TreeMap<>();
 
-        void add(double cpus, double readyInS) {
-            cpusByReadyS.merge((int) Math.ceil(Math.max(0, readyInS)), cpus, Double::sum);
+        void add(double cpus, double readyInSeconds) {
+            cpusByReadySeconds.merge((int) Math.ceil(Math.max(0, readyInSeconds)), cpus, Double::sum);
         }
 
-        double cpus() {
-            return cpusByReadyS.values().stream().mapToDouble(x -> x).sum();
+        double totalCpus() {
+            return cpusByReadySeconds.values().stream().mapToDouble(x -> x).sum();
         }
 
-        double upCpus() {
-            return cpusByReadyS.getOrDefault(0, 0.0);
+        double readyCpus() {
+            return cpusByReadySeconds.getOrDefault(0, 0.0);
         }
 
         /** CPU seconds until then. */
-        double work(double withinS) {
-            double sum = 0;
-            for (Map.Entry<Integer, Double> e : cpusByReadyS.headMap((int) Math.ceil(withinS)).entrySet()) {
-                sum += e.getValue() * (withinS - e.getKey());
+        double cpuSecondsWithin(double windowSeconds) {
+            double cpuSeconds = 0;
+            for (Map.Entry<Integer, Double> entry : cpusByReadySeconds.headMap((int) Math.ceil(windowSeconds)).entrySet()) {
+                cpuSeconds += entry.getValue() * (windowSeconds - entry.getKey());
             }
-            return sum;
+            return cpuSeconds;
         }
     }
 
@@ -66,53 +66,53 @@
      * CPUs for the usual load, CPUs missing for what would be late, CPUs in use, CPUs the queue needs in time, CPUs waiting, and CPUs
      * that windows of the calendar will need beyond what is there.
      */
-    record Need(double usualCpus, double urgentCpus, double inUse, double queueCpus, double waitingCpus, double bookedCpus) {
-        Need booked(double cpus) {
-            return new Need(usualCpus, urgentCpus, inUse, queueCpus, waitingCpus, cpus);
+    record Need(double steadyStateCpus, double shortfallCpus, double usedCpus, double deadlineCpus, double pendingCpus, double bookedCpus) {
+        Need withBookedCpus(double cpus) {
+            return new Need(steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
         }
 
         /** What dear machines should be kept for: what is in use and what the queue needs in time. */
-        double keepDear(double headroom) {
-            double spare = headroom * Math.min(inUse, Math.sqrt(inUse * Constants.HEADROOM_CPUS));
-            return Math.max(inUse + spare, queueCpus) + bookedCpus;
+        double costlyCpusToKeep(double reserveFraction) {
+            double reserveCpus = reserveFraction * Math.min(usedCpus, Math.sqrt(usedCpus * Constants.HEADROOM_CPUS));
+            return Math.max(usedCpus + reserveCpus, deadlineCpus) + bookedCpus;
         }
 
         /** What cheap machines should be kept for: the usual load too. */
-        double keepCheap(double headroom) {
-            return Math.max(usualCpus, keepDear(headroom));
+        double spotCpusToKeep(double reserveFraction) {
+            return Math.max(steadyStateCpus, costlyCpusToKeep(reserveFraction));
         }
     }
 
     /** Notes what has arrived since the last look. */
     void observe(JobTable jobs) {
-        long now = loop.now();
-        boolean first = observing < 0;
-        if (first) {
-            observing = now;
-            arrivedAt = now;
-        }
-        for (int w = 0; w < WINDOWS_S.length; w++) {
-            double fade = Math.exp(-(now - arrivedAt) / 1000.0 / WINDOWS_S[w]);
-            for (int u = 0; u < arrivedWork[w].length; u++) {
-                arrivedWork[w][u] *= fade;
+        long nowMillis = eventLoop.nowMillis();
+        boolean isFirstObservation = observingSinceMillis < 0;
+        if (isFirstObservation) {
+            observingSinceMillis = nowMillis;
+            observedAtMillis = nowMillis;
+        }
+        for (int windowIndex = 0; windowIndex < WINDOWS_SECONDS.length; windowIndex++) {
+            double decay = Math.exp(-(nowMillis - observedAtMillis) / 1000.0 / WINDOWS_SECONDS[windowIndex]);
+            for (int priorityIndex = 0; priorityIndex < arrivedCpuSeconds[windowIndex].length; priorityIndex++) {
+                arrivedCpuSeconds[windowIndex][priorityIndex] *= decay;
             }
         }
-        double keep = first ? 0 : Math.exp(-(now - arrivedAt) / 1000.0 / Constants.LOAD_SHORT_S);
-        for (int u = 0; u < open.length; u++) {
-            open[u] *= keep;
+        double openCpusDecay = isFirstObservation ? 0 : Math.exp(-(nowMillis - observedAtMillis) / 1000.0 / Constants.LOAD_SHORT_S);
+        for (int priorityIndex = 0; priorityIndex < openCpus.length; priorityIndex++) {
+            openCpus[priorityIndex] *= openCpusDecay;
         }
-        for (Job j : jobs.all()) {
-            if (!j.cancelled() && j.spec.ordinary()) {
-                open[j.spec.urgency().ordinal()] += (1 - keep) * (j.placedCount() + Constants.OPEN_WAITING_SHARE * j.pendingCount()) * j.spec.vcpus();
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.spec.isUnconstrained()) {
+                openCpus[job.spec.priority().ordinal()] += (1 - openCpusDecay) * (job.placedTaskCount() + Constants.OPEN_WAITING_SHARE * job.pendingTaskCount()) * job.spec.cpus();
             }
         }
-        arrivedAt = now;
-        seen.removeIf(id -> jobs.get(id) == null);
-        for (Job j : jobs.all()) {
+        observedAtMillis = nowMillis;
+        observedJobIds.removeIf(id -> jobs.get(id) == null);
+        for (Job job : jobs.all()) {
             // What was there at the first look says nothing of the rate at which work arrives.
-            if (seen.add(j.spec.id()) && j.spec.ordinary() && !first) {
-                for (double[] work : arrivedWork) {
-                    work[j.spec.urgency().ordinal()] += j.spec.members() * j.spec.vcpus() * Math.max(1, j.spec.runtimeS());
+            if (observedJobIds.add(job.spec.jobId()) && job.spec.isUnconstrained() && !isFirstObservation) {
+                for (double[] cpuSecondsByPriority : arrivedCpuSeconds) {
+                    cpuSecondsByPriority[job.spec.priority().ordinal()] += job.spec.taskCount() * job.spec.cpus() * Math.max(1, job.spec.runtimeSeconds());
                 }
             }
         }
@@ -123,93 +123,93 @@
      * long and a short average, so neither one large job nor a load that has ended counts for long; and never more than
      * was open on average, for estimates may be too high throughout.
      */
-    private double usual(int beforeUrgency) {
-        double least = 0;
-        for (int u = 0; u < beforeUrgency; u++) {
-            least += open[u];
-        }
-        for (int w = 0; w < WINDOWS_S.length; w++) {
-            double watchedS = Math.max(Constants.LOAD_LEAST_S, (loop.now() - observing) / 1000.0);
-            double window = WINDOWS_S[w] * (1 - Math.exp(-watchedS / WINDOWS_S[w]));
-            double sum = 0;
-            for (int u = 0; u < beforeUrgency; u++) {
-                sum += arrivedWork[w][u];
+    private double steadyStateCpus(int beforePriority) {
+        double lowestCpus = 0;
+        for (int priorityIndex = 0; priorityIndex < beforePriority; priorityIndex++) {
+            lowestCpus += openCpus[priorityIndex];
+        }
+        for (int windowIndex = 0; windowIndex < WINDOWS_SECONDS.length; windowIndex++) {
+            double observedSeconds = Math.max(Constants.LOAD_LEAST_S, (eventLoop.nowMillis() - observingSinceMillis) / 1000.0);
+            double effectiveWindowSeconds = WINDOWS_SECONDS[windowIndex] * (1 - Math.exp(-observedSeconds / WINDOWS_SECONDS[windowIndex]));
+            double cpuSeconds = 0;
+            for (int priorityIndex = 0; priorityIndex < beforePriority; priorityIndex++) {
+                cpuSeconds += arrivedCpuSeconds[windowIndex][priorityIndex];
             }
-            least = Math.min(least, sum / window);
+            lowestCpus = Math.min(lowestCpus, cpuSeconds / effectiveWindowSeconds);
         }
-        return least;
+        return lowestCpus;
     }
 
     /** Work by the second in which it is due, and by urgency; running work counts as the most urgent. */
     private static final class Dues {
-        final TreeMap<Integer, double[]> bySecond = new TreeMap<>();
+        final TreeMap<Integer, double[]> cpuSecondsByDeadline = new TreeMap<>();
 
-        void add(double inS, double work, int urgency) {
-            bySecond.computeIfAbsent((int) inS, s -> new double[JobSpec.Urgency.values().length])[urgency] += work;
+        void add(double dueInSeconds, double cpuSeconds, int priorityIndex) {
+            cpuSecondsByDeadline.computeIfAbsent((int) dueInSeconds, s -> new double[JobSpec.Urgency.values().length])[priorityIndex] += cpuSeconds;
         }
     }
 
-    Need need(JobTable jobs, Capacity capacity, long wall) {
-        Dues dues = new Dues();
-        Map<String, Double> waiting = new HashMap<>();
-        Map<String, Double> used = new HashMap<>();
-        jobs.all().forEach(j -> used.merge(j.spec.owner(), j.heldCount() * j.spec.vcpus(), Double::sum));
-        double inUse = 0;
-        long now = loop.now();
-        for (Job j : jobs.all()) {
-            JobSpec s = j.spec;
-            double run = Math.max(1, s.runtimeS());
-            for (Chunk c : j.chunks) {
-                if (c == null) {
+    Need estimate(JobTable jobs, Capacity capacity, long wallMillis) {
+        Dues workByDeadline = new Dues();
+        Map<String, Double> pendingCpusByTeam = new HashMap<>();
+        Map<String, Double> usedCpusByTeam = new HashMap<>();
+        jobs.all().forEach(job -> usedCpusByTeam.merge(job.spec.team(), job.possiblyRunningTaskCount() * job.spec.cpus(), Double::sum));
+        double usedCpus = 0;
+        long nowMillis = eventLoop.nowMillis();
+        for (Job job : jobs.all()) {
+            JobSpec spec = job.spec;
+            double runtimeSeconds = Math.max(1, spec.runtimeSeconds());
+            for (Chunk page : job.pages) {
+                if (page == null) {
                     continue;
                 }
-                for (Placement p : c.placed) {
-                    if (!p.over()) {
-                        inUse += s.vcpus();
-                        double ran = (now - p.since) / 1000.0;
-                        double left = s.service() ? 1e6 : Math.max(run - ran, run * 0.2);
-                        dues.add(left, left * s.vcpus(), 0);
+                for (Placement placement : page.placements) {
+                    if (!placement.isTerminated()) {
+                        usedCpus += spec.cpus();
+                        double elapsedSeconds = (nowMillis - placement.recordSeenAtMillis) / 1000.0;
+                        double remainingSeconds = spec.isService() ? 1e6 : Math.max(runtimeSeconds - elapsedSeconds, runtimeSeconds * 0.2);
+                        workByDeadline.add(remainingSeconds, remainingSeconds * spec.cpus(), 0);
                     }
                 }
             }
-            if (j.cancelled() || j.pendingCount() == 0 || !s.ordinary() || now < j.notBefore) {
+            if (job.isCancelled() || job.pendingTaskCount() == 0 || !spec.isUnconstrained() || nowMillis < job.notBeforeMillis) {
                 continue;
             }
-            double most = settings.teams().containsKey(s.owner()) ? settings.teams().get(s.owner()).cpusMax() : 0;
-            double cpus = Math.min(j.pendingCount() * s.vcpus(), Math.max(0, most - used.getOrDefault(s.owner(), 0.0) - waiting.getOrDefault(s.owner(), 0.0)));
-            waiting.merge(s.owner(), cpus, Double::sum);
-            double due = order.rank(j, true, wall).slackS() + run * Constants.ESTIMATE_DISTRUST;
-            if (due < run) {
-                due = Constants.LATE_DRAIN_S;
+            double teamCpuLimit = settings.teams().containsKey(spec.team()) ? settings.teams().get(spec.team()).maxCpus() : 0;
+            double placeableCpus = Math.min(job.pendingTaskCount() * spec.cpus(), Math.max(0, teamCpuLimit - usedCpusByTeam.getOrDefault(spec.team(), 0.0) - pendingCpusByTeam.getOrDefault(spec.team(), 0.0)));
+            pendingCpusByTeam.merge(spec.team(), placeableCpus, Double::sum);
+            double dueInSeconds = queueOrder.rank(job, true, wallMillis).slackSeconds() + runtimeSeconds * Constants.ESTIMATE_DISTRUST;
+            if (dueInSeconds < runtimeSeconds) {
+                dueInSeconds = Constants.LATE_DRAIN_S;
             }
             // Tasks run in whole waves: of the time until it is due, only whole run times count.
-            double waves = Math.max(run, Math.floor(due / run) * run);
-            dues.add(Math.min(due, waves), cpus * run, s.urgency().ordinal());
+            double wholeRunsSeconds = Math.max(runtimeSeconds, Math.floor(dueInSeconds / runtimeSeconds) * runtimeSeconds);
+            workByDeadline.add(Math.min(dueInSeconds, wholeRunsSeconds), placeableCpus * runtimeSeconds, spec.priority().ordinal());
         }
-        double[] usual = new double[JobSpec.Urgency.values().length];
-        for (int u = 0; u < usual.length; u++) {
-            usual[u] = usual(u);
+        double[] steadyCpusBefore = new double[JobSpec.Urgency.values().length];
+        for (int priorityIndex = 0; priorityIndex < steadyCpusBefore.length; priorityIndex++) {
+            steadyCpusBefore[priorityIndex] = steadyStateCpus(priorityIndex);
         }
-        double work = 0;
-        double urgent = 0;
-        double queue = 0;
-        for (Map.Entry<Integer, double[]> second : dues.bySecond.entrySet()) {
+        double dueCpuSeconds = 0;
+        double shortfallCpus = 0;
+        double deadlineCpus = 0;
+        for (Map.Entry<Integer, double[]> deadline : workByDeadline.cpuSecondsByDeadline.entrySet()) {
             // A machine rented now can't help what is due at once; that work counts as due when it could.
-            double t = Math.max(second.getKey(), Constants.SOONEST_HELP_S);
-            double capable = capacity.work(t);
-            for (int u = 0; u < usual.length; u++) {
-                if (second.getValue()[u] <= 0) {
+            double horizonSeconds = Math.max(deadline.getKey(), Constants.SOONEST_HELP_S);
+            double availableCpuSeconds = capacity.cpuSecondsWithin(horizonSeconds);
+            for (int priorityIndex = 0; priorityIndex < steadyCpusBefore.length; priorityIndex++) {
+                if (deadline.getValue()[priorityIndex] <= 0) {
                     continue;
                 }
-                work += second.getValue()[u];
-                queue = Math.max(queue, work / t);
+                dueCpuSeconds += deadline.getValue()[priorityIndex];
+                deadlineCpus = Math.max(deadlineCpus, dueCpuSeconds / horizonSeconds);
                 // Until then, more urgent work will arrive and go first.
-                double missing = work + usual[u] * t - capable;
-                if (missing > 0) {
-                    urgent = Math.max(urgent, missing / (t - Constants.TYPICAL_BOOT_S));
+                double missingCpuSeconds = dueCpuSeconds + steadyCpusBefore[priorityIndex] * horizonSeconds - availableCpuSeconds;
+                if (missingCpuSeconds > 0) {
+                    shortfallCpus = Math.max(shortfallCpus, missingCpuSeconds / (horizonSeconds - Constants.TYPICAL_BOOT_S));
                 }
             }
         }
-        return new Need(usual(arrivedWork[0].length) * Constants.LOAD_MARGIN, urgent, inUse, queue, waiting.values().stream().mapToDouble(x -> x).sum(), 0);
+        return new Need(steadyStateCpus(arrivedCpuSeconds[0].length) * Constants.LOAD_MARGIN, shortfallCpus, usedCpus, deadlineCpus, pendingCpusByTeam.values().stream().mapToDouble(x -> x).sum(), 0);
     }
 }
--- a/src/main/java/io/quincelead/cloud/Fleet.java
+++ b/src/main/java/io/quincelead/cloud/Fleet.java
@@ -32,112 +32,112 @@
 /** The leader's part with the cloud: reads the catalog, rents ahead of need, returns what is idle, faulty, silent or unexpected. */
 public final class Fleet {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    private final Loop loop;
-    private final Blocks blocks;
+    private final Loop eventLoop;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
     private final Leader leader;
-    private final Booting booting;
+    private final Booting bootStatus;
     private final Policy policy;
-    private final Demand demand;
-    private final Changes changes;
-    private final Rentals rentals;
-    private final Renting renting;
-    private final Returns returns;
-    private final CloudList list;
+    private final Demand demandForecast;
+    private final Changes committer;
+    private final Rentals provisioningRequests;
+    private final Renting scaleOutPlanner;
+    private final Returns scaleInController;
+    private final CloudList inventory;
 
     /** What a machine's owner says of it: whether it has not come up yet; null when that isn't known. */
     @FunctionalInterface
     public interface Booting {
-        Boolean of(String owner, String host);
+        Boolean isBooting(String ownerId, String host);
     }
 
-    public Fleet(Loop loop, Settings settings, OperatorSettings operator, Session session, Mirror mirror, StoreClient store,
-            Blocks blocks, JobTable jobs, MachineTable machines, Catalog catalog, Leader leader, Transport transport, Booting booting,
-            Consumer<Placement> over, Kinds kinds, Policy policy, ZoneTable zones,
-            Supplier<Map<String, List<JobSpec>>> moves) {
+    public Fleet(Loop eventLoop, Settings settings, OperatorSettings operatorSettings, Session membershipLease, Mirror watchCache, StoreClient store,
+            Blocks shards, JobTable jobs, MachineTable machines, Catalog catalog, Leader leader, Transport transport, Booting bootStatus,
+            Consumer<Placement> onTaskTerminated, Kinds constrainedDemand, Policy policy, ZoneTable zoneTable,
+            Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
         this.policy = policy;
-        this.loop = loop;
-        this.blocks = blocks;
+        this.eventLoop = eventLoop;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
         this.leader = leader;
-        this.booting = booting;
-        CloudClient cloud = new CloudClient(loop, transport, settings);
-        QueueOrder order = new QueueOrder(settings, policy);
-        this.demand = new Demand(loop, order, settings);
-        this.changes = new Changes(store, mirror, leader);
-        this.rentals = new Rentals(loop, session, mirror, store, blocks, machines, leader, cloud, changes);
-        this.renting = new Renting(loop, settings, operator, jobs, machines, catalog, order, rentals, kinds, zones, policy, moves);
-        this.returns = new Returns(loop, operator, mirror, store, blocks, jobs, machines, catalog, leader, cloud, changes, over, kinds);
-        this.list = new CloudList(loop, settings, mirror, store, machines, catalog, leader, cloud, changes, returns);
-        loop.every(Constants.RENT_TICK_MS, this::tick);
+        this.bootStatus = bootStatus;
+        CloudClient cloudClient = new CloudClient(eventLoop, transport, settings);
+        QueueOrder queueOrder = new QueueOrder(settings, policy);
+        this.demandForecast = new Demand(eventLoop, queueOrder, settings);
+        this.committer = new Changes(store, watchCache, leader);
+        this.provisioningRequests = new Rentals(eventLoop, membershipLease, watchCache, store, shards, machines, leader, cloudClient, committer);
+        this.scaleOutPlanner = new Renting(eventLoop, settings, operatorSettings, jobs, machines, catalog, queueOrder, provisioningRequests, constrainedDemand, zoneTable, policy, rebalanceDemand);
+        this.scaleInController = new Returns(eventLoop, operatorSettings, watchCache, store, shards, jobs, machines, catalog, leader, cloudClient, committer, onTaskTerminated, constrainedDemand);
+        this.inventory = new CloudList(eventLoop, settings, watchCache, store, machines, catalog, leader, cloudClient, committer, scaleInController);
+        eventLoop.runEvery(Constants.RENT_TICK_MS, this::runScalingPass);
     }
 
     /** Whether a rental's outcome isn't on record yet. */
-    public boolean rentalsOpen() {
-        return !rentals.open().isEmpty();
+    public boolean hasOpenProvisioningRequests() {
+        return !provisioningRequests.openRequests().isEmpty();
     }
 
-    private void tick() {
-        if (!leader.leading()) {
-            returns.followed();
-            list.followed();
+    private void runScalingPass() {
+        if (!leader.isLeading()) {
+            scaleInController.onNotLeading();
+            inventory.onNotLeading();
             return;
         }
-        list.readCatalogIfDue();
-        if (!catalog.known()) {
+        inventory.readCatalogIfDue();
+        if (!catalog.isLoaded()) {
             return;
         }
-        demand.observe(jobs);
-        rentals.open().forEach(rentals::ask);
-        list.readListIfDue();
-        List<MachineTable.Machine> up = new ArrayList<>();
-        Demand.Capacity capacity = count(up);
-        double bootS = catalog.all().stream().mapToDouble(Catalog.Shape::bootS).max().orElse(0) * Constants.BOOT_USUAL_MOST + Constants.CALENDAR_RENT_SLACK_S;
-        Demand.Need need = demand.need(jobs, capacity, loop.wall()).booked(policy.bookedCpus(jobs.all(), loop.wall(), bootS));
-        if (!changes.writing()) {
-            returns.returnSome(up, need, capacity, renting::inTheWay);
+        demandForecast.observe(jobs);
+        provisioningRequests.openRequests().forEach(provisioningRequests::submit);
+        inventory.readInstancesIfDue();
+        List<MachineTable.Machine> readyMachines = new ArrayList<>();
+        Demand.Capacity capacity = measureCapacity(readyMachines);
+        double bootSeconds = catalog.all().stream().mapToDouble(Catalog.Shape::bootSeconds).max().orElse(0) * Constants.BOOT_USUAL_MOST + Constants.CALENDAR_RENT_SLACK_S;
+        Demand.Need demand = demandForecast.estimate(jobs, capacity, eventLoop.wallClockMillis()).withBookedCpus(policy.forecastCpus(jobs.all(), eventLoop.wallClockMillis(), bootSeconds));
+        if (!committer.isBusy()) {
+            scaleInController.returnExcess(readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
         }
-        if (!changes.writing() && !leader.adopting()) {
-            Map<Option, Integer> buy = renting.wanted(need, capacity);
-            if (!buy.isEmpty()) {
-                LOG.debug("need {} with {} CPUs up or coming", need, capacity.cpus());
-                rentals.rent(buy);
+        if (!committer.isBusy() && !leader.hasUnregisteredMachines()) {
+            Map<Option, Integer> purchases = scaleOutPlanner.planScaleOut(demand, capacity);
+            if (!purchases.isEmpty()) {
+                LOG.debug("need {} with {} CPUs up or coming", demand, capacity.totalCpus());
+                provisioningRequests.provision(purchases);
             }
         }
     }
 
     /** Counts what is up and what is on its way. */
-    private Demand.Capacity count(List<MachineTable.Machine> up) {
-        Set<String> present = new HashSet<>();
+    private Demand.Capacity measureCapacity(List<MachineTable.Machine> readyMachines) {
+        Set<String> presentHosts = new HashSet<>();
         Demand.Capacity capacity = new Demand.Capacity();
-        for (Rentals.Rental r : rentals.open()) {
-            Catalog.Shape shape = catalog.get(r.shape());
-            if (shape != null) {
-                capacity.add(r.howMany() * shape.vcpus(), shape.bootS() + shape.bootS() / 4);
+        for (Rentals.Rental request : provisioningRequests.openRequests()) {
+            Catalog.Shape machineType = catalog.get(request.machineType());
+            if (machineType != null) {
+                capacity.add(request.machineCount() * machineType.cpus(), machineType.bootSeconds() + machineType.bootSeconds() / 4);
             }
         }
-        for (MachineTable.Machine m : machines.all()) {
-            Catalog.Shape shape = catalog.get(m.shape());
-            present.add(m.host());
-            if (m.returning() || shape == null) {
+        for (MachineTable.Machine machine : machines.all()) {
+            Catalog.Shape machineType = catalog.get(machine.machineType());
+            presentHosts.add(machine.host());
+            if (machine.releasing() || machineType == null) {
                 continue;
             }
-            double age = (loop.wall() - m.rentedAt()) / 1000.0;
-            Boolean said = booting.of(blocks.owner(m.host()), m.host());
-            if (said != null ? said : age < shape.bootS() * 1.2) {
-                capacity.add(shape.vcpus(), Math.max(5, shape.bootS() * 1.2 - age));
+            double ageSeconds = (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+            Boolean reportedBooting = bootStatus.isBooting(shards.ownerOf(machine.host()), machine.host());
+            if (reportedBooting != null ? reportedBooting : ageSeconds < machineType.bootSeconds() * 1.2) {
+                capacity.add(machineType.cpus(), Math.max(5, machineType.bootSeconds() * 1.2 - ageSeconds));
                 continue;
             }
-            if (!m.closed()) {
-                capacity.add(shape.vcpus(), 0);
+            if (!machine.cordoned()) {
+                capacity.add(machineType.cpus(), 0);
             }
-            up.add(m);
+            readyMachines.add(machine);
         }
-        returns.idle(up, present);
+        scaleInController.trackIdleMachines(readyMachines, presentHosts);
         return capacity;
     }
 }
--- a/src/main/java/io/quincelead/cloud/Rentals.java
+++ b/src/main/java/io/quincelead/cloud/Rentals.java
@@ -29,141 +29,141 @@
     private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
 
     /** A rental on record: its outcome is not known until the cloud has answered under this very name. */
-    record Rental(String name, String shape, String site, boolean spot, int howMany) { }
+    record Rental(String name, String machineType, String zone, boolean spot, int machineCount) { }
 
-    private record Refusal(long until, long pause) { }
+    private record Refusal(long untilMillis, long pauseMillis) { }
 
-    private final Loop loop;
-    private final Session session;
-    private final Mirror mirror;
+    private final Loop eventLoop;
+    private final Session membershipLease;
+    private final Mirror watchCache;
     private final StoreClient store;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final MachineTable machines;
     private final Leader leader;
-    private final CloudClient cloud;
-    private final Changes changes;
-    private final Map<String, Rental> rentals = new LinkedHashMap<>();
-    private final Set<String> asking = new HashSet<>();
-    private final Map<String, Refusal> refusals = new HashMap<>();
-    private long names;
-    private long recorded;
+    private final CloudClient cloudClient;
+    private final Changes committer;
+    private final Map<String, Rental> openRequests = new LinkedHashMap<>();
+    private final Set<String> requestsInFlight = new HashSet<>();
+    private final Map<String, Refusal> refusalsByOffering = new HashMap<>();
+    private long lastRequestNumber;
+    private long recordedRequestCount;
 
-    Rentals(Loop loop, Session session, Mirror mirror, StoreClient store, Blocks blocks, MachineTable machines, Leader leader,
-            CloudClient cloud, Changes changes) {
-        this.loop = loop;
-        this.session = session;
-        this.mirror = mirror;
+    Rentals(Loop eventLoop, Session membershipLease, Mirror watchCache, StoreClient store, Blocks shards, MachineTable machines, Leader leader,
+            CloudClient cloudClient, Changes committer) {
+        this.eventLoop = eventLoop;
+        this.membershipLease = membershipLease;
+        this.watchCache = watchCache;
         this.store = store;
-        this.blocks = blocks;
+        this.shards = shards;
         this.machines = machines;
         this.leader = leader;
-        this.cloud = cloud;
-        this.changes = changes;
-        mirror.view(Keys.RENTALS, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                recorded = v.path("n").asLong();
+        this.cloudClient = cloudClient;
+        this.committer = committer;
+        watchCache.addPrefixListener(Keys.PROVISIONING_REQUEST_COUNTER, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                recordedRequestCount = v.path("n").asLong();
             }
 
-            @Override public void remove(String key) {
-                recorded = 0;
+            @Override public void onRemove(String key) {
+                recordedRequestCount = 0;
             }
         });
-        mirror.view(Keys.RENTAL, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                String name = key.substring(Keys.RENTAL.length());
-                rentals.put(name, new Rental(name, v.path("k").asText(), v.path("s").asText(), v.path("p").asBoolean(), v.path("n").asInt()));
+        watchCache.addPrefixListener(Keys.PROVISIONING_REQUEST_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                String name = key.substring(Keys.PROVISIONING_REQUEST_PREFIX.length());
+                openRequests.put(name, new Rental(name, v.path("k").asText(), v.path("s").asText(), v.path("p").asBoolean(), v.path("n").asInt()));
             }
 
-            @Override public void remove(String key) {
-                rentals.remove(key.substring(Keys.RENTAL.length()));
+            @Override public void onRemove(String key) {
+                openRequests.remove(key.substring(Keys.PROVISIONING_REQUEST_PREFIX.length()));
             }
         });
     }
 
     /** Those whose outcome isn't on record yet. */
-    Collection<Rental> open() {
-        return rentals.values();
+    Collection<Rental> openRequests() {
+        return openRequests.values();
     }
 
     /** Whether the cloud said of late that it has no more of these. */
-    boolean refused(Option o) {
-        Refusal r = refusals.get(o.id());
-        return r != null && loop.now() < r.until;
+    boolean isRefused(Option offering) {
+        Refusal refusal = refusalsByOffering.get(offering.id());
+        return refusal != null && eventLoop.nowMillis() < refusal.untilMillis;
     }
 
     /** Records what is to be rented, as much as may be open at one time, and asks for it. */
-    void rent(Map<Option, Integer> buy) {
+    void provision(Map<Option, Integer> purchases) {
         // A copy of this change, minutes later, would record rentals again whose machines are long gone.
-        Txn txn = leader.txn().guard(Keys.RENTALS, mirror.stamp(Keys.RENTALS)).put(Keys.RENTALS, Codec.map().put("n", recorded + buy.size()));
-        List<Rental> asked = new ArrayList<>();
-        for (Map.Entry<Option, Integer> b : buy.entrySet()) {
-            if (rentals.size() + asked.size() >= Constants.MAX_RENTALS_OPEN || !txn.fits(1, 0, store.txnOps())) {
+        Txn transaction = leader.newTransaction().requireRevision(Keys.PROVISIONING_REQUEST_COUNTER, watchCache.modRevision(Keys.PROVISIONING_REQUEST_COUNTER)).put(Keys.PROVISIONING_REQUEST_COUNTER, Codec.newMap().put("n", recordedRequestCount + purchases.size()));
+        List<Rental> newRequests = new ArrayList<>();
+        for (Map.Entry<Option, Integer> purchase : purchases.entrySet()) {
+            if (openRequests.size() + newRequests.size() >= Constants.MAX_RENTALS_OPEN || !transaction.fits(1, 0, store.maxTransactionOperations())) {
                 break;
             }
-            Option o = b.getKey();
-            String name = "r-" + blocks.lead().term() + "-" + session.incarnation() + "-" + ++names;
-            int n = Math.min(b.getValue(), Constants.MAX_RENT);
-            Rental r = new Rental(name, o.shape().label(), o.site(), o.spot(), n);
-            txn.put(Keys.RENTAL + name, Codec.map().put("k", r.shape).put("s", r.site).put("p", r.spot).put("n", n));
-            asked.add(r);
+            Option offering = purchase.getKey();
+            String name = "r-" + shards.leaderRecord().fencingToken() + "-" + membershipLease.incarnation() + "-" + ++lastRequestNumber;
+            int machineCount = Math.min(purchase.getValue(), Constants.MAX_RENT);
+            Rental request = new Rental(name, offering.machineType().name(), offering.zone(), offering.spot(), machineCount);
+            transaction.put(Keys.PROVISIONING_REQUEST_PREFIX + name, Codec.newMap().put("k", request.machineType).put("s", request.zone).put("p", request.spot).put("n", machineCount));
+            newRequests.add(request);
         }
-        if (!asked.isEmpty()) {
-            changes.commit(txn, () -> asked.forEach(this::ask));
+        if (!newRequests.isEmpty()) {
+            committer.commit(transaction, () -> newRequests.forEach(this::submit));
         }
     }
 
     /** Asks for a recorded rental; repeated under the same name until the cloud has said yes or no. */
-    void ask(Rental r) {
-        if (!leader.leading() || !leader.settled() || !asking.add(r.name)) {
+    void submit(Rental request) {
+        if (!leader.isLeading() || !leader.areWritesSettled() || !requestsInFlight.add(request.name)) {
             return;
         }
-        ObjectNode body = Codec.map().put("rental", r.name).put("shape", r.shape).put("site", r.site).put("preemptible", r.spot).put("howMany", r.howMany);
-        cloud.call("POST", "/rentals", body, false, (status, answer) -> {
+        ObjectNode requestBody = Codec.newMap().put("rental", request.name).put("shape", request.machineType).put("site", request.zone).put("preemptible", request.spot).put("howMany", request.machineCount);
+        cloudClient.call("POST", "/rentals", requestBody, false, (status, response) -> {
             // Settled once: carried out late, after the machines have gone again, it would bring their records back.
-            String key = Keys.RENTAL + r.name;
-            if (mirror.stamp(key) == 0) {
-                asking.remove(r.name);
+            String recordKey = Keys.PROVISIONING_REQUEST_PREFIX + request.name;
+            if (watchCache.modRevision(recordKey) == 0) {
+                requestsInFlight.remove(request.name);
                 return;
             }
-            Txn txn = leader.txn().guard(key, mirror.stamp(key)).remove(key);
-            int got = 0;
-            if (status == 200 && answer.path("hosts").isArray()) {
-                MachineTable.Edits edits = machines.edits(txn);
-                for (JsonNode h : answer.path("hosts")) {
-                    got++;
-                    if (machines.get(h.asText()) == null) {
-                        edits.put(new MachineTable.Machine(h.asText(), r.name, r.shape, r.site, r.spot, loop.wall()));
+            Txn transaction = leader.newTransaction().requireRevision(recordKey, watchCache.modRevision(recordKey)).remove(recordKey);
+            int receivedCount = 0;
+            if (status == 200 && response.path("hosts").isArray()) {
+                MachineTable.Edits edits = machines.beginEdits(transaction);
+                for (JsonNode hostNode : response.path("hosts")) {
+                    receivedCount++;
+                    if (machines.get(hostNode.asText()) == null) {
+                        edits.put(new MachineTable.Machine(hostNode.asText(), request.name, request.machineType, request.zone, request.spot, eventLoop.wallClockMillis()));
                     }
                 }
-                LOG.info("rented {} of {} {} in {}{}", got, r.howMany, r.shape, r.site, r.spot ? ", spot" : "");
+                LOG.info("rented {} of {} {} in {}{}", receivedCount, request.machineCount, request.machineType, request.zone, request.spot ? ", spot" : "");
             } else if (status == 400) {
-                LOG.error("the cloud calls a rental malformed: {}", body);
-            } else if (status != 503 || answer == null || !answer.path("error").asText().contains("capacity")) {
-                loop.after(Constants.RENT_TICK_MS, () -> asking.remove(r.name));
+                LOG.error("the cloud calls a rental malformed: {}", requestBody);
+            } else if (status != 503 || response == null || !response.path("error").asText().contains("capacity")) {
+                eventLoop.runAfter(Constants.RENT_TICK_MS, () -> requestsInFlight.remove(request.name));
                 return;
             }
-            if (got < r.howMany) {
-                refuse(Option.id(r.shape, r.site, r.spot));
+            if (receivedCount < request.machineCount) {
+                recordRefusal(Option.id(request.machineType, request.zone, request.spot));
             }
-            settle(r, txn);
+            resolve(request, transaction);
         });
     }
 
-    private void refuse(String id) {
-        Refusal before = refusals.get(id);
-        long pause = before == null || loop.now() - before.until > before.pause ? Constants.NO_CAPACITY_MS
-                : Math.min(Constants.NO_CAPACITY_MAX_MS, before.pause * 2);
-        refusals.put(id, new Refusal(loop.now() + pause, pause));
+    private void recordRefusal(String offeringId) {
+        Refusal previous = refusalsByOffering.get(offeringId);
+        long pauseMillis = previous == null || eventLoop.nowMillis() - previous.untilMillis > previous.pauseMillis ? Constants.NO_CAPACITY_MS
+                : Math.min(Constants.NO_CAPACITY_MAX_MS, previous.pauseMillis * 2);
+        refusalsByOffering.put(offeringId, new Refusal(eventLoop.nowMillis() + pauseMillis, pauseMillis));
     }
 
-    private void settle(Rental r, Txn txn) {
-        store.commit(txn, outcome -> {
-            leader.heard(txn, outcome);
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
+    private void resolve(Rental request, Txn transaction) {
+        store.commit(transaction, outcome -> {
+            leader.onOutcome(transaction, outcome);
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
             // Otherwise the record stands and the same name is asked for again; the answer will be the same.
-            loop.after(Constants.RETRY_MS, () -> asking.remove(r.name));
+            eventLoop.runAfter(Constants.RETRY_MS, () -> requestsInFlight.remove(request.name));
         });
     }
 }
--- a/src/main/java/io/quincelead/cloud/Renting.java
+++ b/src/main/java/io/quincelead/cloud/Renting.java
@@ -25,310 +25,310 @@
 
 /** What should be rented: for what the machines that are up or on their way can't finish in time. */
 final class Renting {
-    private final Loop loop;
+    private final Loop eventLoop;
     private final Settings settings;
-    private final OperatorSettings operator;
+    private final OperatorSettings operatorSettings;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
-    private final QueueOrder order;
-    private final Rentals rentals;
-    private final Kinds kinds;
+    private final QueueOrder queueOrder;
+    private final Rentals provisioningRequests;
+    private final Kinds constrainedDemand;
     private final ZoneTable zoneTable;
     /** Replicas that would move to a zone if there were room. */
-    private final Supplier<Map<String, List<JobSpec>>> moves;
+    private final Supplier<Map<String, List<JobSpec>>> rebalanceDemand;
     private final Policy policy;
     /** Work that only some machines may run and that waits for machines which the cloud says it hasn't got. */
-    private final List<JobSpec> starved = new ArrayList<>();
+    private final List<JobSpec> starvedSpecs = new ArrayList<>();
     /** CPUs that are up, on their way or planned, by zone: among equals the zone with least is rented. */
     private final Map<String, Double> cpusByZone = new HashMap<>();
 
-    Renting(Loop loop, Settings settings, OperatorSettings operator, JobTable jobs, MachineTable machines, Catalog catalog, QueueOrder order,
-            Rentals rentals, Kinds kinds, ZoneTable zones, Policy policy, Supplier<Map<String, List<JobSpec>>> moves) {
-        this.moves = moves;
-        this.zoneTable = zones;
+    Renting(Loop eventLoop, Settings settings, OperatorSettings operatorSettings, JobTable jobs, MachineTable machines, Catalog catalog, QueueOrder queueOrder,
+            Rentals provisioningRequests, Kinds constrainedDemand, ZoneTable zoneTable, Policy policy, Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
+        this.rebalanceDemand = rebalanceDemand;
+        this.zoneTable = zoneTable;
         this.policy = policy;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.operator = operator;
+        this.operatorSettings = operatorSettings;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.order = order;
-        this.rentals = rentals;
-        this.kinds = kinds;
+        this.queueOrder = queueOrder;
+        this.provisioningRequests = provisioningRequests;
+        this.constrainedDemand = constrainedDemand;
     }
 
     /** A machine, real or planned, with the room that is left in the plan. */
     private static final class Room {
-        final Option option;
-        double cpu;
-        double ram;
-        double gpu;
+        final Option offering;
+        double freeCpus;
+        double freeMemoryGb;
+        double freeGpus;
 
-        Room(Option option) {
-            this.option = option;
-            cpu = option.shape().vcpus();
-            ram = option.shape().ramGb();
-            gpu = option.shape().cards();
+        Room(Option offering) {
+            this.offering = offering;
+            freeCpus = offering.machineType().cpus();
+            freeMemoryGb = offering.machineType().memoryGb();
+            freeGpus = offering.machineType().gpus();
         }
 
-        int cap(JobSpec s) {
-            return Tebas.remainCap(cpu, ram, gpu, s.vcpus(), s.ramGb(), s.cards());
+        int taskCapacity(JobSpec spec) {
+            return Tebas.taskCapacity(freeCpus, freeMemoryGb, freeGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
         }
 
-        void take(JobSpec s, int n) {
-            cpu -= n * s.vcpus();
-            ram -= n * s.ramGb();
-            gpu -= n * s.cards();
+        void reserve(JobSpec spec, int taskCount) {
+            freeCpus -= taskCount * spec.cpus();
+            freeMemoryGb -= taskCount * spec.memoryGb();
+            freeGpus -= taskCount * spec.gpus();
         }
     }
 
     /** Whether such a machine, if it is only kept from habit, should go back: the cloud lacks machines for work that can't use this one. */
-    boolean inTheWay(Option o) {
-        return !starved.isEmpty() && starved.stream().noneMatch(o::allows);
+    boolean shouldYieldToStarvedWork(Option offering) {
+        return !starvedSpecs.isEmpty() && starvedSpecs.stream().noneMatch(offering::allows);
     }
 
     /**
      * How many of which to rent. Ordinary work is sized by {@link Demand}; work that only some machines may run is planned
      * task by task.
      */
-    Map<Option, Integer> wanted(Demand.Need need, Demand.Capacity capacity) {
-        long now = loop.now();
-        Map<String, double[]> use = new HashMap<>();
-        for (Job j : jobs.all()) {
-            double[] u = use.computeIfAbsent(j.spec.owner(), t -> new double[2]);
-            u[0] += j.placedCount() * j.spec.vcpus();
-            u[1] += j.placedCount() * j.spec.cards();
+    Map<Option, Integer> planScaleOut(Demand.Need demand, Demand.Capacity capacity) {
+        long nowMillis = eventLoop.nowMillis();
+        Map<String, double[]> plannedUseByTeam = new HashMap<>();
+        for (Job job : jobs.all()) {
+            double[] teamUse = plannedUseByTeam.computeIfAbsent(job.spec.team(), t -> new double[2]);
+            teamUse[0] += job.placedTaskCount() * job.spec.cpus();
+            teamUse[1] += job.placedTaskCount() * job.spec.gpus();
         }
-        List<QueueOrder.Ranked> queue = new ArrayList<>();
-        for (Job j : jobs.all()) {
-            if (!j.cancelled() && j.pendingCount() > 0 && now >= j.notBefore) {
-                queue.add(order.rank(j, true, loop.wall()));
+        List<QueueOrder.Ranked> pendingJobs = new ArrayList<>();
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.pendingTaskCount() > 0 && nowMillis >= job.notBeforeMillis) {
+                pendingJobs.add(queueOrder.rank(job, true, eventLoop.wallClockMillis()));
             }
         }
-        queue.sort(QueueOrder.ORDER);
-        Map<Option, Integer> buy = new LinkedHashMap<>();
-        starved.clear();
+        pendingJobs.sort(QueueOrder.BY_QUEUE_ORDER);
+        Map<Option, Integer> purchases = new LinkedHashMap<>();
+        starvedSpecs.clear();
         cpusByZone.clear();
-        List<Room> rooms = rooms();
-        rooms.forEach(r -> cpusByZone.merge(r.option.site(), r.option.shape().vcpus(), Double::sum));
-        for (QueueOrder.Ranked q : queue) {
-            if (!q.job().spec.ordinary()) {
-                plan(q.job(), rooms, use, buy);
+        List<Room> plannedMachines = listPlannedMachines();
+        plannedMachines.forEach(r -> cpusByZone.merge(r.offering.zone(), r.offering.machineType().cpus(), Double::sum));
+        for (QueueOrder.Ranked ranked : pendingJobs) {
+            if (!ranked.job().spec.isUnconstrained()) {
+                planConstrainedJob(ranked.job(), plannedMachines, plannedUseByTeam, purchases);
             }
         }
-        moves.get().forEach((zone, specs) -> specs.forEach(s -> forMove(s, zone, rooms, buy)));
-        buyOrdinary(need, capacity, stranded(rooms), buy);
-        return buy;
+        rebalanceDemand.get().forEach((zone, specs) -> specs.forEach(s -> planRebalance(s, zone, plannedMachines, purchases)));
+        planUnconstrained(demand, capacity, strandedCpus(plannedMachines), purchases);
+        return purchases;
     }
 
     /** Cheap machines for the usual load and for what is late; ordinary ones only for what would else be late. */
-    private void buyOrdinary(Demand.Need need, Demand.Capacity capacity, double stranded, Map<Option, Integer> buy) {
-        double cheap = Math.max(need.usualCpus(), need.inUse() + Math.min(stranded, need.waitingCpus()) + need.waitingCpus() * Constants.CHEAP_SHARE) + need.bookedCpus();
-        double missing = Math.max(need.urgentCpus(), cheap - capacity.cpus());
-        double late = need.urgentCpus() - capacity.cpus() * Constants.DEAR_SHARE;
-        if (need.bookedCpus() > 0) {
+    private void planUnconstrained(Demand.Need demand, Demand.Capacity capacity, double strandedCpus, Map<Option, Integer> purchases) {
+        double spotTargetCpus = Math.max(demand.steadyStateCpus(), demand.usedCpus() + Math.min(strandedCpus, demand.pendingCpus()) + demand.pendingCpus() * Constants.CHEAP_SHARE) + demand.bookedCpus();
+        double missingCpus = Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
+        double overdueCpus = demand.shortfallCpus() - capacity.totalCpus() * Constants.DEAR_SHARE;
+        if (demand.bookedCpus() > 0) {
             // What the calendar books must be there, dear or not; but not more of it than is missing.
-            late = Math.max(late, Math.min(need.bookedCpus(), missing));
+            overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
         }
-        double least = need.waitingCpus() + need.bookedCpus() > 0 ? 0.5 : Constants.CHEAP_LEAST_CPUS;
-        while (missing > least) {
-            Option best = null;
+        double toleratedCpus = demand.pendingCpus() + demand.bookedCpus() > 0 ? 0.5 : Constants.CHEAP_LEAST_CPUS;
+        while (missingCpus > toleratedCpus) {
+            Option bestOffering = null;
             double bestCost = Double.MAX_VALUE;
-            for (Catalog.Shape shape : catalog.all()) {
-                if (shape.cards() > 0) {
+            for (Catalog.Shape machineType : catalog.all()) {
+                if (machineType.gpus() > 0) {
                     continue;
                 }
-                for (String site : shape.sites()) {
+                for (String zone : machineType.zones()) {
                     for (boolean spot : new boolean[] {true, false}) {
-                        Option o = new Option(shape, site, spot);
-                        if (rentals.refused(o) || zoneTable.avoid(site) || !spot && late <= 0.5 || buy.getOrDefault(o, 0) >= Constants.MAX_RENT) {
+                        Option offering = new Option(machineType, zone, spot);
+                        if (provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) || !spot && overdueCpus <= 0.5 || purchases.getOrDefault(offering, 0) >= Constants.MAX_RENT) {
                             continue;
                         }
                         // Unused parts of a machine cost too, and so do its boot and its first fetch.
-                        double useful = Math.min(shape.vcpus(), Math.max(missing, shape.vcpus() / 2));
-                        double cost = shape.price(spot) / useful * (1 + shape.bootS() / Constants.EXPECTED_STAY_S);
+                        double usefulCpus = Math.min(machineType.cpus(), Math.max(missingCpus, machineType.cpus() / 2));
+                        double cost = machineType.pricePerHour(spot) / usefulCpus * (1 + machineType.bootSeconds() / Constants.EXPECTED_STAY_S);
                         if (!spot) {
                             // A dear machine must go again soon, and a large one takes long to run empty.
-                            cost *= 1 + shape.vcpus() / Constants.SLOW_EMPTY_CPUS;
+                            cost *= 1 + machineType.cpus() / Constants.SLOW_EMPTY_CPUS;
                         }
-                        if (better(o, cost, best, bestCost)) {
-                            best = o;
+                        if (isBetter(offering, cost, bestOffering, bestCost)) {
+                            bestOffering = offering;
                             bestCost = cost;
                         }
                     }
                 }
             }
-            if (best == null) {
+            if (bestOffering == null) {
                 return;
             }
-            buy(best, buy);
-            missing -= best.shape().vcpus();
-            late -= best.shape().vcpus();
+            addPurchase(bestOffering, purchases);
+            missingCpus -= bestOffering.machineType().cpus();
+            overdueCpus -= bestOffering.machineType().cpus();
         }
     }
 
     /** Room for one replica that would move to a zone which came back. */
-    private void forMove(JobSpec s, String zone, List<Room> rooms, Map<Option, Integer> buy) {
-        for (Room r : rooms) {
-            if (r.option.site().equals(zone) && r.option.allows(s) && r.cap(s) > 0) {
-                r.take(s, 1);
+    private void planRebalance(JobSpec spec, String zone, List<Room> plannedMachines, Map<Option, Integer> purchases) {
+        for (Room plannedMachine : plannedMachines) {
+            if (plannedMachine.offering.zone().equals(zone) && plannedMachine.offering.allows(spec) && plannedMachine.taskCapacity(spec) > 0) {
+                plannedMachine.reserve(spec, 1);
                 return;
             }
         }
-        Option best = null;
-        for (Catalog.Shape shape : catalog.all()) {
+        Option bestOffering = null;
+        for (Catalog.Shape machineType : catalog.all()) {
             for (boolean spot : new boolean[] {true, false}) {
-                Option o = new Option(shape, zone, spot);
-                boolean may = shape.sites().contains(zone) && o.allows(s) && !rentals.refused(o);
-                if (may && (best == null || shape.price(spot) < best.shape().price(best.spot()))) {
-                    best = o;
+                Option offering = new Option(machineType, zone, spot);
+                boolean isCandidate = machineType.zones().contains(zone) && offering.allows(spec) && !provisioningRequests.isRefused(offering);
+                if (isCandidate && (bestOffering == null || machineType.pricePerHour(spot) < bestOffering.machineType().pricePerHour(bestOffering.spot()))) {
+                    bestOffering = offering;
                 }
             }
         }
-        if (best != null) {
-            Room r = new Room(best);
-            r.take(s, 1);
-            rooms.add(r);
-            buy(best, buy);
+        if (bestOffering != null) {
+            Room plannedMachine = new Room(bestOffering);
+            plannedMachine.reserve(spec, 1);
+            plannedMachines.add(plannedMachine);
+            addPurchase(bestOffering, purchases);
         }
     }
 
     /** CPUs that are free in rooms too small for any ordinary task that waits: whole-machine tasks wait beside half-filled machines. */
-    private double stranded(List<Room> rooms) {
-        JobSpec least = null;
-        for (Job j : jobs.all()) {
-            if (!j.cancelled() && j.pendingCount() > 0 && j.spec.ordinary() && (least == null || j.spec.vcpus() < least.vcpus())) {
-                least = j.spec;
+    private double strandedCpus(List<Room> plannedMachines) {
+        JobSpec smallestSpec = null;
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.pendingTaskCount() > 0 && job.spec.isUnconstrained() && (smallestSpec == null || job.spec.cpus() < smallestSpec.cpus())) {
+                smallestSpec = job.spec;
             }
         }
-        double sum = 0;
-        for (Room r : least == null ? List.<Room>of() : rooms) {
-            sum += r.option.shape().cards() == 0 && r.cap(least) == 0 ? Math.max(0, r.cpu) : 0;
+        double freeCpus = 0;
+        for (Room plannedMachine : smallestSpec == null ? List.<Room>of() : plannedMachines) {
+            freeCpus += plannedMachine.offering.machineType().gpus() == 0 && plannedMachine.taskCapacity(smallestSpec) == 0 ? Math.max(0, plannedMachine.freeCpus) : 0;
         }
-        return sum;
+        return freeCpus;
     }
 
-    private List<Room> rooms() {
-        List<Room> rooms = new ArrayList<>();
-        for (MachineTable.Machine m : machines.all()) {
-            Catalog.Shape shape = catalog.get(m.shape());
-            if (!m.returning() && shape != null) {
-                Room r = new Room(new Option(shape, m.site(), m.spot()));
-                for (Placement p : jobs.on(m.host()).values()) {
-                    r.take(p.job.spec, 1);
+    private List<Room> listPlannedMachines() {
+        List<Room> plannedMachines = new ArrayList<>();
+        for (MachineTable.Machine machine : machines.all()) {
+            Catalog.Shape machineType = catalog.get(machine.machineType());
+            if (!machine.releasing() && machineType != null) {
+                Room r = new Room(new Option(machineType, machine.zone(), machine.spot()));
+                for (Placement placement : jobs.placementsOn(machine.host()).values()) {
+                    r.reserve(placement.job.spec, 1);
                 }
-                rooms.add(r);
+                plannedMachines.add(r);
             }
         }
-        for (Rentals.Rental r : rentals.open()) {
-            Catalog.Shape shape = catalog.get(r.shape());
-            for (int i = 0; shape != null && i < r.howMany(); i++) {
-                rooms.add(new Room(new Option(shape, r.site(), r.spot())));
+        for (Rentals.Rental r : provisioningRequests.openRequests()) {
+            Catalog.Shape machineType = catalog.get(r.machineType());
+            for (int i = 0; machineType != null && i < r.machineCount(); i++) {
+                plannedMachines.add(new Room(new Option(machineType, r.zone(), r.spot())));
             }
         }
-        return rooms;
+        return plannedMachines;
     }
 
-    private void plan(Job job, List<Room> rooms, Map<String, double[]> use, Map<Option, Integer> buy) {
-        JobSpec s = job.spec;
-        Settings.Team team = settings.teams().get(s.owner());
+    private void planConstrainedJob(Job job, List<Room> plannedMachines, Map<String, double[]> plannedUseByTeam, Map<Option, Integer> purchases) {
+        JobSpec spec = job.spec;
+        Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return;
         }
-        double[] u = use.computeIfAbsent(s.owner(), t -> new double[2]);
-        int quota = Tebas.remainCap(team.cpusMax() - u[0], Double.MAX_VALUE, team.gpusMax() - u[1], s.vcpus(), 0, s.cards());
-        double drain = operator.drainBacklogS();
-        double part = s.mode() == JobSpec.Mode.ARRAY ? Math.min(1, Math.max(s.runtimeS(), 1) / drain) : 1;
-        int need = Math.min(quota, (int) Math.ceil(job.pendingCount() * part));
-        u[0] += need * s.vcpus();
-        u[1] += need * s.cards();
-        Zones zones = new Zones(job);
-        for (Room r : rooms) {
-            if (need <= 0) {
+        double[] teamUse = plannedUseByTeam.computeIfAbsent(spec.team(), t -> new double[2]);
+        int quotaTasks = Tebas.taskCapacity(team.maxCpus() - teamUse[0], Double.MAX_VALUE, team.maxGpus() - teamUse[1], spec.cpus(), 0, spec.gpus());
+        double drainSeconds = operatorSettings.drainBacklogSeconds();
+        double startShare = spec.mode() == JobSpec.Mode.ARRAY ? Math.min(1, Math.max(spec.runtimeSeconds(), 1) / drainSeconds) : 1;
+        int neededTasks = Math.min(quotaTasks, (int) Math.ceil(job.pendingTaskCount() * startShare));
+        teamUse[0] += neededTasks * spec.cpus();
+        teamUse[1] += neededTasks * spec.gpus();
+        Zones zoneLimits = new Zones(job);
+        for (Room plannedMachine : plannedMachines) {
+            if (neededTasks <= 0) {
                 return;
             }
             // Placing leaves machines alone whose GPUs other work seeks.
-            boolean left = s.cards() == 0 && s.shapes() == null && kinds.cardsWanted(r.option.shape(), r.option.site(), r.option.spot());
-            if (r.option.allows(s) && !left) {
-                int n = Math.min(Math.min(need, r.cap(s)), zones.most(r.option.site()));
-                r.take(s, n);
-                zones.take(r.option.site(), n);
-                need -= n;
+            boolean isLeftToGpuWork = spec.gpus() == 0 && spec.machineTypes() == null && constrainedDemand.isGpuInDemand(plannedMachine.offering.machineType(), plannedMachine.offering.zone(), plannedMachine.offering.spot());
+            if (plannedMachine.offering.allows(spec) && !isLeftToGpuWork) {
+                int taskCount = Math.min(Math.min(neededTasks, plannedMachine.taskCapacity(spec)), zoneLimits.remainingTasks(plannedMachine.offering.zone()));
+                plannedMachine.reserve(spec, taskCount);
+                zoneLimits.addTasks(plannedMachine.offering.zone(), taskCount);
+                neededTasks -= taskCount;
             }
         }
-        while (need > 0) {
-            Option best = cheapest(s, need, zones);
-            if (best == null) {
-                if (starved.size() < Constants.KINDS_REMEMBERED && refusedOnly(s, zones)) {
-                    starved.add(s);
+        while (neededTasks > 0) {
+            Option bestOffering = cheapestOffering(spec, neededTasks, zoneLimits);
+            if (bestOffering == null) {
+                if (starvedSpecs.size() < Constants.KINDS_REMEMBERED && isBlockedByRefusalsOnly(spec, zoneLimits)) {
+                    starvedSpecs.add(spec);
                 }
                 return;
             }
-            Room r = new Room(best);
-            int n = Math.min(Math.min(need, r.cap(s)), zones.most(best.site()));
-            r.take(s, n);
-            zones.take(best.site(), n);
-            need -= n;
-            rooms.add(r);
-            buy(best, buy);
+            Room plannedMachine = new Room(bestOffering);
+            int taskCount = Math.min(Math.min(neededTasks, plannedMachine.taskCapacity(spec)), zoneLimits.remainingTasks(bestOffering.zone()));
+            plannedMachine.reserve(spec, taskCount);
+            zoneLimits.addTasks(bestOffering.zone(), taskCount);
+            neededTasks -= taskCount;
+            plannedMachines.add(plannedMachine);
+            addPurchase(bestOffering, purchases);
         }
     }
 
     /** How many more tasks of a job its zone rules let into each zone, given where its tasks are and are planned to be. */
     private final class Zones {
-        private final JobSpec s;
-        private final Map<String, Integer> taken = new HashMap<>();
-        private final int limit;
+        private final JobSpec spec;
+        private final Map<String, Integer> tasksByZone = new HashMap<>();
+        private final int maxTasksPerZone;
 
         Zones(Job job) {
-            s = job.spec;
-            limit = s.service() || s.scatter() ? policy.zoneMost(job) : Integer.MAX_VALUE;
-            if (limit < s.members() || s.oneZone()) {
-                for (Chunk c : job.chunks) {
-                    for (Placement p : c == null ? List.<Placement>of() : c.placed) {
-                        MachineTable.Machine m = machines.get(p.host);
-                        if (m != null && !p.over()) {
-                            take(m.site(), 1);
+            spec = job.spec;
+            maxTasksPerZone = spec.isService() || spec.zoneSpread() ? policy.maxTasksPerZone(job) : Integer.MAX_VALUE;
+            if (maxTasksPerZone < spec.taskCount() || spec.zoneAffinity()) {
+                for (Chunk page : job.pages) {
+                    for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
+                        MachineTable.Machine machine = machines.get(placement.host);
+                        if (machine != null && !placement.isTerminated()) {
+                            addTasks(machine.zone(), 1);
                         }
                     }
                 }
             }
         }
 
-        int most(String site) {
-            if (s.oneZone() && !taken.isEmpty() && !taken.containsKey(site)) {
+        int remainingTasks(String zone) {
+            if (spec.zoneAffinity() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone)) {
                 return 0;
             }
-            return Math.max(0, limit - taken.getOrDefault(site, 0));
+            return Math.max(0, maxTasksPerZone - tasksByZone.getOrDefault(zone, 0));
         }
 
-        void take(String site, int n) {
-            if (n > 0) {
-                taken.merge(site, n, Integer::sum);
+        void addTasks(String zone, int taskCount) {
+            if (taskCount > 0) {
+                tasksByZone.merge(zone, taskCount, Integer::sum);
             }
         }
     }
 
-    private void buy(Option o, Map<Option, Integer> buy) {
-        buy.merge(o, 1, Integer::sum);
-        cpusByZone.merge(o.site(), o.shape().vcpus(), Double::sum);
+    private void addPurchase(Option offering, Map<Option, Integer> purchases) {
+        purchases.merge(offering, 1, Integer::sum);
+        cpusByZone.merge(offering.zone(), offering.machineType().cpus(), Double::sum);
     }
 
     /** Whether an option is the cheaper one, or as cheap in a zone with less. */
-    private boolean better(Option o, double cost, Option best, double bestCost) {
-        if (best == null || Math.abs(cost - bestCost) > 1e-9 * bestCost) {
+    private boolean isBetter(Option offering, double cost, Option bestOffering, double bestCost) {
+        if (bestOffering == null || Math.abs(cost - bestCost) > 1e-9 * bestCost) {
             return cost < bestCost;
         }
-        return cpusByZone.getOrDefault(o.site(), 0.0) < cpusByZone.getOrDefault(best.site(), 0.0) - 1e-9;
+        return cpusByZone.getOrDefault(offering.zone(), 0.0) < cpusByZone.getOrDefault(bestOffering.zone(), 0.0) - 1e-9;
     }
 
     /** Whether there are machines for the job that only the cloud's refusals keep it from. */
-    private boolean refusedOnly(JobSpec s, Zones zones) {
-        for (Catalog.Shape shape : catalog.all()) {
-            for (String site : shape.holds(s) ? shape.sites() : List.<String>of()) {
-                if (zones.most(site) > 0 && (new Option(shape, site, false).allows(s) || new Option(shape, site, true).allows(s))) {
+    private boolean isBlockedByRefusalsOnly(JobSpec spec, Zones zoneLimits) {
+        for (Catalog.Shape machineType : catalog.all()) {
+            for (String zone : machineType.fits(spec) ? machineType.zones() : List.<String>of()) {
+                if (zoneLimits.remainingTasks(zone) > 0 && (new Option(machineType, zone, false).allows(spec) || new Option(machineType, zone, true).allows(spec))) {
                     return true;
                 }
             }
@@ -336,31 +336,31 @@
         return false;
     }
 
-    private Option cheapest(JobSpec s, int need, Zones zones) {
-        Option best = null;
+    private Option cheapestOffering(JobSpec spec, int neededTasks, Zones zoneLimits) {
+        Option bestOffering = null;
         double bestCost = Double.MAX_VALUE;
-        for (Catalog.Shape shape : catalog.all()) {
-            int cap = shape.holds(s) ? Tebas.remainCap(shape.vcpus(), shape.ramGb(), shape.cards(), s.vcpus(), s.ramGb(), s.cards()) : 0;
-            if (cap <= 0) {
+        for (Catalog.Shape machineType : catalog.all()) {
+            int tasksPerMachine = machineType.fits(spec) ? Tebas.taskCapacity(machineType.cpus(), machineType.memoryGb(), machineType.gpus(), spec.cpus(), spec.memoryGb(), spec.gpus()) : 0;
+            if (tasksPerMachine <= 0) {
                 continue;
             }
-            for (String site : shape.sites()) {
+            for (String zone : machineType.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Option o = new Option(shape, site, spot);
-                    int most = Math.min(Math.min(cap, need), zones.most(site));
-                    if (most <= 0 || !o.allows(s) || rentals.refused(o) || zoneTable.avoid(site) && s.site() == null) {
+                    Option offering = new Option(machineType, zone, spot);
+                    int usableTasks = Math.min(Math.min(tasksPerMachine, neededTasks), zoneLimits.remainingTasks(zone));
+                    if (usableTasks <= 0 || !offering.allows(spec) || provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) && spec.zone() == null) {
                         continue;
                     }
                     // A machine costs for its boot and the fetch too, so a slow start makes its work dearer.
-                    double start = shape.bootS() + s.sizeGb() / Math.max(shape.pullGbPerS(), 0.01);
-                    double cost = shape.price(spot) / most * (1 + start / Constants.EXPECTED_STAY_S);
-                    if (s.oneZone() ? cost < bestCost : better(o, cost, best, bestCost)) {
-                        best = o;
+                    double startSeconds = machineType.bootSeconds() + spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01);
+                    double cost = machineType.pricePerHour(spot) / usableTasks * (1 + startSeconds / Constants.EXPECTED_STAY_S);
+                    if (spec.zoneAffinity() ? cost < bestCost : isBetter(offering, cost, bestOffering, bestCost)) {
+                        bestOffering = offering;
                         bestCost = cost;
                     }
                 }
             }
         }
-        return best;
+        return bestOffering;
     }
 }
--- a/src/main/java/io/quincelead/cloud/Returns.java
+++ b/src/main/java/io/quincelead/cloud/Returns.java
@@ -31,185 +31,185 @@
 /** Returning machines: which are closed to new tasks, which are given back, and what the cloud's release of them proves. */
 final class Returns {
     private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
-    private final Loop loop;
-    private final OperatorSettings operator;
-    private final Mirror mirror;
+    private final Loop eventLoop;
+    private final OperatorSettings operatorSettings;
+    private final Mirror watchCache;
     private final StoreClient store;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
     private final Leader leader;
-    private final CloudClient cloud;
-    private final Changes changes;
-    private final Consumer<Placement> over;
-    private final Kinds kinds;
-    private final Map<String, Long> idleSince = new HashMap<>();
-    private final Set<String> releasing = new HashSet<>();
-    private final Map<String, Long> released = new HashMap<>();
-    private final Map<String, Long> goneAt = new HashMap<>();
+    private final CloudClient cloudClient;
+    private final Changes committer;
+    private final Consumer<Placement> onTaskTerminated;
+    private final Kinds constrainedDemand;
+    private final Map<String, Long> idleSinceMillisByHost = new HashMap<>();
+    private final Set<String> hostsInRelease = new HashSet<>();
+    private final Map<String, Long> releasedAtMillisByHost = new HashMap<>();
+    private final Map<String, Long> markRevisionByReleasedHost = new HashMap<>();
 
     /** Returns that go into one change: several machines of one block or one record may leave together. */
     final class Leaving {
-        final Txn txn = leader.txn();
-        final MachineTable.Edits edits = machines.edits(txn);
-        final Map<String, Blocks.Block> shrunk = new HashMap<>();
+        final Txn transaction = leader.newTransaction();
+        final MachineTable.Edits edits = machines.beginEdits(transaction);
+        final Map<String, Blocks.Block> shrunkShards = new HashMap<>();
     }
 
-    Returns(Loop loop, OperatorSettings operator, Mirror mirror, StoreClient store, Blocks blocks, JobTable jobs, MachineTable machines,
-            Catalog catalog, Leader leader, CloudClient cloud, Changes changes, Consumer<Placement> over, Kinds kinds) {
-        this.loop = loop;
-        this.operator = operator;
-        this.mirror = mirror;
+    Returns(Loop eventLoop, OperatorSettings operatorSettings, Mirror watchCache, StoreClient store, Blocks shards, JobTable jobs, MachineTable machines,
+            Catalog catalog, Leader leader, CloudClient cloudClient, Changes committer, Consumer<Placement> onTaskTerminated, Kinds constrainedDemand) {
+        this.eventLoop = eventLoop;
+        this.operatorSettings = operatorSettings;
+        this.watchCache = watchCache;
         this.store = store;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
         this.leader = leader;
-        this.cloud = cloud;
-        this.changes = changes;
-        this.over = over;
-        this.kinds = kinds;
-        loop.every(Constants.RELEASE_TICK_MS, this::release);
+        this.cloudClient = cloudClient;
+        this.committer = committer;
+        this.onTaskTerminated = onTaskTerminated;
+        this.constrainedDemand = constrainedDemand;
+        eventLoop.runEvery(Constants.RELEASE_TICK_MS, this::releaseReturningMachines);
     }
 
-    Leaving leaving() {
+    Leaving newReturnBatch() {
         return new Leaving();
     }
 
     /** Whether the cloud has said of late that the machine is gone, though it may still be listed. */
-    boolean released(String host) {
-        return released.containsKey(host);
+    boolean wasReleased(String host) {
+        return releasedAtMillisByHost.containsKey(host);
     }
 
-    void forgetReleased() {
-        released.values().removeIf(t -> loop.now() - t > Constants.FORGET_RELEASED_MS);
+    void forgetOldReleases() {
+        releasedAtMillisByHost.values().removeIf(t -> eventLoop.nowMillis() - t > Constants.FORGET_RELEASED_MS);
     }
 
     /** Another controller leads. */
-    void followed() {
-        idleSince.clear();
+    void onNotLeading() {
+        idleSinceMillisByHost.clear();
     }
 
     /** Notes which of the machines that are up hold nothing, and forgets those that are gone. */
-    void idle(List<MachineTable.Machine> up, Set<String> present) {
-        for (MachineTable.Machine m : up) {
-            if (!jobs.on(m.host()).isEmpty()) {
-                idleSince.remove(m.host());
+    void trackIdleMachines(List<MachineTable.Machine> readyMachines, Set<String> presentHosts) {
+        for (MachineTable.Machine machine : readyMachines) {
+            if (!jobs.placementsOn(machine.host()).isEmpty()) {
+                idleSinceMillisByHost.remove(machine.host());
             } else {
-                idleSince.putIfAbsent(m.host(), loop.now());
+                idleSinceMillisByHost.putIfAbsent(machine.host(), eventLoop.nowMillis());
             }
         }
-        idleSince.keySet().retainAll(present);
+        idleSinceMillisByHost.keySet().retainAll(presentHosts);
     }
 
     /** Adds a machine's return to a change: marked on record and out of its block at once, so nothing more is placed there. */
-    boolean giveBack(Leaving leaving, MachineTable.Machine m, String why) {
-        String owner = blocks.owner(m.host());
-        Txn txn = leaving.txn;
-        if (!txn.fits(2, 2, store.txnOps())) {
+    boolean addReturn(Leaving returnBatch, MachineTable.Machine machine, String reason) {
+        String ownerId = shards.ownerOf(machine.host());
+        Txn transaction = returnBatch.transaction;
+        if (!transaction.fits(2, 2, store.maxTransactionOperations())) {
             return false;
         }
-        if (owner != null) {
-            if (blocks.node(owner) == null) {
+        if (ownerId != null) {
+            if (shards.member(ownerId) == null) {
                 return false;
             }
-            Blocks.Block block = leaving.shrunk.computeIfAbsent(owner, o -> blocks.of(o).copy());
-            block.machines().remove(m.host());
-            txn.guard(block.key(), mirror.stamp(block.key())).put(block.key(), block.encode(), blocks.node(owner).grant());
+            Blocks.Block shard = returnBatch.shrunkShards.computeIfAbsent(ownerId, o -> shards.shardOf(o).copy());
+            shard.fencingTokensByHost().remove(machine.host());
+            transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey())).put(shard.storeKey(), shard.encode(), shards.member(ownerId).leaseId());
         }
-        LOG.info("machine {} ({}, {}{}) is returned: {}", m.host(), m.shape(), m.site(), m.spot() ? ", spot" : "", why);
-        leaving.edits.put(m.returned());
+        LOG.info("machine {} ({}, {}{}) is returned: {}", machine.host(), machine.machineType(), machine.zone(), machine.spot() ? ", spot" : "", reason);
+        returnBatch.edits.put(machine.asReleasing());
         return true;
     }
 
     /** Closes and returns machines beyond the need. */
-    void returnSome(List<MachineTable.Machine> up, Demand.Need need, Demand.Capacity capacity, Predicate<Option> inTheWay) {
-        Leaving leaving = new Leaving();
-        returnIdle(leaving, loop.now(), up, need, capacity, inTheWay);
-        if (leaving.txn.isEmpty()) {
-            closeSome(leaving, up, need, capacity);
+    void returnExcess(List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity, Predicate<Option> shouldYieldToStarvedWork) {
+        Leaving returnBatch = new Leaving();
+        returnIdleMachines(returnBatch, eventLoop.nowMillis(), readyMachines, demand, capacity, shouldYieldToStarvedWork);
+        if (returnBatch.transaction.isEmpty()) {
+            cordonExcess(returnBatch, readyMachines, demand, capacity);
         }
-        if (!leaving.txn.isEmpty()) {
-            changes.commit(leaving.txn, this::release);
+        if (!returnBatch.transaction.isEmpty()) {
+            committer.commit(returnBatch.transaction, this::releaseReturningMachines);
         }
     }
 
-    private double perCpu(MachineTable.Machine m) {
-        Catalog.Shape s = catalog.get(m.shape());
-        return s.price(m.spot()) / s.vcpus();
+    private double pricePerCpu(MachineTable.Machine machine) {
+        Catalog.Shape machineType = catalog.get(machine.machineType());
+        return machineType.pricePerHour(machine.spot()) / machineType.cpus();
     }
 
     /** Whether constrained work, of which {@link Demand} knows nothing, has use for the machine. */
-    private boolean kept(MachineTable.Machine m) {
-        return kinds.wanted(catalog.get(m.shape()), m.site(), m.spot());
+    private boolean isWantedByConstrainedWork(MachineTable.Machine machine) {
+        return constrainedDemand.isInDemand(catalog.get(machine.machineType()), machine.zone(), machine.spot());
     }
 
-    private void returnIdle(Leaving leaving, long now, List<MachineTable.Machine> up, Demand.Need need, Demand.Capacity capacity, Predicate<Option> inTheWay) {
-        double spareDear = capacity.upCpus() - need.keepDear(operator.headroom());
-        double spareCheap = capacity.upCpus() - need.keepCheap(operator.headroom());
-        up.sort(Comparator.comparingDouble(m -> -perCpu(m)));
+    private void returnIdleMachines(Leaving returnBatch, long nowMillis, List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity, Predicate<Option> shouldYieldToStarvedWork) {
+        double spareCostlyCpus = capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
+        double spareSpotCpus = capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
+        readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
         // Cheap machines stay while dear ones are open: those go first, even if they take longer to empty.
-        boolean dearOpen = up.stream().anyMatch(m -> !m.spot() && !m.closed());
-        for (MachineTable.Machine m : up) {
-            Long since = idleSince.get(m.host());
-            double age = (loop.wall() - m.rentedAt()) / 1000.0;
-            if (since == null || age < Constants.MIN_CHARGE_S - 2) {
+        boolean hasUncordonedCostlyMachine = readyMachines.stream().anyMatch(machine -> !machine.spot() && !machine.cordoned());
+        for (MachineTable.Machine machine : readyMachines) {
+            Long idleSinceMillis = idleSinceMillisByHost.get(machine.host());
+            double ageSeconds = (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+            if (idleSinceMillis == null || ageSeconds < Constants.MIN_CHARGE_S - 2) {
                 continue;
             }
-            double c = catalog.get(m.shape()).vcpus();
+            double machineCpus = catalog.get(machine.machineType()).cpus();
             // What is kept from habit may be what the cloud lacks for work that waits now.
-            if (!m.closed() && now - since < Constants.KIND_REMEMBERED_MS && kept(m)
-                    && !inTheWay.test(new Option(catalog.get(m.shape()), m.site(), m.spot()))) {
+            if (!machine.cordoned() && nowMillis - idleSinceMillis < Constants.KIND_REMEMBERED_MS && isWantedByConstrainedWork(machine)
+                    && !shouldYieldToStarvedWork.test(new Option(catalog.get(machine.machineType()), machine.zone(), machine.spot()))) {
                 continue;
             }
-            if (m.closed()) {
-                giveBack(leaving, m, "closed and empty");
-            } else if (m.spot() && dearOpen) {
+            if (machine.cordoned()) {
+                addReturn(returnBatch, machine, "closed and empty");
+            } else if (machine.spot() && hasUncordonedCostlyMachine) {
                 continue;
-            } else if (now - since > operator.idleReturnS() * 1000 && need.urgentCpus() <= 0 && (m.spot() ? spareCheap : spareDear) >= c / 2) {
-                if (giveBack(leaving, m, "idle")) {
-                    spareDear -= c;
-                    spareCheap -= c;
+            } else if (nowMillis - idleSinceMillis > operatorSettings.idleReturnSeconds() * 1000 && demand.shortfallCpus() <= 0 && (machine.spot() ? spareSpotCpus : spareCostlyCpus) >= machineCpus / 2) {
+                if (addReturn(returnBatch, machine, "idle")) {
+                    spareCostlyCpus -= machineCpus;
+                    spareSpotCpus -= machineCpus;
                 }
             }
         }
     }
 
     /** About when the last task on the machine ends. */
-    private double emptyInS(MachineTable.Machine m, long now) {
-        double last = 0;
-        for (Placement p : jobs.on(m.host()).values()) {
-            JobSpec s = p.job.spec;
-            double left = Math.max(s.runtimeS() - (now - p.since) / 1000.0, s.runtimeS() * 0.2);
-            last = Math.max(last, s.service() ? Double.MAX_VALUE : left);
+    private double secondsUntilEmpty(MachineTable.Machine machine, long nowMillis) {
+        double latestEndSeconds = 0;
+        for (Placement placement : jobs.placementsOn(machine.host()).values()) {
+            JobSpec spec = placement.job.spec;
+            double remainingSeconds = Math.max(spec.runtimeSeconds() - (nowMillis - placement.recordSeenAtMillis) / 1000.0, spec.runtimeSeconds() * 0.2);
+            latestEndSeconds = Math.max(latestEndSeconds, spec.isService() ? Double.MAX_VALUE : remainingSeconds);
         }
-        return last;
+        return latestEndSeconds;
     }
 
     /**
      * The pass spreads tasks over all machines, so a dear machine beyond the need would never run empty: it is closed to
      * new tasks, and returned when its last one has ended. When the need comes back first, it is opened again.
      */
-    private void closeSome(Leaving leaving, List<MachineTable.Machine> up, Demand.Need need, Demand.Capacity capacity) {
-        double spare = capacity.upCpus() - need.keepDear(operator.headroom());
+    private void cordonExcess(Leaving returnBatch, List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity) {
+        double spareCpus = capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
         // Those that run empty soonest come first: a closed machine is paid for until its last task has ended.
-        long now = loop.now();
-        Map<String, Double> emptyIn = new HashMap<>();
-        up.forEach(m -> emptyIn.put(m.host(), emptyInS(m, now)));
-        up.sort(Comparator.comparing(MachineTable.Machine::spot).thenComparingDouble(m -> emptyIn.get(m.host())));
-        for (MachineTable.Machine m : up) {
-            double c = catalog.get(m.shape()).vcpus();
-            if (leaving.txn.writes() >= Math.min(Constants.CLOSE_WRITES, Math.max(2, store.affordable()))) {
+        long nowMillis = eventLoop.nowMillis();
+        Map<String, Double> secondsUntilEmptyByHost = new HashMap<>();
+        readyMachines.forEach(machine -> secondsUntilEmptyByHost.put(machine.host(), secondsUntilEmpty(machine, nowMillis)));
+        readyMachines.sort(Comparator.comparing(MachineTable.Machine::spot).thenComparingDouble(machine -> secondsUntilEmptyByHost.get(machine.host())));
+        for (MachineTable.Machine machine : readyMachines) {
+            double machineCpus = catalog.get(machine.machineType()).cpus();
+            if (returnBatch.transaction.operationCount() >= Math.min(Constants.CLOSE_WRITES, Math.max(2, store.affordableWrites()))) {
                 break;
             }
-            if (m.closed() && need.urgentCpus() > 0.5) {
-                leaving.edits.put(m.closed(false));
-            } else if (!m.closed() && !m.spot() && need.urgentCpus() <= 0 && spare >= Math.min(c, Constants.CLOSE_MOST_CPUS) * Constants.CLOSE_MARGIN
-                    && (loop.wall() - m.rentedAt()) / 1000.0 > Constants.CLOSE_AFTER_S && !kept(m) && !serves(m)) {
-                leaving.edits.put(m.closed(true));
-                spare -= c;
+            if (machine.cordoned() && demand.shortfallCpus() > 0.5) {
+                returnBatch.edits.put(machine.withCordoned(false));
+            } else if (!machine.cordoned() && !machine.spot() && demand.shortfallCpus() <= 0 && spareCpus >= Math.min(machineCpus, Constants.CLOSE_MOST_CPUS) * Constants.CLOSE_MARGIN
+                    && (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0 > Constants.CLOSE_AFTER_S && !isWantedByConstrainedWork(machine) && !runsService(machine)) {
+                returnBatch.edits.put(machine.withCordoned(true));
+                spareCpus -= machineCpus;
             }
         }
     }
@@ -218,64 +218,64 @@
      * Services never end by themselves: on a closed machine they were stopped to be moved, a new machine was rented for them, another one
      * was closed in turn, and so on without end.
      */
-    private boolean serves(MachineTable.Machine m) {
-        return jobs.on(m.host()).values().stream().anyMatch(p -> p.job.spec.service() && !p.over());
+    private boolean runsService(MachineTable.Machine machine) {
+        return jobs.placementsOn(machine.host()).values().stream().anyMatch(p -> p.job.spec.isService() && !p.isTerminated());
     }
 
     /** Releases what is marked; the cloud's 200 is the evidence that everything on the machines is gone. */
-    private void release() {
-        if (!leader.leading()) {
+    private void releaseReturningMachines() {
+        if (!leader.isLeading()) {
             return;
         }
         List<String> hosts = new ArrayList<>();
-        Txn cleared = leader.txn();
-        MachineTable.Edits edits = machines.edits(cleared);
-        for (MachineTable.Machine m : machines.all()) {
-            if (!m.returning() || blocks.owner(m.host()) != null) {
+        Txn cleanup = leader.newTransaction();
+        MachineTable.Edits edits = machines.beginEdits(cleanup);
+        for (MachineTable.Machine machine : machines.all()) {
+            if (!machine.releasing() || shards.ownerOf(machine.host()) != null) {
                 continue;
             }
-            Long gone = goneAt.get(m.host());
-            if (gone == null) {
-                if (!releasing.contains(m.host()) && hosts.size() < Constants.MAX_RELEASE) {
-                    hosts.add(m.host());
+            Long markRevision = markRevisionByReleasedHost.get(machine.host());
+            if (markRevision == null) {
+                if (!hostsInRelease.contains(machine.host()) && hosts.size() < Constants.MAX_RELEASE) {
+                    hosts.add(machine.host());
                 }
-            } else if (mirror.generation() >= gone) {
+            } else if (watchCache.storeRevision() >= markRevision) {
                 // Nothing can have been placed there after its mark; all that was, we know by now.
-                for (Placement p : new ArrayList<>(jobs.on(m.host()).values())) {
-                    if (!p.over()) {
-                        p.become(Placement.Phase.GONE);
-                        over.accept(p);
+                for (Placement placement : new ArrayList<>(jobs.placementsOn(machine.host()).values())) {
+                    if (!placement.isTerminated()) {
+                        placement.transitionTo(Placement.Phase.GONE);
+                        onTaskTerminated.accept(placement);
                     }
                 }
-                if (jobs.on(m.host()).isEmpty() && cleared.fits(1, 1, store.txnOps())) {
-                    edits.remove(m);
+                if (jobs.placementsOn(machine.host()).isEmpty() && cleanup.fits(1, 1, store.maxTransactionOperations())) {
+                    edits.remove(machine);
                 }
             }
         }
-        goneAt.keySet().removeIf(h -> machines.get(h) == null);
-        if (!cleared.isEmpty() && !changes.writing()) {
-            changes.commit(cleared, () -> { });
+        markRevisionByReleasedHost.keySet().removeIf(h -> machines.get(h) == null);
+        if (!cleanup.isEmpty() && !committer.isBusy()) {
+            committer.commit(cleanup, () -> { });
         }
         if (!hosts.isEmpty()) {
-            releaseNow(hosts);
+            requestRelease(hosts);
         }
     }
 
-    private void releaseNow(List<String> hosts) {
-        releasing.addAll(hosts);
-        Map<String, Long> marked = new HashMap<>();
-        hosts.forEach(h -> marked.put(h, mirror.stamp(machines.get(h).key())));
-        ObjectNode body = Codec.map();
-        hosts.forEach(body.putArray("hosts")::add);
-        cloud.call("POST", "/rentals/release", body, true, (status, answer) -> {
-            releasing.removeAll(hosts);
+    private void requestRelease(List<String> hosts) {
+        hostsInRelease.addAll(hosts);
+        Map<String, Long> markRevisions = new HashMap<>();
+        hosts.forEach(host -> markRevisions.put(host, watchCache.modRevision(machines.get(host).storeKey())));
+        ObjectNode requestBody = Codec.newMap();
+        hosts.forEach(requestBody.putArray("hosts")::add);
+        cloudClient.call("POST", "/rentals/release", requestBody, true, (status, response) -> {
+            hostsInRelease.removeAll(hosts);
             if (status == 200) {
-                hosts.forEach(h -> {
-                    goneAt.put(h, marked.get(h));
-                    released.put(h, loop.now());
-                    idleSince.remove(h);
+                hosts.forEach(host -> {
+                    markRevisionByReleasedHost.put(host, markRevisions.get(host));
+                    releasedAtMillisByHost.put(host, eventLoop.nowMillis());
+                    idleSinceMillisByHost.remove(host);
                 });
-                release();
+                releaseReturningMachines();
             }
         });
     }
--- a/src/main/java/io/quincelead/jobs/Entrance.java
+++ b/src/main/java/io/quincelead/jobs/Entrance.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface Entrance {
     /** False if the job has to be recorded by itself; else {@code done} hears once what became of it. */
-    boolean take(Job job, long patienceMs, Txn.Done done);
+    boolean admit(Job job, long patienceMillis, Txn.Done onOutcome);
 }
