--- a/src/main/java/io/quincelead/jobs/UserApi.java
+++ b/src/main/java/io/quincelead/jobs/UserApi.java
@@ -36,145 +36,145 @@
  */
 public final class UserApi {
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
-    private static final String RUNS = "/v2/runs";
+    private static final String RUNS_PATH = "/v2/runs";
 
     private final Loop loop;
     private final Settings settings;
-    private final Session session;
-    private final Mirror mirror;
+    private final Session membershipLease;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final Committer committer;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final Catalog catalog;
     private final Policy policy;
-    private final Entrance entrance;
-    private final Cache<String, ObjectNode> finals = Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
-    private final ArrayDeque<Poll> polls = new ArrayDeque<>();
-    private final Set<String> finishing = new HashSet<>();
-    private boolean barrierDue;
-    private int barriersOut;
-    private boolean sweeping;
+    private final Entrance admission;
+    private final Cache<String, ObjectNode> finalResponses = Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
+    private final ArrayDeque<Poll> pendingQueries = new ArrayDeque<>();
+    private final Set<String> completing = new HashSet<>();
+    private boolean barrierScheduled;
+    private int barriersInFlight;
+    private boolean removingOrphans;
 
     /** {@code otherwise}, {@code why}: how it is refused once the store has shown that there is no such job. */
-    private record Poll(String id, Request request, long deadline, int otherwise, String why) { }
+    private record Poll(String jobId, Request request, long deadlineMillis, int absentStatus, String absentReason) { }
 
     /** What a barrier compares for a poll; {@code absent}: nothing is known of the job here. */
-    private record Compared(Poll poll, Job job, boolean absent, List<String> keys) { }
+    private record Compared(Poll query, Job job, boolean absent, List<String> keys) { }
 
-    public UserApi(Loop loop, Settings settings, Session session, Mirror mirror, StoreClient store, Committer committer,
-            Blocks blocks, JobTable jobs, Catalog catalog, Policy policy, Entrance entrance) {
+    public UserApi(Loop loop, Settings settings, Session membershipLease, Mirror watchCache, StoreClient store, Committer committer,
+            Blocks shards, JobTable jobs, Catalog catalog, Policy policy, Entrance admission) {
         this.policy = policy;
         this.loop = loop;
         this.settings = settings;
-        this.session = session;
-        this.mirror = mirror;
+        this.membershipLease = membershipLease;
+        this.watchCache = watchCache;
         this.store = store;
         this.committer = committer;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.catalog = catalog;
-        this.entrance = entrance;
-        mirror.onChange(this::finish);
+        this.admission = admission;
+        watchCache.addChangeListener(this::completeTerminatedJobs);
     }
 
     /** Whether users should be sent here: the store has answered lately and all is read. */
-    public boolean ready() {
-        return mirror.synced() && session.valid();
+    public boolean isReady() {
+        return watchCache.isSynced() && membershipLease.isValid();
     }
 
     public void handle(Request request) {
         String path = request.path;
-        if (path.equals(RUNS)) {
-            if (allowed(request, "POST")) {
-                submit(request);
+        if (path.equals(RUNS_PATH)) {
+            if (requireMethod(request, "POST")) {
+                submitJob(request);
             }
             return;
         }
-        if (!path.startsWith(RUNS + "/")) {
-            request.refuse(404, "no such path");
+        if (!path.startsWith(RUNS_PATH + "/")) {
+            request.respondError(404, "no such path");
             return;
         }
-        String rest = path.substring(RUNS.length() + 1);
+        String rest = path.substring(RUNS_PATH.length() + 1);
         if (rest.endsWith("/cancel")) {
-            if (allowed(request, "POST")) {
-                cancel(rest.substring(0, rest.length() - "/cancel".length()), request);
+            if (requireMethod(request, "POST")) {
+                cancelJob(rest.substring(0, rest.length() - "/cancel".length()), request);
             }
         } else if (rest.indexOf('/') >= 0) {
-            request.refuse(404, "no such path");
-        } else if (allowed(request, "GET")) {
-            poll(rest, request);
+            request.respondError(404, "no such path");
+        } else if (requireMethod(request, "GET")) {
+            queryJob(rest, request);
         }
     }
 
-    private static boolean allowed(Request request, String method) {
+    private static boolean requireMethod(Request request, String method) {
         if (request.method.equals(method)) {
             return true;
         }
-        request.refuse(405, "only " + method + " is allowed here");
+        request.respondError(405, "only " + method + " is allowed here");
         return false;
     }
 
     // ---- submissions
 
-    private void submit(Request request) {
-        ObjectNode body = Codec.CBOR.readMap(request.body);
+    private void submitJob(Request request) {
+        ObjectNode body = Codec.CBOR.decodeMap(request.body);
         JobSpec spec;
         try {
-            spec = JobSpec.parse(body);
-        } catch (JobSpec.Malformed e) {
-            String id = body == null ? "" : body.path("nameId").asText();
-            if (JobSpec.validId(id)) {
-                poll(id, request, 400, e.getMessage());
+            spec = JobSpec.decode(body);
+        } catch (JobSpec.Malformed malformed) {
+            String jobId = body == null ? "" : body.path("nameId").asText();
+            if (JobSpec.isValidJobId(jobId)) {
+                queryJob(jobId, request, 400, malformed.getMessage());
             } else {
-                request.refuse(400, e.getMessage());
+                request.respondError(400, malformed.getMessage());
             }
             return;
         }
-        if (finals.getIfPresent(spec.id()) != null || jobs.get(spec.id()) != null) {
-            poll(spec.id(), request);
+        if (finalResponses.getIfPresent(spec.jobId()) != null || jobs.get(spec.jobId()) != null) {
+            queryJob(spec.jobId(), request);
             return;
         }
-        if (!ready() || !catalog.known()) {
-            request.later(503, "not ready");
+        if (!isReady() || !catalog.isLoaded()) {
+            request.respondRetryLater(503, "not ready");
             return;
         }
-        String never = impossible(spec);
-        if (never != null) {
-            poll(spec.id(), request, 422, never);
+        String reason = unsatisfiableReason(spec);
+        if (reason != null) {
+            queryJob(spec.jobId(), request, 422, reason);
             return;
         }
-        if (committer.full() || jobs.all().size() >= Constants.MAX_OPEN_JOBS || jobs.openTasks() + spec.members() > Constants.MAX_OPEN_TASKS) {
-            request.later(429, "too much to do");
+        if (committer.isFull() || jobs.all().size() >= Constants.MAX_OPEN_JOBS || jobs.unfinishedTaskCount() + spec.taskCount() > Constants.MAX_OPEN_TASKS) {
+            request.respondRetryLater(429, "too much to do");
             return;
         }
-        Job job = new Job(spec, settings.member(), loop.wall());
-        Txn.Done done = outcome -> {
+        Job job = new Job(spec, settings.memberId(), loop.wallClockMillis());
+        Txn.Done onOutcome = outcome -> {
             switch (outcome.result()) {
-                case DONE -> request.answer(201, Codec.map().put("nameId", spec.id()).put("status", "pending"));
-                case CONFLICT -> poll(spec.id(), request);
-                default -> request.later(503, "the state service does not answer");
+                case COMMITTED -> request.respond(201, Codec.newMap().put("nameId", spec.jobId()).put("status", "pending"));
+                case CONFLICT -> queryJob(spec.jobId(), request);
+                default -> request.respondRetryLater(503, "the state service does not answer");
             }
         };
-        if (!entrance.take(job, Constants.USER_PATIENCE_MS, done)) {
-            Txn txn = new Txn().guard(job.key(), 0).guard(Keys.FINAL + spec.id(), 0).put(job.key(), job.encode());
-            committer.submit(txn, Constants.USER_PATIENCE_MS, done);
+        if (!admission.admit(job, Constants.USER_PATIENCE_MS, onOutcome)) {
+            Txn transaction = new Txn().requireRevision(job.storeKey(), 0).requireRevision(Keys.FINAL_STATE_PREFIX + spec.jobId(), 0).put(job.storeKey(), job.encode());
+            committer.submit(transaction, Constants.USER_PATIENCE_MS, onOutcome);
         }
     }
 
-    private String impossible(JobSpec s) {
-        Settings.Team team = settings.teams().get(s.owner());
+    private String unsatisfiableReason(JobSpec spec) {
+        Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return "owner: unknown team";
         }
-        if (!catalog.fitsSome(s)) {
+        if (!catalog.canEverFit(spec)) {
             return "shapes, site, vcpus, cards, ramGb: no allowed machine type holds one task";
         }
-        int atOnce = s.mode() == JobSpec.Mode.ARRAY ? 1 : s.members();
-        if (s.vcpus() * atOnce > team.cpusMax() + 1e-9 || s.cards() * atOnce > team.gpusMax() + 1e-9) {
+        int concurrentTasks = spec.mode() == JobSpec.Mode.ARRAY ? 1 : spec.taskCount();
+        if (spec.cpus() * concurrentTasks > team.maxCpus() + 1e-9 || spec.gpus() * concurrentTasks > team.maxGpus() + 1e-9) {
             return "members, vcpus, cards: more than the team's limit";
         }
-        if (s.mode() != JobSpec.Mode.ARRAY && s.scatter() && s.members() > 1 && (s.oneZone() || s.site() != null)) {
+        if (spec.mode() != JobSpec.Mode.ARRAY && spec.zoneSpread() && spec.taskCount() > 1 && (spec.zoneAffinity() || spec.zone() != null)) {
             return "scatter: all tasks at once in one zone are more than half of them";
         }
         return null;
@@ -182,242 +182,242 @@
 
     // ---- polls
 
-    private void poll(String id, Request request) {
-        poll(id, request, 404, "no such job");
+    private void queryJob(String jobId, Request request) {
+        queryJob(jobId, request, 404, "no such job");
     }
 
     /** A job that was accepted once is never refused, whatever its submission would get now: that is told only where there is none. */
-    private void poll(String id, Request request, int otherwise, String why) {
-        ObjectNode end = finals.getIfPresent(id);
-        if (end != null) {
-            request.answer(200, end);
+    private void queryJob(String jobId, Request request, int absentStatus, String absentReason) {
+        ObjectNode cached = finalResponses.getIfPresent(jobId);
+        if (cached != null) {
+            request.respond(200, cached);
             return;
         }
-        if (!JobSpec.validId(id)) {
-            request.refuse(404, "no such job");
+        if (!JobSpec.isValidJobId(jobId)) {
+            request.respondError(404, "no such job");
             return;
         }
-        if (!mirror.synced() || !session.joined()) {
-            request.later(503, "not ready");
+        if (!watchCache.isSynced() || !membershipLease.isMember()) {
+            request.respondRetryLater(503, "not ready");
             return;
         }
-        if (polls.size() >= Constants.MAX_WAITING_POLLS) {
-            request.later(429, "too many polls");
+        if (pendingQueries.size() >= Constants.MAX_WAITING_POLLS) {
+            request.respondRetryLater(429, "too many polls");
             return;
         }
-        polls.addLast(new Poll(id, request, loop.now() + Constants.USER_PATIENCE_MS, otherwise, why));
-        wantBarrier(Constants.BARRIER_GAP_MS);
+        pendingQueries.addLast(new Poll(jobId, request, loop.nowMillis() + Constants.USER_PATIENCE_MS, absentStatus, absentReason));
+        scheduleBarrier(Constants.BARRIER_GAP_MS);
     }
 
-    private void wantBarrier(long ms) {
-        if (!barrierDue) {
-            barrierDue = true;
-            loop.after(ms, this::barrier);
+    private void scheduleBarrier(long delayMillis) {
+        if (!barrierScheduled) {
+            barrierScheduled = true;
+            loop.runAfter(delayMillis, this::runBarrier);
         }
     }
 
     /** One comparison in the store for all waiting polls: each known stamp must still be the job's stamp. */
-    private void barrier() {
-        barrierDue = false;
-        long now = loop.now();
-        while (!polls.isEmpty() && polls.peekFirst().deadline < now) {
-            polls.pollFirst().request.later(503, "the state service does not answer");
+    private void runBarrier() {
+        barrierScheduled = false;
+        long now = loop.nowMillis();
+        while (!pendingQueries.isEmpty() && pendingQueries.peekFirst().deadlineMillis < now) {
+            pendingQueries.pollFirst().request.respondRetryLater(503, "the state service does not answer");
         }
-        if (polls.isEmpty()) {
+        if (pendingQueries.isEmpty()) {
             return;
         }
-        if (barriersOut >= 2) {
-            wantBarrier(Constants.BARRIER_GAP_MS);
+        if (barriersInFlight >= 2) {
+            scheduleBarrier(Constants.BARRIER_GAP_MS);
             return;
         }
-        long wait = store.waitMs();
-        if (wait > Constants.BARRIER_GAP_MS) {
-            wantBarrier(Math.min(wait, Constants.RETRY_MS));
+        long storeWaitMillis = store.requestDelayMillis();
+        if (storeWaitMillis > Constants.BARRIER_GAP_MS) {
+            scheduleBarrier(Math.min(storeWaitMillis, Constants.RETRY_MS));
             return;
         }
-        Txn compare = new Txn();
+        Txn comparison = new Txn();
         List<Compared> batch = new ArrayList<>();
-        while (!polls.isEmpty()) {
-            Compared next = compared(polls.peekFirst());
-            if (next.keys.size() > store.txnOps() * Constants.GUARDS_PER_OP) {
+        while (!pendingQueries.isEmpty()) {
+            Compared next = barrierCheck(pendingQueries.peekFirst());
+            if (next.keys.size() > store.maxTransactionOperations() * Constants.GUARDS_PER_OP) {
                 // More records than a comparison holds: they are read.
-                readFresh(polls.pollFirst());
+                readFromStore(pendingQueries.pollFirst());
                 continue;
             }
-            if (!compare.fits(0, next.keys.size(), store.txnOps())) {
+            if (!comparison.fits(0, next.keys.size(), store.maxTransactionOperations())) {
                 break;
             }
-            polls.pollFirst();
-            next.keys.forEach(k -> compare.guard(k, mirror.stamp(k)));
+            pendingQueries.pollFirst();
+            next.keys.forEach(key -> comparison.requireRevision(key, watchCache.modRevision(key)));
             batch.add(next);
         }
         if (!batch.isEmpty()) {
-            barriersOut++;
-            store.commit(compare, outcome -> {
-                barriersOut--;
-                batch.forEach(c -> settle(c, outcome));
+            barriersInFlight++;
+            store.commit(comparison, outcome -> {
+                barriersInFlight--;
+                batch.forEach(check -> answerQuery(check, outcome));
             });
         }
-        if (!polls.isEmpty()) {
-            wantBarrier(1);
+        if (!pendingQueries.isEmpty()) {
+            scheduleBarrier(1);
         }
     }
 
     /** All that an answer is made of: the job's own record, and those of its tasks where these are kept apart. */
-    private Compared compared(Poll p) {
-        Job job = jobs.get(p.id);
-        List<String> keys = new ArrayList<>(List.of(Keys.JOB + p.id));
-        boolean absent = mirror.stamp(Keys.JOB + p.id) == 0;
+    private Compared barrierCheck(Poll query) {
+        Job job = jobs.get(query.jobId);
+        List<String> keys = new ArrayList<>(List.of(Keys.JOB_PREFIX + query.jobId));
+        boolean absent = watchCache.modRevision(Keys.JOB_PREFIX + query.jobId) == 0;
         if (absent) {
-            keys.add(Keys.FINAL + p.id);
-        } else if (job != null && !job.single()) {
-            for (int k = 0; k < job.chunks.length; k++) {
-                keys.add(job.chunk(k).key());
+            keys.add(Keys.FINAL_STATE_PREFIX + query.jobId);
+        } else if (job != null && !job.hasSinglePage()) {
+            for (int page = 0; page < job.pages.length; page++) {
+                keys.add(job.page(page).storeKey());
             }
         }
-        return new Compared(p, job, absent, keys);
+        return new Compared(query, job, absent, keys);
     }
 
     /** 404 only if the store itself has just shown that neither record exists. */
-    private void settle(Compared c, Txn.Outcome outcome) {
-        Poll p = c.poll;
-        if (outcome.result() != Txn.Result.DONE && outcome.result() != Txn.Result.CONFLICT) {
-            p.request.later(503, "the state service does not answer");
+    private void answerQuery(Compared check, Txn.Outcome outcome) {
+        Poll query = check.query;
+        if (outcome.result() != Txn.Result.COMMITTED && outcome.result() != Txn.Result.CONFLICT) {
+            query.request.respondRetryLater(503, "the state service does not answer");
             return;
         }
-        boolean held = outcome.result() == Txn.Result.DONE || !outcome.failed().isEmpty() && c.keys.stream().noneMatch(outcome.failed()::contains);
-        if (held && c.absent) {
-            p.request.refuse(p.otherwise, p.why);
-        } else if (held && c.job != null && jobs.get(p.id) == c.job) {
-            p.request.answer(200, c.job.status());
+        boolean unchanged = outcome.result() == Txn.Result.COMMITTED || !outcome.failedKeys().isEmpty() && check.keys.stream().noneMatch(outcome.failedKeys()::contains);
+        if (unchanged && check.absent) {
+            query.request.respondError(query.absentStatus, query.absentReason);
+        } else if (unchanged && check.job != null && jobs.get(query.jobId) == check.job) {
+            query.request.respond(200, check.job.encodeStatus());
         } else {
             // Changed since, or it ended elsewhere while the barrier was out: it is on record under one key or the other.
-            readFresh(p);
+            readFromStore(query);
         }
     }
 
     /** The mirror is behind on this job: the answer is made of its records themselves. Jobs move to their final key, never back. */
-    private void readFresh(Poll p) {
-        store.get(Keys.JOB + p.id, (status, body) -> {
+    private void readFromStore(Poll query) {
+        store.get(Keys.JOB_PREFIX + query.jobId, (status, body) -> {
             if (status == 200 && body.path("value").path("s").path("members").asInt() > Constants.CHUNK_TASKS) {
-                readTasks(p, null, new Chunk.Counts(0, 0));
+                readTaskPages(query, null, new Chunk.Counts(0, 0));
             } else if (status == 200) {
-                p.request.answer(200, Job.status(p.id, Chunk.Counts.of(body.path("value").path("k"))));
+                query.request.respond(200, Job.encodeStatus(query.jobId, Chunk.Counts.of(body.path("value").path("k"))));
             } else {
-                notLive(p, status);
+                answerFromFinalRecord(query, status);
             }
         });
     }
 
     /** The tasks of a larger job, page by page; then whether the job still was there, so that nothing was swept away meanwhile. */
-    private void readTasks(Poll p, String after, Chunk.Counts before) {
-        store.list(Keys.CHUNK + p.id + "/", after, (status, body) -> {
+    private void readTaskPages(Poll query, String afterKey, Chunk.Counts countsBefore) {
+        store.list(Keys.TASK_STATE_PAGE_PREFIX + query.jobId + "/", afterKey, (status, body) -> {
             if (status != 200 || !body.path("items").isArray()) {
-                p.request.later(503, "the state service does not answer");
+                query.request.respondRetryLater(503, "the state service does not answer");
                 return;
             }
-            Chunk.Counts counts = before;
-            String last = after;
+            Chunk.Counts counts = countsBefore;
+            String lastKey = afterKey;
             for (JsonNode item : body.path("items")) {
-                counts = counts.and(Chunk.Counts.of(item.path("value")));
-                last = item.path("path").asText();
+                counts = counts.plus(Chunk.Counts.of(item.path("value")));
+                lastKey = item.path("path").asText();
             }
-            if (body.path("truncated").asBoolean() && last != null) {
-                readTasks(p, last, counts);
+            if (body.path("truncated").asBoolean() && lastKey != null) {
+                readTaskPages(query, lastKey, counts);
                 return;
             }
-            Chunk.Counts all = counts;
-            store.get(Keys.JOB + p.id, (now, job) -> {
-                if (now == 200) {
-                    p.request.answer(200, Job.status(p.id, all));
+            Chunk.Counts total = counts;
+            store.get(Keys.JOB_PREFIX + query.jobId, (jobStatus, job) -> {
+                if (jobStatus == 200) {
+                    query.request.respond(200, Job.encodeStatus(query.jobId, total));
                 } else {
-                    notLive(p, now);
+                    answerFromFinalRecord(query, jobStatus);
                 }
             });
         });
     }
 
-    private void notLive(Poll p, int status) {
+    private void answerFromFinalRecord(Poll query, int status) {
         if (status == 404) {
-            readFinal(p.id, p.request, () -> p.request.refuse(p.otherwise, p.why));
+            readFinalRecord(query.jobId, query.request, () -> query.request.respondError(query.absentStatus, query.absentReason));
         } else {
-            p.request.later(503, "the state service does not answer");
+            query.request.respondRetryLater(503, "the state service does not answer");
         }
     }
 
-    private void readFinal(String id, Request request, Runnable otherwise) {
-        store.get(Keys.FINAL + id, (status, body) -> {
+    private void readFinalRecord(String jobId, Request request, Runnable ifAbsent) {
+        store.get(Keys.FINAL_STATE_PREFIX + jobId, (status, body) -> {
             if (status == 200) {
-                ObjectNode answer = finalAnswer(id, body.path("value").path("s").asText(), body.path("value").path("n").asInt());
-                finals.put(id, answer);
-                request.answer(200, answer);
+                ObjectNode response = finalResponse(jobId, body.path("value").path("s").asText(), body.path("value").path("n").asInt());
+                finalResponses.put(jobId, response);
+                request.respond(200, response);
             } else if (status == 404) {
-                otherwise.run();
+                ifAbsent.run();
             } else {
-                request.later(503, "the state service does not answer");
+                request.respondRetryLater(503, "the state service does not answer");
             }
         });
     }
 
-    private static ObjectNode finalAnswer(String id, String status, int done) {
-        return Codec.map().put("nameId", id).put("status", status).put("done", done).put("running", 0);
+    private static ObjectNode finalResponse(String jobId, String status, int completedTasks) {
+        return Codec.newMap().put("nameId", jobId).put("status", status).put("done", completedTasks).put("running", 0);
     }
 
     // ---- cancellations
 
-    private void cancel(String id, Request request) {
-        ObjectNode end = finals.getIfPresent(id);
-        if (end != null) {
-            request.answer(200, end);
+    private void cancelJob(String jobId, Request request) {
+        ObjectNode cached = finalResponses.getIfPresent(jobId);
+        if (cached != null) {
+            request.respond(200, cached);
             return;
         }
-        if (!JobSpec.validId(id)) {
-            request.refuse(404, "no such job");
+        if (!JobSpec.isValidJobId(jobId)) {
+            request.respondError(404, "no such job");
             return;
         }
-        if (!ready()) {
-            request.later(503, "not ready");
+        if (!isReady()) {
+            request.respondRetryLater(503, "not ready");
             return;
         }
-        Job job = jobs.get(id);
-        LOG.debug("the cancellation of {} is asked for", id);
+        Job job = jobs.get(jobId);
+        LOG.debug("the cancellation of {} is asked for", jobId);
         if (job == null) {
-            store.get(Keys.JOB + id, (status, body) -> {
+            store.get(Keys.JOB_PREFIX + jobId, (status, body) -> {
                 if (status == 200) {
-                    request.later(503, "this controller is catching up");
+                    request.respondRetryLater(503, "this controller is catching up");
                 } else if (status == 404) {
-                    readFinal(id, request, () -> request.refuse(404, "no such job"));
+                    readFinalRecord(jobId, request, () -> request.respondError(404, "no such job"));
                 } else {
-                    request.later(503, "the state service does not answer");
+                    request.respondRetryLater(503, "the state service does not answer");
                 }
             });
             return;
         }
-        if (job.cancelled()) {
-            untilGone(id, request, loop.now() + Constants.USER_PATIENCE_MS, false);
+        if (job.isCancelled()) {
+            awaitTermination(jobId, request, loop.nowMillis() + Constants.USER_PATIENCE_MS, false);
             return;
         }
-        if (committer.full()) {
-            request.later(429, "too much to do");
+        if (committer.isFull()) {
+            request.respondRetryLater(429, "too much to do");
             return;
         }
-        commitCancel(job, request, loop.now() + Constants.USER_PATIENCE_MS);
+        commitCancellation(job, request, loop.nowMillis() + Constants.USER_PATIENCE_MS);
     }
 
-    private void commitCancel(Job job, Request request, long deadline) {
-        Txn txn = new Txn().guard(job.key(), mirror.stamp(job.key())).put(job.key(), job.encode(job.controller, loop.wall()));
-        committer.submit(txn, Math.max(0, deadline - loop.now()), outcome -> {
-            LOG.debug("the cancellation of {}: {}", job.spec.id(), outcome.result());
+    private void commitCancellation(Job job, Request request, long deadlineMillis) {
+        Txn transaction = new Txn().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
+        committer.submit(transaction, Math.max(0, deadlineMillis - loop.nowMillis()), outcome -> {
+            LOG.debug("the cancellation of {}: {}", job.spec.jobId(), outcome.result());
             switch (outcome.result()) {
-                case DONE -> untilGone(job.spec.id(), request, deadline, false);
-                case CONFLICT -> loop.after(Constants.BARRIER_GAP_MS, () -> {
-                    if (loop.now() > deadline) {
-                        request.later(503, "try again");
+                case COMMITTED -> awaitTermination(job.spec.jobId(), request, deadlineMillis, false);
+                case CONFLICT -> loop.runAfter(Constants.BARRIER_GAP_MS, () -> {
+                    if (loop.nowMillis() > deadlineMillis) {
+                        request.respondRetryLater(503, "try again");
                     } else {
-                        cancel(job.spec.id(), request);
+                        cancelJob(job.spec.jobId(), request);
                     }
                 });
-                default -> request.later(503, "the state service does not answer");
+                default -> request.respondRetryLater(503, "the state service does not answer");
             }
         });
     }
@@ -428,96 +428,96 @@
      * the record on nothing starts, and the job ends by itself; a user who is sent away asks again. {@code empty}: at the last look
      * no task had a place on record, and yet its own controller had not ended it; the store may refuse that one alone.
      */
-    private void untilGone(String id, Request request, long deadline, boolean empty) {
-        Job job = jobs.get(id);
-        boolean over = job != null && job.cancelled() && job.placedCount() == 0;
+    private void awaitTermination(String jobId, Request request, long deadlineMillis, boolean wasTerminated) {
+        Job job = jobs.get(jobId);
+        boolean terminated = job != null && job.isCancelled() && job.placedTaskCount() == 0;
         // Every chunk must fit the guards: its own controller alone knows all of a larger job.
-        if (over && empty && job.chunks.length < store.txnOps() && ready() && !committer.full() && finishing.add(id)) {
-            end(job);
+        if (terminated && wasTerminated && job.pages.length < store.maxTransactionOperations() && isReady() && !committer.isFull() && completing.add(jobId)) {
+            recordCompletion(job);
         }
         if (job == null) {
-            LOG.debug("the cancellation of {} is told", id);
-            readFinal(id, request, () -> request.later(503, "try again"));
-        } else if (loop.now() >= deadline) {
-            request.later(503, "its tasks are being stopped");
+            LOG.debug("the cancellation of {} is told", jobId);
+            readFinalRecord(jobId, request, () -> request.respondRetryLater(503, "try again"));
+        } else if (loop.nowMillis() >= deadlineMillis) {
+            request.respondRetryLater(503, "its tasks are being stopped");
         } else {
-            loop.after(Constants.BARRIER_GAP_MS, () -> untilGone(id, request, deadline, over));
+            loop.runAfter(Constants.BARRIER_GAP_MS, () -> awaitTermination(jobId, request, deadlineMillis, terminated));
         }
     }
 
     // ---- ends
 
     /** Moves jobs that are over to their final key. Only then is a user told "done". */
-    public void finish() {
-        if (!session.valid() || committer.full()) {
+    public void completeTerminatedJobs() {
+        if (!membershipLease.isValid() || committer.isFull()) {
             return;
         }
         for (Job job : jobs.all()) {
-            boolean over = job.complete() || job.cancelled() && job.placedCount() == 0
-                    || job.seenComplete() && blocks.mine() != null && job.chunks.length <= store.txnOps() - 2;
-            boolean ours = over && ( job.controller.equals(settings.member()) || blocks.node(job.controller) == null && settings.member().equals(blocks.leader()));
-            if (ours && finishing.add(job.spec.id())) {
-                end(job);
+            boolean terminated = job.isComplete() || job.isCancelled() && job.placedTaskCount() == 0
+                    || job.isCompleteByEvidence() && shards.localShard() != null && job.pages.length <= store.maxTransactionOperations() - 2;
+            boolean ours = terminated && ( job.controllerId.equals(settings.memberId()) || shards.member(job.controllerId) == null && settings.memberId().equals(shards.leaderId()));
+            if (ours && completing.add(job.spec.jobId())) {
+                recordCompletion(job);
             }
         }
-        sweep();
+        removeOrphanedPages();
     }
 
-    private void end(Job job) {
-        String id = job.spec.id();
-        String status = job.cancelled() ? "cancelled" : "done";
-        int done = job.cancelled() ? job.doneCount() : job.spec.members();
-        ObjectNode last = Codec.map().put("s", status).put("n", done);
-        Txn txn = new Txn().guard(job.key(), mirror.stamp(job.key())).remove(job.key()).put(Keys.FINAL + id, last);
-        policy.ended(job, last, txn, loop.wall());
-        for (int k = 0; k < job.chunks.length; k++) {
-            String key = job.chunk(k).key();
-            boolean there = job.chunks[k] != null;
-            if (!job.single() && txn.fits(there ? 1 : 0, 1, store.txnOps())) {
+    private void recordCompletion(Job job) {
+        String jobId = job.spec.jobId();
+        String status = job.isCancelled() ? "cancelled" : "done";
+        int completedTasks = job.isCancelled() ? job.completedTaskCount() : job.spec.taskCount();
+        ObjectNode finalRecord = Codec.newMap().put("s", status).put("n", completedTasks);
+        Txn transaction = new Txn().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).remove(job.storeKey()).put(Keys.FINAL_STATE_PREFIX + jobId, finalRecord);
+        policy.recordCompletion(job, finalRecord, transaction, loop.wallClockMillis());
+        for (int page = 0; page < job.pages.length; page++) {
+            String key = job.page(page).storeKey();
+            boolean exists = job.pages[page] != null;
+            if (!job.hasSinglePage() && transaction.fits(exists ? 1 : 0, 1, store.maxTransactionOperations())) {
                 // Also where none is known: whoever else ends a job may not have heard yet that its tasks got places.
-                txn.guard(key, mirror.stamp(key));
-                if (there) {
-                    txn.remove(key);
+                transaction.requireRevision(key, watchCache.modRevision(key));
+                if (exists) {
+                    transaction.remove(key);
                 }
             }
         }
-        if (!job.complete() && !job.cancelled()) {
+        if (!job.isComplete() && !job.isCancelled()) {
             // The last ends are known by evidence, which counts only while the machines are ours.
-            txn.guard(blocks.mine().key(), mirror.stamp(blocks.mine().key()));
+            transaction.requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey()));
         }
-        ObjectNode answer = finalAnswer(id, status, done);
-        committer.submit(txn, Constants.STORE_TIMEOUT_MS, outcome -> {
-            if (outcome.result() == Txn.Result.DONE) {
-                finals.put(id, answer);
-                finishing.remove(id);
+        ObjectNode response = finalResponse(jobId, status, completedTasks);
+        committer.submit(transaction, Constants.STORE_TIMEOUT_MS, outcome -> {
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                finalResponses.put(jobId, response);
+                completing.remove(jobId);
             } else {
-                LOG.debug("the end of {} was not recorded: {}", id, outcome.result());
-                loop.after(Constants.RETRY_MS, () -> {
-                    finishing.remove(id);
-                    finish();
+                LOG.debug("the end of {} was not recorded: {}", jobId, outcome.result());
+                loop.runAfter(Constants.RETRY_MS, () -> {
+                    completing.remove(jobId);
+                    completeTerminatedJobs();
                 });
             }
         });
     }
 
     /** Removes chunks that a large job left behind. */
-    private void sweep() {
-        if (sweeping || jobs.orphans().isEmpty() || !settings.member().equals(blocks.leader())) {
+    private void removeOrphanedPages() {
+        if (removingOrphans || jobs.orphanPageKeys().isEmpty() || !settings.memberId().equals(shards.leaderId())) {
             return;
         }
-        Txn txn = new Txn();
-        for (String key : jobs.orphans()) {
+        Txn transaction = new Txn();
+        for (String key : jobs.orphanPageKeys()) {
             // Only where the job is over for good: after a relist a chunk may be seen before its job.
-            String job = Keys.JOB + key.substring(Keys.CHUNK.length(), key.lastIndexOf('/'));
-            if (!txn.fits(1, 1, store.txnOps())) {
+            String jobKey = Keys.JOB_PREFIX + key.substring(Keys.TASK_STATE_PAGE_PREFIX.length(), key.lastIndexOf('/'));
+            if (!transaction.fits(1, 1, store.maxTransactionOperations())) {
                 break;
             }
-            txn.guard(job, 0).remove(key);
+            transaction.requireRevision(jobKey, 0).remove(key);
         }
-        sweeping = true;
-        committer.submit(txn, Constants.STORE_TIMEOUT_MS, outcome -> loop.after(Constants.RETRY_MS, () -> {
-            sweeping = false;
-            finish();
+        removingOrphans = true;
+        committer.submit(transaction, Constants.STORE_TIMEOUT_MS, outcome -> loop.runAfter(Constants.RETRY_MS, () -> {
+            removingOrphans = false;
+            completeTerminatedJobs();
         }));
     }
 }
--- a/src/main/java/io/quincelead/leader/Allowances.java
+++ b/src/main/java/io/quincelead/leader/Allowances.java
@@ -13,42 +13,42 @@
      * {@code fresh} says that some controller has had none yet. Only what is free under the allowances on record is given
      * out: what this takes away can be given by a later split, when it is on record.
      */
-    public static double[] split(double limit, double dead, double[] now, double[] use, double[][] want, boolean fresh) {
-        int n = now.length;
-        double[] wants = new double[n];
-        double used = dead;
-        double committed = dead;
-        boolean unmet = false;
-        for (int i = 0; i < n; i++) {
-            wants[i] = Arrays.stream(want[i]).sum();
-            used += use[i];
-            committed += Math.max(now[i], use[i]);
-            unmet |= wants[i] > 0 && now[i] - use[i] < wants[i] - 1e-9;
+    public static double[] split(double limit, double orphanedUse, double[] currentShares, double[] usedByMember, double[][] wantedByPriority, boolean hasNewMember) {
+        int memberCount = currentShares.length;
+        double[] wantedTotals = new double[memberCount];
+        double usedTotal = orphanedUse;
+        double committedTotal = orphanedUse;
+        boolean hasUnmetDemand = false;
+        for (int i = 0; i < memberCount; i++) {
+            wantedTotals[i] = Arrays.stream(wantedByPriority[i]).sum();
+            usedTotal += usedByMember[i];
+            committedTotal += Math.max(currentShares[i], usedByMember[i]);
+            hasUnmetDemand |= wantedTotals[i] > 0 && currentShares[i] - usedByMember[i] < wantedTotals[i] - 1e-9;
         }
-        if (!unmet && !fresh) {
-            return now;
+        if (!hasUnmetDemand && !hasNewMember) {
+            return currentShares;
         }
-        double[][] stages = targets(Math.max(0, limit - used), use, want);
-        double[] target = stages[stages.length - 1];
-        double free = Math.max(0, limit - committed);
-        double[] out = new double[n];
-        for (int i = 0; i < n; i++) {
+        double[][] targetStages = cumulativeTargets(Math.max(0, limit - usedTotal), usedByMember, wantedByPriority);
+        double[] finalTarget = targetStages[targetStages.length - 1];
+        double freeQuota = Math.max(0, limit - committedTotal);
+        double[] nextShares = new double[memberCount];
+        for (int i = 0; i < memberCount; i++) {
             // Records may show ends late and so, for a while, more use than there is; nobody's allowance rises by that.
-            double held = committed > limit + 1e-6 ? now[i] : Math.max(now[i], use[i]);
-            out[i] = Math.min(target[i], held);
+            double usable = committedTotal > limit + 1e-6 ? currentShares[i] : Math.max(currentShares[i], usedByMember[i]);
+            nextShares[i] = Math.min(finalTarget[i], usable);
         }
-        boolean lacksLittle = grow(out, stages, now, use, free, n * Constants.ALLOWANCE_NEAR * limit);
-        for (int i = 0; i < n; i++) {
-            boolean enough = wants[i] <= 0 || now[i] - use[i] > Constants.ALLOWANCE_NEAR * limit;
-            boolean completes = false;
-            for (double[] stage : stages) {
-                completes |= now[i] < stage[i] - 1e-9 && now[i] - use[i] < wants[i] - 1e-9 && out[i] >= stage[i] - 1e-9;
+        boolean nearlyMet = grantFreeQuota(nextShares, targetStages, currentShares, usedByMember, freeQuota, memberCount * Constants.ALLOWANCE_NEAR * limit);
+        for (int i = 0; i < memberCount; i++) {
+            boolean hasSpare = wantedTotals[i] <= 0 || currentShares[i] - usedByMember[i] > Constants.ALLOWANCE_NEAR * limit;
+            boolean reachesTarget = false;
+            for (double[] stage : targetStages) {
+                reachesTarget |= currentShares[i] < stage[i] - 1e-9 && currentShares[i] - usedByMember[i] < wantedTotals[i] - 1e-9 && nextShares[i] >= stage[i] - 1e-9;
             }
-            if (now[i] > 0 && Math.abs(out[i] - now[i]) < least(limit, enough, completes || lacksLittle && out[i] < now[i])) {
-                out[i] = now[i];
+            if (currentShares[i] > 0 && Math.abs(nextShares[i] - currentShares[i]) < minimumChange(limit, hasSpare, reachesTarget || nearlyMet && nextShares[i] < currentShares[i])) {
+                nextShares[i] = currentShares[i];
             }
         }
-        return out;
+        return nextShares;
     }
 
     /**
@@ -56,60 +56,60 @@
      * of is taken back to the last bit, and whoever is short gets the last bit of its target: a gang that lacks a tenth of a
      * CPU waits as much as one that lacks all.
      */
-    private static double least(double limit, boolean enough, boolean counts) {
-        if (counts) {
+    private static double minimumChange(double limit, boolean hasSpare, boolean mustBeExact) {
+        if (mustBeExact) {
             return 1e-6;
         }
-        return Math.max(Constants.ALLOWANCE_STEP, enough ? Constants.ALLOWANCE_NEAR * limit : 0);
+        return Math.max(Constants.ALLOWANCE_STEP, hasSpare ? Constants.ALLOWANCE_NEAR * limit : 0);
     }
 
     /**
      * Gives out what is free, the more urgent wants first; returns whether little was lacking, so that the last bits which
      * others hold would serve somebody. Where much is lacking, small changes would only rewrite blocks all the time.
      */
-    private static boolean grow(double[] out, double[][] stages, double[] now, double[] use, double free, double little) {
-        boolean lacksLittle = false;
-        double left = free;
-        for (double[] stage : stages) {
-            double[] more = new double[out.length];
-            for (int i = 0; i < out.length; i++) {
-                more[i] = Math.max(0, stage[i] - Math.max(out[i], Math.max(now[i], use[i])));
+    private static boolean grantFreeQuota(double[] nextShares, double[][] targetStages, double[] currentShares, double[] usedByMember, double freeQuota, double nearMargin) {
+        boolean nearlyMet = false;
+        double remaining = freeQuota;
+        for (double[] stage : targetStages) {
+            double[] growthByMember = new double[nextShares.length];
+            for (int i = 0; i < nextShares.length; i++) {
+                growthByMember[i] = Math.max(0, stage[i] - Math.max(nextShares[i], Math.max(currentShares[i], usedByMember[i])));
             }
-            double growth = Arrays.stream(more).sum();
-            double share = growth <= left ? 1 : left / growth;
-            lacksLittle |= growth > left + 1e-9 && growth <= left + little;
-            for (int i = 0; i < out.length; i++) {
+            double totalGrowth = Arrays.stream(growthByMember).sum();
+            double fraction = totalGrowth <= remaining ? 1 : remaining / totalGrowth;
+            nearlyMet |= totalGrowth > remaining + 1e-9 && totalGrowth <= remaining + nearMargin;
+            for (int i = 0; i < nextShares.length; i++) {
                 // From what it holds, which it may use already, up to this stage's part of its target.
-                out[i] = more[i] <= 0 || share <= 0 ? out[i] : Math.max(out[i], Math.max(now[i], use[i])) + more[i] * share;
+                nextShares[i] = growthByMember[i] <= 0 || fraction <= 0 ? nextShares[i] : Math.max(nextShares[i], Math.max(currentShares[i], usedByMember[i])) + growthByMember[i] * fraction;
             }
-            left -= growth * share;
+            remaining -= totalGrowth * fraction;
         }
-        return lacksLittle;
+        return nearlyMet;
     }
 
     /**
      * What each would get if everything could move at once, by urgency and summed up over it: the more urgent wants first, for
      * shared evenly, a large low job would keep an urgent gang from ever fitting. Last, what nobody wants is shared evenly.
      */
-    private static double[][] targets(double rest, double[] use, double[][] want) {
-        double[][] stages = new double[want[0].length + 1][];
-        double[] target = use.clone();
-        for (int u = 0; u < want[0].length; u++) {
-            double wanted = 0;
-            for (double[] w : want) {
-                wanted += w[u];
+    private static double[][] cumulativeTargets(double remaining, double[] usedByMember, double[][] wantedByPriority) {
+        double[][] targetStages = new double[wantedByPriority[0].length + 1][];
+        double[] target = usedByMember.clone();
+        for (int priority = 0; priority < wantedByPriority[0].length; priority++) {
+            double wantedTotal = 0;
+            for (double[] memberWants : wantedByPriority) {
+                wantedTotal += memberWants[priority];
             }
-            double given = Math.min(rest, wanted);
-            for (int i = 0; i < want.length && wanted > 0; i++) {
-                target[i] += given * want[i][u] / wanted;
+            double granted = Math.min(remaining, wantedTotal);
+            for (int i = 0; i < wantedByPriority.length && wantedTotal > 0; i++) {
+                target[i] += granted * wantedByPriority[i][priority] / wantedTotal;
             }
-            rest -= given;
-            stages[u] = target.clone();
+            remaining -= granted;
+            targetStages[priority] = target.clone();
         }
         for (int i = 0; i < target.length; i++) {
-            target[i] += rest / target.length;
+            target[i] += remaining / target.length;
         }
-        stages[want[0].length] = target;
-        return stages;
+        targetStages[wantedByPriority[0].length] = target;
+        return targetStages;
     }
 }
--- a/src/main/java/io/quincelead/leader/Leader.java
+++ b/src/main/java/io/quincelead/leader/Leader.java
@@ -36,55 +36,55 @@
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-    /** States of the election; {@link #become} is the one function that changes them. */
-    public enum Phase { FOLLOWING, STANDING, LEADING }
+    /** States of the election; {@link #transitionTo} is the one function that changes them. */
+    public enum Phase { FOLLOWER, CANDIDATE, LEADER }
 
-    private final Loop loop;
+    private final Loop eventLoop;
     private final Settings settings;
-    private final Session session;
-    private final Mirror mirror;
+    private final Session membershipLease;
+    private final Mirror watchCache;
     private final StoreClient store;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
     private final Policy policy;
-    private final Map<String, Stray> strays = new LinkedHashMap<>();
-    private final Map<String, Long> aliveSince = new HashMap<>();
-    private final Fence fence;
-    private BooleanSupplier rentalsOpen = () -> true;
-    private Phase phase = Phase.FOLLOWING;
-    private boolean busy;
-    private boolean again;
+    private final Map<String, Stray> misroutedWorkers = new LinkedHashMap<>();
+    private final Map<String, Long> aliveSinceMillis = new HashMap<>();
+    private final Fence writeFence;
+    private BooleanSupplier provisioningPending = () -> true;
+    private Phase phase = Phase.FOLLOWER;
+    private boolean commitInFlight;
+    private boolean rerunRequested;
     /** Which controller is the next to get jobs of lost ones that use something. */
-    private int heirs;
-    private long allowancesAt;
-    private long adoptedAt;
-    private long balancedAt;
+    private int nextNewOwner;
+    private long quotaDistributedAtMillis;
+    private long registeredAtMillis;
+    private long rebalancedAtMillis;
 
-    public Leader(Loop loop, Settings settings, Session session, Mirror mirror, StoreClient store, Blocks blocks, JobTable jobs,
+    public Leader(Loop eventLoop, Settings settings, Session membershipLease, Mirror watchCache, StoreClient store, Blocks shards, JobTable jobs,
             MachineTable machines, Catalog catalog, Policy policy) {
         this.policy = policy;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.session = session;
-        this.mirror = mirror;
+        this.membershipLease = membershipLease;
+        this.watchCache = watchCache;
         this.store = store;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.fence = new Fence(loop, store, mirror, Keys.LEAD, () -> blocks.lead() == null ? null : txn().put(Keys.LEAD, blocks.lead().encode(), session.grant()));
-        loop.every(Constants.LEADER_TICK_MS, this::tick);
-        mirror.onChange(this::look);
+        this.writeFence = new Fence(eventLoop, store, watchCache, Keys.LEADER, () -> shards.leaderRecord() == null ? null : newTransaction().put(Keys.LEADER, shards.leaderRecord().encode(), membershipLease.leaseId()));
+        eventLoop.runEvery(Constants.LEADER_TICK_MS, this::runCycle);
+        watchCache.addChangeListener(this::refreshPhase);
     }
 
     /** {@code open} tells whether a rental's machines may not all be on record yet. */
-    public void wire(BooleanSupplier open) {
-        rentalsOpen = open;
+    public void setProvisioningPending(BooleanSupplier pending) {
+        provisioningPending = pending;
     }
 
-    private void become(Phase next) {
+    private void transitionTo(Phase next) {
         if (phase != next) {
             LOG.info("leadership {} -> {}", phase, next);
             phase = next;
@@ -92,270 +92,270 @@
     }
 
     /** Whether this controller surely leads now. */
-    public boolean leading() {
-        look();
-        return phase == Phase.LEADING && session.valid();
+    public boolean isLeading() {
+        refreshPhase();
+        return phase == Phase.LEADER && membershipLease.isValid();
     }
 
-    private void look() {
-        Blocks.Lead lead = blocks.lead();
-        boolean mine = lead != null && lead.member().equals(settings.member()) && lead.incarnation() == session.incarnation();
-        if (mine) {
-            become(Phase.LEADING);
-        } else if (phase == Phase.LEADING) {
-            become(Phase.FOLLOWING);
-            strays.clear();
+    private void refreshPhase() {
+        Blocks.Lead leader = shards.leaderRecord();
+        boolean isSelf = leader != null && leader.memberId().equals(settings.memberId()) && leader.incarnation() == membershipLease.incarnation();
+        if (isSelf) {
+            transitionTo(Phase.LEADER);
+        } else if (phase == Phase.LEADER) {
+            transitionTo(Phase.FOLLOWER);
+            misroutedWorkers.clear();
         }
     }
 
     /** The guard that every change by the leader bears. */
-    public Txn txn() {
-        return new Txn().guard(Keys.LEAD, mirror.stamp(Keys.LEAD));
+    public Txn newTransaction() {
+        return new Txn().requireRevision(Keys.LEADER, watchCache.modRevision(Keys.LEADER));
     }
 
     /** Takes the outcome of a change that bears the leader's guard. */
-    public void heard(Txn txn, Txn.Outcome outcome) {
-        fence.heard(txn, outcome);
+    public void onOutcome(Txn transaction, Txn.Outcome outcome) {
+        writeFence.onOutcome(transaction, outcome);
     }
 
     /** Whether every change that bore the leader's guard has an outcome; until then the leader decides nothing by record. */
-    public boolean settled() {
-        return fence.clear();
+    public boolean areWritesSettled() {
+        return writeFence.trySettle();
     }
 
-    private void tick() {
-        if (!session.valid() || !mirror.synced() || busy) {
+    private void runCycle() {
+        if (!membershipLease.isValid() || !watchCache.isSynced() || commitInFlight) {
             return;
         }
-        if (blocks.lead() == null && blocks.node(settings.member()) != null) {
-            stand();
-        } else if (leading() && settled() && (store.urgentAffordable() || blocks.mine() == null)) {
+        if (shards.leaderRecord() == null && shards.member(settings.memberId()) != null) {
+            campaign();
+        } else if (isLeading() && areWritesSettled() && (store.canAffordUrgentWrite() || shards.localShard() == null)) {
             // Even the leader's changes don't go far into debt: what users wait for would pay for it.
-            lead();
+            runLeaderDuties();
         }
     }
 
-    private void stand() {
-        become(Phase.STANDING);
-        long term = blocks.term() + 1;
-        Txn txn = new Txn().guard(Keys.LEAD, 0).guard(Keys.TERM, mirror.stamp(Keys.TERM))
-                .put(Keys.LEAD, new Blocks.Lead(settings.member(), session.incarnation(), term).encode(), session.grant())
-                .put(Keys.TERM, Codec.map().put("n", term));
-        commit(txn, () -> become(Phase.FOLLOWING));
+    private void campaign() {
+        transitionTo(Phase.CANDIDATE);
+        long fencingToken = shards.latestFencingToken() + 1;
+        Txn transaction = new Txn().requireRevision(Keys.LEADER, 0).requireRevision(Keys.FENCING_TOKEN_COUNTER, watchCache.modRevision(Keys.FENCING_TOKEN_COUNTER))
+                .put(Keys.LEADER, new Blocks.Lead(settings.memberId(), membershipLease.incarnation(), fencingToken).encode(), membershipLease.leaseId())
+                .put(Keys.FENCING_TOKEN_COUNTER, Codec.newMap().put("n", fencingToken));
+        commit(transaction, () -> transitionTo(Phase.FOLLOWER));
     }
 
-    private void commit(Txn txn, Runnable otherwise) {
-        busy = true;
-        store.commit(txn, outcome -> {
-            busy = false;
-            heard(txn, outcome);
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
-                if (again) {
-                    again = false;
-                    loop.after(0, this::tick);
+    private void commit(Txn transaction, Runnable onFailure) {
+        commitInFlight = true;
+        store.commit(transaction, outcome -> {
+            commitInFlight = false;
+            onOutcome(transaction, outcome);
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
+                if (rerunRequested) {
+                    rerunRequested = false;
+                    eventLoop.runAfter(0, this::runCycle);
                 }
             } else {
-                otherwise.run();
+                onFailure.run();
             }
         });
     }
 
     /** A machine that has come up, or whose owner can't be reached. */
-    public void stray(Stray s) {
-        if (leading() && strays.size() < Constants.MAX_OPEN_JOBS) {
-            strays.put(s.host(), s);
-            if (blocks.owner(s.host()) == null && machines.get(s.host()) != null) {
-                if (busy) {
-                    again = true;
+    public void onMisroutedWorker(Stray worker) {
+        if (isLeading() && misroutedWorkers.size() < Constants.MAX_OPEN_JOBS) {
+            misroutedWorkers.put(worker.host(), worker);
+            if (shards.ownerOf(worker.host()) == null && machines.get(worker.host()) != null) {
+                if (commitInFlight) {
+                    rerunRequested = true;
                 } else {
-                    loop.after(Constants.GRANT_GAP_MS, this::tick);
+                    eventLoop.runAfter(Constants.GRANT_GAP_MS, this::runCycle);
                 }
             }
         }
     }
 
-    private void lead() {
-        for (Blocks.Node n : blocks.nodes()) {
-            aliveSince.putIfAbsent(n.member(), loop.now());
+    private void runLeaderDuties() {
+        for (Blocks.Node member : shards.members()) {
+            aliveSinceMillis.putIfAbsent(member.memberId(), eventLoop.nowMillis());
         }
-        aliveSince.keySet().removeIf(m -> blocks.node(m) == null);
-        Txn txn = txn();
-        Map<String, Blocks.Block> next = new LinkedHashMap<>();
-        for (Blocks.Node n : blocks.nodes()) {
-            Blocks.Block b = blocks.of(n.member());
-            next.put(n.member(), b == null ? new Blocks.Block(n.member(), new LinkedHashMap<>(), new LinkedHashMap<>()) : b.copy());
+        aliveSinceMillis.keySet().removeIf(memberId -> shards.member(memberId) == null);
+        Txn transaction = newTransaction();
+        Map<String, Blocks.Block> nextShards = new LinkedHashMap<>();
+        for (Blocks.Node member : shards.members()) {
+            Blocks.Block shard = shards.shardOf(member.memberId());
+            nextShards.put(member.memberId(), shard == null ? new Blocks.Block(member.memberId(), new LinkedHashMap<>(), new LinkedHashMap<>()) : shard.copy());
         }
-        if (next.isEmpty()) {
+        if (nextShards.isEmpty()) {
             return;
         }
-        List<String> changed = new ArrayList<>();
-        for (String m : next.keySet()) {
-            if (blocks.of(m) == null) {
-                changed.add(m);
+        List<String> changedMembers = new ArrayList<>();
+        for (String memberId : nextShards.keySet()) {
+            if (shards.shardOf(memberId) == null) {
+                changedMembers.add(memberId);
             }
         }
-        boolean terms = grant(next, changed, txn) | balance(next, changed);
-        if (loop.now() - allowancesAt >= Constants.ALLOWANCES_EVERY_MS || !changed.isEmpty()) {
-            allowancesAt = loop.now();
-            allowances(next, changed);
+        boolean tokensAssigned = assignMachines(nextShards, changedMembers, transaction) | rebalance(nextShards, changedMembers);
+        if (eventLoop.nowMillis() - quotaDistributedAtMillis >= Constants.ALLOWANCES_EVERY_MS || !changedMembers.isEmpty()) {
+            quotaDistributedAtMillis = eventLoop.nowMillis();
+            distributeQuota(nextShards, changedMembers);
         }
-        if (!changed.isEmpty()) {
-            if (terms) {
-                txn.guard(Keys.TERM, mirror.stamp(Keys.TERM)).put(Keys.TERM, Codec.map().put("n", blocks.term() + 1));
+        if (!changedMembers.isEmpty()) {
+            if (tokensAssigned) {
+                transaction.requireRevision(Keys.FENCING_TOKEN_COUNTER, watchCache.modRevision(Keys.FENCING_TOKEN_COUNTER)).put(Keys.FENCING_TOKEN_COUNTER, Codec.newMap().put("n", shards.latestFencingToken() + 1));
             }
-            for (Blocks.Block b : blocks.all()) {
-                txn.guard(b.key(), mirror.stamp(b.key()));
+            for (Blocks.Block shard : shards.shards()) {
+                transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
             }
-            for (String m : changed.stream().distinct().toList()) {
-                Blocks.Block b = next.get(m);
-                trim(b, blocks.term() + 1);
-                if (b.equals(blocks.of(m))) {
+            for (String memberId : changedMembers.stream().distinct().toList()) {
+                Blocks.Block shard = nextShards.get(memberId);
+                trimToRecordLimit(shard, shards.latestFencingToken() + 1);
+                if (shard.equals(shards.shardOf(memberId))) {
                     continue;
                 }
-                txn.guard(b.key(), mirror.stamp(b.key())).put(b.key(), b.encode(), blocks.node(m).grant());
+                transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey())).put(shard.storeKey(), shard.encode(), shards.member(memberId).leaseId());
             }
         } else {
-            reassign(txn);
+            reassignJobs(transaction);
         }
-        if (!txn.isEmpty()) {
-            commit(txn, () -> { });
+        if (!transaction.isEmpty()) {
+            commit(transaction, () -> { });
         }
     }
 
     /** Gives machines without an owner, and those whose owner can't hear them, to live controllers under a new term. */
-    private boolean grant(Map<String, Blocks.Block> next, List<String> changed, Txn txn) {
-        long term = blocks.term() + 1;
-        boolean any = false;
-        Map<String, Double> sizes = new HashMap<>();
-        next.forEach((member, b) -> sizes.put(member, capacity(b)));
+    private boolean assignMachines(Map<String, Blocks.Block> nextShards, List<String> changedMembers, Txn transaction) {
+        long fencingToken = shards.latestFencingToken() + 1;
+        boolean assignedAny = false;
+        Map<String, Double> cpusByMember = new HashMap<>();
+        nextShards.forEach((memberId, shard) -> cpusByMember.put(memberId, shardCpus(shard)));
         // A machine granted just while its return was recorded: it would never be released.
-        next.forEach((member, b) -> {
-            if (b.machines().keySet().removeIf(h -> machines.get(h) != null && machines.get(h).returning())) {
-                changed.add(member);
+        nextShards.forEach((memberId, shard) -> {
+            if (shard.fencingTokensByHost().keySet().removeIf(host -> machines.get(host) != null && machines.get(host).releasing())) {
+                changedMembers.add(memberId);
             }
         });
-        MachineTable.Edits edits = machines.edits(txn);
-        for (MachineTable.Machine m : machines.all()) {
+        MachineTable.Edits edits = machines.beginEdits(transaction);
+        for (MachineTable.Machine machine : machines.all()) {
             // Also while it boots: its worker then hears at its first report where to go.
-            if (!m.returning() && blocks.owner(m.host()) == null) {
-                Stray s = strays.remove(m.host());
-                give(next, sizes, changed, m.host(), s == null ? null : s.at(), term);
-                any = true;
+            if (!machine.releasing() && shards.ownerOf(machine.host()) == null) {
+                Stray worker = misroutedWorkers.remove(machine.host());
+                assignToShard(nextShards, cpusByMember, changedMembers, machine.host(), worker == null ? null : worker.reportsTo(), fencingToken);
+                assignedAny = true;
             }
         }
-        boolean adopt = mayAdopt() && loop.now() - adoptedAt >= Constants.ADOPT_GAP_MS;
-        for (Stray s : new ArrayList<>(strays.values())) {
-            if (!txn.fits(2 + next.size() + 1, 5, store.txnOps())) {
-                again = true;
+        boolean mayRegister = mayRegisterUnexpectedMachines() && eventLoop.nowMillis() - registeredAtMillis >= Constants.ADOPT_GAP_MS;
+        for (Stray worker : new ArrayList<>(misroutedWorkers.values())) {
+            if (!transaction.fits(2 + nextShards.size() + 1, 5, store.maxTransactionOperations())) {
+                rerunRequested = true;
                 break;
             }
-            String owner = blocks.owner(s.host());
-            MachineTable.Machine m = machines.get(s.host());
-            if (owner == null && m == null && !adopt) {
+            String owner = shards.ownerOf(worker.host());
+            MachineTable.Machine machine = machines.get(worker.host());
+            if (owner == null && machine == null && !mayRegister) {
                 continue;
             }
-            strays.remove(s.host());
+            misroutedWorkers.remove(worker.host());
             if (owner != null) {
                 // A worker that was sent away just before its machine was granted will find its owner by itself.
                 // And of one that was granted anew since, this may be an old word.
-                if (s.stuck() && !owner.equals(s.at()) && next.containsKey(s.at()) && s.term() == blocks.of(owner).machines().get(s.host())) {
-                    LOG.info("machine {} reports to {} instead of its owner {}; it moves", s.host(), s.at(), owner);
-                    if (next.containsKey(owner)) {
-                        next.get(owner).machines().remove(s.host());
-                        changed.add(owner);
+                if (worker.ownedElsewhere() && !owner.equals(worker.reportsTo()) && nextShards.containsKey(worker.reportsTo()) && worker.fencingToken() == shards.shardOf(owner).fencingTokensByHost().get(worker.host())) {
+                    LOG.info("machine {} reports to {} instead of its owner {}; it moves", worker.host(), worker.reportsTo(), owner);
+                    if (nextShards.containsKey(owner)) {
+                        nextShards.get(owner).fencingTokensByHost().remove(worker.host());
+                        changedMembers.add(owner);
                     }
-                    next.get(s.at()).machines().put(s.host(), term);
-                    changed.add(s.at());
-                    any = true;
+                    nextShards.get(worker.reportsTo()).fencingTokensByHost().put(worker.host(), fencingToken);
+                    changedMembers.add(worker.reportsTo());
+                    assignedAny = true;
                 }
                 continue;
             }
-            if (m != null || next.values().stream().anyMatch(b -> b.machines().containsKey(s.host()))) {
+            if (machine != null || nextShards.values().stream().anyMatch(shard -> shard.fencingTokensByHost().containsKey(worker.host()))) {
                 continue;
             }
-            adoptedAt = loop.now();
+            registeredAtMillis = eventLoop.nowMillis();
             // Granted with the next look, when it is on record; until then it goes on reporting.
-            edits.adopt(s.host(), s.shape(), s.site(), s.spot(), s.addr(), loop.wall());
+            edits.addUnexpected(worker.host(), worker.machineType(), worker.zone(), worker.spot(), worker.address(), eventLoop.wallClockMillis());
         }
-        return any;
+        return assignedAny;
     }
 
     /**
      * Whether an unexpected machine may be taken in: not while it could be one of a rental that isn't settled, or that a
      * predecessor settled and the watch has not brought yet, for a machine must never be on two records.
      */
-    public boolean mayAdopt() {
-        return !rentalsOpen.getAsBoolean() && mirror.generation() >= mirror.stamp(Keys.LEAD);
+    public boolean mayRegisterUnexpectedMachines() {
+        return !provisioningPending.getAsBoolean() && watchCache.storeRevision() >= watchCache.modRevision(Keys.LEADER);
     }
 
     /** Whether machines that are on no record report here: until they are taken in, nothing should be rented. */
-    public boolean adopting() {
-        return strays.keySet().stream().anyMatch(h -> machines.get(h) == null);
+    public boolean hasUnregisteredMachines() {
+        return misroutedWorkers.keySet().stream().anyMatch(h -> machines.get(h) == null);
     }
 
-    private void give(Map<String, Blocks.Block> next, Map<String, Double> sizes, List<String> changed, String host, String preferred, long term) {
-        String to = preferred != null && next.containsKey(preferred) ? preferred
-                : next.keySet().stream().min(Comparator.comparingDouble(sizes::get)).orElseThrow();
-        next.get(to).machines().put(host, term);
-        sizes.merge(to, cpus(host), Double::sum);
-        if (!changed.contains(to)) {
-            changed.add(to);
+    private void assignToShard(Map<String, Blocks.Block> nextShards, Map<String, Double> cpusByMember, List<String> changedMembers, String host, String preferredOwner, long fencingToken) {
+        String newOwner = preferredOwner != null && nextShards.containsKey(preferredOwner) ? preferredOwner
+                : nextShards.keySet().stream().min(Comparator.comparingDouble(cpusByMember::get)).orElseThrow();
+        nextShards.get(newOwner).fencingTokensByHost().put(host, fencingToken);
+        cpusByMember.merge(newOwner, machineCpus(host), Double::sum);
+        if (!changedMembers.contains(newOwner)) {
+            changedMembers.add(newOwner);
         }
     }
 
     /** Takes back what was just granted as far as a block's record would pass the store's limit for a value. */
-    private void trim(Blocks.Block b, long term) {
-        int limit = (int) (settings.store().valueKb() * 1024);
-        List<String> granted = new ArrayList<>(b.machines().keySet());
-        granted.removeIf(h -> b.machines().get(h) != term);
-        while (b.encode().toString().length() > limit && !granted.isEmpty()) {
-            String host = granted.remove(granted.size() - 1);
-            LOG.info("machine {} stays without a controller: the block of {} does not fit one record", host, b.member());
-            b.machines().remove(host);
+    private void trimToRecordLimit(Blocks.Block shard, long fencingToken) {
+        int maxLength = (int) (settings.storeLimits().maxValueKb() * 1024);
+        List<String> assignedHosts = new ArrayList<>(shard.fencingTokensByHost().keySet());
+        assignedHosts.removeIf(assigned -> shard.fencingTokensByHost().get(assigned) != fencingToken);
+        while (shard.encode().toString().length() > maxLength && !assignedHosts.isEmpty()) {
+            String host = assignedHosts.remove(assignedHosts.size() - 1);
+            LOG.info("machine {} stays without a controller: the block of {} does not fit one record", host, shard.ownerId());
+            shard.fencingTokensByHost().remove(host);
         }
     }
 
-    private double capacity(Blocks.Block b) {
-        return b.machines().keySet().stream().mapToDouble(this::cpus).sum();
+    private double shardCpus(Blocks.Block shard) {
+        return shard.fencingTokensByHost().keySet().stream().mapToDouble(this::machineCpus).sum();
     }
 
-    private double cpus(String host) {
-        MachineTable.Machine m = machines.get(host);
-        Catalog.Shape s = m == null ? null : catalog.get(m.shape());
-        return s == null ? 1 : s.vcpus();
+    private double machineCpus(String host) {
+        MachineTable.Machine machine = machines.get(host);
+        Catalog.Shape machineType = machine == null ? null : catalog.get(machine.machineType());
+        return machineType == null ? 1 : machineType.cpus();
     }
 
     /** Moves a few machines to a controller that has been up for a while and holds much less than its share. */
-    private boolean balance(Map<String, Blocks.Block> next, List<String> changed) {
-        if (!changed.isEmpty() || next.size() < 2) {
+    private boolean rebalance(Map<String, Blocks.Block> nextShards, List<String> changedMembers) {
+        if (!changedMembers.isEmpty() || nextShards.size() < 2) {
             return false;
         }
-        Blocks.Block least = next.values().stream().min(Comparator.comparingDouble(this::capacity)).orElseThrow();
-        Blocks.Block most = next.values().stream().max(Comparator.comparingDouble(this::capacity)).orElseThrow();
-        if (loop.now() - aliveSince.getOrDefault(least.member(), loop.now()) < Constants.BALANCE_AFTER_MS
-                || loop.now() - balancedAt < Constants.BALANCE_GAP_MS || most.machines().size() < 2) {
+        Blocks.Block smallest = nextShards.values().stream().min(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
+        Blocks.Block largest = nextShards.values().stream().max(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
+        if (eventLoop.nowMillis() - aliveSinceMillis.getOrDefault(smallest.ownerId(), eventLoop.nowMillis()) < Constants.BALANCE_AFTER_MS
+                || eventLoop.nowMillis() - rebalancedAtMillis < Constants.BALANCE_GAP_MS || largest.fencingTokensByHost().size() < 2) {
             return false;
         }
-        double low = capacity(least);
-        double high = capacity(most);
+        double smallestCpus = shardCpus(smallest);
+        double largestCpus = shardCpus(largest);
         int moved = 0;
-        int moves = Math.max(Constants.BALANCE_MOVES, (int) (most.machines().size() * Constants.BALANCE_MOVES_SHARE));
-        for (String h : new ArrayList<>(most.machines().keySet())) {
-            double c = cpus(h);
-            if (moved >= moves || low > high * Constants.BALANCE_SHARE || low + c > high - c) {
+        int maxMoves = Math.max(Constants.BALANCE_MOVES, (int) (largest.fencingTokensByHost().size() * Constants.BALANCE_MOVES_SHARE));
+        for (String host : new ArrayList<>(largest.fencingTokensByHost().keySet())) {
+            double hostCpus = machineCpus(host);
+            if (moved >= maxMoves || smallestCpus > largestCpus * Constants.BALANCE_SHARE || smallestCpus + hostCpus > largestCpus - hostCpus) {
                 break;
             }
-            most.machines().remove(h);
-            least.machines().put(h, blocks.term() + 1);
-            low += c;
-            high -= c;
+            largest.fencingTokensByHost().remove(host);
+            smallest.fencingTokensByHost().put(host, shards.latestFencingToken() + 1);
+            smallestCpus += hostCpus;
+            largestCpus -= hostCpus;
             moved++;
         }
         if (moved > 0) {
-            balancedAt = loop.now();
-            changed.add(least.member());
-            changed.add(most.member());
+            rebalancedAtMillis = eventLoop.nowMillis();
+            changedMembers.add(smallest.ownerId());
+            changedMembers.add(largest.ownerId());
         }
         return moved > 0;
     }
@@ -364,15 +364,15 @@
 
     /** What a controller's jobs of a team use and still want. */
     private static final class Demand {
-        double useCpu;
-        double useGpu;
+        double usedCpus;
+        double usedGpus;
         /** By urgency. */
-        final double[] wantCpu = new double[JobSpec.Urgency.values().length];
-        final double[] wantGpu = new double[JobSpec.Urgency.values().length];
+        final double[] wantedCpus = new double[JobSpec.Urgency.values().length];
+        final double[] wantedGpus = new double[JobSpec.Urgency.values().length];
 
-        void want(int urgency, int tasks, JobSpec s) {
-            wantCpu[urgency] += tasks * s.vcpus();
-            wantGpu[urgency] += tasks * s.cards();
+        void addWanted(int priority, int taskCount, JobSpec spec) {
+            wantedCpus[priority] += taskCount * spec.cpus();
+            wantedGpus[priority] += taskCount * spec.gpus();
         }
     }
 
@@ -381,75 +381,75 @@
      * known exactly up to the mirror's generation; so only what is free under the allowances <em>on record</em> is
      * given out, and what one write takes away can be given out only by a later one, when the mirror has caught up.
      */
-    private void allowances(Map<String, Blocks.Block> next, List<String> changed) {
-        for (Blocks.Block b : blocks.all()) {
-            if (mirror.stamp(b.key()) > mirror.generation()) {
+    private void distributeQuota(Map<String, Blocks.Block> nextShards, List<String> changedMembers) {
+        for (Blocks.Block shard : shards.shards()) {
+            if (watchCache.modRevision(shard.storeKey()) > watchCache.storeRevision()) {
                 return;
             }
         }
         for (Settings.Team team : settings.teams().values()) {
-            Map<String, Demand> demand = new LinkedHashMap<>();
-            next.keySet().forEach(m -> demand.put(m, new Demand()));
-            double deadCpu = 0;
-            double deadGpu = 0;
-            for (Job j : jobs.all()) {
-                if (!j.spec.owner().equals(team.name())) {
+            Map<String, Demand> demandByMember = new LinkedHashMap<>();
+            nextShards.keySet().forEach(memberId -> demandByMember.put(memberId, new Demand()));
+            double orphanedCpus = 0;
+            double orphanedGpus = 0;
+            for (Job job : jobs.all()) {
+                if (!job.spec.team().equals(team.name())) {
                     continue;
                 }
-                double useCpu = j.placedCount() * j.spec.vcpus();
-                double useGpu = j.placedCount() * j.spec.cards();
-                Demand d = blocks.of(j.controller) == null ? null : demand.get(j.controller);
-                if (d == null) {
-                    deadCpu += useCpu;
-                    deadGpu += useGpu;
+                double usedCpus = job.placedTaskCount() * job.spec.cpus();
+                double usedGpus = job.placedTaskCount() * job.spec.gpus();
+                Demand memberDemand = shards.shardOf(job.controllerId) == null ? null : demandByMember.get(job.controllerId);
+                if (memberDemand == null) {
+                    orphanedCpus += usedCpus;
+                    orphanedGpus += usedGpus;
                     continue;
                 }
-                d.useCpu += useCpu;
-                d.useGpu += useGpu;
-                if (!j.cancelled()) {
+                memberDemand.usedCpus += usedCpus;
+                memberDemand.usedGpus += usedGpus;
+                if (!job.isCancelled()) {
                     // What a job would be left behind by is wanted as much as normal work: of a team at its limit, low work would else get nothing.
-                    int late = Math.min(j.pendingCount(), Math.max(0, policy.entitled(j, loop.wall()) - j.doneCount() - j.heldCount()));
-                    d.want(Math.min(j.spec.urgency().ordinal(), JobSpec.Urgency.NORMAL.ordinal()), late, j.spec);
-                    d.want(j.spec.urgency().ordinal(), j.pendingCount() - late, j.spec);
+                    int overdueTasks = Math.min(job.pendingTaskCount(), Math.max(0, policy.requiredStartedTaskCount(job, eventLoop.wallClockMillis()) - job.completedTaskCount() - job.possiblyRunningTaskCount()));
+                    memberDemand.addWanted(Math.min(job.spec.priority().ordinal(), JobSpec.Urgency.NORMAL.ordinal()), overdueTasks, job.spec);
+                    memberDemand.addWanted(job.spec.priority().ordinal(), job.pendingTaskCount() - overdueTasks, job.spec);
                 }
             }
             // A block that isn't on our list of live controllers may still be in use.
-            for (Blocks.Block b : blocks.all()) {
-                if (!next.containsKey(b.member())) {
+            for (Blocks.Block shard : shards.shards()) {
+                if (!nextShards.containsKey(shard.ownerId())) {
                     return;
                 }
             }
-            double[] cpu = split(team.cpusMax(), deadCpu, next.keySet(), demand, true, team.name());
-            double[] gpu = split(team.gpusMax(), deadGpu, next.keySet(), demand, false, team.name());
-            int i = 0;
-            for (Map.Entry<String, Blocks.Block> e : next.entrySet()) {
-                Blocks.Amount to = new Blocks.Amount(cpu[i], gpu[i]);
-                i++;
-                Blocks.Amount from = e.getValue().allowance(team.name());
-                if (Math.abs(to.cpus() - from.cpus()) > 1e-6 || Math.abs(to.gpus() - from.gpus()) > 1e-6) {
-                    e.getValue().allowances().put(team.name(), to);
-                    changed.add(e.getKey());
+            double[] cpuShares = splitResource(team.maxCpus(), orphanedCpus, nextShards.keySet(), demandByMember, true, team.name());
+            double[] gpuShares = splitResource(team.maxGpus(), orphanedGpus, nextShards.keySet(), demandByMember, false, team.name());
+            int index = 0;
+            for (Map.Entry<String, Blocks.Block> entry : nextShards.entrySet()) {
+                Blocks.Amount newShare = new Blocks.Amount(cpuShares[index], gpuShares[index]);
+                index++;
+                Blocks.Amount oldShare = entry.getValue().quotaShare(team.name());
+                if (Math.abs(newShare.cpus() - oldShare.cpus()) > 1e-6 || Math.abs(newShare.gpus() - oldShare.gpus()) > 1e-6) {
+                    entry.getValue().quotaShares().put(team.name(), newShare);
+                    changedMembers.add(entry.getKey());
                 }
             }
         }
     }
 
-    private double[] split(double limit, double dead, java.util.Set<String> members, Map<String, Demand> demand, boolean cpus, String team) {
-        double[] now = new double[members.size()];
-        double[] use = new double[members.size()];
-        double[][] want = new double[members.size()][];
-        boolean fresh = false;
-        int i = 0;
-        for (String m : members) {
-            Demand d = demand.get(m);
-            Blocks.Amount a = blocks.of(m) == null ? Blocks.Amount.NONE : blocks.of(m).allowance(team);
-            fresh |= blocks.of(m) == null || !blocks.of(m).allowances().containsKey(team);
-            now[i] = cpus ? a.cpus() : a.gpus();
-            use[i] = cpus ? d.useCpu : d.useGpu;
-            want[i] = cpus ? d.wantCpu : d.wantGpu;
-            i++;
+    private double[] splitResource(double limit, double orphanedUse, java.util.Set<String> memberIds, Map<String, Demand> demandByMember, boolean forCpus, String team) {
+        double[] currentShares = new double[memberIds.size()];
+        double[] usedByMember = new double[memberIds.size()];
+        double[][] wantedByPriority = new double[memberIds.size()][];
+        boolean hasNewMember = false;
+        int index = 0;
+        for (String memberId : memberIds) {
+            Demand memberDemand = demandByMember.get(memberId);
+            Blocks.Amount quotaShare = shards.shardOf(memberId) == null ? Blocks.Amount.NONE : shards.shardOf(memberId).quotaShare(team);
+            hasNewMember |= shards.shardOf(memberId) == null || !shards.shardOf(memberId).quotaShares().containsKey(team);
+            currentShares[index] = forCpus ? quotaShare.cpus() : quotaShare.gpus();
+            usedByMember[index] = forCpus ? memberDemand.usedCpus : memberDemand.usedGpus;
+            wantedByPriority[index] = forCpus ? memberDemand.wantedCpus : memberDemand.wantedGpus;
+            index++;
         }
-        return Allowances.split(limit, dead, now, use, want, fresh);
+        return Allowances.split(limit, orphanedUse, currentShares, usedByMember, wantedByPriority, hasNewMember);
     }
 
     // ---- jobs of lost controllers
@@ -459,32 +459,32 @@
      * before it knew of the job must not land after it, so the new controller's block is rewritten in the same change; jobs that use
      * something go to one heir at a time, for a block's record is large.
      */
-    private void reassign(Txn txn) {
-        List<String> alive = blocks.all().stream().map(Blocks.Block::member).filter(m -> blocks.node(m) != null).toList();
-        if (alive.isEmpty()) {
+    private void reassignJobs(Txn transaction) {
+        List<String> liveMembers = shards.shards().stream().map(Blocks.Block::ownerId).filter(memberId -> shards.member(memberId) != null).toList();
+        if (liveMembers.isEmpty()) {
             return;
         }
-        int turn = 0;
-        String heir = alive.get(heirs % alive.size());
-        List<Job> left = new ArrayList<>();
-        jobs.all().stream().filter(j -> blocks.node(j.controller) == null).forEach(left::add);
+        int nextMember = 0;
+        String newOwner = liveMembers.get(nextNewOwner % liveMembers.size());
+        List<Job> orphanedJobs = new ArrayList<>();
+        jobs.all().stream().filter(job -> shards.member(job.controllerId) == null).forEach(orphanedJobs::add);
         // Those first that have something to be done; what runs needs a controller only when something happens to it.
-        left.sort(Comparator.comparing((Job j) -> j.pendingCount() == 0 && !j.cancelled()).thenComparing(j -> j.spec.urgency()));
-        int most = store.affordable();
-        for (Job j : left) {
-            boolean uses = j.placedCount() > 0;
-            Blocks.Block inherits = blocks.of(heir);
-            int writes = uses && !txn.puts(inherits.key()) ? 2 : 1;
-            if (txn.writes() + writes > most || !txn.fits(writes, 2 + writes, store.txnOps())) {
+        orphanedJobs.sort(Comparator.comparing((Job job) -> job.pendingTaskCount() == 0 && !job.isCancelled()).thenComparing(job -> job.spec.priority()));
+        int maxWrites = store.affordableWrites();
+        for (Job job : orphanedJobs) {
+            boolean hasPlacements = job.placedTaskCount() > 0;
+            Blocks.Block newOwnerShard = shards.shardOf(newOwner);
+            int writes = hasPlacements && !transaction.writesKey(newOwnerShard.storeKey()) ? 2 : 1;
+            if (transaction.operationCount() + writes > maxWrites || !transaction.fits(writes, 2 + writes, store.maxTransactionOperations())) {
                 break;
             }
             // Only after the lost controller's block is gone: then nothing it placed can be unknown to us.
-            if (blocks.of(j.controller) == null) {
-                txn.guard(j.key(), mirror.stamp(j.key())).guard(Keys.BLOCK + j.controller, 0)
-                        .put(j.key(), j.encode(uses ? heir : alive.get(turn++ % alive.size()), j.cancelledAt));
+            if (shards.shardOf(job.controllerId) == null) {
+                transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).requireRevision(Keys.SHARD_PREFIX + job.controllerId, 0)
+                        .put(job.storeKey(), job.encode(hasPlacements ? newOwner : liveMembers.get(nextMember++ % liveMembers.size()), job.cancelledAtEpochMillis));
                 if (writes > 1) {
-                    heirs++;
-                    txn.guard(inherits.key(), mirror.stamp(inherits.key())).put(inherits.key(), inherits.encode(), blocks.node(heir).grant());
+                    nextNewOwner++;
+                    transaction.requireRevision(newOwnerShard.storeKey(), watchCache.modRevision(newOwnerShard.storeKey())).put(newOwnerShard.storeKey(), newOwnerShard.encode(), shards.member(newOwner).leaseId());
                 }
             }
         }
--- a/src/main/java/io/quincelead/net/BodyReader.java
+++ b/src/main/java/io/quincelead/net/BodyReader.java
@@ -11,9 +11,9 @@
 /** Reads a body as it comes, on the loop. Undertow's own receiver copies it byte by byte. */
 final class BodyReader implements ChannelListener<StreamSourceChannel> {
     private final ByteBuffer buffer;
-    private final int most;
-    private final Consumer<byte[]> whole;
-    private final Consumer<IOException> failed;
+    private final int maxBytes;
+    private final Consumer<byte[]> onComplete;
+    private final Consumer<IOException> onFailure;
     private final ByteArrayOutputStream body;
 
     /**
@@ -21,36 +21,36 @@
      * @param length bytes stated by the sender, a hint; negative: none
      * @param most bytes; a larger body fails
      */
-    BodyReader(ByteBuffer buffer, long length, int most, Consumer<byte[]> whole, Consumer<IOException> failed) {
+    BodyReader(ByteBuffer buffer, long expectedBytes, int maxBytes, Consumer<byte[]> onComplete, Consumer<IOException> onFailure) {
         this.buffer = buffer;
-        this.most = most;
-        this.whole = whole;
-        this.failed = failed;
-        this.body = new ByteArrayOutputStream(length < 0 ? 512 : (int) Math.min(length, Constants.MAX_BODY_BYTES));
+        this.maxBytes = maxBytes;
+        this.onComplete = onComplete;
+        this.onFailure = onFailure;
+        this.body = new ByteArrayOutputStream(expectedBytes < 0 ? 512 : (int) Math.min(expectedBytes, Constants.MAX_BODY_BYTES));
     }
 
     @Override public void handleEvent(StreamSourceChannel channel) {
         try {
             for (;;) {
                 buffer.clear();
-                int n = channel.read(buffer);
-                if (n < 0) {
+                int bytesRead = channel.read(buffer);
+                if (bytesRead < 0) {
                     break;
                 }
-                if (n == 0) {
+                if (bytesRead == 0) {
                     channel.getReadSetter().set(this);
                     channel.resumeReads();
                     return;
                 }
-                body.write(buffer.array(), 0, n);
-                if (body.size() > most) {
+                body.write(buffer.array(), 0, bytesRead);
+                if (body.size() > maxBytes) {
                     throw new IOException("the body is too large");
                 }
             }
         } catch (IOException e) {
-            failed.accept(e);
+            onFailure.accept(e);
             return;
         }
-        whole.accept(body.toByteArray());
+        onComplete.accept(body.toByteArray());
     }
 }
--- a/src/main/java/io/quincelead/net/Codec.java
+++ b/src/main/java/io/quincelead/net/Codec.java
@@ -28,7 +28,7 @@
         return contentType;
     }
 
-    public byte[] write(JsonNode node) {
+    public byte[] encode(JsonNode node) {
         try {
             return mapper.writeValueAsBytes(node);
         } catch (IOException e) {
@@ -37,28 +37,28 @@
     }
 
     /** The map in a body, or null if the body is anything else: malformed input is never an exception. */
-    public ObjectNode readMap(byte[] body) {
+    public ObjectNode decodeMap(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
         }
         try (var parser = mapper.createParser(body)) {
-            JsonNode n = mapper.readTree(parser);
-            return n instanceof ObjectNode o && parser.nextToken() == null ? o : null;
+            JsonNode root = mapper.readTree(parser);
+            return root instanceof ObjectNode object && parser.nextToken() == null ? object : null;
         } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
     /** Reads a body piece by piece; the caller closes it. */
-    public JsonParser parser(byte[] body) throws IOException {
+    public JsonParser createParser(byte[] body) throws IOException {
         return mapper.createParser(body);
     }
 
-    public static ObjectNode map() {
+    public static ObjectNode newMap() {
         return NODES.objectNode();
     }
 
-    public static ArrayNode list() {
+    public static ArrayNode newList() {
         return NODES.arrayNode();
     }
 }
--- a/src/main/java/io/quincelead/net/HttpClient.java
+++ b/src/main/java/io/quincelead/net/HttpClient.java
@@ -37,45 +37,45 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
     private final Loop loop;
     private final XnioIoThread thread;
-    private final ByteBufferPool pool = new DefaultByteBufferPool(false, 8 * 1024, 16, 0);
+    private final ByteBufferPool bufferPool = new DefaultByteBufferPool(false, 8 * 1024, 16, 0);
     private final Map<String, Target> targets = new HashMap<>();
-    private final Set<String> core;
-    private final int most;
+    private final Set<String> criticalAddresses;
+    private final int maxSharedConnections;
     /** Connections to all targets that aren't core, attempts among them. */
-    private int connections;
+    private int sharedConnections;
     /** Kept connections of all targets, the longest unused first; those in use again are skipped. */
-    private final ArrayDeque<Idle> byAge = new ArrayDeque<>();
+    private final ArrayDeque<Idle> idleByAge = new ArrayDeque<>();
     /** Targets whose calls wait because all connections are in use. */
-    private final LinkedHashSet<String> stalled = new LinkedHashSet<>();
-    private final ByteBuffer incoming = ByteBuffer.allocate(8 * 1024);
+    private final LinkedHashSet<String> stalledAddresses = new LinkedHashSet<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     /** {@code core}: addresses that are always called; {@code most}: connections to all others together. */
-    public HttpClient(Loop loop, XnioIoThread thread, Set<String> core, int most) {
-        this.core = core;
-        this.most = most;
+    public HttpClient(Loop loop, XnioIoThread thread, Set<String> criticalAddresses, int maxSharedConnections) {
+        this.criticalAddresses = criticalAddresses;
+        this.maxSharedConnections = maxSharedConnections;
         this.loop = loop;
         this.thread = thread;
-        loop.every(Constants.CLIENT_IDLE_MS, this::closeIdle);
+        loop.runEvery(Constants.CLIENT_IDLE_MS, this::closeExpiredConnections);
     }
 
-    /** States of a call; {@link Call#become} is the one function that changes them. */
-    private enum CallState { WAITING, SENT, OVER }
+    /** States of a call; {@link Call#transitionTo} is the one function that changes them. */
+    private enum CallState { WAITING, SENT, COMPLETED }
 
     /** Whom we call. Connections are made for the target, not for a call: one that comes late serves whatever waits then. */
     private static final class Target {
         final String address;
         /** Whether it is one that the service can't do without: others never take its connections away. */
-        final boolean core;
-        final ArrayDeque<Idle> idle = new ArrayDeque<>();
-        final ArrayDeque<Call> waiting = new ArrayDeque<>();
+        final boolean critical;
+        final ArrayDeque<Idle> idleConnections = new ArrayDeque<>();
+        final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
         /** Connections that stand. */
-        int open;
+        int openConnections;
         /** When attempts began that have neither come about nor failed; to a silent machine that takes minutes. */
-        final ArrayDeque<Long> connecting = new ArrayDeque<>();
+        final ArrayDeque<Long> connectAttemptsSinceMillis = new ArrayDeque<>();
 
-        Target(String address, boolean core) {
+        Target(String address, boolean critical) {
             this.address = address;
-            this.core = core;
+            this.critical = critical;
         }
     }
 
@@ -83,13 +83,13 @@
     private static final class Idle {
         final Target target;
         final ClientConnection connection;
-        final long since;
-        boolean over;
+        final long idleSinceMillis;
+        boolean removed;
 
-        Idle(Target target, ClientConnection connection, long since) {
+        Idle(Target target, ClientConnection connection, long idleSinceMillis) {
             this.target = target;
             this.connection = connection;
-            this.since = since;
+            this.idleSinceMillis = idleSinceMillis;
         }
     }
 
@@ -99,171 +99,171 @@
         final String path;
         final Codec codec;
         final byte[] body;
-        final Reply reply;
+        final Reply responseHandler;
         CallState state = CallState.WAITING;
         ClientConnection connection;
-        XnioExecutor.Key timer;
+        XnioExecutor.Key timeoutKey;
 
-        Call(String address, String method, String path, Codec codec, byte[] body, Reply reply) {
+        Call(String address, String method, String path, Codec codec, byte[] body, Reply responseHandler) {
             this.address = address;
             this.method = method;
             this.path = path;
             this.codec = codec;
             this.body = body;
-            this.reply = reply;
+            this.responseHandler = responseHandler;
         }
 
-        boolean become(CallState next) {
-            if (state == CallState.OVER) {
+        boolean transitionTo(CallState next) {
+            if (state == CallState.COMPLETED) {
                 return false;
             }
             state = next;
             return true;
         }
 
-        void finish(int status, byte[] answer, boolean reusable) {
-            if (!become(CallState.OVER)) {
+        void complete(int status, byte[] responseBody, boolean reusable) {
+            if (!transitionTo(CallState.COMPLETED)) {
                 return;
             }
-            timer.remove();
-            Target t = targets.get(address);
+            timeoutKey.remove();
+            Target target = targets.get(address);
             if (connection != null) {
                 if (reusable && connection.isOpen()) {
-                    Idle kept = new Idle(t, connection, loop.now());
-                    keep(kept);
+                    Idle idle = new Idle(target, connection, loop.nowMillis());
+                    addIdle(idle);
                 } else {
                     IoUtils.safeClose(connection);
-                    less(t);
+                    onConnectionClosed(target);
                 }
             } else {
-                t.waiting.remove(this);
+                target.waitingCalls.remove(this);
             }
             try {
-                reply.got(status, answer);
+                responseHandler.onResponse(status, responseBody);
             } finally {
-                pump(t);
-                pumpStalled();
+                dispatchCalls(target);
+                dispatchStalledCalls();
             }
         }
     }
 
-    private void keep(Idle kept) {
-        kept.target.idle.addLast(kept);
-        if (!kept.target.core) {
-            byAge.addLast(kept);
+    private void addIdle(Idle idle) {
+        idle.target.idleConnections.addLast(idle);
+        if (!idle.target.critical) {
+            idleByAge.addLast(idle);
         }
     }
 
     /** Connections to all targets that aren't core, attempts among them. */
-    int connections() {
-        return connections;
+    int sharedConnectionCount() {
+        return sharedConnections;
     }
 
-    private void less(Target t) {
-        t.open--;
-        connections -= t.core ? 0 : 1;
+    private void onConnectionClosed(Target target) {
+        target.openConnections--;
+        sharedConnections -= target.critical ? 0 : 1;
     }
 
     /** Makes room for one more connection: the longest unused one is closed, whoever's it is. */
-    private boolean room() {
-        while (connections >= most) {
-            Idle oldest = byAge.pollFirst();
+    private boolean ensureSharedCapacity() {
+        while (sharedConnections >= maxSharedConnections) {
+            Idle oldest = idleByAge.pollFirst();
             if (oldest == null) {
                 return false;
             }
-            if (!oldest.over) {
-                oldest.over = true;
-                oldest.target.idle.remove(oldest);
+            if (!oldest.removed) {
+                oldest.removed = true;
+                oldest.target.idleConnections.remove(oldest);
                 IoUtils.safeClose(oldest.connection);
-                less(oldest.target);
+                onConnectionClosed(oldest.target);
             }
         }
         return true;
     }
 
-    private void pumpStalled() {
-        if (!stalled.isEmpty()) {
-            List<String> waiting = new ArrayList<>(stalled);
-            stalled.clear();
-            for (String address : waiting) {
-                Target t = targets.get(address);
-                if (t != null) {
-                    pump(t);
+    private void dispatchStalledCalls() {
+        if (!stalledAddresses.isEmpty()) {
+            List<String> addresses = new ArrayList<>(stalledAddresses);
+            stalledAddresses.clear();
+            for (String address : addresses) {
+                Target target = targets.get(address);
+                if (target != null) {
+                    dispatchCalls(target);
                 }
             }
         }
     }
 
-    @Override public void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMs, Reply reply) {
-        Target t = targets.computeIfAbsent(address, a -> new Target(a, core.contains(a)));
-        Call call = new Call(address, method, path, codec, body, reply);
-        if (t.waiting.size() >= Constants.MAX_WAITING_CALLS) {
-            loop.after(0, () -> reply.got(NO_ANSWER, null));
+    @Override public void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMillis, Reply responseHandler) {
+        Target target = targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
+        Call call = new Call(address, method, path, codec, body, responseHandler);
+        if (target.waitingCalls.size() >= Constants.MAX_WAITING_CALLS) {
+            loop.runAfter(0, () -> responseHandler.onResponse(NO_RESPONSE, null));
             return;
         }
-        t.waiting.addLast(call);
-        call.timer = thread.executeAfter(() -> call.finish(NO_ANSWER, null, false), timeoutMs, TimeUnit.MILLISECONDS);
-        pump(t);
+        target.waitingCalls.addLast(call);
+        call.timeoutKey = thread.executeAfter(() -> call.complete(NO_RESPONSE, null, false), timeoutMillis, TimeUnit.MILLISECONDS);
+        dispatchCalls(target);
     }
 
     /** Whether one more attempt should be made: each waiting call has one of its own, but of a silent target few are tried at one time. */
-    private boolean another(Target t) {
-        long now = loop.now();
-        long young = t.connecting.stream().filter(at -> now - at < Constants.CONNECT_MS).count();
-        int cap = t.core ? Constants.MAX_SOCKETS_PER_TARGET : t.open > 0 ? Constants.MAX_SOCKETS_PER_TARGET : 1;
-        return young < t.waiting.size() && t.open + young < cap;
+    private boolean shouldConnect(Target target) {
+        long nowMillis = loop.nowMillis();
+        long recentAttempts = target.connectAttemptsSinceMillis.stream().filter(startedAtMillis -> nowMillis - startedAtMillis < Constants.CONNECT_MS).count();
+        int maxConnections = target.critical ? Constants.MAX_SOCKETS_PER_TARGET : target.openConnections > 0 ? Constants.MAX_SOCKETS_PER_TARGET : 1;
+        return recentAttempts < target.waitingCalls.size() && target.openConnections + recentAttempts < maxConnections;
     }
 
-    private void pump(Target t) {
-        while (!t.waiting.isEmpty()) {
-            Idle idle = t.idle.pollLast();
+    private void dispatchCalls(Target target) {
+        while (!target.waitingCalls.isEmpty()) {
+            Idle idle = target.idleConnections.pollLast();
             if (idle != null) {
-                idle.over = true;
+                idle.removed = true;
                 if (!idle.connection.isOpen()) {
-                    less(t);
+                    onConnectionClosed(target);
                     continue;
                 }
-                Call call = t.waiting.pollFirst();
+                Call call = target.waitingCalls.pollFirst();
                 call.connection = idle.connection;
                 send(call);
-            } else if (!another(t)) {
+            } else if (!shouldConnect(target)) {
                 return;
-            } else if (t.core || room()) {
-                connect(t);
+            } else if (target.critical || ensureSharedCapacity()) {
+                connect(target);
             } else {
-                stalled.add(t.address);
+                stalledAddresses.add(target.address);
                 return;
             }
         }
     }
 
-    private void connect(Target t) {
-        long began = loop.now();
-        t.connecting.addLast(began);
-        connections += t.core ? 0 : 1;
+    private void connect(Target target) {
+        long startedAtMillis = loop.nowMillis();
+        target.connectAttemptsSinceMillis.addLast(startedAtMillis);
+        sharedConnections += target.critical ? 0 : 1;
         UndertowClient.getInstance().connect(new ClientCallback<>() {
             @Override public void completed(ClientConnection connection) {
-                t.connecting.remove(began);
-                t.open++;
-                keep(new Idle(t, connection, loop.now()));
-                pump(t);
+                target.connectAttemptsSinceMillis.remove(startedAtMillis);
+                target.openConnections++;
+                addIdle(new Idle(target, connection, loop.nowMillis()));
+                dispatchCalls(target);
             }
 
             @Override public void failed(IOException e) {
-                t.connecting.remove(began);
-                connections -= t.core ? 0 : 1;
-                Call first = t.waiting.peekFirst();
+                target.connectAttemptsSinceMillis.remove(startedAtMillis);
+                sharedConnections -= target.critical ? 0 : 1;
+                Call first = target.waitingCalls.peekFirst();
                 if (first != null) {
-                    first.finish(NO_ANSWER, null, false);
+                    first.complete(NO_RESPONSE, null, false);
                 } else {
-                    pumpStalled();
+                    dispatchStalledCalls();
                 }
             }
-        }, URI.create("http://" + t.address), thread, pool, OptionMap.create(Options.TCP_NODELAY, true));
+        }, URI.create("http://" + target.address), thread, bufferPool, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
     private void send(Call call) {
-        call.become(CallState.SENT);
+        call.transitionTo(CallState.SENT);
         ClientRequest request = new ClientRequest().setMethod(new HttpString(call.method)).setPath(call.path);
         request.getRequestHeaders().put(Headers.HOST, call.address);
         if (call.body != null) {
@@ -274,29 +274,29 @@
             @Override public void completed(ClientExchange exchange) {
                 exchange.setResponseListener(new ClientCallback<>() {
                     @Override public void completed(ClientExchange ready) {
-                        receive(call, ready);
+                        readResponse(call, ready);
                     }
 
                     @Override public void failed(IOException e) {
-                        call.finish(NO_ANSWER, null, false);
+                        call.complete(NO_RESPONSE, null, false);
                     }
                 });
-                write(call, exchange.getRequestChannel());
+                writeBody(call, exchange.getRequestChannel());
             }
 
             @Override public void failed(IOException e) {
-                call.finish(NO_ANSWER, null, false);
+                call.complete(NO_RESPONSE, null, false);
             }
         });
     }
 
-    private void write(Call call, StreamSinkChannel channel) {
-        ByteBuffer left = ByteBuffer.wrap(call.body == null ? new byte[0] : call.body);
+    private void writeBody(Call call, StreamSinkChannel channel) {
+        ByteBuffer remaining = ByteBuffer.wrap(call.body == null ? new byte[0] : call.body);
         ChannelListener<StreamSinkChannel> writer = new ChannelListener<>() {
             @Override public void handleEvent(StreamSinkChannel ch) {
                 try {
-                    while (left.hasRemaining()) {
-                        if (ch.write(left) == 0) {
+                    while (remaining.hasRemaining()) {
+                        if (ch.write(remaining) == 0) {
                             ch.getWriteSetter().set(this);
                             ch.resumeWrites();
                             return;
@@ -311,43 +311,43 @@
                     }
                 } catch (IOException e) {
                     LOG.debug("{} {}{}: {}", call.method, call.address, call.path, e.toString());
-                    call.finish(NO_ANSWER, null, false);
+                    call.complete(NO_RESPONSE, null, false);
                 }
             }
         };
         writer.handleEvent(channel);
     }
 
-    private void receive(Call call, ClientExchange exchange) {
+    private void readResponse(Call call, ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
-        boolean close = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-        new BodyReader(incoming, length(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONTENT_LENGTH)), Constants.MAX_ANSWER_BYTES,
-                body -> call.finish(status, body, !close),
-                failed -> {
-                    LOG.debug("{} {}{}: {}", call.method, call.address, call.path, failed.toString());
-                    call.finish(NO_ANSWER, null, false);
+        boolean closing = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+        new BodyReader(readBuffer, parseLength(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONTENT_LENGTH)), Constants.MAX_ANSWER_BYTES,
+                body -> call.complete(status, body, !closing),
+                failure -> {
+                    LOG.debug("{} {}{}: {}", call.method, call.address, call.path, failure.toString());
+                    call.complete(NO_RESPONSE, null, false);
                 }).handleEvent(exchange.getResponseChannel());
     }
 
-    private static long length(String stated) {
+    private static long parseLength(String header) {
         try {
-            return stated == null ? -1 : Long.parseLong(stated);
+            return header == null ? -1 : Long.parseLong(header);
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
-    private void closeIdle() {
-        long old = loop.now() - Constants.CLIENT_IDLE_MS;
-        byAge.removeIf(i -> i.over);
-        targets.values().removeIf(t -> {
-            while (!t.idle.isEmpty() && t.idle.peekFirst().since < old) {
-                Idle i = t.idle.pollFirst();
-                i.over = true;
-                IoUtils.safeClose(i.connection);
-                less(t);
+    private void closeExpiredConnections() {
+        long idleBeforeMillis = loop.nowMillis() - Constants.CLIENT_IDLE_MS;
+        idleByAge.removeIf(idle -> idle.removed);
+        targets.values().removeIf(target -> {
+            while (!target.idleConnections.isEmpty() && target.idleConnections.peekFirst().idleSinceMillis < idleBeforeMillis) {
+                Idle idle = target.idleConnections.pollFirst();
+                idle.removed = true;
+                IoUtils.safeClose(idle.connection);
+                onConnectionClosed(target);
             }
-            return t.open == 0 && t.connecting.isEmpty() && t.waiting.isEmpty();
+            return target.openConnections == 0 && target.connectAttemptsSinceMillis.isEmpty() && target.waitingCalls.isEmpty();
         });
     }
 }
--- a/src/main/java/io/quincelead/net/HttpServer.java
+++ b/src/main/java/io/quincelead/net/HttpServer.java
@@ -17,15 +17,15 @@
 
 /** The HTTP server of one address, on Undertow. Handlers run on the I/O thread, which is the loop. */
 public final class HttpServer {
-    private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
+    private static final AttachmentKey<Boolean> TRACKED = AttachmentKey.create(Boolean.class);
     private final Undertow undertow;
     /** Connections on which a request has come and that are open. */
-    private int open;
-    private final int crowd;
-    private final ByteBuffer incoming = ByteBuffer.allocate(8 * 1024);
+    private int openConnections;
+    private final int nearLimitThreshold;
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     public HttpServer(XnioWorker worker, String address, int maxConnections, Request.Handler handler) {
-        crowd = (int) (maxConnections * Constants.CROWDED_SHARE);
+        nearLimitThreshold = (int) (maxConnections * Constants.CROWDED_SHARE);
         int colon = address.lastIndexOf(':');
         undertow = Undertow.builder()
                 .setWorker(worker)
@@ -50,21 +50,21 @@
     }
 
     private void accept(HttpServerExchange exchange, Request.Handler handler) {
-        count(exchange.getConnection());
-        String length = exchange.getRequestHeaders().getFirst(Headers.CONTENT_LENGTH);
+        trackConnection(exchange.getConnection());
+        String contentLength = exchange.getRequestHeaders().getFirst(Headers.CONTENT_LENGTH);
         if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, null)));
             return;
         }
-        if (length == null && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
+        if (contentLength == null && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, new byte[0])));
             return;
         }
         exchange.setMaxEntitySize(Constants.MAX_BODY_BYTES);
-        BodyReader reader = new BodyReader(incoming, exchange.getRequestContentLength(), Constants.MAX_BODY_BYTES,
+        BodyReader reader = new BodyReader(readBuffer, exchange.getRequestContentLength(), Constants.MAX_BODY_BYTES,
                 bytes -> handler.handle(new Incoming(exchange, bytes)),
-                failed -> {
+                failure -> {
                     // Larger than allowed, or its sender is gone.
                     exchange.setPersistent(false);
                     handler.handle(new Incoming(exchange, null));
@@ -72,11 +72,11 @@
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> reader.handleEvent(exchange.getRequestChannel()));
     }
 
-    private void count(ServerConnection c) {
-        if (c.getAttachment(COUNTED) == null) {
-            c.putAttachment(COUNTED, true);
-            open++;
-            c.addCloseListener(x -> open--);
+    private void trackConnection(ServerConnection connection) {
+        if (connection.getAttachment(TRACKED) == null) {
+            connection.putAttachment(TRACKED, true);
+            openConnections++;
+            connection.addCloseListener(closed -> openConnections--);
         }
     }
 
@@ -84,34 +84,34 @@
         private final HttpServerExchange exchange;
 
         Incoming(HttpServerExchange exchange, byte[] body) {
-            super(exchange.getRequestMethod().toString(), exchange.getRequestPath(), query(exchange), body);
+            super(exchange.getRequestMethod().toString(), exchange.getRequestPath(), parseQuery(exchange), body);
             this.exchange = exchange;
         }
 
-        @Override public boolean crowded() {
-            return open > crowd;
+        @Override public boolean isNearConnectionLimit() {
+            return openConnections > nearLimitThreshold;
         }
 
-        @Override public void hangUp() {
+        @Override public void closeConnectionAfterResponse() {
             exchange.setPersistent(false);
         }
 
-        private static Map<String, String> query(HttpServerExchange exchange) {
+        private static Map<String, String> parseQuery(HttpServerExchange exchange) {
             if (exchange.getQueryString().isEmpty()) {
                 return Map.of();
             }
-            Map<String, String> out = new HashMap<>();
-            for (Map.Entry<String, Deque<String>> e : exchange.getQueryParameters().entrySet()) {
-                out.put(e.getKey(), e.getValue().getFirst());
+            Map<String, String> parameters = new HashMap<>();
+            for (Map.Entry<String, Deque<String>> parameter : exchange.getQueryParameters().entrySet()) {
+                parameters.put(parameter.getKey(), parameter.getValue().getFirst());
             }
-            return out;
+            return parameters;
         }
 
-        @Override protected void send(int status, Codec codec, byte[] body, int retryAfterS) {
+        @Override protected void sendResponse(int status, Codec codec, byte[] body, int retryAfterSeconds) {
             exchange.setStatusCode(status);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, codec.contentType());
-            if (retryAfterS > 0) {
-                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(retryAfterS));
+            if (retryAfterSeconds > 0) {
+                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(retryAfterSeconds));
             }
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
--- a/src/main/java/io/quincelead/net/RateBudget.java
+++ b/src/main/java/io/quincelead/net/RateBudget.java
@@ -5,68 +5,68 @@
 /** A token bucket with a burst of one second's worth, kept a little below what the other side allows. */
 public final class RateBudget {
     private final Loop loop;
-    private double perSecond;
-    private final double burst;
-    private double least;
-    private double most;
+    private double ratePerSecond;
+    private final double capacity;
+    private double minRatePerSecond;
+    private double maxRatePerSecond;
     private double tokens;
-    private long last;
+    private long refilledAtMillis;
 
-    public RateBudget(Loop loop, double perSecond, double burstSeconds) {
+    public RateBudget(Loop loop, double ratePerSecond, double burstSeconds) {
         this.loop = loop;
-        this.perSecond = perSecond;
-        this.burst = Math.max(1, perSecond * burstSeconds);
-        this.least = perSecond;
-        this.most = perSecond;
-        this.tokens = burst;
-        this.last = loop.now();
+        this.ratePerSecond = ratePerSecond;
+        this.capacity = Math.max(1, ratePerSecond * burstSeconds);
+        this.minRatePerSecond = ratePerSecond;
+        this.maxRatePerSecond = ratePerSecond;
+        this.tokens = capacity;
+        this.refilledAtMillis = loop.nowMillis();
     }
 
     /** Lets the rate move between these. */
-    public RateBudget within(double low, double high) {
-        least = low;
-        most = Math.max(low, high);
+    public RateBudget withRateBounds(double minPerSecond, double maxPerSecond) {
+        minRatePerSecond = minPerSecond;
+        maxRatePerSecond = Math.max(minPerSecond, maxPerSecond);
         return this;
     }
 
     /** Changes the rate by this factor, within its bounds. */
-    public void scale(double factor) {
+    public void scaleRate(double factor) {
         refill();
-        perSecond = Math.max(least, Math.min(most, perSecond * factor));
+        ratePerSecond = Math.max(minRatePerSecond, Math.min(maxRatePerSecond, ratePerSecond * factor));
     }
 
     private void refill() {
-        long now = loop.now();
-        tokens = Math.min(burst, tokens + (now - last) / 1000.0 * perSecond);
-        last = now;
+        long nowMillis = loop.nowMillis();
+        tokens = Math.min(capacity, tokens + (nowMillis - refilledAtMillis) / 1000.0 * ratePerSecond);
+        refilledAtMillis = nowMillis;
     }
 
-    public boolean take(double n) {
+    public boolean tryTake(double amount) {
         refill();
-        if (tokens < Math.min(n, burst)) {
+        if (tokens < Math.min(amount, capacity)) {
             return false;
         }
-        tokens -= n;
+        tokens -= amount;
         return true;
     }
 
     /** Takes what a call that can't wait needs, even into debt. */
-    public void force(double n) {
+    public void takeUnconditionally(double amount) {
         refill();
-        tokens -= n;
+        tokens -= amount;
     }
 
     /** What can be taken now; below zero while in debt. */
-    public double available() {
+    public double availableTokens() {
         refill();
         return tokens;
     }
 
     /** ms until {@code n} can be taken. */
-    public long waitMs(double n) {
+    public long millisUntilAvailable(double amount) {
         refill();
-        double missing = Math.min(n, burst) - tokens;
-        return missing <= 0 ? 0 : (long) Math.ceil(missing / perSecond * 1000);
+        double missing = Math.min(amount, capacity) - tokens;
+        return missing <= 0 ? 0 : (long) Math.ceil(missing / ratePerSecond * 1000);
     }
 
     /** The other side says we are over its limit. */
--- a/src/main/java/io/quincelead/net/Request.java
+++ b/src/main/java/io/quincelead/net/Request.java
@@ -7,51 +7,51 @@
 public abstract class Request {
     public final String method;
     public final String path;
-    public final Map<String, String> query;
+    public final Map<String, String> queryParameters;
     /** The body; null if it was larger than allowed or could not be read. */
     public final byte[] body;
-    private boolean answered;
+    private boolean responded;
 
-    protected Request(String method, String path, Map<String, String> query, byte[] body) {
+    protected Request(String method, String path, Map<String, String> queryParameters, byte[] body) {
         this.method = method;
         this.path = path;
-        this.query = query;
+        this.queryParameters = queryParameters;
         this.body = body;
     }
 
-    protected abstract void send(int status, Codec codec, byte[] body, int retryAfterS);
+    protected abstract void sendResponse(int status, Codec codec, byte[] body, int retryAfterSeconds);
 
-    public final boolean answered() {
-        return answered;
+    public final boolean isResponded() {
+        return responded;
     }
 
     /** Whether connections are so short that none should be kept for later. */
-    public boolean crowded() {
+    public boolean isNearConnectionLimit() {
         return false;
     }
 
     /** Has the connection closed after the answer. */
-    public void hangUp() { }
+    public void closeConnectionAfterResponse() { }
 
     /** Sends the answer; a second one is ignored, so a patience timer and a late result can't collide. */
-    public final void answer(int status, Codec codec, ObjectNode body, int retryAfterS) {
-        if (!answered) {
-            answered = true;
-            send(status, codec, body == null ? new byte[0] : codec.write(body), retryAfterS);
+    public final void respond(int status, Codec codec, ObjectNode body, int retryAfterSeconds) {
+        if (!responded) {
+            responded = true;
+            sendResponse(status, codec, body == null ? new byte[0] : codec.encode(body), retryAfterSeconds);
         }
     }
 
-    public final void answer(int status, ObjectNode body) {
-        answer(status, Codec.CBOR, body, 0);
+    public final void respond(int status, ObjectNode body) {
+        respond(status, Codec.CBOR, body, 0);
     }
 
-    public final void refuse(int status, String why) {
-        answer(status, Codec.CBOR, Codec.map().put("error", why), 0);
+    public final void respondError(int status, String reason) {
+        respond(status, Codec.CBOR, Codec.newMap().put("error", reason), 0);
     }
 
     /** "Not now": tells the sender when to come back. */
-    public final void later(int status, String why) {
-        answer(status, Codec.CBOR, Codec.map().put("error", why), io.quincelead.base.Constants.RETRY_AFTER_S);
+    public final void respondRetryLater(int status, String reason) {
+        respond(status, Codec.CBOR, Codec.newMap().put("error", reason), io.quincelead.base.Constants.RETRY_AFTER_S);
     }
 
     /** What serves requests. */
--- a/src/main/java/io/quincelead/net/Transport.java
+++ b/src/main/java/io/quincelead/net/Transport.java
@@ -3,13 +3,13 @@
 /** Calls to other hosts. The answer arrives on the loop. */
 public interface Transport {
     /** Status of a call that may or may not have been executed: no answer, or one that can't be read. */
-    int NO_ANSWER = 0;
+    int NO_RESPONSE = 0;
 
     /** One call's answer. */
     @FunctionalInterface
     interface Reply {
-        void got(int status, byte[] body);
+        void onResponse(int status, byte[] body);
     }
 
-    void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMs, Reply reply);
+    void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMillis, Reply responseHandler);
 }
--- a/src/main/java/io/quincelead/peers/Peers.java
+++ b/src/main/java/io/quincelead/peers/Peers.java
@@ -24,118 +24,118 @@
  * that should get no work. All of it is advice; nothing that a rule depends on travels here.
  */
 public final class Peers {
-    private final Loop loop;
+    private final Loop eventLoop;
     private final Settings settings;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final Transport transport;
     private final Leader leader;
-    private final Map<String, News> news = new HashMap<>();
-    private Desk desk;
-    private long told;
-    private long heardAt = Long.MIN_VALUE / 2;
+    private final Map<String, News> statusByMember = new HashMap<>();
+    private Desk workerGateway;
+    private long lastSentSequence;
+    private long acknowledgedAtMillis = Long.MIN_VALUE / 2;
 
     /** Machines that may get work: named one by one, for a machine granted since isn't known to be up. */
-    private record News(long at, long hold, long seq, Set<String> fit, Set<String> booting) { }
+    private record News(long receivedAtMillis, long leaseId, long sequence, Set<String> schedulableHosts, Set<String> bootingHosts) { }
 
-    public Peers(Loop loop, Settings settings, Blocks blocks, Transport transport, Leader leader) {
-        this.loop = loop;
+    public Peers(Loop eventLoop, Settings settings, Blocks shards, Transport transport, Leader leader) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.blocks = blocks;
+        this.shards = shards;
         this.transport = transport;
         this.leader = leader;
-        loop.every(Constants.PEER_TELL_MS, this::tell);
+        eventLoop.runEvery(Constants.PEER_TELL_MS, this::sendStatusToLeader);
     }
 
-    public void wire(Desk d) {
-        desk = d;
+    public void setWorkerGateway(Desk gateway) {
+        workerGateway = gateway;
     }
 
     public void handle(Request request) {
-        ObjectNode body = Codec.JSON.readMap(request.body);
+        ObjectNode body = Codec.JSON.decodeMap(request.body);
         if (body == null || !body.path("from").isTextual()) {
-            request.answer(400, Codec.JSON, Codec.map().put("error", "not a message"), 0);
+            request.respond(400, Codec.JSON, Codec.newMap().put("error", "not a message"), 0);
             return;
         }
         switch (request.path) {
             case "/peer/stray" -> {
-                leader.stray(new Stray(body.path("host").asText(), body.path("addr").asText(), body.path("shape").asText(),
+                leader.onMisroutedWorker(new Stray(body.path("host").asText(), body.path("addr").asText(), body.path("shape").asText(),
                         body.path("site").asText(), body.path("preemptible").asBoolean(), body.path("from").asText(), body.path("stuck").asBoolean(), body.path("term").asLong()));
-                request.answer(200, Codec.JSON, Codec.map(), 0);
+                request.respond(200, Codec.JSON, Codec.newMap(), 0);
             }
             case "/peer/news" -> {
-                hear(body.path("from").asText(), new News(loop.now(), body.path("hold").asLong(), body.path("seq").asLong(),
-                        texts(body.path("fit")), texts(body.path("booting"))));
-                request.answer(200, Codec.JSON, Codec.map(), 0);
+                acceptIfNewer(body.path("from").asText(), new News(eventLoop.nowMillis(), body.path("hold").asLong(), body.path("seq").asLong(),
+                        textSet(body.path("fit")), textSet(body.path("booting"))));
+                request.respond(200, Codec.JSON, Codec.newMap(), 0);
             }
-            default -> request.answer(404, Codec.JSON, Codec.map().put("error", "no such message"), 0);
+            default -> request.respond(404, Codec.JSON, Codec.newMap().put("error", "no such message"), 0);
         }
     }
 
     /** What was told before, by the same process or by its predecessor, may arrive after what is told now. */
-    private void hear(String from, News n) {
-        News last = news.get(from);
-        if (last == null || n.hold == 0 || n.hold > last.hold || n.hold == last.hold && n.seq > last.seq) {
-            news.put(from, n);
+    private void acceptIfNewer(String senderId, News status) {
+        News previous = statusByMember.get(senderId);
+        if (previous == null || status.leaseId == 0 || status.leaseId > previous.leaseId || status.leaseId == previous.leaseId && status.sequence > previous.sequence) {
+            statusByMember.put(senderId, status);
         }
     }
 
     /** Whether the leader has taken our word of late: without it, it leaves our block alone. */
-    public boolean heard() {
-        return loop.now() - heardAt < Constants.PEER_NEWS_MS;
+    public boolean isAcknowledgedByLeader() {
+        return eventLoop.nowMillis() - acknowledgedAtMillis < Constants.PEER_NEWS_MS;
     }
 
     /** Whether the owner said of late that the machine may get work. */
-    public boolean fit(String owner, String host) {
-        News n = news.get(owner);
-        return n != null && loop.now() - n.at < Constants.PEER_NEWS_MS && n.fit.contains(host);
+    public boolean isReportedSchedulable(String owner, String host) {
+        News status = statusByMember.get(owner);
+        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < Constants.PEER_NEWS_MS && status.schedulableHosts.contains(host);
     }
 
     /** Whether the owner said of late that the machine has not come up yet; null without its word. */
-    public Boolean booting(String owner, String host) {
-        News n = owner == null ? null : news.get(owner);
-        return n != null && loop.now() - n.at < Constants.PEER_NEWS_MS ? n.booting.contains(host) : null;
+    public Boolean reportedBooting(String owner, String host) {
+        News status = owner == null ? null : statusByMember.get(owner);
+        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < Constants.PEER_NEWS_MS ? status.bootingHosts.contains(host) : null;
     }
 
-    private static Set<String> texts(JsonNode list) {
-        Set<String> out = new HashSet<>();
-        list.forEach(t -> out.add(t.asText()));
-        return out;
+    private static Set<String> textSet(JsonNode array) {
+        Set<String> texts = new HashSet<>();
+        array.forEach(text -> texts.add(text.asText()));
+        return texts;
     }
 
-    public void stray(Stray s) {
-        if (settings.member().equals(blocks.leader())) {
-            leader.stray(s);
+    public void reportMisroutedWorker(Stray worker) {
+        if (settings.memberId().equals(shards.leaderId())) {
+            leader.onMisroutedWorker(worker);
             return;
         }
-        send("/peer/stray", Codec.map().put("from", settings.member()).put("host", s.host()).put("addr", s.addr())
-                .put("shape", s.shape()).put("site", s.site()).put("preemptible", s.spot()).put("stuck", s.stuck()).put("term", s.term()), () -> { });
+        sendToLeader("/peer/stray", Codec.newMap().put("from", settings.memberId()).put("host", worker.host()).put("addr", worker.address())
+                .put("shape", worker.machineType()).put("site", worker.zone()).put("preemptible", worker.spot()).put("stuck", worker.ownedElsewhere()).put("term", worker.fencingToken()), () -> { });
     }
 
-    private void tell() {
-        if (blocks.mine() == null || settings.member().equals(blocks.leader())) {
+    private void sendStatusToLeader() {
+        if (shards.localShard() == null || settings.memberId().equals(shards.leaderId())) {
             return;
         }
-        ObjectNode body = Codec.map().put("from", settings.member()).put("hold", blocks.node(settings.member()) == null ? 0 : blocks.node(settings.member()).grant())
-                .put("seq", ++told);
-        ArrayNode fit = body.putArray("fit");
-        ArrayNode booting = body.putArray("booting");
-        for (Own o : desk.owns()) {
-            if (o.fit()) {
-                fit.add(o.host);
+        ObjectNode body = Codec.newMap().put("from", settings.memberId()).put("hold", shards.member(settings.memberId()) == null ? 0 : shards.member(settings.memberId()).leaseId())
+                .put("seq", ++lastSentSequence);
+        ArrayNode schedulableHosts = body.putArray("fit");
+        ArrayNode bootingHosts = body.putArray("booting");
+        for (Own worker : workerGateway.workers()) {
+            if (worker.isSchedulable()) {
+                schedulableHosts.add(worker.host);
             }
-            if (o.booting()) {
-                booting.add(o.host);
+            if (worker.isBooting()) {
+                bootingHosts.add(worker.host);
             }
         }
-        send("/peer/news", body, () -> heardAt = loop.now());
+        sendToLeader("/peer/news", body, () -> acknowledgedAtMillis = eventLoop.nowMillis());
     }
 
-    private void send(String path, ObjectNode body, Runnable taken) {
-        Blocks.Node to = blocks.leader() == null ? null : blocks.node(blocks.leader());
-        if (to != null) {
-            transport.call(to.address(), "POST", path, Codec.JSON, Codec.JSON.write(body), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+    private void sendToLeader(String path, ObjectNode body, Runnable onAccepted) {
+        Blocks.Node leaderMember = shards.leaderId() == null ? null : shards.member(shards.leaderId());
+        if (leaderMember != null) {
+            transport.call(leaderMember.address(), "POST", path, Codec.JSON, Codec.JSON.encode(body), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
                 if (status == 200) {
-                    taken.run();
+                    onAccepted.run();
                 }
             });
         }
--- a/src/main/java/io/quincelead/placing/Explainer.java
+++ b/src/main/java/io/quincelead/placing/Explainer.java
@@ -22,116 +22,116 @@
 public final class Explainer {
     private final Loop loop;
     private final Settings settings;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final Policy policy;
-    private final QueueOrder order;
+    private final QueueOrder queueOrder;
 
-    public Explainer(Loop loop, Settings settings, Blocks blocks, JobTable jobs, Policy policy, Office office) {
+    public Explainer(Loop loop, Settings settings, Blocks shards, JobTable jobs, Policy policy, Office operatorApi) {
         this.loop = loop;
         this.settings = settings;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.policy = policy;
-        this.order = new QueueOrder(settings, policy);
-        office.desk("/ops/explain", this::explain);
-        office.desk("/ops/queue", this::queue);
+        this.queueOrder = new QueueOrder(settings, policy);
+        operatorApi.register("/ops/explain", this::explainJob);
+        operatorApi.register("/ops/queue", this::describeQueue);
     }
 
-    private List<QueueOrder.Ranked> ranked() {
-        long wall = loop.wall();
-        Set<Job> guaranteed = order.guaranteed(jobs.byAge());
-        List<QueueOrder.Ranked> out = new ArrayList<>();
-        for (Job j : jobs.all()) {
-            if (!j.cancelled() && j.waitingCount() > 0) {
-                out.add(order.rank(j, guaranteed.contains(j), wall));
+    private List<QueueOrder.Ranked> rankWaitingJobs() {
+        long wallMillis = loop.wallClockMillis();
+        Set<Job> withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
+        List<QueueOrder.Ranked> ranked = new ArrayList<>();
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.waitingTaskCount() > 0) {
+                ranked.add(queueOrder.rank(job, withinGuarantee.contains(job), wallMillis));
             }
         }
-        out.sort(QueueOrder.ORDER);
-        return out;
+        ranked.sort(QueueOrder.BY_QUEUE_ORDER);
+        return ranked;
     }
 
     /** The waiting jobs in their order; of each, what operators' records make of it. */
-    private void queue(ObjectNode body, Office.Reply reply) {
-        ObjectNode out = Codec.map();
+    private void describeQueue(ObjectNode body, Office.Reply reply) {
+        ObjectNode out = Codec.newMap();
         ArrayNode list = out.putArray("list");
-        int most = body.path("most").asInt(200);
-        for (QueueOrder.Ranked r : ranked()) {
-            if (list.size() >= most) {
+        int limit = body.path("most").asInt(200);
+        for (QueueOrder.Ranked ranked : rankWaitingJobs()) {
+            if (list.size() >= limit) {
                 break;
             }
-            JobClass c = r.standing().jobClass();
-            list.addObject().put("job", r.job().spec.id()).put("tier", r.orderTier()).put("rank", r.standing().rank())
-                    .put("class", c == null ? "" : c.name()).put("covered", r.standing().covered());
+            JobClass jobClass = ranked.effectivePriority().jobClass();
+            list.addObject().put("job", ranked.job().spec.jobId()).put("tier", ranked.orderingTier()).put("rank", ranked.effectivePriority().rank())
+                    .put("class", jobClass == null ? "" : jobClass.name()).put("covered", ranked.effectivePriority().isCovered());
         }
-        reply.ok(out);
+        reply.respondOk(out);
     }
 
-    private void explain(ObjectNode body, Office.Reply reply) {
-        String id = body.path("job").asText();
-        Job job = jobs.get(id);
+    private void explainJob(ObjectNode body, Office.Reply reply) {
+        String jobId = body.path("job").asText();
+        Job job = jobs.get(jobId);
         if (job == null) {
-            reply.refuse(404, "job: no unfinished job " + id + " is known here");
+            reply.respondError(404, "job: no unfinished job " + jobId + " is known here");
             return;
         }
-        List<QueueOrder.Ranked> queue = ranked();
-        long wall = loop.wall();
-        boolean within = order.guaranteed(jobs.byAge()).contains(job);
-        QueueOrder.Ranked mine = order.rank(job, within, wall);
-        Standing s = mine.standing();
-        JobClass c = s.jobClass();
-        ObjectNode out = Codec.map().put("job", id).put("status", job.status().path("status").asText()).put("done", job.doneCount())
-                .put("running", job.heldCount()).put("waiting", job.waitingCount());
-        out.put("class", c == null ? "" : c.name()).put("classFrom", c == null ? "no class matches" : "generation " + policy.classes().generation());
-        out.put("rank", s.rank()).put("rankFrom", c == null ? "the middle, for no class matches" : "its class");
-        out.put("tier", tierName(mine));
-        double age = (wall - job.acceptedAt) / 1000.0;
-        String dueFrom = s.covered() && Math.abs(mine.slackS() + job.spec.runtimeS() * Constants.ESTIMATE_DISTRUST - (s.publicationMs() - wall) / 1000.0) < 1
-                ? "the publication of " + s.occurrence().entry + " on " + s.occurrence().date : job.spec.dueS() >= 0 ? "its own deadline" : "its class's objective, or twice its estimate";
-        double left = mine.slackS() + job.spec.runtimeS() * Constants.ESTIMATE_DISTRUST;
-        out.put("due", Instant.ofEpochMilli(wall + (long) (left * 1000)).toString()).put("dueFrom", dueFrom);
-        out.put("ageS", Math.round(age)).put("shouldBeginWithinS", s.beginWithinS()).put("entitledTasks", policy.entitled(job, wall));
-        out.put("controller", job.controller);
-        out.put("waitsFor", waitsFor(job));
+        List<QueueOrder.Ranked> queue = rankWaitingJobs();
+        long wallMillis = loop.wallClockMillis();
+        boolean withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
+        QueueOrder.Ranked ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
+        Standing effectivePriority = ownRank.effectivePriority();
+        JobClass jobClass = effectivePriority.jobClass();
+        ObjectNode out = Codec.newMap().put("job", jobId).put("status", job.encodeStatus().path("status").asText()).put("done", job.completedTaskCount())
+                .put("running", job.possiblyRunningTaskCount()).put("waiting", job.waitingTaskCount());
+        out.put("class", jobClass == null ? "" : jobClass.name()).put("classFrom", jobClass == null ? "no class matches" : "generation " + policy.activeClasses().generation());
+        out.put("rank", effectivePriority.rank()).put("rankFrom", jobClass == null ? "the middle, for no class matches" : "its class");
+        out.put("tier", tierName(ownRank));
+        double ageSeconds = (wallMillis - job.acceptedAtEpochMillis) / 1000.0;
+        String dueFrom = effectivePriority.isCovered() && Math.abs(ownRank.slackSeconds() + job.spec.runtimeSeconds() * Constants.ESTIMATE_DISTRUST - (effectivePriority.publicationMillis() - wallMillis) / 1000.0) < 1
+                ? "the publication of " + effectivePriority.occurrence().entryName + " on " + effectivePriority.occurrence().date : job.spec.deadlineSeconds() >= 0 ? "its own deadline" : "its class's objective, or twice its estimate";
+        double secondsLeft = ownRank.slackSeconds() + job.spec.runtimeSeconds() * Constants.ESTIMATE_DISTRUST;
+        out.put("due", Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)).toString()).put("dueFrom", dueFrom);
+        out.put("ageS", Math.round(ageSeconds)).put("shouldBeginWithinS", effectivePriority.startWithinSeconds()).put("entitledTasks", policy.requiredStartedTaskCount(job, wallMillis));
+        out.put("controller", job.controllerId);
+        out.put("waitsFor", waitingReason(job));
         ArrayNode ahead = out.putArray("ahead");
-        int before = 0;
-        for (QueueOrder.Ranked r : queue) {
-            if (r.job() == job) {
+        int jobsAhead = 0;
+        for (QueueOrder.Ranked ranked : queue) {
+            if (ranked.job() == job) {
                 break;
             }
-            before++;
+            jobsAhead++;
             if (ahead.size() < Constants.EXPLAIN_AHEAD) {
-                ahead.addObject().put("job", r.job().spec.id()).put("tier", tierName(r)).put("rank", r.standing().rank()).put("waiting", r.job().waitingCount());
+                ahead.addObject().put("job", ranked.job().spec.jobId()).put("tier", tierName(ranked)).put("rank", ranked.effectivePriority().rank()).put("waiting", ranked.job().waitingTaskCount());
             }
         }
-        out.put("jobsAhead", job.waitingCount() > 0 ? before : 0);
-        reply.ok(out);
+        out.put("jobsAhead", job.waitingTaskCount() > 0 ? jobsAhead : 0);
+        reply.respondOk(out);
     }
 
-    private static String tierName(QueueOrder.Ranked r) {
-        int t = r.orderTier();
-        String covered = r.standing().covered() ? ", covered by " + r.standing().occurrence().entry : "";
-        return (t == 0 ? "production" : t == 1 ? "high" : t == QueueOrder.GUARANTEED ? "its team's guarantee" : t == QueueOrder.LATE ? "late to begin" : "surplus") + covered;
+    private static String tierName(QueueOrder.Ranked ranked) {
+        int tier = ranked.orderingTier();
+        String covered = ranked.effectivePriority().isCovered() ? ", covered by " + ranked.effectivePriority().occurrence().entryName : "";
+        return (tier == 0 ? "production" : tier == 1 ? "high" : tier == QueueOrder.TIER_GUARANTEED ? "its team's guarantee" : tier == QueueOrder.TIER_STARVING ? "late to begin" : "surplus") + covered;
     }
 
-    private String waitsFor(Job job) {
-        Settings.Team team = settings.teams().get(job.spec.owner());
-        if (job.waitingCount() == 0) {
+    private String waitingReason(Job job) {
+        Settings.Team team = settings.teams().get(job.spec.team());
+        if (job.waitingTaskCount() == 0) {
             return "nothing";
         }
-        if (!policy.ready()) {
+        if (!policy.isReady()) {
             return "priority classes that can be read here";
         }
-        if (job.notBefore > loop.now()) {
+        if (job.notBeforeMillis > loop.nowMillis()) {
             return "its pause after failures";
         }
-        if (blocks.of(job.controller) == null) {
+        if (shards.shardOf(job.controllerId) == null) {
             return "a controller";
         }
-        double use = 0;
-        for (Job j : jobs.all()) {
-            use += j.spec.owner().equals(job.spec.owner()) ? j.heldCount() * j.spec.vcpus() : 0;
+        double usedCpus = 0;
+        for (Job other : jobs.all()) {
+            usedCpus += other.spec.team().equals(job.spec.team()) ? other.possiblyRunningTaskCount() * other.spec.cpus() : 0;
         }
-        return team != null && use + job.spec.vcpus() > team.cpusMax() ? "its team's limit of " + team.cpusMax() + " CPUs" : "room";
+        return team != null && usedCpus + job.spec.cpus() > team.maxCpus() ? "its team's limit of " + team.maxCpus() + " CPUs" : "room";
     }
 }
--- a/src/main/java/io/quincelead/placing/Placer.java
+++ b/src/main/java/io/quincelead/placing/Placer.java
@@ -20,28 +20,28 @@
 
 /** Runs the TEBAS pass for one job after the other and writes where its tasks go into the plan. */
 final class Placer {
-    private final OperatorSettings operator;
+    private final OperatorSettings operatorSettings;
     private final MachineTable machines;
-    private final ImageCaches images;
+    private final ImageCaches imageCaches;
     private final Plan plan;
     private final Policy policy;
-    private final boolean spreadServices;
+    private final boolean spreadsServices;
     private boolean lastResort;
     /** Machines that may still be left to run empty. */
-    private int holds;
+    private int remainingReservations;
     private int tier;
     /** Demands that no machine had any room for: on those that suit, and as a last resort on all that are allowed. */
-    private final Unmet unmet = new Unmet();
-    private final Unmet unmetAnywhere = new Unmet();
+    private final Unmet unsatisfiable = new Unmet();
+    private final Unmet unsatisfiableAnywhere = new Unmet();
 
-    Placer(OperatorSettings operator, MachineTable machines, ImageCaches images, Policy policy, Plan plan) {
+    Placer(OperatorSettings operatorSettings, MachineTable machines, ImageCaches imageCaches, Policy policy, Plan plan) {
         this.policy = policy;
-        this.spreadServices = operator.zones().on();
-        this.operator = operator;
+        this.spreadsServices = operatorSettings.zoneRecovery().enabled();
+        this.operatorSettings = operatorSettings;
         this.machines = machines;
-        this.images = images;
+        this.imageCaches = imageCaches;
         this.plan = plan;
-        this.holds = Math.max(Constants.HOLD_LEAST, (int) (plan.rooms.size() * Constants.HOLD_SHARE));
+        this.remainingReservations = Math.max(Constants.HOLD_LEAST, (int) (plan.machines.size() * Constants.HOLD_SHARE));
     }
 
     /** Places what fits, as a last resort also on machines that should be left to others; returns how many tasks found no place. */
@@ -49,259 +49,259 @@
         Job job = ranked.job();
         lastResort = anywhere;
         tier = ranked.tier();
-        JobSpec s = job.spec;
-        int wanted = Math.min(ranked.most(), plan.pending(job));
-        int tasks = Math.min(wanted, plan.quota(s));
-        if (s.urgency() == JobSpec.Urgency.BEST_EFFORT && s.ordinary()) {
+        JobSpec spec = job.spec;
+        int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
+        int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
+        if (spec.priority() == JobSpec.Urgency.BEST_EFFORT && spec.isUnconstrained()) {
             // What urgent work will need before long is left free: displacing low work costs it its run, and the store changes.
-            tasks = Math.min(tasks, Tebas.remainCap((anywhere ? plan.freeCpus(true) : plan.freeCpus()) - plan.reserve, Double.MAX_VALUE, 0, s.vcpus(), 0, 0));
+            tasks = Math.min(tasks, Tebas.taskCapacity((anywhere ? plan.freeCpus(true) : plan.freeCpus()) - plan.reservedCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0));
         }
-        if (tasks <= 0 || s.gang() && tasks < wanted || (anywhere ? unmetAnywhere : unmet).covers(s)) {
+        if (tasks <= 0 || spec.isGang() && tasks < wanted || (anywhere ? unsatisfiableAnywhere : unsatisfiable).covers(spec)) {
             return wanted;
         }
-        if (s.gang() && job.chunks.length > plan.changes - plan.edits.size()) {
+        if (spec.isGang() && job.pages.length > plan.writeBudget - plan.edits.size()) {
             // All of it must be in one write.
             plan.truncated = true;
             return wanted;
         }
-        Map<String, Integer> spread = new LinkedHashMap<>();
-        int left = assign(job, tasks, true, spread);
-        if (left > 0 && plan.leading) {
-            if (s.gang()) {
-                spread.clear();
+        Map<String, Integer> tasksByHost = new LinkedHashMap<>();
+        int unplaced = assign(job, tasks, true, tasksByHost);
+        if (unplaced > 0 && plan.leading) {
+            if (spec.isGang()) {
+                tasksByHost.clear();
             }
-            left = assign(job, s.gang() ? tasks : left, false, spread);
+            unplaced = assign(job, spec.isGang() ? tasks : unplaced, false, tasksByHost);
         }
-        if (s.gang() && left > 0) {
+        if (spec.isGang() && unplaced > 0) {
             return wanted;
         }
-        return wanted - record(job, spread);
+        return wanted - recordPlacements(job, tasksByHost);
     }
 
     /**
      * Leaves the machines that will soonest have room for so many tasks to run empty: on a full cluster, smaller tasks would take each
      * part of them as it comes free, for ever. For a gang, whose tasks start together, also those that have some room now.
      */
-    void hold(JobSpec s, int tasks) {
-        int most = s.gang() ? Math.max(Constants.HOLD_LEAST, (int) (plan.rooms.size() * Constants.HOLD_GANG_SHARE)) : Math.min(tasks, holds);
-        if (most <= 0 || plan.quota(s) < (s.gang() ? tasks : 1)) {
+    void reserveMachines(JobSpec spec, int tasks) {
+        int maxMachines = spec.isGang() ? Math.max(Constants.HOLD_LEAST, (int) (plan.machines.size() * Constants.HOLD_GANG_SHARE)) : Math.min(tasks, remainingReservations);
+        if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
             return;
         }
-        Map<String, List<Room>> near = new LinkedHashMap<>();
-        for (Room.Kind kind : plan.kinds.values()) {
-            for (Room r : kind.suits(s, tier) ? kind.rooms : List.<Room>of()) {
-                if (r.heldFor == Integer.MAX_VALUE && (r.inBlock || plan.leading) && (s.gang() || r.cap(s) == 0)) {
-                    near.computeIfAbsent(s.oneZone() ? kind.site : "", z -> new ArrayList<>()).add(r);
+        Map<String, List<Room>> machinesByZone = new LinkedHashMap<>();
+        for (Room.Kind pool : plan.pools.values()) {
+            for (Room machine : pool.suits(spec, tier) ? pool.machines : List.<Room>of()) {
+                if (machine.reservedForTier == Integer.MAX_VALUE && (machine.inOwnShard || plan.leading) && (spec.isGang() || machine.taskCapacity(spec) == 0)) {
+                    machinesByZone.computeIfAbsent(spec.zoneAffinity() ? pool.zone : "", z -> new ArrayList<>()).add(machine);
                 }
             }
         }
-        List<Room> best = List.of();
-        double bestFree = -1;
-        for (List<Room> zone : near.values()) {
-            zone.sort(Comparator.comparingDouble((Room r) -> -r.freeCpus()).thenComparing(r -> r.host));
-            int left = tasks;
-            int n = 0;
-            double free = 0;
-            while (left > 0 && n < Math.min(most, zone.size())) {
-                Room r = zone.get(n++);
-                free += r.freeCpus();
-                left -= s.gang() ? r.kind.most(s) : 1;
+        List<Room> bestMachines = List.of();
+        double bestFreeCpus = -1;
+        for (List<Room> zoneMachines : machinesByZone.values()) {
+            zoneMachines.sort(Comparator.comparingDouble((Room machine) -> -machine.freeCpus()).thenComparing(machine -> machine.host));
+            int uncovered = tasks;
+            int count = 0;
+            double freeCpus = 0;
+            while (uncovered > 0 && count < Math.min(maxMachines, zoneMachines.size())) {
+                Room machine = zoneMachines.get(count++);
+                freeCpus += machine.freeCpus();
+                uncovered -= spec.isGang() ? machine.pool.tasksPerEmptyMachine(spec) : 1;
             }
-            if (free > bestFree && (left <= 0 || !s.gang())) {
-                best = zone.subList(0, n);
-                bestFree = free;
+            if (freeCpus > bestFreeCpus && (uncovered <= 0 || !spec.isGang())) {
+                bestMachines = zoneMachines.subList(0, count);
+                bestFreeCpus = freeCpus;
             }
         }
-        for (Room r : best) {
-            r.heldFor = tier;
-            holds--;
+        for (Room machine : bestMachines) {
+            machine.reservedForTier = tier;
+            remainingReservations--;
         }
     }
 
     /** Runs the pass over the block's machines (or, for the leader, all machines) within the job's zone rules. */
-    private int assign(Job job, int tasks, boolean blockOnly, Map<String, Integer> spread) {
-        JobSpec s = job.spec;
-        Map<String, List<Tebas.Seat>> byZone = seats(s, blockOnly, spread);
-        if (byZone.isEmpty() && spread.isEmpty() && (!blockOnly || !plan.leading)) {
-            (lastResort ? unmetAnywhere : unmet).add(s);
+    private int assign(Job job, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+        JobSpec spec = job.spec;
+        Map<String, List<Tebas.Seat>> candidatesByZone = candidatesByZone(spec, ownShardOnly, tasksByHost);
+        if (candidatesByZone.isEmpty() && tasksByHost.isEmpty() && (!ownShardOnly || !plan.leading)) {
+            (lastResort ? unsatisfiableAnywhere : unsatisfiable).add(spec);
         }
-        int half = policy.zoneMost(job);
-        if (s.service() && !s.oneZone() && (spreadServices || half < s.members() && !s.scatter())) {
-            return evenly(job, tasks, byZone, spread, half);
+        int maxPerZone = policy.maxTasksPerZone(job);
+        if (spec.isService() && !spec.zoneAffinity() && (spreadsServices || maxPerZone < spec.taskCount() && !spec.zoneSpread())) {
+            return assignEvenly(job, tasks, candidatesByZone, tasksByHost, maxPerZone);
         }
-        if (!s.oneZone() && !s.scatter()) {
-            List<Tebas.Seat> all = new ArrayList<>();
-            byZone.values().forEach(all::addAll);
-            int left = Tebas.pass(all, tasks, operator.beta());
-            all.forEach(seat -> count(spread, seat));
-            return left;
+        if (!spec.zoneAffinity() && !spec.zoneSpread()) {
+            List<Tebas.Seat> candidates = new ArrayList<>();
+            candidatesByZone.values().forEach(candidates::addAll);
+            int unplaced = Tebas.assign(candidates, tasks, operatorSettings.tebasGroupSize());
+            candidates.forEach(candidate -> tally(tasksByHost, candidate));
+            return unplaced;
         }
-        Map<String, Integer> perZone = zonesOf(job);
-        spread.forEach((host, n) -> perZone.merge(plan.rooms.get(host).kind.site, n, Integer::sum));
-        List<String> zones = new ArrayList<>(byZone.keySet());
-        zones.sort(Comparator.comparingInt((String z) -> -byZone.get(z).stream().mapToInt(x -> x.remainCap).sum()).thenComparing(z -> z));
-        int left = tasks;
-        for (String z : zones) {
-            if (s.oneZone() && !perZone.isEmpty() && !perZone.containsKey(z)) {
+        Map<String, Integer> tasksByZone = tasksByZone(job);
+        tasksByHost.forEach((host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        List<String> zones = new ArrayList<>(candidatesByZone.keySet());
+        zones.sort(Comparator.comparingInt((String zone) -> -candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum()).thenComparing(zone -> zone));
+        int unplaced = tasks;
+        for (String zone : zones) {
+            if (spec.zoneAffinity() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone)) {
                 continue;
             }
-            int most = s.scatter() ? Math.min(left, half - perZone.getOrDefault(z, 0)) : left;
-            int room = byZone.get(z).stream().mapToInt(x -> x.remainCap).sum();
-            if (most <= 0 || s.oneZone() && s.gang() && room < left) {
+            int maxTasks = spec.zoneSpread() ? Math.min(unplaced, maxPerZone - tasksByZone.getOrDefault(zone, 0)) : unplaced;
+            int zoneCapacity = candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum();
+            if (maxTasks <= 0 || spec.zoneAffinity() && spec.isGang() && zoneCapacity < unplaced) {
                 continue;
             }
-            left -= most - Tebas.pass(byZone.get(z), most, operator.beta());
-            byZone.get(z).forEach(seat -> count(spread, seat));
-            perZone.merge(z, 0, Integer::sum);
-            if (left == 0) {
+            unplaced -= maxTasks - Tebas.assign(candidatesByZone.get(zone), maxTasks, operatorSettings.tebasGroupSize());
+            candidatesByZone.get(zone).forEach(candidate -> tally(tasksByHost, candidate));
+            tasksByZone.merge(zone, 0, Integer::sum);
+            if (unplaced == 0) {
                 break;
             }
         }
-        return left;
+        return unplaced;
     }
 
     /** A service's replicas go where the fewest are, one by one, within what one zone may have; within a zone the pass places them. */
-    private int evenly(Job job, int tasks, Map<String, List<Tebas.Seat>> byZone, Map<String, Integer> spread, int most) {
-        Map<String, Integer> has = zonesOf(job);
-        spread.forEach((host, n) -> has.merge(plan.rooms.get(host).kind.site, n, Integer::sum));
-        Map<String, Integer> room = new TreeMap<>();
-        byZone.forEach((z, seats) -> room.put(z, seats.stream().mapToInt(x -> x.remainCap).sum()));
-        Map<String, Integer> give = new TreeMap<>();
-        int left = tasks;
-        while (left > 0) {
-            String best = null;
-            for (String z : room.keySet()) {
-                boolean open = room.get(z) > give.getOrDefault(z, 0) && has.getOrDefault(z, 0) < most;
-                if (open && (best == null || has.getOrDefault(z, 0) < has.getOrDefault(best, 0))) {
-                    best = z;
+    private int assignEvenly(Job job, int tasks, Map<String, List<Tebas.Seat>> candidatesByZone, Map<String, Integer> tasksByHost, int maxPerZone) {
+        Map<String, Integer> tasksByZone = tasksByZone(job);
+        tasksByHost.forEach((host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        Map<String, Integer> capacityByZone = new TreeMap<>();
+        candidatesByZone.forEach((zone, candidates) -> capacityByZone.put(zone, candidates.stream().mapToInt(x -> x.remainingCapacity).sum()));
+        Map<String, Integer> newTasksByZone = new TreeMap<>();
+        int undistributed = tasks;
+        while (undistributed > 0) {
+            String emptiestZone = null;
+            for (String zone : capacityByZone.keySet()) {
+                boolean eligible = capacityByZone.get(zone) > newTasksByZone.getOrDefault(zone, 0) && tasksByZone.getOrDefault(zone, 0) < maxPerZone;
+                if (eligible && (emptiestZone == null || tasksByZone.getOrDefault(zone, 0) < tasksByZone.getOrDefault(emptiestZone, 0))) {
+                    emptiestZone = zone;
                 }
             }
-            if (best == null) {
+            if (emptiestZone == null) {
                 break;
             }
-            give.merge(best, 1, Integer::sum);
-            has.merge(best, 1, Integer::sum);
-            left--;
+            newTasksByZone.merge(emptiestZone, 1, Integer::sum);
+            tasksByZone.merge(emptiestZone, 1, Integer::sum);
+            undistributed--;
         }
-        int unplaced = left;
-        for (Map.Entry<String, Integer> g : give.entrySet()) {
-            unplaced += Tebas.pass(byZone.get(g.getKey()), g.getValue(), operator.beta());
-            byZone.get(g.getKey()).forEach(seat -> count(spread, seat));
+        int unplaced = undistributed;
+        for (Map.Entry<String, Integer> entry : newTasksByZone.entrySet()) {
+            unplaced += Tebas.assign(candidatesByZone.get(entry.getKey()), entry.getValue(), operatorSettings.tebasGroupSize());
+            candidatesByZone.get(entry.getKey()).forEach(candidate -> tally(tasksByHost, candidate));
         }
         return unplaced;
     }
 
     /** The machines with room for a task of the job, by zone. */
-    private Map<String, List<Tebas.Seat>> seats(JobSpec s, boolean blockOnly, Map<String, Integer> spread) {
-        Map<String, List<Tebas.Seat>> byZone = new LinkedHashMap<>();
-        for (Room.Kind kind : plan.kinds.values()) {
-            if (!(lastResort ? kind.allows(s) : kind.suits(s, tier))) {
+    private Map<String, List<Tebas.Seat>> candidatesByZone(JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+        Map<String, List<Tebas.Seat>> candidatesByZone = new LinkedHashMap<>();
+        for (Room.Kind pool : plan.pools.values()) {
+            if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
                 continue;
             }
-            List<Tebas.Seat> seats = null;
-            double clock = operator.frequency().getOrDefault(kind.shape.label(), 1.0);
+            List<Tebas.Seat> candidates = null;
+            double clockFactor = operatorSettings.clockSpeedByMachineType().getOrDefault(pool.machineType.name(), 1.0);
             // Where the time to reach a worker doesn't count, a kind's machines differ by the image alone.
-            boolean urgent = s.urgency().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
-            double with = Tebas.fitness(operator.alpha(), s.vcpus(), frequency(s, kind, clock, true, 0));
-            double without = Tebas.fitness(operator.alpha(), s.vcpus(), frequency(s, kind, clock, false, 0));
-            for (Room r : kind.rooms) {
-                int cap = blockOnly && !r.inBlock || !r.open() || tier >= r.heldFor ? 0 : r.cap(s) - (spread.isEmpty() ? 0 : spread.getOrDefault(r.host, 0));
-                if (cap > 0) {
-                    boolean image = images.has(r.host, s.container());
-                    double fitness = !urgent || r.reachS <= 0 ? image ? with : without
-                            : Tebas.fitness(operator.alpha(), s.vcpus(), frequency(s, kind, clock, image, r.reachS));
-                    seats = seats == null ? byZone.computeIfAbsent(kind.site, z -> new ArrayList<>()) : seats;
-                    seats.add(new Tebas.Seat(r.host, fitness, cap, cap));
+            boolean urgent = spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+            double fitnessWithImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, true, 0));
+            double fitnessWithoutImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, false, 0));
+            for (Room machine : pool.machines) {
+                int capacity = ownShardOnly && !machine.inOwnShard || !machine.hasFreeCapacity() || tier >= machine.reservedForTier ? 0 : machine.taskCapacity(spec) - (tasksByHost.isEmpty() ? 0 : tasksByHost.getOrDefault(machine.host, 0));
+                if (capacity > 0) {
+                    boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
+                    double fitness = !urgent || machine.reachSeconds <= 0 ? hasImage ? fitnessWithImage : fitnessWithoutImage
+                            : Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, hasImage, machine.reachSeconds));
+                    candidates = candidates == null ? candidatesByZone.computeIfAbsent(pool.zone, z -> new ArrayList<>()) : candidates;
+                    candidates.add(new Tebas.Seat(machine.host, fitness, capacity, capacity));
                 }
             }
         }
-        return byZone;
+        return candidatesByZone;
     }
 
     /**
      * The machine's frequency as this task gets to feel it: while its image is fetched, nothing runs. Where fetches take
      * as long as the tasks themselves, the paper's gain of a machine is mostly a matter of who has the image.
      */
-    private static double frequency(JobSpec s, Room.Kind kind, double clock, boolean image, double waitS) {
-        double fetchS = image ? 0 : s.sizeGb() / Math.max(kind.shape.pullGbPerS(), 0.01);
-        double runS = s.service() ? Constants.SERVICE_RANK_S : Math.max(s.runtimeS(), 1);
+    private static double effectiveFrequency(JobSpec spec, Room.Kind pool, double clockFactor, boolean hasImage, double waitSeconds) {
+        double fetchSeconds = hasImage ? 0 : spec.imageSizeGb() / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
+        double runSeconds = spec.isService() ? Constants.SERVICE_RANK_S : Math.max(spec.runtimeSeconds(), 1);
         // Where workers report seldom, whose answer is still open matters as well to work that should start at once.
-        return clock * runS / (runS + fetchS + waitS);
+        return clockFactor * runSeconds / (runSeconds + fetchSeconds + waitSeconds);
     }
 
-    private static void count(Map<String, Integer> spread, Tebas.Seat seat) {
-        if (seat.assigned > 0) {
-            spread.merge(seat.host, seat.assigned, Integer::sum);
+    private static void tally(Map<String, Integer> tasksByHost, Tebas.Seat candidate) {
+        if (candidate.assigned > 0) {
+            tasksByHost.merge(candidate.host, candidate.assigned, Integer::sum);
         }
     }
 
     /** The zones where the job may have more tasks than it has: room made elsewhere would be of no use to it. */
-    Predicate<String> zonesFor(Job job) {
-        JobSpec s = job.spec;
-        int most = policy.zoneMost(job);
-        if (!s.oneZone() && most >= s.members()) {
-            return z -> true;
+    Predicate<String> allowedZones(Job job) {
+        JobSpec spec = job.spec;
+        int maxPerZone = policy.maxTasksPerZone(job);
+        if (!spec.zoneAffinity() && maxPerZone >= spec.taskCount()) {
+            return zone -> true;
         }
-        Map<String, Integer> has = zonesOf(job);
-        return z -> s.oneZone() ? has.isEmpty() || has.containsKey(z) : has.getOrDefault(z, 0) < most;
+        Map<String, Integer> tasksByZone = tasksByZone(job);
+        return zone -> spec.zoneAffinity() ? tasksByZone.isEmpty() || tasksByZone.containsKey(zone) : tasksByZone.getOrDefault(zone, 0) < maxPerZone;
     }
 
     /** Where the job's tasks may be now, by zone, evidence of this round included. */
-    private Map<String, Integer> zonesOf(Job job) {
-        Map<String, Integer> out = new HashMap<>();
-        for (Chunk c : job.chunks) {
-            if (c == null) {
+    private Map<String, Integer> tasksByZone(Job job) {
+        Map<String, Integer> tasksByZone = new HashMap<>();
+        for (Chunk page : job.pages) {
+            if (page == null) {
                 continue;
             }
-            count(out, c.placed.stream().filter(p -> plan.edits.get(c) == null));
+            tally(tasksByZone, page.placements.stream().filter(p -> plan.edits.get(page) == null));
         }
-        for (int k = 0; k < job.chunks.length; k++) {
-            Chunk.Edit e = plan.edits.get(job.chunk(k));
-            if (e != null) {
+        for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
+            Chunk.Edit edit = plan.edits.get(job.page(pageIndex));
+            if (edit != null) {
                 // What an earlier pass of this round has placed counts too.
-                count(out, e.holding().stream());
+                tally(tasksByZone, edit.placements().stream());
             }
         }
-        return out;
+        return tasksByZone;
     }
 
-    private void count(Map<String, Integer> zones, java.util.stream.Stream<Placement> placed) {
-        placed.map(p -> machines.get(p.host)).filter(java.util.Objects::nonNull).forEach(m -> zones.merge(m.site(), 1, Integer::sum));
+    private void tally(Map<String, Integer> tasksByZone, java.util.stream.Stream<Placement> placements) {
+        placements.map(p -> machines.get(p.host)).filter(java.util.Objects::nonNull).forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
     }
 
     /** Writes the spread into the chunks; returns how many tasks got a place. */
-    private int record(Job job, Map<String, Integer> spread) {
-        List<String> places = new ArrayList<>();
-        spread.forEach((host, n) -> {
-            for (int i = 0; i < n; i++) {
-                places.add(host);
+    private int recordPlacements(Job job, Map<String, Integer> tasksByHost) {
+        List<String> hosts = new ArrayList<>();
+        tasksByHost.forEach((host, tasks) -> {
+            for (int i = 0; i < tasks; i++) {
+                hosts.add(host);
             }
         });
-        int next = 0;
-        long gangTry = 0;
-        for (int k = 0; k < job.chunks.length; k++) {
-            gangTry = Math.max(gangTry, job.chunk(k).lastTry);
+        int placed = 0;
+        long lastGangAttempt = 0;
+        for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
+            lastGangAttempt = Math.max(lastGangAttempt, job.page(pageIndex).lastAttempt);
         }
-        for (int k = 0; k < job.chunks.length && next < places.size(); k++) {
-            if (plan.pending(job, k) == 0) {
+        for (int pageIndex = 0; pageIndex < job.pages.length && placed < hosts.size(); pageIndex++) {
+            if (plan.unplacedTasks(job, pageIndex) == 0) {
                 continue;
             }
-            Chunk.Edit e = plan.edit(job, k);
-            if (e == null) {
+            Chunk.Edit edit = plan.edit(job, pageIndex);
+            if (edit == null) {
                 break;
             }
-            long attempt = (job.spec.gang() ? gangTry : e.chunk().lastTry) + 1;
-            for (int i = e.chunk().first(); i < e.chunk().first() + e.chunk().size() && next < places.size(); i++) {
-                if (e.placeable(i)) {
-                    Room r = plan.rooms.get(places.get(next));
-                    e.place(i, r.host, attempt);
-                    plan.take(r, job.spec, 1);
-                    plan.use(plan.myUse, job.spec, 1);
-                    plan.use(plan.allUse, job.spec, 1);
-                    next++;
+            long attempt = (job.spec.isGang() ? lastGangAttempt : edit.page().lastAttempt) + 1;
+            for (int i = edit.page().firstTaskIndex(); i < edit.page().firstTaskIndex() + edit.page().taskCount() && placed < hosts.size(); i++) {
+                if (edit.isPlaceable(i)) {
+                    Room machine = plan.machines.get(hosts.get(placed));
+                    edit.place(i, machine.host, attempt);
+                    plan.allocate(machine, job.spec, 1);
+                    plan.addUsage(plan.ownUsage, job.spec, 1);
+                    plan.addUsage(plan.totalUsage, job.spec, 1);
+                    placed++;
                 }
             }
         }
-        return next;
+        return placed;
     }
 }
--- a/src/main/java/io/quincelead/placing/Preemption.java
+++ b/src/main/java/io/quincelead/placing/Preemption.java
@@ -24,210 +24,210 @@
 /** Stops work that the protocol lets a job displace, as little and as cheap as will do. */
 final class Preemption {
     /** One time for the whole round: time passes while it is planned, and a sort must see one order. */
-    private final long now;
+    private final long nowMillis;
     private final Settings settings;
     private final JobTable jobs;
     private final Plan plan;
     private final Policy policy;
     /** Whether victims should share records, for the store's changes are short. */
-    private final boolean together;
+    private final boolean shareRecords;
     /** What could be stopped, cheapest first, for those in a hurry and for others, by whom it is for. Made when needed. */
-    private final Map<List<Object>, Victims> victims = new HashMap<>();
+    private final Map<List<Object>, Victims> candidates = new HashMap<>();
     /** Demands for which everything that may be stopped is being stopped, without and within a guarantee (by team). */
-    private final Unmet unmet = new Unmet();
-    private final Map<String, Unmet> unmetWithin = new HashMap<>();
+    private final Unmet unsatisfiable = new Unmet();
+    private final Map<String, Unmet> unsatisfiableWithinGuarantee = new HashMap<>();
 
-    Preemption(Loop loop, Settings settings, JobTable jobs, Plan plan, boolean together, Policy policy) {
+    Preemption(Loop loop, Settings settings, JobTable jobs, Plan plan, boolean shareRecords, Policy policy) {
         this.policy = policy;
-        this.now = loop.now();
+        this.nowMillis = loop.nowMillis();
         this.settings = settings;
         this.jobs = jobs;
         this.plan = plan;
-        this.together = together;
+        this.shareRecords = shareRecords;
     }
 
     /** Returns how many tasks will find no room all the same. {@code zoneLets}: zones where the job may have more tasks. */
-    int makeRoom(QueueOrder.Ranked ranked, int left, Predicate<String> zoneLets) {
+    int makeRoom(QueueOrder.Ranked ranked, int unplaced, Predicate<String> zoneAllowed) {
         Job job = ranked.job();
-        JobSpec s = job.spec;
-        int need = Math.min(left, plan.quota(s));
-        boolean within = ranked.withinGuarantee();
+        JobSpec spec = job.spec;
+        int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
+        boolean withinGuarantee = ranked.withinGuarantee();
         int tier = ranked.tier();
-        if (need <= 0 || s.urgency() == JobSpec.Urgency.BEST_EFFORT && !within) {
-            return need;
+        if (needed <= 0 || spec.priority() == JobSpec.Urgency.BEST_EFFORT && !withinGuarantee) {
+            return needed;
         }
-        if (within ? unmetWithin.containsKey(s.owner()) && unmetWithin.get(s.owner()).covers(s) : unmet.covers(s)) {
-            return need;
+        if (withinGuarantee ? unsatisfiableWithinGuarantee.containsKey(spec.team()) && unsatisfiableWithinGuarantee.get(spec.team()).covers(spec) : unsatisfiable.covers(spec)) {
+            return needed;
         }
-        for (Room.Kind kind : plan.kinds.values()) {
-            if (!kind.suits(s, tier) || !zoneLets.test(kind.site)) {
+        for (Room.Kind pool : plan.pools.values()) {
+            if (!pool.suits(spec, tier) || !zoneAllowed.test(pool.zone)) {
                 continue;
             }
-            for (Room r : kind.rooms) {
-                int n = need <= 0 ? 0 : Math.min(need, r.soonCap(s));
-                if (n > 0) {
-                    r.takeSoon(s, n);
-                    need -= n;
+            for (Room machine : pool.machines) {
+                int tasks = needed <= 0 ? 0 : Math.min(needed, machine.upcomingTaskCapacity(spec));
+                if (tasks > 0) {
+                    machine.allocateUpcoming(spec, tasks);
+                    needed -= tasks;
                 }
             }
         }
-        Victims all = need <= 0 ? null : victims(job, within);
-        Set<Room> tooFull = new HashSet<>();
-        for (int i = 0; need > 0; i++) {
-            Victims.Victim v = all.get(i);
-            if (v == null) {
+        Victims cheapestFirst = needed <= 0 ? null : candidatesFor(job, withinGuarantee);
+        Set<Room> exhaustedMachines = new HashSet<>();
+        for (int i = 0; needed > 0; i++) {
+            Victims.Victim candidate = cheapestFirst.get(i);
+            if (candidate == null) {
                 // What is stopped for one within its guarantee is more than another may stop.
-                unmet.add(s);
-                if (within) {
-                    unmetWithin.computeIfAbsent(s.owner(), t -> new Unmet()).add(s);
+                unsatisfiable.add(spec);
+                if (withinGuarantee) {
+                    unsatisfiableWithinGuarantee.computeIfAbsent(spec.team(), t -> new Unmet()).add(spec);
                 }
                 break;
             }
-            Placement p = v.placement();
-            Room r = v.room();
-            if (tooFull.contains(r) || !mayStop(job, p, within) || !r.kind.suits(s, tier) || !zoneLets.test(r.kind.site) || !running(p)) {
+            Placement placement = candidate.placement();
+            Room machine = candidate.machine();
+            if (exhaustedMachines.contains(machine) || !mayPreempt(job, placement, withinGuarantee) || !machine.pool.suits(spec, tier) || !zoneAllowed.test(machine.pool.zone) || !isRunning(placement)) {
                 continue;
             }
-            List<Placement> together = enough(job, p, r, within);
-            if (together.isEmpty()) {
+            List<Placement> toStop = fewestToStop(job, placement, machine, withinGuarantee);
+            if (toStop.isEmpty()) {
                 // All that may be stopped there isn't enough, whichever goes first: nothing is stopped for nothing.
-                tooFull.add(r);
+                exhaustedMachines.add(machine);
                 continue;
             }
-            if (!stop(together, r)) {
+            if (!stopAll(toStop, machine)) {
                 break;
             }
             // The room this leaves may be more than the job needs.
-            unmet.clear();
-            unmetWithin.clear();
-            int n = Math.min(need, r.soonCap(s));
-            r.takeSoon(s, n);
-            need -= n;
+            unsatisfiable.clear();
+            unsatisfiableWithinGuarantee.clear();
+            int tasks = Math.min(needed, machine.upcomingTaskCapacity(spec));
+            machine.allocateUpcoming(spec, tasks);
+            needed -= tasks;
         }
-        return need;
+        return needed;
     }
 
     /**
      * The task and as many others of its machine, the cheapest first, as must go before one of the job fits there; empty if all of them aren't
      * enough. Taken one by one over all machines, many would be stopped and each leave room too small for anybody but its like.
      */
-    private List<Placement> enough(Job job, Placement first, Room r, boolean within) {
-        List<Placement> out = new ArrayList<>(List.of(first));
-        if (r.soonCapWith(out, job.spec) > 0) {
-            return out;
+    private List<Placement> fewestToStop(Job job, Placement first, Room machine, boolean withinGuarantee) {
+        List<Placement> chosen = new ArrayList<>(List.of(first));
+        if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
+            return chosen;
         }
-        HostLoad load = jobs.load(r.host);
-        List<Placement> more = new ArrayList<>();
-        for (int u = JobSpec.Urgency.values().length - 1; load != null && u >= 0; u--) {
-            for (Placement p : load.stoppable(u)) {
-                if (p != first && mayStop(job, p, within) && !nearlyDone(p) && running(p)) {
-                    more.add(p);
+        HostLoad load = jobs.loadOf(machine.host);
+        List<Placement> others = new ArrayList<>();
+        for (int priority = JobSpec.Urgency.values().length - 1; load != null && priority >= 0; priority--) {
+            for (Placement placement : load.stoppablePlacements(priority)) {
+                if (placement != first && mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement) && isRunning(placement)) {
+                    others.add(placement);
                 }
             }
         }
-        more.sort(Comparator.comparing((Placement p) -> p.job.spec.urgency()).reversed().thenComparingDouble(this::loss).thenComparing(Placement::name));
-        for (Placement p : more) {
-            out.add(p);
-            if (r.soonCapWith(out, job.spec) > 0) {
-                return out;
+        others.sort(Comparator.comparing((Placement placement) -> placement.job.spec.priority()).reversed().thenComparingDouble(this::lostCpuSeconds).thenComparing(Placement::taskName));
+        for (Placement placement : others) {
+            chosen.add(placement);
+            if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
+                return chosen;
             }
         }
         return List.of();
     }
 
     /** Whether the task is neither stopped nor over in this plan. */
-    private boolean running(Placement p) {
-        Chunk.Edit e = plan.edits.get(p.job.chunk(p.index / Constants.CHUNK_TASKS));
-        return e == null || e.running(p.index);
+    private boolean isRunning(Placement placement) {
+        Chunk.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / Constants.CHUNK_TASKS));
+        return edit == null || edit.isRunning(placement.taskIndex);
     }
 
     /** Stops all of them, or what the change has room for; false if that isn't all. */
-    private boolean stop(List<Placement> together, Room r) {
-        for (Placement p : together) {
-            Chunk.Edit e = plan.edit(p);
-            if (e == null) {
+    private boolean stopAll(List<Placement> toStop, Room machine) {
+        for (Placement placement : toStop) {
+            Chunk.Edit edit = plan.edit(placement);
+            if (edit == null) {
                 return false;
             }
-            if (e.running(p.index)) {
-                e.stop(p.index);
-                r.leaves(p.job.spec);
+            if (edit.isRunning(placement.taskIndex)) {
+                edit.requestStop(placement.taskIndex);
+                machine.releaseUpcoming(placement.job.spec);
             }
         }
         return true;
     }
 
-    private Victims victims(Job job, boolean within) {
-        JobSpec s = job.spec;
-        boolean hurry = s.urgency().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
-        int most = s.urgency().ordinal() + (within ? 0 : 1);
-        List<Object> key = Arrays.asList(hurry, most, within ? s.owner() : null, s.shapes(), s.site(), s.preemptible());
-        return victims.computeIfAbsent(key, k -> {
-            List<Victims.Victim> all = new ArrayList<>();
-            for (Room.Kind kind : plan.kinds.values()) {
-                for (Room r : kind.mayRun(s) ? kind.rooms : List.<Room>of()) {
-                    HostLoad load = jobs.load(r.host);
-                    for (int u = most; load != null && u < JobSpec.Urgency.values().length; u++) {
-                        for (Placement p : load.stoppable(u)) {
-                            if (mayStop(job, p, within) && !nearlyDone(p)) {
-                                all.add(new Victims.Victim(p, r, loss(p), plan.late.containsKey(p.job), all.size()));
+    private Victims candidatesFor(Job job, boolean withinGuarantee) {
+        JobSpec spec = job.spec;
+        boolean urgent = spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+        int highestPriority = spec.priority().ordinal() + (withinGuarantee ? 0 : 1);
+        List<Object> key = Arrays.asList(urgent, highestPriority, withinGuarantee ? spec.team() : null, spec.machineTypes(), spec.zone(), spec.preemptible());
+        return candidates.computeIfAbsent(key, k -> {
+            List<Victims.Victim> found = new ArrayList<>();
+            for (Room.Kind pool : plan.pools.values()) {
+                for (Room machine : pool.matchesConstraints(spec) ? pool.machines : List.<Room>of()) {
+                    HostLoad load = jobs.loadOf(machine.host);
+                    for (int priority = highestPriority; load != null && priority < JobSpec.Urgency.values().length; priority++) {
+                        for (Placement placement : load.stoppablePlacements(priority)) {
+                            if (mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement)) {
+                                found.add(new Victims.Victim(placement, machine, lostCpuSeconds(placement), plan.entitledTasksOfStarving.containsKey(placement.job), found.size()));
                             }
                         }
                     }
                 }
             }
-            return new Victims(all, hurry, together);
+            return new Victims(found, urgent, shareRecords);
         });
     }
 
-    private boolean nearlyDone(Placement p) {
-        JobSpec v = p.job.spec;
-        double ranS = p.runningSince == 0 ? 0 : (now - p.runningSince) / 1000.0;
-        return v.runtimeS() > 0 && ranS > 0 && v.runtimeS() - ranS < Constants.NEARLY_DONE_S && ranS < 2 * v.runtimeS();
+    private boolean isNearlyDone(Placement placement) {
+        JobSpec spec = placement.job.spec;
+        double ranSeconds = placement.runningSinceMillis == 0 ? 0 : (nowMillis - placement.runningSinceMillis) / 1000.0;
+        return spec.runtimeSeconds() > 0 && ranSeconds > 0 && spec.runtimeSeconds() - ranSeconds < Constants.NEARLY_DONE_S && ranSeconds < 2 * spec.runtimeSeconds();
     }
 
-    private boolean mayStop(Job forJob, Placement p, boolean within) {
-        JobSpec v = p.job.spec;
-        if (p.job == forJob) {
+    private boolean mayPreempt(Job forJob, Placement placement, boolean withinGuarantee) {
+        JobSpec victim = placement.job.spec;
+        if (placement.job == forJob) {
             return false;
         }
-        if (policy.inForce() && !policyLets(forJob, p, within)) {
+        if (policy.isInForce() && !policyAllows(forJob, placement, withinGuarantee)) {
             return false;
         }
-        if (plan.late.containsKey(p.job) && QueueOrder.tier(forJob.spec.urgency().ordinal(), within, false) >= QueueOrder.BEGINS) {
+        if (plan.entitledTasksOfStarving.containsKey(placement.job) && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false) >= QueueOrder.TIER_FIRST_START) {
             // What a job would be left behind by is stopped for urgent work alone: a guarantee takes other surplus, or the two would take turns.
             return false;
         }
-        if (v.urgency().ordinal() > forJob.spec.urgency().ordinal()) {
-            return plan.tier(p.job) > QueueOrder.tier(forJob.spec.urgency().ordinal(), within, false);
+        if (victim.priority().ordinal() > forJob.spec.priority().ordinal()) {
+            return plan.tier(placement.job) > QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false);
         }
         // For a guarantee the protocol lets us stop work of any urgency. We stop only work that comes after this job in the
         // queue: more urgent work would take the room back at once, and the two would displace each other without end. For
         // the same reason a job within its own team's guarantee is left alone, though that team runs more than that besides.
-        Settings.Team team = settings.teams().get(v.owner());
-        double[] use = plan.allUse.getOrDefault(v.owner(), new double[2]);
-        return within && v.urgency() == forJob.spec.urgency() && !plan.guaranteed.contains(p.job) && !v.owner().equals(forJob.spec.owner()) && team != null
-                && (use[0] - v.vcpus() >= team.cpus() || v.cards() > 0 && use[1] - v.cards() >= team.gpus());
+        Settings.Team team = settings.teams().get(victim.team());
+        double[] usage = plan.totalUsage.getOrDefault(victim.team(), new double[2]);
+        return withinGuarantee && victim.priority() == forJob.spec.priority() && !plan.jobsWithinGuarantee.contains(placement.job) && !victim.team().equals(forJob.spec.team()) && team != null
+                && (usage[0] - victim.cpus() >= team.guaranteedCpus() || victim.gpus() > 0 && usage[1] - victim.gpus() >= team.guaranteedGpus());
     }
 
     /** Operators' records only narrow what may be stopped. */
-    private boolean policyLets(Job forJob, Placement p, boolean within) {
-        JobClass.Keep keep = policy.of(p.job).keep();
-        if (keep == JobClass.Keep.NEVER || keep == JobClass.Keep.URGENT && forJob.spec.urgency().ordinal() > JobSpec.Urgency.HIGH.ordinal()) {
+    private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
+        JobClass.Keep keep = policy.priorityOf(placement.job).preemptionProtection();
+        if (keep == JobClass.Keep.NEVER || keep == JobClass.Keep.URGENT && forJob.spec.priority().ordinal() > JobSpec.Urgency.HIGH.ordinal()) {
             return false;
         }
-        return !QueueOrder.before(standing(p.job, plan.guaranteed.contains(p.job), plan.late.containsKey(p.job)), standing(forJob, within, false));
+        return !QueueOrder.precedes(rankOf(placement.job, plan.jobsWithinGuarantee.contains(placement.job), plan.entitledTasksOfStarving.containsKey(placement.job)), rankOf(forJob, withinGuarantee, false));
     }
 
-    private QueueOrder.Ranked standing(Job j, boolean within, boolean late) {
-        return new QueueOrder.Ranked(j, j.spec.urgency().ordinal(), within, false, 0, late, false, 0, policy.of(j), 1);
+    private QueueOrder.Ranked rankOf(Job job, boolean withinGuarantee, boolean starving) {
+        return new QueueOrder.Ranked(job, job.spec.priority().ordinal(), withinGuarantee, false, 0, starving, false, 0, policy.priorityOf(job), 1);
     }
 
     /** CPU seconds of work that stopping the task would lose. */
-    private double loss(Placement p) {
-        if (p.runningSince == 0) {
+    private double lostCpuSeconds(Placement placement) {
+        if (placement.runningSinceMillis == 0) {
             return 0;
         }
-        double ran = (now - p.runningSince) / 1000.0;
-        return (p.job.spec.snapshotEveryS() > 0 ? p.job.spec.snapshotS() : ran) * p.job.spec.vcpus();
+        double ranSeconds = (nowMillis - placement.runningSinceMillis) / 1000.0;
+        return (placement.job.spec.checkpointIntervalSeconds() > 0 ? placement.job.spec.checkpointSeconds() : ranSeconds) * placement.job.spec.cpus();
     }
 }
