--- a/src/main/java/io/quincelead/placing/QueueOrder.java
+++ b/src/main/java/io/quincelead/placing/QueueOrder.java
@@ -18,16 +18,16 @@
  * then what would else be left behind, then the rest by urgency; last by nearness to the deadline or objective. A guarantee that waits behind other teams' surplus would be none.
  */
 public final class QueueOrder {
-    private final Map<String, Double> withinS = new HashMap<>();
+    private final Map<String, Double> objectiveSecondsByClass = new HashMap<>();
     private final Map<String, Settings.Team> teams;
     private final Policy policy;
 
     public QueueOrder(Settings settings, Policy policy) {
         this.policy = policy;
         teams = settings.teams();
-        for (Settings.Objective o : settings.objectives()) {
-            if (!o.jobClass().isEmpty() && o.withinS() > 0) {
-                withinS.merge(o.jobClass(), o.withinS(), Math::min);
+        for (Settings.Objective objective : settings.objectives()) {
+            if (!objective.jobClass().isEmpty() && objective.withinSeconds() > 0) {
+                objectiveSecondsByClass.merge(objective.jobClass(), objective.withinSeconds(), Math::min);
             }
         }
     }
@@ -36,114 +36,114 @@
      * A job and what its place in the queue depends on. {@code late}: only so many of its tasks as it would else be left behind
      * by, at most {@code most}; {@code begins}: none of its tasks has begun.
      */
-    public record Ranked(Job job, int urgency, boolean withinGuarantee, boolean hopeless, double slackS, boolean late, boolean begins, int most,
-            Standing standing, double back) {
+    public record Ranked(Job job, int priority, boolean withinGuarantee, boolean deadlineUnreachable, double slackSeconds, boolean starving, boolean firstStart, int maxTasks,
+            Standing effectivePriority, double replicaRank) {
         /** The same with its place among services: 0 for the first replica of one that has none, else the larger the more are there. */
-        Ranked back(double place, int tasks) {
-            return new Ranked(job, urgency, withinGuarantee, hopeless, slackS, late, begins, tasks, standing, place);
+        Ranked withReplicaRank(double rank, int tasks) {
+            return new Ranked(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, starving, firstStart, tasks, effectivePriority, rank);
         }
 
         /** By its own urgency: what it may stop and what may be stopped for it goes by this. */
         int tier() {
-            return begins ? BEGINS : QueueOrder.tier(urgency, withinGuarantee, late);
+            return firstStart ? TIER_FIRST_START : QueueOrder.tier(priority, withinGuarantee, starving);
         }
 
         /** By the urgency that its class lets it be ordered by; covered work doesn't wait behind work that is late to begin. */
-        int orderTier() {
-            int tier = begins ? Math.min(BEGINS, orderUrgency()) : QueueOrder.tier(orderUrgency(), withinGuarantee, late);
-            return standing.covered() ? Math.min(tier, LATE) : tier;
+        int orderingTier() {
+            int tier = firstStart ? Math.min(TIER_FIRST_START, orderingPriority()) : QueueOrder.tier(orderingPriority(), withinGuarantee, starving);
+            return effectivePriority.isCovered() ? Math.min(tier, TIER_STARVING) : tier;
         }
 
-        int orderUrgency() {
-            return standing.urgency(job.spec);
+        int orderingPriority() {
+            return effectivePriority.orderingPriority(job.spec);
         }
 
         /** By when it should have begun, in ms since 1970. */
-        long beginBy() {
-            return job.acceptedAt + (long) (standing.beginWithinS() * 1000);
+        long startDeadlineMillis() {
+            return job.acceptedAtEpochMillis + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
         /** The same job's place for the tasks that it would be left behind by. */
-        Ranked late(boolean first, int tasks) {
-            return new Ranked(job, urgency, withinGuarantee, hopeless, slackS, true, first, tasks, standing, back);
+        Ranked asStarving(boolean atFirstStart, int tasks) {
+            return new Ranked(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, true, atFirstStart, tasks, effectivePriority, replicaRank);
         }
     }
 
     /** Tier of the little with which a job begins that has waited long. */
-    static final int BEGINS = JobSpec.Urgency.HIGH.ordinal() + 1;
+    static final int TIER_FIRST_START = JobSpec.Urgency.HIGH.ordinal() + 1;
     /** Tier of what its team is guaranteed. */
-    static final int GUARANTEED = BEGINS + 1;
+    static final int TIER_GUARANTEED = TIER_FIRST_START + 1;
     /** Tier of the first tasks of jobs that have waited long. */
-    static final int LATE = GUARANTEED + 1;
+    static final int TIER_STARVING = TIER_GUARANTEED + 1;
 
     /** The smaller, the earlier; work may be stopped only for work of a smaller one, or the two would displace each other without end. */
-    static int tier(int urgency, boolean withinGuarantee, boolean late) {
-        return urgency < BEGINS ? urgency : withinGuarantee ? GUARANTEED : late ? LATE : urgency + LATE - BEGINS + 1;
+    static int tier(int priority, boolean withinGuarantee, boolean starving) {
+        return priority < TIER_FIRST_START ? priority : withinGuarantee ? TIER_GUARANTEED : starving ? TIER_STARVING : priority + TIER_STARVING - TIER_FIRST_START + 1;
     }
 
-    public static final Comparator<Ranked> ORDER = QueueOrder::compare;
+    public static final Comparator<Ranked> BY_QUEUE_ORDER = QueueOrder::compare;
 
     private static int compare(Ranked a, Ranked b) {
-        int c = Integer.compare(a.orderTier(), b.orderTier());
-        if (c == 0 && (a.orderTier() == LATE || a.orderTier() == BEGINS)) {
+        int result = Integer.compare(a.orderingTier(), b.orderingTier());
+        if (result == 0 && (a.orderingTier() == TIER_STARVING || a.orderingTier() == TIER_FIRST_START)) {
             // First open windows; then whoever has waited longest, or endless arrivals of one urgency would leave another behind.
-            c = Boolean.compare(b.standing.covered(), a.standing.covered());
-            c = c != 0 || a.standing.covered() ? c : Long.compare(a.beginBy(), b.beginBy());
+            result = Boolean.compare(b.effectivePriority.isCovered(), a.effectivePriority.isCovered());
+            result = result != 0 || a.effectivePriority.isCovered() ? result : Long.compare(a.startDeadlineMillis(), b.startDeadlineMillis());
         }
-        c = c != 0 ? c : byStanding(a, b);
-        c = c != 0 ? c : Double.compare(a.back, b.back);
-        c = c != 0 ? c : Boolean.compare(!a.withinGuarantee, !b.withinGuarantee);
-        c = c != 0 ? c : Boolean.compare(a.hopeless, b.hopeless);
-        c = c != 0 ? c : Double.compare(a.slackS, b.slackS);
-        return c != 0 ? c : a.job.spec.id().compareTo(b.job.spec.id());
+        result = result != 0 ? result : compareEffectivePriority(a, b);
+        result = result != 0 ? result : Double.compare(a.replicaRank, b.replicaRank);
+        result = result != 0 ? result : Boolean.compare(!a.withinGuarantee, !b.withinGuarantee);
+        result = result != 0 ? result : Boolean.compare(a.deadlineUnreachable, b.deadlineUnreachable);
+        result = result != 0 ? result : Double.compare(a.slackSeconds, b.slackSeconds);
+        return result != 0 ? result : a.job.spec.jobId().compareTo(b.job.spec.jobId());
     }
 
     /** What operators' records say, within a tier: urgency, then open windows, then the rank of the class. */
-    private static int byStanding(Ranked a, Ranked b) {
-        int c = Integer.compare(a.orderUrgency(), b.orderUrgency());
-        c = c != 0 ? c : Boolean.compare(b.standing.covered(), a.standing.covered());
-        return c != 0 ? c : Integer.compare(a.standing.rank(), b.standing.rank());
+    private static int compareEffectivePriority(Ranked a, Ranked b) {
+        int result = Integer.compare(a.orderingPriority(), b.orderingPriority());
+        result = result != 0 ? result : Boolean.compare(b.effectivePriority.isCovered(), a.effectivePriority.isCovered());
+        return result != 0 ? result : Integer.compare(a.effectivePriority.rank(), b.effectivePriority.rank());
     }
 
     /**
      * Whether running work comes before waiting work by the operators' records. It isn't stopped for it then, whatever the protocol
      * allows: it would take the room back at once, and the two would take turns without end.
      */
-    static boolean before(Ranked running, Ranked waiting) {
-        int c = Integer.compare(running.orderTier(), waiting.orderTier());
-        return (c != 0 ? c : byStanding(running, waiting)) < 0;
+    static boolean precedes(Ranked running, Ranked waiting) {
+        int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
+        return (result != 0 ? result : compareEffectivePriority(running, waiting)) < 0;
     }
 
     /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs; given by age. */
-    public Set<Job> guaranteed(Collection<Job> byAge) {
-        Map<String, double[]> wanted = new HashMap<>();
-        Set<Job> out = new HashSet<>();
-        for (Job j : byAge) {
-            Settings.Team team = teams.get(j.spec.owner());
-            if (team == null || j.cancelled()) {
+    public Set<Job> jobsWithinGuarantee(Collection<Job> byAge) {
+        Map<String, double[]> demandByTeam = new HashMap<>();
+        Set<Job> within = new HashSet<>();
+        for (Job job : byAge) {
+            Settings.Team team = teams.get(job.spec.team());
+            if (team == null || job.isCancelled()) {
                 continue;
             }
-            int open = j.spec.members() - j.doneCount();
-            double[] w = wanted.computeIfAbsent(team.name(), t -> new double[2]);
-            w[0] += open * j.spec.vcpus();
-            w[1] += open * j.spec.cards();
-            if (w[0] <= team.cpus() + 1e-9 && w[1] <= team.gpus() + 1e-9) {
-                out.add(j);
+            int unfinishedTasks = job.spec.taskCount() - job.completedTaskCount();
+            double[] demand = demandByTeam.computeIfAbsent(team.name(), t -> new double[2]);
+            demand[0] += unfinishedTasks * job.spec.cpus();
+            demand[1] += unfinishedTasks * job.spec.gpus();
+            if (demand[0] <= team.guaranteedCpus() + 1e-9 && demand[1] <= team.guaranteedGpus() + 1e-9) {
+                within.add(job);
             }
         }
-        return out;
+        return within;
     }
 
-    public Ranked rank(Job job, boolean withinGuarantee, long wallNow) {
-        double age = (wallNow - job.acceptedAt) / 1000.0;
-        double run = job.spec.runtimeS();
-        double due = job.spec.dueS() >= 0 ? job.spec.dueS() : withinS.getOrDefault(job.spec.jobClass(), 2 * run + Constants.UNSTATED_DUE_S);
-        Standing standing = policy.of(job);
-        double left = due - age;
-        if (standing.covered()) {
-            left = Math.min(left, (standing.publicationMs() - wallNow) / 1000.0);
+    public Ranked rank(Job job, boolean withinGuarantee, long wallNowMillis) {
+        double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis) / 1000.0;
+        double runtimeSeconds = job.spec.runtimeSeconds();
+        double dueSeconds = job.spec.deadlineSeconds() >= 0 ? job.spec.deadlineSeconds() : objectiveSecondsByClass.getOrDefault(job.spec.jobClass(), 2 * runtimeSeconds + Constants.UNSTATED_DUE_S);
+        Standing effectivePriority = policy.priorityOf(job);
+        double secondsLeft = dueSeconds - ageSeconds;
+        if (effectivePriority.isCovered()) {
+            secondsLeft = Math.min(secondsLeft, (effectivePriority.publicationMillis() - wallNowMillis) / 1000.0);
         }
-        double slack = left - run * Constants.ESTIMATE_DISTRUST;
-        return new Ranked(job, job.spec.urgency().ordinal(), withinGuarantee, slack < -run && !standing.covered(), slack, false, false, Integer.MAX_VALUE, standing, 1);
+        double slackSeconds = secondsLeft - runtimeSeconds * Constants.ESTIMATE_DISTRUST;
+        return new Ranked(job, job.spec.priority().ordinal(), withinGuarantee, slackSeconds < -runtimeSeconds && !effectivePriority.isCovered(), slackSeconds, false, false, Integer.MAX_VALUE, effectivePriority, 1);
     }
 }
--- a/src/main/java/io/quincelead/placing/QueuePass.java
+++ b/src/main/java/io/quincelead/placing/QueuePass.java
@@ -30,337 +30,337 @@
     /** What is known of machines beside their records. */
     interface Machines {
         /** Whether new tasks may go to a machine of that controller's block. */
-        boolean fit(String owner, String host);
+        boolean isAcceptingTasks(String owner, String host);
 
         /** Seconds until a start can leave for the machine. */
-        double reachS(String host);
+        double secondsToReach(String host);
     }
 
     /** How ends of tasks get on record. */
     interface Ends {
         /** Those that are due. */
-        void record(Plan plan);
+        void recordDue(Plan plan);
 
         /** Those of the job's team, due or not, until its allowance lets in this many tasks of the job. */
-        void free(Plan plan, JobSpec s, int tasks);
+        void recordForQuota(Plan plan, JobSpec spec, int tasks);
     }
 
     private final Loop loop;
     private final Settings settings;
-    private final OperatorSettings operator;
+    private final OperatorSettings operatorSettings;
     private final StoreClient store;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
-    private final ImageCaches images;
-    private final Kinds kinds;
+    private final ImageCaches imageCaches;
+    private final Kinds constrainedDemand;
     private final Policy policy;
-    private final QueueOrder order;
-    private final Machines fitness;
+    private final QueueOrder queueOrder;
+    private final Machines machineStatus;
     /** When low work may be placed again. */
-    private long lowAt;
+    private long bestEffortAtMillis;
     /** Whether work of ours waits for room, and what work of the leader does. */
-    private boolean waiting;
-    private final List<JobSpec> leaderWaits = new ArrayList<>();
+    private boolean workWaiting;
+    private final List<JobSpec> demandsAtLeader = new ArrayList<>();
     /** Changes that the largest waiting gang needs at once. */
-    private int gangChanges;
+    private int largestGangPages;
     /** Since when a job has found no room in this block. */
-    private final Map<Job, Long> stuckSince = new HashMap<>();
+    private final Map<Job, Long> stuckSinceMillis = new HashMap<>();
     /** Since when nothing of a waiting job has found a place here. */
-    private final Map<Job, Long> passedOver = new HashMap<>();
+    private final Map<Job, Long> unservedSinceMillis = new HashMap<>();
 
     /** A machine of another block that had room for a job at each look since then. */
-    private record Lasting(String host, long since) { }
+    private record Lasting(String host, long sinceMillis) { }
 
-    private final Map<Job, Lasting> lasting = new HashMap<>();
+    private final Map<Job, Lasting> persistentRoom = new HashMap<>();
     /** When the room of other blocks may be looked at again. */
-    private long elsewhereAt;
+    private long nextForeignScanMillis;
     /** Machines on record that this controller may place on, by kind; made anew when a record of machines or blocks has changed. */
-    private final Map<List<Object>, List<Seen>> seen = new LinkedHashMap<>();
-    private long seenMachines = -1;
-    private long seenBlocks = -1;
-    private boolean seenLeading;
+    private final Map<List<Object>, List<Seen>> usableMachines = new LinkedHashMap<>();
+    private long seenMachinesVersion = -1;
+    private long seenShardsVersion = -1;
+    private boolean seenAsLeader;
 
-    private record Seen(String host, String owner, boolean inBlock) { }
+    private record Seen(String host, String owner, boolean inOwnShard) { }
 
     /** Since when there has been room here for a job that waits at the leader. */
-    private final Map<Job, Long> leaderSince = new HashMap<>();
+    private final Map<Job, Long> roomForLeaderSinceMillis = new HashMap<>();
 
-    QueuePass(Loop loop, Settings settings, OperatorSettings operator, StoreClient store, Blocks blocks, JobTable jobs, MachineTable machines,
-            Catalog catalog, ImageCaches images, Kinds kinds, Policy policy, Machines fitness) {
+    QueuePass(Loop loop, Settings settings, OperatorSettings operatorSettings, StoreClient store, Blocks shards, JobTable jobs, MachineTable machines,
+            Catalog catalog, ImageCaches imageCaches, Kinds constrainedDemand, Policy policy, Machines machineStatus) {
         this.policy = policy;
         this.loop = loop;
         this.settings = settings;
-        this.operator = operator;
+        this.operatorSettings = operatorSettings;
         this.store = store;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.images = images;
-        this.kinds = kinds;
-        this.order = new QueueOrder(settings, policy);
-        this.fitness = fitness;
+        this.imageCaches = imageCaches;
+        this.constrainedDemand = constrainedDemand;
+        this.queueOrder = new QueueOrder(settings, policy);
+        this.machineStatus = machineStatus;
     }
 
     /** Whether work of ours waited for room at the last pass. */
-    boolean waiting() {
-        return waiting;
+    boolean hasWorkWaiting() {
+        return workWaiting;
     }
 
-    int gangChanges() {
-        return gangChanges;
+    int largestGangPages() {
+        return largestGangPages;
     }
 
     /** Whether work that waits at the leader could go where a task has just ended. */
-    boolean leaderCouldUse(String host) {
-        MachineTable.Machine m = machines.get(host);
-        Catalog.Shape shape = m == null || leaderWaits.isEmpty() ? null : catalog.get(m.shape());
-        if (shape == null) {
+    boolean canLeaderUse(String host) {
+        MachineTable.Machine machine = machines.get(host);
+        Catalog.Shape machineType = machine == null || demandsAtLeader.isEmpty() ? null : catalog.get(machine.machineType());
+        if (machineType == null) {
             return false;
         }
-        Room.Kind kind = new Room.Kind(shape, m.site(), m.spot());
-        kind.sought = kinds.cardsWanted(shape, m.site(), m.spot());
-        return leaderWaits.stream().anyMatch(s -> kind.suits(s, 0));
+        Room.Kind pool = new Room.Kind(machineType, machine.zone(), machine.spot());
+        pool.gpusInDemand = constrainedDemand.isGpuInDemand(machineType, machine.zone(), machine.spot());
+        return demandsAtLeader.stream().anyMatch(spec -> pool.suits(spec, 0));
     }
 
     /**
      * Writes into the plan where waiting tasks go. {@code chief}: the leader, if it is heard of; {@code ends} puts ends on
      * record, after urgent work and before low work.
      */
-    void place(Plan plan, String chief, Ends ends) {
+    void placeWaitingJobs(Plan plan, String leaderId, Ends terminations) {
         List<Job> candidates = new ArrayList<>();
-        List<Job> chiefWaits = new ArrayList<>();
-        readJobs(plan, plan.leading ? null : chief, candidates, chiefWaits);
-        readLate(plan);
-        candidates.addAll(plan.entering);
-        if (!policy.ready()) {
+        List<Job> jobsAtLeader = new ArrayList<>();
+        collectWaitingJobs(plan, plan.leading ? null : leaderId, candidates, jobsAtLeader);
+        collectStarvingJobs(plan);
+        candidates.addAll(plan.enteringJobs);
+        if (!policy.isReady()) {
             // The classes that rule can't be read here: nothing is placed by others. Ends go on record all the same.
             candidates.clear();
         }
-        leaderWaits.clear();
-        chiefWaits.forEach(j -> leaderWaits.add(j.spec));
-        waiting = !candidates.isEmpty();
-        gangChanges = 0;
-        for (Job j : candidates) {
-            gangChanges = j.spec.gang() ? Math.max(gangChanges, j.chunks.length) : gangChanges;
+        demandsAtLeader.clear();
+        jobsAtLeader.forEach(job -> demandsAtLeader.add(job.spec));
+        workWaiting = !candidates.isEmpty();
+        largestGangPages = 0;
+        for (Job job : candidates) {
+            largestGangPages = job.spec.isGang() ? Math.max(largestGangPages, job.pages.length) : largestGangPages;
         }
-        if (!waiting) {
-            stuckSince.clear();
-            lasting.clear();
-            passedOver.clear();
-            ends.record(plan);
+        if (!workWaiting) {
+            stuckSinceMillis.clear();
+            persistentRoom.clear();
+            unservedSinceMillis.clear();
+            terminations.recordDue(plan);
             return;
         }
-        readRooms(plan, candidates.stream().anyMatch(j -> j.spec.urgency().ordinal() <= JobSpec.Urgency.HIGH.ordinal()));
-        plan.reserve = kinds.urgentCpus(Constants.RESERVE_S) / (plan.leading ? 1 : Math.max(1, blocks.all().size()));
-        plan.guaranteed = order.guaranteed(jobs.byAge());
-        ahead(plan, chiefWaits);
-        walk(plan, candidates, ends);
+        collectFreeCapacity(plan, candidates.stream().anyMatch(job -> job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()));
+        plan.reservedCpus = constrainedDemand.expectedUrgentCpus(Constants.RESERVE_S) / (plan.leading ? 1 : Math.max(1, shards.shards().size()));
+        plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
+        leaveRoomToLeader(plan, jobsAtLeader);
+        walkQueue(plan, candidates, terminations);
     }
 
     /** Sums up what teams use, and finds the jobs that wait: ours, and the leader's that its team's allowance lets in. */
-    private void readJobs(Plan plan, String chief, List<Job> candidates, List<Job> chiefWaits) {
-        long now = loop.now();
-        String me = settings.member();
-        Map<String, double[]> chiefUse = new HashMap<>();
+    private void collectWaitingJobs(Plan plan, String leaderId, List<Job> candidates, List<Job> jobsAtLeader) {
+        long nowMillis = loop.nowMillis();
+        String memberId = settings.memberId();
+        Map<String, double[]> leaderUsage = new HashMap<>();
         for (Job job : jobs.all()) {
-            int placed = job.placedCount();
+            int placed = job.placedTaskCount();
             if (placed > 0) {
-                plan.use(plan.allUse, job.spec, job.heldCount());
-                if (job.controller.equals(me)) {
-                    plan.use(plan.myUse, job.spec, placed);
-                } else if (job.controller.equals(chief)) {
-                    plan.use(chiefUse, job.spec, placed);
+                plan.addUsage(plan.totalUsage, job.spec, job.possiblyRunningTaskCount());
+                if (job.controllerId.equals(memberId)) {
+                    plan.addUsage(plan.ownUsage, job.spec, placed);
+                } else if (job.controllerId.equals(leaderId)) {
+                    plan.addUsage(leaderUsage, job.spec, placed);
                 }
             }
-            if (job.cancelled() || job.waitingCount() == 0) {
+            if (job.isCancelled() || job.waitingTaskCount() == 0) {
                 continue;
             }
-            if (job.controller.equals(chief)) {
-                chiefWaits.add(job);
+            if (job.controllerId.equals(leaderId)) {
+                jobsAtLeader.add(job);
             }
-            if (job.controller.equals(me) && now >= job.notBefore && !(job.spec.gang() && job.placedCount() > 0)) {
+            if (job.controllerId.equals(memberId) && nowMillis >= job.notBeforeMillis && !(job.spec.isGang() && job.placedTaskCount() > 0)) {
                 candidates.add(job);
             }
         }
-        Blocks.Block chiefBlock = chief == null ? null : blocks.of(chief);
-        chiefWaits.removeIf(j -> chiefBlock == null || Plan.quota(chiefBlock, chiefUse, j.spec) < (j.spec.gang() ? j.pendingCount() : 1));
+        Blocks.Block leaderShard = leaderId == null ? null : shards.shardOf(leaderId);
+        jobsAtLeader.removeIf(j -> leaderShard == null || Plan.tasksWithinQuotaShare(leaderShard, leaderUsage, j.spec) < (j.spec.isGang() ? j.pendingTaskCount() : 1));
     }
 
     /** Whether the team's allowance here would do for the gang when all that ends by itself has ended; if not, saving for it only idles the team. */
-    private boolean couldGather(Plan plan, Job gang, int tasks) {
-        double services = 0;
-        for (Job j : jobs.all()) {
-            if (j.spec.service() && j.spec.owner().equals(gang.spec.owner()) && j.controller.equals(settings.member())) {
-                services += j.placedCount() * j.spec.vcpus();
+    private boolean couldSaveUpFor(Plan plan, Job gang, int tasks) {
+        double serviceCpus = 0;
+        for (Job job : jobs.all()) {
+            if (job.spec.isService() && job.spec.team().equals(gang.spec.team()) && job.controllerId.equals(settings.memberId())) {
+                serviceCpus += job.placedTaskCount() * job.spec.cpus();
             }
         }
-        return plan.block.allowance(gang.spec.owner()).cpus() - services >= tasks * gang.spec.vcpus() - 1e-9;
+        return plan.shard.quotaShare(gang.spec.team()).cpus() - serviceCpus >= tasks * gang.spec.cpus() - 1e-9;
     }
 
-    private void readLate(Plan plan) {
-        long wall = loop.wall();
-        for (Job job : jobs.byAge()) {
-            if (!policy.inForce() && wall - job.acceptedAt < Constants.BEGIN_WITHIN_S * Constants.LATE_FROM * 1000) {
+    private void collectStarvingJobs(Plan plan) {
+        long wallMillis = loop.wallClockMillis();
+        for (Job job : jobs.jobsOldestFirst()) {
+            if (!policy.isInForce() && wallMillis - job.acceptedAtEpochMillis < Constants.BEGIN_WITHIN_S * Constants.LATE_FROM * 1000) {
                 break;
             }
-            int entitled = job.cancelled() ? 0 : policy.entitled(job, wall);
-            if (entitled > 0 && job.doneCount() + job.heldCount() <= entitled) {
-                plan.late.put(job, entitled);
+            int entitledTasks = job.isCancelled() ? 0 : policy.requiredStartedTaskCount(job, wallMillis);
+            if (entitledTasks > 0 && job.completedTaskCount() + job.possiblyRunningTaskCount() <= entitledTasks) {
+                plan.entitledTasksOfStarving.put(job, entitledTasks);
             }
         }
     }
 
-    private void walk(Plan plan, List<Job> candidates, Ends ends) {
-        long wall = loop.wall();
+    private void walkQueue(Plan plan, List<Job> candidates, Ends terminations) {
+        long wallMillis = loop.wallClockMillis();
         List<QueueOrder.Ranked> queue = new ArrayList<>(candidates.size());
-        for (Job j : candidates) {
-            QueueOrder.Ranked r = order.rank(j, plan.guaranteed.contains(j), wall);
-            if (operator.zones().on() && j.spec.service()) {
+        for (Job waitingJob : candidates) {
+            QueueOrder.Ranked ranked = queueOrder.rank(waitingJob, plan.jobsWithinGuarantee.contains(waitingJob), wallMillis);
+            if (operatorSettings.zoneRecovery().enabled() && waitingJob.spec.isService()) {
                 // One replica of every model before any second one; then those of which the largest part is missing.
-                r = r.back(1 + j.heldCount() / (double) j.spec.members(), Integer.MAX_VALUE);
-                if (j.heldCount() == 0 && j.spec.members() > 1) {
-                    queue.add(r.back(0, 1));
+                ranked = ranked.withReplicaRank(1 + waitingJob.possiblyRunningTaskCount() / (double) waitingJob.spec.taskCount(), Integer.MAX_VALUE);
+                if (waitingJob.possiblyRunningTaskCount() == 0 && waitingJob.spec.taskCount() > 1) {
+                    queue.add(ranked.withReplicaRank(0, 1));
                 }
             }
-            queue.add(r);
-            int first = plan.late.getOrDefault(j, 0) - j.doneCount() - j.heldCount();
-            int begins = j.spec.gang() ? first : j.doneCount() + j.heldCount() > 0 ? 0 : Math.min(first, 1 + j.spec.members() / Constants.LATE_BEGIN_PART);
-            if (begins > 0) {
-                queue.add(r.late(true, begins));
+            queue.add(ranked);
+            int starvingTasks = plan.entitledTasksOfStarving.getOrDefault(waitingJob, 0) - waitingJob.completedTaskCount() - waitingJob.possiblyRunningTaskCount();
+            int firstStarts = waitingJob.spec.isGang() ? starvingTasks : waitingJob.completedTaskCount() + waitingJob.possiblyRunningTaskCount() > 0 ? 0 : Math.min(starvingTasks, 1 + waitingJob.spec.taskCount() / Constants.LATE_BEGIN_PART);
+            if (firstStarts > 0) {
+                queue.add(ranked.asStarving(true, firstStarts));
             }
-            if (first > Math.max(0, begins) && r.tier() > QueueOrder.LATE) {
-                queue.add(r.late(false, first - Math.max(0, begins)));
+            if (starvingTasks > Math.max(0, firstStarts) && ranked.tier() > QueueOrder.TIER_STARVING) {
+                queue.add(ranked.asStarving(false, starvingTasks - Math.max(0, firstStarts)));
             }
         }
-        queue.sort(QueueOrder.ORDER);
-        Placer placer = new Placer(operator, machines, images, policy, plan);
-        boolean pressed = store.pressure() > Constants.PRESSED;
-        Preemption preemption = new Preemption(loop, settings, jobs, plan, pressed, policy);
-        Elsewhere elsewhere = new Elsewhere(plan);
-        boolean sought = plan.kinds.values().stream().anyMatch(k -> k.sought);
-        boolean lowDue = loop.now() >= lowAt;
-        if (lowDue) {
-            lowAt = loop.now() + store.paced(0, Constants.LOW_GAP_MAX_MS);
+        queue.sort(QueueOrder.BY_QUEUE_ORDER);
+        Placer placer = new Placer(operatorSettings, machines, imageCaches, policy, plan);
+        boolean storeUnderPressure = store.backpressure() > Constants.PRESSED;
+        Preemption preemption = new Preemption(loop, settings, jobs, plan, storeUnderPressure, policy);
+        Elsewhere escalation = new Elsewhere(plan);
+        boolean gpusInDemand = plan.pools.values().stream().anyMatch(k -> k.gpusInDemand);
+        boolean bestEffortDue = loop.nowMillis() >= bestEffortAtMillis;
+        if (bestEffortDue) {
+            bestEffortAtMillis = loop.nowMillis() + store.throttledDelayMillis(0, Constants.LOW_GAP_MAX_MS);
         }
-        Set<Job> stuck = new HashSet<>();
+        Set<Job> stuckJobs = new HashSet<>();
         // Teams whose ends are all on record or in this plan, and whose allowance is short all the same.
-        Set<String> unfreed = new HashSet<>();
-        Map<String, Integer> saving = new HashMap<>();
-        int lateOnes = (int) Math.min(Constants.LATE_RECORDS, queue.stream().filter(r -> r.tier() == QueueOrder.LATE).count());
-        int lateWritten = 0;
-        boolean ended = false;
-        for (QueueOrder.Ranked r : queue) {
-            Job job = r.job();
-            boolean low = r.urgency() == JobSpec.Urgency.BEST_EFFORT.ordinal();
-            if (r.late() && (low && !lowDue || pressed && lateWritten >= Constants.LATE_RECORDS && !plan.holds(job))) {
+        Set<String> teamsShortOfQuota = new HashSet<>();
+        Map<String, Integer> savingTierByTeam = new HashMap<>();
+        int starvingRecordBudget = (int) Math.min(Constants.LATE_RECORDS, queue.stream().filter(ranked -> ranked.tier() == QueueOrder.TIER_STARVING).count());
+        int starvingRecords = 0;
+        boolean terminationsRecorded = false;
+        for (QueueOrder.Ranked ranked : queue) {
+            Job job = ranked.job();
+            boolean bestEffort = ranked.priority() == JobSpec.Urgency.BEST_EFFORT.ordinal();
+            if (ranked.starving() && (bestEffort && !bestEffortDue || storeUnderPressure && starvingRecords >= Constants.LATE_RECORDS && !plan.containsRecordOf(job))) {
                 // Late work gets its turn, but where changes are short not those that urgent work needs next.
                 continue;
             }
-            if (!ended && low && !r.late()) {
+            if (!terminationsRecorded && bestEffort && !ranked.starving()) {
                 // Where changes are short, urgent work comes before the record of ends, and that before low work.
-                ended = true;
-                ends.record(plan);
+                terminationsRecorded = true;
+                terminations.recordDue(plan);
             }
             // Where changes are short, what is guaranteed would take all records of every round.
-            int kept = r.tier() == QueueOrder.GUARANTEED ? lateOnes : 0;
-            if (plan.full(kept) && !plan.holds(job)) {
+            int reservedRecords = ranked.tier() == QueueOrder.TIER_GUARANTEED ? starvingRecordBudget : 0;
+            if (plan.isFull(reservedRecords) && !plan.containsRecordOf(job)) {
                 // No further record fits, but those in the change may hold more: a job that enters with it gets its places at once.
                 plan.truncated = true;
-                if (stuckSince.containsKey(job)) {
-                    stuck.add(job);
+                if (stuckSinceMillis.containsKey(job)) {
+                    stuckJobs.add(job);
                 }
                 continue;
             }
-            if (!lowDue && low) {
-                stuck.add(job);
+            if (!bestEffortDue && bestEffort) {
+                stuckJobs.add(job);
                 continue;
             }
-            if (r.tier() >= saving.getOrDefault(job.spec.owner(), Integer.MAX_VALUE)) {
+            if (ranked.tier() >= savingTierByTeam.getOrDefault(job.spec.team(), Integer.MAX_VALUE)) {
                 // What comes free of the team's allowance is gathered for a gang that would be left behind.
-                stuck.add(job);
+                stuckJobs.add(job);
                 continue;
             }
-            int wanted = plan.pending(job);
-            if (plan.quota(job.spec) < wanted && unfreed.add(job.spec.owner())) {
-                ends.free(plan, job.spec, wanted);
-                if (plan.quota(job.spec) >= wanted) {
-                    unfreed.remove(job.spec.owner());
+            int wanted = plan.unplacedTasks(job);
+            if (plan.tasksWithinQuotaShare(job.spec) < wanted && teamsShortOfQuota.add(job.spec.team())) {
+                terminations.recordForQuota(plan, job.spec, wanted);
+                if (plan.tasksWithinQuotaShare(job.spec) >= wanted) {
+                    teamsShortOfQuota.remove(job.spec.team());
                 }
             }
-            boolean held = r.late() && plan.holds(job);
-            int left = placer.place(r, false);
-            if (sought && left < Math.min(r.most(), wanted)) {
-                passedOver.put(job, loop.now());
+            boolean alreadyInPlan = ranked.starving() && plan.containsRecordOf(job);
+            int unplaced = placer.place(ranked, false);
+            if (gpusInDemand && unplaced < Math.min(ranked.maxTasks(), wanted)) {
+                unservedSinceMillis.put(job, loop.nowMillis());
             }
-            if (left > 0 && r.late()) {
-                if (!job.spec.ordinary()) {
+            if (unplaced > 0 && ranked.starving()) {
+                if (!job.spec.isUnconstrained()) {
                     // Ordinary work finds machines elsewhere: those whose GPUs gangs seek are no way out for it.
-                    left = placer.place(r, true);
+                    unplaced = placer.place(ranked, true);
                 }
-                lateWritten += !held && plan.holds(job) ? 1 : 0;
-                placer.hold(job.spec, left);
-                if (job.spec.gang() && plan.quota(job.spec) < left && couldGather(plan, job, left)) {
-                    saving.putIfAbsent(job.spec.owner(), r.tier());
+                starvingRecords += !alreadyInPlan && plan.containsRecordOf(job) ? 1 : 0;
+                placer.reserveMachines(job.spec, unplaced);
+                if (job.spec.isGang() && plan.tasksWithinQuotaShare(job.spec) < unplaced && couldSaveUpFor(plan, job, unplaced)) {
+                    savingTierByTeam.putIfAbsent(job.spec.team(), ranked.tier());
                 }
-                preemption.makeRoom(r, left, placer.zonesFor(job));
-            } else if (r.late()) {
-                lateWritten += held ? 0 : 1;
-            } else if (left > 0) {
-                boolean waitedLong = r.tier() <= QueueOrder.GUARANTEED && wall - job.acceptedAt > Constants.LATE_AFTER_S * 1000;
-                if (waitedLong && job.spec.gang() && plan.quota(job.spec) < left && couldGather(plan, job, left)) {
+                preemption.makeRoom(ranked, unplaced, placer.allowedZones(job));
+            } else if (ranked.starving()) {
+                starvingRecords += alreadyInPlan ? 0 : 1;
+            } else if (unplaced > 0) {
+                boolean waitedLong = ranked.tier() <= QueueOrder.TIER_GUARANTEED && wallMillis - job.acceptedAtEpochMillis > Constants.LATE_AFTER_S * 1000;
+                if (waitedLong && job.spec.isGang() && plan.tasksWithinQuotaShare(job.spec) < unplaced && couldSaveUpFor(plan, job, unplaced)) {
                     // Urgent work comes first anyway, but single tasks of all other work fit into what is too little for a gang.
-                    saving.putIfAbsent(job.spec.owner(), r.tier());
+                    savingTierByTeam.putIfAbsent(job.spec.team(), ranked.tier());
                 }
-                int unmet = preemption.makeRoom(r, left, placer.zonesFor(job));
+                int withoutRoom = preemption.makeRoom(ranked, unplaced, placer.allowedZones(job));
                 // What is kept for others' GPUs serves work that nothing else has served for long: empty, it would serve nobody.
-                boolean passed = sought && loop.now() - passedOver.computeIfAbsent(job, j -> loop.now()) > Constants.PASSED_OVER_MS;
-                if (unmet > 0 && (r.urgency() == JobSpec.Urgency.PRODUCTION.ordinal() || waitedLong || passed)) {
-                    left = placer.place(r, true);
+                boolean unservedTooLong = gpusInDemand && loop.nowMillis() - unservedSinceMillis.computeIfAbsent(job, waitingJob -> loop.nowMillis()) > Constants.PASSED_OVER_MS;
+                if (withoutRoom > 0 && (ranked.priority() == JobSpec.Urgency.PRODUCTION.ordinal() || waitedLong || unservedTooLong)) {
+                    unplaced = placer.place(ranked, true);
                 }
-                if (left > 0 && !plan.leading && elsewhere.better(job, stuck)) {
-                    plan.misfits.add(job);
+                if (unplaced > 0 && !plan.leading && escalation.shouldEscalate(job, stuckJobs)) {
+                    plan.jobsToEscalate.add(job);
                 }
             }
         }
-        if (!ended) {
-            ends.record(plan);
+        if (!terminationsRecorded) {
+            terminations.recordDue(plan);
         }
-        stuckSince.keySet().retainAll(stuck);
-        lasting.keySet().retainAll(stuck);
-        passedOver.keySet().removeIf(j -> j.waitingCount() == 0 || jobs.get(j.spec.id()) != j);
+        stuckSinceMillis.keySet().retainAll(stuckJobs);
+        persistentRoom.keySet().retainAll(stuckJobs);
+        unservedSinceMillis.keySet().removeIf(waitingJob -> waitingJob.waitingTaskCount() == 0 || jobs.get(waitingJob.spec.jobId()) != waitingJob);
     }
 
     /**
      * Leaves room here to work that comes first and that the leader is placing, where it could go. A leader that hasn't used the room in
      * this time can't; waiting on would idle the block.
      */
-    private void ahead(Plan plan, List<Job> chiefWaits) {
-        leaderSince.keySet().retainAll(Set.copyOf(chiefWaits));
-        Unmet none = new Unmet();
-        for (Job j : chiefWaits) {
-            JobSpec s = j.spec;
-            boolean room = !none.covers(s) && room(plan, s);
-            if (!room) {
-                none.add(s);
-                leaderSince.remove(j);
-            } else if (loop.now() - leaderSince.computeIfAbsent(j, x -> loop.now()) > Constants.LEADER_FIRST_MS) {
+    private void leaveRoomToLeader(Plan plan, List<Job> jobsAtLeader) {
+        roomForLeaderSinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
+        Unmet unsatisfiable = new Unmet();
+        for (Job job : jobsAtLeader) {
+            JobSpec spec = job.spec;
+            boolean hasRoom = !unsatisfiable.covers(spec) && hasRoomFor(plan, spec);
+            if (!hasRoom) {
+                unsatisfiable.add(spec);
+                roomForLeaderSinceMillis.remove(job);
+            } else if (loop.nowMillis() - roomForLeaderSinceMillis.computeIfAbsent(job, x -> loop.nowMillis()) > Constants.LEADER_FIRST_MS) {
                 continue;
             }
-            for (Room.Kind k : plan.kinds.values()) {
-                if (k.allows(s)) {
-                    k.leftTo = Math.min(k.leftTo, plan.tier(j));
+            for (Room.Kind pool : plan.pools.values()) {
+                if (pool.allows(spec)) {
+                    pool.maxTier = Math.min(pool.maxTier, plan.tier(job));
                 }
             }
         }
     }
 
-    private static boolean room(Plan plan, JobSpec s) {
-        for (Room.Kind k : plan.kinds.values()) {
-            for (Room r : k.allows(s) ? k.rooms : List.<Room>of()) {
-                if (r.open() && r.cap(s) > 0) {
+    private static boolean hasRoomFor(Plan plan, JobSpec spec) {
+        for (Room.Kind pool : plan.pools.values()) {
+            for (Room machine : pool.allows(spec) ? pool.machines : List.<Room>of()) {
+                if (machine.hasFreeCapacity() && machine.taskCapacity(spec) > 0) {
                     return true;
                 }
             }
@@ -372,9 +372,9 @@
     private final class Elsewhere {
         private final Plan plan;
         /** Machines of other blocks that have room; read when first needed. */
-        private Map<List<Object>, Room.Kind> others;
+        private Map<List<Object>, Room.Kind> otherPools;
         /** Tasks that others had room for, of jobs that had too little of it. */
-        private final Map<JobSpec, Integer> found = new HashMap<>();
+        private final Map<JobSpec, Integer> tasksFound = new HashMap<>();
 
         Elsewhere(Plan plan) {
             this.plan = plan;
@@ -386,124 +386,124 @@
          * leader, who would then place all work alone. Little room counts when it lasts: it was left to a team at its limit whose
          * allowance lay with controllers without room, for as long as tasks run.
          */
-        boolean better(Job job, Set<Job> stuck) {
-            JobSpec s = job.spec;
-            if (plan.quota(s) < (s.gang() ? job.pendingCount() : 1)) {
+        boolean shouldEscalate(Job job, Set<Job> stuckJobs) {
+            JobSpec spec = job.spec;
+            if (plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? job.pendingTaskCount() : 1)) {
                 // Its team's allowance here is what it lacks; that comes to where the want is. But of two gangs on two
                 // controllers each could be given half of what it needs, for ever: the leader serves one after the other.
-                stuck.add(job);
-                return s.gang() && loop.now() - stuckSince.computeIfAbsent(job, j -> loop.now()) >= Constants.GANG_HAND_OVER_MS;
+                stuckJobs.add(job);
+                return spec.isGang() && loop.nowMillis() - stuckSinceMillis.computeIfAbsent(job, j -> loop.nowMillis()) >= Constants.GANG_HAND_OVER_MS;
             }
-            if (s.gang() || s.oneZone() || s.scatter() || plan.kinds.values().stream().noneMatch(k -> k.allows(s))) {
+            if (spec.isGang() || spec.zoneAffinity() || spec.zoneSpread() || plan.pools.values().stream().noneMatch(pool -> pool.allows(spec))) {
                 return true;
             }
-            stuck.add(job);
-            long since = stuckSince.computeIfAbsent(job, j -> loop.now());
-            if (loop.now() - since < Constants.HAND_OVER_AFTER_MS || loop.now() < elsewhereAt && others == null) {
+            stuckJobs.add(job);
+            long sinceMillis = stuckSinceMillis.computeIfAbsent(job, j -> loop.nowMillis());
+            if (loop.nowMillis() - sinceMillis < Constants.HAND_OVER_AFTER_MS || loop.nowMillis() < nextForeignScanMillis && otherPools == null) {
                 return false;
             }
-            elsewhereAt = loop.now() + Constants.ELSEWHERE_EVERY_MS;
-            int least = Math.min(job.pendingCount(), Constants.HAND_OVER_LEAST);
-            for (Map.Entry<JobSpec, Integer> f : found.entrySet()) {
-                if (f.getValue() < least && Unmet.harder(s, f.getKey())) {
+            nextForeignScanMillis = loop.nowMillis() + Constants.ELSEWHERE_EVERY_MS;
+            int minTasks = Math.min(job.pendingTaskCount(), Constants.HAND_OVER_LEAST);
+            for (Map.Entry<JobSpec, Integer> entry : tasksFound.entrySet()) {
+                if (entry.getValue() < minTasks && Unmet.isAtLeastAsDemanding(spec, entry.getKey())) {
                     return false;
                 }
             }
-            int n = 0;
-            String any = null;
-            boolean still = false;
-            Lasting before = lasting.get(job);
-            for (Room.Kind k : others().values()) {
-                for (Room r : k.allows(s) ? k.rooms : List.<Room>of()) {
-                    int cap = r.cap(s);
-                    n += cap;
-                    if (n >= least) {
+            int tasksElsewhere = 0;
+            String hostWithRoom = null;
+            boolean roomPersists = false;
+            Lasting previous = persistentRoom.get(job);
+            for (Room.Kind pool : otherPools().values()) {
+                for (Room machine : pool.allows(spec) ? pool.machines : List.<Room>of()) {
+                    int capacity = machine.taskCapacity(spec);
+                    tasksElsewhere += capacity;
+                    if (tasksElsewhere >= minTasks) {
                         return true;
                     }
-                    any = cap > 0 ? r.host : any;
-                    still |= cap > 0 && before != null && before.host.equals(r.host);
+                    hostWithRoom = capacity > 0 ? machine.host : hostWithRoom;
+                    roomPersists |= capacity > 0 && previous != null && previous.host.equals(machine.host);
                 }
             }
-            found.put(s, n);
-            if (any == null) {
-                lasting.remove(job);
-            } else if (!still) {
-                lasting.put(job, new Lasting(any, loop.now()));
+            tasksFound.put(spec, tasksElsewhere);
+            if (hostWithRoom == null) {
+                persistentRoom.remove(job);
+            } else if (!roomPersists) {
+                persistentRoom.put(job, new Lasting(hostWithRoom, loop.nowMillis()));
             }
             // Room for one serves one: all that wait here would else go to the leader for it. What low work leaves to urgent arrivals lasts, too.
-            boolean low = s.urgency() == JobSpec.Urgency.BEST_EFFORT && s.ordinary() && plan.reserve > 0;
-            if (low || !still || loop.now() - before.since < Constants.HAND_OVER_LASTING_MS) {
+            boolean bestEffort = spec.priority() == JobSpec.Urgency.BEST_EFFORT && spec.isUnconstrained() && plan.reservedCpus > 0;
+            if (bestEffort || !roomPersists || loop.nowMillis() - previous.sinceMillis < Constants.HAND_OVER_LASTING_MS) {
                 return false;
             }
-            lasting.clear();
+            persistentRoom.clear();
             return true;
         }
 
-        private Map<List<Object>, Room.Kind> others() {
-            if (others == null) {
-                Plan rest = new Plan(plan.block, false, 0, 0, 0);
-                for (MachineTable.Machine m : machines.all()) {
-                    Catalog.Shape shape = catalog.get(m.shape());
-                    if (blocks.owner(m.host()) != null && !plan.block.machines().containsKey(m.host()) && shape != null && !m.returning()
-                            && !m.closed() && images.known(m.host())) {
-                        rest.add(new Room(m.host(), rest.kind(shape, m.site(), m.spot()), false, jobs.load(m.host())));
+        private Map<List<Object>, Room.Kind> otherPools() {
+            if (otherPools == null) {
+                Plan others = new Plan(plan.shard, false, 0, 0, 0);
+                for (MachineTable.Machine machine : machines.all()) {
+                    Catalog.Shape machineType = catalog.get(machine.machineType());
+                    if (shards.ownerOf(machine.host()) != null && !plan.shard.fencingTokensByHost().containsKey(machine.host()) && machineType != null && !machine.releasing()
+                            && !machine.cordoned() && imageCaches.isKnown(machine.host())) {
+                        others.addMachine(new Room(machine.host(), others.pool(machineType, machine.zone(), machine.spot()), false, jobs.loadOf(machine.host())));
                     }
                 }
-                others = rest.kinds;
+                otherPools = others.pools;
             }
-            return others;
+            return otherPools;
         }
     }
 
     /** {@code urgent}: work waits for which it counts how soon a worker can be told. */
-    private void readRooms(Plan plan, boolean urgent) {
-        readMachines(plan);
-        seen.forEach((of, hosts) -> {
-            Catalog.Shape shape = catalog.get((String) of.get(0));
-            if (shape == null) {
+    private void collectFreeCapacity(Plan plan, boolean urgent) {
+        refreshUsableMachines(plan);
+        usableMachines.forEach((poolKey, poolMachines) -> {
+            Catalog.Shape machineType = catalog.get((String) poolKey.get(0));
+            if (machineType == null) {
                 return;
             }
-            Room.Kind kind = plan.kind(shape, (String) of.get(1), (Boolean) of.get(2));
-            for (Seen s : hosts) {
-                if (fitness.fit(s.owner, s.host)) {
-                    Room r = new Room(s.host, kind, s.inBlock, jobs.load(s.host));
-                    r.reachS = urgent ? fitness.reachS(s.host) : 0;
-                    plan.add(r);
+            Room.Kind pool = plan.pool(machineType, (String) poolKey.get(1), (Boolean) poolKey.get(2));
+            for (Seen usable : poolMachines) {
+                if (machineStatus.isAcceptingTasks(usable.owner, usable.host)) {
+                    Room machine = new Room(usable.host, pool, usable.inOwnShard, jobs.loadOf(usable.host));
+                    machine.reachSeconds = urgent ? machineStatus.secondsToReach(usable.host) : 0;
+                    plan.addMachine(machine);
                 }
             }
         });
-        plan.kinds.values().removeIf(k -> k.rooms.isEmpty());
-        plan.kinds.values().forEach(k -> k.sought = kinds.cardsWanted(k.shape, k.site, k.spot));
+        plan.pools.values().removeIf(k -> k.machines.isEmpty());
+        plan.pools.values().forEach(k -> k.gpusInDemand = constrainedDemand.isGpuInDemand(k.machineType, k.zone, k.spot));
     }
 
     /** Most rounds see the same machines as the one before. */
-    private void readMachines(Plan plan) {
-        if (seenMachines == machines.version() && seenBlocks == blocks.version() && seenLeading == plan.leading) {
+    private void refreshUsableMachines(Plan plan) {
+        if (seenMachinesVersion == machines.version() && seenShardsVersion == shards.shardVersion() && seenAsLeader == plan.leading) {
             return;
         }
-        seenMachines = machines.version();
-        seenBlocks = blocks.version();
-        seenLeading = plan.leading;
-        seen.clear();
-        Map<String, Long> mine = plan.block.machines();
+        seenMachinesVersion = machines.version();
+        seenShardsVersion = shards.shardVersion();
+        seenAsLeader = plan.leading;
+        usableMachines.clear();
+        Map<String, Long> ownMachines = plan.shard.fencingTokensByHost();
         if (plan.leading) {
-            for (MachineTable.Machine m : machines.all()) {
-                readMachine(m, mine.containsKey(m.host()));
+            for (MachineTable.Machine machine : machines.all()) {
+                addIfUsable(machine, ownMachines.containsKey(machine.host()));
             }
         } else {
-            for (String host : mine.keySet()) {
-                MachineTable.Machine m = machines.get(host);
-                if (m != null) {
-                    readMachine(m, true);
+            for (String host : ownMachines.keySet()) {
+                MachineTable.Machine machine = machines.get(host);
+                if (machine != null) {
+                    addIfUsable(machine, true);
                 }
             }
         }
     }
 
-    private void readMachine(MachineTable.Machine m, boolean inBlock) {
-        String owner = blocks.owner(m.host());
-        if (!m.returning() && !m.closed() && owner != null) {
-            seen.computeIfAbsent(List.of(m.shape(), m.site(), m.spot()), k -> new ArrayList<>()).add(new Seen(m.host(), owner, inBlock));
+    private void addIfUsable(MachineTable.Machine machine, boolean inOwnShard) {
+        String owner = shards.ownerOf(machine.host());
+        if (!machine.releasing() && !machine.cordoned() && owner != null) {
+            usableMachines.computeIfAbsent(List.of(machine.machineType(), machine.zone(), machine.spot()), k -> new ArrayList<>()).add(new Seen(machine.host(), owner, inOwnShard));
         }
     }
 }
--- a/src/main/java/io/quincelead/placing/Room.java
+++ b/src/main/java/io/quincelead/placing/Room.java
@@ -11,121 +11,121 @@
 final class Room {
     /** What machines that every job sees alike have in common: type, zone and kind of rental. */
     static final class Kind {
-        final Catalog.Shape shape;
-        final String site;
+        final Catalog.Shape machineType;
+        final String zone;
         final boolean spot;
         /** Whether other work needs their GPUs. */
-        boolean sought;
+        boolean gpusInDemand;
         /** Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the leader is placing some. */
-        int leftTo = Integer.MAX_VALUE;
-        final List<Room> rooms = new ArrayList<>();
+        int maxTier = Integer.MAX_VALUE;
+        final List<Room> machines = new ArrayList<>();
 
-        Kind(Catalog.Shape shape, String site, boolean spot) {
-            this.shape = shape;
-            this.site = site;
+        Kind(Catalog.Shape machineType, String zone, boolean spot) {
+            this.machineType = machineType;
+            this.zone = zone;
             this.spot = spot;
         }
 
         /** Whether the job should go there: it may, nobody who comes first is about to, and it takes no GPUs from those who seek them. */
-        boolean suits(JobSpec s, int tier) {
-            return allows(s) && leftTo >= tier && !(sought && s.cards() == 0 && s.shapes() == null);
+        boolean suits(JobSpec spec, int tier) {
+            return allows(spec) && maxTier >= tier && !(gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null);
         }
 
         /** Whether the job's own demands let it go there. */
-        boolean allows(JobSpec s) {
-            return mayRun(s) && shape.holds(s);
+        boolean allows(JobSpec spec) {
+            return matchesConstraints(spec) && machineType.fits(spec);
         }
 
         /** Tasks of the job that an empty one holds. */
-        int most(JobSpec s) {
-            return Tebas.remainCap(shape.vcpus(), shape.ramGb(), shape.cards(), s.vcpus(), s.ramGb(), s.cards());
+        int tasksPerEmptyMachine(JobSpec spec) {
+            return Tebas.taskCapacity(machineType.cpus(), machineType.memoryGb(), machineType.gpus(), spec.cpus(), spec.memoryGb(), spec.gpus());
         }
 
         /** Whether it is one of the machines that the job names. */
-        boolean mayRun(JobSpec s) {
-            return Catalog.allowed(s, shape.label()) && (s.site() == null || s.site().equals(site)) && (s.preemptible() || !spot);
+        boolean matchesConstraints(JobSpec spec) {
+            return Catalog.isAllowed(spec, machineType.name()) && (spec.zone() == null || spec.zone().equals(zone)) && (spec.preemptible() || !spot);
         }
     }
 
     final String host;
-    final Kind kind;
-    final boolean inBlock;
+    final Kind pool;
+    final boolean inOwnShard;
     /** It runs empty for a task of this tier that needs more of it than is free: only work of a smaller one may take from it. */
-    int heldFor = Integer.MAX_VALUE;
+    int reservedForTier = Integer.MAX_VALUE;
     /** Seconds until its worker can be told of a start. */
-    double reachS;
-    private double cpu;
-    private double ram;
-    private double gpu;
+    double reachSeconds;
+    private double freeCpus;
+    private double freeMemoryGb;
+    private double freeGpus;
     /** Room that tasks being stopped will leave, less what has been promised of it. */
-    private double soonCpu;
-    private double soonRam;
-    private double soonGpu;
+    private double upcomingCpus;
+    private double upcomingMemoryGb;
+    private double upcomingGpus;
 
     /** {@code load}: what is there; null for nothing. */
-    Room(String host, Kind kind, boolean inBlock, HostLoad load) {
+    Room(String host, Kind pool, boolean inOwnShard, HostLoad load) {
         this.host = host;
-        this.kind = kind;
-        this.inBlock = inBlock;
-        this.cpu = soonCpu = kind.shape.vcpus();
-        this.ram = soonRam = kind.shape.ramGb();
-        this.gpu = soonGpu = kind.shape.cards();
+        this.pool = pool;
+        this.inOwnShard = inOwnShard;
+        this.freeCpus = upcomingCpus = pool.machineType.cpus();
+        this.freeMemoryGb = upcomingMemoryGb = pool.machineType.memoryGb();
+        this.freeGpus = upcomingGpus = pool.machineType.gpus();
         if (load != null) {
-            cpu -= load.cpus();
-            ram -= load.ramGb();
-            gpu -= load.cards();
-            soonCpu = cpu + load.leavingCpus();
-            soonRam = ram + load.leavingRamGb();
-            soonGpu = gpu + load.leavingCards();
+            freeCpus -= load.cpus();
+            freeMemoryGb -= load.memoryGb();
+            freeGpus -= load.gpus();
+            upcomingCpus = freeCpus + load.stoppingCpus();
+            upcomingMemoryGb = freeMemoryGb + load.stoppingMemoryGb();
+            upcomingGpus = freeGpus + load.stoppingGpus();
         }
     }
 
     /** The job's tasks go there. */
-    void take(JobSpec s, int n) {
-        cpu -= n * s.vcpus();
-        ram -= n * s.ramGb();
-        gpu -= n * s.cards();
-        takeSoon(s, n);
+    void allocate(JobSpec spec, int tasks) {
+        freeCpus -= tasks * spec.cpus();
+        freeMemoryGb -= tasks * spec.memoryGb();
+        freeGpus -= tasks * spec.gpus();
+        allocateUpcoming(spec, tasks);
     }
 
-    void takeSoon(JobSpec s, int n) {
-        soonCpu -= n * s.vcpus();
-        soonRam -= n * s.ramGb();
-        soonGpu -= n * s.cards();
+    void allocateUpcoming(JobSpec spec, int tasks) {
+        upcomingCpus -= tasks * spec.cpus();
+        upcomingMemoryGb -= tasks * spec.memoryGb();
+        upcomingGpus -= tasks * spec.gpus();
     }
 
     /** A task that held room is being stopped. */
-    void leaves(JobSpec s) {
-        takeSoon(s, -1);
+    void releaseUpcoming(JobSpec spec) {
+        allocateUpcoming(spec, -1);
     }
 
     /** Whether anything at all could still be placed. */
-    boolean open() {
-        return cpu > 1e-6 && ram > 1e-6;
+    boolean hasFreeCapacity() {
+        return freeCpus > 1e-6 && freeMemoryGb > 1e-6;
     }
 
     double freeCpus() {
-        return cpu;
+        return freeCpus;
     }
 
-    int cap(JobSpec s) {
-        return Tebas.remainCap(cpu, ram, gpu, s.vcpus(), s.ramGb(), s.cards());
+    int taskCapacity(JobSpec spec) {
+        return Tebas.taskCapacity(freeCpus, freeMemoryGb, freeGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 
     /** The same if these left, too. */
-    int soonCapWith(List<Placement> leaving, JobSpec s) {
-        double c = soonCpu;
-        double m = soonRam;
-        double g = soonGpu;
-        for (Placement p : leaving) {
-            c += p.job.spec.vcpus();
-            m += p.job.spec.ramGb();
-            g += p.job.spec.cards();
+    int upcomingTaskCapacityWith(List<Placement> leaving, JobSpec spec) {
+        double cpus = upcomingCpus;
+        double memoryGb = upcomingMemoryGb;
+        double gpus = upcomingGpus;
+        for (Placement placement : leaving) {
+            cpus += placement.job.spec.cpus();
+            memoryGb += placement.job.spec.memoryGb();
+            gpus += placement.job.spec.gpus();
         }
-        return Tebas.remainCap(c, m, g, s.vcpus(), s.ramGb(), s.cards());
+        return Tebas.taskCapacity(cpus, memoryGb, gpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 
-    int soonCap(JobSpec s) {
-        return Tebas.remainCap(soonCpu, soonRam, soonGpu, s.vcpus(), s.ramGb(), s.cards());
+    int upcomingTaskCapacity(JobSpec spec) {
+        return Tebas.taskCapacity(upcomingCpus, upcomingMemoryGb, upcomingGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 }
--- a/src/main/java/io/quincelead/placing/Rounds.java
+++ b/src/main/java/io/quincelead/placing/Rounds.java
@@ -41,85 +41,85 @@
 public final class Rounds {
     private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
 
-    /** States of the round; {@link #become} is the one function that changes them. */
+    /** States of the round; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
         /** Nothing to do. */
         IDLE,
         /** It runs after the gap. */
-        DUE,
+        SCHEDULED,
         /** It was due and could not be made; it is tried again after a pause that nobody shortens. */
-        PUT_OFF,
+        BACKING_OFF,
         /** Its change is on its way to the store. */
         COMMITTING
     }
 
     private final Loop loop;
     private final Settings settings;
-    private final Session session;
-    private final Mirror mirror;
+    private final Session membership;
+    private final Mirror watchCache;
     private final StoreClient store;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Runnable settled;
+    private final Runnable onCycleSettled;
     private final Policy policy;
-    private Desk desk;
+    private Desk workerGateway;
     private Leader leader;
     private Peers peers;
     private Phase phase = Phase.IDLE;
-    private boolean again;
+    private boolean cycleRequestedMeanwhile;
     /** Whether the last plan had more to write than one change holds. */
-    private boolean full;
-    private long lastRound;
+    private boolean lastPlanTruncated;
+    private long lastCycleMillis;
     /** When the round that is due runs; far off if none is. A timer that finds another time here is out of date. */
-    private long dueAt = Long.MAX_VALUE;
-    private final QueuePass queue;
+    private long scheduledAtMillis = Long.MAX_VALUE;
+    private final QueuePass queuePass;
     /** Two rounds that know nothing of each other may use up the same allowance, or choose two zones for one job. */
     private final Fence fence;
     /** Chunks with ends that aren't on record, and when they should be. */
-    private final Map<Ref, Long> ended = new LinkedHashMap<>();
-    private record Ref(Job job, int chunk) { }
+    private final Map<Ref, Long> unrecordedTerminations = new LinkedHashMap<>();
+    private record Ref(Job job, int pageIndex) { }
 
     /** Urgent jobs that are being submitted: recorded by the next round, with their first places if there are any. */
-    private final ArrayDeque<Newcomer> newcomers = new ArrayDeque<>();
+    private final ArrayDeque<Newcomer> enteringJobs = new ArrayDeque<>();
 
-    private record Newcomer(Job job, long deadline, Txn.Done done) { }
+    private record Newcomer(Job job, long deadlineMillis, Txn.Done onOutcome) { }
 
-    public Rounds(Loop loop, Settings settings, OperatorSettings operator, Session session, Mirror mirror, StoreClient store,
-            Blocks blocks, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches images, Kinds kinds, Policy policy,
-            Runnable settled) {
+    public Rounds(Loop loop, Settings settings, OperatorSettings operatorSettings, Session membership, Mirror watchCache, StoreClient store,
+            Blocks shards, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches imageCaches, Kinds constrainedDemand, Policy policy,
+            Runnable onCycleSettled) {
         this.policy = policy;
         this.loop = loop;
         this.settings = settings;
-        this.session = session;
-        this.mirror = mirror;
+        this.membership = membership;
+        this.watchCache = watchCache;
         this.store = store;
-        this.blocks = blocks;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
-        this.settled = settled;
-        this.fence = new Fence(loop, store, mirror, Keys.BLOCK + settings.member(), () -> blocks.mine() == null ? null
-                : new Txn().guard(blocks.mine().key(), mirror.stamp(blocks.mine().key())).put(blocks.mine().key(), blocks.mine().encode(), session.grant()));
-        this.queue = new QueuePass(loop, settings, operator, store, blocks, jobs, machines, catalog, images, kinds, policy, new QueuePass.Machines() {
-            @Override public boolean fit(String owner, String host) {
-                Own own = desk.own(host);
-                return owner.equals(settings.member()) ? own != null && own.fit() : peers.fit(owner, host);
+        this.onCycleSettled = onCycleSettled;
+        this.fence = new Fence(loop, store, watchCache, Keys.SHARD_PREFIX + settings.memberId(), () -> shards.localShard() == null ? null
+                : new Txn().requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey())).put(shards.localShard().storeKey(), shards.localShard().encode(), membership.leaseId()));
+        this.queuePass = new QueuePass(loop, settings, operatorSettings, store, shards, jobs, machines, catalog, imageCaches, constrainedDemand, policy, new QueuePass.Machines() {
+            @Override public boolean isAcceptingTasks(String owner, String host) {
+                Own own = workerGateway.worker(host);
+                return owner.equals(settings.memberId()) ? own != null && own.isSchedulable() : peers.isReportedSchedulable(owner, host);
             }
 
-            @Override public double reachS(String host) {
-                Own own = desk.own(host);
-                return own != null ? own.reachS() : settings.workers().reportS() / 2;
+            @Override public double secondsToReach(String host) {
+                Own own = workerGateway.worker(host);
+                return own != null ? own.startDelaySeconds() : settings.workerTimings().heartbeatSeconds() / 2;
             }
         });
     }
 
-    public void wire(Desk d, Leader l, Peers p) {
-        desk = d;
-        leader = l;
-        peers = p;
+    public void setCollaborators(Desk gateway, Leader newLeader, Peers messenger) {
+        workerGateway = gateway;
+        leader = newLeader;
+        peers = messenger;
     }
 
-    private void become(Phase next) {
+    private void transitionTo(Phase next) {
         phase = next;
     }
 
@@ -127,285 +127,285 @@
      * Takes in an urgent job that is being submitted. One change then records both that it is accepted and where its tasks
      * go, and its first start can leave as soon as its user is answered.
      */
-    public boolean take(Job job, long patienceMs, Txn.Done done) {
-        boolean urgent = job.spec.urgency().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
-        if (!urgent || !job.single() || !session.valid() || blocks.mine() == null || newcomers.size() >= Constants.MAX_WAITING_COMMITS
-                || newcomers.stream().anyMatch(n -> n.job.spec.id().equals(job.spec.id()))) {
+    public boolean admit(Job job, long patienceMillis, Txn.Done onOutcome) {
+        boolean urgent = job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+        if (!urgent || !job.hasSinglePage() || !membership.isValid() || shards.localShard() == null || enteringJobs.size() >= Constants.MAX_WAITING_COMMITS
+                || enteringJobs.stream().anyMatch(n -> n.job.spec.jobId().equals(job.spec.jobId()))) {
             return false;
         }
-        newcomers.addLast(new Newcomer(job, loop.now() + patienceMs, done));
-        wake();
+        enteringJobs.addLast(new Newcomer(job, loop.nowMillis() + patienceMillis, onOutcome));
+        requestCycle();
         return true;
     }
 
-    private void expireNewcomers() {
-        while (!newcomers.isEmpty() && newcomers.peekFirst().deadline < loop.now()) {
-            newcomers.pollFirst().done.got(new Txn.Outcome(Txn.Result.REFUSED, 0, Set.of()));
+    private void expireEnteringJobs() {
+        while (!enteringJobs.isEmpty() && enteringJobs.peekFirst().deadlineMillis < loop.nowMillis()) {
+            enteringJobs.pollFirst().onOutcome.onOutcome(new Txn.Outcome(Txn.Result.REJECTED, 0, Set.of()));
         }
     }
 
     /** Tells what became of the round to those who entered with it; who isn't concerned by a conflict tries again. */
-    private void answer(List<Newcomer> entering, Txn.Outcome outcome) {
+    private void answerEnteringJobs(List<Newcomer> entering, Txn.Outcome outcome) {
         for (int i = entering.size() - 1; i >= 0; i--) {
-            Newcomer n = entering.get(i);
-            boolean known = outcome.failed().contains(n.job.key()) || outcome.failed().contains(Keys.FINAL + n.job.spec.id());
-            if (outcome.result() == Txn.Result.BUSY || outcome.result() == Txn.Result.CONFLICT && !known) {
-                newcomers.addFirst(n);
+            Newcomer entry = entering.get(i);
+            boolean concernsThisJob = outcome.failedKeys().contains(entry.job.storeKey()) || outcome.failedKeys().contains(Keys.FINAL_STATE_PREFIX + entry.job.spec.jobId());
+            if (outcome.result() == Txn.Result.THROTTLED || outcome.result() == Txn.Result.CONFLICT && !concernsThisJob) {
+                enteringJobs.addFirst(entry);
             } else {
-                n.done.got(outcome);
+                entry.onOutcome.onOutcome(outcome);
             }
         }
     }
 
-    public boolean pending() {
+    public boolean isCyclePending() {
         return phase != Phase.IDLE;
     }
 
     /** Something changed: a round follows, together with whatever else comes within the gap. */
-    public void wake() {
+    public void requestCycle() {
         // Who is being submitted isn't kept waiting, nor what a full change had no room for; all else gathers longer while
         // changes are short, and shares records.
-        wake(full || !newcomers.isEmpty() ? Constants.ROUND_GAP_MS : store.paced(Constants.ROUND_GAP_MS, Constants.ROUND_GAP_MAX_MS));
+        requestCycleAfterGap(lastPlanTruncated || !enteringJobs.isEmpty() ? Constants.ROUND_GAP_MS : store.throttledDelayMillis(Constants.ROUND_GAP_MS, Constants.ROUND_GAP_MAX_MS));
     }
 
-    private void wake(long gapMs) {
+    private void requestCycleAfterGap(long gapMillis) {
         if (phase == Phase.IDLE) {
-            become(Phase.DUE);
+            transitionTo(Phase.SCHEDULED);
         }
-        if (phase == Phase.DUE) {
-            due(lastRound + gapMs);
+        if (phase == Phase.SCHEDULED) {
+            scheduleAt(lastCycleMillis + gapMillis);
         } else if (phase == Phase.COMMITTING) {
             // What came after the plan was made isn't in it: evidence would otherwise wait for the next event.
-            again = true;
+            cycleRequestedMeanwhile = true;
         }
     }
 
     /** Runs the round then, unless it is to run sooner. */
-    private void due(long at) {
-        if (at >= dueAt) {
+    private void scheduleAt(long atMillis) {
+        if (atMillis >= scheduledAtMillis) {
             return;
         }
-        dueAt = at;
-        loop.after(Math.max(1, at - loop.now()), () -> {
-            if (dueAt == at) {
-                run();
+        scheduledAtMillis = atMillis;
+        loop.runAfter(Math.max(1, atMillis - loop.nowMillis()), () -> {
+            if (scheduledAtMillis == atMillis) {
+                runCycle();
             }
         });
     }
 
-    private void putOff(long ms) {
-        become(Phase.PUT_OFF);
-        due(loop.now() + ms);
+    private void backOff(long delayMillis) {
+        transitionTo(Phase.BACKING_OFF);
+        scheduleAt(loop.nowMillis() + delayMillis);
     }
 
     /**
      * There is evidence of an end. It counts here at once; on record it may come later, gathered with others of its
      * chunk, unless somebody else waits to hear of it: the task's next start, another controller, or the leader for room.
      */
-    public void over(Placement p) {
-        boolean ours = p.job.controller.equals(settings.member());
-        boolean gone = p.phase() == Placement.Phase.GONE;
+    public void onTaskTerminated(Placement placement) {
+        boolean ownJob = placement.job.controllerId.equals(settings.memberId());
+        boolean gone = placement.phase() == Placement.Phase.GONE;
         // Low work that was displaced can wait for its next place while changes are short; others want theirs at once.
-        boolean patient = gone && p.job.spec.urgency() == JobSpec.Urgency.BEST_EFFORT && store.pressure() > Constants.PRESSED;
-        boolean soon = gone && !patient || p.job.spec.gang() || p.job.cancelled();
-        int number = p.index / Constants.CHUNK_TASKS;
-        boolean told = queue.leaderCouldUse(p.host) || !ours && p.job.chunk(number).placed.stream().allMatch(Placement::over);
-        long pause = soon ? 0 : told ? Constants.END_TELL_MS
-                : store.paced(ours ? Constants.END_GATHER_MS : Constants.END_TELL_MS, Constants.END_GATHER_MAX_MS);
-        ended.merge(new Ref(p.job, number), loop.now() + pause, Math::min);
-        if (soon || queue.waiting()) {
-            wake();
+        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Urgency.BEST_EFFORT && store.backpressure() > Constants.PRESSED;
+        boolean urgent = gone && !canWait || placement.job.spec.isGang() || placement.job.isCancelled();
+        int pageIndex = placement.taskIndex / Constants.CHUNK_TASKS;
+        boolean awaitedElsewhere = queuePass.canLeaderUse(placement.host) || !ownJob && placement.job.page(pageIndex).placements.stream().allMatch(Placement::isTerminated);
+        long delayMillis = urgent ? 0 : awaitedElsewhere ? Constants.END_TELL_MS
+                : store.throttledDelayMillis(ownJob ? Constants.END_GATHER_MS : Constants.END_TELL_MS, Constants.END_GATHER_MAX_MS);
+        unrecordedTerminations.merge(new Ref(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
+        if (urgent || queuePass.hasWorkWaiting()) {
+            requestCycle();
         }
     }
 
     /** Wakes a round if work waits or an end should be on record by now. */
-    public void look() {
-        boolean due = blocks.mine() != null && ended.values().stream().anyMatch(t -> t <= loop.now());
-        if (due || work()) {
-            wake();
+    public void requestCycleIfNeeded() {
+        boolean terminationDue = shards.localShard() != null && unrecordedTerminations.values().stream().anyMatch(t -> t <= loop.nowMillis());
+        if (terminationDue || hasWaitingWork()) {
+            requestCycle();
         }
     }
 
-    private boolean work() {
-        if (blocks.mine() == null) {
+    private boolean hasWaitingWork() {
+        if (shards.localShard() == null) {
             return false;
         }
-        for (Job j : jobs.all()) {
-            if (!j.cancelled() && j.pendingCount() > 0 && j.controller.equals(settings.member()) || j.spec.gang()) {
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.pendingTaskCount() > 0 && job.controllerId.equals(settings.memberId()) || job.spec.isGang()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void run() {
-        lastRound = loop.now();
-        dueAt = Long.MAX_VALUE;
-        expireNewcomers();
-        if (!session.valid() || blocks.mine() == null || !mirror.synced()) {
+    private void runCycle() {
+        lastCycleMillis = loop.nowMillis();
+        scheduledAtMillis = Long.MAX_VALUE;
+        expireEnteringJobs();
+        if (!membership.isValid() || shards.localShard() == null || !watchCache.isSynced()) {
             // Evidence may be waiting: the round is only put off, or nothing might wake it again.
-            putOff(Constants.RETRY_MS);
+            backOff(Constants.RETRY_MS);
             return;
         }
-        if (!fence.clear()) {
-            putOff(Constants.RETRY_MS);
+        if (!fence.trySettle()) {
+            backOff(Constants.RETRY_MS);
             return;
         }
-        int changes = Math.min(store.affordable(), store.txnOps());
-        boolean entering = !newcomers.isEmpty() && store.urgentAffordable();
-        if (entering) {
-            changes = Math.max(changes, Math.min(newcomers.size(), store.txnOps()));
-        } else if (changes < Math.min(Math.max(Constants.ROUND_LEAST_CHANGES, queue.gangChanges()), store.txnOps())) {
+        int writeBudget = Math.min(store.affordableWrites(), store.maxTransactionOperations());
+        boolean admitting = !enteringJobs.isEmpty() && store.canAffordUrgentWrite();
+        if (admitting) {
+            writeBudget = Math.max(writeBudget, Math.min(enteringJobs.size(), store.maxTransactionOperations()));
+        } else if (writeBudget < Math.min(Math.max(Constants.ROUND_LEAST_CHANGES, queuePass.largestGangPages()), store.maxTransactionOperations())) {
             // Over our share of the store's limit: a plan made now would be out of date when it may be written.
-            putOff(Constants.BUSY_PAUSE_MS);
+            backOff(Constants.BUSY_PAUSE_MS);
             return;
         }
-        List<Newcomer> taken = new ArrayList<>();
-        while (entering && !newcomers.isEmpty() && taken.size() < Plan.most(changes, blocks.all().size(), store.txnOps())) {
-            Newcomer n = newcomers.pollFirst();
-            if (jobs.get(n.job.spec.id()) == null) {
-                taken.add(n);
+        List<Newcomer> admitted = new ArrayList<>();
+        while (admitting && !enteringJobs.isEmpty() && admitted.size() < Plan.maxRecords(writeBudget, shards.shards().size(), store.maxTransactionOperations())) {
+            Newcomer entry = enteringJobs.pollFirst();
+            if (jobs.get(entry.job.spec.jobId()) == null) {
+                admitted.add(entry);
             } else {
                 // Recorded since it was taken in, by another submission of the same job: it must not be told as new, nor be planned twice.
-                n.done.got(new Txn.Outcome(Txn.Result.CONFLICT, 0, Set.of(n.job.key())));
+                entry.onOutcome.onOutcome(new Txn.Outcome(Txn.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
             }
         }
         Plan plan;
         try {
-            plan = plan(changes, taken.stream().map(Newcomer::job).toList());
-        } catch (RuntimeException e) {
+            plan = makePlan(writeBudget, admitted.stream().map(Newcomer::job).toList());
+        } catch (RuntimeException failure) {
             // A defect must not end all rounds: this one is given up, and what waits for it is looked at again.
-            become(Phase.IDLE);
-            answer(taken, new Txn.Outcome(Txn.Result.REFUSED, 0, Set.of()));
-            throw e;
+            transitionTo(Phase.IDLE);
+            answerEnteringJobs(admitted, new Txn.Outcome(Txn.Result.REJECTED, 0, Set.of()));
+            throw failure;
         }
         // Where the store's budget is what limits a change, another one right after it would be no fuller.
-        full = plan.truncated && changes >= store.txnOps();
-        if (plan.txn.isEmpty()) {
-            become(Phase.IDLE);
-            settled.run();
+        lastPlanTruncated = plan.truncated && writeBudget >= store.maxTransactionOperations();
+        if (plan.transaction.isEmpty()) {
+            transitionTo(Phase.IDLE);
+            onCycleSettled.run();
             return;
         }
-        boolean more = plan.truncated || !plan.misfits.isEmpty() || !newcomers.isEmpty();
-        become(Phase.COMMITTING);
-        again = false;
-        store.commit(plan.txn, outcome -> {
-            become(Phase.IDLE);
-            fence.heard(plan.txn, outcome);
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(plan.txn, outcome.generation());
+        boolean moreToDo = plan.truncated || !plan.jobsToEscalate.isEmpty() || !enteringJobs.isEmpty();
+        transitionTo(Phase.COMMITTING);
+        cycleRequestedMeanwhile = false;
+        store.commit(plan.transaction, outcome -> {
+            transitionTo(Phase.IDLE);
+            fence.onOutcome(plan.transaction, outcome);
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(plan.transaction, outcome.storeRevision());
             }
-            answer(taken, outcome);
+            answerEnteringJobs(admitted, outcome);
             switch (outcome.result()) {
-                case DONE -> {
-                    if (more || again) {
-                        wake();
+                case COMMITTED -> {
+                    if (moreToDo || cycleRequestedMeanwhile) {
+                        requestCycle();
                     }
                 }
                 case CONFLICT -> {
-                    LOG.debug("round: conflict on {}", outcome.failed());
-                    loop.after(Constants.ROUND_GAP_MS, this::wake);
+                    LOG.debug("round: conflict on {}", outcome.failedKeys());
+                    loop.runAfter(Constants.ROUND_GAP_MS, this::requestCycle);
                 }
                 // Refused: nothing happened, the plan is made anew. Unknown: the same, once the fence has settled it.
-                default -> loop.after(Constants.RETRY_MS, this::wake);
+                default -> loop.runAfter(Constants.RETRY_MS, this::requestCycle);
             }
-            settled.run();
+            onCycleSettled.run();
         });
     }
 
-    private Plan plan(int changes, List<Job> entering) {
-        Plan plan = new Plan(blocks.mine(), leader.leading(), blocks.all().size(), changes, store.txnOps());
-        plan.entering.addAll(entering);
-        entering.forEach(j -> plan.edit(j, 0));
-        gangsWithLosses(plan);
-        drains(plan);
-        queue.place(plan, peers.heard() ? blocks.leader() : null, new QueuePass.Ends() {
-            @Override public void record(Plan p) {
-                ends(p);
+    private Plan makePlan(int writeBudget, List<Job> admitted) {
+        Plan plan = new Plan(shards.localShard(), leader.isLeading(), shards.shards().size(), writeBudget, store.maxTransactionOperations());
+        plan.enteringJobs.addAll(admitted);
+        admitted.forEach(j -> plan.edit(j, 0));
+        stopBrokenGangs(plan);
+        drainMachines(plan);
+        queuePass.placeWaitingJobs(plan, peers.isAcknowledgedByLeader() ? shards.leaderId() : null, new QueuePass.Ends() {
+            @Override public void recordDue(Plan p) {
+                recordDueTerminations(p);
             }
 
-            @Override public void free(Plan p, JobSpec s, int tasks) {
-                freeAllowance(p, s, tasks);
+            @Override public void recordForQuota(Plan p, JobSpec s, int tasks) {
+                recordTerminationsForQuota(p, s, tasks);
             }
         });
-        encode(plan);
-        handOver(plan);
+        encodePlan(plan);
+        escalateToLeader(plan);
         return plan;
     }
 
     /** Puts the ends on record that are due; a chunk that is written anyway takes all its ends along. */
-    private void ends(Plan plan) {
-        long now = loop.now();
-        for (Map.Entry<Ref, Long> x : new ArrayList<>(ended.entrySet())) {
-            Ref ref = x.getKey();
-            Chunk c = jobs.get(ref.job.spec.id()) == ref.job ? ref.job.chunks[ref.chunk] : null;
-            if (c == null || c.placed.stream().noneMatch(Placement::over)) {
-                ended.remove(ref);
-            } else if (x.getValue() <= now) {
-                Chunk.Edit e = plan.edit(ref.job, ref.chunk);
-                if (e == null) {
+    private void recordDueTerminations(Plan plan) {
+        long nowMillis = loop.nowMillis();
+        for (Map.Entry<Ref, Long> entry : new ArrayList<>(unrecordedTerminations.entrySet())) {
+            Ref ref = entry.getKey();
+            Chunk page = jobs.get(ref.job.spec.jobId()) == ref.job ? ref.job.pages[ref.pageIndex] : null;
+            if (page == null || page.placements.stream().noneMatch(Placement::isTerminated)) {
+                unrecordedTerminations.remove(ref);
+            } else if (entry.getValue() <= nowMillis) {
+                Chunk.Edit edit = plan.edit(ref.job, ref.pageIndex);
+                if (edit == null) {
                     return;
                 }
-                if (ref.job.spec.gang() && c.placed.stream().anyMatch(p -> p.phase() == Placement.Phase.DONE)) {
-                    gangDone(plan, ref.job);
+                if (ref.job.spec.isGang() && page.placements.stream().anyMatch(p -> p.phase() == Placement.Phase.COMPLETED)) {
+                    completeGang(plan, ref.job);
                 }
             }
         }
     }
 
-    private void freeAllowance(Plan plan, JobSpec s, int tasks) {
-        for (Ref ref : ended.keySet()) {
-            if (plan.quota(s) >= tasks || plan.full()) {
+    private void recordTerminationsForQuota(Plan plan, JobSpec spec, int tasks) {
+        for (Ref ref : unrecordedTerminations.keySet()) {
+            if (plan.tasksWithinQuotaShare(spec) >= tasks || plan.isFull()) {
                 return;
             }
             Job job = ref.job;
-            if (job.spec.owner().equals(s.owner()) && job.controller.equals(settings.member()) && jobs.get(job.spec.id()) == job) {
-                plan.edit(job, ref.chunk);
+            if (job.spec.team().equals(spec.team()) && job.controllerId.equals(settings.memberId()) && jobs.get(job.spec.jobId()) == job) {
+                plan.edit(job, ref.pageIndex);
             }
         }
     }
 
     /** The tasks of a gang complete together: if one is done, all are. */
-    private void gangDone(Plan plan, Job job) {
-        for (int k = 0; k < job.chunks.length; k++) {
-            Chunk.Edit e = plan.edit(job, k);
-            for (int i = 0; e != null && i < e.chunk().size(); i++) {
-                e.done(e.chunk().first() + i);
+    private void completeGang(Plan plan, Job job) {
+        for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
+            Chunk.Edit edit = plan.edit(job, pageIndex);
+            for (int i = 0; edit != null && i < edit.page().taskCount(); i++) {
+                edit.markCompleted(edit.page().firstTaskIndex() + i);
             }
         }
     }
 
     /** A gang that lost a task can't go on: the rest is stopped, and the next attempt starts when all are gone. */
-    private void gangsWithLosses(Plan plan) {
+    private void stopBrokenGangs(Plan plan) {
         for (Job job : jobs.all()) {
-            if (!job.spec.gang() || job.placedCount() == 0 || job.cancelled()) {
+            if (!job.spec.isGang() || job.placedTaskCount() == 0 || job.isCancelled()) {
                 continue;
             }
-            boolean broken = job.placedCount() + job.doneCount() < job.spec.members();
-            for (Chunk c : job.chunks) {
-                for (Placement p : c == null ? List.<Placement>of() : c.placed) {
-                    broken |= p.stop || p.phase() == Placement.Phase.GONE;
+            boolean broken = job.placedTaskCount() + job.completedTaskCount() < job.spec.taskCount();
+            for (Chunk page : job.pages) {
+                for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
+                    broken |= placement.stopRequested || placement.phase() == Placement.Phase.GONE;
                 }
             }
-            if (broken && job.doneCount() == 0) {
-                stopAll(plan, job);
+            if (broken && job.completedTaskCount() == 0) {
+                stopAllTasks(plan, job);
             }
         }
     }
 
-    private void stopAll(Plan plan, Job job) {
-        for (Chunk c : job.chunks) {
-            for (Placement p : c == null ? List.<Placement>of() : c.placed) {
-                stop(plan, p);
+    private void stopAllTasks(Plan plan, Job job) {
+        for (Chunk page : job.pages) {
+            for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
+                stopTask(plan, placement);
             }
         }
     }
 
-    private static void stop(Plan plan, Placement p) {
-        if (!p.stop && !p.over()) {
-            Chunk.Edit e = plan.edit(p);
-            if (e != null) {
-                e.stop(p.index);
+    private static void stopTask(Plan plan, Placement placement) {
+        if (!placement.stopRequested && !placement.isTerminated()) {
+            Chunk.Edit edit = plan.edit(placement);
+            if (edit != null) {
+                edit.requestStop(placement.taskIndex);
             }
         }
     }
@@ -414,19 +414,19 @@
      * A machine with a spot notice is drained of what can save or has not begun; the rest may still finish in time.
      * From a closed machine, only what saves and has run for a while is moved, so that it can be returned sooner.
      */
-    private void drains(Plan plan) {
-        for (Own o : desk.owns()) {
-            boolean closed = machines.closed().contains(o.host);
-            if (!o.draining() && !closed) {
+    private void drainMachines(Plan plan) {
+        for (Own worker : workerGateway.workers()) {
+            boolean cordoned = machines.cordonedHosts().contains(worker.host);
+            if (!worker.isBeingReclaimed() && !cordoned) {
                 continue;
             }
-            for (Placement p : jobs.on(o.host).values()) {
-                JobSpec s = p.job.spec;
-                boolean saves = s.snapshotEveryS() > 0 || s.service();
-                boolean due = o.draining() ? saves || p.runningSince == 0
-                        : saves && !s.gang() && p.runningSince > 0 && loop.now() - p.runningSince > Constants.MOVE_AFTER_MS;
-                if (due && !p.job.cancelled()) {
-                    stop(plan, p);
+            for (Placement placement : jobs.placementsOn(worker.host).values()) {
+                JobSpec spec = placement.job.spec;
+                boolean checkpoints = spec.checkpointIntervalSeconds() > 0 || spec.isService();
+                boolean evict = worker.isBeingReclaimed() ? checkpoints || placement.runningSinceMillis == 0
+                        : checkpoints && !spec.isGang() && placement.runningSinceMillis > 0 && loop.nowMillis() - placement.runningSinceMillis > Constants.MOVE_AFTER_MS;
+                if (evict && !placement.job.isCancelled()) {
+                    stopTask(plan, placement);
                 }
             }
         }
@@ -434,35 +434,35 @@
 
     // ---- the write
 
-    private void encode(Plan plan) {
-        boolean any = false;
-        for (Map.Entry<Chunk, Chunk.Edit> x : plan.edits.entrySet()) {
-            Chunk.Edit e = x.getValue();
-            Job job = e.chunk().job;
-            if (plan.entering.contains(job)) {
-                String to = blocks.leader();
-                boolean leaders = !e.changed() && plan.misfits.contains(job) && to != null && blocks.of(to) != null;
-                plan.txn.guard(job.key(), 0).guard(Keys.FINAL + job.spec.id(), 0).put(job.key(), leaders ? job.encode(to, 0) : e.encode());
-                any |= e.changed();
+    private void encodePlan(Plan plan) {
+        boolean anyChange = false;
+        for (Map.Entry<Chunk, Chunk.Edit> entry : plan.edits.entrySet()) {
+            Chunk.Edit edit = entry.getValue();
+            Job job = edit.page().job;
+            if (plan.enteringJobs.contains(job)) {
+                String leaderId = shards.leaderId();
+                boolean assignedToLeader = !edit.isChanged() && plan.jobsToEscalate.contains(job) && leaderId != null && shards.shardOf(leaderId) != null;
+                plan.transaction.requireRevision(job.storeKey(), 0).requireRevision(Keys.FINAL_STATE_PREFIX + job.spec.jobId(), 0).put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
+                anyChange |= edit.isChanged();
                 continue;
             }
-            if (!e.changed()) {
+            if (!edit.isChanged()) {
                 continue;
             }
-            any = true;
-            plan.txn.put(e.chunk().key(), e.encode());
-            plan.txn.guard(e.chunk().key(), mirror.stamp(e.chunk().key()));
-            plan.txn.guard(job.key(), mirror.stamp(job.key()));
+            anyChange = true;
+            plan.transaction.put(edit.page().storeKey(), edit.encode());
+            plan.transaction.requireRevision(edit.page().storeKey(), watchCache.modRevision(edit.page().storeKey()));
+            plan.transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()));
         }
-        if (!any) {
+        if (!anyChange) {
             return;
         }
-        plan.txn.guard(plan.block.key(), mirror.stamp(plan.block.key()));
-        policy.guard(plan.txn);
+        plan.transaction.requireRevision(plan.shard.storeKey(), watchCache.modRevision(plan.shard.storeKey()));
+        policy.requireCurrentPolicy(plan.transaction);
         if (plan.leading) {
-            plan.txn.guard(Keys.LEAD, mirror.stamp(Keys.LEAD));
-            for (Blocks.Block b : blocks.all()) {
-                plan.txn.guard(b.key(), mirror.stamp(b.key()));
+            plan.transaction.requireRevision(Keys.LEADER, watchCache.modRevision(Keys.LEADER));
+            for (Blocks.Block shard : shards.shards()) {
+                plan.transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
             }
         }
     }
@@ -471,35 +471,35 @@
      * Hands jobs that don't fit this block to the leader. What their tasks use moves with them, out of this block's
      * allowances and in the same change, so the sum of all allowances and uses can't pass a team's limit.
      */
-    private void handOver(Plan plan) {
-        String to = blocks.leader();
-        if (plan.misfits.isEmpty() || to == null || to.equals(settings.member()) || blocks.of(to) == null) {
+    private void escalateToLeader(Plan plan) {
+        String leaderId = shards.leaderId();
+        if (plan.jobsToEscalate.isEmpty() || leaderId == null || leaderId.equals(settings.memberId()) || shards.shardOf(leaderId) == null) {
             return;
         }
-        Blocks.Block block = plan.block.copy();
-        boolean rewritten = false;
-        boolean handed = false;
-        for (Job job : plan.misfits) {
-            if (!plan.txn.fits(2, 2, store.txnOps())) {
+        Blocks.Block shard = plan.shard.copy();
+        boolean shardRewritten = false;
+        boolean anyEscalated = false;
+        for (Job job : plan.jobsToEscalate) {
+            if (!plan.transaction.fits(2, 2, store.maxTransactionOperations())) {
                 break;
             }
-            if (plan.edits(job) || plan.entering.contains(job)) {
+            if (plan.hasChangesOf(job) || plan.enteringJobs.contains(job)) {
                 // Its use changes in this very write; the next round knows it exactly.
                 continue;
             }
-            handed = true;
-            plan.txn.guard(job.key(), mirror.stamp(job.key())).put(job.key(), job.encode(to, 0));
-            if (job.placedCount() > 0) {
-                Blocks.Amount a = block.allowance(job.spec.owner());
-                block.allowances().put(job.spec.owner(), a.without(job.placedCount(), job.spec.vcpus(), job.spec.cards()));
-                rewritten = true;
+            anyEscalated = true;
+            plan.transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(leaderId, 0));
+            if (job.placedTaskCount() > 0) {
+                Blocks.Amount quotaShare = shard.quotaShare(job.spec.team());
+                shard.quotaShares().put(job.spec.team(), quotaShare.minusTasks(job.placedTaskCount(), job.spec.cpus(), job.spec.gpus()));
+                shardRewritten = true;
             }
         }
-        if (handed) {
-            plan.txn.guard(block.key(), mirror.stamp(block.key()));
+        if (anyEscalated) {
+            plan.transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
         }
-        if (rewritten) {
-            plan.txn.put(block.key(), block.encode(), session.grant());
+        if (shardRewritten) {
+            plan.transaction.put(shard.storeKey(), shard.encode(), membership.leaseId());
         }
     }
 }
--- a/src/main/java/io/quincelead/placing/Tebas.java
+++ b/src/main/java/io/quincelead/placing/Tebas.java
@@ -15,96 +15,96 @@
     public static final class Seat {
         public final String host;
         final double fitness;
-        final double room;
+        final double initialCapacity;
         /** Tasks of the job that still fit. */
-        public int remainCap;
+        public int remainingCapacity;
         /** Tasks the pass has assigned. */
         public int assigned;
 
-        public Seat(String host, double fitness, double room, int remainCap) {
+        public Seat(String host, double fitness, double initialCapacity, int remainingCapacity) {
             this.host = host;
             this.fitness = fitness;
-            this.room = room;
-            this.remainCap = remainCap;
+            this.initialCapacity = initialCapacity;
+            this.remainingCapacity = remainingCapacity;
         }
     }
 
     /** Fitness = 1 / ((1 - alpha) + alpha / k), k being the task's CPU demand times the machine's frequency. */
-    public static double fitness(double alpha, double vcpus, double frequency) {
-        double k = Math.max(vcpus * frequency, 1e-6);
+    public static double fitness(double alpha, double cpus, double frequency) {
+        double k = Math.max(cpus * frequency, 1e-6);
         return 1 / ((1 - alpha) + alpha / k);
     }
 
     /** The smaller of free CPU, memory and GPUs, each over the task's demand. */
-    public static int remainCap(double freeCpu, double freeRam, double freeGpu, double cpu, double ram, double gpu) {
-        double cap = Integer.MAX_VALUE;
-        cap = cpu > 0 ? Math.min(cap, (freeCpu + 1e-9) / cpu) : cap;
-        cap = ram > 0 ? Math.min(cap, (freeRam + 1e-9) / ram) : cap;
-        cap = gpu > 0 ? Math.min(cap, (freeGpu + 1e-9) / gpu) : cap;
-        return (int) Math.max(0, cap);
+    public static int taskCapacity(double freeCpus, double freeMemoryGb, double freeGpus, double cpus, double memoryGb, double gpus) {
+        double capacity = Integer.MAX_VALUE;
+        capacity = cpus > 0 ? Math.min(capacity, (freeCpus + 1e-9) / cpus) : capacity;
+        capacity = memoryGb > 0 ? Math.min(capacity, (freeMemoryGb + 1e-9) / memoryGb) : capacity;
+        capacity = gpus > 0 ? Math.min(capacity, (freeGpus + 1e-9) / gpus) : capacity;
+        return (int) Math.max(0, capacity);
     }
 
     /** Assigns up to {@code tasks} tasks; returns how many found no room. */
-    public static int pass(List<Seat> machines, int tasks, int beta) {
-        int n = machines.size();
-        if (n == 0 || tasks <= 0) {
+    public static int assign(List<Seat> machines, int tasks, int beta) {
+        int machineCount = machines.size();
+        if (machineCount == 0 || tasks <= 0) {
             return tasks;
         }
         // Each member with room takes a task at least, so the first sweep of a small job ends within the first machines.
-        List<Seat> sorted = first(machines, tasks);
-        int groups = Math.max(1, n / beta);
-        int size = n / groups;
-        int left = tasks;
-        boolean progress = true;
-        while (left > 0 && progress) {
-            progress = false;
+        List<Seat> sorted = fittestFirst(machines, tasks);
+        int groupCount = Math.max(1, machineCount / beta);
+        int groupSize = machineCount / groupCount;
+        int unassigned = tasks;
+        boolean progressed = true;
+        while (unassigned > 0 && progressed) {
+            progressed = false;
             int average = 0;
-            for (int i = 0; i < sorted.size() && left > 0; i++) {
-                int group = Math.min(i / size, groups - 1);
-                if (i == group * size) {
-                    average = left / (group < groups - 1 ? size : n - size * (groups - 1));
+            for (int i = 0; i < sorted.size() && unassigned > 0; i++) {
+                int group = Math.min(i / groupSize, groupCount - 1);
+                if (i == group * groupSize) {
+                    average = unassigned / (group < groupCount - 1 ? groupSize : machineCount - groupSize * (groupCount - 1));
                 }
-                Seat s = sorted.get(i);
-                int take = Math.min(left, Math.min(Math.max(average, 1), s.remainCap));
+                Seat machine = sorted.get(i);
+                int take = Math.min(unassigned, Math.min(Math.max(average, 1), machine.remainingCapacity));
                 if (take > 0) {
-                    s.assigned += take;
-                    s.remainCap -= take;
-                    left -= take;
-                    progress = true;
+                    machine.assigned += take;
+                    machine.remainingCapacity -= take;
+                    unassigned -= take;
+                    progressed = true;
                 }
             }
         }
-        return left;
+        return unassigned;
     }
 
-    private static int order(Seat a, Seat b) {
+    private static int compare(Seat a, Seat b) {
         int byFitness = Double.compare(b.fitness, a.fitness);
-        int byRoom = byFitness != 0 ? byFitness : Double.compare(b.room, a.room);
-        return byRoom != 0 ? byRoom : a.host.compareTo(b.host);
+        int byCapacity = byFitness != 0 ? byFitness : Double.compare(b.initialCapacity, a.initialCapacity);
+        return byCapacity != 0 ? byCapacity : a.host.compareTo(b.host);
     }
 
     /** The machines by descending Fitness; of many, only as many as the job has tasks: the pass gets no further. */
-    private static List<Seat> first(List<Seat> machines, int tasks) {
+    private static List<Seat> fittestFirst(List<Seat> machines, int tasks) {
         boolean all = tasks >= machines.size() / 2;
         for (int i = 0; !all && i < machines.size(); i++) {
-            all = machines.get(i).remainCap <= 0;
+            all = machines.get(i).remainingCapacity <= 0;
         }
         if (all) {
             List<Seat> sorted = new ArrayList<>(machines);
-            sorted.sort(Tebas::order);
+            sorted.sort(Tebas::compare);
             return sorted;
         }
-        PriorityQueue<Seat> best = new PriorityQueue<>(tasks + 1, (a, b) -> order(b, a));
-        for (Seat s : machines) {
+        PriorityQueue<Seat> best = new PriorityQueue<>(tasks + 1, (a, b) -> compare(b, a));
+        for (Seat machine : machines) {
             if (best.size() < tasks) {
-                best.add(s);
-            } else if (order(s, best.peek()) < 0) {
+                best.add(machine);
+            } else if (compare(machine, best.peek()) < 0) {
                 best.poll();
-                best.add(s);
+                best.add(machine);
             }
         }
         List<Seat> sorted = new ArrayList<>(best);
-        sorted.sort(Tebas::order);
+        sorted.sort(Tebas::compare);
         return sorted;
     }
 }
--- a/src/main/java/io/quincelead/placing/Unmet.java
+++ b/src/main/java/io/quincelead/placing/Unmet.java
@@ -9,34 +9,34 @@
  * more, and may go to no other machines, finds nothing either and need not be tried. Most waiting jobs are alike.
  */
 final class Unmet {
-    private final List<JobSpec> least = new ArrayList<>();
+    private final List<JobSpec> minimalDemands = new ArrayList<>();
 
     /** Whether one that asks for no more than this has found nothing. */
-    boolean covers(JobSpec s) {
-        for (JobSpec a : least) {
-            if (harder(s, a)) {
+    boolean covers(JobSpec spec) {
+        for (JobSpec known : minimalDemands) {
+            if (isAtLeastAsDemanding(spec, known)) {
                 return true;
             }
         }
         return false;
     }
 
-    void add(JobSpec s) {
-        least.removeIf(a -> harder(a, s));
-        least.add(s);
+    void add(JobSpec spec) {
+        minimalDemands.removeIf(known -> isAtLeastAsDemanding(known, spec));
+        minimalDemands.add(spec);
     }
 
     void clear() {
-        least.clear();
+        minimalDemands.clear();
     }
 
     /** Whether every machine that would do for a task of {@code b} would do for one of {@code a}. */
-    static boolean harder(JobSpec b, JobSpec a) {
-        boolean more = b.vcpus() >= a.vcpus() && b.ramGb() >= a.ramGb() && b.cards() >= a.cards() && b.urgency().ordinal() >= a.urgency().ordinal();
-        boolean fewer = (a.preemptible() || !b.preemptible()) && (a.site() == null || a.site().equals(b.site()))
-                && (a.shapes() == null || b.shapes() != null && a.shapes().containsAll(b.shapes()));
+    static boolean isAtLeastAsDemanding(JobSpec demand, JobSpec reference) {
+        boolean asksNoLess = demand.cpus() >= reference.cpus() && demand.memoryGb() >= reference.memoryGb() && demand.gpus() >= reference.gpus() && demand.priority().ordinal() >= reference.priority().ordinal();
+        boolean allowsNoMoreMachines = (reference.preemptible() || !demand.preemptible()) && (reference.zone() == null || reference.zone().equals(demand.zone()))
+                && (reference.machineTypes() == null || demand.machineTypes() != null && reference.machineTypes().containsAll(demand.machineTypes()));
         // Work without GPUs that may run anywhere doesn't see the machines whose GPUs are sought.
-        boolean seesGpus = a.cards() > 0 || a.shapes() != null || b.cards() == 0 && b.shapes() == null;
-        return more && fewer && seesGpus;
+        boolean seesGpus = reference.gpus() > 0 || reference.machineTypes() != null || demand.gpus() == 0 && demand.machineTypes() == null;
+        return asksNoLess && allowsNoMoreMachines && seesGpus;
     }
 }
--- a/src/main/java/io/quincelead/placing/Victims.java
+++ b/src/main/java/io/quincelead/placing/Victims.java
@@ -9,46 +9,46 @@
 /** Tasks that could be stopped to make room, cheapest first. Sorted only as far as somebody looks: few are ever needed. */
 final class Victims {
     /** A running task, the room it is in, what stopping it would lose in CPU seconds, whether its job has only just begun, late, and its place among equals. */
-    record Victim(Placement placement, Room room, double lossS, boolean late, int number) { }
+    record Victim(Placement placement, Room machine, double lostCpuSeconds, boolean starving, int sequence) { }
 
-    private final PriorityQueue<Victim> rest;
+    private final PriorityQueue<Victim> remaining;
     private final List<Victim> sorted = new ArrayList<>();
 
     /**
      * {@code hurry}: the room is waited for, and a task that first saves would keep it longer than one that just ends.
      * {@code together}: victims should share records, for the store's changes are short.
      */
-    Victims(List<Victim> all, boolean hurry, boolean together) {
-        rest = new PriorityQueue<>(Math.max(1, all.size()), (a, b) -> order(a, b, hurry, together));
-        rest.addAll(all);
+    Victims(List<Victim> candidates, boolean urgent, boolean shareRecords) {
+        remaining = new PriorityQueue<>(Math.max(1, candidates.size()), (a, b) -> compare(a, b, urgent, shareRecords));
+        remaining.addAll(candidates);
     }
 
     /** The i-th cheapest; null if there are no more. Must be asked in order. */
-    Victim get(int i) {
-        if (i == sorted.size() && !rest.isEmpty()) {
-            sorted.add(rest.poll());
+    Victim get(int index) {
+        if (index == sorted.size() && !remaining.isEmpty()) {
+            sorted.add(remaining.poll());
         }
-        return i < sorted.size() ? sorted.get(i) : null;
+        return index < sorted.size() ? sorted.get(index) : null;
     }
 
-    private static double saveS(Placement p) {
-        return p.job.spec.snapshotEveryS() > 0 ? p.job.spec.snapshotS() : 0;
+    private static double checkpointSeconds(Placement placement) {
+        return placement.job.spec.checkpointIntervalSeconds() > 0 ? placement.job.spec.checkpointSeconds() : 0;
     }
 
-    static int order(Victim a, Victim b, boolean hurry, boolean together) {
-        Placement p = a.placement;
-        Placement q = b.placement;
+    static int compare(Victim a, Victim b, boolean urgent, boolean shareRecords) {
+        Placement first = a.placement;
+        Placement second = b.placement;
         // The little with which a late job has begun goes last: it would have to begin again, and is spread over many records.
-        int c = Boolean.compare(a.late, b.late);
-        c = c != 0 ? c : hurry ? Double.compare(saveS(p), saveS(q)) : 0;
-        c = c != 0 ? c : q.job.spec.urgency().compareTo(p.job.spec.urgency());
-        if (c == 0 && together && p.job != q.job) {
+        int result = Boolean.compare(a.starving, b.starving);
+        result = result != 0 ? result : urgent ? Double.compare(checkpointSeconds(first), checkpointSeconds(second)) : 0;
+        result = result != 0 ? result : second.job.spec.priority().compareTo(first.job.spec.priority());
+        if (result == 0 && shareRecords && first.job != second.job) {
             // The youngest jobs' tasks have run least; those of one record are stopped by one change.
-            c = Long.compare(q.job.acceptedAt, p.job.acceptedAt);
-            c = c != 0 ? c : p.job.spec.id().compareTo(q.job.spec.id());
+            result = Long.compare(second.job.acceptedAtEpochMillis, first.job.acceptedAtEpochMillis);
+            result = result != 0 ? result : first.job.spec.jobId().compareTo(second.job.spec.jobId());
         }
-        c = c != 0 || !together ? c : Integer.compare(p.index / Constants.CHUNK_TASKS, q.index / Constants.CHUNK_TASKS);
-        c = c != 0 ? c : Double.compare(a.lossS, b.lossS);
-        return c != 0 ? c : Integer.compare(a.number, b.number);
+        result = result != 0 || !shareRecords ? result : Integer.compare(first.taskIndex / Constants.CHUNK_TASKS, second.taskIndex / Constants.CHUNK_TASKS);
+        result = result != 0 ? result : Double.compare(a.lostCpuSeconds, b.lostCpuSeconds);
+        return result != 0 ? result : Integer.compare(a.sequence, b.sequence);
     }
 }
--- a/src/main/java/io/quincelead/policy/Classes.java
+++ b/src/main/java/io/quincelead/policy/Classes.java
@@ -32,54 +32,54 @@
     }
 
     /** The job's class; null if none matches. */
-    public JobClass of(JobSpec s) {
-        for (JobClass c : all) {
-            if (c.match().matches(s)) {
-                return c;
+    public JobClass classOf(JobSpec spec) {
+        for (JobClass jobClass : all) {
+            if (jobClass.selector().matches(spec)) {
+                return jobClass;
             }
         }
         return null;
     }
 
     /** Reads {@code {"classes":[...]}}; {@code file} is named in errors. */
-    public static Classes read(JsonNode root, long generation, String file) throws Invalid {
-        Fields f = new Fields(root, file, Set.of("classes", "$schema"));
-        JsonNode list = f.get("classes");
-        if (list == null || !list.isArray() || list.size() > Constants.MAX_CLASSES) {
-            throw f.wrong("classes", "must be a list of at most " + Constants.MAX_CLASSES + " classes");
+    public static Classes decode(JsonNode root, long generation, String source) throws Invalid {
+        Fields fields = new Fields(root, source, Set.of("classes", "$schema"));
+        JsonNode classNodes = fields.get("classes");
+        if (classNodes == null || !classNodes.isArray() || classNodes.size() > Constants.MAX_CLASSES) {
+            throw fields.invalid("classes", "must be a list of at most " + Constants.MAX_CLASSES + " classes");
         }
-        List<JobClass> out = new ArrayList<>();
-        List<Match> earlier = new ArrayList<>();
+        List<JobClass> classes = new ArrayList<>();
+        List<Match> earlierSelectors = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < list.size(); i++) {
-            String at = f.at("classes[" + i + "]");
-            JobClass c = JobClass.read(list.get(i), at);
-            if (!names.add(c.name())) {
-                throw new Invalid(at + ".name", "\"" + c.name() + "\" stands twice");
+        for (int i = 0; i < classNodes.size(); i++) {
+            String path = fields.pathOf("classes[" + i + "]");
+            JobClass jobClass = JobClass.decode(classNodes.get(i), path);
+            if (!names.add(jobClass.name())) {
+                throw new Invalid(path + ".name", "\"" + jobClass.name() + "\" stands twice");
             }
-            if (c.match().hiddenBy(earlier)) {
-                throw new Invalid(at + ".match", "never matches: every such job (" + c.match().inWords() + ") is matched by a class before it");
+            if (jobClass.selector().isShadowedBy(earlierSelectors)) {
+                throw new Invalid(path + ".match", "never matches: every such job (" + jobClass.selector().describe() + ") is matched by a class before it");
             }
-            earlier.add(c.match());
-            out.add(c);
+            earlierSelectors.add(jobClass.selector());
+            classes.add(jobClass);
         }
-        return new Classes(generation, out);
+        return new Classes(generation, classes);
     }
 
     public ObjectNode encode() {
-        ObjectNode n = Codec.map();
-        ArrayNode list = n.putArray("classes");
-        all.forEach(c -> list.add(c.encode()));
-        return n;
+        ObjectNode node = Codec.newMap();
+        ArrayNode classNodes = node.putArray("classes");
+        all.forEach(c -> classNodes.add(c.encode()));
+        return node;
     }
 
     /** The text of {@link #encode} in parts that each fit one record. */
-    List<String> parts() {
+    List<String> encodeParts() {
         String text = encode().toString();
-        List<String> out = new ArrayList<>();
+        List<String> parts = new ArrayList<>();
         for (int i = 0; i < text.length(); i += Constants.CLASSES_PART_CHARS) {
-            out.add(text.substring(i, Math.min(text.length(), i + Constants.CLASSES_PART_CHARS)));
+            parts.add(text.substring(i, Math.min(text.length(), i + Constants.CLASSES_PART_CHARS)));
         }
-        return out;
+        return parts;
     }
 }
--- a/src/main/java/io/quincelead/policy/Clerk.java
+++ b/src/main/java/io/quincelead/policy/Clerk.java
@@ -35,56 +35,56 @@
 
     /** The leadership, as this controller has it. */
     public interface Chair {
-        boolean leading();
+        boolean isLeader();
 
         /** A change that stands only while this controller leads. */
-        Txn txn();
+        Txn newTransaction();
 
         long term();
 
         /** Controllers that are in. */
-        Collection<String> members();
+        Collection<String> activeMemberIds();
     }
 
     /** How a covered job ended. */
-    private record End(boolean done, long atMs) { }
+    private record End(boolean done, long completedAtMillis) { }
 
     private final Loop loop;
-    private final String me;
-    private final Mirror mirror;
+    private final String memberId;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final JobTable jobs;
     private final Policy policy;
-    private final Chair chair;
-    private boolean busy;
-    private final Map<String, End> ends = new HashMap<>();
-    private final Set<String> reading = new HashSet<>();
-    private final Map<String, Long> countedAt = new HashMap<>();
-    private final Set<String> inLedger = new HashSet<>();
-    private long sweptAt = Long.MIN_VALUE / 2;
-    private String sweptTo;
-    private long plannedAt = Long.MIN_VALUE / 2;
-    private long plannedBy = -1;
+    private final Chair leadership;
+    private boolean requestInFlight;
+    private final Map<String, End> completions = new HashMap<>();
+    private final Set<String> finalReadsInFlight = new HashSet<>();
+    private final Map<String, Long> countsWrittenAtMillis = new HashMap<>();
+    private final Set<String> knownLedgerKeys = new HashSet<>();
+    private long sweptAtMillis = Long.MIN_VALUE / 2;
+    private String sweepCursor;
+    private long plannedAtMillis = Long.MIN_VALUE / 2;
+    private long plannedVersion = -1;
 
-    public Clerk(Loop loop, String me, Mirror mirror, StoreClient store, JobTable jobs, Policy policy, Chair chair) {
+    public Clerk(Loop loop, String memberId, Mirror watchCache, StoreClient store, JobTable jobs, Policy policy, Chair leadership) {
         this.loop = loop;
-        this.me = me;
-        this.mirror = mirror;
+        this.memberId = memberId;
+        this.watchCache = watchCache;
         this.store = store;
         this.jobs = jobs;
         this.policy = policy;
-        this.chair = chair;
-        loop.every(Constants.CLERK_TICK_MS, this::tick);
+        this.leadership = leadership;
+        loop.runEvery(Constants.CLERK_TICK_MS, this::reconcile);
     }
 
-    private void tick() {
-        if (busy || !mirror.synced() || !store.urgentAffordable()) {
+    private void reconcile() {
+        if (requestInFlight || !watchCache.isSynced() || !store.canAffordUrgentWrite()) {
             return;
         }
-        Txn txn = objection();
-        if (txn == null && chair.leading()) {
-            txn = classes();
-            txn = txn != null ? txn : calendar();
+        Txn txn = unreadableClassesChange();
+        if (txn == null && leadership.isLeader()) {
+            txn = classesChange();
+            txn = txn != null ? txn : calendarChange();
             if (txn == null) {
                 sweepLedger();
             }
@@ -92,20 +92,20 @@
         if (txn != null) {
             commit(txn);
         }
-        if (!chair.leading()) {
-            ends.clear();
-            countedAt.clear();
+        if (!leadership.isLeader()) {
+            completions.clear();
+            countsWrittenAtMillis.clear();
         }
     }
 
     private void commit(Txn txn) {
-        busy = true;
+        requestInFlight = true;
         store.commit(txn, outcome -> {
-            busy = false;
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
+            requestInFlight = false;
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(txn, outcome.storeRevision());
             } else if (outcome.result() == Txn.Result.CONFLICT) {
-                outcome.failed().stream().filter(k -> k.startsWith(Keys.LEDGER)).forEach(inLedger::add);
+                outcome.failedKeys().stream().filter(k -> k.startsWith(Keys.LEDGER_PREFIX)).forEach(knownLedgerKeys::add);
             }
             // Otherwise it is decided anew from what the watch brings; what was carried out all the same fails its guards.
         });
@@ -114,151 +114,151 @@
     // ---- classes
 
     /** Says on record that the ruling generation can't be read here, or takes that back. */
-    private Txn objection() {
-        Long said = policy.objections().get(me);
-        String key = Keys.CLASSES_OBJECTION + me;
-        if (policy.unread() != 0 && (said == null || said != policy.unread())) {
-            return new Txn().guard(key, mirror.stamp(key)).put(key, Codec.map().put("g", policy.unread()));
+    private Txn unreadableClassesChange() {
+        Long reportedGeneration = policy.unreadableGenerationByMember().get(memberId);
+        String key = Keys.CLASSES_OBJECTION_PREFIX + memberId;
+        if (policy.unreadableGeneration() != 0 && (reportedGeneration == null || reportedGeneration != policy.unreadableGeneration())) {
+            return new Txn().requireRevision(key, watchCache.modRevision(key)).put(key, Codec.newMap().put("g", policy.unreadableGeneration()));
         }
-        return policy.unread() == 0 && said != null ? new Txn().guard(key, mirror.stamp(key)).remove(key) : null;
+        return policy.unreadableGeneration() == 0 && reportedGeneration != null ? new Txn().requireRevision(key, watchCache.modRevision(key)).remove(key) : null;
     }
 
-    private Txn classes() {
-        Policy.Head h = policy.head();
-        for (Map.Entry<String, Long> o : policy.objections().entrySet()) {
-            if (h.rules() != 0 && o.getValue() == h.rules() && chair.members().contains(o.getKey())) {
-                LOG.error("generation {} of the priority classes can't be read by {}: generation {} rules again", h.rules(), o.getKey(), h.was());
-                return head(new Policy.Head(h.was(), h.was(), h.next(), h.last(), h.changes(), h.rules(), o.getKey() + " can't read it"));
+    private Txn classesChange() {
+        Policy.Head head = policy.classesHead();
+        for (Map.Entry<String, Long> report : policy.unreadableGenerationByMember().entrySet()) {
+            if (head.activeGeneration() != 0 && report.getValue() == head.activeGeneration() && leadership.activeMemberIds().contains(report.getKey())) {
+                LOG.error("generation {} of the priority classes can't be read by {}: generation {} rules again", head.activeGeneration(), report.getKey(), head.previousGeneration());
+                return classesHeadChange(new Policy.Head(head.previousGeneration(), head.previousGeneration(), head.proposedGeneration(), head.highestGeneration(), head.generationByChangeId(), head.activeGeneration(), report.getKey() + " can't read it"));
             }
         }
-        if (h.next() != 0) {
+        if (head.proposedGeneration() != 0) {
             try {
-                policy.generation(h.next());
-                return head(new Policy.Head(h.next(), h.rules(), 0, h.last(), h.changes(), h.refused(), h.why()));
+                policy.loadGeneration(head.proposedGeneration());
+                return classesHeadChange(new Policy.Head(head.proposedGeneration(), head.activeGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.rejectedGeneration(), head.rejectionReason()));
             } catch (Invalid e) {
-                LOG.error("the proposed priority classes can't be read ({}); generation {} goes on ruling", e.getMessage(), h.rules());
-                return head(new Policy.Head(h.rules(), h.was(), 0, h.last(), h.changes(), h.next(), e.getMessage()));
+                LOG.error("the proposed priority classes can't be read ({}); generation {} goes on ruling", e.getMessage(), head.activeGeneration());
+                return classesHeadChange(new Policy.Head(head.activeGeneration(), head.previousGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.proposedGeneration(), e.getMessage()));
             }
         }
-        for (long g : policy.generations()) {
-            if (g != h.rules() && g != h.was() && g <= h.last() - Constants.CLASSES_KEPT) {
-                Txn txn = chair.txn().guard(Keys.CLASSES, mirror.stamp(Keys.CLASSES));
-                policy.partKeys(g).forEach(txn::remove);
+        for (long generation : policy.recordedGenerations()) {
+            if (generation != head.activeGeneration() && generation != head.previousGeneration() && generation <= head.highestGeneration() - Constants.CLASSES_KEPT) {
+                Txn txn = leadership.newTransaction().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
+                policy.partKeys(generation).forEach(txn::remove);
                 return txn;
             }
         }
         return null;
     }
 
-    private Txn head(Policy.Head h) {
-        return chair.txn().guard(Keys.CLASSES, mirror.stamp(Keys.CLASSES)).put(Keys.CLASSES, encode(h));
+    private Txn classesHeadChange(Policy.Head head) {
+        return leadership.newTransaction().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD)).put(Keys.CLASSES_HEAD, encodeClassesHead(head));
     }
 
-    static ObjectNode encode(Policy.Head h) {
-        ObjectNode n = Codec.map().put("rules", h.rules()).put("was", h.was()).put("next", h.next()).put("last", h.last());
-        ArrayNode changes = n.putArray("changes");
-        h.changes().forEach((id, g) -> changes.addArray().add(id).add(g));
-        if (h.refused() != 0) {
-            n.put("refused", h.refused()).put("why", h.why().length() > 200 ? h.why().substring(0, 200) : h.why());
+    static ObjectNode encodeClassesHead(Policy.Head head) {
+        ObjectNode node = Codec.newMap().put("rules", head.activeGeneration()).put("was", head.previousGeneration()).put("next", head.proposedGeneration()).put("last", head.highestGeneration());
+        ArrayNode changeNodes = node.putArray("changes");
+        head.generationByChangeId().forEach((id, g) -> changeNodes.addArray().add(id).add(g));
+        if (head.rejectedGeneration() != 0) {
+            node.put("refused", head.rejectedGeneration()).put("why", head.rejectionReason().length() > 200 ? head.rejectionReason().substring(0, 200) : head.rejectionReason());
         }
-        return n;
+        return node;
     }
 
     // ---- calendar
 
-    private Txn calendar() {
-        dropStaleEnds();
-        for (Occurrence o : policy.occurrences().values()) {
-            Txn txn = step(o);
+    private Txn calendarChange() {
+        dropStaleCompletions();
+        for (Occurrence occurrence : policy.occurrences().values()) {
+            Txn txn = occurrenceChange(occurrence);
             if (txn != null) {
                 return txn;
             }
         }
-        if (loop.now() - plannedAt >= Constants.PLAN_EVERY_MS || plannedBy != policy.version()) {
-            for (Entry e : policy.entries().values()) {
-                Txn txn = plan(e);
+        if (loop.nowMillis() - plannedAtMillis >= Constants.PLAN_EVERY_MS || plannedVersion != policy.version()) {
+            for (Entry entry : policy.entries().values()) {
+                Txn txn = planningChange(entry);
                 if (txn != null) {
                     return txn;
                 }
             }
             // All are planned: a thousand entries need not be gone through at each look.
-            plannedAt = loop.now();
-            plannedBy = policy.version();
+            plannedAtMillis = loop.nowMillis();
+            plannedVersion = policy.version();
         }
-        for (Map.Entry<String, JsonNode> late : policy.lateEnds().entrySet()) {
-            boolean due = false;
-            for (JsonNode key : late.getValue().path("occ")) {
-                due |= policy.occurrences().containsKey(key.asText());
+        for (Map.Entry<String, JsonNode> uncounted : policy.uncountedCompletions().entrySet()) {
+            boolean referenced = false;
+            for (JsonNode key : uncounted.getValue().path("occ")) {
+                referenced |= policy.occurrences().containsKey(key.asText());
             }
-            if (!due) {
-                String key = Keys.LATE_END + late.getKey();
-                return chair.txn().guard(key, mirror.stamp(key)).remove(key);
+            if (!referenced) {
+                String key = Keys.UNCOUNTED_COMPLETION_PREFIX + uncounted.getKey();
+                return leadership.newTransaction().requireRevision(key, watchCache.modRevision(key)).remove(key);
             }
         }
         return null;
     }
 
     /** The next occurrence of an entry that isn't on record, from the last that is closed on. */
-    private Txn plan(Entry e) {
-        long wall = loop.wall();
-        long from = Math.max(Math.max(policy.memory(e.name()).throughMs(), e.since()), wall - Constants.LOOK_BACK_MS);
-        for (Entry.When when : e.between(from, wall + (long) (e.leadS() * 1000) + Constants.PLAN_AHEAD_MS)) {
-            Occurrence o = Occurrence.planned(e, when);
-            if (!policy.occurrences().containsKey(o.entry + "/" + o.date) && !inLedger.contains(o.ledgerKey())) {
-                o.leaders.add(chair.term());
-                return chair.txn().guard(o.key(), 0).guard(o.ledgerKey(), 0).guard(Keys.ENTRY + e.name(), mirror.stamp(Keys.ENTRY + e.name())).put(o.key(), o.encode());
+    private Txn planningChange(Entry entry) {
+        long wallClockMillis = loop.wallClockMillis();
+        long fromMillis = Math.max(Math.max(policy.historyOf(entry.name()).closedThroughMillis(), entry.effectiveFromMillis()), wallClockMillis - Constants.LOOK_BACK_MS);
+        for (Entry.When publication : entry.publicationsBetween(fromMillis, wallClockMillis + (long) (entry.leadSeconds() * 1000) + Constants.PLAN_AHEAD_MS)) {
+            Occurrence occurrence = Occurrence.planned(entry, publication);
+            if (!policy.occurrences().containsKey(occurrence.entryName + "/" + occurrence.date) && !knownLedgerKeys.contains(occurrence.ledgerKey())) {
+                occurrence.leaderTerms.add(leadership.term());
+                return leadership.newTransaction().requireRevision(occurrence.storeKey(), 0).requireRevision(occurrence.ledgerKey(), 0).requireRevision(Keys.CALENDAR_ENTRY_PREFIX + entry.name(), watchCache.modRevision(Keys.CALENDAR_ENTRY_PREFIX + entry.name())).put(occurrence.storeKey(), occurrence.encode());
             }
         }
         return null;
     }
 
-    private Txn step(Occurrence now) {
-        Occurrence o = now.copy();
-        long wall = loop.wall();
-        Entry e = policy.entries().get(o.entry);
-        LocalDate date = LocalDate.parse(o.date);
-        boolean before = o.state() == Occurrence.State.PLANNED || o.state() == Occurrence.State.OPEN;
-        if (before && (e == null || e.skipped().contains(date) || !e.on(date))) {
-            o.become(Occurrence.State.SKIPPED);
-            return write(o, true, new ArrayList<>());
+    private Txn occurrenceChange(Occurrence current) {
+        Occurrence occurrence = current.copy();
+        long wallClockMillis = loop.wallClockMillis();
+        Entry entry = policy.entries().get(occurrence.entryName);
+        LocalDate date = LocalDate.parse(occurrence.date);
+        boolean beforeVerdict = occurrence.state() == Occurrence.State.PLANNED || occurrence.state() == Occurrence.State.OPEN;
+        if (beforeVerdict && (entry == null || entry.skippedDates().contains(date) || !entry.isScheduledOn(date))) {
+            occurrence.transitionTo(Occurrence.State.SKIPPED);
+            return writeOccurrence(occurrence, true, new ArrayList<>());
         }
-        if (before && e.publicationMs(date) != o.publicationMs) {
+        if (beforeVerdict && entry.publicationMillis(date) != occurrence.publicationMillis) {
             // A window that is open stays open, whichever way its publication moves.
-            o.publicationMs = e.publicationMs(date);
-            o.openMs = o.publicationMs - (long) (e.leadS() * 1000);
-            return write(o, true, new ArrayList<>());
+            occurrence.publicationMillis = entry.publicationMillis(date);
+            occurrence.opensAtMillis = occurrence.publicationMillis - (long) (entry.leadSeconds() * 1000);
+            return writeOccurrence(occurrence, true, new ArrayList<>());
         }
         List<String> folded = new ArrayList<>();
-        switch (o.state()) {
+        switch (occurrence.state()) {
             case PLANNED -> {
-                if (wall < o.openMs) {
+                if (wallClockMillis < occurrence.opensAtMillis) {
                     return null;
                 }
-                count(o, folded);
-                o.become(Occurrence.State.OPEN);
-                return write(o, true, folded);
+                updateCounts(occurrence, folded);
+                occurrence.transitionTo(Occurrence.State.OPEN);
+                return writeOccurrence(occurrence, true, folded);
             }
             case OPEN -> {
-                boolean counted = count(o, folded);
-                boolean over = wall >= o.publicationMs + Constants.VERDICT_AFTER_MS;
-                boolean graceOver = wall >= o.publicationMs + Math.max((long) (o.graceS * 1000), Constants.VERDICT_AFTER_MS);
-                if (over && (o.open.isEmpty() || graceOver)) {
-                    boolean inTime = o.open.isEmpty() && o.lastDoneMs <= o.publicationMs + (long) (o.graceS * 1000);
-                    o.become(inTime ? Occurrence.State.PUBLISHED : Occurrence.State.MISSED);
-                    LOG.info("{} of {} is {}: {} covered jobs, {} done, {} open", o.entry, o.date, inTime ? "published" : "missed", o.jobs, o.done, o.open.size());
-                    return write(o, true, folded);
+                boolean counted = updateCounts(occurrence, folded);
+                boolean verdictDue = wallClockMillis >= occurrence.publicationMillis + Constants.VERDICT_AFTER_MS;
+                boolean graceElapsed = wallClockMillis >= occurrence.publicationMillis + Math.max((long) (occurrence.graceSeconds * 1000), Constants.VERDICT_AFTER_MS);
+                if (verdictDue && (occurrence.openJobIds.isEmpty() || graceElapsed)) {
+                    boolean inTime = occurrence.openJobIds.isEmpty() && occurrence.lastDoneMillis <= occurrence.publicationMillis + (long) (occurrence.graceSeconds * 1000);
+                    occurrence.transitionTo(inTime ? Occurrence.State.PUBLISHED : Occurrence.State.MISSED);
+                    LOG.info("{} of {} is {}: {} covered jobs, {} done, {} open", occurrence.entryName, occurrence.date, inTime ? "published" : "missed", occurrence.jobCount, occurrence.doneCount, occurrence.openJobIds.size());
+                    return writeOccurrence(occurrence, true, folded);
                 }
-                return counted && due(o) ? write(o, false, folded) : null;
+                return counted && claimCountsWrite(occurrence) ? writeOccurrence(occurrence, false, folded) : null;
             }
             case PUBLISHED, MISSED -> {
-                boolean counted = count(o, folded);
-                if (o.open.isEmpty() || wall >= o.publicationMs + Constants.CLOSE_AFTER_MS) {
-                    return close(o, folded);
+                boolean counted = updateCounts(occurrence, folded);
+                if (occurrence.openJobIds.isEmpty() || wallClockMillis >= occurrence.publicationMillis + Constants.CLOSE_AFTER_MS) {
+                    return closeOccurrence(occurrence, folded);
                 }
-                return counted && due(o) ? write(o, false, folded) : null;
+                return counted && claimCountsWrite(occurrence) ? writeOccurrence(occurrence, false, folded) : null;
             }
             case SKIPPED -> {
-                return close(o, folded);
+                return closeOccurrence(occurrence, folded);
             }
             default -> {
                 return null;
@@ -266,170 +266,170 @@
         }
     }
 
-    private boolean due(Occurrence o) {
-        long last = countedAt.getOrDefault(o.key(), Long.MIN_VALUE / 2);
-        if (loop.now() - last < Constants.COUNT_EVERY_MS) {
+    private boolean claimCountsWrite(Occurrence occurrence) {
+        long lastWrittenAtMillis = countsWrittenAtMillis.getOrDefault(occurrence.storeKey(), Long.MIN_VALUE / 2);
+        if (loop.nowMillis() - lastWrittenAtMillis < Constants.COUNT_EVERY_MS) {
             return false;
         }
-        countedAt.put(o.key(), loop.now());
+        countsWrittenAtMillis.put(occurrence.storeKey(), loop.nowMillis());
         return true;
     }
 
     /** Writes an occurrence, guarded by its record; with {@code ranks} its state or time has changed, and with it the calendar's generation. */
-    private Txn write(Occurrence o, boolean ranks, List<String> folded) {
-        o.leaders.add(chair.term());
-        Txn txn = chair.txn().guard(o.key(), mirror.stamp(o.key())).put(o.key(), o.encode());
-        if (ranks) {
-            turn(txn);
+    private Txn writeOccurrence(Occurrence occurrence, boolean priorityChanged, List<String> folded) {
+        occurrence.leaderTerms.add(leadership.term());
+        Txn txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).put(occurrence.storeKey(), occurrence.encode());
+        if (priorityChanged) {
+            advanceCalendarGeneration(txn);
         }
-        return fold(txn, o, folded);
+        return removeUncountedCompletions(txn, occurrence, folded);
     }
 
-    private void turn(Txn txn) {
-        txn.guard(Keys.CALENDAR, mirror.stamp(Keys.CALENDAR)).put(Keys.CALENDAR, policy.calendar().next(null));
+    private void advanceCalendarGeneration(Txn txn) {
+        txn.requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD)).put(Keys.CALENDAR_HEAD, policy.calendarHead().encodeNext(null));
     }
 
     /** The one final record of an occurrence: into the ledger, out of what is live, and remembered with its peak, in one change. */
-    private Txn close(Occurrence o, List<String> folded) {
-        o.leaders.add(chair.term());
-        ObjectNode last = o.summary().put("closed", loop.wall()).put("unfinished", o.open.size());
-        boolean skipped = o.state() == Occurrence.State.SKIPPED;
-        o.become(Occurrence.State.CLOSED);
-        Policy.Memory m = policy.memory(o.entry);
-        ObjectNode memory = Codec.map().put("through", Math.max(m.throughMs(), o.publicationMs));
-        ArrayNode peaks = memory.putArray("cpus");
-        m.peaks().stream().skip(skipped ? 0 : Math.max(0, m.peaks().size() - Constants.PEAKS_REMEMBERED + 1)).forEach(peaks::add);
+    private Txn closeOccurrence(Occurrence occurrence, List<String> folded) {
+        occurrence.leaderTerms.add(leadership.term());
+        ObjectNode summary = occurrence.encodeSummary().put("closed", loop.wallClockMillis()).put("unfinished", occurrence.openJobIds.size());
+        boolean skipped = occurrence.state() == Occurrence.State.SKIPPED;
+        occurrence.transitionTo(Occurrence.State.CLOSED);
+        Policy.Memory history = policy.historyOf(occurrence.entryName);
+        ObjectNode historyNode = Codec.newMap().put("through", Math.max(history.closedThroughMillis(), occurrence.publicationMillis));
+        ArrayNode peakNodes = historyNode.putArray("cpus");
+        history.peakCpus().stream().skip(skipped ? 0 : Math.max(0, history.peakCpus().size() - Constants.PEAKS_REMEMBERED + 1)).forEach(peakNodes::add);
         if (!skipped) {
-            peaks.add(o.peakCpus);
+            peakNodes.add(occurrence.peakCpus);
         }
-        Txn txn = chair.txn().guard(o.key(), mirror.stamp(o.key())).remove(o.key()).guard(o.ledgerKey(), 0).put(o.ledgerKey(), last)
-                .guard(Keys.MEMORY + o.entry, mirror.stamp(Keys.MEMORY + o.entry)).put(Keys.MEMORY + o.entry, memory);
-        turn(txn);
-        return fold(txn, o, folded);
+        Txn txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).remove(occurrence.storeKey()).requireRevision(occurrence.ledgerKey(), 0).put(occurrence.ledgerKey(), summary)
+                .requireRevision(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName, watchCache.modRevision(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName)).put(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName, historyNode);
+        advanceCalendarGeneration(txn);
+        return removeUncountedCompletions(txn, occurrence, folded);
     }
 
     /** Takes ends that were recorded apart out of the records they wait in. */
-    private Txn fold(Txn txn, Occurrence o, List<String> folded) {
+    private Txn removeUncountedCompletions(Txn txn, Occurrence occurrence, List<String> folded) {
         for (String id : folded) {
-            String key = Keys.LATE_END + id;
-            ObjectNode left = policy.lateEnds().get(id).deepCopy();
-            ArrayNode others = Codec.list();
-            left.path("occ").forEach(k -> {
-                if (!k.asText().equals(o.entry + "/" + o.date)) {
-                    others.add(k);
+            String key = Keys.UNCOUNTED_COMPLETION_PREFIX + id;
+            ObjectNode remainder = policy.uncountedCompletions().get(id).deepCopy();
+            ArrayNode otherOccurrences = Codec.newList();
+            remainder.path("occ").forEach(k -> {
+                if (!k.asText().equals(occurrence.entryName + "/" + occurrence.date)) {
+                    otherOccurrences.add(k);
                 }
             });
-            txn.guard(key, mirror.stamp(key));
-            if (others.isEmpty()) {
+            txn.requireRevision(key, watchCache.modRevision(key));
+            if (otherOccurrences.isEmpty()) {
                 txn.remove(key);
             } else {
-                left.set("occ", others);
-                txn.put(key, left);
+                remainder.set("occ", otherOccurrences);
+                txn.put(key, remainder);
             }
         }
         return txn;
     }
 
     /** Brings the count up to date with what is known here; says whether it changed. */
-    private boolean count(Occurrence o, List<String> folded) {
+    private boolean updateCounts(Occurrence occurrence, List<String> folded) {
         boolean changed = false;
-        double cpus = 0;
-        for (Job j : jobs.all()) {
-            if (o.covers(j.spec, j.acceptedAt)) {
-                cpus += j.heldCount() * j.spec.vcpus();
-                if (!o.open.contains(j.spec.id()) && o.open.size() < Constants.MAX_COVERED_OPEN) {
-                    o.open.add(j.spec.id());
-                    o.jobs++;
+        double usedCpus = 0;
+        for (Job job : jobs.all()) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                usedCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
+                if (!occurrence.openJobIds.contains(job.spec.jobId()) && occurrence.openJobIds.size() < Constants.MAX_COVERED_OPEN) {
+                    occurrence.openJobIds.add(job.spec.jobId());
+                    occurrence.jobCount++;
                     changed = true;
                 }
             }
         }
-        if (cpus > o.peakCpus) {
-            o.peakCpus = cpus;
+        if (usedCpus > occurrence.peakCpus) {
+            occurrence.peakCpus = usedCpus;
             changed = true;
         }
-        for (String id : new ArrayList<>(o.open)) {
+        for (String id : new ArrayList<>(occurrence.openJobIds)) {
             if (jobs.get(id) == null) {
-                End end = ends.get(id);
-                if (end == null) {
-                    readEnd(id);
+                End completion = completions.get(id);
+                if (completion == null) {
+                    readCompletion(id);
                     continue;
                 }
-                o.open.remove(id);
-                count(o, end);
+                occurrence.openJobIds.remove(id);
+                updateCounts(occurrence, completion);
                 changed = true;
             }
         }
-        for (Map.Entry<String, JsonNode> late : policy.lateEnds().entrySet()) {
-            boolean ours = false;
-            for (JsonNode key : late.getValue().path("occ")) {
-                ours |= key.asText().equals(o.entry + "/" + o.date);
+        for (Map.Entry<String, JsonNode> uncounted : policy.uncountedCompletions().entrySet()) {
+            boolean namesOccurrence = false;
+            for (JsonNode key : uncounted.getValue().path("occ")) {
+                namesOccurrence |= key.asText().equals(occurrence.entryName + "/" + occurrence.date);
             }
-            if (ours && folded.size() < Constants.SWEEP_MOST) {
-                if (!o.open.contains(late.getKey())) {
-                    o.jobs++;
-                    count(o, new End(late.getValue().path("s").asText().equals("done"), late.getValue().path("t").asLong()));
+            if (namesOccurrence && folded.size() < Constants.SWEEP_MOST) {
+                if (!occurrence.openJobIds.contains(uncounted.getKey())) {
+                    occurrence.jobCount++;
+                    updateCounts(occurrence, new End(uncounted.getValue().path("s").asText().equals("done"), uncounted.getValue().path("t").asLong()));
                 }
-                folded.add(late.getKey());
+                folded.add(uncounted.getKey());
                 changed = true;
             }
         }
         return changed;
     }
 
-    private static void count(Occurrence o, End end) {
-        o.done += end.done ? 1 : 0;
-        o.cancelled += end.done ? 0 : 1;
-        o.lastDoneMs = end.done ? Math.max(o.lastDoneMs, end.atMs) : o.lastDoneMs;
+    private static void updateCounts(Occurrence occurrence, End completion) {
+        occurrence.doneCount += completion.done ? 1 : 0;
+        occurrence.cancelledCount += completion.done ? 0 : 1;
+        occurrence.lastDoneMillis = completion.done ? Math.max(occurrence.lastDoneMillis, completion.completedAtMillis) : occurrence.lastDoneMillis;
     }
 
     /** A covered job's record is gone: how it ended stands in its final one. */
-    private void readEnd(String id) {
-        if (reading.size() < Constants.MAX_FINALS_READ && reading.add(id)) {
-            store.get(Keys.FINAL + id, (status, body) -> {
-                reading.remove(id);
+    private void readCompletion(String id) {
+        if (finalReadsInFlight.size() < Constants.MAX_FINALS_READ && finalReadsInFlight.add(id)) {
+            store.get(Keys.FINAL_STATE_PREFIX + id, (status, body) -> {
+                finalReadsInFlight.remove(id);
                 if (status == 200) {
-                    JsonNode v = body.path("value");
-                    ends.put(id, new End(v.path("s").asText().equals("done"), v.path("t").asLong(loop.wall())));
+                    JsonNode finalRecord = body.path("value");
+                    completions.put(id, new End(finalRecord.path("s").asText().equals("done"), finalRecord.path("t").asLong(loop.wallClockMillis())));
                 }
             });
         }
     }
 
-    private void dropStaleEnds() {
-        ends.keySet().removeIf(id -> policy.occurrences().values().stream().noneMatch(o -> o.open.contains(id)));
+    private void dropStaleCompletions() {
+        completions.keySet().removeIf(id -> policy.occurrences().values().stream().noneMatch(o -> o.openJobIds.contains(id)));
     }
 
     // ---- the ledger's bound
 
     private void sweepLedger() {
-        if (policy.entries().isEmpty() && sweptTo == null && sweptAt > 0 || loop.now() - sweptAt < Constants.SWEEP_EVERY_MS) {
+        if (policy.entries().isEmpty() && sweepCursor == null && sweptAtMillis > 0 || loop.nowMillis() - sweptAtMillis < Constants.SWEEP_EVERY_MS) {
             return;
         }
-        sweptAt = loop.now();
-        busy = true;
-        store.list(Keys.LEDGER, sweptTo, (status, body) -> {
-            busy = false;
+        sweptAtMillis = loop.nowMillis();
+        requestInFlight = true;
+        store.list(Keys.LEDGER_PREFIX, sweepCursor, (status, body) -> {
+            requestInFlight = false;
             if (status != 200) {
                 return;
             }
-            String oldest = Instant.ofEpochMilli(loop.wall()).atZone(ZoneOffset.UTC).toLocalDate().minusDays(Constants.LEDGER_DAYS).toString();
-            Txn txn = chair.txn();
-            String last = null;
+            String oldestDate = Instant.ofEpochMilli(loop.wallClockMillis()).atZone(ZoneOffset.UTC).toLocalDate().minusDays(Constants.LEDGER_DAYS).toString();
+            Txn txn = leadership.newTransaction();
+            String lastKey = null;
             for (JsonNode item : body.path("items")) {
                 String key = item.path("path").asText();
-                if (key.substring(key.lastIndexOf('/') + 1).compareTo(oldest) < 0 && txn.writes() < Constants.SWEEP_MOST) {
-                    txn.guard(key, item.path("stamp").asLong()).remove(key);
+                if (key.substring(key.lastIndexOf('/') + 1).compareTo(oldestDate) < 0 && txn.operationCount() < Constants.SWEEP_MOST) {
+                    txn.requireRevision(key, item.path("stamp").asLong()).remove(key);
                 }
-                last = key;
+                lastKey = key;
             }
             // More to remove, or another page: looked at with the next turns.
-            boolean full = txn.writes() >= Constants.SWEEP_MOST;
-            sweptTo = full ? sweptTo : body.path("truncated").asBoolean() ? last : null;
-            if (full || sweptTo != null) {
-                sweptAt = loop.now() - Constants.SWEEP_EVERY_MS + Constants.CLERK_TICK_MS;
+            boolean batchFull = txn.operationCount() >= Constants.SWEEP_MOST;
+            sweepCursor = batchFull ? sweepCursor : body.path("truncated").asBoolean() ? lastKey : null;
+            if (batchFull || sweepCursor != null) {
+                sweptAtMillis = loop.nowMillis() - Constants.SWEEP_EVERY_MS + Constants.CLERK_TICK_MS;
             }
-            if (!txn.isEmpty() && chair.leading()) {
+            if (!txn.isEmpty() && leadership.isLeader()) {
                 commit(txn);
             }
         });
--- a/src/main/java/io/quincelead/policy/Entry.java
+++ b/src/main/java/io/quincelead/policy/Entry.java
@@ -29,168 +29,168 @@
  * <p>Nights when clocks change: a time that a day lacks is published as much later as the clock jumps; one that it has twice, at the first
  * of the two. Yearly dates (month and day) that a year lacks, 29 February, have no occurrence in it.
  */
-public record Entry(String name, LocalTime time, ZoneId zone, Set<DayOfWeek> days, Set<LocalDate> dates, Set<MonthDay> yearly, List<Match> covers,
-        double leadS, double graceS, Set<LocalDate> skipped, Map<LocalDate, LocalTime> moved, long since) {
+public record Entry(String name, LocalTime timeOfDay, ZoneId timeZone, Set<DayOfWeek> weekdays, Set<LocalDate> dates, Set<MonthDay> yearlyDates, List<Match> selectors,
+        double leadSeconds, double graceSeconds, Set<LocalDate> skippedDates, Map<LocalDate, LocalTime> movedTimes, long effectiveFromMillis) {
     private static final Set<String> FIELDS = Set.of("name", "time", "zone", "days", "dates", "covers", "leadS", "graceS", "skipped", "moved", "since");
     private static final int MAX_DATES = 100;
 
     /** One publication: its date in the entry's zone, and the time in ms since 1970. */
-    public record When(LocalDate date, long publicationMs) { }
+    public record When(LocalDate date, long epochMillis) { }
 
-    public static Entry read(JsonNode n, String at) throws Invalid {
-        Fields f = new Fields(n, at, FIELDS);
-        String name = f.name("name");
-        LocalTime time = time(f, f.text("time", true), "time");
-        ZoneId zone;
+    public static Entry decode(JsonNode node, String path) throws Invalid {
+        Fields fields = new Fields(node, path, FIELDS);
+        String name = fields.readName("name");
+        LocalTime timeOfDay = parseTime(fields, fields.readText("time", true), "time");
+        ZoneId timeZone;
         try {
-            zone = ZoneId.of(f.text("zone", true));
+            timeZone = ZoneId.of(fields.readText("zone", true));
         } catch (DateTimeException e) {
-            throw f.wrong("zone", "must be an IANA zone like America/Toronto");
+            throw fields.invalid("zone", "must be an IANA zone like America/Toronto");
         }
-        Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-        for (String d : f.texts("days")) {
-            days.add(day(f, d));
+        Set<DayOfWeek> weekdays = EnumSet.noneOf(DayOfWeek.class);
+        for (String text : fields.readTexts("days")) {
+            weekdays.add(parseWeekday(fields, text));
         }
         Set<LocalDate> dates = new TreeSet<>();
-        Set<MonthDay> yearly = new TreeSet<>();
-        for (String d : f.texts("dates")) {
+        Set<MonthDay> yearlyDates = new TreeSet<>();
+        for (String text : fields.readTexts("dates")) {
             try {
-                if (d.startsWith("--")) {
-                    yearly.add(MonthDay.parse(d));
+                if (text.startsWith("--")) {
+                    yearlyDates.add(MonthDay.parse(text));
                 } else {
-                    dates.add(LocalDate.parse(d));
+                    dates.add(LocalDate.parse(text));
                 }
             } catch (DateTimeException e) {
-                throw f.wrong("dates", "must be dates like 2027-01-31, or like --01-31 for each year, not \"" + d + "\"");
+                throw fields.invalid("dates", "must be dates like 2027-01-31, or like --01-31 for each year, not \"" + text + "\"");
             }
         }
-        if (days.isEmpty() == (dates.isEmpty() && yearly.isEmpty())) {
-            throw f.wrong("days", "either days or dates must be given, not both");
+        if (weekdays.isEmpty() == (dates.isEmpty() && yearlyDates.isEmpty())) {
+            throw fields.invalid("days", "either days or dates must be given, not both");
         }
-        List<Match> covers = new ArrayList<>();
-        JsonNode list = f.get("covers");
-        if (list == null || !list.isArray() || list.isEmpty() || list.size() > 20) {
-            throw f.wrong("covers", "must be a list of 1 to 20 matches");
+        List<Match> selectors = new ArrayList<>();
+        JsonNode selectorNodes = fields.get("covers");
+        if (selectorNodes == null || !selectorNodes.isArray() || selectorNodes.isEmpty() || selectorNodes.size() > 20) {
+            throw fields.invalid("covers", "must be a list of 1 to 20 matches");
         }
-        for (int i = 0; i < list.size(); i++) {
-            covers.add(Match.read(list.get(i), f.at("covers[" + i + "]")));
+        for (int i = 0; i < selectorNodes.size(); i++) {
+            selectors.add(Match.decode(selectorNodes.get(i), fields.pathOf("covers[" + i + "]")));
         }
-        Set<LocalDate> skipped = new TreeSet<>();
-        for (String d : f.texts("skipped")) {
-            skipped.add(date(d, f.at("skipped")));
+        Set<LocalDate> skippedDates = new TreeSet<>();
+        for (String text : fields.readTexts("skipped")) {
+            skippedDates.add(parseDate(text, fields.pathOf("skipped")));
         }
-        Map<LocalDate, LocalTime> moved = new TreeMap<>();
-        if (f.has("moved")) {
-            for (String d : (Iterable<String>) () -> f.get("moved").fieldNames()) {
-                moved.put(date(d, f.at("moved")), time(f, f.get("moved").path(d).asText(), "moved"));
+        Map<LocalDate, LocalTime> movedTimes = new TreeMap<>();
+        if (fields.has("moved")) {
+            for (String text : (Iterable<String>) () -> fields.get("moved").fieldNames()) {
+                movedTimes.put(parseDate(text, fields.pathOf("moved")), parseTime(fields, fields.get("moved").path(text).asText(), "moved"));
             }
         }
-        if (dates.size() + yearly.size() > MAX_DATES || skipped.size() > MAX_DATES || moved.size() > MAX_DATES) {
-            throw f.wrong("dates", "at most " + MAX_DATES + " dates, skipped or moved days");
+        if (dates.size() + yearlyDates.size() > MAX_DATES || skippedDates.size() > MAX_DATES || movedTimes.size() > MAX_DATES) {
+            throw fields.invalid("dates", "at most " + MAX_DATES + " dates, skipped or moved days");
         }
-        return new Entry(name, time, zone, days, dates, yearly, List.copyOf(covers), f.number("leadS", 1, 86_400, 3_600), f.number("graceS", 0, 86_400, 0),
-                skipped, moved, (long) f.number("since", 0, 1e15, 0));
+        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, List.copyOf(selectors), fields.readNumber("leadS", 1, 86_400, 3_600), fields.readNumber("graceS", 0, 86_400, 0),
+                skippedDates, movedTimes, (long) fields.readNumber("since", 0, 1e15, 0));
     }
 
-    private static DayOfWeek day(Fields f, String text) throws Invalid {
-        for (DayOfWeek d : DayOfWeek.values()) {
-            if (d.name().substring(0, 3).toLowerCase(Locale.ROOT).equals(text)) {
-                return d;
+    private static DayOfWeek parseWeekday(Fields fields, String text) throws Invalid {
+        for (DayOfWeek weekday : DayOfWeek.values()) {
+            if (weekday.name().substring(0, 3).toLowerCase(Locale.ROOT).equals(text)) {
+                return weekday;
             }
         }
-        throw f.wrong("days", "must be of mon, tue, wed, thu, fri, sat, sun, not \"" + text + "\"");
+        throw fields.invalid("days", "must be of mon, tue, wed, thu, fri, sat, sun, not \"" + text + "\"");
     }
 
-    private static LocalTime time(Fields f, String text, String field) throws Invalid {
+    private static LocalTime parseTime(Fields fields, String text, String field) throws Invalid {
         try {
             return LocalTime.parse(text);
         } catch (DateTimeException e) {
-            throw f.wrong(field, "must be a time of day like 06:30");
+            throw fields.invalid(field, "must be a time of day like 06:30");
         }
     }
 
     /** A date as it stands in commands and records. */
-    static LocalDate date(String text, String at) throws Invalid {
+    static LocalDate parseDate(String text, String path) throws Invalid {
         try {
             return LocalDate.parse(text);
         } catch (DateTimeException e) {
-            throw new Invalid(at, "must be a date like 2027-01-31, not \"" + text + "\"");
+            throw new Invalid(path, "must be a date like 2027-01-31, not \"" + text + "\"");
         }
     }
 
-    static LocalTime time(String text, String at) throws Invalid {
+    static LocalTime parseTime(String text, String path) throws Invalid {
         try {
             return LocalTime.parse(text);
         } catch (DateTimeException e) {
-            throw new Invalid(at, "must be a time of day like 06:30, not \"" + text + "\"");
+            throw new Invalid(path, "must be a time of day like 06:30, not \"" + text + "\"");
         }
     }
 
     ObjectNode encode() {
-        ObjectNode n = Codec.map().put("name", name).put("time", time.toString()).put("zone", zone.getId());
-        if (!days.isEmpty()) {
-            ArrayNode list = n.putArray("days");
-            days.forEach(d -> list.add(d.name().substring(0, 3).toLowerCase(Locale.ROOT)));
+        ObjectNode node = Codec.newMap().put("name", name).put("time", timeOfDay.toString()).put("zone", timeZone.getId());
+        if (!weekdays.isEmpty()) {
+            ArrayNode list = node.putArray("days");
+            weekdays.forEach(d -> list.add(d.name().substring(0, 3).toLowerCase(Locale.ROOT)));
         } else {
-            ArrayNode list = n.putArray("dates");
+            ArrayNode list = node.putArray("dates");
             dates.forEach(d -> list.add(d.toString()));
-            yearly.forEach(d -> list.add(d.toString()));
+            yearlyDates.forEach(d -> list.add(d.toString()));
         }
-        ArrayNode list = n.putArray("covers");
-        covers.forEach(m -> list.add(m.encode()));
-        n.put("leadS", leadS).put("graceS", graceS);
-        if (!skipped.isEmpty()) {
-            ArrayNode s = n.putArray("skipped");
-            skipped.forEach(d -> s.add(d.toString()));
+        ArrayNode list = node.putArray("covers");
+        selectors.forEach(m -> list.add(m.encode()));
+        node.put("leadS", leadSeconds).put("graceS", graceSeconds);
+        if (!skippedDates.isEmpty()) {
+            ArrayNode skippedNodes = node.putArray("skipped");
+            skippedDates.forEach(d -> skippedNodes.add(d.toString()));
         }
-        if (!moved.isEmpty()) {
-            ObjectNode m = n.putObject("moved");
-            moved.forEach((d, t) -> m.put(d.toString(), t.toString()));
+        if (!movedTimes.isEmpty()) {
+            ObjectNode m = node.putObject("moved");
+            movedTimes.forEach((d, t) -> m.put(d.toString(), t.toString()));
         }
-        return n.put("since", since);
+        return node.put("since", effectiveFromMillis);
     }
 
-    Entry since(long ms) {
-        return new Entry(name, time, zone, days, dates, yearly, covers, leadS, graceS, skipped, moved, ms);
+    Entry withEffectiveFrom(long epochMillis) {
+        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, movedTimes, epochMillis);
     }
 
-    Entry skipping(LocalDate date) {
-        Set<LocalDate> s = new TreeSet<>(skipped);
-        s.add(date);
-        return new Entry(name, time, zone, days, dates, yearly, covers, leadS, graceS, s, moved, since);
+    Entry withSkippedDate(LocalDate date) {
+        Set<LocalDate> updatedDates = new TreeSet<>(skippedDates);
+        updatedDates.add(date);
+        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, updatedDates, movedTimes, effectiveFromMillis);
     }
 
-    Entry moving(LocalDate date, LocalTime to) {
-        Map<LocalDate, LocalTime> m = new TreeMap<>(moved);
-        m.put(date, to);
-        return new Entry(name, time, zone, days, dates, yearly, covers, leadS, graceS, skipped, m, since);
+    Entry withMovedTime(LocalDate date, LocalTime newTime) {
+        Map<LocalDate, LocalTime> updatedTimes = new TreeMap<>(movedTimes);
+        updatedTimes.put(date, newTime);
+        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, updatedTimes, effectiveFromMillis);
     }
 
     /** Whether its publication falls on that day, skipped or not. */
-    boolean on(LocalDate date) {
-        return days.contains(date.getDayOfWeek()) || dates.contains(date)
-                || yearly.stream().anyMatch(y -> y.isValidYear(date.getYear()) && y.equals(MonthDay.from(date)));
+    boolean isScheduledOn(LocalDate date) {
+        return weekdays.contains(date.getDayOfWeek()) || dates.contains(date)
+                || yearlyDates.stream().anyMatch(y -> y.isValidYear(date.getYear()) && y.equals(MonthDay.from(date)));
     }
 
     /** When that day's publication is. */
-    long publicationMs(LocalDate date) {
-        return ZonedDateTime.of(date, moved.getOrDefault(date, time), zone).toInstant().toEpochMilli();
+    long publicationMillis(LocalDate date) {
+        return ZonedDateTime.of(date, movedTimes.getOrDefault(date, timeOfDay), timeZone).toInstant().toEpochMilli();
     }
 
     /** Its publications after {@code fromMs} and up to {@code toMs}, in order; days that are skipped left out. */
-    public List<When> between(long fromMs, long toMs) {
-        List<When> out = new ArrayList<>();
-        LocalDate last = Instant.ofEpochMilli(toMs).atZone(zone).toLocalDate();
-        for (LocalDate d = Instant.ofEpochMilli(fromMs).atZone(zone).toLocalDate(); !d.isAfter(last); d = d.plusDays(1)) {
-            long at = on(d) && !skipped.contains(d) ? publicationMs(d) : Long.MIN_VALUE;
-            if (at > fromMs && at <= toMs) {
-                out.add(new When(d, at));
+    public List<When> publicationsBetween(long fromMillis, long toMillis) {
+        List<When> publications = new ArrayList<>();
+        LocalDate lastDate = Instant.ofEpochMilli(toMillis).atZone(timeZone).toLocalDate();
+        for (LocalDate date = Instant.ofEpochMilli(fromMillis).atZone(timeZone).toLocalDate(); !date.isAfter(lastDate); date = date.plusDays(1)) {
+            long epochMillis = isScheduledOn(date) && !skippedDates.contains(date) ? publicationMillis(date) : Long.MIN_VALUE;
+            if (epochMillis > fromMillis && epochMillis <= toMillis) {
+                publications.add(new When(date, epochMillis));
             }
         }
-        return out;
+        return publications;
     }
 
-    boolean covers(JobSpec s) {
-        return covers.stream().anyMatch(m -> m.matches(s));
+    boolean covers(JobSpec spec) {
+        return selectors.stream().anyMatch(m -> m.matches(spec));
     }
 }
--- a/src/main/java/io/quincelead/policy/Fields.java
+++ b/src/main/java/io/quincelead/policy/Fields.java
@@ -14,32 +14,32 @@
  */
 final class Fields {
     private final JsonNode node;
-    private final String at;
+    private final String path;
 
-    Fields(JsonNode node, String at, Set<String> known) throws Invalid {
+    Fields(JsonNode node, String path, Set<String> knownFields) throws Invalid {
         if (node == null || !node.isObject()) {
-            throw new Invalid(at, "must be a map");
+            throw new Invalid(path, "must be a map");
         }
         this.node = node;
-        this.at = at;
-        for (Iterator<String> i = node.fieldNames(); i.hasNext();) {
-            String name = i.next();
-            if (!known.contains(name)) {
-                throw wrong(name, "is not known here; known are " + known.stream().sorted().toList());
+        this.path = path;
+        for (Iterator<String> fieldNames = node.fieldNames(); fieldNames.hasNext();) {
+            String name = fieldNames.next();
+            if (!knownFields.contains(name)) {
+                throw invalid(name, "is not known here; known are " + knownFields.stream().sorted().toList());
             }
         }
     }
 
-    Invalid wrong(String field, String allowed) {
-        return new Invalid(at + "." + field, allowed);
+    Invalid invalid(String field, String requirement) {
+        return new Invalid(path + "." + field, requirement);
     }
 
     boolean has(String field) {
         return node.hasNonNull(field);
     }
 
-    String at(String field) {
-        return at + "." + field;
+    String pathOf(String field) {
+        return path + "." + field;
     }
 
     JsonNode get(String field) {
@@ -47,80 +47,80 @@
     }
 
     /** A text of 1 to 200 characters; null if it is missing and may be. */
-    String text(String field, boolean required) throws Invalid {
-        JsonNode v = node.get(field);
-        if (v == null || v.isNull()) {
+    String readText(String field, boolean required) throws Invalid {
+        JsonNode value = node.get(field);
+        if (value == null || value.isNull()) {
             if (required) {
-                throw wrong(field, "a text is required");
+                throw invalid(field, "a text is required");
             }
             return null;
         }
-        if (!v.isTextual() || v.asText().isBlank() || v.asText().length() > 200) {
-            throw wrong(field, "must be a text of 1 to 200 characters");
+        if (!value.isTextual() || value.asText().isBlank() || value.asText().length() > 200) {
+            throw invalid(field, "must be a text of 1 to 200 characters");
         }
-        return v.asText();
+        return value.asText();
     }
 
     /** A name that may be part of a key. */
-    String name(String field) throws Invalid {
-        String s = text(field, true);
-        if (!s.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,39}")) {
-            throw wrong(field, "must be 1 to 40 letters, digits, dots, dashes or underscores, and begin with a letter or digit");
+    String readName(String field) throws Invalid {
+        String value = readText(field, true);
+        if (!value.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,39}")) {
+            throw invalid(field, "must be 1 to 40 letters, digits, dots, dashes or underscores, and begin with a letter or digit");
         }
-        return s;
+        return value;
     }
 
-    double number(String field, double least, double most, double otherwise) throws Invalid {
-        JsonNode v = node.get(field);
-        if (v == null || v.isNull()) {
-            return otherwise;
+    double readNumber(String field, double min, double max, double defaultValue) throws Invalid {
+        JsonNode value = node.get(field);
+        if (value == null || value.isNull()) {
+            return defaultValue;
         }
-        if (!v.isNumber() || !Double.isFinite(v.asDouble()) || v.asDouble() < least || v.asDouble() > most) {
-            throw wrong(field, "must be a number from " + plain(least) + " to " + plain(most));
+        if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min || value.asDouble() > max) {
+            throw invalid(field, "must be a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
-        return v.asDouble();
+        return value.asDouble();
     }
 
-    int whole(String field, int least, int most, int otherwise) throws Invalid {
-        JsonNode v = node.get(field);
-        if (v != null && !v.isNull() && !v.isIntegralNumber()) {
-            throw wrong(field, "must be a whole number from " + least + " to " + most);
+    int readInt(String field, int min, int max, int defaultValue) throws Invalid {
+        JsonNode value = node.get(field);
+        if (value != null && !value.isNull() && !value.isIntegralNumber()) {
+            throw invalid(field, "must be a whole number from " + min + " to " + max);
         }
-        return (int) number(field, least, most, otherwise);
+        return (int) readNumber(field, min, max, defaultValue);
     }
 
-    <E extends Enum<E>> E choice(String field, Class<E> type, E otherwise) throws Invalid {
-        String text = text(field, false);
+    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue) throws Invalid {
+        String text = readText(field, false);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
-        for (E e : type.getEnumConstants()) {
-            if (e.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return e;
+        for (E constant : type.getEnumConstants()) {
+            if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
+                return constant;
             }
         }
-        throw wrong(field, "must be one of " + Arrays.stream(type.getEnumConstants()).map(e -> e.name().toLowerCase(Locale.ROOT)).toList());
+        throw invalid(field, "must be one of " + Arrays.stream(type.getEnumConstants()).map(constant -> constant.name().toLowerCase(Locale.ROOT)).toList());
     }
 
-    List<String> texts(String field) throws Invalid {
-        List<String> out = new ArrayList<>();
-        JsonNode v = node.get(field);
-        if (v == null || v.isNull()) {
-            return out;
+    List<String> readTexts(String field) throws Invalid {
+        List<String> texts = new ArrayList<>();
+        JsonNode value = node.get(field);
+        if (value == null || value.isNull()) {
+            return texts;
         }
-        if (!v.isArray()) {
-            throw wrong(field, "must be a list of texts");
+        if (!value.isArray()) {
+            throw invalid(field, "must be a list of texts");
         }
-        for (JsonNode t : v) {
-            if (!t.isTextual()) {
-                throw wrong(field, "must be a list of texts");
+        for (JsonNode item : value) {
+            if (!item.isTextual()) {
+                throw invalid(field, "must be a list of texts");
             }
-            out.add(t.asText());
+            texts.add(item.asText());
         }
-        return out;
+        return texts;
     }
 
-    private static String plain(double d) {
-        return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
+    private static String formatNumber(double number) {
+        return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number) : Double.toString(number);
     }
 }
--- a/src/main/java/io/quincelead/policy/Invalid.java
+++ b/src/main/java/io/quincelead/policy/Invalid.java
@@ -4,7 +4,7 @@
 public final class Invalid extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String at, String allowed) {
-        super(at + ": " + allowed, null, false, false);
+    Invalid(String path, String requirement) {
+        super(path + ": " + requirement, null, false, false);
     }
 }
--- a/src/main/java/io/quincelead/policy/JobClass.java
+++ b/src/main/java/io/quincelead/policy/JobClass.java
@@ -13,8 +13,8 @@
  * by then. {@code zonePatienceS}: seconds for which replicas in a zone that is cut off are left there, though they may serve nobody;
  * negative: as without the class. {@code zoneSpare}: part of a service's replicas that should be left when any one zone is lost.
  */
-public record JobClass(String name, String description, Match match, int rank, double beginWithinS, double leastShare, Keep keep,
-        Passes passes, double zonePatienceS, double zoneSpare) {
+public record JobClass(String name, String description, Match selector, int rank, double startWithinSeconds, double minStartedShare, Keep preemptionProtection,
+        Passes orderingPriority, double unreachableZonePatienceSeconds, double minShareAfterZoneLoss) {
     private static final Set<String> FIELDS = Set.of("name", "description", "match", "rank", "beginWithinS", "leastShare", "keep", "passes",
             "zonePatienceS", "zoneSpare");
 
@@ -31,37 +31,37 @@
     /** Up to which urgency its waiting jobs are ordered as if they were of it; what they may stop stays as it is. */
     public enum Passes { NONE, NORMAL, HIGH, PRODUCTION }
 
-    static JobClass read(JsonNode n, String at) throws Invalid {
-        Fields f = new Fields(n, at, FIELDS);
-        if (!f.has("rank")) {
-            throw f.wrong("rank", "a whole number from 0 to " + Constants.MAX_RANK + " is required");
+    static JobClass decode(JsonNode node, String path) throws Invalid {
+        Fields fields = new Fields(node, path, FIELDS);
+        if (!fields.has("rank")) {
+            throw fields.invalid("rank", "a whole number from 0 to " + Constants.MAX_RANK + " is required");
         }
-        return new JobClass(f.name("name"), f.has("description") ? f.text("description", true) : "",
-                f.has("match") ? Match.read(f.get("match"), f.at("match")) : new Match(null, null, null, null),
-                f.whole("rank", 0, Constants.MAX_RANK, 0), f.number("beginWithinS", 1, Constants.MAX_BEGIN_S, Constants.BEGIN_WITHIN_S),
-                f.number("leastShare", 0, 1, Constants.LEAST_SHARE), f.choice("keep", Keep.class, Keep.PROTOCOL),
-                f.choice("passes", Passes.class, Passes.NONE), f.number("zonePatienceS", 0, 86_400, -1), f.number("zoneSpare", 0, 1, 0));
+        return new JobClass(fields.readName("name"), fields.has("description") ? fields.readText("description", true) : "",
+                fields.has("match") ? Match.decode(fields.get("match"), fields.pathOf("match")) : new Match(null, null, null, null),
+                fields.readInt("rank", 0, Constants.MAX_RANK, 0), fields.readNumber("beginWithinS", 1, Constants.MAX_BEGIN_S, Constants.BEGIN_WITHIN_S),
+                fields.readNumber("leastShare", 0, 1, Constants.LEAST_SHARE), fields.readEnum("keep", Keep.class, Keep.PROTOCOL),
+                fields.readEnum("passes", Passes.class, Passes.NONE), fields.readNumber("zonePatienceS", 0, 86_400, -1), fields.readNumber("zoneSpare", 0, 1, 0));
     }
 
     ObjectNode encode() {
-        ObjectNode n = Codec.map().put("name", name);
+        ObjectNode node = Codec.newMap().put("name", name);
         if (!description.isEmpty()) {
-            n.put("description", description);
+            node.put("description", description);
         }
-        n.set("match", match.encode());
-        n.put("rank", rank).put("beginWithinS", beginWithinS).put("leastShare", leastShare);
-        if (keep != Keep.PROTOCOL) {
-            n.put("keep", keep.name().toLowerCase(Locale.ROOT));
+        node.set("match", selector.encode());
+        node.put("rank", rank).put("beginWithinS", startWithinSeconds).put("leastShare", minStartedShare);
+        if (preemptionProtection != Keep.PROTOCOL) {
+            node.put("keep", preemptionProtection.name().toLowerCase(Locale.ROOT));
         }
-        if (passes != Passes.NONE) {
-            n.put("passes", passes.name().toLowerCase(Locale.ROOT));
+        if (orderingPriority != Passes.NONE) {
+            node.put("passes", orderingPriority.name().toLowerCase(Locale.ROOT));
         }
-        if (zonePatienceS >= 0) {
-            n.put("zonePatienceS", zonePatienceS);
+        if (unreachableZonePatienceSeconds >= 0) {
+            node.put("zonePatienceS", unreachableZonePatienceSeconds);
         }
-        if (zoneSpare > 0) {
-            n.put("zoneSpare", zoneSpare);
+        if (minShareAfterZoneLoss > 0) {
+            node.put("zoneSpare", minShareAfterZoneLoss);
         }
-        return n;
+        return node;
     }
 }
--- a/src/main/java/io/quincelead/policy/Match.java
+++ b/src/main/java/io/quincelead/policy/Match.java
@@ -12,61 +12,61 @@
 import java.util.Set;
 
 /** Which jobs an operators' rule is about: all that agree in each stated field; null: any. */
-public record Match(String jobClass, String owner, JobSpec.Urgency urgency, JobSpec.Mode mode) {
+public record Match(String jobClass, String team, JobSpec.Urgency priority, JobSpec.Mode mode) {
     private static final Set<String> FIELDS = Set.of("jobClass", "owner", "urgency", "mode");
 
-    static Match read(JsonNode n, String at) throws Invalid {
-        Fields f = new Fields(n, at, FIELDS);
-        return new Match(f.text("jobClass", false), f.text("owner", false), f.choice("urgency", JobSpec.Urgency.class, null),
-                f.choice("mode", JobSpec.Mode.class, null));
+    static Match decode(JsonNode node, String path) throws Invalid {
+        Fields fields = new Fields(node, path, FIELDS);
+        return new Match(fields.readText("jobClass", false), fields.readText("owner", false), fields.readEnum("urgency", JobSpec.Urgency.class, null),
+                fields.readEnum("mode", JobSpec.Mode.class, null));
     }
 
     ObjectNode encode() {
-        ObjectNode n = Codec.map();
+        ObjectNode node = Codec.newMap();
         if (jobClass != null) {
-            n.put("jobClass", jobClass);
+            node.put("jobClass", jobClass);
         }
-        if (owner != null) {
-            n.put("owner", owner);
+        if (team != null) {
+            node.put("owner", team);
         }
-        if (urgency != null) {
-            n.put("urgency", urgency.name().toLowerCase(Locale.ROOT));
+        if (priority != null) {
+            node.put("urgency", priority.name().toLowerCase(Locale.ROOT));
         }
         if (mode != null) {
-            n.put("mode", mode.name().toLowerCase(Locale.ROOT));
+            node.put("mode", mode.name().toLowerCase(Locale.ROOT));
         }
-        return n;
+        return node;
     }
 
-    boolean matches(JobSpec s) {
-        return matches(s.jobClass(), s.owner(), s.urgency(), s.mode());
+    boolean matches(JobSpec spec) {
+        return matchesValues(spec.jobClass(), spec.team(), spec.priority(), spec.mode());
     }
 
-    private boolean matches(String aClass, String anOwner, JobSpec.Urgency anUrgency, JobSpec.Mode aMode) {
-        return (jobClass == null || jobClass.equals(aClass)) && (owner == null || owner.equals(anOwner))
-                && (urgency == null || urgency == anUrgency) && (mode == null || mode == aMode);
+    private boolean matchesValues(String candidateClass, String candidateTeam, JobSpec.Urgency candidatePriority, JobSpec.Mode candidateMode) {
+        return (jobClass == null || jobClass.equals(candidateClass)) && (team == null || team.equals(candidateTeam))
+                && (priority == null || priority == candidatePriority) && (mode == null || mode == candidateMode);
     }
 
-    private boolean covers(Match o) {
-        return (jobClass == null || jobClass.equals(o.jobClass)) && (owner == null || owner.equals(o.owner))
-                && (urgency == null || urgency == o.urgency) && (mode == null || mode == o.mode);
+    private boolean subsumes(Match other) {
+        return (jobClass == null || jobClass.equals(other.jobClass)) && (team == null || team.equals(other.team))
+                && (priority == null || priority == other.priority) && (mode == null || mode == other.mode);
     }
 
     /** Whether no job is left that this one matches and none of the earlier ones does. */
-    boolean hiddenBy(List<Match> earlier) {
-        if (earlier.stream().anyMatch(e -> e.covers(this))) {
+    boolean isShadowedBy(List<Match> earlier) {
+        if (earlier.stream().anyMatch(e -> e.subsumes(this))) {
             return true;
         }
         // Several earlier ones may share it out among them: every value that they name is tried, and one that they don't.
-        List<String> classes = values(jobClass, earlier.stream().map(Match::jobClass).toList());
-        List<String> owners = values(owner, earlier.stream().map(Match::owner).toList());
-        List<JobSpec.Urgency> urgencies = urgency != null ? List.of(urgency) : Arrays.asList(JobSpec.Urgency.values());
+        List<String> classes = candidateValues(jobClass, earlier.stream().map(Match::jobClass).toList());
+        List<String> teams = candidateValues(team, earlier.stream().map(Match::team).toList());
+        List<JobSpec.Urgency> priorities = priority != null ? List.of(priority) : Arrays.asList(JobSpec.Urgency.values());
         List<JobSpec.Mode> modes = mode != null ? List.of(mode) : Arrays.asList(JobSpec.Mode.values());
-        for (String c : classes) {
-            for (String o : owners) {
-                for (JobSpec.Urgency u : urgencies) {
-                    for (JobSpec.Mode m : modes) {
-                        if (earlier.stream().noneMatch(e -> e.matches(c, o, u, m))) {
+        for (String candidateClass : classes) {
+            for (String candidateTeam : teams) {
+                for (JobSpec.Urgency candidatePriority : priorities) {
+                    for (JobSpec.Mode candidateMode : modes) {
+                        if (earlier.stream().noneMatch(e -> e.matchesValues(candidateClass, candidateTeam, candidatePriority, candidateMode))) {
                             return false;
                         }
                     }
@@ -76,34 +76,34 @@
         return true;
     }
 
-    private static List<String> values(String own, List<String> named) {
-        if (own != null) {
-            return List.of(own);
+    private static List<String> candidateValues(String ownValue, List<String> namedValues) {
+        if (ownValue != null) {
+            return List.of(ownValue);
         }
-        Set<String> out = new LinkedHashSet<>(named);
-        out.remove(null);
-        List<String> all = new ArrayList<>();
+        Set<String> distinct = new LinkedHashSet<>(namedValues);
+        distinct.remove(null);
+        List<String> candidates = new ArrayList<>();
         // No job can bear this name, so it stands for all that nobody names.
-        all.add("\n");
-        all.addAll(out);
-        return all;
+        candidates.add("\n");
+        candidates.addAll(distinct);
+        return candidates;
     }
 
     /** In words, for people. */
-    String inWords() {
-        List<String> out = new ArrayList<>();
+    String describe() {
+        List<String> parts = new ArrayList<>();
         if (jobClass != null) {
-            out.add("class " + jobClass);
+            parts.add("class " + jobClass);
         }
-        if (owner != null) {
-            out.add("team " + owner);
+        if (team != null) {
+            parts.add("team " + team);
         }
-        if (urgency != null) {
-            out.add(urgency.name().toLowerCase(Locale.ROOT));
+        if (priority != null) {
+            parts.add(priority.name().toLowerCase(Locale.ROOT));
         }
         if (mode != null) {
-            out.add(mode.name().toLowerCase(Locale.ROOT));
+            parts.add(mode.name().toLowerCase(Locale.ROOT));
         }
-        return out.isEmpty() ? "all jobs" : String.join(", ", out);
+        return parts.isEmpty() ? "all jobs" : String.join(", ", parts);
     }
 }
--- a/src/main/java/io/quincelead/policy/Occurrence.java
+++ b/src/main/java/io/quincelead/policy/Occurrence.java
@@ -17,7 +17,7 @@
  * holds what it covers, so that a change of the entry never changes what an occurrence under way is about.
  */
 public final class Occurrence {
-    /** States; {@link Clerk} alone changes them, by {@link #become}. */
+    /** States; {@link Clerk} alone changes them, by {@link #transitionTo}. */
     public enum State {
         /** Its window hasn't opened. */
         PLANNED,
@@ -33,38 +33,38 @@
         CLOSED
     }
 
-    public final String entry;
+    public final String entryName;
     public final String date;
     private State state;
-    long publicationMs;
-    long openMs;
-    final double graceS;
-    final List<Match> covers;
+    long publicationMillis;
+    long opensAtMillis;
+    final double graceSeconds;
+    final List<Match> selectors;
     /** Covered jobs that have been counted and aren't known to be over. */
-    final Set<String> open = new LinkedHashSet<>();
-    int jobs;
-    int done;
-    int cancelled;
+    final Set<String> openJobIds = new LinkedHashSet<>();
+    int jobCount;
+    int doneCount;
+    int cancelledCount;
     /** When the last covered job was done, in ms since 1970; 0: none yet. */
-    long lastDoneMs;
+    long lastDoneMillis;
     /** CPUs that covered work used at its peak. */
     double peakCpus;
     /** Terms of the leaders that have written it. */
-    final Set<Long> leaders = new LinkedHashSet<>();
+    final Set<Long> leaderTerms = new LinkedHashSet<>();
 
-    Occurrence(String entry, String date, State state, long publicationMs, long openMs, double graceS, List<Match> covers) {
-        this.entry = entry;
+    Occurrence(String entryName, String date, State state, long publicationMillis, long opensAtMillis, double graceSeconds, List<Match> selectors) {
+        this.entryName = entryName;
         this.date = date;
         this.state = state;
-        this.publicationMs = publicationMs;
-        this.openMs = openMs;
-        this.graceS = graceS;
-        this.covers = covers;
+        this.publicationMillis = publicationMillis;
+        this.opensAtMillis = opensAtMillis;
+        this.graceSeconds = graceSeconds;
+        this.selectors = selectors;
     }
 
-    static Occurrence planned(Entry e, Entry.When when) {
-        return new Occurrence(e.name(), when.date().toString(), State.PLANNED, when.publicationMs(), when.publicationMs() - (long) (e.leadS() * 1000),
-                e.graceS(), e.covers());
+    static Occurrence planned(Entry entry, Entry.When publication) {
+        return new Occurrence(entry.name(), publication.date().toString(), State.PLANNED, publication.epochMillis(), publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
+                entry.graceSeconds(), entry.selectors());
     }
 
     public State state() {
@@ -72,7 +72,7 @@
     }
 
     /** Verdicts are absorbing: what is published is never missed afterwards, nor the other way round. */
-    void become(State next) {
+    void transitionTo(State next) {
         boolean allowed = switch (state) {
             case PLANNED -> next == State.OPEN || next == State.SKIPPED;
             case OPEN -> next == State.PUBLISHED || next == State.MISSED || next == State.SKIPPED;
@@ -80,86 +80,86 @@
             case CLOSED -> false;
         };
         if (!allowed) {
-            throw new IllegalStateException(entry + " of " + date + " can't go from " + state + " to " + next);
+            throw new IllegalStateException(entryName + " of " + date + " can't go from " + state + " to " + next);
         }
         state = next;
     }
 
-    String key() {
-        return Keys.OCCURRENCE + entry + "/" + date;
+    String storeKey() {
+        return Keys.OCCURRENCE_PREFIX + entryName + "/" + date;
     }
 
     String ledgerKey() {
-        return Keys.LEDGER + entry + "/" + date;
+        return Keys.LEDGER_PREFIX + entryName + "/" + date;
     }
 
-    public long publicationMs() {
-        return publicationMs;
+    public long publicationMillis() {
+        return publicationMillis;
     }
 
-    public long openMs() {
-        return openMs;
+    public long opensAtMillis() {
+        return opensAtMillis;
     }
 
     /** Whether a job of such a kind, accepted then, is covered while the window is open. */
-    public boolean covers(JobSpec s, long acceptedAt) {
-        return acceptedAt <= publicationMs && covers.stream().anyMatch(m -> m.matches(s));
+    public boolean covers(JobSpec spec, long acceptedAtMillis) {
+        return acceptedAtMillis <= publicationMillis && selectors.stream().anyMatch(m -> m.matches(spec));
     }
 
     /** Whether covered work ranks ahead now: from the opening until everything is closed. */
-    public boolean ranks() {
+    public boolean raisesPriority() {
         return state == State.OPEN || state == State.PUBLISHED || state == State.MISSED;
     }
 
-    static Occurrence read(String entry, String date, JsonNode n) throws Invalid {
+    static Occurrence decode(String entryName, String date, JsonNode node) throws Invalid {
         State state;
         try {
-            state = State.valueOf(n.path("st").asText().toUpperCase(Locale.ROOT));
+            state = State.valueOf(node.path("st").asText().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new Invalid("st", "unknown state " + n.path("st"));
+            throw new Invalid("st", "unknown state " + node.path("st"));
         }
-        List<Match> covers = new ArrayList<>();
-        for (JsonNode m : n.path("cov")) {
-            covers.add(Match.read(m, "cov"));
+        List<Match> selectors = new ArrayList<>();
+        for (JsonNode selectorNode : node.path("cov")) {
+            selectors.add(Match.decode(selectorNode, "cov"));
         }
-        Occurrence o = new Occurrence(entry, date, state, n.path("pub").asLong(), n.path("open").asLong(), n.path("grace").asDouble(), covers);
-        n.path("ids").forEach(id -> o.open.add(id.asText()));
-        o.jobs = n.path("n").asInt();
-        o.done = n.path("done").asInt();
-        o.cancelled = n.path("cancelled").asInt();
-        o.lastDoneMs = n.path("last").asLong();
-        o.peakCpus = n.path("peak").asDouble();
-        n.path("leaders").forEach(t -> o.leaders.add(t.asLong()));
-        return o;
+        Occurrence occurrence = new Occurrence(entryName, date, state, node.path("pub").asLong(), node.path("open").asLong(), node.path("grace").asDouble(), selectors);
+        node.path("ids").forEach(id -> occurrence.openJobIds.add(id.asText()));
+        occurrence.jobCount = node.path("n").asInt();
+        occurrence.doneCount = node.path("done").asInt();
+        occurrence.cancelledCount = node.path("cancelled").asInt();
+        occurrence.lastDoneMillis = node.path("last").asLong();
+        occurrence.peakCpus = node.path("peak").asDouble();
+        node.path("leaders").forEach(t -> occurrence.leaderTerms.add(t.asLong()));
+        return occurrence;
     }
 
     Occurrence copy() {
-        Occurrence o = new Occurrence(entry, date, state, publicationMs, openMs, graceS, covers);
-        o.open.addAll(open);
-        o.jobs = jobs;
-        o.done = done;
-        o.cancelled = cancelled;
-        o.lastDoneMs = lastDoneMs;
-        o.peakCpus = peakCpus;
-        o.leaders.addAll(leaders);
-        return o;
+        Occurrence occurrence = new Occurrence(entryName, date, state, publicationMillis, opensAtMillis, graceSeconds, selectors);
+        occurrence.openJobIds.addAll(openJobIds);
+        occurrence.jobCount = jobCount;
+        occurrence.doneCount = doneCount;
+        occurrence.cancelledCount = cancelledCount;
+        occurrence.lastDoneMillis = lastDoneMillis;
+        occurrence.peakCpus = peakCpus;
+        occurrence.leaderTerms.addAll(leaderTerms);
+        return occurrence;
     }
 
     ObjectNode encode() {
-        ObjectNode n = summary();
-        ArrayNode cov = n.putArray("cov");
-        covers.forEach(m -> cov.add(m.encode()));
-        ArrayNode ids = n.putArray("ids");
-        open.forEach(ids::add);
-        return n;
+        ObjectNode node = encodeSummary();
+        ArrayNode selectorNodes = node.putArray("cov");
+        selectors.forEach(m -> selectorNodes.add(m.encode()));
+        ArrayNode jobIdNodes = node.putArray("ids");
+        openJobIds.forEach(jobIdNodes::add);
+        return node;
     }
 
     /** What the ledger keeps. */
-    ObjectNode summary() {
-        ObjectNode n = Codec.map().put("st", state.name().toLowerCase(Locale.ROOT)).put("pub", publicationMs).put("open", openMs).put("grace", graceS)
-                .put("n", jobs).put("done", done).put("cancelled", cancelled).put("last", lastDoneMs).put("peak", peakCpus);
-        ArrayNode l = n.putArray("leaders");
-        leaders.forEach(l::add);
-        return n;
+    ObjectNode encodeSummary() {
+        ObjectNode node = Codec.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("pub", publicationMillis).put("open", opensAtMillis).put("grace", graceSeconds)
+                .put("n", jobCount).put("done", doneCount).put("cancelled", cancelledCount).put("last", lastDoneMillis).put("peak", peakCpus);
+        ArrayNode termNodes = node.putArray("leaders");
+        leaderTerms.forEach(termNodes::add);
+        return node;
     }
 }
