--- a/src/main/java/io/quincelead/policy/Office.java
+++ b/src/main/java/io/quincelead/policy/Office.java
@@ -29,388 +29,388 @@
 public final class Office {
     /** Answers one command. */
     public interface Desk {
-        void handle(ObjectNode body, Reply reply);
+        void handle(ObjectNode body, Reply responder);
     }
 
     /** What a command is answered with. */
     public interface Reply {
         /** Status and body; who answers and by which generations is added. */
-        void answer(int status, ObjectNode body);
+        void respond(int status, ObjectNode body);
 
-        default void ok(ObjectNode body) {
-            answer(200, body);
+        default void respondOk(ObjectNode body) {
+            respond(200, body);
         }
 
-        default void refuse(int status, String why) {
-            answer(status, Codec.map().put("error", why));
+        default void respondError(int status, String reason) {
+            respond(status, Codec.newMap().put("error", reason));
         }
     }
 
     private final Loop loop;
-    private final String me;
-    private final Mirror mirror;
+    private final String memberId;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final JobTable jobs;
     private final Policy policy;
-    private final Map<String, Desk> desks = new HashMap<>();
+    private final Map<String, Desk> handlers = new HashMap<>();
 
-    public Office(Loop loop, String me, Mirror mirror, StoreClient store, JobTable jobs, Policy policy) {
+    public Office(Loop loop, String memberId, Mirror watchCache, StoreClient store, JobTable jobs, Policy policy) {
         this.loop = loop;
-        this.me = me;
-        this.mirror = mirror;
+        this.memberId = memberId;
+        this.watchCache = watchCache;
         this.store = store;
         this.jobs = jobs;
         this.policy = policy;
-        desk("/ops/classes/list", this::listClasses);
-        desk("/ops/classes/apply", this::applyClasses);
-        desk("/ops/classes/rollback", this::rollback);
-        desk("/ops/classes/history", this::history);
-        desk("/ops/calendar/list", this::listEntries);
-        desk("/ops/calendar/add", this::add);
-        desk("/ops/calendar/move", (body, reply) -> change(body, reply, e -> e.moving(day(body, e), Entry.time(body.path("time").asText(), "time"))));
-        desk("/ops/calendar/skip", (body, reply) -> change(body, reply, e -> e.skipping(day(body, e))));
-        desk("/ops/calendar/remove", (body, reply) -> change(body, reply, e -> null));
-        desk("/ops/calendar/next", this::next);
-        desk("/ops/calendar/ledger", this::ledger);
+        register("/ops/classes/list", this::listClasses);
+        register("/ops/classes/apply", this::applyClasses);
+        register("/ops/classes/rollback", this::rollBackClasses);
+        register("/ops/classes/history", this::listClassesHistory);
+        register("/ops/calendar/list", this::listEntries);
+        register("/ops/calendar/add", this::addEntry);
+        register("/ops/calendar/move", (body, responder) -> changeEntry(body, responder, e -> e.withMovedTime(requireChangeableDate(body, e), Entry.parseTime(body.path("time").asText(), "time"))));
+        register("/ops/calendar/skip", (body, responder) -> changeEntry(body, responder, e -> e.withSkippedDate(requireChangeableDate(body, e))));
+        register("/ops/calendar/remove", (body, responder) -> changeEntry(body, responder, e -> null));
+        register("/ops/calendar/next", this::listUpcoming);
+        register("/ops/calendar/ledger", this::listLedger);
     }
 
     /** Another duty's command. */
-    public void desk(String path, Desk d) {
-        desks.put(path, d);
+    public void register(String path, Desk handler) {
+        handlers.put(path, handler);
     }
 
     /** Whether the path is a command. */
-    public boolean takes(String path) {
-        return desks.containsKey(path);
+    public boolean handles(String path) {
+        return handlers.containsKey(path);
     }
 
     public void handle(Request request) {
-        ObjectNode body = Codec.JSON.readMap(request.body);
-        Reply reply = (status, out) -> {
-            out.put("by", me).put("generation", mirror.generation()).put("classes", policy.classes().generation()).put("calendar", policy.calendarGeneration());
-            request.answer(status, Codec.JSON, out, status == 503 ? Constants.RETRY_AFTER_S : 0);
+        ObjectNode body = Codec.JSON.decodeMap(request.body);
+        Reply responder = (status, out) -> {
+            out.put("by", memberId).put("generation", watchCache.storeRevision()).put("classes", policy.activeClasses().generation()).put("calendar", policy.calendarGeneration());
+            request.respond(status, Codec.JSON, out, status == 503 ? Constants.RETRY_AFTER_S : 0);
         };
         if (body == null) {
-            reply.refuse(400, "the body must be a JSON map of at most 64 KiB");
-        } else if (!mirror.synced()) {
-            reply.refuse(503, "not ready");
+            responder.respondError(400, "the body must be a JSON map of at most 64 KiB");
+        } else if (!watchCache.isSynced()) {
+            responder.respondError(503, "not ready");
         } else {
-            desks.get(request.path).handle(body, reply);
+            handlers.get(request.path).handle(body, responder);
         }
     }
 
     // ---- one change
 
     /** The change's id, under which a repeat is known; null after a refusal. */
-    private static String id(ObjectNode body, Reply reply) {
-        String id = body.path("change").asText();
-        if (!id.matches("[A-Za-z0-9._-]{1,60}")) {
-            reply.refuse(400, "change: an id of 1 to 60 letters, digits, dots, dashes or underscores is required");
+    private static String requireChangeId(ObjectNode body, Reply responder) {
+        String changeId = body.path("change").asText();
+        if (!changeId.matches("[A-Za-z0-9._-]{1,60}")) {
+            responder.respondError(400, "change: an id of 1 to 60 letters, digits, dots, dashes or underscores is required");
             return null;
         }
-        return id;
+        return changeId;
     }
 
     /** Commits and tells what came of it. */
-    public void commit(Txn txn, Reply reply, ObjectNode done) {
+    public void commit(Txn txn, Reply responder, ObjectNode successBody) {
         store.commit(txn, outcome -> {
             switch (outcome.result()) {
-                case DONE -> {
-                    mirror.applied(txn, outcome.generation());
-                    reply.ok(done);
+                case COMMITTED -> {
+                    watchCache.applyCommitted(txn, outcome.storeRevision());
+                    responder.respondOk(successBody);
                 }
-                case CONFLICT -> reply.refuse(409, "somebody else has changed this meanwhile; look again and repeat");
-                case BUSY, REFUSED -> reply.refuse(503, "the state service took nothing; repeat later");
-                default -> reply.answer(503, Codec.map().put("error", "the state service did not answer; the change may have been made: repeat it with the same id").put("unknown", true));
+                case CONFLICT -> responder.respondError(409, "somebody else has changed this meanwhile; look again and repeat");
+                case THROTTLED, REJECTED -> responder.respondError(503, "the state service took nothing; repeat later");
+                default -> responder.respond(503, Codec.newMap().put("error", "the state service did not answer; the change may have been made: repeat it with the same id").put("unknown", true));
             }
         });
     }
 
     // ---- classes
 
-    private void listClasses(ObjectNode body, Reply reply) {
-        ObjectNode out = Codec.map();
-        out.set("list", policy.classes().encode().get("classes"));
-        Policy.Head h = policy.head();
-        out.put("rules", h.rules()).put("was", h.was()).put("next", h.next());
-        if (h.refused() != 0) {
-            out.put("refused", h.refused()).put("why", h.why());
+    private void listClasses(ObjectNode body, Reply responder) {
+        ObjectNode out = Codec.newMap();
+        out.set("list", policy.activeClasses().encode().get("classes"));
+        Policy.Head head = policy.classesHead();
+        out.put("rules", head.activeGeneration()).put("was", head.previousGeneration()).put("next", head.proposedGeneration());
+        if (head.rejectedGeneration() != 0) {
+            out.put("refused", head.rejectedGeneration()).put("why", head.rejectionReason());
         }
-        if (!policy.ready()) {
-            out.put("unread", h.rules());
+        if (!policy.isReady()) {
+            out.put("unread", head.activeGeneration());
         }
         Map<String, int[]> counts = new TreeMap<>();
-        for (Job j : jobs.all()) {
-            JobClass c = policy.of(j).jobClass();
-            int[] n = counts.computeIfAbsent(c == null ? "" : c.name(), k -> new int[4]);
-            n[0]++;
-            n[1] += j.waitingCount();
-            n[2] += j.heldCount();
-            boolean short1 = !j.cancelled() && j.doneCount() + j.heldCount() == 0 && loop.wall() - j.acceptedAt > (c == null ? Constants.BEGIN_WITHIN_S : c.beginWithinS()) * 1000;
-            n[3] += short1 ? 1 : 0;
-        }
-        ObjectNode by = out.putObject("now");
-        counts.forEach((name, n) -> by.putObject(name).put("jobs", n[0]).put("waiting", n[1]).put("running", n[2]).put("overdue", n[3]));
-        reply.ok(out);
+        for (Job job : jobs.all()) {
+            JobClass jobClass = policy.priorityOf(job).jobClass();
+            int[] tally = counts.computeIfAbsent(jobClass == null ? "" : jobClass.name(), k -> new int[4]);
+            tally[0]++;
+            tally[1] += job.waitingTaskCount();
+            tally[2] += job.possiblyRunningTaskCount();
+            boolean overdue = !job.isCancelled() && job.completedTaskCount() + job.possiblyRunningTaskCount() == 0 && loop.wallClockMillis() - job.acceptedAtEpochMillis > (jobClass == null ? Constants.BEGIN_WITHIN_S : jobClass.startWithinSeconds()) * 1000;
+            tally[3] += overdue ? 1 : 0;
+        }
+        ObjectNode countsNode = out.putObject("now");
+        counts.forEach((name, tally) -> countsNode.putObject(name).put("jobs", tally[0]).put("waiting", tally[1]).put("running", tally[2]).put("overdue", tally[3]));
+        responder.respondOk(out);
     }
 
-    private void applyClasses(ObjectNode body, Reply reply) {
+    private void applyClasses(ObjectNode body, Reply responder) {
         try {
-            ObjectNode file = Codec.map();
+            ObjectNode file = Codec.newMap();
             file.set("classes", body.get("classes"));
-            propose(Classes.read(file, policy.head().last() + 1, body.path("file").asText("classes")), body, reply);
+            proposeClasses(Classes.decode(file, policy.classesHead().highestGeneration() + 1, body.path("file").asText("classes")), body, responder);
         } catch (Invalid e) {
-            reply.refuse(400, e.getMessage());
+            responder.respondError(400, e.getMessage());
         }
     }
 
-    private void rollback(ObjectNode body, Reply reply) {
-        long to = body.path("to").asLong(policy.head().was());
+    private void rollBackClasses(ObjectNode body, Reply responder) {
+        long targetGeneration = body.path("to").asLong(policy.classesHead().previousGeneration());
         try {
-            Classes old = to == 0 ? Classes.NONE : policy.generation(to);
-            propose(new Classes(policy.head().last() + 1, old.all()), body, reply);
+            Classes target = targetGeneration == 0 ? Classes.NONE : policy.loadGeneration(targetGeneration);
+            proposeClasses(new Classes(policy.classesHead().highestGeneration() + 1, target.all()), body, responder);
         } catch (Invalid e) {
-            reply.refuse(404, "generation " + to + " is not on record any more; there are " + policy.generations());
+            responder.respondError(404, "generation " + targetGeneration + " is not on record any more; there are " + policy.recordedGenerations());
         }
     }
 
-    private void propose(Classes c, ObjectNode body, Reply reply) {
-        Policy.Head h = policy.head();
-        List<String> parts = c.parts();
-        int most = Math.min(Constants.MAX_CLASSES_PARTS, store.txnOps() - 1);
-        if (parts.size() > most) {
-            reply.refuse(400, "classes: too long, " + c.encode().toString().length() + " characters; at most " + most * Constants.CLASSES_PART_CHARS);
+    private void proposeClasses(Classes classes, ObjectNode body, Reply responder) {
+        Policy.Head head = policy.classesHead();
+        List<String> parts = classes.encodeParts();
+        int maxParts = Math.min(Constants.MAX_CLASSES_PARTS, store.maxTransactionOperations() - 1);
+        if (parts.size() > maxParts) {
+            responder.respondError(400, "classes: too long, " + classes.encode().toString().length() + " characters; at most " + maxParts * Constants.CLASSES_PART_CHARS);
             return;
         }
-        ObjectNode out = preview(c);
+        ObjectNode out = previewClasses(classes);
         if (body.path("dryRun").asBoolean()) {
-            reply.ok(out.put("state", "dry run"));
+            responder.respondOk(out.put("state", "dry run"));
             return;
         }
-        String id = id(body, reply);
-        if (id == null) {
+        String changeId = requireChangeId(body, responder);
+        if (changeId == null) {
             return;
         }
-        Long before = h.changes().get(id);
-        if (before != null) {
-            reply.ok(out.put("proposed", before).put("state", before == h.rules() ? "rules" : before == h.next() ? "proposed" : before == h.refused() ? "refused" : "ruled"));
+        Long earlierGeneration = head.generationByChangeId().get(changeId);
+        if (earlierGeneration != null) {
+            responder.respondOk(out.put("proposed", earlierGeneration).put("state", earlierGeneration == head.activeGeneration() ? "rules" : earlierGeneration == head.proposedGeneration() ? "proposed" : earlierGeneration == head.rejectedGeneration() ? "refused" : "ruled"));
             return;
         }
-        if (h.next() != 0) {
-            reply.refuse(409, "generation " + h.next() + " is proposed and waits for a leader");
+        if (head.proposedGeneration() != 0) {
+            responder.respondError(409, "generation " + head.proposedGeneration() + " is proposed and waits for a leader");
             return;
         }
-        long g = c.generation();
-        Map<String, Long> changes = new LinkedHashMap<>();
-        h.changes().entrySet().stream().skip(Math.max(0, h.changes().size() - Constants.CHANGES_REMEMBERED + 1)).forEach(e -> changes.put(e.getKey(), e.getValue()));
-        changes.put(id, g);
-        Txn txn = new Txn().guard(Keys.CLASSES, mirror.stamp(Keys.CLASSES));
+        long generation = classes.generation();
+        Map<String, Long> generationByChangeId = new LinkedHashMap<>();
+        head.generationByChangeId().entrySet().stream().skip(Math.max(0, head.generationByChangeId().size() - Constants.CHANGES_REMEMBERED + 1)).forEach(e -> generationByChangeId.put(e.getKey(), e.getValue()));
+        generationByChangeId.put(changeId, generation);
+        Txn txn = new Txn().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
         for (int i = 0; i < parts.size(); i++) {
-            txn.put(Keys.CLASSES_PART + g + "/" + i, Codec.map().put("t", parts.get(i)));
+            txn.put(Keys.CLASSES_PART_PREFIX + generation + "/" + i, Codec.newMap().put("t", parts.get(i)));
         }
-        txn.put(Keys.CLASSES, Clerk.encode(new Policy.Head(h.rules(), h.was(), g, g, changes, h.refused(), h.why())));
-        commit(txn, reply, out.put("proposed", g).put("state", "proposed"));
+        txn.put(Keys.CLASSES_HEAD, Clerk.encodeClassesHead(new Policy.Head(head.activeGeneration(), head.previousGeneration(), generation, generation, generationByChangeId, head.rejectedGeneration(), head.rejectionReason())));
+        commit(txn, responder, out.put("proposed", generation).put("state", "proposed"));
     }
 
     /** What the classes would change for the jobs that wait now, and where their bounds can't be kept, in figures. */
-    private ObjectNode preview(Classes c) {
-        ObjectNode out = Codec.map();
-        Map<String, int[]> moved = new TreeMap<>();
-        Map<String, double[]> wanted = new LinkedHashMap<>();
-        c.all().forEach(k -> wanted.put(k.name(), new double[2]));
-        double running = 0;
-        for (Job j : jobs.all()) {
-            JobClass now = policy.classes().of(j.spec);
-            JobClass then = c.of(j.spec);
-            running += j.heldCount() * j.spec.vcpus();
-            if (j.waitingCount() > 0 && !j.cancelled()) {
-                String from = now == null ? "none" : now.name() + " (" + now.rank() + ")";
-                String to = then == null ? "none" : then.name() + " (" + then.rank() + ")";
-                moved.computeIfAbsent(from + " -> " + to, k -> new int[2])[0]++;
-                moved.get(from + " -> " + to)[1] += j.waitingCount();
-                if (then != null) {
-                    wanted.get(then.name())[0] += j.waitingCount() * then.leastShare() * j.spec.vcpus();
+    private ObjectNode previewClasses(Classes classes) {
+        ObjectNode out = Codec.newMap();
+        Map<String, int[]> movesByTransition = new TreeMap<>();
+        Map<String, double[]> wantedCpusByClass = new LinkedHashMap<>();
+        classes.all().forEach(k -> wantedCpusByClass.put(k.name(), new double[2]));
+        double runningCpus = 0;
+        for (Job job : jobs.all()) {
+            JobClass currentClass = policy.activeClasses().classOf(job.spec);
+            JobClass newClass = classes.classOf(job.spec);
+            runningCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
+            if (job.waitingTaskCount() > 0 && !job.isCancelled()) {
+                String fromLabel = currentClass == null ? "none" : currentClass.name() + " (" + currentClass.rank() + ")";
+                String toLabel = newClass == null ? "none" : newClass.name() + " (" + newClass.rank() + ")";
+                movesByTransition.computeIfAbsent(fromLabel + " -> " + toLabel, k -> new int[2])[0]++;
+                movesByTransition.get(fromLabel + " -> " + toLabel)[1] += job.waitingTaskCount();
+                if (newClass != null) {
+                    wantedCpusByClass.get(newClass.name())[0] += job.waitingTaskCount() * newClass.minStartedShare() * job.spec.cpus();
                 }
             }
         }
-        ObjectNode jobsMoved = out.putObject("waiting");
-        moved.forEach((k, n) -> jobsMoved.putObject(k).put("jobs", n[0]).put("tasks", n[1]));
+        ObjectNode movesNode = out.putObject("waiting");
+        movesByTransition.forEach((k, n) -> movesNode.putObject(k).put("jobs", n[0]).put("tasks", n[1]));
         ArrayNode warnings = out.putArray("warnings");
-        double sum = 0;
-        for (JobClass k : c.all()) {
-            double cpus = wanted.get(k.name())[0];
-            sum += cpus;
-            if (k.beginWithinS() < Constants.LATE_AFTER_S) {
-                warnings.add(k.name() + ": beginWithinS is " + k.beginWithinS() + " s; a machine rented for it takes " + (long) Constants.TYPICAL_BOOT_S + " s and more to be up");
+        double totalCpus = 0;
+        for (JobClass k : classes.all()) {
+            double cpus = wantedCpusByClass.get(k.name())[0];
+            totalCpus += cpus;
+            if (k.startWithinSeconds() < Constants.LATE_AFTER_S) {
+                warnings.add(k.name() + ": beginWithinS is " + k.startWithinSeconds() + " s; a machine rented for it takes " + (long) Constants.TYPICAL_BOOT_S + " s and more to be up");
             }
         }
-        if (sum > running && running > 0) {
-            warnings.add("the shares that should begin in time come to " + Math.round(sum) + " CPUs of waiting work; " + Math.round(running)
+        if (totalCpus > runningCpus && runningCpus > 0) {
+            warnings.add("the shares that should begin in time come to " + Math.round(totalCpus) + " CPUs of waiting work; " + Math.round(runningCpus)
                     + " CPUs are in use now: what can't begin in time is shared by age");
         }
         return out;
     }
 
-    private void history(ObjectNode body, Reply reply) {
-        ObjectNode out = Codec.map();
+    private void listClassesHistory(ObjectNode body, Reply responder) {
+        ObjectNode out = Codec.newMap();
         ArrayNode list = out.putArray("list");
-        Policy.Head h = policy.head();
-        for (long g : policy.generations()) {
-            ObjectNode n = list.addObject().put("number", g)
-                    .put("state", g == h.rules() ? "rules" : g == h.next() ? "proposed" : g == h.refused() ? "refused" : "past");
-            h.changes().forEach((id, of) -> {
-                if (of == g) {
-                    n.put("change", id);
+        Policy.Head head = policy.classesHead();
+        for (long number : policy.recordedGenerations()) {
+            ObjectNode node = list.addObject().put("number", number)
+                    .put("state", number == head.activeGeneration() ? "rules" : number == head.proposedGeneration() ? "proposed" : number == head.rejectedGeneration() ? "refused" : "past");
+            head.generationByChangeId().forEach((id, changedGeneration) -> {
+                if (changedGeneration == number) {
+                    node.put("change", id);
                 }
             });
             try {
-                n.put("count", policy.generation(g).all().size());
+                node.put("count", policy.loadGeneration(number).all().size());
             } catch (Invalid e) {
-                n.put("error", e.getMessage());
+                node.put("error", e.getMessage());
             }
         }
-        reply.ok(out);
+        responder.respondOk(out);
     }
 
     // ---- calendar
 
     private interface Edit {
         /** The entry as it should be; null: removed. */
-        Entry of(Entry now) throws Invalid;
+        Entry apply(Entry current) throws Invalid;
     }
 
-    private LocalDate day(ObjectNode body, Entry e) throws Invalid {
-        LocalDate d = Entry.date(body.path("date").asText(), "date");
-        if (!e.on(d)) {
-            throw new Invalid("date", e.name() + " has no publication on " + d);
+    private LocalDate requireChangeableDate(ObjectNode body, Entry entry) throws Invalid {
+        LocalDate date = Entry.parseDate(body.path("date").asText(), "date");
+        if (!entry.isScheduledOn(date)) {
+            throw new Invalid("date", entry.name() + " has no publication on " + date);
         }
-        Occurrence o = policy.occurrences().get(e.name() + "/" + d);
-        if (o != null && o.state() != Occurrence.State.PLANNED && o.state() != Occurrence.State.OPEN || d.isBefore(today(e).minusDays(1))) {
-            throw new Invalid("date", "the verdict on " + e.name() + " of " + d + " is given");
+        Occurrence occurrence = policy.occurrences().get(entry.name() + "/" + date);
+        if (occurrence != null && occurrence.state() != Occurrence.State.PLANNED && occurrence.state() != Occurrence.State.OPEN || date.isBefore(today(entry).minusDays(1))) {
+            throw new Invalid("date", "the verdict on " + entry.name() + " of " + date + " is given");
         }
-        return d;
+        return date;
     }
 
-    private LocalDate today(Entry e) {
-        return java.time.Instant.ofEpochMilli(loop.wall()).atZone(e.zone()).toLocalDate();
+    private LocalDate today(Entry entry) {
+        return java.time.Instant.ofEpochMilli(loop.wallClockMillis()).atZone(entry.timeZone()).toLocalDate();
     }
 
     /** The id of a change of the calendar, empty for a dry run; null after an answer: a bad id, or a repeat. */
-    private String calendarChange(ObjectNode body, Reply reply) {
-        String id = body.path("dryRun").asBoolean() ? "" : id(body, reply);
-        if (id != null && policy.calendar().changes().contains(id)) {
-            reply.ok(Codec.map().put("state", "done before"));
+    private String requireCalendarChangeId(ObjectNode body, Reply responder) {
+        String changeId = body.path("dryRun").asBoolean() ? "" : requireChangeId(body, responder);
+        if (changeId != null && policy.calendarHead().recentChangeIds().contains(changeId)) {
+            responder.respondOk(Codec.newMap().put("state", "done before"));
             return null;
         }
-        return id;
+        return changeId;
     }
 
-    private void change(ObjectNode body, Reply reply, Edit edit) {
+    private void changeEntry(ObjectNode body, Reply responder, Edit edit) {
         String name = body.path("name").asText();
-        String id = calendarChange(body, reply);
-        if (id == null) {
+        String changeId = requireCalendarChangeId(body, responder);
+        if (changeId == null) {
             return;
         }
-        Entry now = policy.entries().get(name);
-        if (now == null) {
-            reply.refuse(404, "name: there is no entry \"" + name + "\"; there are " + policy.entries().keySet());
+        Entry current = policy.entries().get(name);
+        if (current == null) {
+            responder.respondError(404, "name: there is no entry \"" + name + "\"; there are " + policy.entries().keySet());
             return;
         }
         try {
-            write(name, edit.of(now), id, body, reply);
+            writeEntry(name, edit.apply(current), changeId, body, responder);
         } catch (Invalid e) {
-            reply.refuse(400, e.getMessage());
+            responder.respondError(400, e.getMessage());
         }
     }
 
-    private void add(ObjectNode body, Reply reply) {
-        String id = calendarChange(body, reply);
-        if (id == null) {
+    private void addEntry(ObjectNode body, Reply responder) {
+        String changeId = requireCalendarChangeId(body, responder);
+        if (changeId == null) {
             return;
         }
         try {
-            Entry e = Entry.read(body.get("entry"), body.path("file").asText("entry")).since(loop.wall());
+            Entry e = Entry.decode(body.get("entry"), body.path("file").asText("entry")).withEffectiveFrom(loop.wallClockMillis());
             if (policy.entries().containsKey(e.name()) && !body.path("replace").asBoolean()) {
-                reply.refuse(409, "name: there is an entry \"" + e.name() + "\" already; --replace puts this one in its place");
+                responder.respondError(409, "name: there is an entry \"" + e.name() + "\" already; --replace puts this one in its place");
             } else if (policy.entries().size() >= Constants.MAX_ENTRIES) {
-                reply.refuse(409, "the calendar has " + Constants.MAX_ENTRIES + " entries, as many as it may have");
+                responder.respondError(409, "the calendar has " + Constants.MAX_ENTRIES + " entries, as many as it may have");
             } else {
-                write(e.name(), e, id, body, reply);
+                writeEntry(e.name(), e, changeId, body, responder);
             }
         } catch (Invalid e) {
-            reply.refuse(400, e.getMessage());
+            responder.respondError(400, e.getMessage());
         }
     }
 
-    private void write(String name, Entry next, String id, ObjectNode body, Reply reply) {
-        ObjectNode out = Codec.map();
-        if (next != null) {
-            coming(out.putArray("next"), next, 7);
+    private void writeEntry(String name, Entry updated, String changeId, ObjectNode body, Reply responder) {
+        ObjectNode out = Codec.newMap();
+        if (updated != null) {
+            addUpcoming(out.putArray("next"), updated, 7);
         }
         if (body.path("dryRun").asBoolean()) {
-            reply.ok(out.put("state", "dry run"));
+            responder.respondOk(out.put("state", "dry run"));
             return;
         }
-        String key = Keys.ENTRY + name;
-        Txn txn = new Txn().guard(key, mirror.stamp(key)).guard(Keys.CALENDAR, mirror.stamp(Keys.CALENDAR)).put(Keys.CALENDAR, policy.calendar().next(id));
-        if (next == null) {
+        String key = Keys.CALENDAR_ENTRY_PREFIX + name;
+        Txn txn = new Txn().requireRevision(key, watchCache.modRevision(key)).requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD)).put(Keys.CALENDAR_HEAD, policy.calendarHead().encodeNext(changeId));
+        if (updated == null) {
             txn.remove(key);
         } else {
-            txn.put(key, next.encode());
+            txn.put(key, updated.encode());
         }
-        commit(txn, reply, out.put("state", "done"));
+        commit(txn, responder, out.put("state", "done"));
     }
 
-    private void listEntries(ObjectNode body, Reply reply) {
-        ObjectNode out = Codec.map();
+    private void listEntries(ObjectNode body, Reply responder) {
+        ObjectNode out = Codec.newMap();
         ArrayNode list = out.putArray("list");
         policy.entries().values().forEach(e -> list.add(e.encode()));
         ArrayNode now = out.putArray("occurrences");
-        policy.occurrences().values().forEach(o -> now.add(o.summary().put("entry", o.entry).put("date", o.date).put("unfinished", o.open.size())));
-        reply.ok(out);
+        policy.occurrences().values().forEach(o -> now.add(o.encodeSummary().put("entry", o.entryName).put("date", o.date).put("unfinished", o.openJobIds.size())));
+        responder.respondOk(out);
     }
 
-    private void coming(ArrayNode list, Entry e, int days) {
-        for (Entry.When w : e.between(loop.wall(), loop.wall() + days * 86_400_000L)) {
-            ObjectNode n = list.addObject().put("entry", e.name()).put("date", w.date().toString()).put("publication", java.time.Instant.ofEpochMilli(w.publicationMs()).toString())
-                    .put("opens", java.time.Instant.ofEpochMilli(w.publicationMs() - (long) (e.leadS() * 1000)).toString());
-            List<Double> peaks = policy.memory(e.name()).peaks();
+    private void addUpcoming(ArrayNode publications, Entry entry, int days) {
+        for (Entry.When publication : entry.publicationsBetween(loop.wallClockMillis(), loop.wallClockMillis() + days * 86_400_000L)) {
+            ObjectNode node = publications.addObject().put("entry", entry.name()).put("date", publication.date().toString()).put("publication", java.time.Instant.ofEpochMilli(publication.epochMillis()).toString())
+                    .put("opens", java.time.Instant.ofEpochMilli(publication.epochMillis() - (long) (entry.leadSeconds() * 1000)).toString());
+            List<Double> peaks = policy.historyOf(entry.name()).peakCpus();
             if (!peaks.isEmpty()) {
-                n.put("expectedCpus", peaks.stream().sorted().toList().get(peaks.size() / 2));
+                node.put("expectedCpus", peaks.stream().sorted().toList().get(peaks.size() / 2));
             }
         }
     }
 
-    private void next(ObjectNode body, Reply reply) {
-        ObjectNode out = Codec.map();
+    private void listUpcoming(ObjectNode body, Reply responder) {
+        ObjectNode out = Codec.newMap();
         ArrayNode list = out.putArray("list");
         int days = Math.max(1, Math.min(31, body.path("days").asInt(2)));
-        for (Entry e : policy.entries().values()) {
+        for (Entry entry : policy.entries().values()) {
             if (list.size() < Constants.MAX_LISTED) {
-                coming(list, e, days);
+                addUpcoming(list, entry, days);
             }
         }
-        reply.ok(out);
+        responder.respondOk(out);
     }
 
-    private void ledger(ObjectNode body, Reply reply) {
+    private void listLedger(ObjectNode body, Reply responder) {
         String name = body.path("name").asText();
-        store.list(Keys.LEDGER + name + "/", null, (status, answer) -> {
+        store.list(Keys.LEDGER_PREFIX + name + "/", null, (status, listing) -> {
             if (status != 200) {
-                reply.refuse(503, "the state service does not answer");
+                responder.respondError(503, "the state service does not answer");
                 return;
             }
-            ObjectNode out = Codec.map();
-            List<ObjectNode> all = new ArrayList<>();
-            for (JsonNode item : answer.path("items")) {
+            ObjectNode out = Codec.newMap();
+            List<ObjectNode> summaries = new ArrayList<>();
+            for (JsonNode item : listing.path("items")) {
                 String path = item.path("path").asText();
                 if (item.path("value").isObject()) {
-                    all.add(((ObjectNode) item.path("value")).deepCopy().put("entry", name).put("date", path.substring(path.lastIndexOf('/') + 1)));
+                    summaries.add(((ObjectNode) item.path("value")).deepCopy().put("entry", name).put("date", path.substring(path.lastIndexOf('/') + 1)));
                 }
             }
             ArrayNode list = out.putArray("list");
-            all.forEach(list::add);
-            reply.ok(out);
+            summaries.forEach(list::add);
+            responder.respondOk(out);
         });
     }
 }
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -26,95 +26,95 @@
  */
 public final class Policy {
     private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-    private static final Standing PLAIN = new Standing(null, Constants.MIDDLE_RANK, null, 0);
+    private static final Standing DEFAULT_PRIORITY = new Standing(null, Constants.MIDDLE_RANK, null, 0);
 
     /** The head of the classes. {@code rules}: the generation in force; {@code was}: the one before it that all could read; {@code next}:
      *  proposed; {@code last}: the highest number ever given. */
-    record Head(long rules, long was, long next, long last, Map<String, Long> changes, long refused, String why) { }
+    record Head(long activeGeneration, long previousGeneration, long proposedGeneration, long highestGeneration, Map<String, Long> generationByChangeId, long rejectedGeneration, String rejectionReason) { }
 
-    static final Head NO_HEAD = new Head(0, 0, 0, 0, Map.of(), 0, "");
+    static final Head EMPTY_CLASSES_HEAD = new Head(0, 0, 0, 0, Map.of(), 0, "");
 
     /** Generation of the calendar, and the operators' last changes of it. */
-    record CalendarHead(long generation, List<String> changes) {
+    record CalendarHead(long generation, List<String> recentChangeIds) {
         /** The next generation, with the change that makes it; null: the leader's own. */
-        ObjectNode next(String change) {
-            ObjectNode n = Codec.map().put("g", generation + 1);
-            ArrayNode list = n.putArray("changes");
-            changes.stream().skip(change == null ? 0 : Math.max(0, changes.size() - Constants.CHANGES_REMEMBERED + 1)).forEach(list::add);
-            if (change != null) {
-                list.add(change);
+        ObjectNode encodeNext(String changeId) {
+            ObjectNode node = Codec.newMap().put("g", generation + 1);
+            ArrayNode changeIdNodes = node.putArray("changes");
+            recentChangeIds.stream().skip(changeId == null ? 0 : Math.max(0, recentChangeIds.size() - Constants.CHANGES_REMEMBERED + 1)).forEach(changeIdNodes::add);
+            if (changeId != null) {
+                changeIdNodes.add(changeId);
             }
-            return n;
+            return node;
         }
     }
 
-    static final CalendarHead NO_CALENDAR = new CalendarHead(0, List.of());
+    static final CalendarHead EMPTY_CALENDAR_HEAD = new CalendarHead(0, List.of());
 
     /** What is remembered of an entry: up to when its occurrences are closed, and the peaks of the last ones in CPUs. */
-    record Memory(long throughMs, List<Double> peaks) { }
+    record Memory(long closedThroughMillis, List<Double> peakCpus) { }
 
-    private final Mirror mirror;
-    private Head head = NO_HEAD;
-    private CalendarHead calendar = NO_CALENDAR;
-    private final Map<Long, TreeMap<Integer, String>> parts = new TreeMap<>();
-    private final Map<String, Long> objections = new TreeMap<>();
+    private final Mirror watchCache;
+    private Head classesHead = EMPTY_CLASSES_HEAD;
+    private CalendarHead calendarHead = EMPTY_CALENDAR_HEAD;
+    private final Map<Long, TreeMap<Integer, String>> classesParts = new TreeMap<>();
+    private final Map<String, Long> unreadableGenerationByMember = new TreeMap<>();
     private final Map<String, Entry> entries = new TreeMap<>();
     private final Map<String, Occurrence> occurrences = new TreeMap<>();
     /** Those whose window is open. */
-    private final List<Occurrence> ranking = new ArrayList<>();
-    private final Map<String, Memory> memories = new HashMap<>();
-    private final Map<String, JsonNode> lateEnds = new TreeMap<>();
+    private final List<Occurrence> priorityOccurrences = new ArrayList<>();
+    private final Map<String, Memory> historyByEntry = new HashMap<>();
+    private final Map<String, JsonNode> uncountedCompletions = new TreeMap<>();
     private Classes classes = Classes.NONE;
     /** Generation of the classes that can't be read here; 0: none. */
-    private long unread;
+    private long unreadableGeneration;
     private long version;
-    private final Map<Job, Standing> standings = new java.util.IdentityHashMap<>();
-
-    public Policy(Mirror mirror) {
-        this.mirror = mirror;
-        view(Keys.CLASSES, (rest, v) -> head = v == null ? NO_HEAD : readHead(v));
-        view(Keys.CLASSES_PART, this::part);
-        view(Keys.CLASSES_OBJECTION, (member, v) -> set(objections, member, v == null ? null : v.path("g").asLong()));
-        view(Keys.ENTRY, this::entry);
-        mirror.view(Keys.OCCURRENCE, new Mirror.View() {
-            @Override public void put(String key, JsonNode value, long stamp) {
-                occurrence(key.substring(Keys.OCCURRENCE.length()), value);
+    private final Map<Job, Standing> priorityByJob = new java.util.IdentityHashMap<>();
+
+    public Policy(Mirror watchCache) {
+        this.watchCache = watchCache;
+        subscribe(Keys.CLASSES_HEAD, (rest, v) -> classesHead = v == null ? EMPTY_CLASSES_HEAD : decodeClassesHead(v));
+        subscribe(Keys.CLASSES_PART_PREFIX, this::onClassesPart);
+        subscribe(Keys.CLASSES_OBJECTION_PREFIX, (member, v) -> putOrRemove(unreadableGenerationByMember, member, v == null ? null : v.path("g").asLong()));
+        subscribe(Keys.CALENDAR_ENTRY_PREFIX, this::onEntry);
+        watchCache.addPrefixListener(Keys.OCCURRENCE_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode value, long stamp) {
+                onOccurrence(key.substring(Keys.OCCURRENCE_PREFIX.length()), value);
             }
 
-            @Override public void remove(String key) {
-                occurrence(key.substring(Keys.OCCURRENCE.length()), null);
+            @Override public void onRemove(String key) {
+                onOccurrence(key.substring(Keys.OCCURRENCE_PREFIX.length()), null);
             }
         });
-        view(Keys.MEMORY, (name, v) -> set(memories, name, v == null ? null : readMemory(v)));
-        view(Keys.LATE_END, (id, v) -> set(lateEnds, id, v));
-        view(Keys.CALENDAR, (rest, v) -> calendar = v == null ? NO_CALENDAR : readCalendar(v));
+        subscribe(Keys.ENTRY_HISTORY_PREFIX, (name, v) -> putOrRemove(historyByEntry, name, v == null ? null : decodeHistory(v)));
+        subscribe(Keys.UNCOUNTED_COMPLETION_PREFIX, (id, v) -> putOrRemove(uncountedCompletions, id, v));
+        subscribe(Keys.CALENDAR_HEAD, (rest, v) -> calendarHead = v == null ? EMPTY_CALENDAR_HEAD : decodeCalendarHead(v));
         // Only when a whole batch is in: a generation's head and its parts come together.
-        mirror.onChange(this::reread);
+        watchCache.addChangeListener(this::refreshClasses);
     }
 
     private interface Reader {
-        void read(String rest, JsonNode value);
+        void accept(String keySuffix, JsonNode value);
     }
 
-    private void view(String prefix, Reader r) {
-        mirror.view(prefix, new Mirror.View() {
-            @Override public void put(String key, JsonNode value, long stamp) {
-                changed(() -> r.read(key.substring(prefix.length()), value));
+    private void subscribe(String prefix, Reader consumer) {
+        watchCache.addPrefixListener(prefix, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode value, long stamp) {
+                applyChange(() -> consumer.accept(key.substring(prefix.length()), value));
             }
 
-            @Override public void remove(String key) {
-                changed(() -> r.read(key.substring(prefix.length()), null));
+            @Override public void onRemove(String key) {
+                applyChange(() -> consumer.accept(key.substring(prefix.length()), null));
             }
         });
     }
 
-    private void changed(Runnable r) {
-        r.run();
+    private void applyChange(Runnable change) {
+        change.run();
         version++;
-        standings.clear();
+        priorityByJob.clear();
     }
 
-    private static <V> void set(Map<String, V> map, String key, V value) {
+    private static <V> void putOrRemove(Map<String, V> map, String key, V value) {
         if (value == null) {
             map.remove(key);
         } else {
@@ -122,160 +122,160 @@
         }
     }
 
-    private static Head readHead(JsonNode v) {
-        Map<String, Long> changes = new java.util.LinkedHashMap<>();
-        v.path("changes").forEach(c -> changes.put(c.path(0).asText(), c.path(1).asLong()));
-        return new Head(v.path("rules").asLong(), v.path("was").asLong(), v.path("next").asLong(), v.path("last").asLong(), changes,
-                v.path("refused").asLong(), v.path("why").asText());
+    private static Head decodeClassesHead(JsonNode node) {
+        Map<String, Long> generationByChangeId = new java.util.LinkedHashMap<>();
+        node.path("changes").forEach(c -> generationByChangeId.put(c.path(0).asText(), c.path(1).asLong()));
+        return new Head(node.path("rules").asLong(), node.path("was").asLong(), node.path("next").asLong(), node.path("last").asLong(), generationByChangeId,
+                node.path("refused").asLong(), node.path("why").asText());
     }
 
-    private static CalendarHead readCalendar(JsonNode v) {
-        List<String> changes = new ArrayList<>();
-        v.path("changes").forEach(c -> changes.add(c.asText()));
-        return new CalendarHead(v.path("g").asLong(), changes);
+    private static CalendarHead decodeCalendarHead(JsonNode node) {
+        List<String> changeIds = new ArrayList<>();
+        node.path("changes").forEach(c -> changeIds.add(c.asText()));
+        return new CalendarHead(node.path("g").asLong(), changeIds);
     }
 
-    private void part(String rest, JsonNode v) {
-        int slash = rest.indexOf('/');
+    private void onClassesPart(String keySuffix, JsonNode node) {
+        int slash = keySuffix.indexOf('/');
         try {
-            long g = Long.parseLong(rest.substring(0, slash));
-            int i = Integer.parseInt(rest.substring(slash + 1));
-            TreeMap<Integer, String> of = parts.computeIfAbsent(g, k -> new TreeMap<>());
-            if (v == null) {
-                of.remove(i);
+            long generation = Long.parseLong(keySuffix.substring(0, slash));
+            int index = Integer.parseInt(keySuffix.substring(slash + 1));
+            TreeMap<Integer, String> partTexts = classesParts.computeIfAbsent(generation, k -> new TreeMap<>());
+            if (node == null) {
+                partTexts.remove(index);
             } else {
-                of.put(i, v.path("t").asText());
+                partTexts.put(index, node.path("t").asText());
             }
-            if (of.isEmpty()) {
-                parts.remove(g);
+            if (partTexts.isEmpty()) {
+                classesParts.remove(generation);
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            LOG.error("the record {}{} does not belong to any classes; it is left alone", Keys.CLASSES_PART, rest);
+            LOG.error("the record {}{} does not belong to any classes; it is left alone", Keys.CLASSES_PART_PREFIX, keySuffix);
         }
     }
 
-    private void entry(String name, JsonNode v) {
+    private void onEntry(String name, JsonNode node) {
         try {
-            set(entries, name, v == null ? null : Entry.read(v, name));
+            putOrRemove(entries, name, node == null ? null : Entry.decode(node, name));
         } catch (Invalid e) {
             // The entry as it was goes on ruling; occurrences under way hold what they cover.
             LOG.error("the calendar's entry {} can't be read ({}); as it was it stays in force", name, e.getMessage());
         }
     }
 
-    private void occurrence(String rest, JsonNode v) {
-        int slash = rest.lastIndexOf('/');
+    private void onOccurrence(String keySuffix, JsonNode node) {
+        int slash = keySuffix.lastIndexOf('/');
         if (slash < 0) {
             return;
         }
-        Occurrence before = occurrences.get(rest);
+        Occurrence before = occurrences.get(keySuffix);
         try {
-            set(occurrences, rest, v == null ? null : Occurrence.read(rest.substring(0, slash), rest.substring(slash + 1), v));
+            putOrRemove(occurrences, keySuffix, node == null ? null : Occurrence.decode(keySuffix.substring(0, slash), keySuffix.substring(slash + 1), node));
         } catch (Invalid e) {
-            LOG.error("the occurrence {} can't be read ({}); as it was it stays in force", rest, e.getMessage());
+            LOG.error("the occurrence {} can't be read ({}); as it was it stays in force", keySuffix, e.getMessage());
         }
-        Occurrence now = occurrences.get(rest);
+        Occurrence now = occurrences.get(keySuffix);
         // Counts are written often and change nobody's standing.
-        boolean alike = before != null && now != null && before.state() == now.state() && before.publicationMs == now.publicationMs && before.covers.equals(now.covers);
-        ranking.clear();
-        occurrences.values().stream().filter(Occurrence::ranks).forEach(ranking::add);
-        if (!alike) {
-            changed(() -> { });
+        boolean samePriority = before != null && now != null && before.state() == now.state() && before.publicationMillis == now.publicationMillis && before.selectors.equals(now.selectors);
+        priorityOccurrences.clear();
+        occurrences.values().stream().filter(Occurrence::raisesPriority).forEach(priorityOccurrences::add);
+        if (!samePriority) {
+            applyChange(() -> { });
         }
     }
 
-    private static Memory readMemory(JsonNode v) {
-        List<Double> peaks = new ArrayList<>();
-        v.path("cpus").forEach(p -> peaks.add(p.asDouble()));
-        return new Memory(v.path("through").asLong(), peaks);
+    private static Memory decodeHistory(JsonNode node) {
+        List<Double> peakCpus = new ArrayList<>();
+        node.path("cpus").forEach(p -> peakCpus.add(p.asDouble()));
+        return new Memory(node.path("through").asLong(), peakCpus);
     }
 
     /** Reads the ruling generation, once its parts are here. Until then nothing is placed by another one. */
-    private void reread() {
+    private void refreshClasses() {
         Classes before = classes;
-        readRuling();
+        loadActiveClasses();
         if (before != classes) {
             LOG.info("priority classes: generation {} rules", classes.generation());
             version++;
-            standings.clear();
+            priorityByJob.clear();
         }
     }
 
-    private void readRuling() {
-        if (head.rules == classes.generation()) {
-            unread = 0;
+    private void loadActiveClasses() {
+        if (classesHead.activeGeneration == classes.generation()) {
+            unreadableGeneration = 0;
             return;
         }
-        if (head.rules == 0) {
+        if (classesHead.activeGeneration == 0) {
             classes = Classes.NONE;
-            unread = 0;
+            unreadableGeneration = 0;
             return;
         }
         try {
-            classes = generation(head.rules);
-            unread = 0;
+            classes = loadGeneration(classesHead.activeGeneration);
+            unreadableGeneration = 0;
         } catch (Invalid e) {
-            if (unread != head.rules) {
-                LOG.error("generation {} of the priority classes can't be read here ({}); nothing is placed until one can be read", head.rules, e.getMessage());
-                unread = head.rules;
+            if (unreadableGeneration != classesHead.activeGeneration) {
+                LOG.error("generation {} of the priority classes can't be read here ({}); nothing is placed until one can be read", classesHead.activeGeneration, e.getMessage());
+                unreadableGeneration = classesHead.activeGeneration;
             }
         }
     }
 
     /** A generation as its parts say; refused while one is missing. */
-    Classes generation(long g) throws Invalid {
-        TreeMap<Integer, String> of = parts.getOrDefault(g, new TreeMap<>());
-        String text = String.join("", of.values());
+    Classes loadGeneration(long generation) throws Invalid {
+        TreeMap<Integer, String> partTexts = classesParts.getOrDefault(generation, new TreeMap<>());
+        String text = String.join("", partTexts.values());
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new Invalid("generation " + g, "its " + of.size() + " parts are no JSON");
+            throw new Invalid("generation " + generation, "its " + partTexts.size() + " parts are no JSON");
         }
-        return Classes.read(root, g, "generation " + g);
+        return Classes.decode(root, generation, "generation " + generation);
     }
 
-    Collection<Long> generations() {
-        return parts.keySet();
+    Collection<Long> recordedGenerations() {
+        return classesParts.keySet();
     }
 
-    Collection<String> partKeys(long g) {
-        return parts.getOrDefault(g, new TreeMap<>()).keySet().stream().map(i -> Keys.CLASSES_PART + g + "/" + i).toList();
+    Collection<String> partKeys(long generation) {
+        return classesParts.getOrDefault(generation, new TreeMap<>()).keySet().stream().map(i -> Keys.CLASSES_PART_PREFIX + generation + "/" + i).toList();
     }
 
-    Head head() {
-        return head;
+    Head classesHead() {
+        return classesHead;
     }
 
-    CalendarHead calendar() {
-        return calendar;
+    CalendarHead calendarHead() {
+        return calendarHead;
     }
 
     /** Generation of the calendar that is in force here. */
     public long calendarGeneration() {
-        return calendar.generation;
+        return calendarHead.generation;
     }
 
-    Map<String, Long> objections() {
-        return objections;
+    Map<String, Long> unreadableGenerationByMember() {
+        return unreadableGenerationByMember;
     }
 
     /** The generation that can't be read here; 0: all can. */
-    long unread() {
-        return unread;
+    long unreadableGeneration() {
+        return unreadableGeneration;
     }
 
     /** Whether this controller knows the classes it would place by. */
-    public boolean ready() {
-        return unread == 0;
+    public boolean isReady() {
+        return unreadableGeneration == 0;
     }
 
     /** Whether any operators' record exists that work is ranked by. */
-    public boolean inForce() {
-        return head.rules != 0 || !occurrences.isEmpty();
+    public boolean isInForce() {
+        return classesHead.activeGeneration != 0 || !occurrences.isEmpty();
     }
 
-    public Classes classes() {
+    public Classes activeClasses() {
         return classes;
     }
 
@@ -287,12 +287,12 @@
         return occurrences;
     }
 
-    Memory memory(String entry) {
-        return memories.getOrDefault(entry, new Memory(0, List.of()));
+    Memory historyOf(String entry) {
+        return historyByEntry.getOrDefault(entry, new Memory(0, List.of()));
     }
 
-    Map<String, JsonNode> lateEnds() {
-        return lateEnds;
+    Map<String, JsonNode> uncountedCompletions() {
+        return uncountedCompletions;
     }
 
     /** Rises with every change of an operators' record. */
@@ -301,111 +301,111 @@
     }
 
     /** The change then fails if it was decided by another generation of classes or calendar than rules when it is carried out. */
-    public void guard(Txn txn) {
-        txn.guard(Keys.CLASSES, mirror.stamp(Keys.CLASSES)).guard(Keys.CALENDAR, mirror.stamp(Keys.CALENDAR));
+    public void requireCurrentPolicy(Txn txn) {
+        txn.requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD)).requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD));
     }
 
     /** Of two open windows that cover a job, the one that is published first counts. */
-    public Standing of(Job job) {
-        if (!inForce()) {
-            return PLAIN;
+    public Standing priorityOf(Job job) {
+        if (!isInForce()) {
+            return DEFAULT_PRIORITY;
         }
-        Standing s = standings.get(job);
-        if (s == null) {
-            JobClass c = classes.of(job.spec);
+        Standing priority = priorityByJob.get(job);
+        if (priority == null) {
+            JobClass jobClass = classes.classOf(job.spec);
             Occurrence first = null;
-            for (Occurrence o : ranking) {
-                if ((first == null || o.publicationMs < first.publicationMs) && o.covers(job.spec, job.acceptedAt)) {
-                    first = o;
+            for (Occurrence occurrence : priorityOccurrences) {
+                if ((first == null || occurrence.publicationMillis < first.publicationMillis) && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                    first = occurrence;
                 }
             }
-            s = c == null && first == null ? PLAIN : new Standing(c, c == null ? Constants.MIDDLE_RANK : c.rank(), first, first == null ? 0 : first.publicationMs);
-            if (standings.size() >= Constants.MAX_OPEN_JOBS) {
-                standings.clear();
+            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new Standing(jobClass, jobClass == null ? Constants.MIDDLE_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
+            if (priorityByJob.size() >= Constants.MAX_OPEN_JOBS) {
+                priorityByJob.clear();
             }
-            standings.put(job, s);
+            priorityByJob.put(job, priority);
         }
-        return s;
+        return priority;
     }
 
     /** How many of the job's tasks must have begun by now, so that nobody is left behind by the bounds of its class. */
-    public int entitled(Job job, long wallNow) {
-        Standing s = of(job);
-        return job.entitled(wallNow, s.beginWithinS(), s.leastShare());
+    public int requiredStartedTaskCount(Job job, long wallClockMillis) {
+        Standing priority = priorityOf(job);
+        return job.requiredStartedTaskCount(wallClockMillis, priority.startWithinSeconds(), priority.minStartedShare());
     }
 
     /**
      * A covered job's end: its final record says when, and what no occurrence's record names yet is recorded beside it in the same
      * change, so that every covered job is counted though no leader ever saw it.
      */
-    public void ended(Job job, ObjectNode last, Txn txn, long wallNow) {
-        List<Occurrence> covering = covering(job);
+    public void recordCompletion(Job job, ObjectNode finalRecord, Txn txn, long wallClockMillis) {
+        List<Occurrence> covering = occurrencesCovering(job);
         if (covering.isEmpty()) {
             return;
         }
-        last.put("t", wallNow);
-        List<Occurrence> missing = covering.stream().filter(o -> !o.open.contains(job.spec.id())).toList();
+        finalRecord.put("t", wallClockMillis);
+        List<Occurrence> missing = covering.stream().filter(o -> !o.openJobIds.contains(job.spec.jobId())).toList();
         if (!missing.isEmpty()) {
-            ObjectNode n = Codec.map().put("s", last.path("s").asText()).put("t", wallNow);
-            ArrayNode of = n.putArray("occ");
-            missing.forEach(o -> of.add(o.entry + "/" + o.date));
-            txn.put(Keys.LATE_END + job.spec.id(), n);
+            ObjectNode uncountedCompletion = Codec.newMap().put("s", finalRecord.path("s").asText()).put("t", wallClockMillis);
+            ArrayNode occurrenceNodes = uncountedCompletion.putArray("occ");
+            missing.forEach(o -> occurrenceNodes.add(o.entryName + "/" + o.date));
+            txn.put(Keys.UNCOUNTED_COMPLETION_PREFIX + job.spec.jobId(), uncountedCompletion);
         }
     }
 
     /** Whether any window is open. */
-    public boolean windowOpen() {
-        return ranking.stream().anyMatch(o -> o.state() == Occurrence.State.OPEN);
+    public boolean isAnyWindowOpen() {
+        return priorityOccurrences.stream().anyMatch(o -> o.state() == Occurrence.State.OPEN);
     }
 
     /** How many of a service's replicas may be in one zone, by the job and by the part that its class wants left when any zone is lost. */
-    public int zoneMost(Job job) {
-        int members = job.spec.members();
-        int most = job.spec.scatter() ? (members + 1) / 2 : members;
-        JobClass c = of(job).jobClass();
-        if (c != null && c.zoneSpare() > 0 && job.spec.service() && !job.spec.oneZone() && job.spec.site() == null) {
-            most = Math.min(most, Math.max(1, (int) Math.floor(members * (1 - c.zoneSpare()) + 1e-9)));
+    public int maxTasksPerZone(Job job) {
+        int taskCount = job.spec.taskCount();
+        int maxTasks = job.spec.zoneSpread() ? (taskCount + 1) / 2 : taskCount;
+        JobClass jobClass = priorityOf(job).jobClass();
+        if (jobClass != null && jobClass.minShareAfterZoneLoss() > 0 && job.spec.isService() && !job.spec.zoneAffinity() && job.spec.zone() == null) {
+            maxTasks = Math.min(maxTasks, Math.max(1, (int) Math.floor(taskCount * (1 - jobClass.minShareAfterZoneLoss()) + 1e-9)));
         }
-        return most;
+        return maxTasks;
     }
 
     /** ms for which the silence of a machine with this job's tasks is borne in a zone that is cut off; negative: as without operators' word. */
-    public double zonePatienceMs(Job job) {
-        JobClass c = of(job).jobClass();
-        return c == null || c.zonePatienceS() < 0 ? -1 : c.zonePatienceS() * 1000;
+    public double unreachableZonePatienceMillis(Job job) {
+        JobClass jobClass = priorityOf(job).jobClass();
+        return jobClass == null || jobClass.unreachableZonePatienceSeconds() < 0 ? -1 : jobClass.unreachableZonePatienceSeconds() * 1000;
     }
 
     /** The occurrences whose window is open and that cover the job. */
-    List<Occurrence> covering(Job job) {
-        List<Occurrence> out = new ArrayList<>();
-        for (Occurrence o : ranking) {
-            if (o.covers(job.spec, job.acceptedAt)) {
-                out.add(o);
+    List<Occurrence> occurrencesCovering(Job job) {
+        List<Occurrence> occurrencesCovering = new ArrayList<>();
+        for (Occurrence occurrence : priorityOccurrences) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                occurrencesCovering.add(occurrence);
             }
         }
-        return out;
+        return occurrencesCovering;
     }
 
     /**
      * CPUs that windows which open soon or have just opened will need, by what earlier ones took: the middle of their peaks, less what
      * their covered work uses already. {@code aheadS}: how long before the opening a machine must be rented to be up.
      */
-    public double bookedCpus(Collection<Job> jobs, long wallNow, double aheadS) {
-        double sum = 0;
-        for (Occurrence o : occurrences.values()) {
-            boolean soon = o.state() == Occurrence.State.PLANNED && wallNow >= o.openMs - aheadS * 1000 && wallNow < o.publicationMs;
-            boolean young = o.state() == Occurrence.State.OPEN && wallNow < o.openMs + Constants.CALENDAR_KEEP_S * 1000 && wallNow < o.publicationMs;
-            List<Double> peaks = memory(o.entry).peaks;
-            if ((soon || young) && !peaks.isEmpty()) {
-                double now = 0;
-                for (Job j : jobs) {
-                    if (o.covers(j.spec, j.acceptedAt) && !j.cancelled()) {
-                        now += (j.heldCount() + j.waitingCount()) * j.spec.vcpus();
+    public double forecastCpus(Collection<Job> jobs, long wallClockMillis, double provisioningSeconds) {
+        double totalCpus = 0;
+        for (Occurrence occurrence : occurrences.values()) {
+            boolean opensSoon = occurrence.state() == Occurrence.State.PLANNED && wallClockMillis >= occurrence.opensAtMillis - provisioningSeconds * 1000 && wallClockMillis < occurrence.publicationMillis;
+            boolean justOpened = occurrence.state() == Occurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + Constants.CALENDAR_KEEP_S * 1000 && wallClockMillis < occurrence.publicationMillis;
+            List<Double> peakCpus = historyOf(occurrence.entryName).peakCpus;
+            if ((opensSoon || justOpened) && !peakCpus.isEmpty()) {
+                double usedCpus = 0;
+                for (Job job : jobs) {
+                    if (occurrence.covers(job.spec, job.acceptedAtEpochMillis) && !job.isCancelled()) {
+                        usedCpus += (job.possiblyRunningTaskCount() + job.waitingTaskCount()) * job.spec.cpus();
                     }
                 }
-                sum += Math.max(0, peaks.stream().sorted().toList().get(peaks.size() / 2) - now);
+                totalCpus += Math.max(0, peakCpus.stream().sorted().toList().get(peakCpus.size() / 2) - usedCpus);
             }
         }
-        return sum;
+        return totalCpus;
     }
 }
--- a/src/main/java/io/quincelead/policy/Standing.java
+++ b/src/main/java/io/quincelead/policy/Standing.java
@@ -8,33 +8,33 @@
  * {@code publicationMs}: of the open window that covers it, in ms since 1970; 0: none. {@code jobClass} and {@code occurrence} say where
  * each comes from; null: from nowhere.
  */
-public record Standing(JobClass jobClass, int rank, Occurrence occurrence, long publicationMs) {
+public record Standing(JobClass jobClass, int rank, Occurrence occurrence, long publicationMillis) {
     /** Covered work goes first in its tier. */
-    public boolean covered() {
-        return publicationMs > 0;
+    public boolean isCovered() {
+        return publicationMillis > 0;
     }
 
-    public JobClass.Keep keep() {
-        return jobClass == null ? JobClass.Keep.PROTOCOL : jobClass.keep();
+    public JobClass.Keep preemptionProtection() {
+        return jobClass == null ? JobClass.Keep.PROTOCOL : jobClass.preemptionProtection();
     }
 
     /** The urgency by which the job is ordered, as a number, the smaller the earlier. */
-    public int urgency(JobSpec s) {
-        int own = s.urgency().ordinal();
-        return jobClass == null ? own : switch (jobClass.passes()) {
-            case NONE -> own;
-            case NORMAL -> Math.min(own, JobSpec.Urgency.NORMAL.ordinal());
-            case HIGH -> Math.min(own, JobSpec.Urgency.HIGH.ordinal());
+    public int orderingPriority(JobSpec spec) {
+        int ownPriority = spec.priority().ordinal();
+        return jobClass == null ? ownPriority : switch (jobClass.orderingPriority()) {
+            case NONE -> ownPriority;
+            case NORMAL -> Math.min(ownPriority, JobSpec.Urgency.NORMAL.ordinal());
+            case HIGH -> Math.min(ownPriority, JobSpec.Urgency.HIGH.ordinal());
             case PRODUCTION -> JobSpec.Urgency.PRODUCTION.ordinal();
         };
     }
 
     /** Seconds within which the job should have begun. */
-    public double beginWithinS() {
-        return jobClass == null ? Constants.BEGIN_WITHIN_S : jobClass.beginWithinS();
+    public double startWithinSeconds() {
+        return jobClass == null ? Constants.BEGIN_WITHIN_S : jobClass.startWithinSeconds();
     }
 
-    double leastShare() {
-        return jobClass == null ? Constants.LEAST_SHARE : jobClass.leastShare();
+    double minStartedShare() {
+        return jobClass == null ? Constants.LEAST_SHARE : jobClass.minStartedShare();
     }
 }
--- a/src/main/java/io/quincelead/records/Blocks.java
+++ b/src/main/java/io/quincelead/records/Blocks.java
@@ -17,12 +17,12 @@
 /** Who is alive, who leads and who holds which machines under which terms, as mirrored from the store. */
 public final class Blocks {
     /** A live controller. */
-    public record Node(String member, String address, long incarnation, long grant) { }
+    public record Node(String memberId, String address, long incarnation, long leaseId) { }
 
     /** The leadership, fixed to one incarnation of a controller. */
-    public record Lead(String member, long incarnation, long term) {
+    public record Lead(String memberId, long incarnation, long fencingToken) {
         public ObjectNode encode() {
-            return Codec.map().put("m", member).put("i", incarnation).put("t", term);
+            return Codec.newMap().put("m", memberId).put("i", incarnation).put("t", fencingToken);
         }
     }
 
@@ -31,158 +31,158 @@
         public static final Amount NONE = new Amount(0, 0);
 
         /** What is left when tasks on record move to another controller with their job: their use moves out with them. */
-        public Amount without(int tasks, double taskCpus, double taskGpus) {
-            return new Amount(Math.max(0, cpus - tasks * taskCpus), Math.max(0, gpus - tasks * taskGpus));
+        public Amount minusTasks(int taskCount, double cpusPerTask, double gpusPerTask) {
+            return new Amount(Math.max(0, cpus - taskCount * cpusPerTask), Math.max(0, gpus - taskCount * gpusPerTask));
         }
     }
 
     /** A block: the machines leased to a controller, each with its term (the token), and its share of the teams' limits. */
-    public record Block(String member, Map<String, Long> machines, Map<String, Amount> allowances) {
-        public Amount allowance(String team) {
-            return allowances.getOrDefault(team, Amount.NONE);
+    public record Block(String ownerId, Map<String, Long> fencingTokensByHost, Map<String, Amount> quotaShares) {
+        public Amount quotaShare(String team) {
+            return quotaShares.getOrDefault(team, Amount.NONE);
         }
 
         public Block copy() {
-            return new Block(member, new LinkedHashMap<>(machines), new LinkedHashMap<>(allowances));
+            return new Block(ownerId, new LinkedHashMap<>(fencingTokensByHost), new LinkedHashMap<>(quotaShares));
         }
 
-        public String key() {
-            return Keys.BLOCK + member;
+        public String storeKey() {
+            return Keys.SHARD_PREFIX + ownerId;
         }
 
-        private static String common(String a, String b) {
-            int n = 0;
-            while (n < Math.min(a.length(), b.length()) && a.charAt(n) == b.charAt(n)) {
-                n++;
+        private static String commonPrefix(String left, String right) {
+            int length = 0;
+            while (length < Math.min(left.length(), right.length()) && left.charAt(length) == right.charAt(length)) {
+                length++;
             }
-            return a.substring(0, n);
+            return left.substring(0, length);
         }
 
         /** Machines by term, names without their common prefix: a controller alone may hold every machine in one record. */
         public ObjectNode encode() {
-            ObjectNode n = Codec.map();
-            String prefix = machines.keySet().stream().reduce(Block::common).orElse("");
-            n.put("p", prefix);
-            ObjectNode m = n.putObject("ms");
-            machines.forEach((host, term) -> m.withArray("/" + term).add(host.substring(prefix.length())));
-            ObjectNode a = n.putObject("al");
-            allowances.forEach((team, x) -> a.putArray(team).add(x.cpus).add(x.gpus));
-            return n;
+            ObjectNode node = Codec.newMap();
+            String prefix = fencingTokensByHost.keySet().stream().reduce(Block::commonPrefix).orElse("");
+            node.put("p", prefix);
+            ObjectNode hostsByToken = node.putObject("ms");
+            fencingTokensByHost.forEach((host, token) -> hostsByToken.withArray("/" + token).add(host.substring(prefix.length())));
+            ObjectNode quotaShareNode = node.putObject("al");
+            quotaShares.forEach((team, share) -> quotaShareNode.putArray(team).add(share.cpus).add(share.gpus));
+            return node;
         }
     }
 
-    private final String me;
-    private final Map<String, Node> nodes = new TreeMap<>();
-    private final Map<String, Block> blocks = new TreeMap<>();
-    private final Map<String, String> owners = new HashMap<>();
-    private final List<Runnable> listeners = new ArrayList<>();
-    private Lead lead;
-    private long term;
-    private long version;
+    private final String localMemberId;
+    private final Map<String, Node> membersById = new TreeMap<>();
+    private final Map<String, Block> shardsByOwner = new TreeMap<>();
+    private final Map<String, String> ownerByHost = new HashMap<>();
+    private final List<Runnable> shardListeners = new ArrayList<>();
+    private Lead leaderRecord;
+    private long latestFencingToken;
+    private long shardVersion;
 
     public Blocks(Settings settings, Mirror mirror) {
-        this.me = settings.member();
-        mirror.view(Keys.NODE, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                String member = key.substring(Keys.NODE.length());
-                nodes.put(member, new Node(member, v.path("a").asText(), v.path("i").asLong(), v.path("g").asLong()));
+        this.localMemberId = settings.memberId();
+        mirror.addPrefixListener(Keys.MEMBER_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                String member = key.substring(Keys.MEMBER_PREFIX.length());
+                membersById.put(member, new Node(member, v.path("a").asText(), v.path("i").asLong(), v.path("g").asLong()));
             }
 
-            @Override public void remove(String key) {
-                nodes.remove(key.substring(Keys.NODE.length()));
+            @Override public void onRemove(String key) {
+                membersById.remove(key.substring(Keys.MEMBER_PREFIX.length()));
             }
         });
-        mirror.view(Keys.BLOCK, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                String member = key.substring(Keys.BLOCK.length());
-                forget(member);
+        mirror.addPrefixListener(Keys.SHARD_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                String member = key.substring(Keys.SHARD_PREFIX.length());
+                forgetShard(member);
                 Map<String, Long> machines = new LinkedHashMap<>();
                 String prefix = v.path("p").asText();
                 v.path("ms").fields().forEachRemaining(f -> f.getValue().forEach(h -> machines.put(prefix + h.asText(), Long.parseLong(f.getKey()))));
                 Map<String, Amount> allowances = new LinkedHashMap<>();
                 v.path("al").fields().forEachRemaining(f -> allowances.put(f.getKey(),
                         new Amount(f.getValue().path(0).asDouble(), f.getValue().path(1).asDouble())));
-                blocks.put(member, new Block(member, machines, allowances));
-                machines.keySet().forEach(h -> owners.put(h, member));
-                listeners.forEach(Runnable::run);
+                shardsByOwner.put(member, new Block(member, machines, allowances));
+                machines.keySet().forEach(h -> ownerByHost.put(h, member));
+                shardListeners.forEach(Runnable::run);
             }
 
-            @Override public void remove(String key) {
-                forget(key.substring(Keys.BLOCK.length()));
-                listeners.forEach(Runnable::run);
+            @Override public void onRemove(String key) {
+                forgetShard(key.substring(Keys.SHARD_PREFIX.length()));
+                shardListeners.forEach(Runnable::run);
             }
         });
-        mirror.view(Keys.LEAD, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                lead = new Lead(v.path("m").asText(), v.path("i").asLong(), v.path("t").asLong());
+        mirror.addPrefixListener(Keys.LEADER, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                leaderRecord = new Lead(v.path("m").asText(), v.path("i").asLong(), v.path("t").asLong());
             }
 
-            @Override public void remove(String key) {
-                lead = null;
+            @Override public void onRemove(String key) {
+                leaderRecord = null;
             }
         });
-        mirror.view(Keys.TERM, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                term = v.path("n").asLong();
+        mirror.addPrefixListener(Keys.FENCING_TOKEN_COUNTER, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                latestFencingToken = v.path("n").asLong();
             }
 
-            @Override public void remove(String key) {
-                term = 0;
+            @Override public void onRemove(String key) {
+                latestFencingToken = 0;
             }
         });
     }
 
-    private void forget(String member) {
-        version++;
-        Block old = blocks.remove(member);
-        if (old != null) {
-            old.machines.keySet().forEach(h -> owners.remove(h, member));
+    private void forgetShard(String ownerId) {
+        shardVersion++;
+        Block previous = shardsByOwner.remove(ownerId);
+        if (previous != null) {
+            previous.fencingTokensByHost.keySet().forEach(host -> ownerByHost.remove(host, ownerId));
         }
     }
 
     /** Called whenever a block changes. */
-    public void onChange(Runnable listener) {
-        listeners.add(listener);
+    public void onShardChange(Runnable listener) {
+        shardListeners.add(listener);
     }
 
     /** Rises with every change of a block. */
-    public long version() {
-        return version;
+    public long shardVersion() {
+        return shardVersion;
     }
 
-    public Block mine() {
-        return blocks.get(me);
+    public Block localShard() {
+        return shardsByOwner.get(localMemberId);
     }
 
-    public Block of(String member) {
-        return blocks.get(member);
+    public Block shardOf(String ownerId) {
+        return shardsByOwner.get(ownerId);
     }
 
-    public Collection<Block> all() {
-        return blocks.values();
+    public Collection<Block> shards() {
+        return shardsByOwner.values();
     }
 
-    public String owner(String host) {
-        return owners.get(host);
+    public String ownerOf(String host) {
+        return ownerByHost.get(host);
     }
 
-    public Collection<Node> nodes() {
-        return nodes.values();
+    public Collection<Node> members() {
+        return membersById.values();
     }
 
-    public Node node(String member) {
-        return nodes.get(member);
+    public Node member(String memberId) {
+        return membersById.get(memberId);
     }
 
-    public Lead lead() {
-        return lead;
+    public Lead leaderRecord() {
+        return leaderRecord;
     }
 
-    public String leader() {
-        return lead == null ? null : lead.member;
+    public String leaderId() {
+        return leaderRecord == null ? null : leaderRecord.memberId;
     }
 
-    public long term() {
-        return term;
+    public long latestFencingToken() {
+        return latestFencingToken;
     }
 }
--- a/src/main/java/io/quincelead/records/Catalog.java
+++ b/src/main/java/io/quincelead/records/Catalog.java
@@ -14,75 +14,75 @@
 /** The machine types, as the leader last read them from the cloud and recorded them for all controllers. */
 public final class Catalog {
     /** A machine type; prices are per hour. */
-    public record Shape(String label, double vcpus, double cards, double ramGb, double localGb, double pullGbPerS, double price,
-            double spotPrice, double bootS, List<String> sites) {
+    public record Shape(String name, double cpus, double gpus, double memoryGb, double localDiskGb, double imagePullGbPerSecond, double onDemandPricePerHour,
+            double spotPricePerHour, double bootSeconds, List<String> zones) {
 
-        public double price(boolean spot) {
-            return spot ? spotPrice : price;
+        public double pricePerHour(boolean spot) {
+            return spot ? spotPricePerHour : onDemandPricePerHour;
         }
 
-        public boolean holds(JobSpec s) {
-            return s.vcpus() <= vcpus && s.cards() <= cards && s.ramGb() <= ramGb;
+        public boolean fits(JobSpec spec) {
+            return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
         }
 
         /** The record of this type. */
         public ObjectNode encode() {
-            ObjectNode n = Codec.map().put("label", label).put("vcpus", vcpus).put("cards", cards).put("ramGb", ramGb).put("localGb", localGb)
-                    .put("pullGbPerS", pullGbPerS).put("price", price).put("spotPrice", spotPrice).put("bootS", bootS);
-            sites.forEach(n.putArray("sites")::add);
-            return n;
+            ObjectNode node = Codec.newMap().put("label", name).put("vcpus", cpus).put("cards", gpus).put("ramGb", memoryGb).put("localGb", localDiskGb)
+                    .put("pullGbPerS", imagePullGbPerSecond).put("price", onDemandPricePerHour).put("spotPrice", spotPricePerHour).put("bootS", bootSeconds);
+            zones.forEach(node.putArray("sites")::add);
+            return node;
         }
 
         /** A type as the cloud's catalog and our record have it (protocol, "GET /catalog"); what is missing gets a careful value. */
-        public static Shape read(JsonNode n) {
-            List<String> sites = new ArrayList<>();
-            n.path("sites").forEach(s -> sites.add(s.asText()));
-            double price = n.path("price").asDouble();
-            return new Shape(n.path("label").asText(), n.path("vcpus").asDouble(), n.path("cards").asDouble(),
-                    n.path("ramGb").asDouble(), n.path("localGb").asDouble(20), n.path("pullGbPerS").asDouble(1), price,
-                    n.path("spotPrice").asDouble(price), n.path("bootS").asDouble(30), sites);
+        public static Shape decode(JsonNode node) {
+            List<String> zones = new ArrayList<>();
+            node.path("sites").forEach(zone -> zones.add(zone.asText()));
+            double onDemandPricePerHour = node.path("price").asDouble();
+            return new Shape(node.path("label").asText(), node.path("vcpus").asDouble(), node.path("cards").asDouble(),
+                    node.path("ramGb").asDouble(), node.path("localGb").asDouble(20), node.path("pullGbPerS").asDouble(1), onDemandPricePerHour,
+                    node.path("spotPrice").asDouble(onDemandPricePerHour), node.path("bootS").asDouble(30), zones);
         }
     }
 
-    private final Map<String, Shape> shapes = new TreeMap<>();
+    private final Map<String, Shape> machineTypes = new TreeMap<>();
 
     public Catalog(Mirror mirror) {
-        mirror.view(Keys.SHAPE, new Mirror.View() {
-            @Override public void put(String key, JsonNode value, long stamp) {
-                Shape s = Shape.read(value);
-                shapes.put(s.label(), s);
+        mirror.addPrefixListener(Keys.MACHINE_TYPE_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode value, long stamp) {
+                Shape s = Shape.decode(value);
+                machineTypes.put(s.name(), s);
             }
 
-            @Override public void remove(String key) {
-                shapes.remove(key.substring(Keys.SHAPE.length()));
+            @Override public void onRemove(String key) {
+                machineTypes.remove(key.substring(Keys.MACHINE_TYPE_PREFIX.length()));
             }
         });
     }
 
-    public boolean known() {
-        return !shapes.isEmpty();
+    public boolean isLoaded() {
+        return !machineTypes.isEmpty();
     }
 
-    public Shape get(String label) {
-        return shapes.get(label);
+    public Shape get(String name) {
+        return machineTypes.get(name);
     }
 
     public Collection<Shape> all() {
-        return shapes.values();
+        return machineTypes.values();
     }
 
     /** Prices move; the leader's last reading counts for the leader alone and is not recorded again. */
-    public void current(Shape shape) {
-        shapes.put(shape.label(), shape);
+    public void overrideLocally(Shape machineType) {
+        machineTypes.put(machineType.name(), machineType);
     }
 
     /** Whether some allowed machine could ever hold one task of the job. */
-    public boolean fitsSome(JobSpec s) {
-        return shapes.values().stream().anyMatch(t -> allowed(s, t.label()) && t.holds(s)
-                && (s.site() == null || t.sites().contains(s.site())));
+    public boolean canEverFit(JobSpec spec) {
+        return machineTypes.values().stream().anyMatch(machineType -> isAllowed(spec, machineType.name()) && machineType.fits(spec)
+                && (spec.zone() == null || machineType.zones().contains(spec.zone())));
     }
 
-    public static boolean allowed(JobSpec s, String shape) {
-        return s.shapes() == null || s.shapes().contains(shape);
+    public static boolean isAllowed(JobSpec spec, String machineType) {
+        return spec.machineTypes() == null || spec.machineTypes().contains(machineType);
     }
 }
--- a/src/main/java/io/quincelead/records/Chunk.java
+++ b/src/main/java/io/quincelead/records/Chunk.java
@@ -14,61 +14,61 @@
 /** The recorded states of up to {@link Constants#CHUNK_TASKS} tasks of a job: done, placed, or else pending. */
 public final class Chunk {
     /** After the attempt of a task that is to be stopped. */
-    private static final char STOP = '!';
+    private static final char STOP_MARK = '!';
     public final Job job;
-    public final int number;
+    public final int pageNumber;
     /** The highest attempt used so far. */
-    public final long lastTry;
-    public final BitSet done;
-    public final Places placed;
-    private final String key;
+    public final long lastAttempt;
+    public final BitSet completed;
+    public final Places placements;
+    private final String storeKey;
     /** The places as they are on record; null where no record was read. */
-    private final byte[] text;
+    private final byte[] recordedPlacements;
 
-    private Chunk(Job job, int number, String key, long lastTry, BitSet done, Places placed, byte[] text) {
+    private Chunk(Job job, int pageNumber, String storeKey, long lastAttempt, BitSet completed, Places placements, byte[] recordedPlacements) {
         this.job = job;
-        this.key = key;
-        this.number = number;
-        this.lastTry = lastTry;
-        this.done = done;
-        this.placed = placed;
-        this.text = text;
+        this.storeKey = storeKey;
+        this.pageNumber = pageNumber;
+        this.lastAttempt = lastAttempt;
+        this.completed = completed;
+        this.placements = placements;
+        this.recordedPlacements = recordedPlacements;
     }
 
-    static Chunk empty(Job job, int number) {
-        return new Chunk(job, number, job.single() ? job.key() : key(job.spec.id(), number), 0, new BitSet(), new Places(number * Constants.CHUNK_TASKS, size(job, number)), null);
+    static Chunk empty(Job job, int pageNumber) {
+        return new Chunk(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new Places(pageNumber * Constants.CHUNK_TASKS, taskCount(job, pageNumber)), null);
     }
 
     /** The record it is kept in: the job's own, if one chunk is all there is. */
-    public String key() {
-        return key;
+    public String storeKey() {
+        return storeKey;
     }
 
     /** Four digits, so that a job's chunks are listed in their order. */
-    private static String key(String job, int number) {
-        String digits = Integer.toString(number);
-        return Keys.CHUNK + job + "/" + "0".repeat(Math.max(0, 4 - digits.length())) + digits;
+    private static String pageKey(String jobId, int pageNumber) {
+        String digits = Integer.toString(pageNumber);
+        return Keys.TASK_STATE_PAGE_PREFIX + jobId + "/" + "0".repeat(Math.max(0, 4 - digits.length())) + digits;
     }
 
-    public int first() {
-        return number * Constants.CHUNK_TASKS;
+    public int firstTaskIndex() {
+        return pageNumber * Constants.CHUNK_TASKS;
     }
 
-    public int size() {
-        return size(job, number);
+    public int taskCount() {
+        return taskCount(job, pageNumber);
     }
 
-    private static int size(Job job, int number) {
-        return Math.min(Constants.CHUNK_TASKS, job.spec.members() - number * Constants.CHUNK_TASKS);
+    private static int taskCount(Job job, int pageNumber) {
+        return Math.min(Constants.CHUNK_TASKS, job.spec.taskCount() - pageNumber * Constants.CHUNK_TASKS);
     }
 
-    public int pending() {
-        return size() - done.cardinality() - placed.size();
+    public int pendingTaskCount() {
+        return taskCount() - completed.cardinality() - placements.size();
     }
 
     /** Whether the task waits for a place on record. */
-    public boolean wasPending(int index) {
-        return !placed.has(index) && !done.get(index - first());
+    public boolean isPendingOnRecord(int taskIndex) {
+        return !placements.hasPlacement(taskIndex) && !completed.get(taskIndex - firstTaskIndex());
     }
 
     public Edit edit() {
@@ -76,100 +76,100 @@
     }
 
     /** How many tasks of a record are done, and how many have a place. */
-    public record Counts(int done, int placed) {
+    public record Counts(int completed, int placed) {
         /** Of a record as the store has it; none where it is missing. */
-        public static Counts of(JsonNode n) {
-            int done = 0;
-            JsonNode d = n.path("d");
-            for (int i = 0; i + 1 < d.size(); i += 2) {
-                done += d.get(i + 1).asInt() - d.get(i).asInt();
+        public static Counts of(JsonNode node) {
+            int completed = 0;
+            JsonNode completedRanges = node.path("d");
+            for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+                completed += completedRanges.get(i + 1).asInt() - completedRanges.get(i).asInt();
             }
-            return new Counts(done, (int) places(n.path("p")).chars().filter(c -> c == ';').count());
+            return new Counts(completed, (int) placementsText(node.path("p")).chars().filter(character -> character == ';').count());
         }
 
         /** Both together. */
-        public Counts and(Counts other) {
-            return new Counts(done + other.done, placed + other.placed);
+        public Counts plus(Counts other) {
+            return new Counts(completed + other.completed, placed + other.placed);
         }
     }
 
-    static Chunk decode(Job job, int number, JsonNode n, Chunk before, long now) {
-        BitSet done = new BitSet();
-        JsonNode d = n.path("d");
-        for (int i = 0; i + 1 < d.size(); i += 2) {
-            done.set(d.get(i).asInt(), d.get(i + 1).asInt());
+    static Chunk decode(Job job, int pageNumber, JsonNode node, Chunk previousPage, long nowMillis) {
+        BitSet completed = new BitSet();
+        JsonNode completedRanges = node.path("d");
+        for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+            completed.set(completedRanges.get(i).asInt(), completedRanges.get(i + 1).asInt());
         }
-        byte[] p = places(n.path("p")).getBytes(StandardCharsets.ISO_8859_1);
-        int first = number * Constants.CHUNK_TASKS;
-        Places placed;
+        byte[] text = placementsText(node.path("p")).getBytes(StandardCharsets.ISO_8859_1);
+        int firstTaskIndex = pageNumber * Constants.CHUNK_TASKS;
+        Places placements;
         int from = 0;
-        int to = p.length;
-        if (before == null || before.text == null) {
-            placed = new Places(first, size(job, number));
+        int to = text.length;
+        if (previousPage == null || previousPage.recordedPlacements == null) {
+            placements = new Places(firstTaskIndex, taskCount(job, pageNumber));
         } else {
             // Most of a chunk is as before: only the places between what both texts begin and end with are read.
-            byte[] old = before.text;
-            from = alike(old, p);
-            int behind = alikeFromEnd(old, p, from);
-            to = p.length - behind;
-            placed = new Places(before.placed);
-            for (int at = from; at < old.length - behind; at = after(old, at, ';')) {
-                placed.remove(first + (int) number(old, at, after(old, at, ' ') - 1));
+            byte[] old = previousPage.recordedPlacements;
+            from = commonPrefixLength(old, text);
+            int unchangedSuffix = commonSuffixLength(old, text, from);
+            to = text.length - unchangedSuffix;
+            placements = new Places(previousPage.placements);
+            for (int at = from; at < old.length - unchangedSuffix; at = indexAfter(old, at, ';')) {
+                placements.remove(firstTaskIndex + (int) parseDecimal(old, at, indexAfter(old, at, ' ') - 1));
             }
         }
         for (int at = from; at < to;) {
-            int host = after(p, at, ' ');
-            int index = first + (int) number(p, at, host - 1);
-            int attemptAt = after(p, host, ' ');
-            int end = after(p, attemptAt, ';');
-            boolean stop = p[end - 2] == STOP;
-            long attempt = number(p, attemptAt, stop ? end - 2 : end - 1);
+            int host = indexAfter(text, at, ' ');
+            int taskIndex = firstTaskIndex + (int) parseDecimal(text, at, host - 1);
+            int attemptAt = indexAfter(text, host, ' ');
+            int end = indexAfter(text, attemptAt, ';');
+            boolean stopRequested = text[end - 2] == STOP_MARK;
+            long attempt = parseDecimal(text, attemptAt, stopRequested ? end - 2 : end - 1);
             at = end;
-            Placement old = before == null ? null : before.placed.get(index);
-            boolean same = old != null && old.attempt == attempt && is(old.host, p, host, attemptAt - 1);
-            if (same && old.stop == stop) {
-                placed.put(old);
+            Placement old = previousPage == null ? null : previousPage.placements.get(taskIndex);
+            boolean same = old != null && old.attempt == attempt && matches(old.host, text, host, attemptAt - 1);
+            if (same && old.stopRequested == stopRequested) {
+                placements.put(old);
                 continue;
             }
-            Placement next = new Placement(job, index, same ? old.host : new String(p, host, attemptAt - 1 - host, StandardCharsets.ISO_8859_1),
-                    attempt, stop, now);
+            Placement next = new Placement(job, taskIndex, same ? old.host : new String(text, host, attemptAt - 1 - host, StandardCharsets.ISO_8859_1),
+                    attempt, stopRequested, nowMillis);
             if (same) {
-                next.inherit(old);
+                next.inheritObservations(old);
             }
-            placed.put(next);
+            placements.put(next);
         }
-        return new Chunk(job, number, job.empty(number).key, n.path("t").asLong(), done, placed, p);
+        return new Chunk(job, pageNumber, job.emptyPage(pageNumber).storeKey, node.path("t").asLong(), completed, placements, text);
     }
 
     /** Bytes that both texts begin with, up to the end of a place. */
-    private static int alike(byte[] a, byte[] b) {
-        int n = Arrays.mismatch(a, b);
-        n = n < 0 ? a.length : n;
-        while (n > 0 && a[n - 1] != ';') {
-            n--;
+    private static int commonPrefixLength(byte[] left, byte[] right) {
+        int length = Arrays.mismatch(left, right);
+        length = length < 0 ? left.length : length;
+        while (length > 0 && left[length - 1] != ';') {
+            length--;
         }
-        return n;
+        return length;
     }
 
     /** Bytes that both end with behind the first {@code from}, from the beginning of a place on. */
-    private static int alikeFromEnd(byte[] a, byte[] b, int from) {
-        int most = Math.min(a.length, b.length) - from;
-        int n = 0;
-        while (n < most && a[a.length - 1 - n] == b[b.length - 1 - n]) {
-            n++;
+    private static int commonSuffixLength(byte[] left, byte[] right, int from) {
+        int limit = Math.min(left.length, right.length) - from;
+        int length = 0;
+        while (length < limit && left[left.length - 1 - length] == right[right.length - 1 - length]) {
+            length++;
         }
         // A place begins behind the end of another one, or where both texts begin to differ.
-        while (n > 0 && !(begins(a, a.length - n, from) && begins(b, b.length - n, from))) {
-            n--;
+        while (length > 0 && !(isPlacementStart(left, left.length - length, from) && isPlacementStart(right, right.length - length, from))) {
+            length--;
         }
-        return n;
+        return length;
     }
 
-    private static boolean begins(byte[] text, int at, int from) {
-        return at == from || text[at - 1] == ';';
+    private static boolean isPlacementStart(byte[] text, int offset, int from) {
+        return offset == from || text[offset - 1] == ';';
     }
 
-    private static boolean is(String host, byte[] text, int from, int to) {
+    private static boolean matches(String host, byte[] text, int from, int to) {
         if (host.length() != to - from) {
             return false;
         }
@@ -182,152 +182,152 @@
     }
 
     /** The recorded places as one text: {@code index host attempt;} a task. Before version 0.2 they were lists of four values. */
-    private static String places(JsonNode p) {
-        if (!p.isArray()) {
-            return p.asText();
+    private static String placementsText(JsonNode recorded) {
+        if (!recorded.isArray()) {
+            return recorded.asText();
         }
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i + 3 < p.size(); i += 4) {
-            text.append(p.get(i).asInt()).append(' ').append(p.get(i + 1).asText()).append(' ').append(p.get(i + 2).asLong())
-                    .append(p.get(i + 3).asInt() == 1 ? STOP + ";" : ";");
+        for (int i = 0; i + 3 < recorded.size(); i += 4) {
+            text.append(recorded.get(i).asInt()).append(' ').append(recorded.get(i + 1).asText()).append(' ').append(recorded.get(i + 2).asLong())
+                    .append(recorded.get(i + 3).asInt() == 1 ? STOP_MARK + ";" : ";");
         }
         return text.toString();
     }
 
     /** Behind the next such mark; a text that has none any more is an {@link IndexOutOfBoundsException}. */
-    private static int after(byte[] text, int from, char mark) {
-        int at = from;
-        while (text[at] != mark) {
-            at++;
+    private static int indexAfter(byte[] text, int from, char mark) {
+        int offset = from;
+        while (text[offset] != mark) {
+            offset++;
         }
-        return at + 1;
+        return offset + 1;
     }
 
     /** A number in decimal digits. */
-    private static long number(byte[] text, int from, int to) {
+    private static long parseDecimal(byte[] text, int from, int to) {
         if (from >= to) {
             throw new NumberFormatException("a number is missing");
         }
-        long n = 0;
+        long value = 0;
         for (int i = from; i < to; i++) {
             int digit = text[i] - '0';
-            if (digit < 0 || digit > 9 || n > Long.MAX_VALUE / 10 - 1) {
+            if (digit < 0 || digit > 9 || value > Long.MAX_VALUE / 10 - 1) {
                 throw new NumberFormatException("not a number");
             }
-            n = n * 10 + digit;
+            value = value * 10 + digit;
         }
-        return n;
+        return value;
     }
 
     /** A planned change of a chunk. It becomes real only when the store has confirmed it. */
     public static final class Edit {
-        private final Chunk chunk;
-        private final BitSet done;
-        private final Places placed;
-        private long lastTry;
+        private final Chunk page;
+        private final BitSet completed;
+        private final Places placements;
+        private long lastAttempt;
         private boolean changed;
 
-        private Edit(Chunk chunk) {
-            this.chunk = chunk;
-            this.done = (BitSet) chunk.done.clone();
-            this.placed = new Places(chunk.placed);
-            this.lastTry = chunk.lastTry;
+        private Edit(Chunk page) {
+            this.page = page;
+            this.completed = (BitSet) page.completed.clone();
+            this.placements = new Places(page.placements);
+            this.lastAttempt = page.lastAttempt;
         }
 
-        public Chunk chunk() {
-            return chunk;
+        public Chunk page() {
+            return page;
         }
 
-        public boolean changed() {
+        public boolean isChanged() {
             return changed;
         }
 
-        public boolean pending(int index) {
-            return !placed.has(index) && !done.get(index - chunk.first());
+        public boolean isPending(int taskIndex) {
+            return !placements.hasPlacement(taskIndex) && !completed.get(taskIndex - page.firstTaskIndex());
         }
 
         /**
          * Whether the plan may give the task a place: it waited on record, or there is evidence that it is gone, which the same
          * change puts on record. A gang's next attempt starts only when all of the last one is on record as gone.
          */
-        public boolean placeable(int index) {
-            return pending(index) && (chunk.wasPending(index) || !chunk.job.spec.gang());
+        public boolean isPlaceable(int taskIndex) {
+            return isPending(taskIndex) && (page.isPendingOnRecord(taskIndex) || !page.job.spec.isGang());
         }
 
         /** Tasks that may get a place and have none in the plan. */
-        public int waiting() {
-            int n = 0;
-            for (int i = chunk.first(); i < chunk.first() + chunk.size(); i++) {
-                n += placeable(i) ? 1 : 0;
+        public int placeableTaskCount() {
+            int count = 0;
+            for (int taskIndex = page.firstTaskIndex(); taskIndex < page.firstTaskIndex() + page.taskCount(); taskIndex++) {
+                count += isPlaceable(taskIndex) ? 1 : 0;
             }
-            return n;
+            return count;
         }
 
         /** Where the plan leaves or puts tasks. */
-        public Collection<Placement> holding() {
-            return placed;
+        public Collection<Placement> placements() {
+            return placements;
         }
 
         /** Whether the plan leaves the task running: not over, and not told to stop. */
-        public boolean running(int index) {
-            Placement p = placed.get(index);
-            return p != null && !p.stop;
+        public boolean isRunning(int taskIndex) {
+            Placement placement = placements.get(taskIndex);
+            return placement != null && !placement.stopRequested;
         }
 
-        public void done(int index) {
-            placed.remove(index);
-            done.set(index - chunk.first());
+        public void markCompleted(int taskIndex) {
+            placements.remove(taskIndex);
+            completed.set(taskIndex - page.firstTaskIndex());
             changed = true;
         }
 
-        public void gone(int index) {
-            placed.remove(index);
+        public void markGone(int taskIndex) {
+            placements.remove(taskIndex);
             changed = true;
         }
 
-        public void place(int index, String host, long attempt) {
-            placed.put(new Placement(chunk.job, index, host, attempt, false, 0));
-            lastTry = Math.max(lastTry, attempt);
+        public void place(int taskIndex, String host, long attempt) {
+            placements.put(new Placement(page.job, taskIndex, host, attempt, false, 0));
+            lastAttempt = Math.max(lastAttempt, attempt);
             changed = true;
         }
 
-        public void stop(int index) {
-            Placement p = placed.get(index);
-            if (p == null) {
+        public void requestStop(int taskIndex) {
+            Placement placement = placements.get(taskIndex);
+            if (placement == null) {
                 return;
             }
-            placed.put(new Placement(p.job, p.index, p.host, p.attempt, true, p.since));
+            placements.put(new Placement(placement.job, placement.taskIndex, placement.host, placement.attempt, true, placement.recordSeenAtMillis));
             changed = true;
         }
 
         /** The record under the chunk's key with this change made. */
         public ObjectNode encode() {
-            ObjectNode n = Chunk.encode(chunk.first(), lastTry, done, placed);
-            return chunk.job.single() ? chunk.job.encode(chunk.job.controller, chunk.job.cancelledAt, n) : n;
+            ObjectNode node = Chunk.encode(page.firstTaskIndex(), lastAttempt, completed, placements);
+            return page.job.hasSinglePage() ? page.job.encode(page.job.controllerId, page.job.cancelledAtEpochMillis, node) : node;
         }
     }
 
     ObjectNode encode() {
-        return encode(first(), lastTry, done, placed);
+        return encode(firstTaskIndex(), lastAttempt, completed, placements);
     }
 
-    private static ObjectNode encode(int first, long lastTry, BitSet done, Places placed) {
-        ObjectNode n = Codec.map().put("t", lastTry);
-        ArrayNode d = n.putArray("d");
-        for (int from = done.nextSetBit(0); from >= 0;) {
-            int to = done.nextClearBit(from);
-            d.add(from).add(to);
-            from = done.nextSetBit(to);
+    private static ObjectNode encode(int firstTaskIndex, long lastAttempt, BitSet completed, Places placements) {
+        ObjectNode node = Codec.newMap().put("t", lastAttempt);
+        ArrayNode completedRanges = node.putArray("d");
+        for (int from = completed.nextSetBit(0); from >= 0;) {
+            int to = completed.nextClearBit(from);
+            completedRanges.add(from).add(to);
+            from = completed.nextSetBit(to);
         }
         // One text instead of four values a task: every controller reads every change, and this is most of what it reads.
-        StringBuilder p = new StringBuilder(placed.size() * 16);
-        for (Placement x : placed) {
-            p.append(x.index - first).append(' ').append(x.host).append(' ').append(x.attempt);
-            if (x.stop) {
-                p.append(STOP);
+        StringBuilder text = new StringBuilder(placements.size() * 16);
+        for (Placement placement : placements) {
+            text.append(placement.taskIndex - firstTaskIndex).append(' ').append(placement.host).append(' ').append(placement.attempt);
+            if (placement.stopRequested) {
+                text.append(STOP_MARK);
             }
-            p.append(';');
+            text.append(';');
         }
-        return n.put("p", p.toString());
+        return node.put("p", text.toString());
     }
 }
--- a/src/main/java/io/quincelead/records/HostLoad.java
+++ b/src/main/java/io/quincelead/records/HostLoad.java
@@ -11,91 +11,91 @@
  * has changed, so a round over all machines costs what has changed since the last one, and no sum ever drifts.
  */
 public final class HostLoad {
-    private static final int URGENCIES = JobSpec.Urgency.values().length;
+    private static final int PRIORITY_COUNT = JobSpec.Urgency.values().length;
 
-    final Map<String, Placement> tasks = new LinkedHashMap<>();
+    final Map<String, Placement> placementsByTask = new LinkedHashMap<>();
     private boolean stale = true;
     private double cpus;
-    private double ramGb;
-    private double cards;
-    private double leavingCpus;
-    private double leavingRamGb;
-    private double leavingCards;
-    private final List<List<Placement>> stoppable = new ArrayList<>(Collections.nCopies(URGENCIES, List.of()));
+    private double memoryGb;
+    private double gpus;
+    private double stoppingCpus;
+    private double stoppingMemoryGb;
+    private double stoppingGpus;
+    private final List<List<Placement>> stoppableByPriority = new ArrayList<>(Collections.nCopies(PRIORITY_COUNT, List.of()));
 
     /** Something about one of the tasks has changed: its phase, whether it is to stop, or whether its job is cancelled. */
-    void touch() {
+    void invalidate() {
         stale = true;
     }
 
-    private void read() {
+    private void refresh() {
         if (!stale) {
             return;
         }
         stale = false;
-        cpus = ramGb = cards = leavingCpus = leavingRamGb = leavingCards = 0;
-        Collections.fill(stoppable, List.of());
-        for (Placement p : tasks.values()) {
-            if (p.over()) {
+        cpus = memoryGb = gpus = stoppingCpus = stoppingMemoryGb = stoppingGpus = 0;
+        Collections.fill(stoppableByPriority, List.of());
+        for (Placement placement : placementsByTask.values()) {
+            if (placement.isTerminated()) {
                 continue;
             }
-            JobSpec s = p.job.spec;
-            cpus += s.vcpus();
-            ramGb += s.ramGb();
-            cards += s.cards();
-            if (p.stop || p.job.cancelled()) {
-                leavingCpus += s.vcpus();
-                leavingRamGb += s.ramGb();
-                leavingCards += s.cards();
-            } else if (!s.gang()) {
-                int u = s.urgency().ordinal();
-                if (stoppable.get(u).isEmpty()) {
-                    stoppable.set(u, new ArrayList<>());
+            JobSpec spec = placement.job.spec;
+            cpus += spec.cpus();
+            memoryGb += spec.memoryGb();
+            gpus += spec.gpus();
+            if (placement.stopRequested || placement.job.isCancelled()) {
+                stoppingCpus += spec.cpus();
+                stoppingMemoryGb += spec.memoryGb();
+                stoppingGpus += spec.gpus();
+            } else if (!spec.isGang()) {
+                int priority = spec.priority().ordinal();
+                if (stoppableByPriority.get(priority).isEmpty()) {
+                    stoppableByPriority.set(priority, new ArrayList<>());
                 }
-                stoppable.get(u).add(p);
+                stoppableByPriority.get(priority).add(placement);
             }
         }
     }
 
     /** CPUs of tasks that may be there. */
     public double cpus() {
-        read();
+        refresh();
         return cpus;
     }
 
     /** Memory in GB of tasks that may be there. */
-    public double ramGb() {
-        read();
-        return ramGb;
+    public double memoryGb() {
+        refresh();
+        return memoryGb;
     }
 
     /** GPUs of tasks that may be there. */
-    public double cards() {
-        read();
-        return cards;
+    public double gpus() {
+        refresh();
+        return gpus;
     }
 
     /** Of {@link #cpus}: those of tasks that are being stopped. */
-    public double leavingCpus() {
-        read();
-        return leavingCpus;
+    public double stoppingCpus() {
+        refresh();
+        return stoppingCpus;
     }
 
-    /** Of {@link #ramGb}: that of tasks that are being stopped. */
-    public double leavingRamGb() {
-        read();
-        return leavingRamGb;
+    /** Of {@link #memoryGb}: that of tasks that are being stopped. */
+    public double stoppingMemoryGb() {
+        refresh();
+        return stoppingMemoryGb;
     }
 
-    /** Of {@link #cards}: those of tasks that are being stopped. */
-    public double leavingCards() {
-        read();
-        return leavingCards;
+    /** Of {@link #gpus}: those of tasks that are being stopped. */
+    public double stoppingGpus() {
+        refresh();
+        return stoppingGpus;
     }
 
     /** Tasks of this urgency that could be stopped to make room: not of gangs, and not being stopped yet. */
-    public List<Placement> stoppable(int urgency) {
-        read();
-        return stoppable.get(urgency);
+    public List<Placement> stoppablePlacements(int priority) {
+        refresh();
+        return stoppableByPriority.get(priority);
     }
 }
--- a/src/main/java/io/quincelead/records/JobSpec.java
+++ b/src/main/java/io/quincelead/records/JobSpec.java
@@ -11,12 +11,12 @@
 import java.util.regex.Pattern;
 
 /** What a user asks for, as submitted. */
-public record JobSpec(String id, String jobClass, String owner, Mode mode, Urgency urgency, int members, double vcpus,
-        double cards, double ramGb, List<String> shapes, String site, boolean oneZone, boolean scatter,
-        boolean preemptible, String container, double sizeGb, double runtimeS, double snapshotEveryS, double snapshotS,
-        double dueS) {
+public record JobSpec(String jobId, String jobClass, String team, Mode mode, Urgency priority, int taskCount, double cpus,
+        double gpus, double memoryGb, List<String> machineTypes, String zone, boolean zoneAffinity, boolean zoneSpread,
+        boolean preemptible, String image, double imageSizeGb, double runtimeSeconds, double checkpointIntervalSeconds, double checkpointSeconds,
+        double deadlineSeconds) {
 
-    private static final Pattern ID = Pattern.compile("wk-[0-9]{1,40}");
+    private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
     private static final double MAX_AMOUNT = 1e9;
 
     /** Kinds of jobs: array, gang and service. */
@@ -34,114 +34,114 @@
         }
     }
 
-    public static boolean validId(String id) {
-        return ID.matcher(id).matches();
+    public static boolean isValidJobId(String jobId) {
+        return JOB_ID_PATTERN.matcher(jobId).matches();
     }
 
-    public boolean gang() {
+    public boolean isGang() {
         return mode == Mode.ENSEMBLE;
     }
 
-    public boolean service() {
+    public boolean isService() {
         return mode == Mode.STANDING;
     }
 
     /** Whether any machine may run it and it is counted in CPUs alone. */
-    public boolean ordinary() {
-        return mode == Mode.ARRAY && cards == 0 && shapes == null && site == null && preemptible && !oneZone;
+    public boolean isUnconstrained() {
+        return mode == Mode.ARRAY && gpus == 0 && machineTypes == null && zone == null && preemptible && !zoneAffinity;
     }
 
-    public static JobSpec parse(ObjectNode n) throws Malformed {
-        if (n == null) {
+    public static JobSpec decode(ObjectNode node) throws Malformed {
+        if (node == null) {
             throw new Malformed("the body must be a CBOR map of at most 64 KiB");
         }
-        String id = text(n, "nameId");
-        if (!validId(id)) {
+        String jobId = requireText(node, "nameId");
+        if (!isValidJobId(jobId)) {
             throw new Malformed("nameId: must look like wk-000412");
         }
-        List<String> shapes = null;
-        JsonNode list = n.get("shapes");
-        if (list != null && !list.isNull()) {
-            if (!list.isArray()) {
+        List<String> machineTypes = null;
+        JsonNode machineTypesNode = node.get("shapes");
+        if (machineTypesNode != null && !machineTypesNode.isNull()) {
+            if (!machineTypesNode.isArray()) {
                 throw new Malformed("shapes: must be a list of texts or null");
             }
-            shapes = new ArrayList<>();
-            for (JsonNode s : list) {
-                if (!s.isTextual()) {
+            machineTypes = new ArrayList<>();
+            for (JsonNode machineType : machineTypesNode) {
+                if (!machineType.isTextual()) {
                     throw new Malformed("shapes: must be a list of texts or null");
                 }
-                shapes.add(s.asText());
+                machineTypes.add(machineType.asText());
             }
         }
-        JsonNode members = n.get("members");
-        if (members == null || !members.isIntegralNumber() || !members.canConvertToInt() || members.asInt() < 1
-                || members.asInt() > Constants.MAX_TASKS) {
+        JsonNode taskCount = node.get("members");
+        if (taskCount == null || !taskCount.isIntegralNumber() || !taskCount.canConvertToInt() || taskCount.asInt() < 1
+                || taskCount.asInt() > Constants.MAX_TASKS) {
             throw new Malformed("members: must be a whole number from 1 to " + Constants.MAX_TASKS);
         }
-        double vcpus = amount(n, "vcpus");
-        double cards = amount(n, "cards");
-        double ram = amount(n, "ramGb");
-        return new JobSpec(id, text(n, "jobClass"), text(n, "owner"), choice(n, "mode", Mode.class),
-                choice(n, "urgency", Urgency.class), members.asInt(), vcpus, cards, ram, shapes, textOrNull(n, "site"),
-                flag(n, "oneZone"), flag(n, "scatter"), flag(n, "preemptible"), text(n, "container"),
-                amount(n, "sizeGb"), amount(n, "runtimeS"), amount(n, "snapshotEveryS"),
-                amount(n, "snapshotS"), n.hasNonNull("dueS") ? amount(n, "dueS") : -1);
+        double cpus = requireAmount(node, "vcpus");
+        double gpus = requireAmount(node, "cards");
+        double memoryGb = requireAmount(node, "ramGb");
+        return new JobSpec(jobId, requireText(node, "jobClass"), requireText(node, "owner"), requireEnum(node, "mode", Mode.class),
+                requireEnum(node, "urgency", Urgency.class), taskCount.asInt(), cpus, gpus, memoryGb, machineTypes, optionalText(node, "site"),
+                requireBoolean(node, "oneZone"), requireBoolean(node, "scatter"), requireBoolean(node, "preemptible"), requireText(node, "container"),
+                requireAmount(node, "sizeGb"), requireAmount(node, "runtimeS"), requireAmount(node, "snapshotEveryS"),
+                requireAmount(node, "snapshotS"), node.hasNonNull("dueS") ? requireAmount(node, "dueS") : -1);
     }
 
-    private static String text(ObjectNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isTextual() || v.asText().isEmpty() || v.asText().length() > 200) {
+    private static String requireText(ObjectNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isTextual() || value.asText().isEmpty() || value.asText().length() > 200) {
             throw new Malformed(field + ": must be a text of 1 to 200 characters");
         }
-        return v.asText();
+        return value.asText();
     }
 
-    private static String textOrNull(ObjectNode n, String field) throws Malformed {
-        return n.hasNonNull(field) ? text(n, field) : null;
+    private static String optionalText(ObjectNode node, String field) throws Malformed {
+        return node.hasNonNull(field) ? requireText(node, field) : null;
     }
 
-    private static boolean flag(ObjectNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isBoolean()) {
+    private static boolean requireBoolean(ObjectNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isBoolean()) {
             throw new Malformed(field + ": must be true or false");
         }
-        return v.asBoolean();
+        return value.asBoolean();
     }
 
-    private static double amount(ObjectNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isNumber() || !Double.isFinite(v.asDouble()) || v.asDouble() < 0 || v.asDouble() > MAX_AMOUNT) {
+    private static double requireAmount(ObjectNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0 || value.asDouble() > MAX_AMOUNT) {
             throw new Malformed(field + ": must be a number from 0 to " + (long) MAX_AMOUNT);
         }
-        return v.asDouble();
+        return value.asDouble();
     }
 
-    private static <E extends Enum<E>> E choice(ObjectNode n, String field, Class<E> type) throws Malformed {
-        String text = text(n, field);
-        for (E e : type.getEnumConstants()) {
-            if (e.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return e;
+    private static <E extends Enum<E>> E requireEnum(ObjectNode node, String field, Class<E> type) throws Malformed {
+        String text = requireText(node, field);
+        for (E constant : type.getEnumConstants()) {
+            if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
+                return constant;
             }
         }
         throw new Malformed(field + ": unknown value \"" + text + "\"");
     }
 
     public ObjectNode encode() {
-        ObjectNode n = Codec.map().put("nameId", id).put("jobClass", jobClass).put("owner", owner)
-                .put("mode", mode.name().toLowerCase(Locale.ROOT)).put("urgency", urgency.name().toLowerCase(Locale.ROOT))
-                .put("members", members).put("vcpus", vcpus).put("cards", cards).put("ramGb", ramGb);
-        if (shapes != null) {
-            ArrayNode s = n.putArray("shapes");
-            shapes.forEach(s::add);
+        ObjectNode node = Codec.newMap().put("nameId", jobId).put("jobClass", jobClass).put("owner", team)
+                .put("mode", mode.name().toLowerCase(Locale.ROOT)).put("urgency", priority.name().toLowerCase(Locale.ROOT))
+                .put("members", taskCount).put("vcpus", cpus).put("cards", gpus).put("ramGb", memoryGb);
+        if (machineTypes != null) {
+            ArrayNode machineTypesNode = node.putArray("shapes");
+            machineTypes.forEach(machineTypesNode::add);
         }
-        if (site != null) {
-            n.put("site", site);
+        if (zone != null) {
+            node.put("site", zone);
         }
-        n.put("oneZone", oneZone).put("scatter", scatter).put("preemptible", preemptible);
-        n.put("container", container).put("sizeGb", sizeGb).put("runtimeS", runtimeS).put("snapshotEveryS", snapshotEveryS).put("snapshotS", snapshotS);
-        if (dueS >= 0) {
-            n.put("dueS", dueS);
+        node.put("oneZone", zoneAffinity).put("scatter", zoneSpread).put("preemptible", preemptible);
+        node.put("container", image).put("sizeGb", imageSizeGb).put("runtimeS", runtimeSeconds).put("snapshotEveryS", checkpointIntervalSeconds).put("snapshotS", checkpointSeconds);
+        if (deadlineSeconds >= 0) {
+            node.put("dueS", deadlineSeconds);
         }
-        return n;
+        return node;
     }
 }
--- a/src/main/java/io/quincelead/records/JobTable.java
+++ b/src/main/java/io/quincelead/records/JobTable.java
@@ -22,54 +22,54 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
     private final Loop loop;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, HostLoad> byHost = new HashMap<>();
+    private final Map<String, HostLoad> loadByHost = new HashMap<>();
     /** The same jobs, the longest accepted first. */
-    private final List<Job> byAge = new ArrayList<>();
-    private final Set<String> orphans = new LinkedHashSet<>();
-    private long openTasks;
-    private Consumer<Placement> onPlaced = p -> { };
-    private Consumer<String> onTouched = h -> { };
-    private Consumer<Job> onJob = j -> { };
+    private final List<Job> jobsOldestFirst = new ArrayList<>();
+    private final Set<String> orphanPageKeys = new LinkedHashSet<>();
+    private long unfinishedTaskCount;
+    private Consumer<Placement> placementListener = p -> { };
+    private Consumer<String> machineListener = h -> { };
+    private Consumer<Job> jobListener = j -> { };
 
     public JobTable(Loop loop, Mirror mirror) {
         this.loop = loop;
-        mirror.view(Keys.JOB, new Mirror.View() {
-            @Override public void put(String key, JsonNode value, long stamp) {
-                putJob(key, value);
+        mirror.addPrefixListener(Keys.JOB_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode value, long stamp) {
+                applyJob(key, value);
             }
 
-            @Override public void remove(String key) {
-                removeJob(key.substring(Keys.JOB.length()));
+            @Override public void onRemove(String key) {
+                removeJob(key.substring(Keys.JOB_PREFIX.length()));
             }
         });
-        mirror.view(Keys.CHUNK, new Mirror.View() {
-            @Override public void put(String key, JsonNode value, long stamp) {
-                putChunk(key, value);
+        mirror.addPrefixListener(Keys.TASK_STATE_PAGE_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode value, long stamp) {
+                applyPage(key, value);
             }
 
-            @Override public void remove(String key) {
-                putChunk(key, null);
+            @Override public void onRemove(String key) {
+                applyPage(key, null);
             }
         });
     }
 
     /** Called for each start that appears on record. */
-    public void onPlaced(Consumer<Placement> listener) {
-        onPlaced = listener;
+    public void onPlacementRecorded(Consumer<Placement> listener) {
+        placementListener = listener;
     }
 
     /** Called for each job that appears on record. */
-    public void onJob(Consumer<Job> listener) {
-        onJob = listener;
+    public void onJobAdded(Consumer<Job> listener) {
+        jobListener = listener;
     }
 
     /** Called with each machine for which a record or its meaning has changed. */
-    public void onTouched(Consumer<String> listener) {
-        onTouched = listener;
+    public void onMachineChanged(Consumer<String> listener) {
+        machineListener = listener;
     }
 
-    public Job get(String id) {
-        return jobs.get(id);
+    public Job get(String jobId) {
+        return jobs.get(jobId);
     }
 
     public Collection<Job> all() {
@@ -77,165 +77,165 @@
     }
 
     /** All jobs, the longest accepted first. */
-    public List<Job> byAge() {
-        return byAge;
+    public List<Job> jobsOldestFirst() {
+        return jobsOldestFirst;
     }
 
-    private static int older(Job a, Job b) {
-        return a.acceptedAt != b.acceptedAt ? Long.compare(a.acceptedAt, b.acceptedAt) : a.spec.id().compareTo(b.spec.id());
+    private static int compareByAge(Job left, Job right) {
+        return left.acceptedAtEpochMillis != right.acceptedAtEpochMillis ? Long.compare(left.acceptedAtEpochMillis, right.acceptedAtEpochMillis) : left.spec.jobId().compareTo(right.spec.jobId());
     }
 
-    public long openTasks() {
-        return openTasks;
+    public long unfinishedTaskCount() {
+        return unfinishedTaskCount;
     }
 
     /** Chunks left behind by jobs that are over. */
-    public Set<String> orphans() {
-        return orphans;
+    public Set<String> orphanPageKeys() {
+        return orphanPageKeys;
     }
 
     /** Where tasks may be on a machine, by task name. */
-    public Map<String, Placement> on(String host) {
-        HostLoad load = byHost.get(host);
-        return load == null ? Map.of() : load.tasks;
+    public Map<String, Placement> placementsOn(String host) {
+        HostLoad load = loadByHost.get(host);
+        return load == null ? Map.of() : load.placementsByTask;
     }
 
     /** What those tasks use; null if there are none. */
-    public HostLoad load(String host) {
-        return byHost.get(host);
+    public HostLoad loadOf(String host) {
+        return loadByHost.get(host);
     }
 
-    private void putJob(String key, JsonNode value) {
-        String id = key.substring(Keys.JOB.length());
-        Job job = jobs.get(id);
+    private void applyJob(String key, JsonNode value) {
+        String jobId = key.substring(Keys.JOB_PREFIX.length());
+        Job job = jobs.get(jobId);
         if (job == null) {
             try {
-                job = new Job(JobSpec.parse((ObjectNode) value.path("s")));
-            } catch (JobSpec.Malformed | ClassCastException e) {
-                LOG.error("the record {} can't be read ({}); the job is left alone", key, e.getMessage());
+                job = new Job(JobSpec.decode((ObjectNode) value.path("s")));
+            } catch (JobSpec.Malformed | ClassCastException malformed) {
+                LOG.error("the record {} can't be read ({}); the job is left alone", key, malformed.getMessage());
                 return;
             }
-            jobs.put(id, job);
-            openTasks += job.spec.members();
-            job.read(value);
-            int at = byAge.size();
-            while (at > 0 && older(job, byAge.get(at - 1)) < 0) {
-                at--;
+            jobs.put(jobId, job);
+            unfinishedTaskCount += job.spec.taskCount();
+            job.applyRecord(value);
+            int position = jobsOldestFirst.size();
+            while (position > 0 && compareByAge(job, jobsOldestFirst.get(position - 1)) < 0) {
+                position--;
             }
-            byAge.add(at, job);
-            onJob.accept(job);
+            jobsOldestFirst.add(position, job);
+            jobListener.accept(job);
         }
-        boolean wasCancelled = job.cancelled();
-        job.read(value);
-        if (job.single()) {
-            putChunk(job, 0, value.get("k"));
+        boolean wasCancelled = job.isCancelled();
+        job.applyRecord(value);
+        if (job.hasSinglePage()) {
+            applyPage(job, 0, value.get("k"));
         }
-        if (job.cancelled() && !wasCancelled) {
-            for (Chunk c : job.chunks) {
-                if (c != null) {
-                    for (Placement p : c.placed) {
-                        p.load.touch();
-                        onTouched.accept(p.host);
+        if (job.isCancelled() && !wasCancelled) {
+            for (Chunk page : job.pages) {
+                if (page != null) {
+                    for (Placement placement : page.placements) {
+                        placement.machineLoad.invalidate();
+                        machineListener.accept(placement.host);
                     }
                 }
             }
         }
     }
 
-    private void removeJob(String id) {
-        Job job = jobs.remove(id);
+    private void removeJob(String jobId) {
+        Job job = jobs.remove(jobId);
         if (job == null) {
             return;
         }
-        openTasks -= job.spec.members();
-        byAge.remove(job);
-        for (Chunk c : job.chunks) {
-            if (c != null) {
-                if (!job.single()) {
-                    orphans.add(c.key());
+        unfinishedTaskCount -= job.spec.taskCount();
+        jobsOldestFirst.remove(job);
+        for (Chunk page : job.pages) {
+            if (page != null) {
+                if (!job.hasSinglePage()) {
+                    orphanPageKeys.add(page.storeKey());
                 }
-                for (Placement p : c.placed) {
-                    unindex(p);
-                    onTouched.accept(p.host);
+                for (Placement placement : page.placements) {
+                    unindex(placement);
+                    machineListener.accept(placement.host);
                 }
             }
         }
     }
 
-    private void putChunk(String key, JsonNode value) {
-        String rest = key.substring(Keys.CHUNK.length());
+    private void applyPage(String key, JsonNode value) {
+        String rest = key.substring(Keys.TASK_STATE_PAGE_PREFIX.length());
         int slash = rest.lastIndexOf('/');
         Job job = slash < 0 ? null : jobs.get(rest.substring(0, slash));
         if (job == null) {
             if (value == null) {
-                orphans.remove(key);
+                orphanPageKeys.remove(key);
             } else {
-                orphans.add(key);
+                orphanPageKeys.add(key);
             }
             return;
         }
-        int number;
+        int pageNumber;
         try {
-            number = Integer.parseInt(rest.substring(slash + 1));
+            pageNumber = Integer.parseInt(rest.substring(slash + 1));
         } catch (NumberFormatException e) {
-            number = -1;
+            pageNumber = -1;
         }
-        if (number < 0 || number >= job.chunks.length || job.single()) {
+        if (pageNumber < 0 || pageNumber >= job.pages.length || job.hasSinglePage()) {
             LOG.error("the record {} does not belong to its job; it is left alone", key);
             return;
         }
-        putChunk(job, number, value);
+        applyPage(job, pageNumber, value);
     }
 
-    private void putChunk(Job job, int number, JsonNode value) {
-        Chunk before = job.chunks[number];
-        Chunk next;
+    private void applyPage(Job job, int pageNumber, JsonNode value) {
+        Chunk previousPage = job.pages[pageNumber];
+        Chunk nextPage;
         try {
-            next = value == null ? null : Chunk.decode(job, number, value, before, loop.now());
+            nextPage = value == null ? null : Chunk.decode(job, pageNumber, value, previousPage, loop.nowMillis());
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            LOG.error("the places of {} in record {} can't be read; the record is left alone", job.spec.id(), number);
+            LOG.error("the places of {} in record {} can't be read; the record is left alone", job.spec.jobId(), pageNumber);
             return;
         }
-        Places was = before == null ? null : before.placed;
-        Places is = next == null ? null : next.placed;
-        Places.changes(was, is, (old, p) -> {
-            if (old != null) {
-                unindex(old);
-                if (p == null) {
-                    onTouched.accept(old.host);
+        Places placementsBefore = previousPage == null ? null : previousPage.placements;
+        Places placementsAfter = nextPage == null ? null : nextPage.placements;
+        Places.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
+            if (previous != null) {
+                unindex(previous);
+                if (current == null) {
+                    machineListener.accept(previous.host);
                 }
             }
         });
-        job.set(number, next);
-        Places.changes(was, is, (old, p) -> {
-            if (p != null) {
-                index(old, p);
+        job.replacePage(pageNumber, nextPage);
+        Places.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
+            if (current != null) {
+                index(previous, current);
             }
         });
     }
 
-    private void index(Placement old, Placement p) {
-        boolean same = old != null && old.same(p.index, p.host, p.attempt);
-        if (!same) {
-            onPlaced.accept(p);
+    private void index(Placement previous, Placement placement) {
+        boolean sameStart = previous != null && previous.isSameStart(placement.taskIndex, placement.host, placement.attempt);
+        if (!sameStart) {
+            placementListener.accept(placement);
         }
-        if (!same || old.stop != p.stop) {
-            onTouched.accept(p.host);
+        if (!sameStart || previous.stopRequested != placement.stopRequested) {
+            machineListener.accept(placement.host);
         }
-        p.load = byHost.computeIfAbsent(p.host, h -> new HostLoad());
-        p.load.tasks.put(p.name(), p);
-        p.load.touch();
+        placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new HostLoad());
+        placement.machineLoad.placementsByTask.put(placement.taskName(), placement);
+        placement.machineLoad.invalidate();
     }
 
-    private void unindex(Placement p) {
-        HostLoad load = byHost.get(p.host);
+    private void unindex(Placement placement) {
+        HostLoad load = loadByHost.get(placement.host);
         if (load != null) {
-            load.tasks.remove(p.name());
-            load.touch();
-            if (load.tasks.isEmpty()) {
-                byHost.remove(p.host);
+            load.placementsByTask.remove(placement.taskName());
+            load.invalidate();
+            if (load.placementsByTask.isEmpty()) {
+                loadByHost.remove(placement.host);
             }
         }
-        p.load = null;
+        placement.machineLoad = null;
     }
 }
--- a/src/main/java/io/quincelead/records/Kinds.java
+++ b/src/main/java/io/quincelead/records/Kinds.java
@@ -12,61 +12,61 @@
  */
 public final class Kinds {
     /** What a task demands of its machine. */
-    private record Kind(double vcpus, double cards, double ramGb, List<String> shapes, String site, boolean preemptible) {
-        boolean fits(Catalog.Shape shape, String at, boolean spot) {
-            return vcpus <= shape.vcpus() && cards <= shape.cards() && ramGb <= shape.ramGb() && (shapes == null || shapes.contains(shape.label()))
-                    && (site == null || site.equals(at)) && (preemptible || !spot);
+    private record Kind(double cpus, double gpus, double memoryGb, List<String> machineTypes, String zone, boolean preemptible) {
+        boolean fits(Catalog.Shape machineType, String inZone, boolean spot) {
+            return cpus <= machineType.cpus() && gpus <= machineType.gpus() && memoryGb <= machineType.memoryGb() && (machineTypes == null || machineTypes.contains(machineType.name()))
+                    && (zone == null || zone.equals(inZone)) && (preemptible || !spot);
         }
     }
 
     private final Loop loop;
     /** When each kind was last asked for, the oldest first. */
-    private final Map<Kind, Long> asked = new LinkedHashMap<>();
+    private final Map<Kind, Long> lastRequestedAt = new LinkedHashMap<>();
 
     /** CPUs asked for by urgent work, fading with time. */
-    private double urgentCpus;
-    private long fadedAt;
+    private double decayedUrgentCpus;
+    private long decayedAtMillis;
 
     public Kinds(Loop loop, JobTable jobs) {
         this.loop = loop;
-        jobs.onJob(this::note);
+        jobs.onJobAdded(this::recordDemand);
     }
 
-    private void note(Job job) {
-        JobSpec s = job.spec;
-        if (s.ordinary()) {
+    private void recordDemand(Job job) {
+        JobSpec spec = job.spec;
+        if (spec.isUnconstrained()) {
             return;
         }
         // After a start, old jobs appear all at once: they say nothing of the rate.
-        if (s.cards() == 0 && s.urgency().ordinal() <= JobSpec.Urgency.HIGH.ordinal()
-                && loop.wall() - job.acceptedAt < Constants.RESERVE_WINDOW_S * 1000) {
-            fade();
-            urgentCpus += s.members() * s.vcpus();
+        if (spec.gpus() == 0 && spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()
+                && loop.wallClockMillis() - job.acceptedAtEpochMillis < Constants.RESERVE_WINDOW_S * 1000) {
+            decay();
+            decayedUrgentCpus += spec.taskCount() * spec.cpus();
         }
-        Kind kind = new Kind(s.vcpus(), s.cards(), s.ramGb(), s.shapes(), s.site(), s.preemptible());
-        asked.remove(kind);
-        asked.put(kind, loop.now());
-        long old = loop.now() - Constants.KIND_REMEMBERED_MS;
-        while (asked.size() > Constants.KINDS_REMEMBERED || asked.values().iterator().next() < old) {
-            asked.remove(asked.keySet().iterator().next());
+        Kind requirements = new Kind(spec.cpus(), spec.gpus(), spec.memoryGb(), spec.machineTypes(), spec.zone(), spec.preemptible());
+        lastRequestedAt.remove(requirements);
+        lastRequestedAt.put(requirements, loop.nowMillis());
+        long oldestRemembered = loop.nowMillis() - Constants.KIND_REMEMBERED_MS;
+        while (lastRequestedAt.size() > Constants.KINDS_REMEMBERED || lastRequestedAt.values().iterator().next() < oldestRemembered) {
+            lastRequestedAt.remove(lastRequestedAt.keySet().iterator().next());
         }
     }
 
-    private void fade() {
-        urgentCpus *= Math.exp(-(loop.now() - fadedAt) / 1000.0 / Constants.RESERVE_WINDOW_S);
-        fadedAt = loop.now();
+    private void decay() {
+        decayedUrgentCpus *= Math.exp(-(loop.nowMillis() - decayedAtMillis) / 1000.0 / Constants.RESERVE_WINDOW_S);
+        decayedAtMillis = loop.nowMillis();
     }
 
     /** CPUs that urgent constrained work without GPUs would ask for in this time, at the rate of late. */
-    public double urgentCpus(double withinS) {
-        fade();
-        return urgentCpus / Constants.RESERVE_WINDOW_S * withinS;
+    public double expectedUrgentCpus(double withinSeconds) {
+        decay();
+        return decayedUrgentCpus / Constants.RESERVE_WINDOW_S * withinSeconds;
     }
 
-    private boolean any(Catalog.Shape shape, String site, boolean spot, boolean cardsOnly) {
-        long old = loop.now() - Constants.KIND_REMEMBERED_MS;
-        for (Map.Entry<Kind, Long> e : asked.entrySet()) {
-            if (e.getValue() >= old && (!cardsOnly || e.getKey().cards > 0) && e.getKey().fits(shape, site, spot)) {
+    private boolean hasRecentDemand(Catalog.Shape machineType, String zone, boolean spot, boolean gpusOnly) {
+        long oldestRemembered = loop.nowMillis() - Constants.KIND_REMEMBERED_MS;
+        for (Map.Entry<Kind, Long> entry : lastRequestedAt.entrySet()) {
+            if (entry.getValue() >= oldestRemembered && (!gpusOnly || entry.getKey().gpus > 0) && entry.getKey().fits(machineType, zone, spot)) {
                 return true;
             }
         }
@@ -74,12 +74,12 @@
     }
 
     /** Whether constrained work of late could use such a machine. */
-    public boolean wanted(Catalog.Shape shape, String site, boolean spot) {
-        return any(shape, site, spot, false);
+    public boolean isInDemand(Catalog.Shape machineType, String zone, boolean spot) {
+        return hasRecentDemand(machineType, zone, spot, false);
     }
 
     /** Whether work of late needs the GPUs of such a machine: other work should leave it alone. */
-    public boolean cardsWanted(Catalog.Shape shape, String site, boolean spot) {
-        return shape.cards() > 0 && any(shape, site, spot, true);
+    public boolean isGpuInDemand(Catalog.Shape machineType, String zone, boolean spot) {
+        return machineType.gpus() > 0 && hasRecentDemand(machineType, zone, spot, true);
     }
 }
--- a/src/main/java/io/quincelead/records/MachineTable.java
+++ b/src/main/java/io/quincelead/records/MachineTable.java
@@ -27,111 +27,111 @@
      * worker the new term at once. {@code returning} is recorded before the release is asked for, so a successor asks again. A
      * {@code closed} one gets no new tasks.
      */
-    public record Machine(String host, String group, String shape, String site, boolean spot, String addr, long rentedAt, boolean returning, boolean closed) {
+    public record Machine(String host, String groupId, String machineType, String zone, boolean spot, String address, long rentedAtEpochMillis, boolean releasing, boolean cordoned) {
         /** A machine just rented. */
-        public Machine(String host, String group, String shape, String site, boolean spot, long rentedAt) {
-            this(host, group, shape, site, spot, null, rentedAt, false, false);
+        public Machine(String host, String groupId, String machineType, String zone, boolean spot, long rentedAtEpochMillis) {
+            this(host, groupId, machineType, zone, spot, null, rentedAtEpochMillis, false, false);
         }
 
-        public Machine returned() {
-            return new Machine(host, group, shape, site, spot, addr, rentedAt, true, closed);
+        public Machine asReleasing() {
+            return new Machine(host, groupId, machineType, zone, spot, address, rentedAtEpochMillis, true, cordoned);
         }
 
-        public Machine closed(boolean yes) {
-            return new Machine(host, group, shape, site, spot, addr, rentedAt, returning, yes);
+        public Machine withCordoned(boolean nowCordoned) {
+            return new Machine(host, groupId, machineType, zone, spot, address, rentedAtEpochMillis, releasing, nowCordoned);
         }
 
-        public Machine at(String address) {
-            return new Machine(host, group, shape, site, spot, address, rentedAt, returning, closed);
+        public Machine withAddress(String newAddress) {
+            return new Machine(host, groupId, machineType, zone, spot, newAddress, rentedAtEpochMillis, releasing, cordoned);
         }
 
         /** The record it shares. */
-        public String key() {
-            return Keys.MACHINE + group;
+        public String storeKey() {
+            return Keys.MACHINE_PREFIX + groupId;
         }
     }
 
     private final Mirror mirror;
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, List<String>> groups = new HashMap<>();
-    private final Set<String> closed = new HashSet<>();
+    private final Map<String, Machine> machinesByHost = new LinkedHashMap<>();
+    private final Map<String, List<String>> hostsByGroup = new HashMap<>();
+    private final Set<String> cordonedHosts = new HashSet<>();
     private long version;
     /** Heavy images that machines have, as recorded, with their GB. */
-    private final Map<String, Map<String, Double>> heavy = new HashMap<>();
-    private java.util.function.Function<String, Map<String, Double>> heavyNow = h -> null;
-    private java.util.function.BiConsumer<String, Map<String, Double>> onHeavy = (h, i) -> { };
+    private final Map<String, Map<String, Double>> largeImagesByHost = new HashMap<>();
+    private java.util.function.Function<String, Map<String, Double>> currentLargeImages = h -> null;
+    private java.util.function.BiConsumer<String, Map<String, Double>> largeImagesListener = (h, i) -> { };
 
     public MachineTable(Mirror mirror) {
         this.mirror = mirror;
-        mirror.view(Keys.MACHINE, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                read(key.substring(Keys.MACHINE.length()), v);
+        mirror.addPrefixListener(Keys.MACHINE_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                applyRecord(key.substring(Keys.MACHINE_PREFIX.length()), v);
             }
 
-            @Override public void remove(String key) {
-                forget(key.substring(Keys.MACHINE.length()), Set.of());
+            @Override public void onRemove(String key) {
+                forgetGroup(key.substring(Keys.MACHINE_PREFIX.length()), Set.of());
             }
         });
     }
 
-    private void read(String group, JsonNode v) {
+    private void applyRecord(String groupId, JsonNode node) {
         version++;
-        Set<String> returning = texts(v.path("x"));
-        Set<String> closing = texts(v.path("q"));
+        Set<String> releasing = textSet(node.path("x"));
+        Set<String> cordoned = textSet(node.path("q"));
         List<String> hosts = new ArrayList<>();
-        v.path("h").forEach(h -> hosts.add(h.asText()));
-        forget(group, new HashSet<>(hosts));
+        node.path("h").forEach(h -> hosts.add(h.asText()));
+        forgetGroup(groupId, new HashSet<>(hosts));
         for (String h : hosts) {
-            machines.put(h, new Machine(h, group, v.path("k").asText(), v.path("s").asText(), v.path("p").asBoolean(),
-                    v.path("a").path(h).isTextual() ? v.path("a").path(h).asText() : null, v.path("r").asLong(), returning.contains(h), closing.contains(h)));
+            machinesByHost.put(h, new Machine(h, groupId, node.path("k").asText(), node.path("s").asText(), node.path("p").asBoolean(),
+                    node.path("a").path(h).isTextual() ? node.path("a").path(h).asText() : null, node.path("r").asLong(), releasing.contains(h), cordoned.contains(h)));
         }
-        hosts.forEach(heavy::remove);
-        v.path("w").fields().forEachRemaining(f -> {
-            Map<String, Double> of = new java.util.TreeMap<>();
-            f.getValue().fields().forEachRemaining(i -> of.put(i.getKey(), i.getValue().asDouble()));
-            heavy.put(f.getKey(), of);
-            onHeavy.accept(f.getKey(), of);
+        hosts.forEach(largeImagesByHost::remove);
+        node.path("w").fields().forEachRemaining(field -> {
+            Map<String, Double> images = new java.util.TreeMap<>();
+            field.getValue().fields().forEachRemaining(image -> images.put(image.getKey(), image.getValue().asDouble()));
+            largeImagesByHost.put(field.getKey(), images);
+            largeImagesListener.accept(field.getKey(), images);
         });
-        groups.put(group, hosts);
-        closed.removeAll(hosts);
-        closed.addAll(closing);
+        hostsByGroup.put(groupId, hosts);
+        cordonedHosts.removeAll(hosts);
+        cordonedHosts.addAll(cordoned);
     }
 
-    private void forget(String group, Set<String> except) {
+    private void forgetGroup(String groupId, Set<String> keptHosts) {
         version++;
-        for (String h : groups.getOrDefault(group, List.of())) {
-            if (!except.contains(h)) {
-                machines.remove(h);
-                closed.remove(h);
-                heavy.remove(h);
+        for (String host : hostsByGroup.getOrDefault(groupId, List.of())) {
+            if (!keptHosts.contains(host)) {
+                machinesByHost.remove(host);
+                cordonedHosts.remove(host);
+                largeImagesByHost.remove(host);
             }
         }
-        groups.remove(group);
+        hostsByGroup.remove(groupId);
     }
 
-    private static Set<String> texts(JsonNode list) {
+    private static Set<String> textSet(JsonNode list) {
         Set<String> out = new HashSet<>();
-        list.forEach(t -> out.add(t.asText()));
+        list.forEach(text -> out.add(text.asText()));
         return out;
     }
 
     /** Heavy images are recorded with their machines: {@code now} tells a machine's; {@code recorded} hears of what is on record. */
-    public void recordHeavy(java.util.function.Function<String, Map<String, Double>> now, java.util.function.BiConsumer<String, Map<String, Double>> recorded) {
-        heavyNow = now;
-        onHeavy = recorded;
+    public void trackLargeImages(java.util.function.Function<String, Map<String, Double>> current, java.util.function.BiConsumer<String, Map<String, Double>> listener) {
+        currentLargeImages = current;
+        largeImagesListener = listener;
     }
 
     /** The heavy images that are on record for it, with their GB. */
-    public Map<String, Double> heavy(String host) {
-        return heavy.getOrDefault(host, Map.of());
+    public Map<String, Double> recordedLargeImages(String host) {
+        return largeImagesByHost.getOrDefault(host, Map.of());
     }
 
     public Machine get(String host) {
-        return machines.get(host);
+        return machinesByHost.get(host);
     }
 
     public Collection<Machine> all() {
-        return machines.values();
+        return machinesByHost.values();
     }
 
     /** Rises with every change of what is on record. */
@@ -140,106 +140,106 @@
     }
 
     /** Machines that get no new tasks. */
-    public Set<String> closed() {
-        return closed;
+    public Set<String> cordonedHosts() {
+        return cordonedHosts;
     }
 
     /** Changes of machines that are part of one transaction. */
-    public Edits edits(Txn txn) {
-        return new Edits(txn);
+    public Edits beginEdits(Txn transaction) {
+        return new Edits(transaction);
     }
 
     /** Keeps a transaction's machine records in step with the changes asked for; each shared record is written once. */
     public final class Edits {
-        private final Txn txn;
-        private final Map<String, Map<String, Machine>> edited = new HashMap<>();
+        private final Txn transaction;
+        private final Map<String, Map<String, Machine>> machinesByEditedGroup = new HashMap<>();
         /** Records begun for unexpected machines, by what all machines of one record have in common. */
-        private final Map<String, String> adopting = new HashMap<>();
+        private final Map<String, String> openGroupByAttributes = new HashMap<>();
 
-        private Edits(Txn txn) {
-            this.txn = txn;
+        private Edits(Txn transaction) {
+            this.transaction = transaction;
         }
 
-        private Map<String, Machine> members(String group) {
-            return edited.computeIfAbsent(group, g -> {
-                Map<String, Machine> now = new LinkedHashMap<>();
-                groups.getOrDefault(g, List.of()).forEach(h -> now.put(h, machines.get(h)));
-                return now;
+        private Map<String, Machine> machinesOf(String groupId) {
+            return machinesByEditedGroup.computeIfAbsent(groupId, g -> {
+                Map<String, Machine> current = new LinkedHashMap<>();
+                hostsByGroup.getOrDefault(g, List.of()).forEach(host -> current.put(host, machinesByHost.get(host)));
+                return current;
             });
         }
 
         /** Takes in a machine that is on no record. Alike ones share one: a whole cluster may be found up at once. */
-        public void adopt(String host, String shape, String site, boolean spot, String addr, long rentedAt) {
-            String kind = shape + "/" + site + "/" + spot;
-            String group = adopting.get(kind);
-            if (group == null || members(group).size() >= Constants.MAX_RENT) {
-                group = "s-" + host;
-                adopting.put(kind, group);
+        public void addUnexpected(String host, String machineType, String zone, boolean spot, String address, long rentedAtEpochMillis) {
+            String attributes = machineType + "/" + zone + "/" + spot;
+            String groupId = openGroupByAttributes.get(attributes);
+            if (groupId == null || machinesOf(groupId).size() >= Constants.MAX_RENT) {
+                groupId = "s-" + host;
+                openGroupByAttributes.put(attributes, groupId);
             }
-            put(new Machine(host, group, shape, site, spot, rentedAt).at(addr));
+            put(new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis).withAddress(address));
             // The record may be gone again when a copy of this comes: its guard of 0 would then hold, and bring back machines that are gone.
-            txn.guard(Keys.TAKEN_IN, mirror.stamp(Keys.TAKEN_IN)).put(Keys.TAKEN_IN, Codec.map());
+            transaction.requireRevision(Keys.UNEXPECTED_MACHINE_INTAKE, mirror.modRevision(Keys.UNEXPECTED_MACHINE_INTAKE)).put(Keys.UNEXPECTED_MACHINE_INTAKE, Codec.newMap());
         }
 
-        public void put(Machine m) {
-            Map<String, Machine> members = members(m.group());
-            members.put(m.host(), m);
-            write(m.key(), members);
+        public void put(Machine machine) {
+            Map<String, Machine> groupMachines = machinesOf(machine.groupId());
+            groupMachines.put(machine.host(), machine);
+            write(machine.storeKey(), groupMachines);
         }
 
-        public void remove(Machine m) {
-            Map<String, Machine> members = members(m.group());
-            members.remove(m.host());
-            write(m.key(), members);
+        public void remove(Machine machine) {
+            Map<String, Machine> groupMachines = machinesOf(machine.groupId());
+            groupMachines.remove(machine.host());
+            write(machine.storeKey(), groupMachines);
         }
 
-        private void write(String key, Map<String, Machine> members) {
-            txn.guard(key, mirror.stamp(key));
-            if (members.isEmpty()) {
-                txn.remove(key);
+        private void write(String key, Map<String, Machine> groupMachines) {
+            transaction.requireRevision(key, mirror.modRevision(key));
+            if (groupMachines.isEmpty()) {
+                transaction.remove(key);
                 return;
             }
-            Machine any = members.values().iterator().next();
-            ObjectNode n = Codec.map().put("k", any.shape()).put("s", any.site()).put("p", any.spot()).put("r", any.rentedAt());
-            ArrayNode hosts = n.putArray("h");
-            ArrayNode returning = Codec.list();
-            ArrayNode closed = Codec.list();
-            ObjectNode addresses = Codec.map();
-            for (Machine m : members.values()) {
-                hosts.add(m.host());
-                if (m.returning()) {
-                    returning.add(m.host());
+            Machine any = groupMachines.values().iterator().next();
+            ObjectNode node = Codec.newMap().put("k", any.machineType()).put("s", any.zone()).put("p", any.spot()).put("r", any.rentedAtEpochMillis());
+            ArrayNode hosts = node.putArray("h");
+            ArrayNode releasing = Codec.newList();
+            ArrayNode cordoned = Codec.newList();
+            ObjectNode addresses = Codec.newMap();
+            for (Machine machine : groupMachines.values()) {
+                hosts.add(machine.host());
+                if (machine.releasing()) {
+                    releasing.add(machine.host());
                 }
-                if (m.closed()) {
-                    closed.add(m.host());
+                if (machine.cordoned()) {
+                    cordoned.add(machine.host());
                 }
-                if (m.addr() != null) {
-                    addresses.put(m.host(), m.addr());
+                if (machine.address() != null) {
+                    addresses.put(machine.host(), machine.address());
                 }
             }
             if (!addresses.isEmpty()) {
-                n.set("a", addresses);
+                node.set("a", addresses);
             }
-            if (!returning.isEmpty()) {
-                n.set("x", returning);
+            if (!releasing.isEmpty()) {
+                node.set("x", releasing);
             }
-            if (!closed.isEmpty()) {
-                n.set("q", closed);
+            if (!cordoned.isEmpty()) {
+                node.set("q", cordoned);
             }
-            ObjectNode weights = Codec.map();
-            for (Machine m : members.values()) {
-                Map<String, Double> now = heavyNow.apply(m.host());
-                now = now == null ? heavy(m.host()) : now;
-                if (!now.isEmpty()) {
-                    ObjectNode of = weights.putObject(m.host());
-                    now.forEach(of::put);
+            ObjectNode largeImages = Codec.newMap();
+            for (Machine machine : groupMachines.values()) {
+                Map<String, Double> current = currentLargeImages.apply(machine.host());
+                current = current == null ? recordedLargeImages(machine.host()) : current;
+                if (!current.isEmpty()) {
+                    ObjectNode images = largeImages.putObject(machine.host());
+                    current.forEach(images::put);
                 }
             }
             // Where weights are is worth a record only as far as it fits beside the machines.
-            if (!weights.isEmpty() && weights.toString().length() + n.toString().length() < Constants.MACHINE_RECORD_CHARS) {
-                n.set("w", weights);
+            if (!largeImages.isEmpty() && largeImages.toString().length() + node.toString().length() < Constants.MACHINE_RECORD_CHARS) {
+                node.set("w", largeImages);
             }
-            txn.put(key, n);
+            transaction.put(key, node);
         }
     }
 }
--- a/src/main/java/io/quincelead/records/Placement.java
+++ b/src/main/java/io/quincelead/records/Placement.java
@@ -6,49 +6,49 @@
  */
 public final class Placement {
     public final Job job;
-    public final int index;
+    public final int taskIndex;
     public final String host;
     public final long attempt;
     /** Recorded: the task is to be stopped to make room or to drain its machine. */
-    public final boolean stop;
+    public final boolean stopRequested;
 
-    /** What this process knows of it; {@link #become} is the one function that changes it. */
+    /** What this process knows of it; {@link #transitionTo} is the one function that changes it. */
     public enum Phase {
         /** Recorded; this process has not sent its start in the current term. */
         RECORDED,
         /** Its start left in the response to a report. */
-        SENT,
+        START_SENT,
         /** A report shows it. */
-        SEEN,
+        OBSERVED,
         /** Fenced evidence: completed. */
-        DONE,
+        COMPLETED,
         /** Fenced evidence: not on the machine, not completed. */
         GONE
     }
 
     private Phase phase = Phase.RECORDED;
-    private String name;
+    private String taskName;
     /** Report (tenure, serial) whose response carried the start. */
-    public long sentTenure;
-    public long sentSerial;
+    public long startSentAgentEpoch;
+    public long startSentSerial;
     /** Last reported state, for display and choice of victims. */
-    public String reported = "";
+    public String reportedState = "";
     /** Loop time when it was first seen running; 0 before. */
-    public long runningSince;
+    public long runningSinceMillis;
     /** Loop time of the last kill sent; 0 before. */
-    public long killedAt;
+    public long killSentAtMillis;
     /** Loop time at which this process first saw the record. */
-    public long since;
+    public long recordSeenAtMillis;
     /** The machine's load while this record is the one that counts there. */
-    HostLoad load;
+    HostLoad machineLoad;
 
-    public Placement(Job job, int index, String host, long attempt, boolean stop, long since) {
+    public Placement(Job job, int taskIndex, String host, long attempt, boolean stopRequested, long recordSeenAtMillis) {
         this.job = job;
-        this.index = index;
+        this.taskIndex = taskIndex;
         this.host = host;
         this.attempt = attempt;
-        this.stop = stop;
-        this.since = since;
+        this.stopRequested = stopRequested;
+        this.recordSeenAtMillis = recordSeenAtMillis;
     }
 
     public Phase phase() {
@@ -56,12 +56,12 @@
     }
 
     /** Outcomes are absorbing while we own the machine: evidence is not taken back. */
-    public void become(Phase next) {
-        if (phase != next && !over()) {
-            job.count(this, -1);
+    public void transitionTo(Phase next) {
+        if (phase != next && !isTerminated()) {
+            job.adjustEvidenceCounts(this, -1);
             phase = next;
-            job.count(this, 1);
-            touch();
+            job.adjustEvidenceCounts(this, 1);
+            invalidateLoad();
         }
     }
 
@@ -69,46 +69,46 @@
      * The machine has changed hands. What we concluded under our term no longer holds: the record entitles the new
      * owner to start the task there, so only the new owner can show that it is gone.
      */
-    public void handedOver() {
-        job.count(this, -1);
+    public void resetForNewOwner() {
+        job.adjustEvidenceCounts(this, -1);
         phase = Phase.RECORDED;
-        job.count(this, 1);
-        touch();
-        reported = "";
-        runningSince = 0;
+        job.adjustEvidenceCounts(this, 1);
+        invalidateLoad();
+        reportedState = "";
+        runningSinceMillis = 0;
     }
 
-    private void touch() {
-        if (load != null) {
-            load.touch();
+    private void invalidateLoad() {
+        if (machineLoad != null) {
+            machineLoad.invalidate();
         }
     }
 
-    public boolean over() {
-        return phase == Phase.DONE || phase == Phase.GONE;
+    public boolean isTerminated() {
+        return phase == Phase.COMPLETED || phase == Phase.GONE;
     }
 
     /** Whether a newer record speaks of the same start. */
-    boolean same(int otherIndex, String otherHost, long otherAttempt) {
-        return index == otherIndex && attempt == otherAttempt && host.equals(otherHost);
+    boolean isSameStart(int otherTaskIndex, String otherHost, long otherAttempt) {
+        return taskIndex == otherTaskIndex && attempt == otherAttempt && host.equals(otherHost);
     }
 
     /** Takes over what the process knew under an older version of the record. */
-    void inherit(Placement old) {
-        phase = old.phase;
-        sentTenure = old.sentTenure;
-        sentSerial = old.sentSerial;
-        reported = old.reported;
-        runningSince = old.runningSince;
-        killedAt = old.killedAt;
-        since = old.since;
+    void inheritObservations(Placement previous) {
+        phase = previous.phase;
+        startSentAgentEpoch = previous.startSentAgentEpoch;
+        startSentSerial = previous.startSentSerial;
+        reportedState = previous.reportedState;
+        runningSinceMillis = previous.runningSinceMillis;
+        killSentAtMillis = previous.killSentAtMillis;
+        recordSeenAtMillis = previous.recordSeenAtMillis;
     }
 
     /** The task's name, as workers know it. */
-    public String name() {
-        if (name == null) {
-            name = job.spec.id() + "/" + index;
+    public String taskName() {
+        if (taskName == null) {
+            taskName = job.spec.jobId() + "/" + taskIndex;
         }
-        return name;
+        return taskName;
     }
 }
--- a/src/main/java/io/quincelead/records/Places.java
+++ b/src/main/java/io/quincelead/records/Places.java
@@ -10,56 +10,56 @@
  * change of a chunk, and looking up, copying and walking 200 tasks is most of what that costs.
  */
 public final class Places extends AbstractCollection<Placement> {
-    private final int first;
+    private final int firstTaskIndex;
     private final Placement[] slots;
     private int size;
 
     /** For {@code tasks} tasks, the first of which has the index {@code first}. */
-    Places(int first, int tasks) {
-        this.first = first;
-        this.slots = new Placement[tasks];
+    Places(int firstTaskIndex, int taskCount) {
+        this.firstTaskIndex = firstTaskIndex;
+        this.slots = new Placement[taskCount];
     }
 
     Places(Places other) {
-        this.first = other.first;
+        this.firstTaskIndex = other.firstTaskIndex;
         this.slots = Arrays.copyOf(other.slots, other.slots.length);
         this.size = other.size;
     }
 
     /** The task's place, or null; the index counts from the job's first task. */
-    public Placement get(int index) {
-        int at = index - first;
-        return at < 0 || at >= slots.length ? null : slots[at];
+    public Placement get(int taskIndex) {
+        int slot = taskIndex - firstTaskIndex;
+        return slot < 0 || slot >= slots.length ? null : slots[slot];
     }
 
-    public boolean has(int index) {
-        return get(index) != null;
+    public boolean hasPlacement(int taskIndex) {
+        return get(taskIndex) != null;
     }
 
     /** Sets the place of its task; an index that isn't of this chunk is an {@link IndexOutOfBoundsException}. */
-    void put(Placement p) {
-        size += slots[p.index - first] == null ? 1 : 0;
-        slots[p.index - first] = p;
+    void put(Placement placement) {
+        size += slots[placement.taskIndex - firstTaskIndex] == null ? 1 : 0;
+        slots[placement.taskIndex - firstTaskIndex] = placement;
     }
 
-    void remove(int index) {
-        size -= slots[index - first] == null ? 0 : 1;
-        slots[index - first] = null;
+    void remove(int taskIndex) {
+        size -= slots[taskIndex - firstTaskIndex] == null ? 0 : 1;
+        slots[taskIndex - firstTaskIndex] = null;
     }
 
     /** Takes what one chunk had and another has of a task; either may be null. */
     interface Change {
-        void of(Placement before, Placement after);
+        void visit(Placement before, Placement after);
     }
 
     /** Walks over the tasks whose places differ from those before; null: there are none. */
-    static void changes(Places before, Places after, Change change) {
-        int n = before != null ? before.slots.length : after != null ? after.slots.length : 0;
-        for (int i = 0; i < n; i++) {
-            Placement old = before == null ? null : before.slots[i];
-            Placement now = after == null ? null : after.slots[i];
-            if (old != now) {
-                change.of(old, now);
+    static void forEachChange(Places before, Places after, Change visitor) {
+        int slotCount = before != null ? before.slots.length : after != null ? after.slots.length : 0;
+        for (int slot = 0; slot < slotCount; slot++) {
+            Placement previous = before == null ? null : before.slots[slot];
+            Placement current = after == null ? null : after.slots[slot];
+            if (previous != current) {
+                visitor.visit(previous, current);
             }
         }
     }
--- a/src/main/java/io/quincelead/records/ZoneTable.java
+++ b/src/main/java/io/quincelead/records/ZoneTable.java
@@ -35,31 +35,31 @@
      * A zone's record. {@code since}: when it came into the state, in ms since 1970; {@code had}: machines it had when it was first doubted;
      * {@code losses}: how often it was lost of late; {@code why}: the evidence, in words.
      */
-    public record Zone(String name, State state, long since, int had, int losses, String why, Order order) {
-        public static Zone up(String name) {
-            return new Zone(name, State.UP, 0, 0, 0, "", Order.NONE);
+    public record Zone(String name, State state, long sinceEpochMillis, int machineCountWhenDoubted, int recentLossCount, String reason, Order operatorOrder) {
+        public static Zone up(String zoneName) {
+            return new Zone(zoneName, State.UP, 0, 0, 0, "", Order.NONE);
         }
 
-        public Zone in(State next, long now, String because) {
-            return new Zone(name, next, now, had, losses, because, order);
+        public Zone withState(State next, long nowEpochMillis, String evidence) {
+            return new Zone(name, next, nowEpochMillis, machineCountWhenDoubted, recentLossCount, evidence, operatorOrder);
         }
 
-        public Zone ordered(Order o) {
-            return new Zone(name, state, since, had, losses, why, o);
+        public Zone withOperatorOrder(Order newOrder) {
+            return new Zone(name, state, sinceEpochMillis, machineCountWhenDoubted, recentLossCount, reason, newOrder);
         }
 
         public ObjectNode encode() {
-            return Codec.map().put("st", state.name().toLowerCase(Locale.ROOT)).put("since", since).put("had", had).put("losses", losses).put("why", why)
-                    .put("order", order.name().toLowerCase(Locale.ROOT));
+            return Codec.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("since", sinceEpochMillis).put("had", machineCountWhenDoubted).put("losses", recentLossCount).put("why", reason)
+                    .put("order", operatorOrder.name().toLowerCase(Locale.ROOT));
         }
     }
 
     private final Map<String, Zone> zones = new TreeMap<>();
 
     public ZoneTable(Mirror mirror) {
-        mirror.view(Keys.ZONE, new Mirror.View() {
-            @Override public void put(String key, JsonNode v, long stamp) {
-                String name = key.substring(Keys.ZONE.length());
+        mirror.addPrefixListener(Keys.ZONE_PREFIX, new Mirror.View() {
+            @Override public void onPut(String key, JsonNode v, long stamp) {
+                String name = key.substring(Keys.ZONE_PREFIX.length());
                 try {
                     zones.put(name, new Zone(name, State.valueOf(v.path("st").asText().toUpperCase(Locale.ROOT)), v.path("since").asLong(), v.path("had").asInt(),
                             v.path("losses").asInt(), v.path("why").asText(), Order.valueOf(v.path("order").asText("none").toUpperCase(Locale.ROOT))));
@@ -69,13 +69,13 @@
                 }
             }
 
-            @Override public void remove(String key) {
-                zones.remove(key.substring(Keys.ZONE.length()));
+            @Override public void onRemove(String key) {
+                zones.remove(key.substring(Keys.ZONE_PREFIX.length()));
             }
         });
     }
 
-    public Zone of(String name) {
+    public Zone get(String name) {
         return zones.getOrDefault(name, Zone.up(name));
     }
 
@@ -85,12 +85,12 @@
     }
 
     /** Whether no machine should be rented there now. */
-    public boolean avoid(String name) {
-        State s = of(name).state();
-        return s == State.DOUBTFUL || s == State.CUT || s == State.LOST;
+    public boolean isUnavailable(String name) {
+        State state = get(name).state();
+        return state == State.DOUBTFUL || state == State.CUT || state == State.LOST;
     }
 
-    public static String key(String name) {
-        return Keys.ZONE + name;
+    public static String storeKey(String name) {
+        return Keys.ZONE_PREFIX + name;
     }
 }
--- a/src/main/java/io/quincelead/state/Committer.java
+++ b/src/main/java/io/quincelead/state/Committer.java
@@ -13,81 +13,81 @@
 public final class Committer {
     private final Loop loop;
     private final StoreClient store;
-    private final Mirror mirror;
-    private final ArrayDeque<Entry> waiting = new ArrayDeque<>();
+    private final Mirror watchCache;
+    private final ArrayDeque<Entry> pending = new ArrayDeque<>();
     private boolean busy;
 
-    private record Entry(Txn txn, Txn.Done done, long deadline, boolean alone) { }
+    private record Entry(Txn transaction, Txn.Done handler, long deadlineMillis, boolean commitAlone) { }
 
-    public Committer(Loop loop, StoreClient store, Mirror mirror) {
+    public Committer(Loop loop, StoreClient store, Mirror watchCache) {
         this.loop = loop;
         this.store = store;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
     }
 
-    public boolean full() {
-        return waiting.size() >= Constants.MAX_WAITING_COMMITS;
+    public boolean isFull() {
+        return pending.size() >= Constants.MAX_WAITING_COMMITS;
     }
 
     /** Commits within the given time or refuses; a confirmed change is in the mirror before {@code done} hears of it. */
-    public void submit(Txn txn, long patienceMs, Txn.Done done) {
-        waiting.addLast(new Entry(txn, done, loop.now() + patienceMs, false));
-        loop.after(0, this::pump);
+    public void submit(Txn transaction, long timeoutMillis, Txn.Done handler) {
+        pending.addLast(new Entry(transaction, handler, loop.nowMillis() + timeoutMillis, false));
+        loop.runAfter(0, this::commitNextBatch);
     }
 
-    private void pause() {
+    private void resumeAfterDelay() {
         busy = true;
-        loop.after(Constants.BUSY_PAUSE_MS, () -> {
+        loop.runAfter(Constants.BUSY_PAUSE_MS, () -> {
             busy = false;
-            pump();
+            commitNextBatch();
         });
     }
 
-    private void pump() {
-        long now = loop.now();
-        while (!waiting.isEmpty() && waiting.peekFirst().deadline < now) {
-            waiting.pollFirst().done.got(new Txn.Outcome(Txn.Result.REFUSED, 0, java.util.Set.of()));
+    private void commitNextBatch() {
+        long nowMillis = loop.nowMillis();
+        while (!pending.isEmpty() && pending.peekFirst().deadlineMillis < nowMillis) {
+            pending.pollFirst().handler.onOutcome(new Txn.Outcome(Txn.Result.REJECTED, 0, java.util.Set.of()));
         }
-        if (busy || waiting.isEmpty()) {
+        if (busy || pending.isEmpty()) {
             return;
         }
-        if (!store.urgentAffordable()) {
-            pause();
+        if (!store.canAffordUrgentWrite()) {
+            resumeAfterDelay();
             return;
         }
-        Txn txn = new Txn();
+        Txn transaction = new Txn();
         List<Entry> batch = new ArrayList<>();
-        while (!waiting.isEmpty()) {
-            Entry e = waiting.peekFirst();
-            boolean fits = batch.isEmpty() || !e.alone && !batch.get(0).alone && !txn.touches(e.txn) && !e.txn.touches(txn)
-                    && txn.fits(e.txn.writes(), e.txn.guardCount(), store.txnOps());
-            if (!fits) {
+        while (!pending.isEmpty()) {
+            Entry entry = pending.peekFirst();
+            boolean fitsBatch = batch.isEmpty() || !entry.commitAlone && !batch.get(0).commitAlone && !transaction.conflictsWith(entry.transaction) && !entry.transaction.conflictsWith(transaction)
+                    && transaction.fits(entry.transaction.operationCount(), entry.transaction.preconditionCount(), store.maxTransactionOperations());
+            if (!fitsBatch) {
                 break;
             }
-            txn.merge(e.txn);
-            batch.add(waiting.pollFirst());
+            transaction.merge(entry.transaction);
+            batch.add(pending.pollFirst());
         }
         busy = true;
-        store.commit(txn, outcome -> {
+        store.commit(transaction, outcome -> {
             busy = false;
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
-            if (outcome.result() == Txn.Result.BUSY || outcome.result() == Txn.Result.CONFLICT && batch.size() > 1) {
-                boolean alone = outcome.result() == Txn.Result.CONFLICT;
+            if (outcome.result() == Txn.Result.THROTTLED || outcome.result() == Txn.Result.CONFLICT && batch.size() > 1) {
+                boolean retryAlone = outcome.result() == Txn.Result.CONFLICT;
                 for (int i = batch.size() - 1; i >= 0; i--) {
-                    Entry e = batch.get(i);
-                    waiting.addFirst(new Entry(e.txn, e.done, e.deadline, alone));
+                    Entry entry = batch.get(i);
+                    pending.addFirst(new Entry(entry.transaction, entry.handler, entry.deadlineMillis, retryAlone));
                 }
-                if (!alone) {
+                if (!retryAlone) {
                     // Nothing happened; whoever waits is told so at the end of its patience.
-                    pause();
+                    resumeAfterDelay();
                     return;
                 }
             } else {
-                batch.forEach(e -> e.done.got(outcome));
+                batch.forEach(entry -> entry.handler.onOutcome(outcome));
             }
-            pump();
+            commitNextBatch();
         });
     }
 }
--- a/src/main/java/io/quincelead/state/Fence.java
+++ b/src/main/java/io/quincelead/state/Fence.java
@@ -18,35 +18,35 @@
 public final class Fence {
     private static final Logger LOG = LoggerFactory.getLogger(Fence.class);
 
-    /** States of the office's changes; {@link #become} is the one function that changes them. */
+    /** States of the office's changes; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
         /** Every change has an outcome. */
-        CLEAR,
+        SETTLED,
         /** Some change may still land. */
-        IN_DOUBT,
+        INDETERMINATE,
         /** The key's record is being rewritten. */
         REWRITING
     }
 
     private final Loop loop;
     private final StoreClient store;
-    private final Mirror mirror;
-    private final String key;
-    private final Supplier<Txn> rewrite;
-    private final List<Txn> doubted = new ArrayList<>();
-    private Phase phase = Phase.CLEAR;
-    private long nextTry;
+    private final Mirror watchCache;
+    private final String fenceKey;
+    private final Supplier<Txn> rewriteFactory;
+    private final List<Txn> indeterminateWrites = new ArrayList<>();
+    private Phase phase = Phase.SETTLED;
+    private long nextRewriteAtMillis;
 
     /** {@code rewrite}: puts the office's {@code key} again as it is, guarded by its stamp; null where the key is gone. */
-    public Fence(Loop loop, StoreClient store, Mirror mirror, String key, Supplier<Txn> rewrite) {
+    public Fence(Loop loop, StoreClient store, Mirror watchCache, String fenceKey, Supplier<Txn> rewriteFactory) {
         this.loop = loop;
         this.store = store;
-        this.mirror = mirror;
-        this.key = key;
-        this.rewrite = rewrite;
+        this.watchCache = watchCache;
+        this.fenceKey = fenceKey;
+        this.rewriteFactory = rewriteFactory;
     }
 
-    private void become(Phase next) {
+    private void transitionTo(Phase next) {
         if (phase != next) {
             LOG.debug("changes without an answer: {} -> {}", phase, next);
             phase = next;
@@ -54,41 +54,41 @@
     }
 
     /** Takes the outcome of a change: one that isn't known is settled before the next decision. What doesn't bear the key decided nothing. */
-    public void heard(Txn txn, Txn.Outcome outcome) {
-        if (outcome.result() == Txn.Result.UNKNOWN && txn.bears(key)) {
-            doubted.add(txn);
-            if (phase == Phase.CLEAR) {
-                become(Phase.IN_DOUBT);
+    public void onOutcome(Txn transaction, Txn.Outcome outcome) {
+        if (outcome.result() == Txn.Result.INDETERMINATE && transaction.isFencedBy(fenceKey)) {
+            indeterminateWrites.add(transaction);
+            if (phase == Phase.SETTLED) {
+                transitionTo(Phase.INDETERMINATE);
             }
         }
     }
 
     /** Whether the office may decide: nothing of what it sent can land any more, and all that landed is known. */
-    public boolean clear() {
-        doubted.removeIf(t -> t.settled(mirror));
-        if (doubted.isEmpty()) {
-            if (phase == Phase.IN_DOUBT) {
-                become(Phase.CLEAR);
+    public boolean trySettle() {
+        indeterminateWrites.removeIf(transaction -> transaction.isSettled(watchCache));
+        if (indeterminateWrites.isEmpty()) {
+            if (phase == Phase.INDETERMINATE) {
+                transitionTo(Phase.SETTLED);
             }
             return true;
         }
-        if (phase == Phase.IN_DOUBT && loop.now() >= nextTry) {
-            rewrite();
+        if (phase == Phase.INDETERMINATE && loop.nowMillis() >= nextRewriteAtMillis) {
+            rewriteFenceKey();
         }
         return false;
     }
 
-    private void rewrite() {
-        Txn txn = rewrite.get();
-        nextTry = loop.now() + Constants.RETRY_MS;
-        if (txn == null || !store.urgentAffordable()) {
+    private void rewriteFenceKey() {
+        Txn transaction = rewriteFactory.get();
+        nextRewriteAtMillis = loop.nowMillis() + Constants.RETRY_MS;
+        if (transaction == null || !store.canAffordUrgentWrite()) {
             return;
         }
-        become(Phase.REWRITING);
-        store.commit(txn, outcome -> {
-            become(Phase.IN_DOUBT);
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
+        transitionTo(Phase.REWRITING);
+        store.commit(transaction, outcome -> {
+            transitionTo(Phase.INDETERMINATE);
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
         });
     }
--- a/src/main/java/io/quincelead/state/Mirror.java
+++ b/src/main/java/io/quincelead/state/Mirror.java
@@ -25,62 +25,62 @@
 
     /** A slice's view of the keys under one prefix. */
     public interface View {
-        void put(String key, JsonNode value, long stamp);
+        void onPut(String key, JsonNode value, long modRevision);
 
-        void remove(String key);
+        void onRemove(String key);
     }
 
-    /** States of the mirror; {@link #become} is the one function that changes them. */
+    /** States of the mirror; {@link #transitionTo} is the one function that changes them. */
     private enum Phase { EMPTY, LISTING, WATCHING }
 
     private final Loop loop;
     private final StoreClient store;
-    private final Map<String, View> views = new LinkedHashMap<>();
-    private final List<Runnable> listeners = new ArrayList<>();
+    private final Map<String, View> prefixListeners = new LinkedHashMap<>();
+    private final List<Runnable> changeListeners = new ArrayList<>();
     /** Stamps of the keys that exist, and of the last removals that the watch has not yet passed; 0: none. */
-    private final Object2LongHashMap<String> stamps = new Object2LongHashMap<>(0);
+    private final Object2LongHashMap<String> modRevisions = new Object2LongHashMap<>(0);
     private final Object2LongHashMap<String> tombstones = new Object2LongHashMap<>(0);
-    private final long watchGapMs;
+    private final long minWatchIntervalMillis;
     private Phase phase = Phase.EMPTY;
     private boolean synced;
-    private long generation;
+    private long storeRevision;
 
-    public Mirror(Loop loop, StoreClient store, double rps) {
+    public Mirror(Loop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
         this.store = store;
-        this.watchGapMs = (long) Math.max(Constants.WATCH_LEAST_MS, 1000 / (rps * Constants.WATCH_SHARE));
+        this.minWatchIntervalMillis = (long) Math.max(Constants.WATCH_LEAST_MS, 1000 / (requestsPerSecond * Constants.WATCH_SHARE));
     }
 
-    public void view(String prefix, View view) {
-        views.put(prefix, view);
+    public void addPrefixListener(String prefix, View listener) {
+        prefixListeners.put(prefix, listener);
     }
 
     /** Called after every batch of changes. */
-    public void onChange(Runnable listener) {
-        listeners.add(listener);
+    public void addChangeListener(Runnable listener) {
+        changeListeners.add(listener);
     }
 
     /** Whether all keys have been read at least once. */
-    public boolean synced() {
+    public boolean isSynced() {
         return synced;
     }
 
     /** Every change up to this generation has been applied. */
-    public long generation() {
-        return generation;
+    public long storeRevision() {
+        return storeRevision;
     }
 
-    public long stamp(String key) {
-        return stamps.getValue(key);
+    public long modRevision(String key) {
+        return modRevisions.getValue(key);
     }
 
     /** Whether the key surely has this stamp no longer, and all that happened up to its next change has been applied. */
-    boolean past(String key, long stamp) {
-        long now = stamp(key);
-        return now != stamp && Math.max(now, tombstones.getValue(key)) <= generation;
+    boolean isSuperseded(String key, long modRevision) {
+        long currentRevision = modRevision(key);
+        return currentRevision != modRevision && Math.max(currentRevision, tombstones.getValue(key)) <= storeRevision;
     }
 
-    private void become(Phase next) {
+    private void transitionTo(Phase next) {
         LOG.debug("mirror {} -> {}", phase, next);
         phase = next;
     }
@@ -92,131 +92,131 @@
     }
 
     private void relist() {
-        become(Phase.LISTING);
-        page(null, -1, new HashSet<>());
+        transitionTo(Phase.LISTING);
+        readPage(null, -1, new HashSet<>());
     }
 
-    private void page(String after, long firstGeneration, Set<String> seen) {
-        store.list(Keys.LIVE, after, (status, body) -> {
+    private void readPage(String afterKey, long firstPageRevision, Set<String> seenKeys) {
+        store.list(Keys.LIVE_PREFIX, afterKey, (status, body) -> {
             if (status != 200 || !body.path("items").isArray()) {
-                loop.after(Constants.RETRY_MS, this::relist);
+                loop.runAfter(Constants.RETRY_MS, this::relist);
                 return;
             }
-            long from = firstGeneration < 0 ? body.path("generation").asLong() : firstGeneration;
-            String last = after;
+            long snapshotRevision = firstPageRevision < 0 ? body.path("generation").asLong() : firstPageRevision;
+            String lastKey = afterKey;
             for (JsonNode item : body.path("items")) {
-                last = item.path("path").asText();
-                seen.add(last);
+                lastKey = item.path("path").asText();
+                seenKeys.add(lastKey);
                 // What is newer than the first page comes by the watch, in the store's order: a job's chunk must not come before the job.
-                if (item.path("stamp").asLong() <= from) {
-                    put(last, item.path("value"), item.path("stamp").asLong());
+                if (item.path("stamp").asLong() <= snapshotRevision) {
+                    applyPut(lastKey, item.path("value"), item.path("stamp").asLong());
                 }
             }
-            if (body.path("truncated").asBoolean() && last != null) {
-                page(last, from, seen);
+            if (body.path("truncated").asBoolean() && lastKey != null) {
+                readPage(lastKey, snapshotRevision, seenKeys);
                 return;
             }
-            for (String key : new ArrayList<>(stamps.keySet())) {
-                if (!seen.contains(key) && stamp(key) <= from) {
-                    remove(key, from);
+            for (String key : new ArrayList<>(modRevisions.keySet())) {
+                if (!seenKeys.contains(key) && modRevision(key) <= snapshotRevision) {
+                    applyRemove(key, snapshotRevision);
                 }
             }
-            generation = Math.max(generation, from);
+            storeRevision = Math.max(storeRevision, snapshotRevision);
             synced = true;
-            become(Phase.WATCHING);
-            changed();
+            transitionTo(Phase.WATCHING);
+            notifyChangeListeners();
             watch();
         });
     }
 
     private void watch() {
-        long sent = loop.now();
-        store.watch(Keys.LIVE, generation, (status, body) -> {
+        long sentAtMillis = loop.nowMillis();
+        store.watch(Keys.LIVE_PREFIX, storeRevision, (status, body) -> {
             if (status == 410) {
                 relist();
                 return;
             }
             if (status != 200) {
-                loop.after(status == Transport.NO_ANSWER ? 0 : Constants.RETRY_MS, this::watch);
+                loop.runAfter(status == Transport.NO_RESPONSE ? 0 : Constants.RETRY_MS, this::watch);
                 return;
             }
-            JsonNode news = body.path("news");
-            for (JsonNode n : news) {
-                long stamp = n.path("stamp").asLong();
-                if (n.has("put")) {
-                    put(n.path("put").asText(), n.path("value"), stamp);
-                } else if (n.has("remove")) {
-                    remove(n.path("remove").asText(), stamp);
+            JsonNode changes = body.path("news");
+            for (JsonNode change : changes) {
+                long modRevision = change.path("stamp").asLong();
+                if (change.has("put")) {
+                    applyPut(change.path("put").asText(), change.path("value"), modRevision);
+                } else if (change.has("remove")) {
+                    applyRemove(change.path("remove").asText(), modRevision);
                 }
             }
-            generation = Math.max(generation, body.path("generation").asLong());
+            storeRevision = Math.max(storeRevision, body.path("generation").asLong());
             if (!tombstones.isEmpty()) {
-                tombstones.entrySet().removeIf(e -> e.getValue() <= generation);
+                tombstones.entrySet().removeIf(tombstone -> tombstone.getValue() <= storeRevision);
             }
-            if (!news.isEmpty()) {
-                changed();
+            if (!changes.isEmpty()) {
+                notifyChangeListeners();
             }
-            loop.after(Math.max(0, watchGapMs - (loop.now() - sent)), this::watch);
+            loop.runAfter(Math.max(0, minWatchIntervalMillis - (loop.nowMillis() - sentAtMillis)), this::watch);
         });
     }
 
     /** Applies a transaction of our own that the store has confirmed. */
-    public void applied(Txn txn, long stamp) {
-        if (stamp <= generation) {
+    public void applyCommitted(Txn transaction, long modRevision) {
+        if (modRevision <= storeRevision) {
             // The confirmation was slow and the watch has been past it: what it wrote may be changed or removed by now.
-            changed();
+            notifyChangeListeners();
             return;
         }
-        for (Map.Entry<String, ObjectNode> op : txn.ops().entrySet()) {
-            if (!op.getKey().startsWith(Keys.LIVE)) {
+        for (Map.Entry<String, ObjectNode> operation : transaction.operations().entrySet()) {
+            if (!operation.getKey().startsWith(Keys.LIVE_PREFIX)) {
                 continue;
             }
-            JsonNode value = op.getValue().get("value");
+            JsonNode value = operation.getValue().get("value");
             if (value == null) {
-                remove(op.getKey(), stamp);
+                applyRemove(operation.getKey(), modRevision);
             } else {
-                put(op.getKey(), value, stamp);
+                applyPut(operation.getKey(), value, modRevision);
             }
         }
-        changed();
+        notifyChangeListeners();
     }
 
-    private void put(String key, JsonNode value, long stamp) {
-        if (stamp <= stamp(key) || stamp <= tombstones.getValue(key)) {
+    private void applyPut(String key, JsonNode value, long modRevision) {
+        if (modRevision <= modRevision(key) || modRevision <= tombstones.getValue(key)) {
             return;
         }
-        stamps.put(key, stamp);
-        View view = viewOf(key);
-        if (view != null) {
-            view.put(key, value, stamp);
+        modRevisions.put(key, modRevision);
+        View listener = listenerFor(key);
+        if (listener != null) {
+            listener.onPut(key, value, modRevision);
         }
     }
 
-    private void remove(String key, long stamp) {
-        long known = stamp(key);
-        if (known > stamp) {
+    private void applyRemove(String key, long modRevision) {
+        long knownRevision = modRevision(key);
+        if (knownRevision > modRevision) {
             return;
         }
-        tombstones.put(key, Math.max(stamp, tombstones.getValue(key)));
-        if (known != 0) {
-            stamps.removeKey(key);
-            View view = viewOf(key);
-            if (view != null) {
-                view.remove(key);
+        tombstones.put(key, Math.max(modRevision, tombstones.getValue(key)));
+        if (knownRevision != 0) {
+            modRevisions.removeKey(key);
+            View listener = listenerFor(key);
+            if (listener != null) {
+                listener.onRemove(key);
             }
         }
     }
 
-    private View viewOf(String key) {
-        for (Map.Entry<String, View> e : views.entrySet()) {
-            if (key.startsWith(e.getKey())) {
-                return e.getValue();
+    private View listenerFor(String key) {
+        for (Map.Entry<String, View> entry : prefixListeners.entrySet()) {
+            if (key.startsWith(entry.getKey())) {
+                return entry.getValue();
             }
         }
         return null;
     }
 
-    private void changed() {
-        listeners.forEach(Runnable::run);
+    private void notifyChangeListeners() {
+        changeListeners.forEach(Runnable::run);
     }
 }
