--- a/src/main/java/io/quincelead/state/Session.java
+++ b/src/main/java/io/quincelead/state/Session.java
@@ -14,57 +14,57 @@
 public final class Session {
     private static final Logger LOG = LoggerFactory.getLogger(Session.class);
 
-    /** States of the membership; {@link #become} is the one function that changes them. */
+    /** States of the membership; {@link #transitionTo} is the one function that changes them. */
     public enum Phase {
         /** No hold yet. */
-        OUT,
+        NOT_MEMBER,
         /** Has a hold; ends its predecessor's and announces itself. */
         JOINING,
-        /** Member. Whether the lease still stands is a question of time: {@link #valid}. */
-        IN
+        /** Member. Whether the lease still stands is a question of time: {@link #isValid}. */
+        MEMBER
     }
 
     private final Loop loop;
     private final StoreClient store;
-    private final String member;
+    private final String memberId;
     private final String address;
-    private final long lifeMs;
-    private Phase phase = Phase.OUT;
-    private long grant;
-    private long validUntil;
+    private final long leaseMillis;
+    private Phase phase = Phase.NOT_MEMBER;
+    private long leaseId;
+    private long validUntilMillis;
     /** Generation of our announcement. */
-    private long announcedAt;
+    private long announcedRevision;
 
-    public Session(Loop loop, StoreClient store, String member, String address, long lifeMs) {
+    public Session(Loop loop, StoreClient store, String memberId, String address, long leaseMillis) {
         this.loop = loop;
         this.store = store;
-        this.member = member;
+        this.memberId = memberId;
         this.address = address;
-        this.lifeMs = lifeMs;
+        this.leaseMillis = leaseMillis;
     }
 
     /** How long a controller's lease lasts on this deployment: the design's 20 s, or less where workers give up sooner. */
-    public static long lifeMs(double blockLeaseS, double workerLeaseS) {
-        return (long) (Math.min(blockLeaseS, workerLeaseS * Constants.LEASE_SHARE) * 1000);
+    public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
+        return (long) (Math.min(shardLeaseSeconds, workerLeaseSeconds * Constants.LEASE_SHARE) * 1000);
     }
 
-    private void become(Phase next) {
+    private void transitionTo(Phase next) {
         LOG.info("membership {} -> {}", phase, next);
         phase = next;
     }
 
     public void start() {
         join();
-        loop.every(lifeMs / Constants.RENEWALS_PER_LEASE, this::renew);
+        loop.runEvery(leaseMillis / Constants.RENEWALS_PER_LEASE, this::renew);
     }
 
-    public boolean joined() {
-        return phase == Phase.IN;
+    public boolean isMember() {
+        return phase == Phase.MEMBER;
     }
 
     /** Whether our keys surely still stand: counted from the sending of the last renewal, with a margin for drift. */
-    public boolean valid() {
-        return phase == Phase.IN && loop.now() < validUntil;
+    public boolean isValid() {
+        return phase == Phase.MEMBER && loop.nowMillis() < validUntilMillis;
     }
 
     /**
@@ -72,39 +72,39 @@
      * processes that follow each other within a fraction of a second may see the same time of day.
      */
     public long incarnation() {
-        return grant;
+        return leaseId;
     }
 
-    public long grant() {
-        return grant;
+    public long leaseId() {
+        return leaseId;
     }
 
     private void join() {
-        become(Phase.OUT);
-        long sent = loop.now();
-        store.createHold(lifeMs, (status, body) -> {
+        transitionTo(Phase.NOT_MEMBER);
+        long sentAtMillis = loop.nowMillis();
+        store.createLease(leaseMillis, (status, body) -> {
             if (status != 200 || !body.path("grant").isNumber()) {
-                loop.after(Constants.RETRY_MS, this::join);
+                loop.runAfter(Constants.RETRY_MS, this::join);
                 return;
             }
-            grant = body.path("grant").asLong();
-            validUntil = until(sent);
-            become(Phase.JOINING);
-            endPredecessor();
+            leaseId = body.path("grant").asLong();
+            validUntilMillis = expiryMillis(sentAtMillis);
+            transitionTo(Phase.JOINING);
+            revokePredecessorLease();
         });
     }
 
     /** The platform runs one process a member, so whatever holds our node key is dead: its lease need not run out. */
-    private void endPredecessor() {
-        store.get(Keys.NODE + member, (status, body) -> {
+    private void revokePredecessorLease() {
+        store.get(Keys.MEMBER_PREFIX + memberId, (status, body) -> {
             if (status == 404) {
                 announce(0);
-            } else if (status == 200 && body.path("grant").isNumber() && body.path("grant").asLong() != grant) {
-                store.endHold(body.path("grant").asLong(), (s, b) -> loop.after(s == 200 || s == 404 ? 0 : Constants.RETRY_MS, this::endPredecessor));
+            } else if (status == 200 && body.path("grant").isNumber() && body.path("grant").asLong() != leaseId) {
+                store.revokeLease(body.path("grant").asLong(), (s, b) -> loop.runAfter(s == 200 || s == 404 ? 0 : Constants.RETRY_MS, this::revokePredecessorLease));
             } else if (status == 200) {
                 announce(body.path("stamp").asLong());
             } else {
-                loop.after(Constants.RETRY_MS, this::endPredecessor);
+                loop.runAfter(Constants.RETRY_MS, this::revokePredecessorLease);
             }
         });
     }
@@ -113,20 +113,20 @@
      * Guarded by what was read, {@code stamp}: an announcement of a predecessor that is still on its way when its successor is in
      * must not take the successor's place.
      */
-    private void announce(long stamp) {
-        ObjectNode value = Codec.map().put("a", address).put("i", grant).put("g", grant);
-        long mine = grant;
-        store.commit(new Txn().guard(Keys.NODE + member, stamp).put(Keys.NODE + member, value, mine), outcome -> {
-            if (mine != grant || phase != Phase.JOINING) {
+    private void announce(long modRevision) {
+        ObjectNode memberRecord = Codec.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+        long announcedLeaseId = leaseId;
+        store.commit(new Txn().requireRevision(Keys.MEMBER_PREFIX + memberId, modRevision).put(Keys.MEMBER_PREFIX + memberId, memberRecord, announcedLeaseId), outcome -> {
+            if (announcedLeaseId != leaseId || phase != Phase.JOINING) {
                 return;
             }
             switch (outcome.result()) {
-                case DONE -> {
-                    announcedAt = outcome.generation();
-                    become(Phase.IN);
+                case COMMITTED -> {
+                    announcedRevision = outcome.storeRevision();
+                    transitionTo(Phase.MEMBER);
                 }
-                case REFUSED -> loop.after(Constants.RETRY_MS, loop.now() < validUntil ? this::endPredecessor : this::join);
-                default -> loop.after(Constants.RETRY_MS, this::endPredecessor);
+                case REJECTED -> loop.runAfter(Constants.RETRY_MS, loop.nowMillis() < validUntilMillis ? this::revokePredecessorLease : this::join);
+                default -> loop.runAfter(Constants.RETRY_MS, this::revokePredecessorLease);
             }
         });
     }
@@ -136,34 +136,34 @@
      * hold that the record names; 0 if there is none. A member whose record is another's is counted as lost by all others
      * though its hold stands, so it joins anew.
      */
-    public void look(long nodeGrant, long generation) {
-        if (phase == Phase.IN && generation >= announcedAt && nodeGrant != grant) {
-            LOG.info("the record of {} names hold {} instead of {}", member, nodeGrant, grant);
-            store.endHold(grant, (status, body) -> { });
+    public void verifyMemberRecord(long recordedLeaseId, long storeRevision) {
+        if (phase == Phase.MEMBER && storeRevision >= announcedRevision && recordedLeaseId != leaseId) {
+            LOG.info("the record of {} names hold {} instead of {}", memberId, recordedLeaseId, leaseId);
+            store.revokeLease(leaseId, (status, body) -> { });
             join();
         }
     }
 
     private void renew() {
-        if (phase == Phase.OUT) {
+        if (phase == Phase.NOT_MEMBER) {
             return;
         }
-        long sent = loop.now();
-        long mine = grant;
-        store.touchHold(mine, (status, body) -> {
-            if (mine != grant) {
+        long sentAtMillis = loop.nowMillis();
+        long renewedLeaseId = leaseId;
+        store.renewLease(renewedLeaseId, (status, body) -> {
+            if (renewedLeaseId != leaseId) {
                 return;
             }
             if (status == 200) {
-                validUntil = Math.max(validUntil, until(sent));
-            } else if (status == 404 && phase != Phase.OUT) {
-                LOG.info("the hold {} has lapsed", mine);
+                validUntilMillis = Math.max(validUntilMillis, expiryMillis(sentAtMillis));
+            } else if (status == 404 && phase != Phase.NOT_MEMBER) {
+                LOG.info("the hold {} has lapsed", renewedLeaseId);
                 join();
             }
         });
     }
 
-    private long until(long sent) {
-        return sent + (long) (lifeMs * (1 - Constants.DRIFT)) - Constants.LEASE_MARGIN_MS;
+    private long expiryMillis(long sentAtMillis) {
+        return sentAtMillis + (long) (leaseMillis * (1 - Constants.DRIFT)) - Constants.LEASE_MARGIN_MS;
     }
 }
--- a/src/main/java/io/quincelead/state/Txn.java
+++ b/src/main/java/io/quincelead/state/Txn.java
@@ -10,67 +10,67 @@
 
 /** One atomic change of the store: conditions on stamps, then puts and removals. */
 public final class Txn {
-    private final Map<String, Long> guards = new LinkedHashMap<>();
-    private final Map<String, ObjectNode> ops = new LinkedHashMap<>();
+    private final Map<String, Long> preconditions = new LinkedHashMap<>();
+    private final Map<String, ObjectNode> operations = new LinkedHashMap<>();
 
     /** The key must have this stamp; 0: it must not exist. */
-    public Txn guard(String key, long stamp) {
-        guards.put(key, stamp);
+    public Txn requireRevision(String key, long modRevision) {
+        preconditions.put(key, modRevision);
         return this;
     }
 
     public Txn put(String key, JsonNode value) {
-        ObjectNode op = Codec.map().put("put", key);
-        op.set("value", value);
-        ops.put(key, op);
+        ObjectNode operation = Codec.newMap().put("put", key);
+        operation.set("value", value);
+        operations.put(key, operation);
         return this;
     }
 
     /** A put whose key lives only as long as the hold does. */
-    public Txn put(String key, JsonNode value, long grant) {
+    public Txn put(String key, JsonNode value, long leaseId) {
         put(key, value);
-        ops.get(key).put("grant", grant);
+        operations.get(key).put("grant", leaseId);
         return this;
     }
 
     public Txn remove(String key) {
-        ops.put(key, Codec.map().put("remove", key));
+        operations.put(key, Codec.newMap().put("remove", key));
         return this;
     }
 
     /** Whether it writes this key. */
-    public boolean puts(String key) {
-        return ops.containsKey(key);
+    public boolean writesKey(String key) {
+        return operations.containsKey(key);
     }
 
-    public int writes() {
-        return ops.size();
+    public int operationCount() {
+        return operations.size();
     }
 
     public boolean isEmpty() {
-        return ops.isEmpty();
+        return operations.isEmpty();
     }
 
     /** Whether this many more changes and guards fit the store's limits. */
-    public boolean fits(int moreOps, int moreGuards, int txnOps) {
-        return ops.size() + moreOps <= txnOps && guards.size() + moreGuards <= txnOps * Constants.GUARDS_PER_OP;
+    public boolean fits(int moreOperations, int morePreconditions, int maxOperations) {
+        return operations.size() + moreOperations <= maxOperations && preconditions.size() + morePreconditions <= maxOperations * Constants.GUARDS_PER_OP;
     }
 
     /** Adds another change to this one; both then happen or neither. */
     public void merge(Txn other) {
-        guards.putAll(other.guards);
-        ops.putAll(other.ops);
+        preconditions.putAll(other.preconditions);
+        operations.putAll(other.operations);
     }
 
     /** Whether the two speak of a common key, so that they can't be merged without thought: each keeps what it was decided from. */
-    public boolean touches(Txn other) {
-        for (Map.Entry<String, Long> g : other.guards.entrySet()) {
-            if (!g.getValue().equals(guards.getOrDefault(g.getKey(), g.getValue()))) {
+    public boolean conflictsWith(Txn other) {
+        for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
+            if (!precondition.getValue().equals(preconditions.getOrDefault(precondition.getKey(), precondition.getValue()))) {
                 return true;
             }
         }
-        for (String k : other.ops.keySet()) {
-            if (ops.containsKey(k) || guards.containsKey(k)) {
+        for (String key : other.operations.keySet()) {
+            if (operations.containsKey(key) || preconditions.containsKey(key)) {
                 return true;
             }
         }
@@ -81,52 +81,52 @@
      * Whether this can't be carried out any more and all that it may have done is in the mirror: a guard has failed for good, and
      * the watch has been past what made it fail. A guard of 0 proves nothing, for it holds again once its key is gone.
      */
-    boolean settled(Mirror mirror) {
-        return guards.entrySet().stream().anyMatch(g -> g.getValue() != 0 && mirror.past(g.getKey(), g.getValue()));
+    boolean isSettled(Mirror watchCache) {
+        return preconditions.entrySet().stream().anyMatch(precondition -> precondition.getValue() != 0 && watchCache.isSuperseded(precondition.getKey(), precondition.getValue()));
     }
 
     /** Whether it can land only on a certain version of the key. */
-    boolean bears(String key) {
-        return guards.getOrDefault(key, 0L) != 0;
+    boolean isFencedBy(String key) {
+        return preconditions.getOrDefault(key, 0L) != 0;
     }
 
-    int guardCount() {
-        return guards.size();
+    int preconditionCount() {
+        return preconditions.size();
     }
 
-    Map<String, ObjectNode> ops() {
-        return ops;
+    Map<String, ObjectNode> operations() {
+        return operations;
     }
 
     public ObjectNode encode() {
-        ObjectNode body = Codec.map();
-        ArrayNode g = body.putArray("guards");
-        guards.forEach((k, s) -> g.addObject().put("path", k).put("stamp", s));
-        ArrayNode t = body.putArray("then");
-        ops.values().forEach(t::add);
+        ObjectNode body = Codec.newMap();
+        ArrayNode preconditionNodes = body.putArray("guards");
+        preconditions.forEach((key, modRevision) -> preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
+        ArrayNode operationNodes = body.putArray("then");
+        operations.values().forEach(operationNodes::add);
         return body;
     }
 
     /** What became of a transaction. */
     public enum Result {
         /** Applied. */
-        DONE,
+        COMMITTED,
         /** A guard failed; nothing was applied. */
         CONFLICT,
         /** Certainly not applied: the store's limit of the moment is used up. */
-        BUSY,
+        THROTTLED,
         /** Certainly not applied: an outage, an expired hold. */
-        REFUSED,
+        REJECTED,
         /** No answer: it may have been applied, or may still be. */
-        UNKNOWN
+        INDETERMINATE
     }
 
     /** The store's answer. */
-    public record Outcome(Result result, long generation, java.util.Set<String> failed) { }
+    public record Outcome(Result result, long storeRevision, java.util.Set<String> failedKeys) { }
 
     /** Takes the outcome on the loop. */
     @FunctionalInterface
     public interface Done {
-        void got(Outcome outcome);
+        void onOutcome(Outcome outcome);
     }
 }
--- a/src/main/java/io/quincelead/workers/Desk.java
+++ b/src/main/java/io/quincelead/workers/Desk.java
@@ -40,300 +40,300 @@
     /** What the rest of the controller does for the desk. */
     public interface Office {
         /** A worker reports to this controller though it isn't of its block, or of any. */
-        void stray(Stray stray);
+        void onMisroutedWorker(Stray worker);
 
         /** Something changed that the next round should see. */
-        void wake();
+        void requestCycle();
 
         /** There is evidence that a task is over. */
-        void over(Placement p);
+        void onTaskTerminated(Placement placement);
 
         /** Whether a round is due or under way whose result a report's answer should wait for. */
-        boolean roundPending();
+        boolean isCyclePending();
     }
 
     private final Loop loop;
     private final Settings settings;
-    private final Session session;
-    private final Blocks blocks;
+    private final Session membershipLease;
+    private final Blocks shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Mirror mirror;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final Transport transport;
-    private final Office office;
-    private final Strays strays;
-    private final Evidence evidence;
-    private final Orders orders;
-    private final Health health;
-    private final Map<String, Own> mine = new LinkedHashMap<>();
+    private final Office callbacks;
+    private final Strays misroutedWorkers;
+    private final Evidence statusReconciler;
+    private final Orders workerCommands;
+    private final Health failureDetector;
+    private final Map<String, Own> workers = new LinkedHashMap<>();
     /** Machines whose records changed since the last look. */
-    private final Set<String> touched = new HashSet<>();
+    private final Set<String> changedHosts = new HashSet<>();
     /** Machines whose report's answer waits for the round that is due. */
-    private final Set<Own> forRound = new LinkedHashSet<>();
+    private final Set<Own> awaitingCycle = new LinkedHashSet<>();
     /** Reports whose answers wait, by the loop time in ms at which that is over. */
-    private final Map<Long, List<Parked>> parking = new HashMap<>();
+    private final Map<Long, List<Parked>> deferredResponses = new HashMap<>();
 
-    public Desk(Loop loop, Settings settings, Session session, Blocks blocks, JobTable jobs, MachineTable machines,
-            Catalog catalog, Mirror mirror, StoreClient store, Transport transport, Policy policy, ZoneTable zones, Office office) {
+    public Desk(Loop loop, Settings settings, Session membershipLease, Blocks shards, JobTable jobs, MachineTable machines,
+            Catalog catalog, Mirror watchCache, StoreClient store, Transport transport, Policy policy, ZoneTable zones, Office callbacks) {
         this.loop = loop;
         this.settings = settings;
-        this.session = session;
-        this.blocks = blocks;
+        this.membershipLease = membershipLease;
+        this.shards = shards;
         this.jobs = jobs;
         this.machines = machines;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.store = store;
         this.transport = transport;
-        this.office = office;
-        this.strays = new Strays(loop, settings, session, mirror, blocks, transport, office::stray);
-        this.evidence = new Evidence(loop, jobs, office);
-        this.orders = new Orders(loop, session, mirror, blocks, jobs);
-        this.health = new Health(loop, settings, jobs, machines, catalog, policy, zones);
-        blocks.onChange(this::regrant);
-        jobs.onTouched(touched::add);
-        loop.every(Constants.WORKER_TICK_MS, this::tick);
+        this.callbacks = callbacks;
+        this.misroutedWorkers = new Strays(loop, settings, membershipLease, watchCache, shards, transport, callbacks::onMisroutedWorker);
+        this.statusReconciler = new Evidence(loop, jobs, callbacks);
+        this.workerCommands = new Orders(loop, membershipLease, watchCache, shards, jobs);
+        this.failureDetector = new Health(loop, settings, jobs, machines, catalog, policy, zones);
+        shards.onShardChange(this::onShardChanged);
+        jobs.onMachineChanged(changedHosts::add);
+        loop.runEvery(Constants.WORKER_TICK_MS, this::checkWorkers);
     }
 
-    public Own own(String host) {
-        return mine.get(host);
+    public Own worker(String host) {
+        return workers.get(host);
     }
 
-    public Iterable<Own> owns() {
-        return mine.values();
+    public Iterable<Own> workers() {
+        return workers.values();
     }
 
     /** Takes over the machines that our block now names, each under its term; a new term starts from nothing. */
-    private void regrant() {
-        Blocks.Block block = blocks.mine();
-        Map<String, Long> terms = block == null ? Map.of() : block.machines();
-        if (block != null) {
-            mine.values().removeIf(o -> {
-                boolean lost = !terms.containsKey(o.host) || terms.get(o.host) != o.term;
-                if (lost) {
-                    release(o);
+    private void onShardChanged() {
+        Blocks.Block shard = shards.localShard();
+        Map<String, Long> fencingTokens = shard == null ? Map.of() : shard.fencingTokensByHost();
+        if (shard != null) {
+            workers.values().removeIf(worker -> {
+                boolean revoked = !fencingTokens.containsKey(worker.host) || fencingTokens.get(worker.host) != worker.fencingToken;
+                if (revoked) {
+                    releaseWorker(worker);
                 }
-                return lost;
+                return revoked;
             });
         }
         // Without a block we keep answering under the old terms: until a higher one shows up, that keeps work alive.
-        for (Map.Entry<String, Long> e : terms.entrySet()) {
-            if (!mine.containsKey(e.getKey())) {
-                Own o = new Own(loop, jobs, settings.workers().reportS(), Health.silentMs(settings), e.getKey(), e.getValue(), mirror.stamp(block.key()));
-                MachineTable.Machine m = machines.get(o.host);
+        for (Map.Entry<String, Long> grant : fencingTokens.entrySet()) {
+            if (!workers.containsKey(grant.getKey())) {
+                Own worker = new Own(loop, jobs, settings.workerTimings().heartbeatSeconds(), Health.silenceTimeoutMillis(settings), grant.getKey(), grant.getValue(), watchCache.modRevision(shard.storeKey()));
+                MachineTable.Machine machine = machines.get(worker.host);
                 // A worker may be held by a controller that is cut off from the store alone: only a claim calls it away.
-                o.addr = m == null ? null : m.addr();
-                jobs.on(o.host).values().forEach(Placement::handedOver);
-                mine.put(o.host, o);
-                loop.after(0, () -> claim(o));
+                worker.address = machine == null ? null : machine.address();
+                jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
+                workers.put(worker.host, worker);
+                loop.runAfter(0, () -> sendClaim(worker));
             }
         }
     }
 
-    private void release(Own o) {
-        jobs.on(o.host).values().forEach(Placement::handedOver);
-        strays.left(o.host, o.reportTenure, o.reportSerial);
-        if (o.parked != null) {
-            strays.redirect(o.parked, o.host);
-            o.parked = null;
+    private void releaseWorker(Own worker) {
+        jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
+        misroutedWorkers.onWorkerReleased(worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
+        if (worker.deferredRequest != null) {
+            misroutedWorkers.redirectToOwner(worker.deferredRequest, worker.host);
+            worker.deferredRequest = null;
         }
     }
 
     /** Shows the worker our term at once, or whether it hears us, so that nothing from before can run there, and learns what it holds. */
-    private void claim(Own o) {
-        if (mine.get(o.host) == o && o.phase() != Own.Phase.LEAVING && o.addr != null && session.valid()) {
-            o.claimedAt = loop.now();
-            send(o, o.tenure < 0 ? 1 : o.tenure, Codec.list());
+    private void sendClaim(Own worker) {
+        if (workers.get(worker.host) == worker && worker.phase() != Own.Phase.LEAVING && worker.address != null && membershipLease.isValid()) {
+            worker.lastClaimAtMillis = loop.nowMillis();
+            sendCommands(worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, Codec.newList());
         }
     }
 
     // ---- reports
 
-    public void report(Request request) {
-        Report body = Report.read(request.body);
-        if (body == null) {
-            request.refuse(400, "not a report");
+    public void handleHeartbeat(Request request) {
+        Report heartbeat = Report.parse(request.body);
+        if (heartbeat == null) {
+            request.respondError(400, "not a report");
             return;
         }
-        String host = body.host;
-        Own o = mine.get(host);
-        if (o == null || blocks.mine() == null && blocks.owner(host) != null) {
-            strays.report(request, body);
+        String host = heartbeat.host;
+        Own worker = workers.get(host);
+        if (worker == null || shards.localShard() == null && shards.ownerOf(host) != null) {
+            misroutedWorkers.handleHeartbeat(request, heartbeat);
             return;
         }
-        if (body.epoch > o.term) {
+        if (heartbeat.fencingToken > worker.fencingToken) {
             // Somebody newer commands this worker; an answer of ours would be dropped and hold it here.
-            strays.redirect(request, host);
+            misroutedWorkers.redirectToOwner(request, host);
             return;
         }
-        strays.home(host);
-        if (o.seen(body)) {
+        misroutedWorkers.onWorkerAtOwner(host);
+        if (worker.isStale(heartbeat)) {
             // A copy, or what a cut held back: nobody waits for the answer, and the starts in it would count as sent.
-            ObjectNode answer = Codec.map().put("epoch", o.term);
-            answer.putArray("orders");
-            request.answer(200, answer);
+            ObjectNode response = Codec.newMap().put("epoch", worker.fencingToken);
+            response.putArray("orders");
+            request.respond(200, response);
             return;
         }
-        o.addr = body.addr == null ? o.addr : body.addr;
-        if (o.parked != null) {
-            flush(o);
+        worker.address = heartbeat.address == null ? worker.address : heartbeat.address;
+        if (worker.deferredRequest != null) {
+            sendDeferredResponse(worker);
         }
-        boolean fresh = evidence.absorb(o, body, true);
-        o.parked = request;
-        long now = loop.now();
-        if (request.crowded()) {
+        boolean fresh = statusReconciler.reconcile(worker, heartbeat, true);
+        worker.deferredRequest = request;
+        long now = loop.nowMillis();
+        if (request.isNearConnectionLimit()) {
             // Connections are short: this one is given back, and the worker makes a new one for its next report.
-            request.hangUp();
+            request.closeConnectionAfterResponse();
         }
-        boolean roomy = fresh && o.fit() && session.valid() && !request.crowded();
-        o.parkedIdle = roomy;
-        o.parkedUntil = now + (fresh && office.roundPending() && !request.crowded() ? Constants.REPORT_PATIENCE_MS : 0);
-        if (roomy) {
-            o.parkedUntil = Math.max(o.parkedUntil, now + parkMs(o));
+        boolean holdOpen = fresh && worker.isSchedulable() && membershipLease.isValid() && !request.isNearConnectionLimit();
+        worker.heldForFutureStart = holdOpen;
+        worker.deferredUntilMillis = now + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit() ? Constants.REPORT_PATIENCE_MS : 0);
+        if (holdOpen) {
+            worker.deferredUntilMillis = Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
         }
-        if (o.parkedUntil <= now || orders.due(o)) {
-            flush(o);
+        if (worker.deferredUntilMillis <= now || workerCommands.hasCommands(worker)) {
+            sendDeferredResponse(worker);
         } else {
-            if (!roomy) {
-                forRound.add(o);
+            if (!holdOpen) {
+                awaitingCycle.add(worker);
             }
-            unpark(o, request);
+            scheduleDeferredResponse(worker, request);
         }
     }
 
-    private record Parked(Own own, Request request) { }
+    private record Parked(Own worker, Request request) { }
 
     /** Answers the report when its time is up, unless that has happened; hundreds of reports share few turns of the loop. */
-    private void unpark(Own o, Request request) {
-        long at = (o.parkedUntil + Constants.PARK_GRID_MS - 1) / Constants.PARK_GRID_MS * Constants.PARK_GRID_MS;
-        List<Parked> together = parking.get(at);
-        if (together == null) {
-            together = new ArrayList<>();
-            parking.put(at, together);
-            loop.after(at - loop.now(), () -> {
-                for (Parked p : parking.remove(at)) {
-                    if (p.own.parked == p.request) {
-                        flush(p.own);
+    private void scheduleDeferredResponse(Own worker, Request request) {
+        long respondAtMillis = (worker.deferredUntilMillis + Constants.PARK_GRID_MS - 1) / Constants.PARK_GRID_MS * Constants.PARK_GRID_MS;
+        List<Parked> batch = deferredResponses.get(respondAtMillis);
+        if (batch == null) {
+            batch = new ArrayList<>();
+            deferredResponses.put(respondAtMillis, batch);
+            loop.runAfter(respondAtMillis - loop.nowMillis(), () -> {
+                for (Parked deferred : deferredResponses.remove(respondAtMillis)) {
+                    if (deferred.worker.deferredRequest == deferred.request) {
+                        sendDeferredResponse(deferred.worker);
                     }
                 }
             });
         }
-        together.add(new Parked(o, request));
+        batch.add(new Parked(worker, request));
     }
 
     /** How long an answer may wait for a start: starts travel only in answers, so a parked one makes them instant. */
-    private long parkMs(Own o) {
-        boolean ends = false;
-        for (Placement p : jobs.on(o.host).values()) {
-            ends |= !p.job.spec.service();
+    private long maxDeferralMillis(Own worker) {
+        boolean hasFiniteTasks = false;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            hasFiniteTasks |= !placement.job.spec.isService();
         }
-        double share = ends ? Constants.PARK_BUSY_SHARE : Constants.PARK_IDLE_SHARE;
-        return (long) Math.min(settings.workers().reportS() * 1000 * share, Constants.PARK_MAX_MS);
+        double share = hasFiniteTasks ? Constants.PARK_BUSY_SHARE : Constants.PARK_IDLE_SHARE;
+        return (long) Math.min(settings.workerTimings().heartbeatSeconds() * 1000 * share, Constants.PARK_MAX_MS);
     }
 
-    private void flush(Own o) {
-        Request request = o.parked;
-        o.parked = null;
+    private void sendDeferredResponse(Own worker) {
+        Request request = worker.deferredRequest;
+        worker.deferredRequest = null;
         if (request != null) {
-            request.answer(200, orders.answer(o));
+            request.respond(200, workerCommands.buildHeartbeatResponse(worker));
         }
     }
 
     /** Called when records changed or a round ended: answers what need not wait longer and sends kills at once. */
-    public void settle() {
-        for (String host : touched) {
-            Own o = mine.get(host);
-            if (o != null) {
-                if (o.parked != null && orders.due(o)) {
-                    flush(o);
+    public void dispatchPendingCommands() {
+        for (String host : changedHosts) {
+            Own worker = workers.get(host);
+            if (worker != null) {
+                if (worker.deferredRequest != null && workerCommands.hasCommands(worker)) {
+                    sendDeferredResponse(worker);
                 }
-                sendKills(o);
+                sendDueKills(worker);
             }
         }
-        touched.clear();
-        if (!office.roundPending()) {
-            forRound.stream().filter(o -> o.parked != null && !o.parkedIdle).forEach(this::flush);
-            forRound.clear();
+        changedHosts.clear();
+        if (!callbacks.isCyclePending()) {
+            awaitingCycle.stream().filter(worker -> worker.deferredRequest != null && !worker.heldForFutureStart).forEach(this::sendDeferredResponse);
+            awaitingCycle.clear();
         }
     }
 
-    private void sendKills(Own o) {
-        if (o.phase() == Own.Phase.CLAIMING || o.addr == null || !session.joined()) {
+    private void sendDueKills(Own worker) {
+        if (worker.phase() == Own.Phase.CLAIMING || worker.address == null || !membershipLease.isMember()) {
             return;
         }
-        ArrayNode kills = orders.kills(o);
+        ArrayNode kills = workerCommands.collectDueKills(worker);
         if (kills != null) {
-            send(o, o.tenure, kills);
+            sendCommands(worker, worker.agentEpoch, kills);
         }
     }
 
-    private void send(Own o, long tenure, ArrayNode list) {
-        ObjectNode body = Codec.map().put("epoch", o.term).put("tenure", tenure);
-        body.set("orders", list);
-        transport.call(o.addr, "POST", "/orders", Codec.CBOR, Codec.CBOR.write(body), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
-            Report answer = Report.read(bytes);
-            if (mine.get(o.host) != o || answer == null || status != 200 && status != 409) {
+    private void sendCommands(Own worker, long agentEpoch, ArrayNode commands) {
+        ObjectNode message = Codec.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
+        message.set("orders", commands);
+        transport.call(worker.address, "POST", "/orders", Codec.CBOR, Codec.CBOR.encode(message), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+            Report response = Report.parse(bytes);
+            if (workers.get(worker.host) != worker || response == null || status != 200 && status != 409) {
                 return;
             }
             // Also a refusal is the worker's word: of a new session that knows our term, it proves what the old one ran to be over.
-            evidence.absorb(o, answer, false);
+            statusReconciler.reconcile(worker, response, false);
             if (status == 200) {
-                o.obeyed();
-            } else if (answer.tenure > tenure && o.phase() == Own.Phase.CLAIMING) {
+                worker.recordCommandAccepted();
+            } else if (response.agentEpoch > agentEpoch && worker.phase() == Own.Phase.CLAIMING) {
                 // Nothing was executed; a newer session of the worker is claimed under its number.
-                claim(o);
+                sendClaim(worker);
             }
-            touched.add(o.host);
-            settle();
+            changedHosts.add(worker.host);
+            dispatchPendingCommands();
         });
     }
 
     // ---- health
 
-    private void tick() {
-        strays.tick();
-        if (!session.valid() || blocks.mine() == null) {
+    private void checkWorkers() {
+        misroutedWorkers.expireEntries();
+        if (!membershipLease.isValid() || shards.localShard() == null) {
             return;
         }
-        for (Own o : mine.values()) {
-            boolean asks = o.phase() == Own.Phase.CLAIMING || o.deaf();
-            if (loop.now() - o.claimedAt > (asks ? Constants.NEAR_TIMEOUT_MS : o.quiet() ? Constants.QUIET_ASK_MS : Long.MAX_VALUE)) {
-                claim(o);
+        for (Own worker : workers.values()) {
+            boolean mustAnswer = worker.phase() == Own.Phase.CLAIMING || worker.isUnreachableInbound();
+            if (loop.nowMillis() - worker.lastClaimAtMillis > (mustAnswer ? Constants.NEAR_TIMEOUT_MS : worker.isHeartbeatOverdue() ? Constants.QUIET_ASK_MS : Long.MAX_VALUE)) {
+                sendClaim(worker);
             }
         }
-        giveUp(health.lost(mine.values()));
-        touched.addAll(mine.keySet());
-        settle();
+        declareLost(failureDetector.findLost(workers.values()));
+        changedHosts.addAll(workers.keySet());
+        dispatchPendingCommands();
     }
 
     /** Records that machines are to be returned and drops them from our block, in one change; the leader returns them. */
-    private void giveUp(Map<Own, String> lost) {
-        Blocks.Block block = blocks.mine().copy();
-        Txn txn = new Txn().guard(block.key(), mirror.stamp(block.key()));
-        MachineTable.Edits edits = machines.edits(txn);
-        List<Own> going = new ArrayList<>();
-        for (Map.Entry<Own, String> e : lost.entrySet()) {
-            Own o = e.getKey();
-            MachineTable.Machine m = machines.get(o.host);
-            if (m == null || m.returning() || !txn.fits(2, 2, store.txnOps())) {
+    private void declareLost(Map<Own, String> lost) {
+        Blocks.Block shard = shards.localShard().copy();
+        Txn transaction = new Txn().requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
+        MachineTable.Edits edits = machines.beginEdits(transaction);
+        List<Own> leaving = new ArrayList<>();
+        for (Map.Entry<Own, String> candidate : lost.entrySet()) {
+            Own worker = candidate.getKey();
+            MachineTable.Machine machine = machines.get(worker.host);
+            if (machine == null || machine.releasing() || !transaction.fits(2, 2, store.maxTransactionOperations())) {
                 continue;
             }
-            LOG.info("machine {} is given up: {}", o.host, e.getValue());
-            o.become(Own.Phase.LEAVING);
-            going.add(o);
-            block.machines().remove(o.host);
-            edits.put(m.returned());
+            LOG.info("machine {} is given up: {}", worker.host, candidate.getValue());
+            worker.transitionTo(Own.Phase.LEAVING);
+            leaving.add(worker);
+            shard.fencingTokensByHost().remove(worker.host);
+            edits.put(machine.asReleasing());
         }
-        if (going.isEmpty()) {
+        if (leaving.isEmpty()) {
             return;
         }
-        txn.put(block.key(), block.encode(), session.grant());
-        store.commit(txn, outcome -> {
-            if (outcome.result() == Txn.Result.DONE) {
-                mirror.applied(txn, outcome.generation());
+        transaction.put(shard.storeKey(), shard.encode(), membershipLease.leaseId());
+        store.commit(transaction, outcome -> {
+            if (outcome.result() == Txn.Result.COMMITTED) {
+                watchCache.applyCommitted(transaction, outcome.storeRevision());
                 return;
             }
-            going.stream().filter(o -> mine.get(o.host) == o).forEach(o -> o.become(Own.Phase.CLAIMING));
+            leaving.stream().filter(worker -> workers.get(worker.host) == worker).forEach(worker -> worker.transitionTo(Own.Phase.CLAIMING));
         });
     }
 }
--- a/src/main/java/io/quincelead/workers/Evidence.java
+++ b/src/main/java/io/quincelead/workers/Evidence.java
@@ -13,154 +13,154 @@
     private static final Logger LOG = LoggerFactory.getLogger(Evidence.class);
     private final Loop loop;
     private final JobTable jobs;
-    private final Desk.Office office;
+    private final Desk.Office callbacks;
 
-    Evidence(Loop loop, JobTable jobs, Desk.Office office) {
+    Evidence(Loop loop, JobTable jobs, Desk.Office callbacks) {
         this.loop = loop;
         this.jobs = jobs;
-        this.office = office;
+        this.callbacks = callbacks;
     }
 
     /**
      * Takes a worker's list as evidence, if it is newer than all before and bears our term. A body of {@code /orders}
      * may overtake the answer to a report, so it never proves that a start of ours did not arrive.
      */
-    boolean absorb(Own o, Report body, boolean isReport) {
-        long tenure = body.tenure;
-        long serial = body.serial;
-        if (!Report.newer(tenure, serial, o.tenure, o.serial)) {
+    boolean reconcile(Own worker, Report heartbeat, boolean isHeartbeatRequest) {
+        long agentEpoch = heartbeat.agentEpoch;
+        long serial = heartbeat.serial;
+        if (!Report.isNewer(agentEpoch, serial, worker.agentEpoch, worker.serial)) {
             return false;
         }
-        o.tenure = tenure;
-        o.serial = serial;
-        if (isReport) {
-            o.reported();
-            o.reportTenure = tenure;
-            o.reportSerial = serial;
+        worker.agentEpoch = agentEpoch;
+        worker.serial = serial;
+        if (isHeartbeatRequest) {
+            worker.recordHeartbeat();
+            worker.heartbeatAgentEpoch = agentEpoch;
+            worker.heartbeatSerial = serial;
         }
-        o.heardAt = isReport || !o.heard ? loop.now() : o.heardAt;
-        o.heard = true;
-        if (body.warningS >= 0) {
-            if (o.warningS < 0) {
-                LOG.info("machine {} will be taken back in {} s", o.host, body.warningS);
-                office.wake();
+        worker.lastHeardAtMillis = isHeartbeatRequest || !worker.everHeard ? loop.nowMillis() : worker.lastHeardAtMillis;
+        worker.everHeard = true;
+        if (heartbeat.reclaimNoticeSeconds >= 0) {
+            if (worker.reclaimNoticeSeconds < 0) {
+                LOG.info("machine {} will be taken back in {} s", worker.host, heartbeat.reclaimNoticeSeconds);
+                callbacks.requestCycle();
             }
-            o.warningS = body.warningS;
-            o.warnedAt = loop.now();
+            worker.reclaimNoticeSeconds = heartbeat.reclaimNoticeSeconds;
+            worker.reclaimNoticeAtMillis = loop.nowMillis();
         }
-        if (body.epoch != o.term) {
+        if (heartbeat.fencingToken != worker.fencingToken) {
             return true;
         }
-        if (o.phase() == Own.Phase.CLAIMING) {
-            o.become(Own.Phase.FENCED);
-            office.wake();
+        if (worker.phase() == Own.Phase.CLAIMING) {
+            worker.transitionTo(Own.Phase.FENCED);
+            callbacks.requestCycle();
         }
-        o.list = body.members;
-        if (isReport) {
-            arrivals(o);
+        worker.reportedTasks = heartbeat.tasks;
+        if (isHeartbeatRequest) {
+            checkStartDelivery(worker);
         }
-        for (Placement p : jobs.on(o.host).values()) {
-            judge(o, p, Report.Shown.of(o.list.get(p.name()), p.attempt));
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            reconcileTask(worker, placement, Report.Shown.find(worker.reportedTasks.get(placement.taskName()), placement.attempt));
         }
         return true;
     }
 
     /** Looks whether the starts that were sent and not yet seen have arrived: only those, for every report passes here. */
-    private void arrivals(Own o) {
-        boolean shown = false;
-        boolean lacking = false;
-        for (Placement p : jobs.on(o.host).values()) {
-            if (p.phase() == Placement.Phase.SENT) {
-                boolean there = Report.Shown.of(o.list.get(p.name()), p.attempt) != null;
-                shown |= there;
-                lacking |= !there && answered(o, p);
+    private void checkStartDelivery(Own worker) {
+        boolean anyArrived = false;
+        boolean anyMissing = false;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            if (placement.phase() == Placement.Phase.START_SENT) {
+                boolean arrived = Report.Shown.find(worker.reportedTasks.get(placement.taskName()), placement.attempt) != null;
+                anyArrived |= arrived;
+                anyMissing |= !arrived && hasReportedSinceStart(worker, placement);
             }
         }
-        o.heardUs(shown, lacking);
+        worker.recordStartDelivery(anyArrived, anyMissing);
     }
 
     /** Whether the machine has reported again since the answer that carried the start, or has begun another session, which drops that answer. */
-    static boolean answered(Own o, Placement p) {
-        return p.phase() == Placement.Phase.SENT && (Report.newer(o.reportTenure, o.reportSerial, p.sentTenure, p.sentSerial) || o.tenure > p.sentTenure);
+    static boolean hasReportedSinceStart(Own worker, Placement placement) {
+        return placement.phase() == Placement.Phase.START_SENT && (Report.isNewer(worker.heartbeatAgentEpoch, worker.heartbeatSerial, placement.startSentAgentEpoch, placement.startSentSerial) || worker.agentEpoch > placement.startSentAgentEpoch);
     }
 
-    private void judge(Own o, Placement p, Report.Shown entry) {
-        if (p.over()) {
+    private void reconcileTask(Own worker, Placement placement, Report.Shown reported) {
+        if (placement.isTerminated()) {
             return;
         }
-        if (entry == null) {
-            if (p.phase() == Placement.Phase.SEEN) {
-                lost(o, p, "no longer on");
-            } else if (answered(o, p) || p.phase() == Placement.Phase.RECORDED) {
+        if (reported == null) {
+            if (placement.phase() == Placement.Phase.OBSERVED) {
+                terminate(worker, placement, "no longer on");
+            } else if (hasReportedSinceStart(worker, placement) || placement.phase() == Placement.Phase.RECORDED) {
                 // It never arrived there. The record stands, so its start may be sent (again), unless it is unwanted or nothing arrives.
-                if (p.stop || p.job.cancelled() || o.deaf() || o.quiet()) {
-                    lost(o, p, "never reached");
+                if (placement.stopRequested || placement.job.isCancelled() || worker.isUnreachableInbound() || worker.isHeartbeatOverdue()) {
+                    terminate(worker, placement, "never reached");
                 }
             }
             return;
         }
-        if (!entry.ended()) {
-            p.become(Placement.Phase.SEEN);
-            if (entry.status.equals("running") && p.runningSince == 0) {
-                p.runningSince = loop.now();
+        if (!reported.isTerminated()) {
+            placement.transitionTo(Placement.Phase.OBSERVED);
+            if (reported.status.equals("running") && placement.runningSinceMillis == 0) {
+                placement.runningSinceMillis = loop.nowMillis();
             }
-            p.reported = entry.status;
+            placement.reportedState = reported.status;
             return;
         }
-        Job job = p.job;
-        switch (entry.reason) {
+        Job job = placement.job;
+        switch (reported.exitReason) {
             case "done" -> {
-                p.become(Placement.Phase.DONE);
-                o.failuresInRow = 0;
-                o.failedJobs.clear();
-                job.failures = 0;
-                job.successes++;
-                office.over(p);
+                placement.transitionTo(Placement.Phase.COMPLETED);
+                worker.consecutiveFailures = 0;
+                worker.failedJobIds.clear();
+                job.consecutiveFailures = 0;
+                job.successCount++;
+                callbacks.onTaskTerminated(placement);
             }
             case "error" -> {
-                failed(o, job);
-                lost(o, p, "failed on");
+                recordFailure(worker, job);
+                terminate(worker, placement, "failed on");
             }
             case "full" -> {
-                o.fullUntil = loop.now() + Constants.FULL_PAUSE_MS;
-                lost(o, p, "refused (full) by");
+                worker.fullUntilMillis = loop.nowMillis() + Constants.FULL_PAUSE_MS;
+                terminate(worker, placement, "refused (full) by");
             }
             case "busy" -> {
                 // Another attempt of the task is there: only its end makes the task free to go elsewhere.
-                Report.Shown any = o.list.get(p.name());
-                if (any != null && any.ended()) {
-                    lost(o, p, "refused (busy) by");
+                Report.Shown first = worker.reportedTasks.get(placement.taskName());
+                if (first != null && first.isTerminated()) {
+                    terminate(worker, placement, "refused (busy) by");
                 }
             }
             case "unknown" -> {
-                job.notBefore = loop.now() + Constants.JOB_BACKOFF_MS;
-                lost(o, p, "refused (unknown) by");
+                job.notBeforeMillis = loop.nowMillis() + Constants.JOB_BACKOFF_MS;
+                terminate(worker, placement, "refused (unknown) by");
             }
-            default -> lost(o, p, "stopped (" + entry.reason + ") on");
+            default -> terminate(worker, placement, "stopped (" + reported.exitReason + ") on");
         }
     }
 
-    private void lost(Own o, Placement p, String how) {
-        LOG.debug("task {} try {} {} {}", p.name(), p.attempt, how, o.host);
-        p.become(Placement.Phase.GONE);
-        office.over(p);
+    private void terminate(Own worker, Placement placement, String reason) {
+        LOG.debug("task {} try {} {} {}", placement.taskName(), placement.attempt, reason, worker.host);
+        placement.transitionTo(Placement.Phase.GONE);
+        callbacks.onTaskTerminated(placement);
     }
 
     /** Blames the machine if other jobs fail there too or the job does well elsewhere; else the job, which pauses. */
-    private void failed(Own o, Job job) {
-        o.failuresInRow++;
-        o.failedJobs.add(job.spec.id());
-        job.failures++;
-        job.failedOn.add(o.host);
+    private void recordFailure(Own worker, Job job) {
+        worker.consecutiveFailures++;
+        worker.failedJobIds.add(job.spec.jobId());
+        job.consecutiveFailures++;
+        job.failedHosts.add(worker.host);
         // What others saw end well counts too: this process may be new.
-        if (job.successes == 0 && job.doneCount() == 0 && job.failures >= 2 && o.failedJobs.size() == 1) {
+        if (job.successCount == 0 && job.completedTaskCount() == 0 && job.consecutiveFailures >= 2 && worker.failedJobIds.size() == 1) {
             // Where it has failed often and on no other machine, nothing will ever show whose fault it is: once, the machine goes.
-            boolean lone = job.failedOn.size() == 1 && job.failures >= Constants.LONE_FAILURES;
-            o.failuresInRow = lone ? Constants.SICK_FAILURES : Math.min(o.failuresInRow, Constants.SICK_FAILURES - 1);
+            boolean failsOnlyHere = job.failedHosts.size() == 1 && job.consecutiveFailures >= Constants.LONE_FAILURES;
+            worker.consecutiveFailures = failsOnlyHere ? Constants.SICK_FAILURES : Math.min(worker.consecutiveFailures, Constants.SICK_FAILURES - 1);
         }
-        if (job.failures >= 2) {
-            long pause = Constants.JOB_BACKOFF_MS << Math.min(job.failures - 2, 10);
-            job.notBefore = loop.now() + Math.min(pause, Constants.JOB_BACKOFF_MAX_MS);
+        if (job.consecutiveFailures >= 2) {
+            long pauseMillis = Constants.JOB_BACKOFF_MS << Math.min(job.consecutiveFailures - 2, 10);
+            job.notBeforeMillis = loop.nowMillis() + Math.min(pauseMillis, Constants.JOB_BACKOFF_MAX_MS);
         }
     }
 }
--- a/src/main/java/io/quincelead/workers/Health.java
+++ b/src/main/java/io/quincelead/workers/Health.java
@@ -23,11 +23,11 @@
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
-    private final long silentMs;
+    private final long silenceTimeoutMillis;
     private final Policy policy;
     private final ZoneTable zones;
     /** When each zone was last cut off from here. */
-    private final Map<String, Long> unreachedAt = new HashMap<>();
+    private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
     Health(Loop loop, Settings settings, JobTable jobs, MachineTable machines, Catalog catalog, Policy policy, ZoneTable zones) {
         this.policy = policy;
@@ -37,111 +37,111 @@
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.silentMs = silentMs(settings);
+        this.silenceTimeoutMillis = silenceTimeoutMillis(settings);
     }
 
     /** ms. A worker's lease, with what clocks may differ and the way of a report: longer silence is a dead or hung machine's. */
-    static long silentMs(Settings settings) {
-        return (long) (settings.workers().leaseS() * 1000 * (1 + Constants.DRIFT)) + Constants.SILENCE_SLACK_MS;
+    static long silenceTimeoutMillis(Settings settings) {
+        return (long) (settings.workerTimings().leaseSeconds() * 1000 * (1 + Constants.DRIFT)) + Constants.SILENCE_SLACK_MS;
     }
 
     /** The machines to be given up, each with the reason. */
-    Map<Own, String> lost(Collection<Own> mine) {
-        long now = loop.now();
+    Map<Own, String> findLost(Collection<Own> workers) {
+        long now = loop.nowMillis();
         Map<Own, String> lost = new LinkedHashMap<>();
-        Set<String> unreached = unreached(mine);
-        unreached.forEach(z -> unreachedAt.put(z, now));
-        for (Own o : mine) {
-            if (o.phase() == Own.Phase.LEAVING) {
+        Set<String> unreachableZones = unreachableZones(workers);
+        unreachableZones.forEach(zone -> zoneUnreachableAtMillis.put(zone, now));
+        for (Own worker : workers) {
+            if (worker.phase() == Own.Phase.LEAVING) {
                 continue;
             }
-            boolean cutOff = unreached.contains(site(o));
+            boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
             // When a zone can be reached again, each of its machines has its time anew.
-            long silence = now - (cutOff ? o.heardAt : Math.max(o.heardAt, unreachedAt.getOrDefault(site(o), Long.MIN_VALUE)));
-            if (o.booting()) {
-                if (bootOver(o.host) && silence > silentMs && !cutOff) {
-                    lost.put(o, "never came up");
+            long silenceMillis = now - (zoneUnreachable ? worker.lastHeardAtMillis : Math.max(worker.lastHeardAtMillis, zoneUnreachableAtMillis.getOrDefault(zoneOf(worker), Long.MIN_VALUE)));
+            if (worker.isBooting()) {
+                if (isBootOverdue(worker.host) && silenceMillis > silenceTimeoutMillis && !zoneUnreachable) {
+                    lost.put(worker, "never came up");
                 }
                 continue;
             }
-            boolean taken = o.draining() && o.warningLeftS() < -1;
-            if (silence > (taken ? Constants.SILENCE_SLACK_MS + (long) (settings.workers().reportS() * 1500) : patienceMs(o, cutOff))) {
-                lost.put(o, "silent");
-            } else if (o.deafFor(cutOff ? cutPatienceMs(o) : silentMs)) {
-                lost.put(o, "doesn't hear us");
-            } else if (o.failuresInRow >= Constants.SICK_FAILURES) {
-                lost.put(o, "fails what runs elsewhere");
-            } else if (overdueCancel(o)) {
-                lost.put(o, "doesn't let go of cancelled work");
+            boolean reclaimed = worker.isBeingReclaimed() && worker.reclaimSecondsLeft() < -1;
+            if (silenceMillis > (reclaimed ? Constants.SILENCE_SLACK_MS + (long) (settings.workerTimings().heartbeatSeconds() * 1500) : silencePatienceMillis(worker, zoneUnreachable))) {
+                lost.put(worker, "silent");
+            } else if (worker.isUnreachableInboundFor(zoneUnreachable ? unreachableZonePatienceMillis(worker) : silenceTimeoutMillis)) {
+                lost.put(worker, "doesn't hear us");
+            } else if (worker.consecutiveFailures >= Constants.SICK_FAILURES) {
+                lost.put(worker, "fails what runs elsewhere");
+            } else if (hasOverdueCancellation(worker)) {
+                lost.put(worker, "doesn't let go of cancelled work");
             }
         }
         return lost;
     }
 
-    private String site(Own o) {
-        MachineTable.Machine m = machines.get(o.host);
-        return m == null ? "" : m.site();
+    private String zoneOf(Own worker) {
+        MachineTable.Machine machine = machines.get(worker.host);
+        return machine == null ? "" : machine.zone();
     }
 
     /** Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault but the way to them. */
-    private Set<String> unreached(Collection<Own> mine) {
-        long old = loop.now() - (long) (settings.workers().reportS() * 1000 * Constants.HEARD_REPORTS);
-        Map<String, int[]> zones = new HashMap<>();
-        for (Own o : mine) {
-            if (!o.booting() || o.addr != null) {
-                int[] n = zones.computeIfAbsent(site(o), z -> new int[2]);
-                n[0]++;
-                n[1] += o.heard && o.heardAt >= old && !o.deafFor(loop.now() - old) ? 1 : 0;
+    private Set<String> unreachableZones(Collection<Own> workers) {
+        long heardSinceMillis = loop.nowMillis() - (long) (settings.workerTimings().heartbeatSeconds() * 1000 * Constants.HEARD_REPORTS);
+        Map<String, int[]> countsByZone = new HashMap<>();
+        for (Own worker : workers) {
+            if (!worker.isBooting() || worker.address != null) {
+                int[] counts = countsByZone.computeIfAbsent(zoneOf(worker), zone -> new int[2]);
+                counts[0]++;
+                counts[1] += worker.everHeard && worker.lastHeardAtMillis >= heardSinceMillis && !worker.isUnreachableInboundFor(loop.nowMillis() - heardSinceMillis) ? 1 : 0;
             }
         }
-        Set<String> out = new HashSet<>();
-        zones.forEach((zone, n) -> {
-            if (n[0] >= Constants.ZONE_LEAST && n[1] < n[0] * Constants.ZONE_HEARD_SHARE) {
-                out.add(zone);
+        Set<String> unreachable = new HashSet<>();
+        countsByZone.forEach((zone, counts) -> {
+            if (counts[0] >= Constants.ZONE_LEAST && counts[1] < counts[0] * Constants.ZONE_HEARD_SHARE) {
+                unreachable.add(zone);
             }
         });
-        return out;
+        return unreachable;
     }
 
     /**
      * How long a machine's silence is borne. In a zone that is cut off, its tasks go on, kept by a controller inside; giving them up
      * would only lose them. Elsewhere a silent machine hangs or is dead; what should run all the time is not left there for long.
      */
-    private long patienceMs(Own o, boolean cutOff) {
-        ZoneTable.Order order = zones.of(site(o)).order();
-        if (order == ZoneTable.Order.HOLD && (cutOff || zones.avoid(site(o)))) {
+    private long silencePatienceMillis(Own worker, boolean zoneUnreachable) {
+        ZoneTable.Order order = zones.get(zoneOf(worker)).operatorOrder();
+        if (order == ZoneTable.Order.HOLD && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
             return Long.MAX_VALUE;
         }
-        if (cutOff) {
-            return order == ZoneTable.Order.RELEASE ? 0 : cutPatienceMs(o);
+        if (zoneUnreachable) {
+            return order == ZoneTable.Order.RELEASE ? 0 : unreachableZonePatienceMillis(worker);
         }
-        boolean always = false;
-        for (Placement p : jobs.on(o.host).values()) {
-            always |= p.job.spec.service() && !p.over();
+        boolean hasService = false;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            hasService |= placement.job.spec.isService() && !placement.isTerminated();
         }
-        return always ? silentMs / 2 : silentMs;
+        return hasService ? silenceTimeoutMillis / 2 : silenceTimeoutMillis;
     }
 
     /** The shortest that the classes of its services state, but no shorter than silence means anything; else some leases. */
-    private long cutPatienceMs(Own o) {
-        double least = Double.MAX_VALUE;
-        for (Placement p : jobs.on(o.host).values()) {
-            double ms = p.over() ? -1 : policy.zonePatienceMs(p.job);
-            least = ms < 0 ? least : Math.min(least, ms);
+    private long unreachableZonePatienceMillis(Own worker) {
+        double leastMillis = Double.MAX_VALUE;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            double patienceMillis = placement.isTerminated() ? -1 : policy.unreachableZonePatienceMillis(placement.job);
+            leastMillis = patienceMillis < 0 ? leastMillis : Math.min(leastMillis, patienceMillis);
         }
-        return (long) Math.min(Math.max(least, silentMs), settings.workers().leaseS() * 1000 * Constants.ZONE_PATIENCE_LEASES);
+        return (long) Math.min(Math.max(leastMillis, silenceTimeoutMillis), settings.workerTimings().leaseSeconds() * 1000 * Constants.ZONE_PATIENCE_LEASES);
     }
 
-    private boolean bootOver(String host) {
-        MachineTable.Machine m = machines.get(host);
-        Catalog.Shape shape = m == null ? null : catalog.get(m.shape());
-        return shape != null && loop.wall() - m.rentedAt() > shape.bootS() * 1000 * Constants.BOOT_PATIENCE + Constants.BOOT_SLACK_MS;
+    private boolean isBootOverdue(String host) {
+        MachineTable.Machine machine = machines.get(host);
+        Catalog.Shape machineType = machine == null ? null : catalog.get(machine.machineType());
+        return machineType != null && loop.wallClockMillis() - machine.rentedAtEpochMillis() > machineType.bootSeconds() * 1000 * Constants.BOOT_PATIENCE + Constants.BOOT_SLACK_MS;
     }
 
-    private boolean overdueCancel(Own o) {
-        double limitMs = settings.workers().cancelS() * 1000 * Constants.CANCEL_RELEASE_SHARE;
-        for (Placement p : jobs.on(o.host).values()) {
-            if (p.job.cancelled() && loop.wall() - p.job.cancelledAt > limitMs && !p.over()) {
+    private boolean hasOverdueCancellation(Own worker) {
+        double limitMillis = settings.workerTimings().cancelSeconds() * 1000 * Constants.CANCEL_RELEASE_SHARE;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            if (placement.job.isCancelled() && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis && !placement.isTerminated()) {
                 return true;
             }
         }
--- a/src/main/java/io/quincelead/workers/Orders.java
+++ b/src/main/java/io/quincelead/workers/Orders.java
@@ -15,117 +15,117 @@
 /** What a worker is told: starts, only in answers to reports; kills, at once; clears, only of ends that are on record. */
 final class Orders {
     private final Loop loop;
-    private final Session session;
-    private final Mirror mirror;
-    private final Blocks blocks;
+    private final Session membershipLease;
+    private final Mirror watchCache;
+    private final Blocks shards;
     private final JobTable jobs;
 
-    Orders(Loop loop, Session session, Mirror mirror, Blocks blocks, JobTable jobs) {
+    Orders(Loop loop, Session membershipLease, Mirror watchCache, Blocks shards, JobTable jobs) {
         this.loop = loop;
-        this.session = session;
-        this.mirror = mirror;
-        this.blocks = blocks;
+        this.membershipLease = membershipLease;
+        this.watchCache = watchCache;
+        this.shards = shards;
         this.jobs = jobs;
     }
 
     /** The answer to the worker's last report; the starts in it count as sent. */
-    ObjectNode answer(Own o) {
-        ObjectNode body = Codec.map().put("epoch", o.term);
-        ArrayNode orders = body.putArray("orders");
-        if (o.phase() == Own.Phase.FENCED) {
-            if (session.joined()) {
-                orders.addAll(stops(o));
+    ObjectNode buildHeartbeatResponse(Own worker) {
+        ObjectNode response = Codec.newMap().put("epoch", worker.fencingToken);
+        ArrayNode commands = response.putArray("orders");
+        if (worker.phase() == Own.Phase.FENCED) {
+            if (membershipLease.isMember()) {
+                commands.addAll(killsAndClears(worker));
             }
-            if (session.valid() && blocks.mine() != null) {
-                for (Placement p : jobs.on(o.host).values()) {
-                    if (startDue(o, p) && orders.size() < Constants.MAX_ORDERS) {
-                        orders.addObject().put("verb", "start").put("member", p.name()).put("try", p.attempt);
-                        p.become(Placement.Phase.SENT);
-                        p.sentTenure = o.reportTenure;
-                        p.sentSerial = o.reportSerial;
+            if (membershipLease.isValid() && shards.localShard() != null) {
+                for (Placement placement : jobs.placementsOn(worker.host).values()) {
+                    if (isStartDue(worker, placement) && commands.size() < Constants.MAX_ORDERS) {
+                        commands.addObject().put("verb", "start").put("member", placement.taskName()).put("try", placement.attempt);
+                        placement.transitionTo(Placement.Phase.START_SENT);
+                        placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
+                        placement.startSentSerial = worker.heartbeatSerial;
                     }
                 }
             }
         }
-        return body;
+        return response;
     }
 
     /**
      * Kills to be sent at once; null if there are none. A kill of what we have sent no start of changes nothing on the machine, but its
      * answer shows at once that the task isn't there.
      */
-    ArrayNode kills(Own o) {
-        long now = loop.now();
-        ArrayNode out = null;
-        for (Placement p : jobs.on(o.host).values()) {
-            boolean there = p.phase() == Placement.Phase.SEEN && !p.reported.equals("saving");
-            if (!wanted(p) && (there || p.phase() == Placement.Phase.RECORDED)
-                    && (p.killedAt == 0 || now - p.killedAt > Constants.KILL_AGAIN_MS)) {
-                out = out == null ? Codec.list() : out;
-                if (out.size() < Constants.MAX_ORDERS) {
-                    kill(out, p.name(), p.attempt, graceS(p));
-                    p.killedAt = now;
+    ArrayNode collectDueKills(Own worker) {
+        long now = loop.nowMillis();
+        ArrayNode kills = null;
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            boolean stoppable = placement.phase() == Placement.Phase.OBSERVED && !placement.reportedState.equals("saving");
+            if (!isWanted(placement) && (stoppable || placement.phase() == Placement.Phase.RECORDED)
+                    && (placement.killSentAtMillis == 0 || now - placement.killSentAtMillis > Constants.KILL_AGAIN_MS)) {
+                kills = kills == null ? Codec.newList() : kills;
+                if (kills.size() < Constants.MAX_ORDERS) {
+                    addKill(kills, placement.taskName(), placement.attempt, graceSeconds(placement));
+                    placement.killSentAtMillis = now;
                 }
             }
         }
-        return out;
+        return kills;
     }
 
-    private boolean wanted(Placement p) {
-        return !p.stop && !p.job.cancelled();
+    private boolean isWanted(Placement placement) {
+        return !placement.stopRequested && !placement.job.isCancelled();
     }
 
-    private boolean startDue(Own o, Placement p) {
-        if (p.over() || !wanted(p) || o.phase() != Own.Phase.FENCED || mirror.generation() < o.grantedAt) {
+    private boolean isStartDue(Own worker, Placement placement) {
+        if (placement.isTerminated() || !isWanted(placement) || worker.phase() != Own.Phase.FENCED || watchCache.storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what its predecessors on that machine recorded:
             // a start by such a record could be of a task that has been placed elsewhere since.
             return false;
         }
-        return p.phase() == Placement.Phase.RECORDED || Evidence.answered(o, p);
+        return placement.phase() == Placement.Phase.RECORDED || Evidence.hasReportedSinceStart(worker, placement);
     }
 
     /** Whether there is something to tell the worker. */
-    boolean due(Own o) {
-        if (o.phase() != Own.Phase.FENCED || !session.valid()) {
+    boolean hasCommands(Own worker) {
+        if (worker.phase() != Own.Phase.FENCED || !membershipLease.isValid()) {
             return true;
         }
-        for (Placement p : jobs.on(o.host).values()) {
-            if (startDue(o, p)) {
+        for (Placement placement : jobs.placementsOn(worker.host).values()) {
+            if (isStartDue(worker, placement)) {
                 return true;
             }
         }
-        return !stops(o).isEmpty();
+        return !killsAndClears(worker).isEmpty();
     }
 
     /** Kills for what must not run and clears for ends that are on record. */
-    private ArrayNode stops(Own o) {
-        ArrayNode out = Codec.list();
-        Map<String, Placement> recorded = jobs.on(o.host);
-        for (Report.Shown first : o.list.values()) {
-            Placement p = recorded.get(first.member);
-            for (Report.Shown t = first; t != null; t = t.next()) {
-                boolean onRecord = p != null && p.attempt == t.attempt;
-                if (t.ended()) {
-                    if (!onRecord) {
-                        out.addObject().put("verb", "clear").put("member", t.member).put("try", t.attempt);
+    private ArrayNode killsAndClears(Own worker) {
+        ArrayNode commands = Codec.newList();
+        Map<String, Placement> recorded = jobs.placementsOn(worker.host);
+        for (Report.Shown first : worker.reportedTasks.values()) {
+            Placement placement = recorded.get(first.taskId);
+            for (Report.Shown reported = first; reported != null; reported = reported.next()) {
+                boolean isRecorded = placement != null && placement.attempt == reported.attempt;
+                if (reported.isTerminated()) {
+                    if (!isRecorded) {
+                        commands.addObject().put("verb", "clear").put("member", reported.taskId).put("try", reported.attempt);
                     }
-                } else if (!onRecord) {
-                    kill(out, t.member, t.attempt, 0);
-                } else if (!wanted(p) && !t.status.equals("saving")) {
-                    kill(out, t.member, t.attempt, graceS(p));
-                } else if (p.job.cancelled()) {
-                    kill(out, t.member, t.attempt, 0);
+                } else if (!isRecorded) {
+                    addKill(commands, reported.taskId, reported.attempt, 0);
+                } else if (!isWanted(placement) && !reported.status.equals("saving")) {
+                    addKill(commands, reported.taskId, reported.attempt, graceSeconds(placement));
+                } else if (placement.job.isCancelled()) {
+                    addKill(commands, reported.taskId, reported.attempt, 0);
                 }
             }
         }
-        return out;
+        return commands;
     }
 
-    private static void kill(ArrayNode out, String name, long attempt, double graceS) {
-        out.addObject().put("verb", "kill").put("member", name).put("try", attempt).put("drainS", graceS);
+    private static void addKill(ArrayNode commands, String taskId, long attempt, double graceSeconds) {
+        commands.addObject().put("verb", "kill").put("member", taskId).put("try", attempt).put("drainS", graceSeconds);
     }
 
-    private static double graceS(Placement p) {
-        return p.job.cancelled() || p.job.spec.snapshotEveryS() <= 0 ? 0 : Math.ceil(p.job.spec.snapshotS()) + 1;
+    private static double graceSeconds(Placement placement) {
+        return placement.job.isCancelled() || placement.job.spec.checkpointIntervalSeconds() <= 0 ? 0 : Math.ceil(placement.job.spec.checkpointSeconds()) + 1;
     }
 }
--- a/src/main/java/io/quincelead/workers/Report.java
+++ b/src/main/java/io/quincelead/workers/Report.java
@@ -13,47 +13,47 @@
  */
 final class Report {
     String host;
-    String addr;
-    String shape = "";
-    String site = "";
+    String address;
+    String machineType = "";
+    String zone = "";
     boolean spot;
     /** -1 where it is missing. */
-    long tenure = -1;
+    long agentEpoch = -1;
     long serial = -1;
-    long epoch = -1;
+    long fencingToken = -1;
     /** Seconds until the cloud takes the machine away; -1: no notice. */
-    double warningS = -1;
+    double reclaimNoticeSeconds = -1;
     /** What is on the machine, by task. */
-    Map<String, Shown> members = Map.of();
+    Map<String, Shown> tasks = Map.of();
 
     /** An attempt as a worker's list shows it, and the next one of the same task; those that are not over come first. */
     static final class Shown {
-        String member = "";
+        String taskId = "";
         long attempt;
         String status = "";
-        String reason = "";
+        String exitReason = "";
         private Shown next;
 
         Shown next() {
             return next;
         }
 
-        boolean ended() {
+        boolean isTerminated() {
             return status.equals("ended");
         }
 
         /** The entry of this attempt among those of the task; null: not shown. */
-        static Shown of(Shown task, long attempt) {
-            Shown t = task;
-            while (t != null && t.attempt != attempt) {
-                t = t.next;
+        static Shown find(Shown first, long attempt) {
+            Shown reported = first;
+            while (reported != null && reported.attempt != attempt) {
+                reported = reported.next;
             }
-            return t;
+            return reported;
         }
 
         /** Puts another entry of the task among them and returns the first. */
-        private Shown with(Shown other) {
-            if (!ended() && other.ended()) {
+        private Shown insert(Shown other) {
+            if (!isTerminated() && other.isTerminated()) {
                 other.next = next;
                 next = other;
                 return this;
@@ -66,89 +66,89 @@
     private Report() { }
 
     /** Whether a message of a worker is newer than another one, by tenure and serial (protocol, "Workers"). */
-    static boolean newer(long tenure, long serial, long thanTenure, long thanSerial) {
-        return tenure > thanTenure || tenure == thanTenure && serial > thanSerial;
+    static boolean isNewer(long agentEpoch, long serial, long otherAgentEpoch, long otherSerial) {
+        return agentEpoch > otherAgentEpoch || agentEpoch == otherAgentEpoch && serial > otherSerial;
     }
 
     /** The report in a body; null if it is none: malformed input is never an exception. */
-    static Report read(byte[] body) {
+    static Report parse(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
         }
-        try (JsonParser in = Codec.CBOR.parser(body)) {
-            Report r = new Report();
-            boolean whole = in.nextToken() == JsonToken.START_OBJECT && r.fields(in) && in.nextToken() == null;
-            return whole && r.host != null && r.tenure >= 0 && r.serial >= 0 && r.epoch >= 0 ? r : null;
+        try (JsonParser parser = Codec.CBOR.createParser(body)) {
+            Report heartbeat = new Report();
+            boolean complete = parser.nextToken() == JsonToken.START_OBJECT && heartbeat.readFields(parser) && parser.nextToken() == null;
+            return complete && heartbeat.host != null && heartbeat.agentEpoch >= 0 && heartbeat.serial >= 0 && heartbeat.fencingToken >= 0 ? heartbeat : null;
         } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
-    private boolean fields(JsonParser in) throws IOException {
-        for (String name = in.nextFieldName(); name != null; name = in.nextFieldName()) {
-            JsonToken t = in.nextToken();
+    private boolean readFields(JsonParser parser) throws IOException {
+        for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+            JsonToken token = parser.nextToken();
             switch (name) {
-                case "host" -> host = text(in, t, null);
-                case "addr" -> addr = text(in, t, null);
-                case "shape" -> shape = text(in, t, "");
-                case "site" -> site = text(in, t, "");
-                case "preemptible" -> spot = t == JsonToken.VALUE_TRUE;
-                case "tenure" -> tenure = whole(in, t);
-                case "serial" -> serial = whole(in, t);
-                case "epoch" -> epoch = whole(in, t);
-                case "warningS" -> warningS = t.isNumeric() ? in.getDoubleValue() : -1;
+                case "host" -> host = readText(parser, token, null);
+                case "addr" -> address = readText(parser, token, null);
+                case "shape" -> machineType = readText(parser, token, "");
+                case "site" -> zone = readText(parser, token, "");
+                case "preemptible" -> spot = token == JsonToken.VALUE_TRUE;
+                case "tenure" -> agentEpoch = readInteger(parser, token);
+                case "serial" -> serial = readInteger(parser, token);
+                case "epoch" -> fencingToken = readInteger(parser, token);
+                case "warningS" -> reclaimNoticeSeconds = token.isNumeric() ? parser.getDoubleValue() : -1;
                 case "members" -> {
-                    if (t != JsonToken.START_ARRAY && t != JsonToken.VALUE_NULL) {
+                    if (token != JsonToken.START_ARRAY && token != JsonToken.VALUE_NULL) {
                         return false;
                     }
-                    if (t == JsonToken.START_ARRAY) {
-                        list(in);
+                    if (token == JsonToken.START_ARRAY) {
+                        readTasks(parser);
                     }
                 }
-                default -> in.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        return in.currentToken() == JsonToken.END_OBJECT;
+        return parser.currentToken() == JsonToken.END_OBJECT;
     }
 
-    private void list(JsonParser in) throws IOException {
-        members = new HashMap<>();
-        for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-            if (t != JsonToken.START_OBJECT) {
-                in.skipChildren();
+    private void readTasks(JsonParser parser) throws IOException {
+        tasks = new HashMap<>();
+        for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+            if (token != JsonToken.START_OBJECT) {
+                parser.skipChildren();
                 continue;
             }
-            Shown shown = new Shown();
-            for (String name = in.nextFieldName(); name != null; name = in.nextFieldName()) {
-                JsonToken v = in.nextToken();
+            Shown reported = new Shown();
+            for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+                JsonToken value = parser.nextToken();
                 switch (name) {
-                    case "member" -> shown.member = text(in, v, "");
-                    case "try" -> shown.attempt = whole(in, v);
-                    case "status" -> shown.status = text(in, v, "");
-                    case "exitReason" -> shown.reason = text(in, v, "");
-                    default -> in.skipChildren();
+                    case "member" -> reported.taskId = readText(parser, value, "");
+                    case "try" -> reported.attempt = readInteger(parser, value);
+                    case "status" -> reported.status = readText(parser, value, "");
+                    case "exitReason" -> reported.exitReason = readText(parser, value, "");
+                    default -> parser.skipChildren();
                 }
             }
-            Shown others = members.putIfAbsent(shown.member, shown);
-            if (others != null) {
-                members.put(shown.member, others.with(shown));
+            Shown first = tasks.putIfAbsent(reported.taskId, reported);
+            if (first != null) {
+                tasks.put(reported.taskId, first.insert(reported));
             }
         }
     }
 
-    private static String text(JsonParser in, JsonToken t, String otherwise) throws IOException {
-        if (t == JsonToken.VALUE_STRING) {
-            return in.getText();
+    private static String readText(JsonParser parser, JsonToken token, String fallback) throws IOException {
+        if (token == JsonToken.VALUE_STRING) {
+            return parser.getText();
         }
-        in.skipChildren();
-        return otherwise;
+        parser.skipChildren();
+        return fallback;
     }
 
-    private static long whole(JsonParser in, JsonToken t) throws IOException {
-        if (t == JsonToken.VALUE_NUMBER_INT) {
-            return in.getLongValue();
+    private static long readInteger(JsonParser parser, JsonToken token) throws IOException {
+        if (token == JsonToken.VALUE_NUMBER_INT) {
+            return parser.getLongValue();
         }
-        in.skipChildren();
+        parser.skipChildren();
         return -1;
     }
 }
--- a/src/main/java/io/quincelead/workers/Strays.java
+++ b/src/main/java/io/quincelead/workers/Strays.java
@@ -19,109 +19,109 @@
 /** Workers that report here and belong to another controller, or to none: sent on, told of, or kept alive behind a cut. */
 final class Strays {
     /** Since when a machine has been reporting here though it is granted elsewhere under this term. */
-    private record Astray(long term, long since) { }
+    private record Astray(long fencingToken, long sinceMillis) { }
 
     private final Loop loop;
     private final Settings settings;
-    private final Session session;
-    private final Mirror mirror;
-    private final Blocks blocks;
+    private final Session membershipLease;
+    private final Mirror watchCache;
+    private final Blocks shards;
     private final Transport transport;
-    private final Consumer<Stray> leader;
-    private final Map<String, Astray> strays = new HashMap<>();
+    private final Consumer<Stray> leaderNotifier;
+    private final Map<String, Astray> misrouted = new HashMap<>();
     /** Workers of others that are answered here while the store can't be reached. */
-    private final Map<String, Astray> kept = new HashMap<>();
+    private final Map<String, Astray> keptAlive = new HashMap<>();
 
-    Strays(Loop loop, Settings settings, Session session, Mirror mirror, Blocks blocks, Transport transport, Consumer<Stray> leader) {
+    Strays(Loop loop, Settings settings, Session membershipLease, Mirror watchCache, Blocks shards, Transport transport, Consumer<Stray> leaderNotifier) {
         this.loop = loop;
         this.settings = settings;
-        this.session = session;
-        this.mirror = mirror;
-        this.blocks = blocks;
+        this.membershipLease = membershipLease;
+        this.watchCache = watchCache;
+        this.shards = shards;
         this.transport = transport;
-        this.leader = leader;
+        this.leaderNotifier = leaderNotifier;
     }
 
     /** The newest report of each machine that came here, as tenure and serial: an older one is a copy, or was held up on its way. */
-    private final Map<String, long[]> newest = new HashMap<>();
-    private final Set<String> probing = new HashSet<>();
+    private final Map<String, long[]> newestHeartbeats = new HashMap<>();
+    private final Set<String> hostsBeingProbed = new HashSet<>();
 
     /** The machine is ours no longer; these were the tenure and serial of its last report here. */
-    void left(String host, long tenure, long serial) {
-        newest.put(host, new long[] {tenure, serial});
+    void onWorkerReleased(String host, long agentEpoch, long serial) {
+        newestHeartbeats.put(host, new long[] {agentEpoch, serial});
     }
 
     /** Whether a newer report has been here; else this is the newest now. */
-    private boolean old(Report r) {
-        long[] last = newest.get(r.host);
-        if (last != null && !Report.newer(r.tenure, r.serial, last[0], last[1])) {
+    private boolean isStale(Report heartbeat) {
+        long[] last = newestHeartbeats.get(heartbeat.host);
+        if (last != null && !Report.isNewer(heartbeat.agentEpoch, heartbeat.serial, last[0], last[1])) {
             return true;
         }
-        newest.put(r.host, new long[] {r.tenure, r.serial});
+        newestHeartbeats.put(heartbeat.host, new long[] {heartbeat.agentEpoch, heartbeat.serial});
         return false;
     }
 
     /** The worker is where it belongs. */
-    void home(String host) {
-        strays.remove(host);
+    void onWorkerAtOwner(String host) {
+        misrouted.remove(host);
     }
 
-    void tick() {
-        strays.values().removeIf(a -> loop.now() - a.since > 20 * Constants.STRAY_MS);
-        newest.keySet().removeIf(h -> blocks.owner(h) == null);
-        if (session.valid()) {
-            kept.clear();
+    void expireEntries() {
+        misrouted.values().removeIf(sighting -> loop.nowMillis() - sighting.sinceMillis > 20 * Constants.STRAY_MS);
+        newestHeartbeats.keySet().removeIf(host -> shards.ownerOf(host) == null);
+        if (membershipLease.isValid()) {
+            keptAlive.clear();
         }
     }
 
     /** Answers a worker that isn't of our block. */
-    void report(Request request, Report body) {
-        String host = body.host;
-        if (!mirror.synced() || !session.joined()) {
-            request.later(503, "not ready");
+    void handleHeartbeat(Request request, Report heartbeat) {
+        String host = heartbeat.host;
+        if (!watchCache.isSynced() || !membershipLease.isMember()) {
+            request.respondRetryLater(503, "not ready");
             return;
         }
-        if (old(body)) {
-            redirect(request, host);
+        if (isStale(heartbeat)) {
+            redirectToOwner(request, host);
             return;
         }
-        long now = loop.now();
-        String owner = blocks.owner(host);
-        if (!session.valid() && owner != null && keepAlive(request, host, body, blocks.of(owner).machines().get(host))) {
+        long now = loop.nowMillis();
+        String owner = shards.ownerOf(host);
+        if (!membershipLease.isValid() && owner != null && keepAliveForOwner(request, host, heartbeat, shards.shardOf(owner).fencingTokensByHost().get(host))) {
             return;
         }
-        Long granted = owner == null ? null : blocks.of(owner).machines().get(host);
-        long term = granted == null ? 0 : granted;
+        Long grantedToken = owner == null ? null : shards.shardOf(owner).fencingTokensByHost().get(host);
+        long fencingToken = grantedToken == null ? 0 : grantedToken;
         // Counted anew for each grant: a worker on its way to a new owner would else be moved back before it gets there, and
         // two controllers could pass a machine to each other for ever.
-        Astray a = strays.merge(host, new Astray(term, now), (old, fresh) -> old.term == term ? old : fresh);
-        Stray stray = new Stray(host, body.addr == null ? "" : body.addr, body.shape, body.site, body.spot, settings.member(), owner != null, term);
+        Astray sighting = misrouted.merge(host, new Astray(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
+        Stray worker = new Stray(host, heartbeat.address == null ? "" : heartbeat.address, heartbeat.machineType, heartbeat.zone, heartbeat.spot, settings.memberId(), owner != null, fencingToken);
         if (owner == null) {
-            leader.accept(stray);
-            if (settings.member().equals(blocks.leader())) {
+            leaderNotifier.accept(worker);
+            if (settings.memberId().equals(shards.leaderId())) {
                 // The grant is a few ms away: the worker then hears at once where to go.
-                loop.after(Constants.REPORT_PATIENCE_MS, () -> redirect(request, host));
+                loop.runAfter(Constants.REPORT_PATIENCE_MS, () -> redirectToOwner(request, host));
                 return;
             }
-        } else if (now - a.since > Constants.STRAY_MS) {
-            probe(stray, body);
+        } else if (now - sighting.sinceMillis > Constants.STRAY_MS) {
+            probeWorker(worker, heartbeat);
         }
-        redirect(request, host);
+        redirectToOwner(request, host);
     }
 
     /**
      * Says that the worker is stuck here if it hears us and is where that report says it is. One that hears nobody tries all
      * controllers in turn, and would be passed around for ever; a report that was held up speaks of long ago.
      */
-    private void probe(Stray stray, Report body) {
-        if (stray.addr().isEmpty() || !probing.add(stray.host())) {
+    private void probeWorker(Stray worker, Report heartbeat) {
+        if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
             return;
         }
-        transport.call(stray.addr(), "GET", "/show", Codec.CBOR, null, Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
-            probing.remove(stray.host());
-            Report now = Report.read(bytes);
-            if (status == 200 && now != null && now.tenure == body.tenure && now.serial <= body.serial + Constants.STRAY_SERIALS) {
-                leader.accept(stray);
+        transport.call(worker.address(), "GET", "/show", Codec.CBOR, null, Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+            hostsBeingProbed.remove(worker.host());
+            Report current = Report.parse(bytes);
+            if (status == 200 && current != null && current.agentEpoch == heartbeat.agentEpoch && current.serial <= heartbeat.serial + Constants.STRAY_SERIALS) {
+                leaderNotifier.accept(worker);
             }
         });
     }
@@ -130,35 +130,35 @@
      * Cut off from the store, perhaps with a whole zone: a worker that can't reach its owner either is answered under the owner's
      * term, without any order, so that its tasks live on. Every now and then it is sent to look for its owner again.
      */
-    private boolean keepAlive(Request request, String host, Report body, long term) {
-        long now = loop.now();
-        double leaseMs = settings.workers().leaseS() * 1000;
+    private boolean keepAliveForOwner(Request request, String host, Report heartbeat, long fencingToken) {
+        long now = loop.nowMillis();
+        double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
         // Sent on, a worker may try all others in vain; its lease must outlast that.
-        if (leaseMs < Constants.WORKER_TRY_MS * (settings.count() - 1) * Constants.KEEP_ALIVE_TRIES) {
+        if (leaseMillis < Constants.WORKER_TRY_MS * (settings.controllerCount() - 1) * Constants.KEEP_ALIVE_TRIES) {
             return false;
         }
         // Not among the strays: on record again, it has its time to find its owner from then on.
-        strays.remove(host);
-        Astray a = kept.merge(host, new Astray(term, now), (old, fresh) -> old.term == term ? old : fresh);
-        if (now - a.since > leaseMs * Constants.KEEP_ALIVE_SHARE) {
-            kept.remove(host);
+        misrouted.remove(host);
+        Astray sighting = keptAlive.merge(host, new Astray(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
+        if (now - sighting.sinceMillis > leaseMillis * Constants.KEEP_ALIVE_SHARE) {
+            keptAlive.remove(host);
             return false;
         }
-        if (body.epoch > term) {
+        if (heartbeat.fencingToken > fencingToken) {
             return false;
         }
-        ObjectNode answer = Codec.map().put("epoch", term);
-        answer.putArray("orders");
-        request.answer(200, answer);
+        ObjectNode response = Codec.newMap().put("epoch", fencingToken);
+        response.putArray("orders");
+        request.respond(200, response);
         return true;
     }
 
-    void redirect(Request request, String host) {
-        String to = blocks.owner(host) != null ? blocks.owner(host) : blocks.leader();
-        ObjectNode body = Codec.map();
-        if (to != null && !to.equals(settings.member())) {
-            body.put("controller", to);
+    void redirectToOwner(Request request, String host) {
+        String controller = shards.ownerOf(host) != null ? shards.ownerOf(host) : shards.leaderId();
+        ObjectNode body = Codec.newMap();
+        if (controller != null && !controller.equals(settings.memberId())) {
+            body.put("controller", controller);
         }
-        request.answer(421, body);
+        request.respond(421, body);
     }
 }
--- a/src/main/java/io/quincelead/zones/ReturnPlan.java
+++ b/src/main/java/io/quincelead/zones/ReturnPlan.java
@@ -15,180 +15,180 @@
  */
 final class ReturnPlan {
     /** A model: a service with its replicas. {@code up}: those left, by zone; {@code zoneMost}: how many one zone may have. */
-    record Model(String id, String jobClass, int rank, int urgency, int members, Map<String, Integer> up, boolean covered, double cpus, double ramGb, double cards,
-            String image, double imageGb, List<String> shapes, String site, boolean spot, int zoneMost) {
-        int left() {
-            return up.values().stream().mapToInt(n -> n).sum();
+    record Model(String jobId, String jobClass, int classRank, int priority, int taskCount, Map<String, Integer> survivorsByZone, boolean coveredByWindow, double cpus, double memoryGb, double gpus,
+            String image, double imageGb, List<String> machineTypes, String requiredZone, boolean allowsSpot, int maxTasksPerZone) {
+        int survivorCount() {
+            return survivorsByZone.values().stream().mapToInt(n -> n).sum();
         }
     }
 
     /** A machine in a zone that is left, with its free room; {@code displaceable}: more of it that work of less urgency holds. */
     static final class Place {
         final String host;
-        final String shape;
+        final String machineType;
         final String zone;
         final boolean spot;
-        double cpus;
-        double ramGb;
-        double cards;
-        final double pullGbPerS;
-        final Set<String> images;
+        double freeCpus;
+        double freeMemoryGb;
+        double freeGpus;
+        final double pullGbPerSecond;
+        final Set<String> cachedImages;
         /** CPUs, GB and GPUs held by work that may be stopped, by the urgency that may stop it. */
-        final List<double[]> displaceable;
+        final List<double[]> displaceableByPriority;
 
-        Place(String host, String shape, String zone, boolean spot, double cpus, double ramGb, double cards, double pullGbPerS, Set<String> images, List<double[]> displaceable) {
+        Place(String host, String machineType, String zone, boolean spot, double freeCpus, double freeMemoryGb, double freeGpus, double pullGbPerSecond, Set<String> cachedImages, List<double[]> displaceableByPriority) {
             this.host = host;
-            this.shape = shape;
+            this.machineType = machineType;
             this.zone = zone;
             this.spot = spot;
-            this.cpus = cpus;
-            this.ramGb = ramGb;
-            this.cards = cards;
-            this.pullGbPerS = pullGbPerS;
-            this.images = images;
-            this.displaceable = displaceable;
+            this.freeCpus = freeCpus;
+            this.freeMemoryGb = freeMemoryGb;
+            this.freeGpus = freeGpus;
+            this.pullGbPerSecond = pullGbPerSecond;
+            this.cachedImages = cachedImages;
+            this.displaceableByPriority = displaceableByPriority;
         }
 
-        boolean allows(Model m) {
-            return (m.shapes == null || m.shapes.contains(shape)) && (m.site == null || m.site.equals(zone)) && (m.spot || !spot);
+        boolean allows(Model service) {
+            return (service.machineTypes == null || service.machineTypes.contains(machineType)) && (service.requiredZone == null || service.requiredZone.equals(zone)) && (service.allowsSpot || !spot);
         }
 
-        boolean holds(Model m) {
-            return cpus >= m.cpus - 1e-9 && ramGb >= m.ramGb - 1e-9 && cards >= m.cards - 1e-9;
+        boolean fits(Model service) {
+            return freeCpus >= service.cpus - 1e-9 && freeMemoryGb >= service.memoryGb - 1e-9 && freeGpus >= service.gpus - 1e-9;
         }
 
         /** The least urgent work that would have to go is stopped first; null if all of it isn't enough. */
-        Integer byDisplacing(Model m) {
-            double c = cpus;
-            double r = ramGb;
-            double g = cards;
-            for (int u = displaceable.size() - 1; u > m.urgency; u--) {
-                c += displaceable.get(u)[0];
-                r += displaceable.get(u)[1];
-                g += displaceable.get(u)[2];
-                if (c >= m.cpus - 1e-9 && r >= m.ramGb - 1e-9 && g >= m.cards - 1e-9) {
-                    return u;
+        Integer displacingPriority(Model service) {
+            double availableCpus = freeCpus;
+            double availableMemoryGb = freeMemoryGb;
+            double availableGpus = freeGpus;
+            for (int priority = displaceableByPriority.size() - 1; priority > service.priority; priority--) {
+                availableCpus += displaceableByPriority.get(priority)[0];
+                availableMemoryGb += displaceableByPriority.get(priority)[1];
+                availableGpus += displaceableByPriority.get(priority)[2];
+                if (availableCpus >= service.cpus - 1e-9 && availableMemoryGb >= service.memoryGb - 1e-9 && availableGpus >= service.gpus - 1e-9) {
+                    return priority;
                 }
             }
             return null;
         }
 
-        void take(Model m) {
-            double lackC = m.cpus - cpus;
-            double lackR = m.ramGb - ramGb;
-            double lackG = m.cards - cards;
-            for (int u = displaceable.size() - 1; u > m.urgency && (lackC > 1e-9 || lackR > 1e-9 || lackG > 1e-9); u--) {
-                double[] d = displaceable.get(u);
-                cpus += d[0];
-                ramGb += d[1];
-                cards += d[2];
-                lackC -= d[0];
-                lackR -= d[1];
-                lackG -= d[2];
-                displaceable.set(u, new double[3]);
+        void allocate(Model service) {
+            double missingCpus = service.cpus - freeCpus;
+            double missingMemoryGb = service.memoryGb - freeMemoryGb;
+            double missingGpus = service.gpus - freeGpus;
+            for (int priority = displaceableByPriority.size() - 1; priority > service.priority && (missingCpus > 1e-9 || missingMemoryGb > 1e-9 || missingGpus > 1e-9); priority--) {
+                double[] displaced = displaceableByPriority.get(priority);
+                freeCpus += displaced[0];
+                freeMemoryGb += displaced[1];
+                freeGpus += displaced[2];
+                missingCpus -= displaced[0];
+                missingMemoryGb -= displaced[1];
+                missingGpus -= displaced[2];
+                displaceableByPriority.set(priority, new double[3]);
             }
-            cpus -= m.cpus;
-            ramGb -= m.ramGb;
-            cards -= m.cards;
+            freeCpus -= service.cpus;
+            freeMemoryGb -= service.memoryGb;
+            freeGpus -= service.gpus;
         }
     }
 
     /** A type that can be rented in a zone that is left. */
-    record Rentable(String shape, String zone, boolean spot, double cpus, double ramGb, double cards, double pullGbPerS, double bootS, double price) { }
+    record Rentable(String machineType, String zone, boolean spot, double cpus, double memoryGb, double gpus, double pullGbPerSecond, double bootSeconds, double price) { }
 
     /** One replica's way back. {@code etaS}: seconds from the evidence on; negative: never, as things are. */
-    record Step(int order, String model, String jobClass, int replica, String how, String where, double fetchGb, double etaS, String why) { }
+    record Step(int position, String jobId, String jobClass, int replicaNumber, String method, String location, double fetchGb, double etaSeconds, String reason) { }
 
     private ReturnPlan() { }
 
-    static List<Step> of(List<Model> models, List<Place> places, List<Rentable> rentable) {
-        List<Step> out = new ArrayList<>();
-        Map<Model, Integer> given = new LinkedHashMap<>();
-        Map<Model, Map<String, Integer>> zones = new LinkedHashMap<>();
-        models.forEach(m -> {
-            given.put(m, 0);
-            zones.put(m, new LinkedHashMap<>(m.up));
+    static List<Step> compute(List<Model> services, List<Place> candidates, List<Rentable> rentableTypes) {
+        List<Step> steps = new ArrayList<>();
+        Map<Model, Integer> restoredCounts = new LinkedHashMap<>();
+        Map<Model, Map<String, Integer>> replicasByService = new LinkedHashMap<>();
+        services.forEach(service -> {
+            restoredCounts.put(service, 0);
+            replicasByService.put(service, new LinkedHashMap<>(service.survivorsByZone));
         });
-        List<Place> all = new ArrayList<>(places);
-        int rented = 0;
+        List<Place> machines = new ArrayList<>(candidates);
+        int rentedCount = 0;
         while (true) {
-            Model next = given.keySet().stream().filter(m -> m.left() + given.get(m) < m.members).min(order(given)).orElse(null);
+            Model next = restoredCounts.keySet().stream().filter(service -> service.survivorCount() + restoredCounts.get(service) < service.taskCount).min(recoveryOrder(restoredCounts)).orElse(null);
             if (next == null) {
-                return out;
+                return steps;
             }
-            int replica = next.left() + given.get(next) + 1;
-            given.merge(next, 1, Integer::sum);
-            Place best = best(next, all, zones.get(next));
-            String how = "free room, weights there";
-            double fetch = 0;
-            double eta = 0;
-            String why = replica == 1 ? "no replica is left" : replica - 1 + " of " + next.members + " are up";
-            if (best != null && !best.images.contains(next.image)) {
-                how = "free room";
-                fetch = next.imageGb;
+            int replicaNumber = next.survivorCount() + restoredCounts.get(next) + 1;
+            restoredCounts.merge(next, 1, Integer::sum);
+            Place target = bestWithFreeCapacity(next, machines, replicasByService.get(next));
+            String method = "free room, weights there";
+            double fetchGb = 0;
+            double etaSeconds = 0;
+            String reason = replicaNumber == 1 ? "no replica is left" : replicaNumber - 1 + " of " + next.taskCount + " are up";
+            if (target != null && !target.cachedImages.contains(next.image)) {
+                method = "free room";
+                fetchGb = next.imageGb;
             }
-            if (best == null) {
-                best = displaced(next, all, zones.get(next));
-                how = "displaces other work";
-                fetch = best != null && !best.images.contains(next.image) ? next.imageGb : 0;
+            if (target == null) {
+                target = bestByDisplacing(next, machines, replicasByService.get(next));
+                method = "displaces other work";
+                fetchGb = target != null && !target.cachedImages.contains(next.image) ? next.imageGb : 0;
             }
-            if (best == null) {
-                Rentable r = cheapest(next, rentable, zones.get(next));
-                if (r != null) {
-                    best = new Place("new " + r.shape + " " + ++rented, r.shape, r.zone, r.spot, r.cpus, r.ramGb, r.cards, r.pullGbPerS, new java.util.HashSet<>(),
+            if (target == null) {
+                Rentable rentableType = cheapestRentable(next, rentableTypes, replicasByService.get(next));
+                if (rentableType != null) {
+                    target = new Place("new " + rentableType.machineType + " " + ++rentedCount, rentableType.machineType, rentableType.zone, rentableType.spot, rentableType.cpus, rentableType.memoryGb, rentableType.gpus, rentableType.pullGbPerSecond, new java.util.HashSet<>(),
                             List.of(new double[3], new double[3], new double[3], new double[3]));
-                    all.add(best);
-                    how = r.spot ? "rented, cheap" : "rented";
-                    fetch = next.imageGb;
-                    eta = r.bootS;
+                    machines.add(target);
+                    method = rentableType.spot ? "rented, cheap" : "rented";
+                    fetchGb = next.imageGb;
+                    etaSeconds = rentableType.bootSeconds;
                 }
             }
-            if (best == null) {
-                out.add(new Step(out.size() + 1, next.id, next.jobClass, replica, "can't be had", "-", 0, -1, constraint(next, all, zones.get(next))));
+            if (target == null) {
+                steps.add(new Step(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, "can't be had", "-", 0, -1, bindingConstraint(next, machines, replicasByService.get(next))));
                 continue;
             }
-            best.take(next);
-            best.images.add(next.image);
-            zones.get(next).merge(best.zone, 1, Integer::sum);
-            out.add(new Step(out.size() + 1, next.id, next.jobClass, replica, how, best.host + " in " + best.zone, fetch, eta + fetch / Math.max(best.pullGbPerS, 0.01), why));
+            target.allocate(next);
+            target.cachedImages.add(next.image);
+            replicasByService.get(next).merge(target.zone, 1, Integer::sum);
+            steps.add(new Step(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, method, target.host + " in " + target.zone, fetchGb, etaSeconds + fetchGb / Math.max(target.pullGbPerSecond, 0.01), reason));
         }
     }
 
-    private static Comparator<Model> order(Map<Model, Integer> given) {
-        return Comparator.comparingInt(Model::rank).thenComparing(m -> m.left() + given.get(m) > 0)
-                .thenComparingDouble(m -> (m.left() + given.get(m)) / (double) m.members).thenComparing(m -> !m.covered).thenComparing(Model::id);
+    private static Comparator<Model> recoveryOrder(Map<Model, Integer> restoredCounts) {
+        return Comparator.comparingInt(Model::classRank).thenComparing(service -> service.survivorCount() + restoredCounts.get(service) > 0)
+                .thenComparingDouble(service -> (service.survivorCount() + restoredCounts.get(service)) / (double) service.taskCount).thenComparing(service -> !service.coveredByWindow).thenComparing(Model::jobId);
     }
 
-    private static boolean zoneLets(Model m, String zone, Map<String, Integer> has) {
-        return has.getOrDefault(zone, 0) < m.zoneMost;
+    private static boolean zoneAllows(Model service, String zone, Map<String, Integer> replicasByZone) {
+        return replicasByZone.getOrDefault(zone, 0) < service.maxTasksPerZone;
     }
 
-    private static Place best(Model m, List<Place> all, Map<String, Integer> has) {
-        return all.stream().filter(p -> p.allows(m) && p.holds(m) && zoneLets(m, p.zone, has))
-                .min(Comparator.comparing((Place p) -> !p.images.contains(m.image)).thenComparing(p -> has.getOrDefault(p.zone, 0))
+    private static Place bestWithFreeCapacity(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+        return machines.stream().filter(candidate -> candidate.allows(service) && candidate.fits(service) && zoneAllows(service, candidate.zone, replicasByZone))
+                .min(Comparator.comparing((Place candidate) -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> replicasByZone.getOrDefault(candidate.zone, 0))
                         // Where others' weights are is left to them.
-                        .thenComparing(p -> p.images.contains(m.image) ? 0 : p.images.size())
-                        .thenComparing(p -> m.imageGb / Math.max(p.pullGbPerS, 0.01)).thenComparing(p -> p.host)).orElse(null);
+                        .thenComparing(candidate -> candidate.cachedImages.contains(service.image) ? 0 : candidate.cachedImages.size())
+                        .thenComparing(candidate -> service.imageGb / Math.max(candidate.pullGbPerSecond, 0.01)).thenComparing(candidate -> candidate.host)).orElse(null);
     }
 
-    private static Place displaced(Model m, List<Place> all, Map<String, Integer> has) {
-        return all.stream().filter(p -> p.allows(m) && zoneLets(m, p.zone, has) && p.byDisplacing(m) != null)
-                .min(Comparator.comparing((Place p) -> -p.byDisplacing(m)).thenComparing(p -> !p.images.contains(m.image)).thenComparing(p -> p.host)).orElse(null);
+    private static Place bestByDisplacing(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+        return machines.stream().filter(candidate -> candidate.allows(service) && zoneAllows(service, candidate.zone, replicasByZone) && candidate.displacingPriority(service) != null)
+                .min(Comparator.comparing((Place candidate) -> -candidate.displacingPriority(service)).thenComparing(candidate -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> candidate.host)).orElse(null);
     }
 
-    private static Rentable cheapest(Model m, List<Rentable> rentable, Map<String, Integer> has) {
-        return rentable.stream().filter(r -> r.cpus >= m.cpus && r.ramGb >= m.ramGb && r.cards >= m.cards && (m.shapes == null || m.shapes.contains(r.shape))
-                && (m.site == null || m.site.equals(r.zone)) && (m.spot || !r.spot) && zoneLets(m, r.zone, has))
-                .min(Comparator.comparingDouble(Rentable::price).thenComparing(r -> has.getOrDefault(r.zone, 0)).thenComparing(Rentable::zone)).orElse(null);
+    private static Rentable cheapestRentable(Model service, List<Rentable> rentableTypes, Map<String, Integer> replicasByZone) {
+        return rentableTypes.stream().filter(type -> type.cpus >= service.cpus && type.memoryGb >= service.memoryGb && type.gpus >= service.gpus && (service.machineTypes == null || service.machineTypes.contains(type.machineType))
+                && (service.requiredZone == null || service.requiredZone.equals(type.zone)) && (service.allowsSpot || !type.spot) && zoneAllows(service, type.zone, replicasByZone))
+                .min(Comparator.comparingDouble(Rentable::price).thenComparing(type -> replicasByZone.getOrDefault(type.zone, 0)).thenComparing(Rentable::zone)).orElse(null);
     }
 
-    private static String constraint(Model m, List<Place> all, Map<String, Integer> has) {
-        if (m.site != null && all.stream().noneMatch(p -> p.zone.equals(m.site))) {
-            return "it may run in " + m.site + " alone";
+    private static String bindingConstraint(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+        if (service.requiredZone != null && machines.stream().noneMatch(candidate -> candidate.zone.equals(service.requiredZone))) {
+            return "it may run in " + service.requiredZone + " alone";
         }
-        if (all.stream().anyMatch(p -> p.allows(m)) && all.stream().filter(p -> p.allows(m)).noneMatch(p -> zoneLets(m, p.zone, has))) {
-            return "at most " + m.zoneMost + " of its replicas may be in one zone";
+        if (machines.stream().anyMatch(candidate -> candidate.allows(service)) && machines.stream().filter(candidate -> candidate.allows(service)).noneMatch(candidate -> zoneAllows(service, candidate.zone, replicasByZone))) {
+            return "at most " + service.maxTasksPerZone + " of its replicas may be in one zone";
         }
-        return m.shapes != null ? "no machine of " + m.shapes + " is free or can be rented" : "no room, and nothing can be rented in the zones left";
+        return service.machineTypes != null ? "no machine of " + service.machineTypes + " is free or can be rented" : "no room, and nothing can be rented in the zones left";
     }
 }
--- a/src/main/java/io/quincelead/zones/ZoneDesk.java
+++ b/src/main/java/io/quincelead/zones/ZoneDesk.java
@@ -28,171 +28,171 @@
 
 /** What operators ask and order about zones. */
 public final class ZoneDesk {
-    private final boolean on;
-    private final Mirror mirror;
+    private final boolean isWatched;
+    private final Mirror watchCache;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Catalog catalog;
-    private final ImageCaches images;
-    private final ZoneTable zones;
+    private final ImageCaches imageCaches;
+    private final ZoneTable zoneTable;
     private final Policy policy;
-    private final Office office;
-    private final ZoneWatch.Eyes eyes;
+    private final Office operatorApi;
+    private final ZoneWatch.Eyes machineVisibility;
 
-    public ZoneDesk(boolean on, Mirror mirror, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches images, ZoneTable zones, Policy policy, Office office,
-            ZoneWatch.Eyes eyes) {
-        this.on = on;
-        this.mirror = mirror;
+    public ZoneDesk(boolean isWatched, Mirror watchCache, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, Office operatorApi,
+            ZoneWatch.Eyes machineVisibility) {
+        this.isWatched = isWatched;
+        this.watchCache = watchCache;
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.images = images;
-        this.zones = zones;
+        this.imageCaches = imageCaches;
+        this.zoneTable = zoneTable;
         this.policy = policy;
-        this.office = office;
-        this.eyes = eyes;
-        office.desk("/ops/zones/list", this::list);
-        office.desk("/ops/zones/plan", this::plan);
-        office.desk("/ops/zones/hold", (body, reply) -> order(body, reply, ZoneTable.Order.HOLD));
-        office.desk("/ops/zones/release", (body, reply) -> order(body, reply, ZoneTable.Order.RELEASE));
+        this.operatorApi = operatorApi;
+        this.machineVisibility = machineVisibility;
+        operatorApi.register("/ops/zones/list", this::listZones);
+        operatorApi.register("/ops/zones/plan", this::planRecovery);
+        operatorApi.register("/ops/zones/hold", (body, reply) -> applyOrder(body, reply, ZoneTable.Order.HOLD));
+        operatorApi.register("/ops/zones/release", (body, reply) -> applyOrder(body, reply, ZoneTable.Order.RELEASE));
     }
 
-    private Set<String> names() {
-        Set<String> out = new TreeSet<>();
-        catalog.all().forEach(s -> out.addAll(s.sites()));
-        machines.all().forEach(m -> out.add(m.site()));
-        zones.all().forEach(z -> out.add(z.name()));
-        return out;
+    private Set<String> zoneNames() {
+        Set<String> names = new TreeSet<>();
+        catalog.all().forEach(s -> names.addAll(s.zones()));
+        machines.all().forEach(m -> names.add(m.zone()));
+        zoneTable.all().forEach(z -> names.add(z.name()));
+        return names;
     }
 
-    private void list(ObjectNode body, Office.Reply reply) {
-        ObjectNode out = Codec.map().put("watched", on);
-        ArrayNode list = out.putArray("list");
-        for (String name : names()) {
-            ZoneTable.Zone z = zones.of(name);
-            long all = machines.all().stream().filter(m -> m.site().equals(name) && !m.returning()).count();
-            long heard = machines.all().stream().filter(m -> m.site().equals(name) && !m.returning() && eyes.heard(m.host())).count();
-            list.addObject().put("zone", name).put("state", z.state().name().toLowerCase(java.util.Locale.ROOT)).put("machines", all).put("heard", heard).put("had", z.had())
-                    .put("since", z.since()).put("why", z.why()).put("order", z.order().name().toLowerCase(java.util.Locale.ROOT));
+    private void listZones(ObjectNode request, Office.Reply reply) {
+        ObjectNode response = Codec.newMap().put("watched", isWatched);
+        ArrayNode zoneList = response.putArray("list");
+        for (String name : zoneNames()) {
+            ZoneTable.Zone zone = zoneTable.get(name);
+            long machineCount = machines.all().stream().filter(m -> m.zone().equals(name) && !m.releasing()).count();
+            long reachableCount = machines.all().stream().filter(m -> m.zone().equals(name) && !m.releasing() && machineVisibility.isReachable(m.host())).count();
+            zoneList.addObject().put("zone", name).put("state", zone.state().name().toLowerCase(java.util.Locale.ROOT)).put("machines", machineCount).put("heard", reachableCount).put("had", zone.machineCountWhenDoubted())
+                    .put("since", zone.sinceEpochMillis()).put("why", zone.reason()).put("order", zone.operatorOrder().name().toLowerCase(java.util.Locale.ROOT));
         }
-        reply.ok(out);
+        reply.respondOk(response);
     }
 
     /** An order stands on record; whoever holds machines there follows it, and it ends with the zone's doubt. */
-    private void order(ObjectNode body, Office.Reply reply, ZoneTable.Order order) {
-        String name = body.path("zone").asText();
-        if (!on) {
-            reply.refuse(409, "zones aren't watched here: the operators' settings turn it on (zones.on)");
+    private void applyOrder(ObjectNode request, Office.Reply reply, ZoneTable.Order order) {
+        String name = request.path("zone").asText();
+        if (!isWatched) {
+            reply.respondError(409, "zones aren't watched here: the operators' settings turn it on (zones.on)");
             return;
         }
-        if (!names().contains(name)) {
-            reply.refuse(404, "zone: there is no zone \"" + name + "\"; there are " + names());
+        if (!zoneNames().contains(name)) {
+            reply.respondError(404, "zone: there is no zone \"" + name + "\"; there are " + zoneNames());
             return;
         }
-        ZoneTable.Zone z = zones.of(name);
-        boolean silent = z.state() == ZoneTable.State.DOUBTFUL || z.state() == ZoneTable.State.CUT;
-        if (order == ZoneTable.Order.RELEASE && !silent) {
-            reply.refuse(409, "zone: " + name + " is " + z.state().name().toLowerCase(java.util.Locale.ROOT) + "; only what can't be reached (doubtful or cut) is released");
+        ZoneTable.Zone zone = zoneTable.get(name);
+        boolean isUnreachable = zone.state() == ZoneTable.State.DOUBTFUL || zone.state() == ZoneTable.State.CUT;
+        if (order == ZoneTable.Order.RELEASE && !isUnreachable) {
+            reply.respondError(409, "zone: " + name + " is " + zone.state().name().toLowerCase(java.util.Locale.ROOT) + "; only what can't be reached (doubtful or cut) is released");
             return;
         }
-        int replicas = 0;
-        for (MachineTable.Machine m : machines.all()) {
-            replicas += m.site().equals(name) ? (int) jobs.on(m.host()).values().stream().filter(p -> p.job.spec.service() && !p.over()).count() : 0;
+        int replicaCount = 0;
+        for (MachineTable.Machine machine : machines.all()) {
+            replicaCount += machine.zone().equals(name) ? (int) jobs.placementsOn(machine.host()).values().stream().filter(p -> p.job.spec.isService() && !p.isTerminated()).count() : 0;
         }
-        ObjectNode out = Codec.map().put("replicasInside", replicas).put("order", order.name().toLowerCase(java.util.Locale.ROOT));
-        if (body.path("dryRun").asBoolean()) {
-            reply.ok(out.put("state", "dry run"));
-        } else if (z.order() == order) {
-            reply.ok(out.put("state", "done before"));
+        ObjectNode response = Codec.newMap().put("replicasInside", replicaCount).put("order", order.name().toLowerCase(java.util.Locale.ROOT));
+        if (request.path("dryRun").asBoolean()) {
+            reply.respondOk(response.put("state", "dry run"));
+        } else if (zone.operatorOrder() == order) {
+            reply.respondOk(response.put("state", "done before"));
         } else {
-            String key = ZoneTable.key(name);
-            office.commit(new Txn().guard(key, mirror.stamp(key)).put(key, z.ordered(order).encode()), reply, out.put("state", "done"));
+            String recordKey = ZoneTable.storeKey(name);
+            operatorApi.commit(new Txn().requireRevision(recordKey, watchCache.modRevision(recordKey)).put(recordKey, zone.withOperatorOrder(order).encode()), reply, response.put("state", "done"));
         }
     }
 
     /** As things are, or as if the named zones were gone now. */
-    private void plan(ObjectNode body, Office.Reply reply) {
-        Set<String> lost = new HashSet<>();
-        for (JsonNode z : body.path("lost")) {
-            if (!names().contains(z.asText())) {
-                reply.refuse(404, "lost: there is no zone \"" + z.asText() + "\"; there are " + names());
+    private void planRecovery(ObjectNode request, Office.Reply reply) {
+        Set<String> lostZones = new HashSet<>();
+        for (JsonNode z : request.path("lost")) {
+            if (!zoneNames().contains(z.asText())) {
+                reply.respondError(404, "lost: there is no zone \"" + z.asText() + "\"; there are " + zoneNames());
                 return;
             }
-            lost.add(z.asText());
+            lostZones.add(z.asText());
         }
-        boolean asIs = lost.isEmpty();
-        zones.all().stream().filter(z -> zones.avoid(z.name())).forEach(z -> lost.add(z.name()));
-        ObjectNode out = Codec.map().put("lost", String.join(", ", new TreeSet<>(lost))).put("what", asIs ? "as things are" : "as if they were gone now");
-        ArrayNode list = out.putArray("list");
-        double gb = 0;
-        int never = 0;
-        for (ReturnPlan.Step s : ReturnPlan.of(models(lost), places(lost), rentable(lost))) {
-            list.addObject().put("order", s.order()).put("model", s.model()).put("class", s.jobClass()).put("replica", s.replica()).put("how", s.how()).put("where", s.where())
-                    .put("fetchGb", s.fetchGb()).put("etaS", Math.round(s.etaS())).put("why", s.why());
-            gb += s.fetchGb();
-            never += s.etaS() < 0 ? 1 : 0;
+        boolean isCurrentState = lostZones.isEmpty();
+        zoneTable.all().stream().filter(z -> zoneTable.isUnavailable(z.name())).forEach(z -> lostZones.add(z.name()));
+        ObjectNode response = Codec.newMap().put("lost", String.join(", ", new TreeSet<>(lostZones))).put("what", isCurrentState ? "as things are" : "as if they were gone now");
+        ArrayNode stepList = response.putArray("list");
+        double totalFetchGb = 0;
+        int unavailableCount = 0;
+        for (ReturnPlan.Step step : ReturnPlan.compute(lostServices(lostZones), candidateMachines(lostZones), rentableTypes(lostZones))) {
+            stepList.addObject().put("order", step.position()).put("model", step.jobId()).put("class", step.jobClass()).put("replica", step.replicaNumber()).put("how", step.method()).put("where", step.location())
+                    .put("fetchGb", step.fetchGb()).put("etaS", Math.round(step.etaSeconds())).put("why", step.reason());
+            totalFetchGb += step.fetchGb();
+            unavailableCount += step.etaSeconds() < 0 ? 1 : 0;
         }
-        reply.ok(out.put("fetchGb", gb).put("cantBeHad", never));
+        reply.respondOk(response.put("fetchGb", totalFetchGb).put("cantBeHad", unavailableCount));
     }
 
-    private List<ReturnPlan.Model> models(Set<String> lost) {
-        List<ReturnPlan.Model> out = new ArrayList<>();
-        for (Job j : jobs.all()) {
-            JobSpec s = j.spec;
-            if (!s.service() || j.cancelled()) {
+    private List<ReturnPlan.Model> lostServices(Set<String> lostZones) {
+        List<ReturnPlan.Model> services = new ArrayList<>();
+        for (Job job : jobs.all()) {
+            JobSpec spec = job.spec;
+            if (!spec.isService() || job.isCancelled()) {
                 continue;
             }
-            Map<String, Integer> up = new TreeMap<>();
-            for (Chunk c : j.chunks) {
-                for (Placement p : c == null ? List.<Placement>of() : c.placed) {
-                    MachineTable.Machine m = machines.get(p.host);
-                    if (m != null && !p.over() && !lost.contains(m.site())) {
-                        up.merge(m.site(), 1, Integer::sum);
+            Map<String, Integer> survivorsByZone = new TreeMap<>();
+            for (Chunk page : job.pages) {
+                for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
+                    MachineTable.Machine machine = machines.get(placement.host);
+                    if (machine != null && !placement.isTerminated() && !lostZones.contains(machine.zone())) {
+                        survivorsByZone.merge(machine.zone(), 1, Integer::sum);
                     }
                 }
             }
-            Standing st = policy.of(j);
-            out.add(new ReturnPlan.Model(s.id(), st.jobClass() == null ? "" : st.jobClass().name(), st.rank(), s.urgency().ordinal(), s.members(), up, st.covered(),
-                    s.vcpus(), s.ramGb(), s.cards(), s.container(), s.sizeGb(), s.shapes(), s.site(), s.preemptible(), policy.zoneMost(j)));
+            Standing effectivePriority = policy.priorityOf(job);
+            services.add(new ReturnPlan.Model(spec.jobId(), effectivePriority.jobClass() == null ? "" : effectivePriority.jobClass().name(), effectivePriority.rank(), spec.priority().ordinal(), spec.taskCount(), survivorsByZone, effectivePriority.isCovered(),
+                    spec.cpus(), spec.memoryGb(), spec.gpus(), spec.image(), spec.imageSizeGb(), spec.machineTypes(), spec.zone(), spec.preemptible(), policy.maxTasksPerZone(job)));
         }
-        return out;
+        return services;
     }
 
-    private List<ReturnPlan.Place> places(Set<String> lost) {
-        List<ReturnPlan.Place> out = new ArrayList<>();
-        for (MachineTable.Machine m : machines.all()) {
-            Catalog.Shape shape = catalog.get(m.shape());
-            if (m.returning() || m.closed() || shape == null || lost.contains(m.site()) || Boolean.TRUE.equals(eyes.booting(m.host())) || !eyes.heard(m.host())) {
+    private List<ReturnPlan.Place> candidateMachines(Set<String> lostZones) {
+        List<ReturnPlan.Place> candidates = new ArrayList<>();
+        for (MachineTable.Machine machine : machines.all()) {
+            Catalog.Shape machineType = catalog.get(machine.machineType());
+            if (machine.releasing() || machine.cordoned() || machineType == null || lostZones.contains(machine.zone()) || Boolean.TRUE.equals(machineVisibility.isBooting(machine.host())) || !machineVisibility.isReachable(machine.host())) {
                 continue;
             }
-            double[] free = {shape.vcpus(), shape.ramGb(), shape.cards()};
-            List<double[]> held = new ArrayList<>();
-            for (int u = 0; u < JobSpec.Urgency.values().length; u++) {
-                held.add(new double[3]);
+            double[] freeResources = {machineType.cpus(), machineType.memoryGb(), machineType.gpus()};
+            List<double[]> displaceableByPriority = new ArrayList<>();
+            for (int priority = 0; priority < JobSpec.Urgency.values().length; priority++) {
+                displaceableByPriority.add(new double[3]);
             }
-            for (Placement p : jobs.on(m.host()).values()) {
-                if (!p.over()) {
-                    double[] task = {p.job.spec.vcpus(), p.job.spec.ramGb(), p.job.spec.cards()};
+            for (Placement placement : jobs.placementsOn(machine.host()).values()) {
+                if (!placement.isTerminated()) {
+                    double[] taskResources = {placement.job.spec.cpus(), placement.job.spec.memoryGb(), placement.job.spec.gpus()};
                     for (int i = 0; i < 3; i++) {
-                        free[i] -= task[i];
-                        held.get(p.job.spec.urgency().ordinal())[i] += p.job.spec.gang() ? 0 : task[i];
+                        freeResources[i] -= taskResources[i];
+                        displaceableByPriority.get(placement.job.spec.priority().ordinal())[i] += placement.job.spec.isGang() ? 0 : taskResources[i];
                     }
                 }
             }
-            out.add(new ReturnPlan.Place(m.host(), m.shape(), m.site(), m.spot(), free[0], free[1], free[2], shape.pullGbPerS(), images.all(m.host()), held));
+            candidates.add(new ReturnPlan.Place(machine.host(), machine.machineType(), machine.zone(), machine.spot(), freeResources[0], freeResources[1], freeResources[2], machineType.imagePullGbPerSecond(), imageCaches.images(machine.host()), displaceableByPriority));
         }
-        return out;
+        return candidates;
     }
 
-    private List<ReturnPlan.Rentable> rentable(Set<String> lost) {
-        List<ReturnPlan.Rentable> out = new ArrayList<>();
-        for (Catalog.Shape s : catalog.all()) {
-            for (String site : s.sites()) {
-                for (boolean spot : lost.contains(site) ? new boolean[0] : new boolean[] {true, false}) {
-                    out.add(new ReturnPlan.Rentable(s.label(), site, spot, s.vcpus(), s.ramGb(), s.cards(), s.pullGbPerS(), s.bootS(), s.price(spot)));
+    private List<ReturnPlan.Rentable> rentableTypes(Set<String> lostZones) {
+        List<ReturnPlan.Rentable> types = new ArrayList<>();
+        for (Catalog.Shape machineType : catalog.all()) {
+            for (String zone : machineType.zones()) {
+                for (boolean spot : lostZones.contains(zone) ? new boolean[0] : new boolean[] {true, false}) {
+                    types.add(new ReturnPlan.Rentable(machineType.name(), zone, spot, machineType.cpus(), machineType.memoryGb(), machineType.gpus(), machineType.imagePullGbPerSecond(), machineType.bootSeconds(), machineType.pricePerHour(spot)));
                 }
             }
         }
-        return out;
+        return types;
     }
 }
--- a/src/main/java/io/quincelead/zones/ZoneJudge.java
+++ b/src/main/java/io/quincelead/zones/ZoneJudge.java
@@ -12,57 +12,57 @@
      * the ones that are heard; and of the {@code had} machines at the first doubt those that are still on record. {@code fair}: whether other
      * zones are heard, so that the fault isn't the onlooker's.
      */
-    record Sight(int machines, int known, int heard, int left, boolean fair) { }
+    record Sight(int machineCount, int knownCount, int reachableCount, int remainingCount, boolean otherZonesReachable) { }
 
-    private final double silentMs;
-    private final double settleMs;
+    private final double silenceThresholdMillis;
+    private final double baseSettleMillis;
 
     /** {@code silentMs}: longer silence is a dead, hung or cut machine's; {@code settleMs}: how long a zone that is back must hold. */
-    ZoneJudge(double silentMs, double settleMs) {
-        this.silentMs = silentMs;
-        this.settleMs = settleMs;
+    ZoneJudge(double silenceThresholdMillis, double baseSettleMillis) {
+        this.silenceThresholdMillis = silenceThresholdMillis;
+        this.baseSettleMillis = baseSettleMillis;
     }
 
     /** The next record; the same one if nothing changes, null when the zone is up and needs none. */
-    Zone next(Zone z, Sight s, long now) {
-        boolean judged = s.fair && s.known >= Constants.ZONE_LEAST && s.known * 2 >= s.machines;
-        boolean unheard = judged && s.heard < s.known * Constants.ZONE_HEARD_SHARE;
-        boolean heard = s.heard >= Math.max(1, s.known / 2);
-        return switch (z.state()) {
-            case UP -> unheard ? new Zone(z.name(), State.DOUBTFUL, now, s.machines, z.losses(), s.heard + " of " + s.known + " machines are heard", z.order()) : z;
-            case DOUBTFUL -> gone(z, s) ? lost(z, s, now) : heard ? back(z, now) : now - z.since() > silentMs && unheard
-                    ? z.in(State.CUT, now, s.heard + " of " + s.known + " machines are heard for " + Math.round((now - z.since()) / 1000.0) + " s") : z;
+    Zone evaluate(Zone zone, Sight observation, long nowMillis) {
+        boolean isConclusive = observation.otherZonesReachable && observation.knownCount >= Constants.ZONE_LEAST && observation.knownCount * 2 >= observation.machineCount;
+        boolean isUnreachable = isConclusive && observation.reachableCount < observation.knownCount * Constants.ZONE_HEARD_SHARE;
+        boolean isReachable = observation.reachableCount >= Math.max(1, observation.knownCount / 2);
+        return switch (zone.state()) {
+            case UP -> isUnreachable ? new Zone(zone.name(), State.DOUBTFUL, nowMillis, observation.machineCount, zone.recentLossCount(), observation.reachableCount + " of " + observation.knownCount + " machines are heard", zone.operatorOrder()) : zone;
+            case DOUBTFUL -> isGone(zone, observation) ? markLost(zone, observation, nowMillis) : isReachable ? recover(zone, nowMillis) : nowMillis - zone.sinceEpochMillis() > silenceThresholdMillis && isUnreachable
+                    ? zone.withState(State.CUT, nowMillis, observation.reachableCount + " of " + observation.knownCount + " machines are heard for " + Math.round((nowMillis - zone.sinceEpochMillis()) / 1000.0) + " s") : zone;
             // Cut never becomes lost by time: only by the cloud's word, or its answer to a release that somebody decided.
-            case CUT -> gone(z, s) ? lost(z, s, now) : heard ? back(z, now) : z;
+            case CUT -> isGone(zone, observation) ? markLost(zone, observation, nowMillis) : isReachable ? recover(zone, nowMillis) : zone;
             // With nobody left there to be heard, new machines are tried when it has been lost for as long as it must hold.
-            case LOST -> s.heard >= Constants.ZONE_LEAST || s.heard > 0 && now - z.since() > silentMs ? z.ordered(Order.NONE).in(State.RETURNING, now, s.heard + " machines are heard again")
-                    : s.machines == 0 && now - z.since() > settleMs(z) ? z.ordered(Order.NONE).in(State.RETURNING, now, "machines may be rented there again") : z;
-            case RETURNING -> unheard ? again(z, s, now) : s.heard > 0 && now - z.since() > settleMs(z) ? z.in(State.SETTLED, now, "held for " + Math.round(settleMs(z) / 1000) + " s") : z;
-            case SETTLED -> unheard ? again(z, s, now) : now - z.since() > Constants.ZONE_FORGOTTEN_MS ? null : z;
+            case LOST -> observation.reachableCount >= Constants.ZONE_LEAST || observation.reachableCount > 0 && nowMillis - zone.sinceEpochMillis() > silenceThresholdMillis ? zone.withOperatorOrder(Order.NONE).withState(State.RETURNING, nowMillis, observation.reachableCount + " machines are heard again")
+                    : observation.machineCount == 0 && nowMillis - zone.sinceEpochMillis() > requiredSettleMillis(zone) ? zone.withOperatorOrder(Order.NONE).withState(State.RETURNING, nowMillis, "machines may be rented there again") : zone;
+            case RETURNING -> isUnreachable ? doubtAgain(zone, observation, nowMillis) : observation.reachableCount > 0 && nowMillis - zone.sinceEpochMillis() > requiredSettleMillis(zone) ? zone.withState(State.SETTLED, nowMillis, "held for " + Math.round(requiredSettleMillis(zone) / 1000) + " s") : zone;
+            case SETTLED -> isUnreachable ? doubtAgain(zone, observation, nowMillis) : nowMillis - zone.sinceEpochMillis() > Constants.ZONE_FORGOTTEN_MS ? null : zone;
         };
     }
 
     /** The time for which it must hold doubles with each loss of late. */
-    double settleMs(Zone z) {
-        return Math.min(Constants.ZONE_SETTLE_MOST_MS, settleMs * Math.pow(2, Math.max(0, z.losses() - 1)));
+    double requiredSettleMillis(Zone zone) {
+        return Math.min(Constants.ZONE_SETTLE_MOST_MS, baseSettleMillis * Math.pow(2, Math.max(0, zone.recentLossCount() - 1)));
     }
 
-    private static boolean gone(Zone z, Sight s) {
-        return z.had() >= Constants.ZONE_LEAST && s.left <= z.had() * (1 - Constants.ZONE_GONE_SHARE);
+    private static boolean isGone(Zone zone, Sight observation) {
+        return zone.machineCountWhenDoubted() >= Constants.ZONE_LEAST && observation.remainingCount <= zone.machineCountWhenDoubted() * (1 - Constants.ZONE_GONE_SHARE);
     }
 
-    private static Zone lost(Zone z, Sight s, long now) {
-        return new Zone(z.name(), State.LOST, now, z.had(), z.losses() + 1, z.had() - s.left + " of " + z.had() + " machines are gone by the cloud's word",
+    private static Zone markLost(Zone zone, Sight observation, long nowMillis) {
+        return new Zone(zone.name(), State.LOST, nowMillis, zone.machineCountWhenDoubted(), zone.recentLossCount() + 1, zone.machineCountWhenDoubted() - observation.remainingCount + " of " + zone.machineCountWhenDoubted() + " machines are gone by the cloud's word",
                 // What was given up is given up whole; otherwise the order has had its day.
-                z.order() == Order.RELEASE ? Order.RELEASE : Order.NONE);
+                zone.operatorOrder() == Order.RELEASE ? Order.RELEASE : Order.NONE);
     }
 
     /** It was only silent: what ran there has run on, and nothing needs to be restored. */
-    private static Zone back(Zone z, long now) {
-        return z.losses() == 0 ? null : z.ordered(Order.NONE).in(State.SETTLED, now, "heard again, nothing was lost");
+    private static Zone recover(Zone zone, long nowMillis) {
+        return zone.recentLossCount() == 0 ? null : zone.withOperatorOrder(Order.NONE).withState(State.SETTLED, nowMillis, "heard again, nothing was lost");
     }
 
-    private static Zone again(Zone z, Sight s, long now) {
-        return new Zone(z.name(), State.DOUBTFUL, now, s.machines, z.losses(), s.heard + " of " + s.known + " machines are heard, again", z.order());
+    private static Zone doubtAgain(Zone zone, Sight observation, long nowMillis) {
+        return new Zone(zone.name(), State.DOUBTFUL, nowMillis, observation.machineCount, zone.recentLossCount(), observation.reachableCount + " of " + observation.knownCount + " machines are heard, again", zone.operatorOrder());
     }
 }
--- a/src/main/java/io/quincelead/zones/ZoneWatch.java
+++ b/src/main/java/io/quincelead/zones/ZoneWatch.java
@@ -42,63 +42,63 @@
     /** What owners say of their machines. */
     public interface Eyes {
         /** Whether the machine has not come up yet; null when its owner wasn't heard of late. */
-        Boolean booting(String host);
+        Boolean isBooting(String host);
 
         /** Whether its owner hears it. */
-        boolean heard(String host);
+        boolean isReachable(String host);
     }
 
-    private final Loop loop;
+    private final Loop eventLoop;
     private final OperatorSettings.Zones settings;
-    private final Mirror mirror;
+    private final Mirror watchCache;
     private final StoreClient store;
     private final JobTable jobs;
-    private final Blocks blocks;
+    private final Blocks shards;
     private final MachineTable machines;
     private final Catalog catalog;
-    private final ImageCaches images;
-    private final ZoneTable zones;
+    private final ImageCaches imageCaches;
+    private final ZoneTable zoneTable;
     private final Policy policy;
     private final Leader leader;
-    private final Eyes eyes;
-    private final ZoneJudge judge;
-    private boolean busy;
-    private long movedAt;
-    private long imagesAt;
+    private final Eyes machineVisibility;
+    private final ZoneJudge healthEvaluator;
+    private boolean isCommitInFlight;
+    private long movedAtMillis;
+    private long imagesRecordedAtMillis;
 
-    public ZoneWatch(Loop loop, OperatorSettings.Zones settings, double silentMs, Mirror mirror, StoreClient store, JobTable jobs, Blocks blocks, MachineTable machines,
-            Catalog catalog, ImageCaches images, ZoneTable zones, Policy policy, Leader leader, Eyes eyes) {
-        this.loop = loop;
+    public ZoneWatch(Loop eventLoop, OperatorSettings.Zones settings, double silenceThresholdMillis, Mirror watchCache, StoreClient store, JobTable jobs, Blocks shards, MachineTable machines,
+            Catalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, Leader leader, Eyes machineVisibility) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.mirror = mirror;
+        this.watchCache = watchCache;
         this.store = store;
         this.jobs = jobs;
-        this.blocks = blocks;
+        this.shards = shards;
         this.machines = machines;
         this.catalog = catalog;
-        this.images = images;
-        this.zones = zones;
+        this.imageCaches = imageCaches;
+        this.zoneTable = zoneTable;
         this.policy = policy;
         this.leader = leader;
-        this.eyes = eyes;
-        this.judge = new ZoneJudge(silentMs, settings.settleS() * 1000);
-        loop.every(Constants.ZONE_TICK_MS, this::tick);
+        this.machineVisibility = machineVisibility;
+        this.healthEvaluator = new ZoneJudge(silenceThresholdMillis, settings.settleSeconds() * 1000);
+        eventLoop.runEvery(Constants.ZONE_TICK_MS, this::runRecoveryPass);
     }
 
-    private void tick() {
-        if (busy || !leader.leading() || !mirror.synced() || !store.urgentAffordable()) {
+    private void runRecoveryPass() {
+        if (isCommitInFlight || !leader.isLeading() || !watchCache.isSynced() || !store.canAffordUrgentWrite()) {
             return;
         }
-        Txn txn = judged();
-        txn = txn != null ? txn : move();
-        txn = txn != null ? txn : recordImages();
-        if (txn != null) {
-            Txn mine = txn;
-            busy = true;
-            store.commit(mine, outcome -> {
-                busy = false;
-                if (outcome.result() == Txn.Result.DONE) {
-                    mirror.applied(mine, outcome.generation());
+        Txn transaction = proposeStateChange();
+        transaction = transaction != null ? transaction : proposeMove();
+        transaction = transaction != null ? transaction : proposeImageRecord();
+        if (transaction != null) {
+            Txn proposed = transaction;
+            isCommitInFlight = true;
+            store.commit(proposed, outcome -> {
+                isCommitInFlight = false;
+                if (outcome.result() == Txn.Result.COMMITTED) {
+                    watchCache.applyCommitted(proposed, outcome.storeRevision());
                 }
             });
         }
@@ -106,35 +106,35 @@
 
     // ---- states
 
-    private Txn judged() {
-        Map<String, int[]> seen = new TreeMap<>();
-        zones.all().forEach(z -> seen.put(z.name(), new int[4]));
-        for (MachineTable.Machine m : machines.all()) {
-            if (m.returning()) {
+    private Txn proposeStateChange() {
+        Map<String, int[]> countsByZone = new TreeMap<>();
+        zoneTable.all().forEach(zone -> countsByZone.put(zone.name(), new int[4]));
+        for (MachineTable.Machine machine : machines.all()) {
+            if (machine.releasing()) {
                 continue;
             }
-            Boolean booting = eyes.booting(m.host());
-            int[] n = seen.computeIfAbsent(m.site(), s -> new int[4]);
+            Boolean booting = machineVisibility.isBooting(machine.host());
+            int[] counts = countsByZone.computeIfAbsent(machine.zone(), s -> new int[4]);
             if (Boolean.TRUE.equals(booting)) {
                 continue;
             }
-            n[0]++;
-            n[1] += booting != null ? 1 : 0;
-            n[2] += booting != null && eyes.heard(m.host()) ? 1 : 0;
-            ZoneTable.Zone z = zones.of(m.site());
-            n[3] += m.rentedAt() <= z.since() || z.state() == ZoneTable.State.UP ? 1 : 0;
+            counts[0]++;
+            counts[1] += booting != null ? 1 : 0;
+            counts[2] += booting != null && machineVisibility.isReachable(machine.host()) ? 1 : 0;
+            ZoneTable.Zone zone = zoneTable.get(machine.zone());
+            counts[3] += machine.rentedAtEpochMillis() <= zone.sinceEpochMillis() || zone.state() == ZoneTable.State.UP ? 1 : 0;
         }
-        for (Map.Entry<String, int[]> e : seen.entrySet()) {
-            int[] n = e.getValue();
-            boolean fair = seen.entrySet().stream().anyMatch(o -> !o.getKey().equals(e.getKey()) && o.getValue()[1] > 0 && o.getValue()[2] * 2 >= o.getValue()[1]);
-            ZoneTable.Zone now = zones.of(e.getKey());
-            ZoneTable.Zone next = judge.next(now, new ZoneJudge.Sight(n[0], n[1], n[2], n[3], fair), loop.wall());
-            if (Objects.equals(next, now)) {
+        for (Map.Entry<String, int[]> entry : countsByZone.entrySet()) {
+            int[] counts = entry.getValue();
+            boolean otherZonesReachable = countsByZone.entrySet().stream().anyMatch(o -> !o.getKey().equals(entry.getKey()) && o.getValue()[1] > 0 && o.getValue()[2] * 2 >= o.getValue()[1]);
+            ZoneTable.Zone current = zoneTable.get(entry.getKey());
+            ZoneTable.Zone next = healthEvaluator.evaluate(current, new ZoneJudge.Sight(counts[0], counts[1], counts[2], counts[3], otherZonesReachable), eventLoop.wallClockMillis());
+            if (Objects.equals(next, current)) {
                 continue;
             }
-            LOG.info("zone {} {} -> {}: {}", now.name(), now.state(), next == null ? ZoneTable.State.UP : next.state(), next == null ? "heard" : next.why());
-            Txn txn = leader.txn().guard(ZoneTable.key(now.name()), mirror.stamp(ZoneTable.key(now.name())));
-            return next == null ? txn.remove(ZoneTable.key(now.name())) : txn.put(ZoneTable.key(now.name()), next.encode());
+            LOG.info("zone {} {} -> {}: {}", current.name(), current.state(), next == null ? ZoneTable.State.UP : next.state(), next == null ? "heard" : next.reason());
+            Txn transaction = leader.newTransaction().requireRevision(ZoneTable.storeKey(current.name()), watchCache.modRevision(ZoneTable.storeKey(current.name())));
+            return next == null ? transaction.remove(ZoneTable.storeKey(current.name())) : transaction.put(ZoneTable.storeKey(current.name()), next.encode());
         }
         return null;
     }
@@ -142,94 +142,94 @@
     // ---- moves
 
     /** A replica that should be in another zone. */
-    private record Move(Job job, Placement replica, String from, String to) { }
+    private record Move(Job job, Placement replica, String fromZone, String toZone) { }
 
     /**
      * Services that have too many replicas in one zone while another that came back has too few, or all of them in one zone. None while a
      * window covers any work, or while any zone is in doubt.
      */
-    private List<Move> moves() {
-        List<Move> out = new ArrayList<>();
-        if (settings.movesPerMinute() <= 0 || policy.windowOpen() || zones.all().stream().anyMatch(z -> zones.avoid(z.name()) || z.state() == ZoneTable.State.RETURNING)) {
-            return out;
+    private List<Move> findMoves() {
+        List<Move> moves = new ArrayList<>();
+        if (settings.movesPerMinute() <= 0 || policy.isAnyWindowOpen() || zoneTable.all().stream().anyMatch(z -> zoneTable.isUnavailable(z.name()) || z.state() == ZoneTable.State.RETURNING)) {
+            return moves;
         }
-        Set<String> all = new TreeSet<>();
-        catalog.all().forEach(s -> all.addAll(s.sites()));
-        Set<String> settled = new TreeSet<>(all);
-        settled.removeIf(z -> zones.of(z).state() != ZoneTable.State.SETTLED);
-        for (Job j : jobs.all()) {
-            if (j.spec.service() && !j.cancelled() && !j.spec.oneZone() && j.spec.site() == null && j.spec.members() > 1 && j.heldCount() == j.spec.members()) {
-                Move m = move(j, all, settled);
-                if (m != null) {
-                    out.add(m);
+        Set<String> allZones = new TreeSet<>();
+        catalog.all().forEach(s -> allZones.addAll(s.zones()));
+        Set<String> settledZones = new TreeSet<>(allZones);
+        settledZones.removeIf(z -> zoneTable.get(z).state() != ZoneTable.State.SETTLED);
+        for (Job job : jobs.all()) {
+            if (job.spec.isService() && !job.isCancelled() && !job.spec.zoneAffinity() && job.spec.zone() == null && job.spec.taskCount() > 1 && job.possiblyRunningTaskCount() == job.spec.taskCount()) {
+                Move move = findMove(job, allZones, settledZones);
+                if (move != null) {
+                    moves.add(move);
                 }
             }
         }
-        return out;
+        return moves;
     }
 
-    private Move move(Job j, Set<String> all, Set<String> settled) {
-        Map<String, Integer> byZone = new TreeMap<>();
-        Map<String, Placement> one = new HashMap<>();
-        for (Chunk c : j.chunks) {
-            for (Placement p : c == null ? List.<Placement>of() : c.placed) {
-                MachineTable.Machine m = machines.get(p.host);
-                Catalog.Shape shape = m == null ? null : catalog.get(m.shape());
-                double fetchMs = shape == null ? 0 : j.spec.sizeGb() / Math.max(shape.pullGbPerS(), 0.01) * 1000;
-                if (m == null || p.stop || p.over() || loop.now() - p.since < Constants.MOVE_STEADY_MS + fetchMs) {
+    private Move findMove(Job job, Set<String> allZones, Set<String> settledZones) {
+        Map<String, Integer> replicasByZone = new TreeMap<>();
+        Map<String, Placement> replicaByZone = new HashMap<>();
+        for (Chunk page : job.pages) {
+            for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
+                MachineTable.Machine m = machines.get(placement.host);
+                Catalog.Shape machineType = m == null ? null : catalog.get(m.machineType());
+                double fetchMillis = machineType == null ? 0 : job.spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01) * 1000;
+                if (m == null || placement.stopRequested || placement.isTerminated() || eventLoop.nowMillis() - placement.recordSeenAtMillis < Constants.MOVE_STEADY_MS + fetchMillis) {
                     // A replica is away already, or has its place but may not serve yet.
                     return null;
                 }
-                byZone.merge(m.site(), 1, Integer::sum);
-                one.putIfAbsent(m.site(), p);
+                replicasByZone.merge(m.zone(), 1, Integer::sum);
+                replicaByZone.putIfAbsent(m.zone(), placement);
             }
         }
-        String from = byZone.entrySet().stream().max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey())).map(Map.Entry::getKey).orElse(null);
-        String to = (byZone.size() == 1 ? all : settled).stream().min(Comparator.comparing((String z) -> byZone.getOrDefault(z, 0)).thenComparing(z -> z)).orElse(null);
-        return from == null || to == null || byZone.get(from) - byZone.getOrDefault(to, 0) < 2 ? null : new Move(j, one.get(from), from, to);
+        String fromZone = replicasByZone.entrySet().stream().max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey())).map(Map.Entry::getKey).orElse(null);
+        String toZone = (replicasByZone.size() == 1 ? allZones : settledZones).stream().min(Comparator.comparing((String z) -> replicasByZone.getOrDefault(z, 0)).thenComparing(z -> z)).orElse(null);
+        return fromZone == null || toZone == null || replicasByZone.get(fromZone) - replicasByZone.getOrDefault(toZone, 0) < 2 ? null : new Move(job, replicaByZone.get(fromZone), fromZone, toZone);
     }
 
     /** Demands of replicas that would move to a zone if there were room, as many as would move within a minute: machines are rented for them. */
-    public Map<String, List<JobSpec>> wanted() {
-        Map<String, List<JobSpec>> out = new TreeMap<>();
-        int n = 0;
-        for (Move m : moves()) {
-            if (n++ >= settings.movesPerMinute()) {
+    public Map<String, List<JobSpec>> rebalanceDemand() {
+        Map<String, List<JobSpec>> specsByZone = new TreeMap<>();
+        int count = 0;
+        for (Move move : findMoves()) {
+            if (count++ >= settings.movesPerMinute()) {
                 break;
             }
-            out.computeIfAbsent(m.to, z -> new ArrayList<>()).add(m.job.spec);
+            specsByZone.computeIfAbsent(move.toZone, z -> new ArrayList<>()).add(move.job.spec);
         }
-        return out;
+        return specsByZone;
     }
 
     /** Stops one replica, which then starts where the fewest are. At most one of a model is away at a time, and only where room waits for it. */
-    private Txn move() {
-        if (loop.now() - movedAt < 60_000 / Math.max(settings.movesPerMinute(), 0.01)) {
+    private Txn proposeMove() {
+        if (eventLoop.nowMillis() - movedAtMillis < 60_000 / Math.max(settings.movesPerMinute(), 0.01)) {
             return null;
         }
-        for (Move m : moves()) {
-            if (room(m.job, m.to)) {
-                Chunk c = m.job.chunk(m.replica.index / Constants.CHUNK_TASKS);
-                Chunk.Edit e = c.edit();
-                e.stop(m.replica.index);
-                movedAt = loop.now();
-                LOG.info("replica {} moves from {} to {}", m.replica.name(), m.from, m.to);
-                return leader.txn().guard(m.job.key(), mirror.stamp(m.job.key())).guard(c.key(), mirror.stamp(c.key())).put(c.key(), e.encode());
+        for (Move m : findMoves()) {
+            if (hasFreeCapacity(m.job, m.toZone)) {
+                Chunk page = m.job.page(m.replica.taskIndex / Constants.CHUNK_TASKS);
+                Chunk.Edit edit = page.edit();
+                edit.requestStop(m.replica.taskIndex);
+                movedAtMillis = eventLoop.nowMillis();
+                LOG.info("replica {} moves from {} to {}", m.replica.taskName(), m.fromZone, m.toZone);
+                return leader.newTransaction().requireRevision(m.job.storeKey(), watchCache.modRevision(m.job.storeKey())).requireRevision(page.storeKey(), watchCache.modRevision(page.storeKey())).put(page.storeKey(), edit.encode());
             }
         }
         return null;
     }
 
     /** Whether a machine that is heard in the zone, of the block where the job's controller places it, has room for one task of the job. */
-    private boolean room(Job j, String zone) {
-        boolean leads = j.controller.equals(blocks.leader());
-        for (MachineTable.Machine m : machines.all()) {
-            Catalog.Shape shape = catalog.get(m.shape());
-            if (m.site().equals(zone) && !m.returning() && !m.closed() && shape != null && Catalog.allowed(j.spec, m.shape()) && (j.spec.preemptible() || !m.spot())
-                    && (leads || j.controller.equals(blocks.owner(m.host()))) && eyes.heard(m.host())) {
-                HostLoad load = jobs.load(m.host());
-                boolean fits = shape.vcpus() - (load == null ? 0 : load.cpus()) >= j.spec.vcpus() - 1e-9 && shape.ramGb() - (load == null ? 0 : load.ramGb()) >= j.spec.ramGb() - 1e-9
-                        && shape.cards() - (load == null ? 0 : load.cards()) >= j.spec.cards() - 1e-9;
+    private boolean hasFreeCapacity(Job job, String zone) {
+        boolean isLeadersJob = job.controllerId.equals(shards.leaderId());
+        for (MachineTable.Machine machine : machines.all()) {
+            Catalog.Shape machineType = catalog.get(machine.machineType());
+            if (machine.zone().equals(zone) && !machine.releasing() && !machine.cordoned() && machineType != null && Catalog.isAllowed(job.spec, machine.machineType()) && (job.spec.preemptible() || !machine.spot())
+                    && (isLeadersJob || job.controllerId.equals(shards.ownerOf(machine.host()))) && machineVisibility.isReachable(machine.host())) {
+                HostLoad load = jobs.loadOf(machine.host());
+                boolean fits = machineType.cpus() - (load == null ? 0 : load.cpus()) >= job.spec.cpus() - 1e-9 && machineType.memoryGb() - (load == null ? 0 : load.memoryGb()) >= job.spec.memoryGb() - 1e-9
+                        && machineType.gpus() - (load == null ? 0 : load.gpus()) >= job.spec.gpus() - 1e-9;
                 if (fits) {
                     return true;
                 }
@@ -241,17 +241,17 @@
     // ---- weights
 
     /** Records which heavy images machines have, a machine record at a time, when the store has changes to spare. */
-    private Txn recordImages() {
-        if (loop.now() - imagesAt < Constants.IMAGES_EVERY_MS || store.pressure() > 0) {
+    private Txn proposeImageRecord() {
+        if (eventLoop.nowMillis() - imagesRecordedAtMillis < Constants.IMAGES_EVERY_MS || store.backpressure() > 0) {
             return null;
         }
-        imagesAt = loop.now();
-        Set<String> looked = new HashSet<>();
-        for (MachineTable.Machine m : machines.all()) {
-            if (!m.returning() && looked.add(m.host()) && !images.heavy(m.host(), settings.heavyGb()).equals(machines.heavy(m.host()))) {
-                Txn txn = leader.txn();
-                machines.edits(txn).put(m);
-                return txn;
+        imagesRecordedAtMillis = eventLoop.nowMillis();
+        Set<String> visitedHosts = new HashSet<>();
+        for (MachineTable.Machine machine : machines.all()) {
+            if (!machine.releasing() && visitedHosts.add(machine.host()) && !imageCaches.largeImages(machine.host(), settings.heavyImageGb()).equals(machines.recordedLargeImages(machine.host()))) {
+                Txn transaction = leader.newTransaction();
+                machines.beginEdits(transaction).put(machine);
+                return transaction;
             }
         }
         return null;
--- a/src/test/java/io/quincelead/app/LayersTest.java
+++ b/src/test/java/io/quincelead/app/LayersTest.java
@@ -30,7 +30,7 @@
     }
 
     /** What runs in simulated time gets its clock, turns and calls handed in. */
-    @Test void onlyNetAndAppTouchSocketsThreadsAndClocks() {
+    @Test void onlyTransportAndProgramsTouchSocketsThreadsAndClocks() {
         noClasses().that().resideOutsideOfPackages("io.quincelead.net..", "io.quincelead.app..").should()
                 .dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.channels..", "java.util.concurrent..", "org.xnio..", "io.undertow..")
                 .orShould().dependOnClassesThat().belongToAnyOf(Thread.class, java.time.Clock.class, java.util.Random.class)
--- a/src/test/java/io/quincelead/app/PackagedIT.java
+++ b/src/test/java/io/quincelead/app/PackagedIT.java
@@ -22,19 +22,19 @@
 class PackagedIT {
     @TempDir Path dir;
 
-    @Test void thePackagedJarStartsAndAnswers() throws Exception {
-        HttpServer trouble = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        trouble.createContext("/", x -> {
-            x.sendResponseHeaders(503, -1);
-            x.close();
+    @Test void packagedJarStartsAndServesRequests() throws Exception {
+        HttpServer failingStore = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+        failingStore.createContext("/", exchange -> {
+            exchange.sendResponseHeaders(503, -1);
+            exchange.close();
         });
-        trouble.setExecutor(Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(r);
-            t.setDaemon(true);
-            return t;
+        failingStore.setExecutor(Executors.newCachedThreadPool(r -> {
+            Thread thread = new Thread(r);
+            thread.setDaemon(true);
+            return thread;
         }));
-        trouble.start();
-        int outside = trouble.getAddress().getPort();
+        failingStore.start();
+        int externalPort = failingStore.getAddress().getPort();
         int port = Main.freePort();
         Path settings = Files.writeString(dir.resolve("s.toml"), """
                 member = "worker-0"
@@ -62,14 +62,14 @@
                 rps = 2.0
                 [settings.limits]
                 max_connections = 100
-                """.formatted(port, Main.freePort(), outside, outside));
+                """.formatted(port, Main.freePort(), externalPort, externalPort));
         String java = ProcessHandle.current().info().command().orElse("java");
-        Process p = new ProcessBuilder(java, "-Xmx64m", "-jar", "target/quincelead.jar", "--config", settings.toString())
+        Process process = new ProcessBuilder(java, "-Xmx64m", "-jar", "target/quincelead.jar", "--config", settings.toString())
                 .redirectErrorStream(true).redirectOutput(new File(dir.toFile(), "log")).start();
         try (var closing = new AutoCloseable() {
             @Override public void close() {
-                p.destroyForcibly();
-                trouble.stop(0);
+                process.destroyForcibly();
+                failingStore.stop(0);
             }
         }) {
             HttpClient http = HttpClient.newHttpClient();
@@ -83,16 +83,16 @@
                 }
             }
             assertEquals(503, ready);
-            byte[] big = new byte[70 * 1024];
-            assertEquals(400, http.send(HttpRequest.newBuilder(base.resolve("/v2/runs")).POST(HttpRequest.BodyPublishers.ofByteArray(big)).build(),
+            byte[] oversizedBody = new byte[70 * 1024];
+            assertEquals(400, http.send(HttpRequest.newBuilder(base.resolve("/v2/runs")).POST(HttpRequest.BodyPublishers.ofByteArray(oversizedBody)).build(),
                     HttpResponse.BodyHandlers.discarding()).statusCode());
             // A body that is too large is not read, so its connection ends; the client may not have seen that yet.
-            HttpClient next = HttpClient.newHttpClient();
-            HttpResponse<byte[]> poll = next.send(HttpRequest.newBuilder(base.resolve("/v2/runs/wk-1")).build(), HttpResponse.BodyHandlers.ofByteArray());
+            HttpClient freshClient = HttpClient.newHttpClient();
+            HttpResponse<byte[]> poll = freshClient.send(HttpRequest.newBuilder(base.resolve("/v2/runs/wk-1")).build(), HttpResponse.BodyHandlers.ofByteArray());
             assertEquals(503, poll.statusCode());
             assertEquals("1", poll.headers().firstValue("Retry-After").orElse(""));
-            assertTrue(Codec.CBOR.readMap(poll.body()).has("error"));
-            assertEquals(404, next.send(HttpRequest.newBuilder(base.resolve("/nothing")).build(), HttpResponse.BodyHandlers.discarding()).statusCode());
+            assertTrue(Codec.CBOR.decodeMap(poll.body()).has("error"));
+            assertEquals(404, freshClient.send(HttpRequest.newBuilder(base.resolve("/nothing")).build(), HttpResponse.BodyHandlers.discarding()).statusCode());
         }
     }
 }
--- a/src/test/java/io/quincelead/app/cli/CliTest.java
+++ b/src/test/java/io/quincelead/app/cli/CliTest.java
@@ -30,10 +30,10 @@
     @TempDir
     private Path dir;
     private XnioWorker worker;
-    private String at;
+    private String controllerAddress;
     private int status = 200;
-    private ObjectNode answer = Codec.map().put("by", "w-0");
-    private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
+    private ObjectNode response = Codec.newMap().put("by", "w-0");
+    private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
@@ -47,10 +47,10 @@
     @BeforeEach void start() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
                 .set(Options.THREAD_DAEMON, true).getMap());
-        at = "127.0.0.1:" + freePort();
-        new HttpServer(worker, at, 20, request -> {
-            asked.add(request.path + " " + new String(request.body));
-            request.answer(status, Codec.JSON, answer, 0);
+        controllerAddress = "127.0.0.1:" + freePort();
+        new HttpServer(worker, controllerAddress, 20, request -> {
+            requests.add(request.path + " " + new String(request.body));
+            request.respond(status, Codec.JSON, response, 0);
         }).start();
     }
 
@@ -66,43 +66,43 @@
         return Files.writeString(dir.resolve("f.json"), text).toString();
     }
 
-    @Test void appliesTheExamplesOfTheRepository() {
-        assertEquals(0, run("classes", "apply", "deploy/classes.example.json", "--at", at, "--change", "c1"));
-        assertEquals(0, run("calendar", "add", "deploy/calendar.example.json", "--at", at, "--dry-run"));
-        assertTrue(asked.get(0).startsWith("/ops/classes/apply ") && asked.get(0).contains("\"change\":\"c1\"") && asked.get(0).contains("morning-ice"), "" + asked);
-        assertTrue(asked.get(1).startsWith("/ops/calendar/add ") && asked.get(1).contains("\"dryRun\":true"), "" + asked);
+    @Test void appliesTheRepositorysExampleFiles() {
+        assertEquals(0, run("classes", "apply", "deploy/classes.example.json", "--at", controllerAddress, "--change", "c1"));
+        assertEquals(0, run("calendar", "add", "deploy/calendar.example.json", "--at", controllerAddress, "--dry-run"));
+        assertTrue(requests.get(0).startsWith("/ops/classes/apply ") && requests.get(0).contains("\"change\":\"c1\"") && requests.get(0).contains("morning-ice"), "" + requests);
+        assertTrue(requests.get(1).startsWith("/ops/calendar/add ") && requests.get(1).contains("\"dryRun\":true"), "" + requests);
     }
 
-    @Test void badFilesAreNamedWithFieldAndWhatIsAllowed() throws Exception {
-        assertEquals(1, run("classes", "apply", file("{\"classes\":[{\"name\":\"a\",\"rank\":2000}]}"), "--at", at));
+    @Test void invalidFilesAreReportedWithFieldAndConstraint() throws Exception {
+        assertEquals(1, run("classes", "apply", file("{\"classes\":[{\"name\":\"a\",\"rank\":2000}]}"), "--at", controllerAddress));
         assertTrue(err.toString().contains("f.json") && err.toString().contains("classes[0].rank") && err.toString().contains("1000"), err.toString());
-        assertEquals(1, run("classes", "apply", file("{"), "--at", at));
+        assertEquals(1, run("classes", "apply", file("{"), "--at", controllerAddress));
         assertEquals(1, run("zones", "list"));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
-    @Test void unknownRefusedAndUnreachableAreToldApart() {
+    @Test void exitCodesDistinguishUnknownRefusedAndUnreachable() {
         status = 409;
-        answer.put("error", "there is an entry already");
-        assertEquals(4, run("calendar", "skip", "e", "2026-12-24", "--at", at));
+        response.put("error", "there is an entry already");
+        assertEquals(4, run("calendar", "skip", "e", "2026-12-24", "--at", controllerAddress));
         status = 503;
-        answer.put("unknown", true);
-        assertEquals(3, run("zones", "hold", "a", "--at", at, "--change", "h7"));
+        response.put("unknown", true);
+        assertEquals(3, run("zones", "hold", "a", "--at", controllerAddress, "--change", "h7"));
         assertTrue(err.toString().contains("repeat with --change h7"), err.toString());
         assertEquals(5, run("classes", "list", "--at", "127.0.0.1:1"));
         assertEquals(2, run("classes", "appply"));
     }
 
-    @Test void allCommandsAreKnownToMain() {
-        Main.OPERATORS.forEach(c -> assertEquals(0, run(c, "--help"), c));
+    @Test void mainKnowsAllOperatorCommands() {
+        Main.OPERATOR_COMMANDS.forEach(c -> assertEquals(0, run(c, "--help"), c));
         assertEquals(2, run("jobs"));
     }
 
-    @Test void aListIsATable() {
-        answer.putArray("list").addObject().put("zone", "a").put("state", "cut").put("since", 1_790_000_000_000L);
-        assertEquals(0, run("zones", "list", "--at", at));
+    @Test void listsArePrintedAsTables() {
+        response.putArray("list").addObject().put("zone", "a").put("state", "cut").put("since", 1_790_000_000_000L);
+        assertEquals(0, run("zones", "list", "--at", controllerAddress));
         assertTrue(out.toString().contains("zone  state") && out.toString().contains("2026-09-21T14:13:20Z"), out.toString());
-        assertEquals(0, run("zones", "plan", "--lost", "a", "--lost", "b", "--json", "--at", at));
-        assertTrue(asked.get(1).contains("[\"a\",\"b\"]") && out.toString().contains("\"by\":\"w-0\""), asked + out.toString());
+        assertEquals(0, run("zones", "plan", "--lost", "a", "--lost", "b", "--json", "--at", controllerAddress));
+        assertTrue(requests.get(1).contains("[\"a\",\"b\"]") && out.toString().contains("\"by\":\"w-0\""), requests + out.toString());
     }
 }
--- a/src/test/java/io/quincelead/base/SettingsTest.java
+++ b/src/test/java/io/quincelead/base/SettingsTest.java
@@ -19,7 +19,7 @@
 class SettingsTest {
     @TempDir Path dir;
 
-    private static final String GOOD = """
+    private static final String VALID_SETTINGS = """
             member = "worker-0"
             domain = "a"
             listen = "10.0.0.1:8080"
@@ -60,43 +60,43 @@
             max_connections = 800
             """;
 
-    private File file(String name, String text) throws IOException {
+    private File writeFile(String name, String text) throws IOException {
         return Files.writeString(dir.resolve(name), text).toFile();
     }
 
-    private String wrong(String text) throws IOException {
-        File f = file("wrong.toml", text);
-        String message = assertThrows(Settings.Invalid.class, () -> Settings.load(f)).getMessage();
+    private String errorFor(String text) throws IOException {
+        File settingsFile = writeFile("wrong.toml", text);
+        String message = assertThrows(Settings.Invalid.class, () -> Settings.load(settingsFile)).getMessage();
         assertTrue(message.contains("wrong.toml") && message.lines().count() == 1, message);
         return message;
     }
 
-    @Test void readsThePlatformsFile() throws Exception {
-        Settings s = Settings.load(file("good.toml", GOOD));
-        assertEquals("worker-0", s.member());
-        assertEquals("10.0.0.2:8081", s.peers().get("worker-1"));
-        assertEquals(7.0, s.teams().get("red").cpusMax());
-        assertEquals(0.0, s.teams().get("red").gpusMax());
-        assertEquals(12, s.store().txnOps());
+    @Test void readsPlatformSettings() throws Exception {
+        Settings settings = Settings.load(writeFile("good.toml", VALID_SETTINGS));
+        assertEquals("worker-0", settings.memberId());
+        assertEquals("10.0.0.2:8081", settings.peerAddresses().get("worker-1"));
+        assertEquals(7.0, settings.teams().get("red").maxCpus());
+        assertEquals(0.0, settings.teams().get("red").maxGpus());
+        assertEquals(12, settings.storeLimits().maxTransactionOperations());
     }
 
-    @Test void namesFileFieldAndWhatIsAllowed() throws Exception {
-        assertTrue(wrong(GOOD.replace("lease_s = 10.0", "lease_s = -1")).contains("settings.workers.lease_s: a number of at least 0.1"));
-        assertTrue(wrong(GOOD.replace("listen = \"10.0.0.1:8080\"", "listen = \"nowhere\"")).contains("listen: an address"));
-        assertTrue(wrong(GOOD.replace("cpus_max = 7.0", "")).contains("settings.teams[0].cpus_max"));
-        assertTrue(wrong(GOOD.replace("[external]", "[other]")).contains("external: a table is required"));
-        assertTrue(wrong("this is = = not TOML").contains("can't be read as TOML"));
+    @Test void errorNamesFileFieldAndAllowedValues() throws Exception {
+        assertTrue(errorFor(VALID_SETTINGS.replace("lease_s = 10.0", "lease_s = -1")).contains("settings.workers.lease_s: a number of at least 0.1"));
+        assertTrue(errorFor(VALID_SETTINGS.replace("listen = \"10.0.0.1:8080\"", "listen = \"nowhere\"")).contains("listen: an address"));
+        assertTrue(errorFor(VALID_SETTINGS.replace("cpus_max = 7.0", "")).contains("settings.teams[0].cpus_max"));
+        assertTrue(errorFor(VALID_SETTINGS.replace("[external]", "[other]")).contains("external: a table is required"));
+        assertTrue(errorFor("this is = = not TOML").contains("can't be read as TOML"));
         assertTrue(assertThrows(Settings.Invalid.class, () -> Settings.load(new File(dir.toFile(), "missing"))).getMessage().contains("missing"));
     }
 
-    @Test void operatorsSettingsFollowTheirSchema() throws Exception {
-        OperatorSettings o = OperatorSettings.load(file("o.json", "{\"alpha\":0.5,\"frequencyByType\":{\"gull\":1.2}}"));
-        assertEquals(0.5, o.alpha());
-        assertEquals(3, o.beta());
-        assertEquals(1.2, o.frequency().get("gull"));
+    @Test void operatorSettingsAreCheckedAgainstTheirSchema() throws Exception {
+        OperatorSettings operatorSettings = OperatorSettings.load(writeFile("o.json", "{\"alpha\":0.5,\"frequencyByType\":{\"gull\":1.2}}"));
+        assertEquals(0.5, operatorSettings.parallelFraction());
+        assertEquals(3, operatorSettings.tebasGroupSize());
+        assertEquals(1.2, operatorSettings.clockSpeedByMachineType().get("gull"));
         for (String bad : new String[] {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"}) {
-            File f = file("bad.json", bad);
-            assertTrue(assertThrows(Settings.Invalid.class, () -> OperatorSettings.load(f)).getMessage().contains("bad.json"), bad);
+            File settingsFile = writeFile("bad.json", bad);
+            assertTrue(assertThrows(Settings.Invalid.class, () -> OperatorSettings.load(settingsFile)).getMessage().contains("bad.json"), bad);
         }
     }
 
@@ -104,14 +104,14 @@
         return new CommandLine(new Main()).setErr(new PrintWriter(err)).setOut(new PrintWriter(err)).execute(args);
     }
 
-    @Test void theCommandLine() throws Exception {
+    @Test void commandLineExitCodes() throws Exception {
         StringWriter err = new StringWriter();
         assertEquals(2, run(err));
         assertEquals(2, run(err, "--nonsense"));
         assertTrue(err.toString().contains("Usage:"));
         StringWriter one = new StringWriter();
-        assertEquals(1, run(one, "--config", file("w.toml", GOOD.replace("count = 2", "count = \"two\"")).toString()));
+        assertEquals(1, run(one, "--config", writeFile("w.toml", VALID_SETTINGS.replace("count = 2", "count = \"two\"")).toString()));
         assertEquals(1, one.toString().lines().count(), one.toString());
-        assertEquals(0, run(err, "--check", "--config", file("g.toml", GOOD).toString()));
+        assertEquals(0, run(err, "--check", "--config", writeFile("g.toml", VALID_SETTINGS).toString()));
     }
 }
--- a/src/test/java/io/quincelead/jobs/UserApiTest.java
+++ b/src/test/java/io/quincelead/jobs/UserApiTest.java
@@ -13,42 +13,42 @@
 
 /** The statuses of the users' table, from a real controller. */
 class UserApiTest {
-    private final World w = new World(1);
+    private final World cluster = new World(1);
     private int status;
     private int retryAfter;
     private ObjectNode answer;
 
     @BeforeEach void start() {
-        w.start();
-        w.sim.run(8_000);
+        cluster.start();
+        cluster.clock.runUntil(8_000);
     }
 
     private int call(String method, String path, byte[] body) {
-        w.net.call(World.USERS, "10.0.0.1:8080", method, path, body, 5_000, (s, b, retry) -> {
-            status = s;
-            answer = Codec.CBOR.readMap(b);
-            retryAfter = retry;
+        cluster.network.call(World.USERS_ADDRESS, "10.0.0.1:8080", method, path, body, 5_000, (responseStatus, responseBody, responseRetryAfter) -> {
+            status = responseStatus;
+            answer = Codec.CBOR.decodeMap(responseBody);
+            retryAfter = responseRetryAfter;
         });
-        w.sim.run(w.sim.now() + 3_000);
+        cluster.clock.runUntil(cluster.clock.nowMillis() + 3_000);
         return status;
     }
 
-    private ObjectNode good(int id) {
-        JobSpec s = Jobs.array(id, "red", JobSpec.Urgency.HIGH, 2, 1, 5);
-        w.upload(s);
-        return s.encode();
+    private ObjectNode validJob(int id) {
+        JobSpec spec = Jobs.array(id, "red", JobSpec.Urgency.HIGH, 2, 1, 5);
+        cluster.upload(spec);
+        return spec.encode();
     }
 
     private int submit(ObjectNode job) {
-        return call("POST", "/v2/runs", Codec.CBOR.write(job));
+        return call("POST", "/v2/runs", Codec.CBOR.encode(job));
     }
 
     @Test void acceptsOnceAndKnowsARetry() {
-        assertEquals(201, submit(good(1)));
+        assertEquals(201, submit(validJob(1)));
         assertEquals("pending", answer.path("status").asText());
-        assertEquals(200, submit(good(1)));
-        w.sim.run(60_000);
-        assertEquals(200, submit(good(1)));
+        assertEquals(200, submit(validJob(1)));
+        cluster.clock.runUntil(60_000);
+        assertEquals(200, submit(validJob(1)));
         assertEquals("done", answer.path("status").asText());
         assertEquals(200, call("GET", "/v2/runs/wk-000001", null));
         assertEquals(2, answer.path("done").asInt());
@@ -56,34 +56,34 @@
 
     @Test void malformedIs400WithAReason() {
         assertEquals(400, call("POST", "/v2/runs", new byte[] {1, 2, 3}));
-        assertEquals(400, call("POST", "/v2/runs", Codec.CBOR.write(Codec.list())));
+        assertEquals(400, call("POST", "/v2/runs", Codec.CBOR.encode(Codec.newList())));
         for (String field : new String[] {"nameId", "jobClass", "owner", "mode", "urgency", "members", "vcpus", "ramGb", "preemptible", "runtimeS"}) {
-            ObjectNode missing = good(2);
+            ObjectNode missing = validJob(2);
             missing.remove(field);
             assertEquals(400, submit(missing), field);
             assertTrue(answer.path("error").asText().contains(field));
         }
-        assertEquals(400, submit(good(2).put("members", 0)));
-        assertEquals(400, submit(good(2).put("members", 1.5)));
-        assertEquals(400, submit(good(2).put("members", 100_001)));
-        assertEquals(400, submit(good(2).put("vcpus", -1)));
-        assertEquals(400, submit(good(2).put("vcpus", Double.NaN)));
-        assertEquals(400, submit(good(2).put("ramGb", "much")));
-        assertEquals(400, submit(good(2).put("urgency", "low")));
-        assertEquals(400, submit(good(2).put("nameId", "a/../b")));
-        assertEquals(400, submit(good(2).put("shapes", "gull")));
+        assertEquals(400, submit(validJob(2).put("members", 0)));
+        assertEquals(400, submit(validJob(2).put("members", 1.5)));
+        assertEquals(400, submit(validJob(2).put("members", 100_001)));
+        assertEquals(400, submit(validJob(2).put("vcpus", -1)));
+        assertEquals(400, submit(validJob(2).put("vcpus", Double.NaN)));
+        assertEquals(400, submit(validJob(2).put("ramGb", "much")));
+        assertEquals(400, submit(validJob(2).put("urgency", "low")));
+        assertEquals(400, submit(validJob(2).put("nameId", "a/../b")));
+        assertEquals(400, submit(validJob(2).put("shapes", "gull")));
     }
 
     @Test void whatCanNeverRunIs422() {
-        assertEquals(422, submit(good(3).put("owner", "green")));
-        assertEquals(422, submit(good(3).put("vcpus", 17)));
-        assertEquals(422, submit(good(3).put("site", "nowhere")));
-        assertEquals(422, submit(good(3).put("mode", "ensemble").put("members", 41)));
+        assertEquals(422, submit(validJob(3).put("owner", "green")));
+        assertEquals(422, submit(validJob(3).put("vcpus", 17)));
+        assertEquals(422, submit(validJob(3).put("site", "nowhere")));
+        assertEquals(422, submit(validJob(3).put("mode", "ensemble").put("members", 41)));
         assertTrue(answer.path("error").asText().contains("members"));
-        ObjectNode apart = good(3).put("mode", "ensemble").put("oneZone", true).put("scatter", true);
+        ObjectNode apart = validJob(3).put("mode", "ensemble").put("oneZone", true).put("scatter", true);
         assertEquals(422, submit(apart));
         assertTrue(answer.path("error").asText().contains("scatter"));
-        ObjectNode shape = good(3);
+        ObjectNode shape = validJob(3);
         shape.putArray("shapes").add("small");
         assertEquals(422, submit(shape.put("cards", 1)));
     }
@@ -91,31 +91,31 @@
     @Test void unknownJobsPathsAndMethods() {
         assertEquals(404, call("GET", "/v2/runs/wk-123", null));
         assertEquals(404, call("GET", "/v2/runs/nonsense", null));
-        assertEquals(404, call("POST", "/v2/runs/wk-123/cancel", Codec.CBOR.write(Codec.map())));
+        assertEquals(404, call("POST", "/v2/runs/wk-123/cancel", Codec.CBOR.encode(Codec.newMap())));
         assertEquals(404, call("GET", "/nothing", null));
         assertEquals(405, call("DELETE", "/v2/runs", null));
         assertEquals(405, call("POST", "/ready", null));
         assertEquals(200, call("GET", "/ready", null));
-        assertEquals(400, call("POST", "/v1/report", Codec.CBOR.write(Codec.map().put("host", 7))));
+        assertEquals(400, call("POST", "/v1/report", Codec.CBOR.encode(Codec.newMap().put("host", 7))));
     }
 
     @Test void cancelIsKept() {
-        assertEquals(201, submit(good(4)));
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.write(Codec.map())));
+        assertEquals(201, submit(validJob(4)));
+        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.encode(Codec.newMap())));
         assertEquals("cancelled", answer.path("status").asText());
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.write(Codec.map())));
+        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.encode(Codec.newMap())));
         assertEquals(200, call("GET", "/v2/runs/wk-000004", null));
         assertEquals("cancelled", answer.path("status").asText());
     }
 
     @Test void whileTheStoreIsDownUsersAreToldToComeBackAtOnce() {
-        w.store.outage(true);
-        w.sim.run(w.sim.now() + 10_000);
-        long before = w.sim.now();
-        assertEquals(503, submit(good(5)));
+        cluster.store.setDown(true);
+        cluster.clock.runUntil(cluster.clock.nowMillis() + 10_000);
+        long before = cluster.clock.nowMillis();
+        assertEquals(503, submit(validJob(5)));
         assertEquals(1, retryAfter);
         assertEquals(503, call("GET", "/v2/runs/wk-000001", null));
         assertEquals(503, call("GET", "/ready", null));
-        assertTrue(w.sim.now() - before <= 9_000);
+        assertTrue(cluster.clock.nowMillis() - before <= 9_000);
     }
 }
