--- a/src/test/java/io/quincelead/world/MoreMeetingsTest.java
+++ b/src/test/java/io/quincelead/world/MoreMeetingsTest.java
@@ -1,9 +1,9 @@
 package io.quincelead.world;
 
-import static io.quincelead.world.MeetingsTest.LONG_LEASE_MS;
-import static io.quincelead.world.MeetingsTest.assertAllDone;
-import static io.quincelead.world.MeetingsTest.names;
-import static io.quincelead.world.MeetingsTest.world;
+import static io.quincelead.world.MeetingsTest.LONG_LEASE_MILLIS;
+import static io.quincelead.world.MeetingsTest.anyStartsWith;
+import static io.quincelead.world.MeetingsTest.assertAllJobsFinished;
+import static io.quincelead.world.MeetingsTest.clusterWithReadyMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,21 +27,21 @@
 
 /** More troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it came about. */
 class MoreMeetingsTest {
-    private static double use(World w, String team) {
-        return w.cloud.machines.values().stream().flatMap(m -> m.tasks.values().stream()).filter(Worker.Task::on)
-                .map(t -> w.spec(t.name)).filter(s -> s.owner().equals(team)).mapToDouble(JobSpec::vcpus).sum();
+    private static double cpusInUse(World cluster, String team) {
+        return cluster.cloud.machines.values().stream().flatMap(worker -> worker.tasks.values().stream()).filter(Worker.Task::occupiesMachine)
+                .map(task -> cluster.jobOfTask(task.name)).filter(job -> job.team().equals(team)).mapToDouble(JobSpec::cpus).sum();
     }
 
-    private static String ip(Worker m) {
-        return m.addr.substring(0, m.addr.indexOf(':'));
+    private static String ipOf(Worker worker) {
+        return worker.address.substring(0, worker.address.indexOf(':'));
     }
 
-    private static List<String> controllers(World w) {
-        return w.controllers.stream().map(c -> c.ip).toList();
+    private static List<String> controllerIps(World cluster) {
+        return cluster.controllers.stream().map(controller -> controller.ip).toList();
     }
 
     /** What the machines of the cancelled jobs do meanwhile. */
-    private enum Machines { CUT, HUNG, DEAF, MUTE }
+    private enum Machines { PARTITIONED, HUNG, UNREACHABLE_INBOUND, UNREACHABLE_OUTBOUND }
 
     /**
      * Every team is at its limit, half of its jobs are cancelled, the machines that run them can't be asked, and the leader changes: what
@@ -49,313 +49,313 @@
      */
     @ParameterizedTest
     @EnumSource(Machines.class)
-    void teamsAtTheirLimitGetTheirRoomBack(Machines how) {
+    void quotaOfCancelledTasksOnFaultyMachinesIsReleased(Machines fault) {
         for (int seed = 1; seed <= 4; seed++) {
-            World w = world(seed, 3, 24);
-            w.leaseMs = LONG_LEASE_MS;
-            w.teams.put("red", new Settings.Team("red", 20, 40, 0, 0));
-            w.start();
+            World cluster = clusterWithReadyMachines(seed, 3, 24);
+            cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+            cluster.teams.put("red", new Settings.Team("red", 20, 40, 0, 0));
+            cluster.start();
             // Both teams are at their limits with long tasks; as much again waits.
             for (int i = 1; i <= 40; i++) {
-                JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, i <= 20 ? 300 : 20);
-                w.sim.after(2_000 + i * 100L, () -> w.submit(s));
+                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, i <= 20 ? 300 : 20);
+                cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
             }
-            w.sim.run(30_000);
-            assertTrue(use(w, "red") > 35 && use(w, "blue") > 21, "use: " + use(w, "red") + ", " + use(w, "blue"));
+            cluster.clock.runUntil(30_000);
+            assertTrue(cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21, "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
             Set<String> cancelled = new HashSet<>();
-            for (Worker m : w.cloud.machines.values()) {
-                for (Worker.Task t : m.tasks.values()) {
-                    if (t.on() && cancelled.size() < 10) {
-                        cancelled.add(w.spec(t.name).id());
+            for (Worker worker : cluster.cloud.machines.values()) {
+                for (Worker.Task task : worker.tasks.values()) {
+                    if (task.occupiesMachine() && cancelled.size() < 10) {
+                        cancelled.add(cluster.jobOfTask(task.name).jobId());
                     }
                 }
             }
-            long span = how == Machines.HUNG ? 20_000 : 60_000;
-            int[] hit = {0};
-            for (Worker m : new ArrayList<>(w.cloud.machines.values())) {
-                if (m.tasks.values().stream().anyMatch(t -> cancelled.contains(w.spec(t.name).id())) && hit[0] < 8) {
-                    hit[0]++;
-                    switch (how) {
-                        case CUT -> Troubles.cut(w, ip(m), controllers(w), span);
-                        case DEAF -> Meetings.deaf(w, m, span);
-                        case MUTE -> Meetings.mute(w, m, span);
+            long durationMillis = fault == Machines.HUNG ? 20_000 : 60_000;
+            int[] faultyMachines = {0};
+            for (Worker worker : new ArrayList<>(cluster.cloud.machines.values())) {
+                if (worker.tasks.values().stream().anyMatch(task -> cancelled.contains(cluster.jobOfTask(task.name).jobId())) && faultyMachines[0] < 8) {
+                    faultyMachines[0]++;
+                    switch (fault) {
+                        case PARTITIONED -> Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), durationMillis);
+                        case UNREACHABLE_INBOUND -> Meetings.makeUnreachableInbound(cluster, worker, durationMillis);
+                        case UNREACHABLE_OUTBOUND -> Meetings.makeUnreachableOutbound(cluster, worker, durationMillis);
                         default -> {
-                            m.hang(true);
-                            w.sim.after(span, () -> m.hang(false));
+                            worker.setHung(true);
+                            cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
                         }
                     }
                 }
             }
-            assertTrue(hit[0] >= 3, "machines: " + hit[0]);
-            int old = Meetings.leader(w);
-            cancelled.forEach(id -> w.sim.after(w.sim.random.nextLong(200), () -> w.cancel(id)));
-            w.sim.after(300 * seed, () -> Troubles.crash(w, old, 8_000));
-            w.troubled(30_000 + span);
+            assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
+            int oldLeader = Meetings.leaderIndex(cluster);
+            cancelled.forEach(id -> cluster.clock.schedule(cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
+            cluster.clock.schedule(300 * seed, () -> Troubles.crashController(cluster, oldLeader, 8_000));
+            cluster.expectFaultsUntil(30_000 + durationMillis);
             // The lease, its slack, the new leader and a round: from then on others of the team run there.
-            w.sim.run(30_000 + 75_000);
-            assertTrue(cancelled.stream().allMatch(id -> w.told(id, "cancelled") || w.told(id, "done")), how + ": not all were told");
+            cluster.clock.runUntil(30_000 + 75_000);
+            assertTrue(cancelled.stream().allMatch(id -> cluster.wasToldFinalStatus(id, "cancelled") || cluster.wasToldFinalStatus(id, "done")), fault + ": not all were told");
             // Red's waiting jobs are short: they have all run in the room that came free. Blue has enough long ones to be at its limit still.
-            long begun = w.specs.values().stream().filter(s -> s.owner().equals("red") && w.service().begunAfter(s.id()) >= 0).count();
-            assertTrue(begun == 20 && use(w, "blue") > 19, how + ", seed " + seed + ": " + begun + " of red begun, blue uses " + use(w, "blue"));
-            w.sim.run(900_000);
-            assertAllDone(w, 40);
+            long startedJobs = cluster.jobsById.values().stream().filter(job -> job.team().equals("red") && cluster.serviceLevels().firstStartDelayMillis(job.jobId()) >= 0).count();
+            assertTrue(startedJobs == 20 && cpusInUse(cluster, "blue") > 19, fault + ", seed " + seed + ": " + startedJobs + " of red begun, blue uses " + cpusInUse(cluster, "blue"));
+            cluster.clock.runUntil(900_000);
+            assertAllJobsFinished(cluster, 40);
         }
     }
 
-    private static Set<String> onTwoRecords(World w) {
+    private static Set<String> machinesOnTwoRecords(World cluster) {
         Set<String> seen = new HashSet<>();
-        Set<String> twice = new HashSet<>();
-        for (String key : w.store.keys()) {
+        Set<String> duplicates = new HashSet<>();
+        for (String key : cluster.store.keys()) {
             if (key.startsWith("a/m/")) {
-                w.store.value(key).path("h").forEach(h -> {
-                    if (!seen.add(h.asText())) {
-                        twice.add(h.asText());
+                cluster.store.value(key).path("h").forEach(host -> {
+                    if (!seen.add(host.asText())) {
+                        duplicates.add(host.asText());
                     }
                 });
             }
         }
-        return twice;
+        return duplicates;
     }
 
     /** What the leader does last. */
     private enum Last {
-        RENTAL(t -> names(t.path("then"), "put", "a/r/")),
-        TAKING_IN(t -> names(t.path("then"), "remove", "a/r/") && names(t.path("then"), "put", "a/m/")),
-        GRANT(t -> names(t.path("then"), "put", "a/b/") && names(t.path("then"), "put", "a/term")),
-        FIRST_START(t -> names(t.path("then"), "put", "a/j/") && t.toString().contains("i-0"));
+        PROVISIONING_REQUEST(transaction -> anyStartsWith(transaction.path("then"), "put", "a/r/")),
+        MACHINE_REGISTRATION(transaction -> anyStartsWith(transaction.path("then"), "remove", "a/r/") && anyStartsWith(transaction.path("then"), "put", "a/m/")),
+        SHARD_GRANT(transaction -> anyStartsWith(transaction.path("then"), "put", "a/b/") && anyStartsWith(transaction.path("then"), "put", "a/term")),
+        FIRST_START(transaction -> anyStartsWith(transaction.path("then"), "put", "a/j/") && transaction.toString().contains("i-0"));
 
-        private final Predicate<ObjectNode> is;
+        private final Predicate<ObjectNode> matcher;
 
-        Last(Predicate<ObjectNode> is) {
-            this.is = is;
+        Last(Predicate<ObjectNode> matcher) {
+            this.matcher = matcher;
         }
     }
 
     /** Machines are up within two seconds and get work at once, writes lag, and the leader's last change is each of those that brought them. */
     @ParameterizedTest
     @EnumSource(Last.class)
-    void machinesThatAreUpAtOnceOutliveTheirLeader(Last last) {
+    void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(Last lastWrite) {
         for (int seed = 1; seed <= 5; seed++) {
-            World w = new World(200 + seed);
-            w.patienceMs = 200_000;
-            w.cloud.quickBoots = true;
-            w.start();
-            w.sim.run(7_000);
-            w.store.lateWrites = 0.25;
-            int[] met = {0};
-            Set<String> twice = new HashSet<>();
-            w.store.committed = t -> {
-                if (names(t.path("then"), "put", "a/m/")) {
-                    twice.addAll(onTwoRecords(w));
+            World cluster = new World(200 + seed);
+            cluster.submissionRetryMillis = 200_000;
+            cluster.cloud.fastBoots = true;
+            cluster.start();
+            cluster.clock.runUntil(7_000);
+            cluster.store.delayedWriteRate = 0.25;
+            int[] occurrences = {0};
+            Set<String> duplicateHosts = new HashSet<>();
+            cluster.store.commitObserver = transaction -> {
+                if (anyStartsWith(transaction.path("then"), "put", "a/m/")) {
+                    duplicateHosts.addAll(machinesOnTwoRecords(cluster));
                 }
-                if (last.is.test(t) && met[0]++ % 3 == 0 && met[0] < 8) {
-                    w.sim.after(met[0] % 2, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 300 + 900L * (met[0] % 4)));
+                if (lastWrite.matcher.test(transaction) && occurrences[0]++ % 3 == 0 && occurrences[0] < 8) {
+                    cluster.clock.schedule(occurrences[0] % 2, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 300 + 900L * (occurrences[0] % 4)));
                 }
             };
             for (int i = 1; i <= 20; i++) {
-                JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 3, 2, 8);
-                w.sim.after(i * 1_200L, () -> w.submit(s));
+                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 3, 2, 8);
+                cluster.clock.schedule(i * 1_200L, () -> cluster.submit(job));
             }
-            w.sim.after(45_000, () -> w.store.lateWrites = 0);
-            w.troubled(65_000);
-            w.sim.run(60_000);
-            assertTrue(met[0] > 0, last + ", seed " + seed + ": none");
-            w.sim.run(500_000);
-            assertEquals(Set.of(), w.broken(), last + ", seed " + seed);
-            assertAllDone(w, 20);
-            assertTrue(w.cloud.rented() < 60, "rented: " + w.cloud.rented());
-            assertEquals(0, w.cloud.machines.size(), "machines that nobody returned");
-            assertEquals(Set.of(), twice, last + ", seed " + seed + ": machines on two records");
+            cluster.clock.schedule(45_000, () -> cluster.store.delayedWriteRate = 0);
+            cluster.expectFaultsUntil(65_000);
+            cluster.clock.runUntil(60_000);
+            assertTrue(occurrences[0] > 0, lastWrite + ", seed " + seed + ": none");
+            cluster.clock.runUntil(500_000);
+            assertEquals(Set.of(), cluster.violations(), lastWrite + ", seed " + seed);
+            assertAllJobsFinished(cluster, 20);
+            assertTrue(cluster.cloud.rentedMachineCount() < 60, "rented: " + cluster.cloud.rentedMachineCount());
+            assertEquals(0, cluster.cloud.machines.size(), "machines that nobody returned");
+            assertEquals(Set.of(), duplicateHosts, lastWrite + ", seed " + seed + ": machines on two records");
         }
     }
 
     /** Of what the old reports are that arrive. */
-    private enum Old { TERM, SESSION, ATTEMPT }
+    private enum Old { FENCING_TOKEN, AGENT_EPOCH, ATTEMPT }
 
     /** Old reports reach every controller as a leader begins: before its first grant, while it claims, and after that. */
     @ParameterizedTest
     @EnumSource(Old.class)
-    void oldReportsAsALeaderBeginsProveNothing(Old of) {
+    void staleHeartbeatsAtFailoverAreNoEvidence(Old staleElement) {
         for (int seed = 1; seed <= 6; seed++) {
-            World w = world(300 + seed, 3, 14);
-            w.reportMs = 2_000;
-            w.start();
+            World cluster = clusterWithReadyMachines(300 + seed, 3, 14);
+            cluster.heartbeatIntervalMillis = 2_000;
+            cluster.start();
             for (int i = 1; i <= 16; i++) {
-                JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", of == Old.ATTEMPT && i % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL, 5, 1, 40);
-                w.sim.after(2_000 + i * 300L, () -> w.submit(s));
+                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", staleElement == Old.ATTEMPT && i % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL, 5, 1, 40);
+                cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
             }
-            w.sim.run(10_000);
-            w.net.keptReports = 0.5;
-            w.sim.run(16_000);
-            w.net.keptReports = 0;
-            switch (of) {
+            cluster.clock.runUntil(10_000);
+            cluster.network.heartbeatRetentionRate = 0.5;
+            cluster.clock.runUntil(16_000);
+            cluster.network.heartbeatRetentionRate = 0;
+            switch (staleElement) {
                 // Machines change hands and get a new term.
-                case TERM -> Troubles.crash(w, (Meetings.leader(w) + 1) % 3, 12_000);
+                case FENCING_TOKEN -> Troubles.crashController(cluster, (Meetings.leaderIndex(cluster) + 1) % 3, 12_000);
                 // They lose their sessions with all that they run.
-                case SESSION -> w.cloud.machines.values().stream().limit(6).toList().forEach(m -> Troubles.cut(w, ip(m), controllers(w), 12_000));
+                case AGENT_EPOCH -> cluster.cloud.machines.values().stream().limit(6).toList().forEach(worker -> Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), 12_000));
                 // Their tasks fail and begin again.
-                default -> w.cloud.machines.values().stream().filter(m -> !m.tasks.isEmpty()).limit(5).toList()
-                        .forEach(m -> m.tasks.values().stream().filter(Worker.Task::on).toList().forEach(t -> m.end(t, "error")));
+                default -> cluster.cloud.machines.values().stream().filter(worker -> !worker.tasks.isEmpty()).limit(5).toList()
+                        .forEach(worker -> worker.tasks.values().stream().filter(Worker.Task::occupiesMachine).toList().forEach(task -> worker.endTask(task, "error")));
             }
-            w.sim.run(34_000);
-            List<String> all = w.controllers.stream().map(c -> c.listen).toList();
-            long late = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
-            boolean[] led = {false};
-            Meetings.asLeaderBegins(w, 60_000, () -> {
-                led[0] = true;
-                w.sim.after(late, () -> w.net.bringKept(all));
+            cluster.clock.runUntil(34_000);
+            List<String> addresses = cluster.controllers.stream().map(controller -> controller.userAddress).toList();
+            long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
+            boolean[] elected = {false};
+            Meetings.onLeaderElected(cluster, 60_000, () -> {
+                elected[0] = true;
+                cluster.clock.schedule(replayDelayMillis, () -> cluster.network.replayRetainedHeartbeats(addresses));
             });
-            Troubles.crash(w, Math.max(0, Meetings.leader(w)), seed % 2 == 0 ? 300 : 9_000);
-            w.troubled(60_000);
-            w.sim.run(60_000);
-            assertTrue(led[0] && w.net.keptArrived > 20, of + ": " + w.net.keptArrived + " arrived");
-            w.sim.run(500_000);
-            assertEquals(Set.of(), w.broken(), of + ", seed " + seed);
-            assertAllDone(w, 16);
+            Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), seed % 2 == 0 ? 300 : 9_000);
+            cluster.expectFaultsUntil(60_000);
+            cluster.clock.runUntil(60_000);
+            assertTrue(elected[0] && cluster.network.replayedHeartbeats > 20, staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
+            cluster.clock.runUntil(500_000);
+            assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
+            assertAllJobsFinished(cluster, 16);
         }
     }
 
     /** A report is held up until a new leader has acted, and then arrives there. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aReportThatWaitsForTheNextLeaderProvesNothing(long seed) {
-        World w = world(seed, 3, 14);
-        w.start();
+    void heartbeatsHeldUntilFailoverAreNoEvidence(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 14);
+        cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, 12);
-            w.sim.after(2_000 + i * 1_000L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, 12);
+            cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
-        w.sim.run(14_000);
-        Meetings.holdReports(w, 0.4, 6_000, 40_000);
-        w.sim.after(3_000, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 10_000));
-        w.sim.after(9_000, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 400));
-        w.sim.run(60_000);
-        assertTrue(w.net.heldArrived > 10, "held: " + w.net.heldArrived);
-        w.sim.run(500_000);
-        assertAllDone(w, 24);
+        cluster.clock.runUntil(14_000);
+        Meetings.holdHeartbeats(cluster, 0.4, 6_000, 40_000);
+        cluster.clock.schedule(3_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 10_000));
+        cluster.clock.schedule(9_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 400));
+        cluster.clock.runUntil(60_000);
+        assertTrue(cluster.network.releasedHeartbeats > 10, "held: " + cluster.network.releasedHeartbeats);
+        cluster.clock.runUntil(500_000);
+        assertAllJobsFinished(cluster, 24);
     }
 
     /** What goes wrong beside the stream of small jobs. */
-    private enum Beside { NOTHING, SLOW_STORE, LEADER_ENDS_TWICE }
+    private enum Beside { NOTHING, SLOW_STORE, LEADER_CRASHES_TWICE }
 
     /** One-task jobs come four a second for five minutes, a quarter of them cancelled. */
     @ParameterizedTest
     @EnumSource(Beside.class)
-    void smallJobsFourASecondAreAllTold(Beside beside) {
-        World w = world(400 + beside.ordinal(), 3, 12);
-        w.state = new Settings.State(400, 60, 8, 12);
-        w.start();
-        w.sim.run(8_000);
-        long before = w.store.generation();
-        w.users.oneTaskJobs(1_200, 250);
-        if (beside == Beside.SLOW_STORE) {
-            w.store.slowMs = 400;
-            w.sim.after(300_000, () -> w.store.slowMs = 0);
-        } else if (beside == Beside.LEADER_ENDS_TWICE) {
-            for (long t : new long[] {80_000, 200_000}) {
-                w.sim.after(t, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 3_000));
+    void streamOfSingleTaskJobsIsAnsweredInTime(Beside fault) {
+        World cluster = clusterWithReadyMachines(400 + fault.ordinal(), 3, 12);
+        cluster.storeSettings = new Settings.State(400, 60, 8, 12);
+        cluster.start();
+        cluster.clock.runUntil(8_000);
+        long firstRevision = cluster.store.revision();
+        cluster.users.submitSingleTaskJobs(1_200, 250);
+        if (fault == Beside.SLOW_STORE) {
+            cluster.store.maxExtraLatencyMillis = 400;
+            cluster.clock.schedule(300_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+        } else if (fault == Beside.LEADER_CRASHES_TWICE) {
+            for (long atMillis : new long[] {80_000, 200_000}) {
+                cluster.clock.schedule(atMillis, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 3_000));
             }
         }
-        w.troubled(308_000);
-        w.sim.run(340_000);
-        long[] waits = w.acceptedAfter.values().stream().mapToLong(x -> x).sorted().toArray();
-        double changes = (w.store.generation() - before) / 1_200.0;
-        String seen = beside + ": accepted after " + waits[waits.length / 2] + ", " + waits[waits.length * 99 / 100] + ", " + waits[waits.length - 1]
-                + " ms, " + changes + " commits a job, " + w.net.mostOpen + " requests at once";
-        assertTrue(waits.length > 1_150, seen);
-        assertTrue(waits[waits.length / 2] < 1_000 && waits[waits.length * 99 / 100] < 12_000, seen);
-        assertTrue(changes < 6 && w.net.mostOpen < 250, seen);
-        w.sim.run(400_000);
-        assertAllDone(w, 1_200);
-        assertTrue(w.specs.keySet().stream().filter(id -> w.cancelledAt(id) >= 0).count() > 100, "cancelled");
+        cluster.expectFaultsUntil(308_000);
+        cluster.clock.runUntil(340_000);
+        long[] delaysMillis = cluster.acceptanceDelayMillis.values().stream().mapToLong(delay -> delay).sorted().toArray();
+        double commitsPerJob = (cluster.store.revision() - firstRevision) / 1_200.0;
+        String summary = fault + ": accepted after " + delaysMillis[delaysMillis.length / 2] + ", " + delaysMillis[delaysMillis.length * 99 / 100] + ", " + delaysMillis[delaysMillis.length - 1]
+                + " ms, " + commitsPerJob + " commits a job, " + cluster.network.maxOpenCalls + " requests at once";
+        assertTrue(delaysMillis.length > 1_150, summary);
+        assertTrue(delaysMillis[delaysMillis.length / 2] < 1_000 && delaysMillis[delaysMillis.length * 99 / 100] < 12_000, summary);
+        assertTrue(commitsPerJob < 6 && cluster.network.maxOpenCalls < 250, summary);
+        cluster.clock.runUntil(400_000);
+        assertAllJobsFinished(cluster, 1_200);
+        assertTrue(cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0).count() > 100, "cancelled");
     }
 
     /** A zone with its workers and one controller is cut off for longer than the lease, and jobs are cancelled on both sides. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aZoneThatIsCutOffWithAControllerKeepsTheRules(long seed) {
-        World w = world(seed, 3, 16);
-        w.leaseMs = LONG_LEASE_MS;
-        w.start();
+    void zonePartitionedWithAControllerKeepsInvariants(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+        cluster.start();
         for (int i = 1; i <= 16; i++) {
-            JobSpec s = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 80);
-            w.sim.after(2_000, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 80);
+            cluster.clock.schedule(2_000, () -> cluster.submit(job));
         }
-        w.sim.run(20_000);
-        int inside = seed % 2 == 0 ? Meetings.leader(w) : (Meetings.leader(w) + 1) % 3;
-        long running = w.cloud.machines.values().stream().filter(m -> m.site.equals("a") && !m.tasks.isEmpty()).count();
-        Troubles.cutZone(w, "a", inside, 45_000);
+        cluster.clock.runUntil(20_000);
+        int insideController = seed % 2 == 0 ? Meetings.leaderIndex(cluster) : (Meetings.leaderIndex(cluster) + 1) % 3;
+        long busyMachines = cluster.cloud.machines.values().stream().filter(worker -> worker.zone.equals("a") && !worker.tasks.isEmpty()).count();
+        Troubles.partitionZone(cluster, "a", insideController, 45_000);
         for (int i = 1; i <= 6; i++) {
             String id = String.format("wk-%06d", i);
-            w.sim.after(i * 3_000L, () -> w.cancel(id));
+            cluster.clock.schedule(i * 3_000L, () -> cluster.cancel(id));
         }
         if (seed == 3) {
-            w.sim.after(20_000, () -> Troubles.crash(w, (inside + 1) % 3, 500));
+            cluster.clock.schedule(20_000, () -> Troubles.crashController(cluster, (insideController + 1) % 3, 500));
         }
-        w.sim.run(64_000);
-        assertTrue(running > 2, "machines in the zone: " + running);
-        assertNotEquals(inside, Meetings.leader(w));
-        w.sim.run(600_000);
-        assertAllDone(w, 16);
+        cluster.clock.runUntil(64_000);
+        assertTrue(busyMachines > 2, "machines in the zone: " + busyMachines);
+        assertNotEquals(insideController, Meetings.leaderIndex(cluster));
+        cluster.clock.runUntil(600_000);
+        assertAllJobsFinished(cluster, 16);
     }
 
     /** Leaders change ten times in two minutes, also while the store is down. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void tenLeadersInTwoMinutesKeepTheRules(long seed) {
-        World w = world(seed, 3, 16);
-        w.patienceMs = 300_000;
-        w.start();
+    void tenLeaderChangesInTwoMinutesKeepInvariants(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        cluster.submissionRetryMillis = 300_000;
+        cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 4, 1, 25);
-            w.sim.after(2_000 + i * 3_500L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 4, 1, 25);
+            cluster.clock.schedule(2_000 + i * 3_500L, () -> cluster.submit(job));
             if (i % 4 == 0) {
-                w.sim.after(6_000 + i * 3_500L, () -> w.cancel(s.id()));
+                cluster.clock.schedule(6_000 + i * 3_500L, () -> cluster.cancel(job.jobId()));
             }
         }
-        int[] leaders = {0};
-        Meetings.asLeaderBegins(w, 200_000, () -> leaders[0]++);
-        w.sim.after(8_000, () -> Meetings.leadersChange(w, 11, 11_000));
+        int[] elections = {0};
+        Meetings.onLeaderElected(cluster, 200_000, () -> elections[0]++);
+        cluster.clock.schedule(8_000, () -> Meetings.changeLeadersRepeatedly(cluster, 11, 11_000));
         if (seed % 2 == 0) {
-            w.sim.after(50_000, () -> Meetings.outage(w, 30_000));
+            cluster.clock.schedule(50_000, () -> Meetings.storeOutage(cluster, 30_000));
             for (int k = 0; k < 6; k++) {
-                int c = k % 3;
-                w.sim.after(52_000 + k * 4_000L, () -> Troubles.crash(w, c, 300));
+                int controller = k % 3;
+                cluster.clock.schedule(52_000 + k * 4_000L, () -> Troubles.crashController(cluster, controller, 300));
             }
         }
-        w.sim.run(200_000);
-        assertTrue(leaders[0] >= (seed % 2 == 0 ? 8 : 10), "leaders: " + leaders[0]);
-        w.sim.run(700_000);
-        assertAllDone(w, 30);
+        cluster.clock.runUntil(200_000);
+        assertTrue(elections[0] >= (seed % 2 == 0 ? 8 : 10), "leaders: " + elections[0]);
+        cluster.clock.runUntil(700_000);
+        assertAllJobsFinished(cluster, 30);
     }
 
     /** Workers reach no controller while direct commands reach them: they are not taken for well, and what they run ends with their lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void workersThatReachNobodyAreGivenUp(long seed) {
-        World w = world(seed, 3, 12);
-        w.start();
+    void workersUnreachableOutboundAreDeclaredLost(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        cluster.start();
         for (int i = 1; i <= 14; i++) {
-            JobSpec s = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 5, 1, i < 7 ? 60 : 12);
-            w.sim.after(i < 7 ? 2_000 : 15_000 + i * 2_000L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 5, 1, i < 7 ? 60 : 12);
+            cluster.clock.schedule(i < 7 ? 2_000 : 15_000 + i * 2_000L, () -> cluster.submit(job));
         }
-        w.sim.run(16_000);
-        List<Worker> mute = w.cloud.machines.values().stream().filter(m -> m.up && Integer.parseInt(m.host.substring(2)) % 3 == 0).toList();
-        mute.forEach(m -> Meetings.mute(w, m, 300_000));
-        w.cancel("wk-000001");
-        w.cancel("wk-000002");
-        w.sim.after(2_000, () -> w.cancel("wk-000003"));
+        cluster.clock.runUntil(16_000);
+        List<Worker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 3 == 0).toList();
+        unreachable.forEach(worker -> Meetings.makeUnreachableOutbound(cluster, worker, 300_000));
+        cluster.cancel("wk-000001");
+        cluster.cancel("wk-000002");
+        cluster.clock.schedule(2_000, () -> cluster.cancel("wk-000003"));
         if (seed % 2 == 0) {
-            Troubles.crash(w, Math.max(0, Meetings.leader(w)), 5_000);
+            Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 5_000);
         }
-        w.sim.run(100_000);
-        assertTrue(mute.size() >= 3);
-        mute.forEach(m -> assertTrue(m.gone, m.host + " reaches nobody and is kept"));
+        cluster.clock.runUntil(100_000);
+        assertTrue(unreachable.size() >= 3);
+        unreachable.forEach(worker -> assertTrue(worker.released, worker.host + " reaches nobody and is kept"));
         for (int i = 1; i <= 3; i++) {
-            assertTrue(w.cancelledAt("wk-00000" + i) >= 0, "job " + i + " was not told");
+            assertTrue(cluster.cancellationConfirmedAtMillis("wk-00000" + i) >= 0, "job " + i + " was not told");
         }
-        w.sim.run(500_000);
-        assertAllDone(w, 14);
+        cluster.clock.runUntil(500_000);
+        assertAllJobsFinished(cluster, 14);
     }
 
     /**
@@ -364,186 +364,186 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whatEndedOnMachinesThatReachNobodyIsFreeAgain(long seed) {
-        World w = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 30)), 1);
-        w.leaseMs = LONG_LEASE_MS;
-        w.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
-        w.cloud.present("small", "a", 12);
-        w.start();
+    void quotaOfTasksEndedOnUnreachableMachinesIsReleased(long seed) {
+        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 30)), 1);
+        cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+        cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
+        cluster.cloud.addRunningMachines("small", "a", 12);
+        cluster.start();
         for (int i = 1; i <= 10; i++) {
-            JobSpec s = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 400);
-            w.sim.after(9_000 + i * 100L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 400);
+            cluster.clock.schedule(9_000 + i * 100L, () -> cluster.submit(job));
         }
-        w.sim.run(20_000);
-        List<Worker> mute = w.cloud.machines.values().stream().filter(m -> m.up).limit(10).toList();
-        long held = mute.stream().mapToLong(m -> m.tasks.values().stream().filter(Worker.Task::on).count()).sum();
-        assertTrue(mute.size() == 10 && held > 24, held + " tasks on " + mute.size());
-        mute.forEach(m -> Meetings.mute(w, m, 125_000));
+        cluster.clock.runUntil(20_000);
+        List<Worker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up).limit(10).toList();
+        long runningTasks = unreachable.stream().mapToLong(worker -> worker.tasks.values().stream().filter(Worker.Task::occupiesMachine).count()).sum();
+        assertTrue(unreachable.size() == 10 && runningTasks > 24, runningTasks + " tasks on " + unreachable.size());
+        unreachable.forEach(worker -> Meetings.makeUnreachableOutbound(cluster, worker, 125_000));
         for (int i = 11; i <= 14; i++) {
-            JobSpec s = Jobs.array(i, "red", JobSpec.Urgency.HIGH, 4, 1, 10);
-            w.sim.after(i * 100L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.HIGH, 4, 1, 10);
+            cluster.clock.schedule(i * 100L, () -> cluster.submit(job));
         }
-        w.sim.run(20_000 + LONG_LEASE_MS + 2_000 + 16_000);
-        assertEquals(10, mute.stream().filter(m -> !m.gone).count());
+        cluster.clock.runUntil(20_000 + LONG_LEASE_MILLIS + 2_000 + 16_000);
+        assertEquals(10, unreachable.stream().filter(worker -> !worker.released).count());
         for (int i = 11; i <= 14; i++) {
-            assertTrue(w.starts.containsKey("wk-0000" + i), "job " + i + " waits for quota that nothing uses");
+            assertTrue(cluster.taskStarts.containsKey("wk-0000" + i), "job " + i + " waits for quota that nothing uses");
         }
-        w.sim.run(1_500_000);
-        assertAllDone(w, 14);
+        cluster.clock.runUntil(1_500_000);
+        assertAllJobsFinished(cluster, 14);
     }
 
     /** Jobs bound to one zone, by name or because all their tasks must be in one, arrays and gangs, lose machines again and again. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void jobsBoundToAZoneLoseMachines(long seed) {
-        World w = world(seed, 3, 20);
-        w.start();
+    void zoneBoundJobsSurviveMachineLoss(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 20);
+        cluster.start();
         for (int i = 1; i <= 24; i++) {
-            boolean gang = i % 3 == 0;
-            JobSpec s = Jobs.job(i, "red", gang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 4, 2, 0, 20, null,
-                    i % 4 == 1 ? "a" : null, i % 4 > 1, i % 4 == 0, true, gang ? 5 : 0);
-            w.sim.after(2_000 + i * 1_000L, () -> w.submit(s));
+            boolean isGang = i % 3 == 0;
+            JobSpec job = Jobs.job(i, "red", isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 4, 2, 0, 20, null,
+                    i % 4 == 1 ? "a" : null, i % 4 > 1, i % 4 == 0, true, isGang ? 5 : 0);
+            cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
-        int[] lost = {0};
+        int[] lostMachines = {0};
         for (int k = 0; k < 6; k++) {
-            int n = k;
-            w.sim.after(9_000 + k * 5_000L, () -> w.cloud.machines.values().stream()
-                    .filter(m -> !m.dead && m.tasks.values().stream().anyMatch(Worker.Task::on)).skip(n % 3).findFirst().ifPresent(m -> {
-                        lost[0]++;
-                        if (n % 2 == 0) {
-                            m.die();
+            int round = k;
+            cluster.clock.schedule(9_000 + k * 5_000L, () -> cluster.cloud.machines.values().stream()
+                    .filter(worker -> !worker.dead && worker.tasks.values().stream().anyMatch(Worker.Task::occupiesMachine)).skip(round % 3).findFirst().ifPresent(worker -> {
+                        lostMachines[0]++;
+                        if (round % 2 == 0) {
+                            worker.crash();
                         } else {
-                            Troubles.cut(w, ip(m), controllers(w), 25_000);
+                            Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), 25_000);
                         }
                     }));
         }
-        w.sim.after(18_000, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 500));
-        w.troubled(70_000);
-        w.sim.run(70_000);
-        assertTrue(lost[0] >= 5, "lost: " + lost[0]);
-        w.sim.run(700_000);
-        assertAllDone(w, 24);
+        cluster.clock.schedule(18_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 500));
+        cluster.expectFaultsUntil(70_000);
+        cluster.clock.runUntil(70_000);
+        assertTrue(lostMachines[0] >= 5, "lost: " + lostMachines[0]);
+        cluster.clock.runUntil(700_000);
+        assertAllJobsFinished(cluster, 24);
     }
 
     /** There is more work than room, urgent and not, and each packet takes up to half a second. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void moreWorkThanRoomOverSlowLinks(long seed) {
-        World w = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 4)));
-        w.patienceMs = 300_000;
-        w.start();
-        w.net.slowMs = 250 * (int) seed;
+    void overloadOverSlowLinksServesUrgentJobsFirst(long seed) {
+        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 4)));
+        cluster.submissionRetryMillis = 300_000;
+        cluster.start();
+        cluster.network.maxExtraLatencyMillis = 250 * (int) seed;
         for (int i = 1; i <= 36; i++) {
-            JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 6, 2, 8);
-            w.sim.after(2_000 + i * 800L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 6, 2, 8);
+            cluster.clock.schedule(2_000 + i * 800L, () -> cluster.submit(job));
         }
-        double[] most = {0};
-        long[] waiting = {0};
-        for (int t = 15_000; t < 60_000; t += 500) {
-            w.sim.after(t, () -> {
-                most[0] = Math.max(most[0], use(w, "red") + use(w, "blue"));
-                waiting[0] = Math.max(waiting[0], w.told().stream().filter(id -> w.service().begunAfter(id) < 0).count());
+        double[] maxCpusInUse = {0};
+        long[] maxWaitingJobs = {0};
+        for (int atMillis = 15_000; atMillis < 60_000; atMillis += 500) {
+            cluster.clock.schedule(atMillis, () -> {
+                maxCpusInUse[0] = Math.max(maxCpusInUse[0], cpusInUse(cluster, "red") + cpusInUse(cluster, "blue"));
+                maxWaitingJobs[0] = Math.max(maxWaitingJobs[0], cluster.acceptedJobs().stream().filter(id -> cluster.serviceLevels().firstStartDelayMillis(id) < 0).count());
             });
         }
-        w.sim.after(30_000, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 800));
-        w.sim.after(120_000, () -> w.net.slowMs = 0);
-        w.troubled(125_000);
-        w.sim.run(120_000);
-        assertTrue(most[0] >= 24 && waiting[0] >= 8, "of 32 CPUs " + most[0] + " in use, " + waiting[0] + " jobs waiting");
+        cluster.clock.schedule(30_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 800));
+        cluster.clock.schedule(120_000, () -> cluster.network.maxExtraLatencyMillis = 0);
+        cluster.expectFaultsUntil(125_000);
+        cluster.clock.runUntil(120_000);
+        assertTrue(maxCpusInUse[0] >= 24 && maxWaitingJobs[0] >= 8, "of 32 CPUs " + maxCpusInUse[0] + " in use, " + maxWaitingJobs[0] + " jobs waiting");
         // What is urgent doesn't wait behind the rest.
-        long urgent = w.specs.values().stream().filter(s -> s.urgency().ordinal() <= 1 && w.service().begunAfter(s.id()) >= 0).count();
-        assertTrue(urgent > 12, "urgent jobs begun: " + urgent);
-        w.sim.run(900_000);
-        assertAllDone(w, 36);
+        long startedUrgentJobs = cluster.jobsById.values().stream().filter(job -> job.priority().ordinal() <= 1 && cluster.serviceLevels().firstStartDelayMillis(job.jobId()) >= 0).count();
+        assertTrue(startedUrgentJobs > 12, "urgent jobs begun: " + startedUrgentJobs);
+        cluster.clock.runUntil(900_000);
+        assertAllJobsFinished(cluster, 36);
     }
 
     /** All controllers are away for longer than the workers' lease; every machine has lost what it ran. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void allControllersAreAwayForLongerThanTheLease(long seed) {
-        World w = world(seed, 3, 16);
-        w.patienceMs = 300_000;
-        w.start();
+    void jobsSurviveControllersDownLongerThanTheLease(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        cluster.submissionRetryMillis = 300_000;
+        cluster.start();
         for (int i = 1; i <= 20; i++) {
-            JobSpec s = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 3, 1, 40);
-            w.sim.after(2_000 + i * 300L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 3, 1, 40);
+            cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
         }
-        w.sim.run(14_000);
-        w.cancel("wk-000001");
-        w.cancel("wk-000002");
+        cluster.clock.runUntil(14_000);
+        cluster.cancel("wk-000001");
+        cluster.cancel("wk-000002");
         for (int i = 0; i < 3; i++) {
-            Troubles.crash(w, i, 14_000 + i * 2_500L + seed * 1_000);
+            Troubles.crashController(cluster, i, 14_000 + i * 2_500L + seed * 1_000);
         }
-        w.sim.run(27_000);
-        assertTrue(w.cloud.machines.values().stream().noneMatch(m -> m.tasks.values().stream().anyMatch(Worker.Task::on)), "the leases are over");
-        assertTrue(w.controllers.stream().noneMatch(World.Member::alive));
-        w.sim.run(500_000);
-        assertAllDone(w, 20);
-        assertTrue(w.finalTold("wk-000001") && w.finalTold("wk-000002"));
+        cluster.clock.runUntil(27_000);
+        assertTrue(cluster.cloud.machines.values().stream().noneMatch(worker -> worker.tasks.values().stream().anyMatch(Worker.Task::occupiesMachine)), "the leases are over");
+        assertTrue(cluster.controllers.stream().noneMatch(World.Member::isAlive));
+        cluster.clock.runUntil(500_000);
+        assertAllJobsFinished(cluster, 20);
+        assertTrue(cluster.hasFinalStatus("wk-000001") && cluster.hasFinalStatus("wk-000002"));
     }
 
     /** Many running jobs are cancelled within 0.2 s, and their machines hang: told by evidence, nothing goes on when they resume. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void cancelledOnMachinesThatHangNothingGoesOn(long seed) {
-        World w = world(seed, 3, 16);
-        w.leaseMs = LONG_LEASE_MS;
-        w.start();
+    void cancelledTasksDoNotResumeOnHungMachines(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+        cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec s = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 120);
-            w.sim.after(2_000 + i * 100L, () -> w.submit(s));
+            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 120);
+            cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
         }
-        w.sim.run(20_000);
-        w.users.closeLooks = true;
-        w.users.cancelNow(14, seed % 2 == 0 ? 15_000 : 35_000);
+        cluster.clock.runUntil(20_000);
+        cluster.users.consistencyProbes = true;
+        cluster.users.cancelRunningJobs(14, seed % 2 == 0 ? 15_000 : 35_000);
         if (seed > 2) {
-            w.sim.after(1_000, () -> Troubles.crash(w, Math.max(0, Meetings.leader(w)), 4_000));
+            cluster.clock.schedule(1_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 4_000));
         }
-        assertEquals(14, w.users.now);
-        assertEquals(8, w.cloud.machines.values().stream().filter(m -> m.hung).count());
-        w.sim.run(400_000);
-        assertAllDone(w, 24);
+        assertEquals(14, cluster.users.massCancelledCount);
+        assertEquals(8, cluster.cloud.machines.values().stream().filter(worker -> worker.hung).count());
+        cluster.clock.runUntil(400_000);
+        assertAllJobsFinished(cluster, 24);
     }
 
     /**
      * A team at its limit: one task of it waits at a controller whose machines are full and that holds the allowance, and there is room in
      * another's block for one or two. It once waited for as long as the others ran.
      */
-    @Test void littleRoomElsewhereIsFoundByATeamAtItsLimit() {
-        Map<Long, Set<String>> broken = new HashMap<>();
+    @Test void teamAtItsLimitUsesSmallFreeCapacityOfOtherShards() {
+        Map<Long, Set<String>> violationsBySeed = new HashMap<>();
         for (long seed = 1; seed <= 10; seed++) {
-            World w = world(seed, 3, 30);
-            w.start();
+            World cluster = clusterWithReadyMachines(seed, 3, 30);
+            cluster.start();
             for (int i = 1; i <= 12; i++) {
-                JobSpec red = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 9, 2, 400);
-                w.sim.after(2_000 + i * 200L, () -> w.submit(red));
-                JobSpec blue = Jobs.array(100 + i, "blue", JobSpec.Urgency.NORMAL, 8, 2, 100);
-                w.sim.after(2_100 + i * 200L, () -> w.submit(blue));
+                JobSpec redJob = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 9, 2, 400);
+                cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(redJob));
+                JobSpec blueJob = Jobs.array(100 + i, "blue", JobSpec.Urgency.NORMAL, 8, 2, 100);
+                cluster.clock.schedule(2_100 + i * 200L, () -> cluster.submit(blueJob));
             }
-            w.sim.run(1_800_000);
-            if (!w.broken().isEmpty()) {
-                broken.put(seed, w.broken());
+            cluster.clock.runUntil(1_800_000);
+            if (!cluster.violations().isEmpty()) {
+                violationsBySeed.put(seed, cluster.violations());
             }
-            assertEquals(List.of(), w.unfinished());
+            assertEquals(List.of(), cluster.unfinishedJobs());
         }
-        assertEquals(Map.of(), broken);
+        assertEquals(Map.of(), violationsBySeed);
     }
 
     /** An urgent gang that needs most of what its team may use comes together though single tasks of lower work fit into less. */
-    @Test void anUrgentGangOfATeamAtItsLimitBegins() {
+    @Test void urgentGangOfATeamAtItsLimitStarts() {
         for (long seed = 1; seed <= 4; seed++) {
-            World w = world(seed, 3, 12);
-            w.start();
+            World cluster = clusterWithReadyMachines(seed, 3, 12);
+            cluster.start();
             for (int i = 1; i <= 40; i++) {
-                JobSpec low = Jobs.array(i, "blue", i % 2 == 0 ? JobSpec.Urgency.NORMAL : JobSpec.Urgency.BEST_EFFORT, 9, 2, 20);
-                w.sim.after(2_000 + i * 300L, () -> w.submit(low));
+                JobSpec lowPriorityJob = Jobs.array(i, "blue", i % 2 == 0 ? JobSpec.Urgency.NORMAL : JobSpec.Urgency.BEST_EFFORT, 9, 2, 20);
+                cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(lowPriorityJob));
             }
             JobSpec gang = Jobs.job(50, "blue", JobSpec.Mode.ENSEMBLE, JobSpec.Urgency.PRODUCTION, 9, 2, 0, 20, null, null, false, false, true, 0);
-            w.sim.after(20_000, () -> w.submit(gang));
-            w.sim.run(280_000);
-            long after = w.service().begunAfter(gang.id());
-            assertTrue(after >= 0 && after < 200_000, "seed " + seed + ": began after " + after + " ms");
-            assertEquals(Set.of(), w.broken());
+            cluster.clock.schedule(20_000, () -> cluster.submit(gang));
+            cluster.clock.runUntil(280_000);
+            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
+            assertTrue(startDelayMillis >= 0 && startDelayMillis < 200_000, "seed " + seed + ": began after " + startDelayMillis + " ms");
+            assertEquals(Set.of(), cluster.violations());
         }
     }
 
@@ -553,57 +553,57 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aRoundForALargerJobThatEndedElsewhereStartsNothing(long seed) {
-        World w = world(seed, 3, 12);
-        w.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
-        w.start();
-        w.sim.run(9_000);
-        int own = (Meetings.leader(w) + 1) % 3;
-        int other = (Meetings.leader(w) + 2) % 3;
+    void schedulingCommitForJobCancelledElsewhereStartsNothing(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
+        cluster.start();
+        cluster.clock.runUntil(9_000);
+        int ownController = (Meetings.leaderIndex(cluster) + 1) % 3;
+        int otherController = (Meetings.leaderIndex(cluster) + 2) % 3;
         // The team is at its limit by tasks that end at 20 s or a little later, so that the larger job has no place until then.
-        w.submit(Jobs.array(1, "red", JobSpec.Urgency.PRODUCTION, 40, 1, 16), own);
-        w.sim.run(12_000);
-        JobSpec large = Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 230, 0.2, 20);
-        w.submit(large, own);
-        w.sim.run(13_000);
-        assertEquals(0, w.starts.getOrDefault(large.id(), 0));
-        w.store.blind(w.controllers.get(own).ip, true);
-        int[] tried = {0};
-        w.store.arriving = t -> tried[0] += names(t.path("then"), "put", "a/t/wk-000002/") ? 1 : 0;
-        w.cancel(large.id(), other);
-        w.sim.run(40_000);
-        assertTrue(w.cancelledAt(large.id()) >= 0 && w.cancelledAt(large.id()) < 18_000, "told at " + w.cancelledAt(large.id()));
-        assertTrue(tried[0] > 0, "its own controller never tried");
-        w.store.blind(w.controllers.get(own).ip, false);
-        w.sim.run(200_000);
-        assertEquals(0, w.starts.getOrDefault(large.id(), 0));
-        assertAllDone(w, 2);
+        cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.PRODUCTION, 40, 1, 16), ownController);
+        cluster.clock.runUntil(12_000);
+        JobSpec largeJob = Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 230, 0.2, 20);
+        cluster.submit(largeJob, ownController);
+        cluster.clock.runUntil(13_000);
+        assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
+        cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, true);
+        int[] attempts = {0};
+        cluster.store.arrivalObserver = transaction -> attempts[0] += anyStartsWith(transaction.path("then"), "put", "a/t/wk-000002/") ? 1 : 0;
+        cluster.cancel(largeJob.jobId(), otherController);
+        cluster.clock.runUntil(40_000);
+        assertTrue(cluster.cancellationConfirmedAtMillis(largeJob.jobId()) >= 0 && cluster.cancellationConfirmedAtMillis(largeJob.jobId()) < 18_000, "told at " + cluster.cancellationConfirmedAtMillis(largeJob.jobId()));
+        assertTrue(attempts[0] > 0, "its own controller never tried");
+        cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, false);
+        cluster.clock.runUntil(200_000);
+        assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
+        assertAllJobsFinished(cluster, 2);
     }
 
     /** A controller that hears nothing has room left by an allowance that has gone to another: its round is guarded by its block. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aRoundByAnAllowanceThatHasGoneElsewhereFails(long seed) {
-        World w = world(seed, 3, 18);
-        w.start();
-        w.sim.run(9_000);
-        int behind = (Meetings.leader(w) + 1) % 3;
-        int other = (Meetings.leader(w) + 2) % 3;
+    void schedulingCommitWithMovedQuotaShareFails(long seed) {
+        World cluster = clusterWithReadyMachines(seed, 3, 18);
+        cluster.start();
+        cluster.clock.runUntil(9_000);
+        int staleController = (Meetings.leaderIndex(cluster) + 1) % 3;
+        int otherController = (Meetings.leaderIndex(cluster) + 2) % 3;
         // The allowance comes to where the want is, and stays there when that has ended.
-        w.submit(Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 12, 2, 4), behind);
-        w.sim.run(30_000);
-        assertTrue(w.finalTold("wk-000001"));
-        w.store.blind(w.controllers.get(behind).ip, true);
-        w.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 12, 2, 60), other);
-        w.sim.run(42_000);
-        assertTrue(use(w, "blue") > 20, "use: " + use(w, "blue"));
-        int[] tried = {0};
-        w.store.arriving = t -> tried[0] += names(t.path("then"), "put", "a/j/wk-000003") && t.path("then").toString().contains(" i-0") ? 1 : 0;
-        w.submit(Jobs.array(3, "blue", JobSpec.Urgency.HIGH, 12, 1, 20), behind);
-        w.sim.run(50_000);
-        assertTrue(tried[0] > 0, "it never tried");
-        w.store.blind(w.controllers.get(behind).ip, false);
-        w.sim.run(300_000);
-        assertAllDone(w, 3);
+        cluster.submit(Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 12, 2, 4), staleController);
+        cluster.clock.runUntil(30_000);
+        assertTrue(cluster.hasFinalStatus("wk-000001"));
+        cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
+        cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 12, 2, 60), otherController);
+        cluster.clock.runUntil(42_000);
+        assertTrue(cpusInUse(cluster, "blue") > 20, "use: " + cpusInUse(cluster, "blue"));
+        int[] attempts = {0};
+        cluster.store.arrivalObserver = transaction -> attempts[0] += anyStartsWith(transaction.path("then"), "put", "a/j/wk-000003") && transaction.path("then").toString().contains(" i-0") ? 1 : 0;
+        cluster.submit(Jobs.array(3, "blue", JobSpec.Urgency.HIGH, 12, 1, 20), staleController);
+        cluster.clock.runUntil(50_000);
+        assertTrue(attempts[0] > 0, "it never tried");
+        cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, false);
+        cluster.clock.runUntil(300_000);
+        assertAllJobsFinished(cluster, 3);
     }
 }
--- a/src/test/java/io/quincelead/world/Net.java
+++ b/src/test/java/io/quincelead/world/Net.java
@@ -18,176 +18,176 @@
         void handle(Request request);
     }
 
-    private final Sim sim;
-    private final Map<String, Host> hosts = new HashMap<>();
-    private final Set<String> cuts = new HashSet<>();
-    private final Set<String> held = new HashSet<>();
-    private final Map<String, List<Runnable>> parked = new HashMap<>();
+    private final Sim clock;
+    private final Map<String, Host> handlersByAddress = new HashMap<>();
+    private final Set<String> partitionedPairs = new HashSet<>();
+    private final Set<String> bufferedPairs = new HashSet<>();
+    private final Map<String, List<Runnable>> bufferedPackets = new HashMap<>();
     /** Share of answers that get lost after the request was executed. */
-    public double lossy;
+    public double responseLossRate;
     /** Share of requests of which a copy arrives again, up to three minutes later; nobody hears the answer to a copy. */
-    public double copies;
+    public double duplicationRate;
 
     /** Share of the workers' reports of which a copy arrives again, from 2 s to well over a lease later. */
-    public double lateReports;
-    public int latestMs = 45_000;
+    public double staleHeartbeatRate;
+    public int maxStaleHeartbeatDelayMillis = 45_000;
     /** Share of the workers' reports of which a copy is kept for whoever leads next. */
-    public double keptReports;
-    /** Share of the workers' reports that are held up themselves until {@link #letGo}. */
-    public double heldReports;
+    public double heartbeatRetentionRate;
+    /** Share of the workers' reports that are held up themselves until {@link #releaseHeldHeartbeats}. */
+    public double heartbeatHoldRate;
     /** ms. Each packet takes up to so much longer. */
-    public int slowMs;
+    public int maxExtraLatencyMillis;
     /** How many kept copies arrived, and how many reports were held up and then arrived. */
-    public int keptArrived;
-    public int heldArrived;
+    public int replayedHeartbeats;
+    public int releasedHeartbeats;
     private record Kept(String from, String path, byte[] body) { }
 
-    private final List<Kept> kept = new ArrayList<>();
-    private final List<Runnable> heldUp = new ArrayList<>();
+    private final List<Kept> retainedHeartbeats = new ArrayList<>();
+    private final List<Runnable> heldHeartbeats = new ArrayList<>();
     /** Share of direct commands that are held up for seconds, on their way or with their answer. */
-    public double heldCommands;
+    public double commandHoldRate;
     /** ms by which the answers to such commands are held at least, and whether nothing else is. */
-    public int answersHeldMs;
+    public int minCommandResponseDelayMillis;
     /** How many copies of reports arrived, and how many commands were held up. */
-    public int reportedLate;
-    public int commandsHeld;
+    public int staleHeartbeatsSent;
+    public int heldCommandCount;
     /** Everything that was called and answered. */
     final HistoryDigest history = new HistoryDigest();
     /** Sees path and body of each request as it is sent. */
-    public java.util.function.BiConsumer<String, byte[]> sending = (path, body) -> { };
+    public java.util.function.BiConsumer<String, byte[]> requestObserver = (path, body) -> { };
     /** Who sent what is being handled. */
     private String sender = "";
 
-    public Net(Sim sim) {
-        this.sim = sim;
+    public Net(Sim clock) {
+        this.clock = clock;
     }
 
-    public void host(String address, Host host) {
-        if (host == null) {
-            hosts.remove(address);
+    public void setHandler(String address, Host handler) {
+        if (handler == null) {
+            handlersByAddress.remove(address);
         } else {
-            hosts.put(address, host);
+            handlersByAddress.put(address, handler);
         }
     }
 
-    private static String pair(String a, String b) {
-        return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
+    private static String pairKey(String firstIp, String secondIp) {
+        return firstIp.compareTo(secondIp) < 0 ? firstIp + "|" + secondIp : secondIp + "|" + firstIp;
     }
 
-    private static String ip(String address) {
+    private static String hostOf(String address) {
         return address.substring(0, address.indexOf(':'));
     }
 
     /** Cuts two hosts; with {@code hold}, what was sent arrives late, even if the sender has given up. */
-    public void cut(String ipA, String ipB, boolean hold) {
-        cuts.add(pair(ipA, ipB));
-        if (hold) {
-            held.add(pair(ipA, ipB));
+    public void partition(String firstIp, String secondIp, boolean buffer) {
+        partitionedPairs.add(pairKey(firstIp, secondIp));
+        if (buffer) {
+            bufferedPairs.add(pairKey(firstIp, secondIp));
         }
     }
 
-    public void mend(String ipA, String ipB) {
-        String p = pair(ipA, ipB);
-        cuts.remove(p);
-        held.remove(p);
-        List<Runnable> late = parked.remove(p);
-        if (late != null) {
-            late.forEach(r -> sim.after(sim.random.nextInt(1, 30), r));
+    public void heal(String firstIp, String secondIp) {
+        String pair = pairKey(firstIp, secondIp);
+        partitionedPairs.remove(pair);
+        bufferedPairs.remove(pair);
+        List<Runnable> buffered = bufferedPackets.remove(pair);
+        if (buffered != null) {
+            buffered.forEach(action -> clock.schedule(clock.random.nextInt(1, 30), action));
         }
     }
 
     /** A packet: now, late or never. */
-    private void packet(String from, String to, Runnable arrive) {
-        String p = pair(ip(from), ip(to));
-        if (!cuts.contains(p)) {
-            sim.after(sim.random.nextInt(1, 6) + (slowMs > 0 ? sim.random.nextInt(slowMs) : 0), arrive);
-        } else if (held.contains(p)) {
-            parked.computeIfAbsent(p, k -> new ArrayList<>()).add(arrive);
+    private void sendPacket(String from, String to, Runnable delivery) {
+        String pair = pairKey(hostOf(from), hostOf(to));
+        if (!partitionedPairs.contains(pair)) {
+            clock.schedule(clock.random.nextInt(1, 6) + (maxExtraLatencyMillis > 0 ? clock.random.nextInt(maxExtraLatencyMillis) : 0), delivery);
+        } else if (bufferedPairs.contains(pair)) {
+            bufferedPackets.computeIfAbsent(pair, key -> new ArrayList<>()).add(delivery);
         }
     }
 
     /** The answer as the caller sees it: status 0 when none came in time. */
     @FunctionalInterface
     public interface Answer {
-        void got(int status, byte[] body, int retryAfterS);
+        void onResponse(int status, byte[] body, int retryAfterS);
     }
 
     /** Questions under way, and the most at once. */
-    private int open;
-    public int mostOpen;
-
-    public void call(String from, String to, String method, String path, byte[] body, long timeoutMs, Answer got) {
-        sending.accept(path, body);
-        history.call(sim.now(), from, to, method, path, body);
-        boolean[] over = {false};
-        mostOpen = Math.max(mostOpen, ++open);
-        Answer answer = (status, out, retry) -> {
-            open--;
-            history.answer(sim.now(), status, retry, out);
-            got.got(status, out, retry);
+    private int openCalls;
+    public int maxOpenCalls;
+
+    public void call(String from, String to, String method, String path, byte[] body, long timeoutMillis, Answer onResponse) {
+        requestObserver.accept(path, body);
+        history.call(clock.nowMillis(), from, to, method, path, body);
+        boolean[] answered = {false};
+        maxOpenCalls = Math.max(maxOpenCalls, ++openCalls);
+        Answer respond = (status, responseBody, retryAfterSeconds) -> {
+            openCalls--;
+            history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
+            onResponse.onResponse(status, responseBody, retryAfterSeconds);
         };
-        sim.after(timeoutMs, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                answer.got(0, null, 0);
+        clock.schedule(timeoutMillis, () -> {
+            if (!answered[0]) {
+                answered[0] = true;
+                respond.onResponse(0, null, 0);
             }
         });
-        if (lateReports > 0 && path.equals("/v1/report") && sim.random.nextDouble() < lateReports) {
-            reportedLate++;
-            sim.after(sim.random.nextInt(2_000, latestMs), () -> arrive(from, to, method, path, body, (status, out, retry) -> { }));
+        if (staleHeartbeatRate > 0 && path.equals("/v1/report") && clock.random.nextDouble() < staleHeartbeatRate) {
+            staleHeartbeatsSent++;
+            clock.schedule(clock.random.nextInt(2_000, maxStaleHeartbeatDelayMillis), () -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> { }));
         }
-        if (keptReports > 0 && path.equals("/v1/report") && sim.random.nextDouble() < keptReports && kept.size() < 400) {
-            kept.add(new Kept(from, path, body));
+        if (heartbeatRetentionRate > 0 && path.equals("/v1/report") && clock.random.nextDouble() < heartbeatRetentionRate && retainedHeartbeats.size() < 400) {
+            retainedHeartbeats.add(new Kept(from, path, body));
         }
-        if (heldReports > 0 && path.equals("/v1/report") && sim.random.nextDouble() < heldReports) {
-            heldUp.add(() -> arrive(from, to, method, path, body, (status, out, retry) -> { }));
+        if (heartbeatHoldRate > 0 && path.equals("/v1/report") && clock.random.nextDouble() < heartbeatHoldRate) {
+            heldHeartbeats.add(() -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> { }));
             return;
         }
-        boolean held = heldCommands > 0 && path.equals("/orders") && sim.random.nextDouble() < heldCommands;
-        commandsHeld += held ? 1 : 0;
-        long there = held && answersHeldMs == 0 && sim.random.nextBoolean() ? sim.random.nextInt(1_000, 9_000) : 0;
-        long back = !held ? 0 : answersHeldMs > 0 ? answersHeldMs : sim.random.nextInt(0, 2_000);
-        if (copies > 0 && sim.random.nextDouble() < copies) {
-            sim.after(sim.random.nextInt(100, 180_000), () -> arrive(from, to, method, path, body, (status, out, retry) -> { }));
+        boolean isHeld = commandHoldRate > 0 && path.equals("/orders") && clock.random.nextDouble() < commandHoldRate;
+        heldCommandCount += isHeld ? 1 : 0;
+        long requestDelayMillis = isHeld && minCommandResponseDelayMillis == 0 && clock.random.nextBoolean() ? clock.random.nextInt(1_000, 9_000) : 0;
+        long responseDelayMillis = !isHeld ? 0 : minCommandResponseDelayMillis > 0 ? minCommandResponseDelayMillis : clock.random.nextInt(0, 2_000);
+        if (duplicationRate > 0 && clock.random.nextDouble() < duplicationRate) {
+            clock.schedule(clock.random.nextInt(100, 180_000), () -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> { }));
         }
-        packet(from, to, () -> later(there, () -> arrive(from, to, method, path, body, (status, out, retry) -> {
-            if (sim.random.nextDouble() < lossy) {
+        sendPacket(from, to, () -> runAfter(requestDelayMillis, () -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> {
+            if (clock.random.nextDouble() < responseLossRate) {
                 return;
             }
-            packet(to, from, () -> later(back, () -> {
-                if (!over[0]) {
-                    over[0] = true;
-                    answer.got(status, out, retry);
+            sendPacket(to, from, () -> runAfter(responseDelayMillis, () -> {
+                if (!answered[0]) {
+                    answered[0] = true;
+                    respond.onResponse(status, responseBody, retryAfterSeconds);
                 }
             }));
         })));
     }
 
     /** Brings a copy of each report that was kept to each of these addresses. */
-    void bringKept(List<String> addresses) {
-        for (Kept k : kept) {
-            for (String to : addresses) {
-                sim.after(sim.random.nextInt(1, 400), () -> {
-                    keptArrived += hosts.containsKey(to) ? 1 : 0;
-                    arrive(k.from, to, "POST", k.path, k.body, (status, out, retry) -> { });
+    void replayRetainedHeartbeats(List<String> addresses) {
+        for (Kept heartbeat : retainedHeartbeats) {
+            for (String address : addresses) {
+                clock.schedule(clock.random.nextInt(1, 400), () -> {
+                    replayedHeartbeats += handlersByAddress.containsKey(address) ? 1 : 0;
+                    deliver(heartbeat.from, address, "POST", heartbeat.path, heartbeat.body, (status, responseBody, retryAfterSeconds) -> { });
                 });
             }
         }
-        kept.clear();
+        retainedHeartbeats.clear();
     }
 
     /** What was held up arrives where it was sent to, long after its sender has given up. */
-    void letGo() {
-        heldArrived += heldUp.size();
-        heldUp.forEach(r -> sim.after(sim.random.nextInt(1, 400), r));
-        heldUp.clear();
+    void releaseHeldHeartbeats() {
+        releasedHeartbeats += heldHeartbeats.size();
+        heldHeartbeats.forEach(action -> clock.schedule(clock.random.nextInt(1, 400), action));
+        heldHeartbeats.clear();
     }
 
-    private void later(long ms, Runnable r) {
-        if (ms > 0) {
-            sim.after(ms, r);
+    private void runAfter(long delayMillis, Runnable action) {
+        if (delayMillis > 0) {
+            clock.schedule(delayMillis, action);
         } else {
-            r.run();
+            action.run();
         }
     }
 
@@ -196,32 +196,32 @@
         return sender;
     }
 
-    private void arrive(String from, String to, String method, String path, byte[] body, Answer answer) {
-        Host host = hosts.get(to);
-        if (host == null) {
+    private void deliver(String from, String to, String method, String path, byte[] body, Answer onResponse) {
+        Host handler = handlersByAddress.get(to);
+        if (handler == null) {
             return;
         }
-        sender = ip(from);
+        sender = hostOf(from);
         Map<String, String> query = new HashMap<>();
-        int q = path.indexOf('?');
-        if (q >= 0) {
-            for (String kv : path.substring(q + 1).split("&")) {
-                query.put(kv.substring(0, kv.indexOf('=')), kv.substring(kv.indexOf('=') + 1));
+        int queryStart = path.indexOf('?');
+        if (queryStart >= 0) {
+            for (String parameter : path.substring(queryStart + 1).split("&")) {
+                query.put(parameter.substring(0, parameter.indexOf('=')), parameter.substring(parameter.indexOf('=') + 1));
             }
         }
-        host.handle(new Request(method, q < 0 ? path : path.substring(0, q), query, body == null ? new byte[0] : body) {
-            @Override protected void send(int status, Codec codec, byte[] out, int retryAfterS) {
-                answer.got(status, out, retryAfterS);
+        handler.handle(new Request(method, queryStart < 0 ? path : path.substring(0, queryStart), query, body == null ? new byte[0] : body) {
+            @Override protected void sendResponse(int status, Codec codec, byte[] out, int retryAfterS) {
+                onResponse.onResponse(status, out, retryAfterS);
             }
         });
     }
 
     /** The transport of one process. */
-    public Transport transport(String ip, Sim.Process process) {
-        return (address, method, path, codec, body, timeoutMs, reply) ->
-                call(ip + ":0", address, method, path, body, timeoutMs, (status, bytes, retry) -> {
-                    if (!process.dead()) {
-                        reply.got(status, bytes);
+    public Transport transportFor(String ip, Sim.Process process) {
+        return (address, method, path, codec, body, timeoutMillis, reply) ->
+                call(ip + ":0", address, method, path, body, timeoutMillis, (status, responseBody, retryAfterSeconds) -> {
+                    if (!process.isDead()) {
+                        reply.onResponse(status, responseBody);
                     }
                 });
     }
--- a/src/test/java/io/quincelead/world/OperatorsTest.java
+++ b/src/test/java/io/quincelead/world/OperatorsTest.java
@@ -25,8 +25,8 @@
 class OperatorsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
-    private static final long PUBLICATION = 220_000;
-    private static final long OPENS = 120_000;
+    private static final long PUBLICATION_MILLIS = 220_000;
+    private static final long WINDOW_OPENS_MILLIS = 120_000;
 
     static ObjectNode json(String text) {
         try {
@@ -36,78 +36,78 @@
         }
     }
 
-    private static String clock(long simulatedMs) {
-        return Instant.ofEpochMilli(Sim.EPOCH + simulatedMs).toString().substring(11, 19);
+    private static String timeOfDay(long simulatedMillis) {
+        return Instant.ofEpochMilli(Sim.EPOCH_MILLIS + simulatedMillis).toString().substring(11, 19);
     }
 
-    private static final String DATE = Instant.ofEpochMilli(Sim.EPOCH).toString().substring(0, 10);
+    private static final String DATE = Instant.ofEpochMilli(Sim.EPOCH_MILLIS).toString().substring(0, 10);
 
     /** Repeats a command, at any controller, until it is answered with something else than "later": as an operator would. */
-    static void insist(World w, String path, ObjectNode body, Map<String, ObjectNode> answers) {
-        w.command(w.sim.random.nextInt(w.controllers.size()), path, body, (status, out) -> {
+    static void commandUntilAnswered(World cluster, String path, ObjectNode body, Map<String, ObjectNode> answers) {
+        cluster.sendOperatorCommand(cluster.clock.random.nextInt(cluster.controllers.size()), path, body, (status, response) -> {
             if (status == 0 || status == 503 || status == 409) {
-                w.sim.after(700, () -> insist(w, path, body, answers));
+                cluster.clock.schedule(700, () -> commandUntilAnswered(cluster, path, body, answers));
             } else {
-                answers.put(path, out);
-                assertEquals(200, status, "" + out);
+                answers.put(path, response);
+                assertEquals(200, status, "" + response);
             }
         });
     }
 
-    static ObjectNode entry(String name, long publicationMs, double leadS, String covers) {
-        return json("{'change':'add-" + name + "','entry':{'name':'" + name + "','time':'" + clock(publicationMs) + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
-                + "'covers':[" + covers + "],'leadS':" + leadS + ",'graceS':20}}");
+    static ObjectNode calendarEntry(String name, long publicationMillis, double leadSeconds, String covers) {
+        return json("{'change':'add-" + name + "','entry':{'name':'" + name + "','time':'" + timeOfDay(publicationMillis) + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
+                + "'covers':[" + covers + "],'leadS':" + leadSeconds + ",'graceS':20}}");
     }
 
     /**
      * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s, the window opens at 120 s. Forecasts come
      * from 125 to 190 s.
      */
-    private static World morning(long seed, boolean calendar) {
-        World w = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)), 5);
-        w.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        w.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
-        w.start();
+    private static World morningCluster(long seed, boolean calendar) {
+        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)), 5);
+        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
+        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+        cluster.start();
         int id = 0;
-        for (int t = 3; t < 230; t += 2) {
-            JobSpec s = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 10, 1, 12);
-            w.sim.after(t * 1000L, () -> w.submit(s));
+        for (int second = 3; second < 230; second += 2) {
+            JobSpec job = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 10, 1, 12);
+            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         id = 500;
-        for (int t = 125; t < 190; t += 5) {
-            JobSpec s = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 4, 1, 8);
-            w.sim.after(t * 1000L, () -> w.submit(s));
+        for (int second = 125; second < 190; second += 5) {
+            JobSpec job = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 4, 1, 8);
+            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         if (calendar) {
-            w.sim.after(8_000, () -> insist(w, "/ops/calendar/add", entry("morning", PUBLICATION, 100, "{'owner':'blue'}"), new HashMap<>()));
+            cluster.clock.schedule(8_000, () -> commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("morning", PUBLICATION_MILLIS, 100, "{'owner':'blue'}"), new HashMap<>()));
         }
-        return w;
+        return cluster;
     }
 
-    private static List<Long> forecastWaits(World w) {
-        List<Long> out = new ArrayList<>();
+    private static List<Long> forecastWaitsMillis(World cluster) {
+        List<Long> result = new ArrayList<>();
         for (int id = 501; id <= 513; id++) {
-            long began = w.service().begunAfter(String.format("wk-%06d", id));
-            out.add(began < 0 ? Long.MAX_VALUE : began);
+            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
+            result.add(startDelayMillis < 0 ? Long.MAX_VALUE : startDelayMillis);
         }
-        return out;
+        return result;
     }
 
-    private static void assertLedger(World w, String state, int jobs) {
-        JsonNode last = w.store.value("z/oe/morning/" + DATE);
-        assertNotNull(last, "the ledger has no record; live: " + w.store.value("a/ok/o/morning/" + DATE));
-        assertEquals(state, last.path("st").asText(), "" + last);
-        assertEquals(jobs, last.path("n").asInt(), "" + last);
-        assertEquals(jobs, last.path("done").asInt() + last.path("cancelled").asInt(), "" + last);
-        assertTrue(w.store.ledgered.values().stream().allMatch(n -> n == 1), "written: " + w.store.ledgered);
-        assertTrue(w.store.keys().stream().noneMatch(k -> k.startsWith("a/ok/s/")), "" + w.store.keys());
+    private static void assertLedgerRecord(World cluster, String state, int jobCount) {
+        JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + DATE);
+        assertNotNull(ledgerRecord, "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
+        assertEquals(state, ledgerRecord.path("st").asText(), "" + ledgerRecord);
+        assertEquals(jobCount, ledgerRecord.path("n").asInt(), "" + ledgerRecord);
+        assertEquals(jobCount, ledgerRecord.path("done").asInt() + ledgerRecord.path("cancelled").asInt(), "" + ledgerRecord);
+        assertTrue(cluster.store.ledgerWrites.values().stream().allMatch(count -> count == 1), "written: " + cluster.store.ledgerWrites);
+        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/ok/s/")), "" + cluster.store.keys());
     }
 
     /** Without the calendar, forecasts wait behind all routine work that came before them. */
-    @Test void withoutACalendarForecastsWaitTheirTurn() {
-        World w = morning(1, false);
-        w.sim.run(220_000);
-        assertTrue(forecastWaits(w).stream().filter(t -> t > 25_000).count() >= 7, "waits: " + forecastWaits(w));
+    @Test void forecastsWaitInOrderWithoutCalendar() {
+        World cluster = morningCluster(1, false);
+        cluster.clock.runUntil(220_000);
+        assertTrue(forecastWaitsMillis(cluster).stream().filter(delayMillis -> delayMillis > 25_000).count() >= 7, "waits: " + forecastWaitsMillis(cluster));
     }
 
     /**
@@ -117,107 +117,107 @@
     @ParameterizedTest
     @CsvSource({"110000, 1, 3000", "119000, 1, 100", "120000, 1, 3000", "121000, 1, 100", "130000, 1, 3000", "210000, 1, 3000", "219000, 1, 100", "220000, 1, 3000",
         "140000, 5, 100", "140000, 5, 5000", "221000, 5, 5000"})
-    void forecastsRankAheadThoughTheLeaderIsLost(long at, int ends, long back) {
-        World w = morning(at + ends, true);
-        w.sim.after(at, () -> {
-            if (ends == 1) {
-                Troubles.crash(w, w.index(w.store.value("a/lead").path("m").asText()), back);
+    void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
+        World cluster = morningCluster(atMillis + crashCount, true);
+        cluster.clock.schedule(atMillis, () -> {
+            if (crashCount == 1) {
+                Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), restartDelayMillis);
             } else {
-                for (int i = 0; i < ends; i++) {
-                    Troubles.crash(w, i, back);
+                for (int i = 0; i < crashCount; i++) {
+                    Troubles.crashController(cluster, i, restartDelayMillis);
                 }
             }
         });
-        w.sim.run(420_000);
-        assertEquals(Set.of(), w.broken());
-        List<Long> waits = forecastWaits(w);
-        long bound = 14_000 + (ends > 1 ? back + 6_000 : 6_000);
-        assertTrue(waits.stream().allMatch(t -> t < bound), "waits: " + waits);
-        assertLedger(w, "published", 13);
+        cluster.clock.runUntil(420_000);
+        assertEquals(Set.of(), cluster.violations());
+        List<Long> waitsMillis = forecastWaitsMillis(cluster);
+        long limitMillis = 14_000 + (crashCount > 1 ? restartDelayMillis + 6_000 : 6_000);
+        assertTrue(waitsMillis.stream().allMatch(delayMillis -> delayMillis < limitMillis), "waits: " + waitsMillis);
+        assertLedgerRecord(cluster, "published", 13);
     }
 
     /** The store is away when the window opens, and across the publication. */
     @ParameterizedTest
     @CsvSource({"115000, 10000", "214000, 12000"})
-    void theStoreIsAwayAtTheEdges(long at, long span) {
-        World w = morning(at, true);
-        w.sim.after(at, () -> w.store.outage(true));
-        w.sim.after(at + span, () -> w.store.outage(false));
-        w.sim.run(420_000);
-        assertEquals(Set.of(), w.broken());
-        assertLedger(w, "published", 13);
+    void storeOutageAtWindowEdgesKeepsTheLedger(long atMillis, long durationMillis) {
+        World cluster = morningCluster(atMillis, true);
+        cluster.clock.schedule(atMillis, () -> cluster.store.setDown(true));
+        cluster.clock.schedule(atMillis + durationMillis, () -> cluster.store.setDown(false));
+        cluster.clock.runUntil(420_000);
+        assertEquals(Set.of(), cluster.violations());
+        assertLedgerRecord(cluster, "published", 13);
     }
 
     /** Work that isn't done in time is missed, once, and what was late is seen in the ledger. */
-    @Test void whatIsLateIsMissedAndStaysSo() {
-        World w = morning(3, true);
-        w.sim.after(200_000, () -> w.submit(Jobs.array(600, "blue", JobSpec.Urgency.NORMAL, 2, 1, 120)));
-        w.sim.after(260_000, () -> Troubles.crash(w, w.index(w.store.value("a/lead").path("m").asText()), 100));
-        w.sim.run(600_000);
-        assertEquals(Set.of(), w.broken());
-        assertLedger(w, "missed", 14);
-        assertTrue(w.store.value("z/oe/morning/" + DATE).path("last").asLong() > Sim.EPOCH + PUBLICATION + 20_000);
-        assertTrue(w.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2, "" + w.store.value("z/oe/morning/" + DATE));
+    @Test void lateOccurrenceStaysMissed() {
+        World cluster = morningCluster(3, true);
+        cluster.clock.schedule(200_000, () -> cluster.submit(Jobs.array(600, "blue", JobSpec.Urgency.NORMAL, 2, 1, 120)));
+        cluster.clock.schedule(260_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.runUntil(600_000);
+        assertEquals(Set.of(), cluster.violations());
+        assertLedgerRecord(cluster, "missed", 14);
+        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("last").asLong() > Sim.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
+        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2, "" + cluster.store.value("z/oe/morning/" + DATE));
     }
 
     /** Moved while its window is open, it stays open and is judged by the new time; skipped, it is in the ledger as skipped. */
-    @Test void movedAndSkippedWhileOpen() {
-        World w = morning(4, true);
-        w.sim.after(150_000, () -> insist(w, "/ops/calendar/move", json("{'change':'m1','name':'morning','date':'" + DATE + "','time':'" + clock(300_000) + "'}"), new HashMap<>()));
-        w.sim.run(240_000);
-        assertEquals("open", w.store.value("a/ok/o/morning/" + DATE).path("st").asText());
-        w.sim.run(400_000);
-        assertLedger(w, "published", 13);
-        assertEquals(Sim.EPOCH + 300_000, w.store.value("z/oe/morning/" + DATE).path("pub").asLong(), 1_000);
+    @Test void openOccurrenceCanBeMovedAndSkipped() {
+        World cluster = morningCluster(4, true);
+        cluster.clock.schedule(150_000, () -> commandUntilAnswered(cluster, "/ops/calendar/move", json("{'change':'m1','name':'morning','date':'" + DATE + "','time':'" + timeOfDay(300_000) + "'}"), new HashMap<>()));
+        cluster.clock.runUntil(240_000);
+        assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
+        cluster.clock.runUntil(400_000);
+        assertLedgerRecord(cluster, "published", 13);
+        assertEquals(Sim.EPOCH_MILLIS + 300_000, cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(), 1_000);
 
-        World v = morning(5, true);
-        v.sim.after(150_000, () -> insist(v, "/ops/calendar/skip", json("{'change':'s1','name':'morning','date':'" + DATE + "'}"), new HashMap<>()));
-        v.sim.run(300_000);
-        assertEquals("skipped", v.store.value("z/oe/morning/" + DATE).path("st").asText());
-        assertEquals(Map.of("z/oe/morning/" + DATE, 1), v.store.ledgered);
+        World skipCluster = morningCluster(5, true);
+        skipCluster.clock.schedule(150_000, () -> commandUntilAnswered(skipCluster, "/ops/calendar/skip", json("{'change':'s1','name':'morning','date':'" + DATE + "'}"), new HashMap<>()));
+        skipCluster.clock.runUntil(300_000);
+        assertEquals("skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
+        assertEquals(Map.of("z/oe/morning/" + DATE, 1), skipCluster.store.ledgerWrites);
     }
 
     /** Machines are up when the morning starts, by what earlier mornings took, and go back if its work doesn't come. */
-    @Test void machinesAreUpBeforeTheWindowOpens() {
-        World w = new World(6, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)), 5);
-        w.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
-        w.start();
-        w.sim.after(8_000, () -> insist(w, "/ops/calendar/add", entry("first", 60_000, 40, "{'owner':'blue'}"), new HashMap<>()));
-        w.sim.after(9_000, () -> {
-            ObjectNode memory = Codec.map().put("through", 0);
+    @Test void machinesAreProvisionedBeforeTheWindowOpens() {
+        World cluster = new World(6, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)), 5);
+        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+        cluster.start();
+        cluster.clock.schedule(8_000, () -> commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("first", 60_000, 40, "{'owner':'blue'}"), new HashMap<>()));
+        cluster.clock.schedule(9_000, () -> {
+            ObjectNode memory = Codec.newMap().put("through", 0);
             memory.putArray("cpus").add(70).add(80).add(300);
-            ObjectNode txn = Codec.map();
-            txn.putArray("guards");
-            txn.putArray("then").addObject().put("put", "a/ok/m/later").set("value", memory);
-            w.net.call("10.0.0.1:0", World.STORE, "POST", "/commit", Codec.CBOR.write(txn), 1_000, (status, body, retry) -> assertEquals(200, status));
-            insist(w, "/ops/calendar/add", entry("later", 400_000, 150, "{'owner':'blue'}"), new HashMap<>());
+            ObjectNode transaction = Codec.newMap();
+            transaction.putArray("guards");
+            transaction.putArray("then").addObject().put("put", "a/ok/m/later").set("value", memory);
+            cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
+            commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("later", 400_000, 150, "{'owner':'blue'}"), new HashMap<>());
         });
-        w.sim.after(100_000, () -> Troubles.crash(w, w.index(w.store.value("a/lead").path("m").asText()), 100));
-        w.sim.run(200_000);
-        assertEquals(0, w.cloud.machines.size());
-        w.sim.run(249_000);
-        assertTrue(w.cloud.machines.values().stream().filter(m -> m.up).count() >= 10, "up: " + w.cloud.machines.size());
-        assertTrue(w.cloud.machines.size() <= 13, "up: " + w.cloud.machines.size());
-        w.sim.run(480_000);
-        assertEquals(0, w.cloud.machines.size());
+        cluster.clock.schedule(100_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.runUntil(200_000);
+        assertEquals(0, cluster.cloud.machines.size());
+        cluster.clock.runUntil(249_000);
+        assertTrue(cluster.cloud.machines.values().stream().filter(worker -> worker.up).count() >= 10, "up: " + cluster.cloud.machines.size());
+        assertTrue(cluster.cloud.machines.size() <= 13, "up: " + cluster.cloud.machines.size());
+        cluster.clock.runUntil(480_000);
+        assertEquals(0, cluster.cloud.machines.size());
     }
 
-    private static final String CLASSES = "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
+    private static final String CLASSES_COMMAND = "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
             + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
     /** The orders of waiting jobs as each controller has them, by the generations that they were made of. */
-    private static void compareOrders(World w, Map<String, String> seen, int[] compared) {
-        for (int i = 0; i < w.controllers.size(); i++) {
-            if (w.controllers.get(i).alive()) {
-                w.command(i, "/ops/queue", Codec.map(), (status, out) -> {
+    private static void compareQueueOrders(World cluster, Map<String, String> knownRanks, int[] compared) {
+        for (int i = 0; i < cluster.controllers.size(); i++) {
+            if (cluster.controllers.get(i).isAlive()) {
+                cluster.sendOperatorCommand(i, "/ops/queue", Codec.newMap(), (status, response) -> {
                     if (status == 200) {
                         // Ranks by class and calendar, job by job: what these generations say of a job is the same wherever it is asked.
-                        out.path("list").forEach(j -> {
-                            String key = out.path("classes") + "/" + out.path("calendar") + "/" + j.path("job").asText();
-                            String says = j.path("rank") + " " + j.path("class") + " " + j.path("covered");
-                            String before = seen.putIfAbsent(key, says);
-                            assertTrue(before == null || before.equals(says), key + ": " + before + " and " + says);
-                            compared[0] += before == null ? 0 : 1;
+                        response.path("list").forEach(job -> {
+                            String key = response.path("classes") + "/" + response.path("calendar") + "/" + job.path("job").asText();
+                            String ranks = job.path("rank") + " " + job.path("class") + " " + job.path("covered");
+                            String previousRanks = knownRanks.putIfAbsent(key, ranks);
+                            assertTrue(previousRanks == null || previousRanks.equals(ranks), key + ": " + previousRanks + " and " + ranks);
+                            compared[0] += previousRanks == null ? 0 : 1;
                         });
                     }
                 });
@@ -228,183 +228,183 @@
     /** Classes are proposed while the leader is lost; whoever leads next puts them in force, and a repeat takes effect once. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void classesRuleWhoeverLeads(long seed) {
-        World w = morning(seed, false);
+    void classesApplyAcrossFailover(long seed) {
+        World cluster = morningCluster(seed, false);
         Map<String, ObjectNode> answers = new HashMap<>();
-        Map<String, String> seen = new HashMap<>();
+        Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
-        w.sim.after(100_000, () -> {
-            Troubles.crash(w, w.index(w.store.value("a/lead").path("m").asText()), 2_000);
-            insist(w, "/ops/classes/apply", json(CLASSES), answers);
+        cluster.clock.schedule(100_000, () -> {
+            Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 2_000);
+            commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
         });
-        for (long t = 95_000; t < 200_000; t += 900) {
-            w.sim.after(t, () -> compareOrders(w, seen, compared));
+        for (long millis = 95_000; millis < 200_000; millis += 900) {
+            cluster.clock.schedule(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        w.sim.after(135_000, () -> insist(w, "/ops/classes/apply", json(CLASSES), answers));
-        w.sim.after(150_000, () -> Troubles.crash(w, w.index(w.store.value("a/lead").path("m").asText()), 100));
-        w.sim.run(160_000);
-        assertEquals(1, w.store.value("a/oc/head").path("rules").asLong());
-        assertEquals(1, w.store.value("a/oc/head").path("last").asLong());
-        w.sim.run(600_000);
-        assertEquals(Set.of(), w.broken());
-        assertTrue(forecastWaits(w).stream().allMatch(t -> t < 25_000), "waits: " + forecastWaits(w));
+        cluster.clock.schedule(135_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+        cluster.clock.schedule(150_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.runUntil(160_000);
+        assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
+        assertEquals(1, cluster.store.value("a/oc/head").path("last").asLong());
+        cluster.clock.runUntil(600_000);
+        assertEquals(Set.of(), cluster.violations());
+        assertTrue(forecastWaitsMillis(cluster).stream().allMatch(millis -> millis < 25_000), "waits: " + forecastWaitsMillis(cluster));
         assertTrue(compared[0] > 500, "compared: " + compared[0]);
-        assertEquals(List.of(), w.service().leftBehind());
+        assertEquals(List.of(), cluster.serviceLevels().starved());
     }
 
     /**
      * A ruling generation is spoilt under the controllers' hands: nothing is placed by half of it; on record, the last good one rules
      * again, the same for all, and work goes on.
      */
-    @Test void whatCannotBeReadGivesWayToTheLastGoodOne() {
-        World w = morning(21, false);
+    @Test void unreadableClassesFallBackToLastGoodRevision() {
+        World cluster = morningCluster(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
-        w.sim.after(20_000, () -> insist(w, "/ops/classes/apply", json(CLASSES), answers));
-        w.sim.after(30_000, () -> insist(w, "/ops/classes/apply", json("{'change':'c2','classes':[{'name':'other','rank':5}]}"), answers));
-        w.sim.run(40_000);
-        assertEquals(2, w.store.value("a/oc/head").path("rules").asLong());
-        ObjectNode txn = Codec.map();
-        txn.putArray("guards");
-        txn.putArray("then").addObject().put("put", "a/oc/p/2/0").putObject("value").put("t", "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}");
-        w.net.call("10.0.0.1:0", World.STORE, "POST", "/commit", Codec.CBOR.write(txn), 1_000, (status, body, retry) -> assertEquals(200, status));
+        cluster.clock.schedule(20_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+        cluster.clock.schedule(30_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c2','classes':[{'name':'other','rank':5}]}"), answers));
+        cluster.clock.runUntil(40_000);
+        assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
+        ObjectNode transaction = Codec.newMap();
+        transaction.putArray("guards");
+        transaction.putArray("then").addObject().put("put", "a/oc/p/2/0").putObject("value").put("t", "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}");
+        cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
         // Only those that start now read it anew.
-        w.sim.after(1_000, () -> Troubles.crash(w, 3, 100));
-        w.sim.run(60_000);
-        JsonNode head = w.store.value("a/oc/head");
+        cluster.clock.schedule(1_000, () -> Troubles.crashController(cluster, 3, 100));
+        cluster.clock.runUntil(60_000);
+        JsonNode head = cluster.store.value("a/oc/head");
         assertEquals(1, head.path("rules").asLong(), "" + head);
         assertEquals(2, head.path("refused").asLong(), "" + head);
-        w.sim.run(600_000);
-        assertEquals(Set.of(), w.broken());
-        assertEquals(List.of(), w.unfinished());
+        cluster.clock.runUntil(600_000);
+        assertEquals(Set.of(), cluster.violations());
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /** A class set on top by mistake slows others; it doesn't starve them. */
-    @Test void aClassOnTopStarvesNobody() {
-        World w = new World(31, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)), 5);
-        w.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        w.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
-        w.start();
-        w.sim.after(6_000, () -> insist(w, "/ops/classes/apply", json("{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"), new HashMap<>()));
+    @Test void topRankedClassStarvesNobody() {
+        World cluster = new World(31, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)), 5);
+        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
+        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+        cluster.start();
+        cluster.clock.schedule(6_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"), new HashMap<>()));
         int id = 0;
-        for (int t = 10; t < 400; t += 2) {
-            JobSpec s = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 8, 1, 10);
-            w.sim.after(t * 1000L, () -> w.submit(s));
+        for (int second = 10; second < 400; second += 2) {
+            JobSpec job = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 8, 1, 10);
+            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
-        for (int t = 20; t < 160; t += 20) {
-            JobSpec s = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 6, 1, 10);
-            w.sim.after(t * 1000L, () -> w.submit(s));
+        for (int second = 20; second < 160; second += 20) {
+            JobSpec job = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 6, 1, 10);
+            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
-        w.sim.run(401_000);
+        cluster.clock.runUntil(401_000);
         for (int i = id; i > id - 7; i--) {
-            long began = w.service().begunAfter(String.format("wk-%06d", i));
-            assertTrue(began >= 0 && began < 240_000, i + " began after " + began);
+            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", i));
+            assertTrue(startDelayMillis >= 0 && startDelayMillis < 240_000, i + " began after " + startDelayMillis);
         }
     }
 
     /** No record: nothing is written, and rounds order as they did. */
-    @Test void withoutRecordsNothingIsWritten() {
-        World w = morning(41, false);
-        w.sim.run(400_000);
-        assertTrue(w.store.keys().stream().noneMatch(k -> k.startsWith("a/o") || k.startsWith("z/oe")), "" + w.store.keys());
-        assertEquals(Map.of(), w.store.ledgered);
+    @Test void nothingIsWrittenWithoutRecords() {
+        World cluster = morningCluster(41, false);
+        cluster.clock.runUntil(400_000);
+        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")), "" + cluster.store.keys());
+        assertEquals(Map.of(), cluster.store.ledgerWrites);
     }
 
     /** Bad input is refused in words and changes nothing; a dry run shows what would change and changes nothing. */
-    @Test void refusalsAndDryRunsChangeNothing() {
-        World w = morning(51, false);
-        w.sim.run(40_000);
-        Map<String, Integer> status = new HashMap<>();
-        Map<String, ObjectNode> out = new HashMap<>();
-        Map<String, String> asked = Map.of("/ops/classes/apply", "{'change':'x','classes':[{'name':'a','rank':-1}]}", "/ops/calendar/add", "{'change':'x','entry':{'name':'e'}}",
+    @Test void refusedCommandsAndDryRunsChangeNothing() {
+        World cluster = morningCluster(51, false);
+        cluster.clock.runUntil(40_000);
+        Map<String, Integer> statuses = new HashMap<>();
+        Map<String, ObjectNode> responses = new HashMap<>();
+        Map<String, String> commands = Map.of("/ops/classes/apply", "{'change':'x','classes':[{'name':'a','rank':-1}]}", "/ops/calendar/add", "{'change':'x','entry':{'name':'e'}}",
                 "/ops/calendar/move", "{'change':'x','name':'nobody','date':'2026-01-01','time':'06:00'}", "/ops/classes/rollback", "{'change':'x','to':77}",
                 "/ops/explain", "{'job':'wk-1'}");
-        asked.forEach((path, body) -> w.command(1, path, json(body), (s, o) -> {
-            status.put(path, s);
-            out.put(path, o);
+        commands.forEach((path, body) -> cluster.sendOperatorCommand(1, path, json(body), (responseStatus, response) -> {
+            statuses.put(path, responseStatus);
+            responses.put(path, response);
         }));
-        ObjectNode dry = json(CLASSES).put("dryRun", true);
-        w.command(2, "/ops/classes/apply", dry, (s, o) -> out.put("dry", o));
-        w.sim.run(41_000);
-        assertEquals(Map.of("/ops/classes/apply", 400, "/ops/calendar/add", 400, "/ops/calendar/move", 404, "/ops/classes/rollback", 404, "/ops/explain", 404), status);
-        assertTrue(out.get("dry").path("waiting").has("none -> routine (800)"), "" + out.get("dry"));
-        assertEquals("worker-2", out.get("dry").path("by").asText());
-        assertTrue(w.store.keys().stream().noneMatch(k -> k.startsWith("a/o")), "" + w.store.keys());
+        ObjectNode dryRun = json(CLASSES_COMMAND).put("dryRun", true);
+        cluster.sendOperatorCommand(2, "/ops/classes/apply", dryRun, (responseStatus, response) -> responses.put("dry", response));
+        cluster.clock.runUntil(41_000);
+        assertEquals(Map.of("/ops/classes/apply", 400, "/ops/calendar/add", 400, "/ops/calendar/move", 404, "/ops/classes/rollback", 404, "/ops/explain", 404), statuses);
+        assertTrue(responses.get("dry").path("waiting").has("none -> routine (800)"), "" + responses.get("dry"));
+        assertEquals("worker-2", responses.get("dry").path("by").asText());
+        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o")), "" + cluster.store.keys());
     }
 
     /** Everything at once: classes that change, a calendar, and all troubles of a rough or a quick day. */
     @ParameterizedTest
     // 103: a late gang saved up its team's allowance for ever, for services held what it needed; the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
-    void anyDayWithOperatorsRecords(long seed) {
-        assertEquals("", random(seed).wrong());
+    void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
+        assertEquals("", playRandomScenario(seed).problems());
     }
 
     /** Plays a random day; what is wrong with it, in words. */
-    static Seeds.Played random(long seed) {
-        World w = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
-        w.net.lossy = 0.003;
-        w.net.copies = 0.01;
-        w.start();
-        Map<String, String> seen = new HashMap<>();
+    static Seeds.Played playRandomScenario(long seed) {
+        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
+        cluster.network.responseLossRate = 0.003;
+        cluster.network.duplicationRate = 0.01;
+        cluster.start();
+        Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
         for (int i = 1; i <= 40; i++) {
-            JobSpec s = Jobs.any(i, w.sim.random);
-            long at = 3_000 + w.sim.random.nextLong(120_000);
-            w.sim.after(at, () -> w.submit(s));
-            if (s.service() || w.sim.random.nextInt(6) == 0) {
-                w.sim.after(at + (s.service() ? 40_000 : w.sim.random.nextLong(30_000)), () -> w.cancel(s.id()));
+            JobSpec job = Jobs.randomJob(i, cluster.clock.random);
+            long atMillis = 3_000 + cluster.clock.random.nextLong(120_000);
+            cluster.clock.schedule(atMillis, () -> cluster.submit(job));
+            if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
+                cluster.clock.schedule(atMillis + (job.isService() ? 40_000 : cluster.clock.random.nextLong(30_000)), () -> cluster.cancel(job.jobId()));
             }
         }
-        int days = 3;
-        for (int i = 0; i < days; i++) {
+        int entryCount = 3;
+        for (int i = 0; i < entryCount; i++) {
             String name = "e" + i;
-            ObjectNode add = entry(name, 70_000 + w.sim.random.nextLong(120_000), 20 + w.sim.random.nextInt(60), w.sim.random.nextBoolean() ? "{'owner':'red'}" : "{'urgency':'normal'},{'mode':'ensemble'}");
-            w.sim.after(5_000 + w.sim.random.nextLong(15_000), () -> insist(w, "/ops/calendar/add", add, new HashMap<>()));
+            ObjectNode addCommand = calendarEntry(name, 70_000 + cluster.clock.random.nextLong(120_000), 20 + cluster.clock.random.nextInt(60), cluster.clock.random.nextBoolean() ? "{'owner':'red'}" : "{'urgency':'normal'},{'mode':'ensemble'}");
+            cluster.clock.schedule(5_000 + cluster.clock.random.nextLong(15_000), () -> commandUntilAnswered(cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
         }
         for (int i = 0; i < 4; i++) {
-            ObjectNode apply = json("{'change':'c" + i + "','classes':[{'name':'one','rank':" + w.sim.random.nextInt(1000) + ",'match':{'owner':'" + (w.sim.random.nextBoolean() ? "red" : "blue") + "'}},"
-                    + "{'name':'two','rank':" + w.sim.random.nextInt(1000) + ",'match':{'urgency':'" + (w.sim.random.nextBoolean() ? "normal" : "best_effort") + "'},'keep':'" + List.of("protocol", "urgent", "never").get(w.sim.random.nextInt(3)) + "'}]}");
-            w.sim.after(10_000 + w.sim.random.nextLong(150_000), () -> insist(w, "/ops/classes/apply", apply, new HashMap<>()));
+            ObjectNode applyCommand = json("{'change':'c" + i + "','classes':[{'name':'one','rank':" + cluster.clock.random.nextInt(1000) + ",'match':{'owner':'" + (cluster.clock.random.nextBoolean() ? "red" : "blue") + "'}},"
+                    + "{'name':'two','rank':" + cluster.clock.random.nextInt(1000) + ",'match':{'urgency':'" + (cluster.clock.random.nextBoolean() ? "normal" : "best_effort") + "'},'keep':'" + List.of("protocol", "urgent", "never").get(cluster.clock.random.nextInt(3)) + "'}]}");
+            cluster.clock.schedule(10_000 + cluster.clock.random.nextLong(150_000), () -> commandUntilAnswered(cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
         }
         for (int i = 0; i < 8; i++) {
-            boolean quick = w.sim.random.nextBoolean();
-            w.sim.after(8_000 + w.sim.random.nextLong(170_000), () -> {
+            boolean quick = cluster.clock.random.nextBoolean();
+            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(170_000), () -> {
                 if (quick) {
-                    Troubles.quick(w);
+                    Troubles.injectRandomQuickRestart(cluster);
                 } else {
-                    Troubles.trouble(w);
+                    Troubles.injectRandomFault(cluster);
                 }
             });
         }
-        for (long t = 20_000; t < 200_000; t += 7_000) {
-            w.sim.after(t, () -> compareOrders(w, seen, compared));
+        for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
+            cluster.clock.schedule(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        w.sim.after(200_000, () -> {
-            w.net.lossy = 0;
-            w.net.copies = 0;
+        cluster.clock.schedule(200_000, () -> {
+            cluster.network.responseLossRate = 0;
+            cluster.network.duplicationRate = 0;
         });
-        w.troubled(385_000);
-        w.sim.run(600_000);
-        List<String> wrong = new ArrayList<>(w.broken());
-        w.unfinished().forEach(j -> wrong.add("open " + j));
+        cluster.expectFaultsUntil(385_000);
+        cluster.clock.runUntil(600_000);
+        List<String> problems = new ArrayList<>(cluster.violations());
+        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind the team's production and high work.
-        wrong.addAll(w.service().leftBehind(300_000));
-        w.store.ledgered.forEach((key, n) -> {
-            if (n != 1) {
-                wrong.add(key + " written " + n + " times");
+        problems.addAll(cluster.serviceLevels().starved(300_000));
+        cluster.store.ledgerWrites.forEach((key, count) -> {
+            if (count != 1) {
+                problems.add(key + " written " + count + " times");
             }
         });
-        for (int i = 0; i < days; i++) {
-            JsonNode last = w.store.value("z/oe/e" + i + "/" + DATE);
-            if (last == null) {
-                wrong.add("e" + i + " is not in the ledger: " + w.store.value("a/ok/o/e" + i + "/" + DATE));
-            } else if (last.path("n").asInt() != last.path("done").asInt() + last.path("cancelled").asInt() + last.path("unfinished").asInt()) {
-                wrong.add("e" + i + " doesn't sum up: " + last);
+        for (int i = 0; i < entryCount; i++) {
+            JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + DATE);
+            if (ledgerRecord == null) {
+                problems.add("e" + i + " is not in the ledger: " + cluster.store.value("a/ok/o/e" + i + "/" + DATE));
+            } else if (ledgerRecord.path("n").asInt() != ledgerRecord.path("done").asInt() + ledgerRecord.path("cancelled").asInt() + ledgerRecord.path("unfinished").asInt()) {
+                problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
             }
         }
-        if (w.store.value("a/oc/head").path("last").asLong() != 4) {
-            wrong.add("classes " + w.store.value("a/oc/head"));
+        if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
+            problems.add("classes " + cluster.store.value("a/oc/head"));
         }
-        return new Seeds.Played(w, String.join("; ", wrong));
+        return new Seeds.Played(cluster, String.join("; ", problems));
     }
 }
--- a/src/test/java/io/quincelead/world/Seeds.java
+++ b/src/test/java/io/quincelead/world/Seeds.java
@@ -13,58 +13,58 @@
  */
 public final class Seeds {
     /** A day that was played, and what is wrong with it, in words; empty if nothing is. */
-    record Played(World world, String wrong) { }
+    record Played(World cluster, String problems) { }
 
     private Seeds() { }
 
     public static void main(String[] args) throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(args.length > 3 ? Integer.parseInt(args[3]) : 1);
-        List<Future<Boolean>> days = new ArrayList<>();
-        long from = Long.parseLong(args[1]);
-        for (long seed = from; seed <= Long.parseLong(args[2]); seed++) {
-            long s = seed;
-            days.add(pool.submit(() -> report(args[0], s)));
+        List<Future<Boolean>> scenarios = new ArrayList<>();
+        long firstSeed = Long.parseLong(args[1]);
+        for (long seed = firstSeed; seed <= Long.parseLong(args[2]); seed++) {
+            long scenarioSeed = seed;
+            scenarios.add(pool.submit(() -> playAndReport(args[0], scenarioSeed)));
         }
-        int bad = 0;
-        for (Future<Boolean> d : days) {
-            bad += d.get() ? 0 : 1;
+        int failures = 0;
+        for (Future<Boolean> result : scenarios) {
+            failures += result.get() ? 0 : 1;
         }
         pool.shutdown();
-        System.err.println(days.size() + " days, " + bad + " with a broken rule, an open job or somebody left behind");
-        System.exit(bad == 0 ? 0 : 1);
+        System.err.println(scenarios.size() + " days, " + failures + " with a broken rule, an open job or somebody left behind");
+        System.exit(failures == 0 ? 0 : 1);
     }
 
-    private static boolean report(String kind, long seed) {
-        Played played = play(kind, seed);
-        System.out.println(kind + "\t" + seed + "\t" + played.world.net.history.finish());
-        if (!played.wrong.isEmpty()) {
-            System.err.println(kind + " " + seed + ": " + played.wrong);
+    private static boolean playAndReport(String scenario, long seed) {
+        Played result = play(scenario, seed);
+        System.out.println(scenario + "\t" + seed + "\t" + result.cluster.network.history.finish());
+        if (!result.problems.isEmpty()) {
+            System.err.println(scenario + " " + seed + ": " + result.problems);
         }
-        return played.wrong.isEmpty();
+        return result.problems.isEmpty();
     }
 
-    private static Played play(String kind, long seed) {
-        World w = new World(seed);
-        switch (kind) {
+    private static Played play(String scenario, long seed) {
+        World cluster = new World(seed);
+        switch (scenario) {
             case "operators" -> {
-                return OperatorsTest.random(seed);
+                return OperatorsTest.playRandomScenario(seed);
             }
             case "zones" -> {
-                return ZonesTest.random(seed);
+                return ZonesTest.playRandomScenario(seed);
             }
-            case "flood" -> w = DaysTest.flood(seed);
-            case "quick" -> DaysTest.quick(w);
-            case "meetings" -> Meetings.playAll(w);
-            case "first" -> Meetings.play(w);
-            case "rough" -> DaysTest.rough(w);
-            default -> throw new IllegalArgumentException("no such kind of day: " + kind);
+            case "flood" -> cluster = DaysTest.playOverload(seed);
+            case "quick" -> DaysTest.playQuickRestarts(cluster);
+            case "meetings" -> Meetings.playAllKinds(cluster);
+            case "first" -> Meetings.playInitialKinds(cluster);
+            case "rough" -> DaysTest.playRandomFaults(cluster);
+            default -> throw new IllegalArgumentException("no such kind of day: " + scenario);
         }
-        List<String> behind = kind.equals("meetings") || kind.equals("first") ? Meetings.leftBehind(w) : w.service().leftBehind();
-        if (kind.equals("meetings") && !behind.isEmpty()) {
-            List<String> could = Meetings.leftBehindThoughTheyCould(w);
-            behind = behind.stream().map(t -> could.contains(t) ? t : t + " (there was no room for it, or its team was at its limit)").toList();
+        List<String> starved = scenario.equals("meetings") || scenario.equals("first") ? Meetings.starved(cluster) : cluster.serviceLevels().starved();
+        if (scenario.equals("meetings") && !starved.isEmpty()) {
+            List<String> starvedDespiteCapacity = Meetings.starvedDespiteCapacity(cluster);
+            starved = starved.stream().map(line -> starvedDespiteCapacity.contains(line) ? line : line + " (there was no room for it, or its team was at its limit)").toList();
         }
-        boolean good = w.broken().isEmpty() && w.unfinished().isEmpty() && behind.isEmpty();
-        return new Played(w, good ? "" : "broken " + w.broken() + " open " + w.unfinished() + " left behind " + behind);
+        boolean passed = cluster.violations().isEmpty() && cluster.unfinishedJobs().isEmpty() && starved.isEmpty();
+        return new Played(cluster, passed ? "" : "broken " + cluster.violations() + " open " + cluster.unfinishedJobs() + " left behind " + starved);
     }
 }
--- a/src/test/java/io/quincelead/world/Service.java
+++ b/src/test/java/io/quincelead/world/Service.java
@@ -18,94 +18,94 @@
  */
 public final class Service {
     /** ms. The largest jobs too begin within this time. */
-    static final long BEGIN_MS = 240_000;
-    private final World world;
-    private final Map<String, JobSpec> asked = new LinkedHashMap<>();
-    private final Map<String, Long> submittedAt = new HashMap<>();
-    private final Map<String, Long> firstAt = new HashMap<>();
-    private final Map<String, Long> halfAt = new HashMap<>();
-    private final Map<String, Set<String>> begun = new HashMap<>();
+    static final long FIRST_START_LIMIT_MILLIS = 240_000;
+    private final World cluster;
+    private final Map<String, JobSpec> submittedJobs = new LinkedHashMap<>();
+    private final Map<String, Long> submittedAtMillis = new HashMap<>();
+    private final Map<String, Long> firstStartAtMillis = new HashMap<>();
+    private final Map<String, Long> halfStartedAtMillis = new HashMap<>();
+    private final Map<String, Set<String>> startedTasks = new HashMap<>();
 
-    Service(World world) {
-        this.world = world;
+    Service(World cluster) {
+        this.cluster = cluster;
     }
 
-    void submitted(JobSpec s) {
-        asked.put(s.id(), s);
-        submittedAt.putIfAbsent(s.id(), world.sim.now());
+    void onSubmitted(JobSpec job) {
+        submittedJobs.put(job.jobId(), job);
+        submittedAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
     }
 
-    long submittedAt(String id) {
-        return submittedAt.get(id);
+    long submittedAtMillis(String id) {
+        return submittedAtMillis.get(id);
     }
 
-    void began(JobSpec s, String task) {
-        firstAt.putIfAbsent(s.id(), world.sim.now());
-        Set<String> tasks = begun.computeIfAbsent(s.id(), i -> new HashSet<>());
-        if (tasks.add(task) && tasks.size() * 2 >= s.members()) {
-            halfAt.putIfAbsent(s.id(), world.sim.now());
+    void onTaskStarted(JobSpec job, String task) {
+        firstStartAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
+        Set<String> tasks = startedTasks.computeIfAbsent(job.jobId(), key -> new HashSet<>());
+        if (tasks.add(task) && tasks.size() * 2 >= job.taskCount()) {
+            halfStartedAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
         }
     }
 
     /** ms from the first attempt to submit to the first start; -1: none yet. */
-    public long begunAfter(String id) {
-        return firstAt.containsKey(id) ? firstAt.get(id) - submittedAt.get(id) : -1;
+    public long firstStartDelayMillis(String id) {
+        return firstStartAtMillis.containsKey(id) ? firstStartAtMillis.get(id) - submittedAtMillis.get(id) : -1;
     }
 
     /** ms from the first attempt to submit until half of the tasks had begun; -1: not yet. */
-    public long halfAfter(String id) {
-        return halfAt.containsKey(id) ? halfAt.get(id) - submittedAt.get(id) : -1;
+    public long halfStartedDelayMillis(String id) {
+        return halfStartedAtMillis.containsKey(id) ? halfStartedAtMillis.get(id) - submittedAtMillis.get(id) : -1;
     }
 
-    private boolean served(JobSpec s) {
-        return s.service() ? halfAt.containsKey(s.id()) : world.told(s.id(), "done");
+    private boolean isServed(JobSpec job) {
+        return job.isService() ? halfStartedAtMillis.containsKey(job.jobId()) : cluster.wasToldFinalStatus(job.jobId(), "done");
     }
 
     /** Jobs by everything whose service is judged: class, team, the largest tenth of a class. */
-    private Map<String, List<JobSpec>> groups() {
-        Map<String, List<JobSpec>> out = new TreeMap<>();
-        for (JobSpec s : asked.values()) {
-            if (!world.cancelAsked(s.id())) {
-                out.computeIfAbsent("class " + s.jobClass(), k -> new ArrayList<>()).add(s);
-                out.computeIfAbsent("team " + s.owner(), k -> new ArrayList<>()).add(s);
+    private Map<String, List<JobSpec>> jobGroups() {
+        Map<String, List<JobSpec>> result = new TreeMap<>();
+        for (JobSpec job : submittedJobs.values()) {
+            if (!cluster.isCancellationRequested(job.jobId())) {
+                result.computeIfAbsent("class " + job.jobClass(), key -> new ArrayList<>()).add(job);
+                result.computeIfAbsent("team " + job.team(), key -> new ArrayList<>()).add(job);
             }
         }
-        for (String name : new ArrayList<>(out.keySet())) {
+        for (String name : new ArrayList<>(result.keySet())) {
             if (name.startsWith("class ")) {
-                List<JobSpec> bySize = new ArrayList<>(out.get(name));
-                bySize.sort(Comparator.comparingInt((JobSpec s) -> -s.members()).thenComparing(JobSpec::id));
-                out.put("largest of " + name, bySize.subList(0, Math.max(1, bySize.size() / 10)));
+                List<JobSpec> bySize = new ArrayList<>(result.get(name));
+                bySize.sort(Comparator.comparingInt((JobSpec job) -> -job.taskCount()).thenComparing(JobSpec::jobId));
+                result.put("largest of " + name, bySize.subList(0, Math.max(1, bySize.size() / 10)));
             }
         }
-        return out;
+        return result;
     }
 
     /** Share served of each. */
-    public Map<String, Double> shares() {
-        Map<String, Double> out = new TreeMap<>();
-        groups().forEach((name, jobs) -> out.put(name, jobs.stream().filter(this::served).count() / (double) jobs.size()));
-        return out;
+    public Map<String, Double> servedShares() {
+        Map<String, Double> result = new TreeMap<>();
+        jobGroups().forEach((name, jobs) -> result.put(name, jobs.stream().filter(this::isServed).count() / (double) jobs.size()));
+        return result;
     }
 
     /** Whoever was left behind, in words. */
-    public List<String> leftBehind() {
-        return leftBehind(BEGIN_MS);
+    public List<String> starved() {
+        return starved(FIRST_START_LIMIT_MILLIS);
     }
 
     /** The same by another bound for the first start. */
-    public List<String> leftBehind(long beginMs) {
-        List<String> out = new ArrayList<>();
-        shares().forEach((name, share) -> {
+    public List<String> starved(long firstStartLimitMillis) {
+        List<String> result = new ArrayList<>();
+        servedShares().forEach((name, share) -> {
             if (share < 0.5) {
-                out.add(name + ": " + share + " served");
+                result.add(name + ": " + share + " served");
             }
         });
-        for (JobSpec s : asked.values()) {
-            long began = firstAt.getOrDefault(s.id(), world.sim.now()) - submittedAt.get(s.id());
-            if (!world.cancelAsked(s.id()) && began > beginMs) {
-                out.add(s.id() + " (" + s.members() + " tasks, " + s.urgency() + ") began after " + began / 1000 + " s");
+        for (JobSpec job : submittedJobs.values()) {
+            long startDelayMillis = firstStartAtMillis.getOrDefault(job.jobId(), cluster.clock.nowMillis()) - submittedAtMillis.get(job.jobId());
+            if (!cluster.isCancellationRequested(job.jobId()) && startDelayMillis > firstStartLimitMillis) {
+                result.add(job.jobId() + " (" + job.taskCount() + " tasks, " + job.priority() + ") began after " + startDelayMillis / 1000 + " s");
             }
         }
-        return out;
+        return result;
     }
 }
--- a/src/test/java/io/quincelead/world/Sim.java
+++ b/src/test/java/io/quincelead/world/Sim.java
@@ -6,80 +6,80 @@
 
 /** Simulated time: one queue of events, run in order. After each event the observer looks at the world. */
 public final class Sim {
-    private record Event(long at, long seq, Runnable task) implements Comparable<Event> {
-        @Override public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+    private record Event(long atMillis, long sequence, Runnable action) implements Comparable<Event> {
+        @Override public int compareTo(Event other) {
+            return atMillis != other.atMillis ? Long.compare(atMillis, other.atMillis) : Long.compare(sequence, other.sequence);
         }
     }
 
-    public static final long EPOCH = 1_790_000_000_000L;
+    public static final long EPOCH_MILLIS = 1_790_000_000_000L;
     public final SplittableRandom random;
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
-    private long now;
-    private long seq;
+    private long nowMillis;
+    private long nextSequence;
     private Runnable observer = () -> { };
     /** Time passes while a process computes: its clock moves on from one look to the next. */
-    public boolean slowCode;
+    public boolean computationTakesTime;
 
     public Sim(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    public void observe(Runnable after) {
-        observer = after;
+    public void setObserver(Runnable newObserver) {
+        observer = newObserver;
     }
 
-    public long now() {
-        return now;
+    public long nowMillis() {
+        return nowMillis;
     }
 
-    public void after(long ms, Runnable task) {
-        queue.add(new Event(now + Math.max(0, ms), seq++, task));
+    public void schedule(long delayMillis, Runnable task) {
+        queue.add(new Event(nowMillis + Math.max(0, delayMillis), nextSequence++, task));
     }
 
-    public void run(long until) {
-        while (!queue.isEmpty() && queue.peek().at <= until) {
-            Event e = queue.poll();
-            now = e.at;
-            e.task.run();
+    public void runUntil(long untilMillis) {
+        while (!queue.isEmpty() && queue.peek().atMillis <= untilMillis) {
+            Event event = queue.poll();
+            nowMillis = event.atMillis;
+            event.action.run();
             observer.run();
         }
-        now = until;
+        nowMillis = untilMillis;
     }
 
     /** The loop of one process; its events die with it. */
     public final class Process implements Loop {
-        private final double drift;
-        private final long wallOff;
+        private final double clockDrift;
+        private final long wallClockOffsetMillis;
         private boolean dead;
         private boolean paused;
-        private long last;
-        private int asked;
+        private long lastReadMillis;
+        private int clockReads;
 
-        Process(double drift, long wallOff) {
-            this.drift = drift;
-            this.wallOff = wallOff;
+        Process(double clockDrift, long wallClockOffsetMillis) {
+            this.clockDrift = clockDrift;
+            this.wallClockOffsetMillis = wallClockOffsetMillis;
         }
 
-        @Override public long now() {
-            long at = (long) (now * (1 + drift)) + 1_000;
-            last = Math.max(last, slowCode ? at + Math.min(asked++, 400) : at);
-            return last;
+        @Override public long nowMillis() {
+            long atMillis = (long) (nowMillis * (1 + clockDrift)) + 1_000;
+            lastReadMillis = Math.max(lastReadMillis, computationTakesTime ? atMillis + Math.min(clockReads++, 400) : atMillis);
+            return lastReadMillis;
         }
 
-        @Override public long wall() {
-            return EPOCH + now + wallOff;
+        @Override public long wallClockMillis() {
+            return EPOCH_MILLIS + nowMillis + wallClockOffsetMillis;
         }
 
-        @Override public void after(long ms, Runnable task) {
-            Sim.this.after(ms, () -> turn(task));
+        @Override public void runAfter(long delayMillis, Runnable task) {
+            Sim.this.schedule(delayMillis, () -> runTurn(task));
         }
 
-        private void turn(Runnable task) {
+        private void runTurn(Runnable task) {
             if (paused) {
-                Sim.this.after(50, () -> turn(task));
+                Sim.this.schedule(50, () -> runTurn(task));
             } else if (!dead) {
-                asked = 0;
+                clockReads = 0;
                 task.run();
             }
         }
@@ -88,12 +88,12 @@
             dead = true;
         }
 
-        public boolean dead() {
+        public boolean isDead() {
             return dead;
         }
     }
 
-    public Process process() {
+    public Process newProcess() {
         return new Process(random.nextDouble() * 0.0005, random.nextLong(-25, 26));
     }
 }
--- a/src/test/java/io/quincelead/world/Store.java
+++ b/src/test/java/io/quincelead/world/Store.java
@@ -13,336 +13,336 @@
 
 /** A stand-in for the state service, written from the protocol. */
 public final class Store {
-    private record Entry(JsonNode value, long stamp, long grant) { }
+    private record Entry(JsonNode value, long modRevision, long leaseId) { }
 
-    private record Change(long generation, String key, JsonNode value) { }
+    private record Change(long revision, String key, JsonNode value) { }
 
-    private record Watch(String prefix, long after, Request request, String from) { }
+    private record Watch(String prefix, long afterRevision, Request request, String clientIp) { }
 
-    private final Sim sim;
-    private final int txnOps;
-    private final TreeMap<String, Entry> data = new TreeMap<>();
-    private final Map<Long, Long> holds = new HashMap<>();
-    private final Map<Long, Long> lives = new HashMap<>();
+    private final Sim clock;
+    private final int maxOperations;
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final Map<Long, Long> leaseExpiryMillis = new HashMap<>();
+    private final Map<Long, Long> leaseDurationMillis = new HashMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
-    private long generation;
-    private long grants;
+    private long revision;
+    private long lastLeaseId;
     /** Changes kept for watches. */
-    public int kept = 10_000;
+    public int retainedChanges = 10_000;
     public boolean down;
-    private long downAt;
+    private long downSinceMillis;
     /** ms for which the store has been down, when it is up again. */
-    public long downMs;
+    public long totalDownMillis;
     /** Controllers, by IP, that get 503 while the others are served; their open watches wait. */
-    private final java.util.Set<String> refused = new java.util.HashSet<>();
+    private final java.util.Set<String> refusedClients = new java.util.HashSet<>();
     /** Controllers, by IP, whose watches are late though all else is served. */
-    private final java.util.Set<String> blind = new java.util.HashSet<>();
+    private final java.util.Set<String> delayedWatchers = new java.util.HashSet<>();
     /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
-    public double lateWrites;
+    public double delayedWriteRate;
     /** Share of transactions that are carried out at once and of which only the answer is lost; how many there were. */
-    public double lostAnswers;
-    public int answersLost;
+    public double responseLossRate;
+    public int lostResponses;
     /** Which transactions are carried out at once without an answer, whatever their share. */
-    public java.util.function.Predicate<ObjectNode> unanswered = t -> false;
+    public java.util.function.Predicate<ObjectNode> dropsResponse = transaction -> false;
     /** Sees each transaction that has just been carried out. */
-    public java.util.function.Consumer<ObjectNode> committed = t -> { };
+    public java.util.function.Consumer<ObjectNode> commitObserver = transaction -> { };
     /** How many of those were carried out, and how many failed by then. */
-    public int landedLate;
-    public int failedLate;
+    public int delayedWritesApplied;
+    public int delayedWritesRejected;
     /** Items that a page of a list holds at most. */
-    public int page = 1_000;
+    public int maxPageSize = 1_000;
     /** ms. Each request takes up to so much longer. */
-    public long slowMs;
+    public long maxExtraLatencyMillis;
     /** How often each key of the ledger was written. */
-    public final Map<String, Integer> ledgered = new HashMap<>();
+    public final Map<String, Integer> ledgerWrites = new HashMap<>();
     /** Which transactions get lost on their way, perhaps to arrive later. */
-    public java.util.function.Predicate<ObjectNode> lost = t -> false;
+    public java.util.function.Predicate<ObjectNode> dropsTransaction = transaction -> false;
     /** Sees each transaction as it arrives, before anything is done with it. */
-    public java.util.function.Consumer<ObjectNode> arriving = t -> { };
+    public java.util.function.Consumer<ObjectNode> arrivalObserver = transaction -> { };
     public int largestValue;
-    public int largestTxn;
+    public int largestTransaction;
 
-    public Store(Sim sim, int txnOps) {
-        this.sim = sim;
-        this.txnOps = txnOps;
-        sim.after(50, this::expire);
+    public Store(Sim clock, int maxOperations) {
+        this.clock = clock;
+        this.maxOperations = maxOperations;
+        clock.schedule(50, this::expireLeases);
     }
 
     public JsonNode value(String key) {
-        Entry e = data.get(key);
-        return e == null ? null : e.value;
+        Entry entry = entries.get(key);
+        return entry == null ? null : entry.value;
     }
 
-    public long generation() {
-        return generation;
+    public long revision() {
+        return revision;
     }
 
     public java.util.Collection<String> keys() {
-        return data.keySet();
+        return entries.keySet();
     }
 
-    private void expire() {
+    private void expireLeases() {
         if (!down) {
-            for (Long g : new ArrayList<>(holds.keySet())) {
-                if (holds.get(g) + 100 < sim.now()) {
-                    end(g);
+            for (Long leaseId : new ArrayList<>(leaseExpiryMillis.keySet())) {
+                if (leaseExpiryMillis.get(leaseId) + 100 < clock.nowMillis()) {
+                    endLease(leaseId);
                 }
             }
         }
-        sim.after(50, this::expire);
+        clock.schedule(50, this::expireLeases);
     }
 
     /** After an outage all leases have their full time again. */
-    public void outage(boolean on) {
-        downMs += down ? sim.now() - downAt : 0;
-        downAt = sim.now();
-        down = on;
-        if (!on) {
-            holds.replaceAll((g, t) -> sim.now() + lives.get(g));
-            notifyWatches();
+    public void setDown(boolean enabled) {
+        totalDownMillis += down ? clock.nowMillis() - downSinceMillis : 0;
+        downSinceMillis = clock.nowMillis();
+        down = enabled;
+        if (!enabled) {
+            leaseExpiryMillis.replaceAll((leaseId, delayMillis) -> clock.nowMillis() + leaseDurationMillis.get(leaseId));
+            notifyWatchers();
         }
     }
 
-    private void end(long grant) {
-        holds.remove(grant);
-        generation++;
-        for (String key : new ArrayList<>(data.keySet())) {
-            if (data.get(key).grant == grant) {
-                data.remove(key);
-                changes.add(new Change(generation, key, null));
+    private void endLease(long leaseId) {
+        leaseExpiryMillis.remove(leaseId);
+        revision++;
+        for (String key : new ArrayList<>(entries.keySet())) {
+            if (entries.get(key).leaseId == leaseId) {
+                entries.remove(key);
+                changes.add(new Change(revision, key, null));
             }
         }
-        notifyWatches();
+        notifyWatchers();
     }
 
     /** Refuses one controller alone, or serves it again. */
-    public void refuse(String ip, boolean on) {
-        if (on) {
-            refused.add(ip);
+    public void setRefused(String ip, boolean enabled) {
+        if (enabled) {
+            refusedClients.add(ip);
         } else {
-            refused.remove(ip);
-            notifyWatches();
+            refusedClients.remove(ip);
+            notifyWatchers();
         }
     }
 
     /** Keeps what changes from one controller, or lets it catch up. */
-    public void blind(String ip, boolean on) {
-        if (on) {
-            blind.add(ip);
+    public void setWatchDelayed(String ip, boolean enabled) {
+        if (enabled) {
+            delayedWatchers.add(ip);
         } else {
-            blind.remove(ip);
-            notifyWatches();
+            delayedWatchers.remove(ip);
+            notifyWatchers();
         }
     }
 
-    private boolean out(String from) {
-        return down || refused.contains(from);
+    private boolean isUnavailableTo(String clientIp) {
+        return down || refusedClients.contains(clientIp);
     }
 
-    public void handle(Request r, String from) {
-        if (slowMs > 0) {
-            sim.after(sim.random.nextLong(slowMs), () -> take(r, from));
+    public void handle(Request request, String clientIp) {
+        if (maxExtraLatencyMillis > 0) {
+            clock.schedule(clock.random.nextLong(maxExtraLatencyMillis), () -> process(request, clientIp));
         } else {
-            take(r, from);
+            process(request, clientIp);
         }
     }
 
-    private void take(Request r, String from) {
-        if (r.path.equals("/watch") && !out(from)) {
-            Watch w = new Watch(r.query.get("prefix"), Long.parseLong(r.query.get("after")), r, from);
-            watches.add(w);
-            sim.after(Long.parseLong(r.query.getOrDefault("holdMs", "0")), () -> {
-                if (!out(from) && !blind.contains(from) && watches.remove(w)) {
-                    answer(w, news(w));
+    private void process(Request request, String clientIp) {
+        if (request.path.equals("/watch") && !isUnavailableTo(clientIp)) {
+            Watch watch = new Watch(request.queryParameters.get("prefix"), Long.parseLong(request.queryParameters.get("after")), request, clientIp);
+            watches.add(watch);
+            clock.schedule(Long.parseLong(request.queryParameters.getOrDefault("holdMs", "0")), () -> {
+                if (!isUnavailableTo(clientIp) && !delayedWatchers.contains(clientIp) && watches.remove(watch)) {
+                    answerWatch(watch, changesFor(watch));
                 }
             });
-            notifyWatches();
+            notifyWatchers();
             return;
         }
-        if (out(from)) {
-            r.refuse(503, "trouble");
+        if (isUnavailableTo(clientIp)) {
+            request.respondError(503, "trouble");
             return;
         }
-        ObjectNode body = r.method.equals("POST") ? Codec.CBOR.readMap(r.body) : null;
-        if (r.path.equals("/holds")) {
-            long g = ++grants;
-            lives.put(g, body.path("lifeMs").asLong());
-            holds.put(g, sim.now() + body.path("lifeMs").asLong());
-            r.answer(200, Codec.map().put("grant", g));
-        } else if (r.path.startsWith("/holds/")) {
-            long g = Long.parseLong(r.path.split("/")[2]);
-            if (!holds.containsKey(g)) {
-                r.answer(404, Codec.map());
-            } else if (r.method.equals("DELETE")) {
-                end(g);
-                r.answer(200, Codec.map());
+        ObjectNode body = request.method.equals("POST") ? Codec.CBOR.decodeMap(request.body) : null;
+        if (request.path.equals("/holds")) {
+            long leaseId = ++lastLeaseId;
+            leaseDurationMillis.put(leaseId, body.path("lifeMs").asLong());
+            leaseExpiryMillis.put(leaseId, clock.nowMillis() + body.path("lifeMs").asLong());
+            request.respond(200, Codec.newMap().put("grant", leaseId));
+        } else if (request.path.startsWith("/holds/")) {
+            long leaseId = Long.parseLong(request.path.split("/")[2]);
+            if (!leaseExpiryMillis.containsKey(leaseId)) {
+                request.respond(404, Codec.newMap());
+            } else if (request.method.equals("DELETE")) {
+                endLease(leaseId);
+                request.respond(200, Codec.newMap());
             } else {
-                holds.put(g, sim.now() + lives.get(g));
-                r.answer(200, Codec.map());
+                leaseExpiryMillis.put(leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
+                request.respond(200, Codec.newMap());
             }
-        } else if (r.path.equals("/commit")) {
-            if (lateWrites > 0 && !body.path("then").isEmpty() && sim.random.nextDouble() < lateWrites) {
-                late(r, body, 2_000 + sim.random.nextLong(10_000));
-            } else if (unanswered.test(body) || lostAnswers > 0 && !body.path("then").isEmpty() && sim.random.nextDouble() < lostAnswers) {
-                answersLost++;
-                commit(silent(), body);
+        } else if (request.path.equals("/commit")) {
+            if (delayedWriteRate > 0 && !body.path("then").isEmpty() && clock.random.nextDouble() < delayedWriteRate) {
+                commitLater(request, body, 2_000 + clock.random.nextLong(10_000));
+            } else if (dropsResponse.test(body) || responseLossRate > 0 && !body.path("then").isEmpty() && clock.random.nextDouble() < responseLossRate) {
+                lostResponses++;
+                commit(requestWithoutResponse(), body);
             } else {
-                commit(r, body);
+                commit(request, body);
             }
-        } else if (r.path.equals("/store")) {
-            list(r);
+        } else if (request.path.equals("/store")) {
+            list(request);
         } else {
-            Entry e = data.get(r.path.substring("/store/".length()));
-            if (e == null) {
-                r.answer(404, Codec.map().put("generation", generation));
+            Entry entry = entries.get(request.path.substring("/store/".length()));
+            if (entry == null) {
+                request.respond(404, Codec.newMap().put("generation", revision));
             } else {
-                ObjectNode out = Codec.map().put("path", r.path.substring("/store/".length())).put("stamp", e.stamp).put("grant", e.grant);
-                out.set("value", e.value);
-                r.answer(200, out);
+                ObjectNode response = Codec.newMap().put("path", request.path.substring("/store/".length())).put("stamp", entry.modRevision).put("grant", entry.leaseId);
+                response.set("value", entry.value);
+                request.respond(200, response);
             }
         }
     }
 
     /** Carries a transaction out after so many ms; nobody hears of it. */
-    void late(Request r, ObjectNode body, long ms) {
-        sim.after(ms, () -> {
+    void commitLater(Request request, ObjectNode body, long delayMillis) {
+        clock.schedule(delayMillis, () -> {
             if (down) {
-                late(r, body, 1_000);
+                commitLater(request, body, 1_000);
                 return;
             }
-            long before = generation;
-            commit(silent(), body);
-            if (generation > before) {
-                landedLate++;
+            long previousRevision = revision;
+            commit(requestWithoutResponse(), body);
+            if (revision > previousRevision) {
+                delayedWritesApplied++;
             } else {
-                failedLate++;
+                delayedWritesRejected++;
             }
         });
     }
 
     /** Nobody hears the answer. */
-    static Request silent() {
+    static Request requestWithoutResponse() {
         return new Request("POST", "/commit", Map.of(), new byte[0]) {
-            @Override protected void send(int status, Codec codec, byte[] out, int retryAfterS) { }
+            @Override protected void sendResponse(int status, Codec codec, byte[] out, int retryAfterS) { }
         };
     }
 
-    private void list(Request r) {
-        ArrayNode items = Codec.list();
-        String prefix = r.query.get("prefix");
-        int limit = Math.min(page, Integer.parseInt(r.query.getOrDefault("limit", "1000")));
+    private void list(Request request) {
+        ArrayNode items = Codec.newList();
+        String prefix = request.queryParameters.get("prefix");
+        int limit = Math.min(maxPageSize, Integer.parseInt(request.queryParameters.getOrDefault("limit", "1000")));
         boolean more = false;
-        for (Map.Entry<String, Entry> e : data.tailMap(r.query.getOrDefault("after", prefix), false).entrySet()) {
-            if (e.getKey().startsWith(prefix)) {
+        for (Map.Entry<String, Entry> entry : entries.tailMap(request.queryParameters.getOrDefault("after", prefix), false).entrySet()) {
+            if (entry.getKey().startsWith(prefix)) {
                 if (items.size() >= limit) {
                     more = true;
                     break;
                 }
-                items.addObject().put("path", e.getKey()).put("stamp", e.getValue().stamp).set("value", e.getValue().value);
+                items.addObject().put("path", entry.getKey()).put("stamp", entry.getValue().modRevision).set("value", entry.getValue().value);
             }
         }
-        ObjectNode out = Codec.map().put("truncated", more).put("generation", generation);
-        out.set("items", items);
-        r.answer(200, out);
+        ObjectNode response = Codec.newMap().put("truncated", more).put("generation", revision);
+        response.set("items", items);
+        request.respond(200, response);
     }
 
-    private void commit(Request r, ObjectNode body) {
-        if (lost.test(body)) {
+    private void commit(Request request, ObjectNode body) {
+        if (dropsTransaction.test(body)) {
             return;
         }
-        arriving.accept(body);
-        JsonNode then = body.path("then");
-        if (then.size() > txnOps || body.path("guards").size() > 4 * txnOps) {
-            throw new IllegalStateException("a transaction over the limits: " + then.size() + " changes, " + body.path("guards").size() + " guards");
+        arrivalObserver.accept(body);
+        JsonNode operations = body.path("then");
+        if (operations.size() > maxOperations || body.path("guards").size() > 4 * maxOperations) {
+            throw new IllegalStateException("a transaction over the limits: " + operations.size() + " changes, " + body.path("guards").size() + " guards");
         }
-        largestTxn = Math.max(largestTxn, then.size());
-        for (JsonNode op : then) {
-            if (op.hasNonNull("grant") && !holds.containsKey(op.path("grant").asLong())) {
-                r.refuse(400, "no such lease");
+        largestTransaction = Math.max(largestTransaction, operations.size());
+        for (JsonNode operation : operations) {
+            if (operation.hasNonNull("grant") && !leaseExpiryMillis.containsKey(operation.path("grant").asLong())) {
+                request.respondError(400, "no such lease");
                 return;
             }
-            if (op.has("put")) {
-                int size = op.path("value").toString().length();
+            if (operation.has("put")) {
+                int size = operation.path("value").toString().length();
                 largestValue = Math.max(largestValue, size);
                 if (size > 8 * 1024) {
                     throw new IllegalStateException("a value over the limit: " + size);
                 }
             }
         }
-        ArrayNode failed = Codec.list();
-        for (JsonNode g : body.path("guards")) {
-            Entry e = data.get(g.path("path").asText());
-            if ((e == null ? 0 : e.stamp) != g.path("stamp").asLong()) {
-                failed.add(g.path("path").asText());
+        ArrayNode failedKeys = Codec.newList();
+        for (JsonNode precondition : body.path("guards")) {
+            Entry entry = entries.get(precondition.path("path").asText());
+            if ((entry == null ? 0 : entry.modRevision) != precondition.path("stamp").asLong()) {
+                failedKeys.add(precondition.path("path").asText());
             }
         }
-        if (!failed.isEmpty()) {
-            ObjectNode out = Codec.map().put("generation", generation);
-            out.set("failed", failed);
-            r.answer(409, out);
+        if (!failedKeys.isEmpty()) {
+            ObjectNode response = Codec.newMap().put("generation", revision);
+            response.set("failed", failedKeys);
+            request.respond(409, response);
             return;
         }
-        if (!then.isEmpty()) {
-            generation++;
+        if (!operations.isEmpty()) {
+            revision++;
         }
-        for (JsonNode op : then) {
-            if (op.path("put").asText().startsWith("z/oe/")) {
-                ledgered.merge(op.path("put").asText(), 1, Integer::sum);
+        for (JsonNode operation : operations) {
+            if (operation.path("put").asText().startsWith("z/oe/")) {
+                ledgerWrites.merge(operation.path("put").asText(), 1, Integer::sum);
             }
-            if (op.has("put")) {
-                data.put(op.path("put").asText(), new Entry(op.path("value"), generation, op.path("grant").asLong()));
-                changes.add(new Change(generation, op.path("put").asText(), op.path("value")));
-            } else if (data.remove(op.path("remove").asText()) != null) {
-                changes.add(new Change(generation, op.path("remove").asText(), null));
+            if (operation.has("put")) {
+                entries.put(operation.path("put").asText(), new Entry(operation.path("value"), revision, operation.path("grant").asLong()));
+                changes.add(new Change(revision, operation.path("put").asText(), operation.path("value")));
+            } else if (entries.remove(operation.path("remove").asText()) != null) {
+                changes.add(new Change(revision, operation.path("remove").asText(), null));
             }
         }
-        r.answer(200, Codec.map().put("generation", generation));
-        notifyWatches();
-        if (!then.isEmpty()) {
-            committed.accept(body);
+        request.respond(200, Codec.newMap().put("generation", revision));
+        notifyWatchers();
+        if (!operations.isEmpty()) {
+            commitObserver.accept(body);
         }
     }
 
-    private void notifyWatches() {
+    private void notifyWatchers() {
         if (down) {
             return;
         }
-        for (Watch w : new ArrayList<>(watches)) {
-            if (out(w.from) || blind.contains(w.from)) {
+        for (Watch watch : new ArrayList<>(watches)) {
+            if (isUnavailableTo(watch.clientIp) || delayedWatchers.contains(watch.clientIp)) {
                 continue;
             }
-            if (changes.size() > kept && changes.get(changes.size() - kept).generation > w.after) {
-                watches.remove(w);
-                w.request.answer(410, Codec.map());
+            if (changes.size() > retainedChanges && changes.get(changes.size() - retainedChanges).revision > watch.afterRevision) {
+                watches.remove(watch);
+                watch.request.respond(410, Codec.newMap());
                 continue;
             }
-            ArrayNode news = news(w);
-            if (!news.isEmpty()) {
-                watches.remove(w);
-                answer(w, news);
+            ArrayNode events = changesFor(watch);
+            if (!events.isEmpty()) {
+                watches.remove(watch);
+                answerWatch(watch, events);
             }
         }
     }
 
-    private ArrayNode news(Watch w) {
-        ArrayNode news = Codec.list();
-        for (int i = changes.size() - 1; i >= 0 && changes.get(i).generation > w.after; i--) {
-            Change c = changes.get(i);
-            if (c.key.startsWith(w.prefix)) {
-                ObjectNode n = Codec.map().put(c.value == null ? "remove" : "put", c.key).put("stamp", c.generation);
-                if (c.value != null) {
-                    n.set("value", c.value);
+    private ArrayNode changesFor(Watch watch) {
+        ArrayNode events = Codec.newList();
+        for (int i = changes.size() - 1; i >= 0 && changes.get(i).revision > watch.afterRevision; i--) {
+            Change change = changes.get(i);
+            if (change.key.startsWith(watch.prefix)) {
+                ObjectNode node = Codec.newMap().put(change.value == null ? "remove" : "put", change.key).put("stamp", change.revision);
+                if (change.value != null) {
+                    node.set("value", change.value);
                 }
-                news.insert(0, n);
+                events.insert(0, node);
             }
         }
-        return news;
+        return events;
     }
 
-    private void answer(Watch w, ArrayNode news) {
-        ObjectNode out = Codec.map().put("generation", generation);
-        out.set("news", news);
-        w.request.answer(200, out);
+    private void answerWatch(Watch watch, ArrayNode events) {
+        ObjectNode response = Codec.newMap().put("generation", revision);
+        response.set("news", events);
+        watch.request.respond(200, response);
     }
 }
--- a/src/test/java/io/quincelead/world/Troubles.java
+++ b/src/test/java/io/quincelead/world/Troubles.java
@@ -11,145 +11,145 @@
     private Troubles() { }
 
     /** One of many, at random. */
-    static void trouble(World w) {
-        int n = w.controllers.size();
-        long span = 2_000 + w.sim.random.nextLong(25_000);
-        w.troubled(w.sim.now() + span);
-        switch (w.sim.random.nextInt(9)) {
-            case 0 -> crash(w, w.sim.random.nextInt(n), 2_000 + w.sim.random.nextLong(6_000));
+    static void injectRandomFault(World cluster) {
+        int controllerCount = cluster.controllers.size();
+        long durationMillis = 2_000 + cluster.clock.random.nextLong(25_000);
+        cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
+        switch (cluster.clock.random.nextInt(9)) {
+            case 0 -> crashController(cluster, cluster.clock.random.nextInt(controllerCount), 2_000 + cluster.clock.random.nextLong(6_000));
             case 1 -> {
-                for (int i = 0; i < n; i++) {
-                    crash(w, i, 3_000);
+                for (int i = 0; i < controllerCount; i++) {
+                    crashController(cluster, i, 3_000);
                 }
             }
             case 2 -> {
-                w.store.outage(true);
-                w.sim.after(span, () -> w.store.outage(false));
+                cluster.store.setDown(true);
+                cluster.clock.schedule(durationMillis, () -> cluster.store.setDown(false));
             }
-            case 3 -> cut(w, w.controllers.get(w.sim.random.nextInt(n)).ip, List.of("10.2.0.1"), span);
+            case 3 -> partition(cluster, cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip, List.of("10.2.0.1"), durationMillis);
             case 4 -> {
-                String ip = w.controllers.get(w.sim.random.nextInt(n)).ip;
-                List<String> all = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
-                w.cloud.machines.values().forEach(m -> all.add(m.addr.substring(0, m.addr.indexOf(':'))));
-                w.controllers.forEach(c -> all.add(c.ip));
-                all.remove(ip);
-                cut(w, ip, all, span);
+                String ip = cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
+                List<String> otherIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
+                cluster.cloud.machines.values().forEach(worker -> otherIps.add(worker.address.substring(0, worker.address.indexOf(':'))));
+                cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
+                otherIps.remove(ip);
+                partition(cluster, ip, otherIps, durationMillis);
             }
             case 5 -> {
-                String ip = w.controllers.get(w.sim.random.nextInt(n)).ip;
-                cut(w, ip, w.cloud.machines.values().stream().map(m -> m.addr.substring(0, m.addr.indexOf(':'))).toList(), span);
+                String ip = cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
+                partition(cluster, ip, cluster.cloud.machines.values().stream().map(worker -> worker.address.substring(0, worker.address.indexOf(':'))).toList(), durationMillis);
             }
-            case 6 -> machine(w, m -> {
-                m.hang(true);
-                w.sim.after(span, () -> m.hang(false));
+            case 6 -> onRandomMachine(cluster, worker -> {
+                worker.setHung(true);
+                cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
             });
-            case 7 -> machine(w, Worker::die);
-            default -> machine(w, m -> m.sick = true);
+            case 7 -> onRandomMachine(cluster, Worker::crash);
+            default -> onRandomMachine(cluster, worker -> worker.failsTasks = true);
         }
     }
 
-    static void crash(World w, int i, long backMs) {
-        if (w.controllers.get(i).alive()) {
-            w.controllers.get(i).kill();
-            w.troubled(w.sim.now() + backMs);
-            w.sim.after(backMs, w.controllers.get(i)::start);
+    static void crashController(World cluster, int controller, long restartDelayMillis) {
+        if (cluster.controllers.get(controller).isAlive()) {
+            cluster.controllers.get(controller).kill();
+            cluster.expectFaultsUntil(cluster.clock.nowMillis() + restartDelayMillis);
+            cluster.clock.schedule(restartDelayMillis, cluster.controllers.get(controller)::start);
         }
     }
 
-    static void cut(World w, String ip, List<String> others, long span) {
-        boolean hold = w.sim.random.nextBoolean();
-        w.troubled(w.sim.now() + span);
-        others.forEach(o -> w.net.cut(ip, o, hold));
-        w.sim.after(span, () -> others.forEach(o -> w.net.mend(ip, o)));
+    static void partition(World cluster, String ip, List<String> otherIps, long durationMillis) {
+        boolean buffer = cluster.clock.random.nextBoolean();
+        cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
+        otherIps.forEach(otherIp -> cluster.network.partition(ip, otherIp, buffer));
+        cluster.clock.schedule(durationMillis, () -> otherIps.forEach(otherIp -> cluster.network.heal(ip, otherIp)));
     }
 
     /** Cuts a zone's machines, with one controller among them, off from everything else. */
-    static void cutZone(World w, String site, int controller, long span) {
-        cutZone(w, site, List.of(controller), span);
+    static void partitionZone(World cluster, String zone, int controller, long durationMillis) {
+        partitionZone(cluster, zone, List.of(controller), durationMillis);
     }
 
     /** The same with these controllers inside, perhaps none. */
-    static void cutZone(World w, String site, List<Integer> controllers, long span) {
-        w.troubled(w.sim.now() + span);
-        List<String> inside = new ArrayList<>(controllers.stream().map(c -> w.controllers.get(c).ip).toList());
-        List<String> outside = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
-        w.controllers.forEach(c -> outside.add(c.ip));
-        outside.removeAll(inside);
-        w.cloud.machines.values().forEach(m -> (m.site.equals(site) ? inside : outside).add(m.addr.substring(0, m.addr.indexOf(':'))));
-        inside.forEach(i -> outside.forEach(o -> w.net.cut(i, o, false)));
-        w.sim.after(span, () -> inside.forEach(i -> outside.forEach(o -> w.net.mend(i, o))));
+    static void partitionZone(World cluster, String zone, List<Integer> controllers, long durationMillis) {
+        cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
+        List<String> insideIps = new ArrayList<>(controllers.stream().map(controller -> cluster.controllers.get(controller).ip).toList());
+        List<String> outsideIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
+        cluster.controllers.forEach(controller -> outsideIps.add(controller.ip));
+        outsideIps.removeAll(insideIps);
+        cluster.cloud.machines.values().forEach(worker -> (worker.zone.equals(zone) ? insideIps : outsideIps).add(worker.address.substring(0, worker.address.indexOf(':'))));
+        insideIps.forEach(insideIp -> outsideIps.forEach(outsideIp -> cluster.network.partition(insideIp, outsideIp, false)));
+        cluster.clock.schedule(durationMillis, () -> insideIps.forEach(insideIp -> outsideIps.forEach(outsideIp -> cluster.network.heal(insideIp, outsideIp))));
     }
 
-    static void machine(World w, Consumer<Worker> what) {
-        List<Worker> up = w.cloud.machines.values().stream().filter(m -> m.up && !m.dead).toList();
-        if (!up.isEmpty()) {
-            what.accept(up.get(w.sim.random.nextInt(up.size())));
+    static void onRandomMachine(World cluster, Consumer<Worker> action) {
+        List<Worker> runningWorkers = cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead).toList();
+        if (!runningWorkers.isEmpty()) {
+            action.accept(runningWorkers.get(cluster.clock.random.nextInt(runningWorkers.size())));
         }
     }
 
 
     /** ms. A process may be back within a fraction of a second. */
-    static long soon(World w) {
-        return 50 + w.sim.random.nextLong(450);
+    static long quickRestartDelayMillis(World cluster) {
+        return 50 + cluster.clock.random.nextLong(450);
     }
 
     /** Processes that end and are back at once: one, all, one again and again, and leaders as they come to lead. */
-    static void quick(World w) {
-        int n = w.controllers.size();
-        int one = w.sim.random.nextInt(n);
-        switch (w.sim.random.nextInt(6)) {
-            case 0 -> crash(w, one, soon(w));
+    static void injectRandomQuickRestart(World cluster) {
+        int controllerCount = cluster.controllers.size();
+        int controller = cluster.clock.random.nextInt(controllerCount);
+        switch (cluster.clock.random.nextInt(6)) {
+            case 0 -> crashController(cluster, controller, quickRestartDelayMillis(cluster));
             case 1 -> {
-                for (int i = 0; i < n; i++) {
-                    crash(w, i, soon(w));
+                for (int i = 0; i < controllerCount; i++) {
+                    crashController(cluster, i, quickRestartDelayMillis(cluster));
                 }
             }
-            case 2 -> again(w, one, 5);
-            case 3 -> leaderEnds(w, Moment.STANDS);
-            case 4 -> leaderEnds(w, Moment.HAS_WON);
-            default -> leaderEnds(w, Moment.GRANTS);
+            case 2 -> crashRepeatedly(cluster, controller, 5);
+            case 3 -> crashLeaderAndSuccessor(cluster, Moment.CANDIDACY_COMMITTED);
+            case 4 -> crashLeaderAndSuccessor(cluster, Moment.ELECTED);
+            default -> crashLeaderAndSuccessor(cluster, Moment.FIRST_GRANT);
         }
     }
 
     /** Ends one process and, each time that it is back, ends it again a little later. */
-    private static void again(World w, int i, int times) {
-        if (times > 0) {
-            crash(w, i, soon(w));
-            w.sim.after(700 + w.sim.random.nextLong(2_500), () -> again(w, i, times - 1));
+    private static void crashRepeatedly(World cluster, int controller, int count) {
+        if (count > 0) {
+            crashController(cluster, controller, quickRestartDelayMillis(cluster));
+            cluster.clock.schedule(700 + cluster.clock.random.nextLong(2_500), () -> crashRepeatedly(cluster, controller, count - 1));
         }
     }
 
     /** Moments of an election. */
     enum Moment {
         /** Its candidacy has come to the store and is carried out; the answer finds nobody. */
-        STANDS,
+        CANDIDACY_COMMITTED,
         /** It has just heard that it leads. */
-        HAS_WON,
+        ELECTED,
         /** Its first change of a block is on its way. */
-        GRANTS
+        FIRST_GRANT
     }
 
     /** Ends the leader, and its successor at that moment of its election; both are back at once. */
-    static void leaderEnds(World w, Moment moment) {
-        JsonNode lead = w.store.value("a/lead");
-        if (lead == null) {
+    static void crashLeaderAndSuccessor(World cluster, Moment phase) {
+        JsonNode leaderRecord = cluster.store.value("a/lead");
+        if (leaderRecord == null) {
             return;
         }
-        Consumer<ObjectNode> before = w.store.arriving;
-        w.store.arriving = t -> {
-            before.accept(t);
-            for (JsonNode op : t.path("then")) {
-                boolean stands = op.path("put").asText().equals("a/lead");
-                boolean grants = op.path("put").asText().startsWith("a/b/") && w.store.value("a/lead") != null;
-                if (moment == Moment.GRANTS ? grants : stands) {
-                    int next = w.index(moment == Moment.GRANTS ? w.store.value("a/lead").path("m").asText() : op.path("value").path("m").asText());
-                    w.store.arriving = before;
-                    w.sim.after(moment == Moment.HAS_WON ? 15 : 0, () -> crash(w, next, soon(w)));
+        Consumer<ObjectNode> previousObserver = cluster.store.arrivalObserver;
+        cluster.store.arrivalObserver = transaction -> {
+            previousObserver.accept(transaction);
+            for (JsonNode operation : transaction.path("then")) {
+                boolean candidacy = operation.path("put").asText().equals("a/lead");
+                boolean grant = operation.path("put").asText().startsWith("a/b/") && cluster.store.value("a/lead") != null;
+                if (phase == Moment.FIRST_GRANT ? grant : candidacy) {
+                    int next = cluster.indexOfController(phase == Moment.FIRST_GRANT ? cluster.store.value("a/lead").path("m").asText() : operation.path("value").path("m").asText());
+                    cluster.store.arrivalObserver = previousObserver;
+                    cluster.clock.schedule(phase == Moment.ELECTED ? 15 : 0, () -> crashController(cluster, next, quickRestartDelayMillis(cluster)));
                     return;
                 }
             }
         };
-        w.troubled(w.sim.now() + 30_000);
-        crash(w, w.index(lead.path("m").asText()), soon(w));
+        cluster.expectFaultsUntil(cluster.clock.nowMillis() + 30_000);
+        crashController(cluster, cluster.indexOfController(leaderRecord.path("m").asText()), quickRestartDelayMillis(cluster));
     }
 }
--- a/src/test/java/io/quincelead/world/Users.java
+++ b/src/test/java/io/quincelead/world/Users.java
@@ -8,137 +8,137 @@
 
 /** What users do besides submitting, asking every few seconds and cancelling now and then. */
 final class Users {
-    private final World w;
+    private final World cluster;
     /** They ask all controllers, and repeat the submission, within milliseconds of an acceptance, end or cancellation. */
-    boolean closeLooks;
+    boolean consistencyProbes;
     /** Share of jobs that are then cancelled at once. */
-    double cancelledAtOnce;
+    double cancelAtOnceRate;
     /** Share of jobs that are cancelled at the moment at which their last task ends. */
-    double cancelledAtEnd;
+    double cancelAtCompletionRate;
     /** How often each has happened. */
-    int looks;
-    int atOnce;
-    int atEnd;
-    int now;
+    int probeCount;
+    int cancelledAtOnceCount;
+    int cancelledAtCompletionCount;
+    int massCancelledCount;
     /** Odd requests that got the refusal they should get, and those about jobs that are known. */
-    int refused;
-    int odd;
-    private int odds;
-    private int ids = 1_000;
+    int refusedCount;
+    int unusualRequestCount;
+    private int lastUnacceptableId;
+    private int lastJobNumber = 1_000;
 
-    Users(World w) {
-        this.w = w;
+    Users(World cluster) {
+        this.cluster = cluster;
     }
 
     /** The number of a job that nobody has submitted yet. */
-    int id() {
-        return ++ids;
+    int nextJobNumber() {
+        return ++lastJobNumber;
     }
 
     /** The first time that anybody is told that the job is accepted. */
-    void accepted(JobSpec s) {
-        if (cancelledAtOnce > 0 && !s.service() && w.sim.random.nextDouble() < cancelledAtOnce) {
-            atOnce++;
-            w.sim.after(w.sim.random.nextLong(30), () -> w.cancel(s.id()));
+    void onAccepted(JobSpec job) {
+        if (cancelAtOnceRate > 0 && !job.isService() && cluster.clock.random.nextDouble() < cancelAtOnceRate) {
+            cancelledAtOnceCount++;
+            cluster.clock.schedule(cluster.clock.random.nextLong(30), () -> cluster.cancel(job.jobId()));
         }
-        look(s.id());
+        probe(job.jobId());
     }
 
     /** The first time that anybody is told that it is done or cancelled. */
-    void ended(String id) {
-        look(id);
+    void onFinalStatus(String id) {
+        probe(id);
     }
 
     /** A task of the job has just completed. */
-    void completed(JobSpec s) {
-        for (int i = 0; i < s.members(); i++) {
-            if (!w.results.contains(s.id() + "/" + i)) {
+    void onTaskCompleted(JobSpec job) {
+        for (int i = 0; i < job.taskCount(); i++) {
+            if (!cluster.completedTasks.contains(job.jobId() + "/" + i)) {
                 return;
             }
         }
-        if (cancelledAtEnd > 0 && w.told().contains(s.id()) && w.sim.random.nextDouble() < cancelledAtEnd) {
-            atEnd++;
-            w.sim.after(w.sim.random.nextLong(20), () -> w.cancel(s.id()));
+        if (cancelAtCompletionRate > 0 && cluster.acceptedJobs().contains(job.jobId()) && cluster.clock.random.nextDouble() < cancelAtCompletionRate) {
+            cancelledAtCompletionCount++;
+            cluster.clock.schedule(cluster.clock.random.nextLong(20), () -> cluster.cancel(job.jobId()));
         }
-        look(s.id());
+        probe(job.jobId());
     }
 
-    private void look(String id) {
-        JobSpec s = w.specs.get(id);
-        if (!closeLooks || s == null || !w.told().contains(id)) {
+    private void probe(String id) {
+        JobSpec job = cluster.jobsById.get(id);
+        if (!consistencyProbes || job == null || !cluster.acceptedJobs().contains(id)) {
             return;
         }
-        looks++;
-        for (int i = 0; i < w.controllers.size(); i++) {
-            int c = i;
+        probeCount++;
+        for (int i = 0; i < cluster.controllers.size(); i++) {
+            int controller = i;
             for (int k = 0; k < 3; k++) {
-                w.sim.after(w.sim.random.nextLong(60), () -> w.query(id, c));
+                cluster.clock.schedule(cluster.clock.random.nextLong(60), () -> cluster.query(id, controller));
             }
-            w.sim.after(w.sim.random.nextLong(60), () -> w.submit(s, c));
+            cluster.clock.schedule(cluster.clock.random.nextLong(60), () -> cluster.submit(job, controller));
         }
     }
 
     /** Cancels so many running jobs that have long to go, within 0.2 s; up to eight of their machines hang for so many ms. */
-    void cancelNow(int count, long hangMs) {
-        List<String> running = new ArrayList<>();
-        for (String id : w.told()) {
-            JobSpec s = w.specs.get(id);
-            boolean runs = w.cloud.machines.values().stream().anyMatch(m -> m.tasks.values().stream().anyMatch(t -> t.on() && w.spec(t.name) == s));
-            if (runs && !s.service() && !w.cancelAsked(id) && s.runtimeS() >= 5) {
-                running.add(id);
+    void cancelRunningJobs(int count, long hangMillis) {
+        List<String> runningJobs = new ArrayList<>();
+        for (String id : cluster.acceptedJobs()) {
+            JobSpec job = cluster.jobsById.get(id);
+            boolean isRunning = cluster.cloud.machines.values().stream().anyMatch(worker -> worker.tasks.values().stream().anyMatch(task -> task.occupiesMachine() && cluster.jobOfTask(task.name) == job));
+            if (isRunning && !job.isService() && !cluster.isCancellationRequested(id) && job.runtimeSeconds() >= 5) {
+                runningJobs.add(id);
             }
         }
-        List<String> chosen = running.subList(0, Math.min(count, running.size()));
-        now += chosen.size();
-        chosen.forEach(id -> w.sim.after(w.sim.random.nextLong(200), () -> w.cancel(id)));
-        if (hangMs > 0) {
-            w.troubled(w.sim.now() + hangMs);
-            w.cloud.machines.values().stream().filter(m -> m.up && !m.dead && !m.hung
-                    && m.tasks.values().stream().anyMatch(t -> chosen.contains(w.spec(t.name).id()))).limit(8).toList().forEach(m -> {
-                        m.hang(true);
-                        w.sim.after(hangMs, () -> m.hang(false));
+        List<String> chosen = runningJobs.subList(0, Math.min(count, runningJobs.size()));
+        massCancelledCount += chosen.size();
+        chosen.forEach(id -> cluster.clock.schedule(cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
+        if (hangMillis > 0) {
+            cluster.expectFaultsUntil(cluster.clock.nowMillis() + hangMillis);
+            cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead && !worker.hung
+                    && worker.tasks.values().stream().anyMatch(task -> chosen.contains(cluster.jobOfTask(task.name).jobId()))).limit(8).toList().forEach(worker -> {
+                        worker.setHung(true);
+                        cluster.clock.schedule(hangMillis, () -> worker.setHung(false));
                     });
         }
     }
 
     /** One odd request. */
-    void oddRequest() {
-        List<String> told = new ArrayList<>(w.told());
-        String id = String.format("wk-7%05d", ++odds);
+    void sendUnusualRequest() {
+        List<String> accepted = new ArrayList<>(cluster.acceptedJobs());
+        String id = String.format("wk-7%05d", ++lastUnacceptableId);
         ObjectNode job = Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 3, 1, 5).encode().put("nameId", id);
-        switch (w.sim.random.nextInt(7)) {
-            case 0 -> told.stream().filter(i -> !w.finalTold(i)).skip(w.sim.random.nextInt(3)).findFirst().ifPresent(i -> {
-                odd++;
-                w.submit(w.specs.get(i));
+        switch (cluster.clock.random.nextInt(7)) {
+            case 0 -> accepted.stream().filter(acceptedId -> !cluster.hasFinalStatus(acceptedId)).skip(cluster.clock.random.nextInt(3)).findFirst().ifPresent(acceptedId -> {
+                unusualRequestCount++;
+                cluster.submit(cluster.jobsById.get(acceptedId));
             });
-            case 1 -> told.stream().filter(i -> w.told(i, "done")).skip(w.sim.random.nextInt(3)).findFirst().ifPresent(i -> {
-                odd++;
-                w.cancel(i);
+            case 1 -> accepted.stream().filter(acceptedId -> cluster.wasToldFinalStatus(acceptedId, "done")).skip(cluster.clock.random.nextInt(3)).findFirst().ifPresent(acceptedId -> {
+                unusualRequestCount++;
+                cluster.cancel(acceptedId);
             });
-            case 2 -> w.submitOdd(id, Codec.CBOR.write(job.put("vcpus", 1_000)), 422);
-            case 3 -> w.submitOdd(id, Codec.CBOR.write(job.put("owner", "nobody")), 422);
-            case 4 -> w.submitOdd(id, Codec.CBOR.write(job.put("mode", "ensemble").put("members", 5_000)), 422);
+            case 2 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("vcpus", 1_000)), 422);
+            case 3 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("owner", "nobody")), 422);
+            case 4 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("mode", "ensemble").put("members", 5_000)), 422);
             case 5 -> {
-                job.remove(List.of("vcpus", "members", "owner", "mode", "container").get(w.sim.random.nextInt(5)));
-                w.submitOdd(id, Codec.CBOR.write(job), 400);
+                job.remove(List.of("vcpus", "members", "owner", "mode", "container").get(cluster.clock.random.nextInt(5)));
+                cluster.submitUnacceptable(id, Codec.CBOR.encode(job), 400);
             }
-            default -> w.submitOdd(id, Codec.CBOR.write(job.put("members", -1)), 400);
+            default -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("members", -1)), 400);
         }
     }
 
-    void oddRequests(long everyMs, long forMs) {
-        for (long t = 0; t < forMs; t += everyMs) {
-            w.sim.after(t, this::oddRequest);
+    void sendUnusualRequests(long intervalMillis, long durationMillis) {
+        for (long atMillis = 0; atMillis < durationMillis; atMillis += intervalMillis) {
+            cluster.clock.schedule(atMillis, this::sendUnusualRequest);
         }
     }
 
     /** One-task jobs of both teams, so many a second, a quarter of them cancelled within three seconds. */
-    void oneTaskJobs(int count, long everyMs) {
+    void submitSingleTaskJobs(int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
-            JobSpec s = Jobs.array(id(), i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[1 + i % 3], 1, 1, 2 + i % 6);
-            w.sim.after(i * everyMs, () -> w.submit(s));
+            JobSpec job = Jobs.array(nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[1 + i % 3], 1, 1, 2 + i % 6);
+            cluster.clock.schedule(i * intervalMillis, () -> cluster.submit(job));
             if (i % 4 == 3) {
-                w.sim.after(i * everyMs + w.sim.random.nextLong(3_000), () -> w.cancel(s.id()));
+                cluster.clock.schedule(i * intervalMillis + cluster.clock.random.nextLong(3_000), () -> cluster.cancel(job.jobId()));
             }
         }
     }
--- a/src/test/java/io/quincelead/world/Waiting.java
+++ b/src/test/java/io/quincelead/world/Waiting.java
@@ -12,142 +12,142 @@
  */
 final class Waiting {
     /** ms. The users' own bound. */
-    static final long WAIT_MS = 90_000;
+    static final long WAIT_LIMIT_MILLIS = 90_000;
     /**
      * Looks, one a second: a place counts as free once it has been so for as long, which is what passing it on takes (the report that
      * shows the end, a round, the report that takes the start along). A team at its limit whose tasks follow each other is not under it.
      */
-    private static final int PASSING_ON = 5;
-    private final World w;
+    private static final int HANDOVER_CHECKS = 5;
+    private final World cluster;
     /** Since when each job could have gone on. */
-    private final Map<String, Long> since = new HashMap<>();
+    private final Map<String, Long> startableSinceMillis = new HashMap<>();
     /** When each task that has ended or gone was last there; its place may be on its way to another. */
-    private final Map<Worker.Task, Seen> seen = new HashMap<>();
+    private final Map<Worker.Task, Seen> lastSightings = new HashMap<>();
 
-    private record Seen(Worker machine, JobSpec spec, long at) { }
+    private record Seen(Worker worker, JobSpec job, long atMillis) { }
 
     /** Seconds for which each job that has not begun could have, were it not for less urgent work of its own team. */
-    private final Map<String, Integer> couldBegin = new HashMap<>();
+    private final Map<String, Integer> startableSeconds = new HashMap<>();
 
-    Waiting(World w) {
-        this.w = w;
+    Waiting(World cluster) {
+        this.cluster = cluster;
     }
 
     /** A machine as it is: what its tasks leave free. */
     private static final class Free {
-        final Worker machine;
-        double vcpus;
-        double cards;
-        double ramGb;
+        final Worker worker;
+        double cpus;
+        double gpus;
+        double memoryGb;
 
-        Free(Worker m) {
-            machine = m;
-            vcpus = m.shape.vcpus();
-            cards = m.shape.cards();
-            ramGb = m.shape.ramGb();
+        Free(Worker machine) {
+            worker = machine;
+            cpus = machine.machineType.cpus();
+            gpus = machine.machineType.gpus();
+            memoryGb = machine.machineType.memoryGb();
         }
 
-        void holds(JobSpec s) {
-            vcpus -= s.vcpus();
-            cards -= s.cards();
-            ramGb -= s.ramGb();
+        void subtract(JobSpec job) {
+            cpus -= job.cpus();
+            gpus -= job.gpus();
+            memoryGb -= job.memoryGb();
         }
 
-        int takes(JobSpec s) {
-            if (s.shapes() != null && !s.shapes().contains(machine.shape.label()) || s.site() != null && !s.site().equals(machine.site)
-                    || machine.spot && !s.preemptible()) {
+        int tasksThatFit(JobSpec job) {
+            if (job.machineTypes() != null && !job.machineTypes().contains(worker.machineType.name()) || job.zone() != null && !job.zone().equals(worker.zone)
+                    || worker.spot && !job.preemptible()) {
                 return 0;
             }
-            double n = vcpus / s.vcpus();
-            n = s.cards() > 0 ? Math.min(n, cards / s.cards()) : n;
-            return (int) Math.floor(Math.min(n, ramGb / s.ramGb()) + 1e-9);
+            double taskCount = cpus / job.cpus();
+            taskCount = job.gpus() > 0 ? Math.min(taskCount, gpus / job.gpus()) : taskCount;
+            return (int) Math.floor(Math.min(taskCount, memoryGb / job.memoryGb()) + 1e-9);
         }
     }
 
     /** For how long a job that has begun late could have begun sooner, in s. */
-    int couldBegin(String id) {
-        return couldBegin.getOrDefault(id, 0);
+    int startableSeconds(String id) {
+        return startableSeconds.getOrDefault(id, 0);
     }
 
     /** Looks at everything; called every second. Troubles are over at {@code calmFrom}. */
-    void look(long calmFrom) {
-        Map<String, Free> free = new HashMap<>();
-        Map<String, double[]> use = new HashMap<>();
-        Map<String, Map<String, Integer>> sites = new HashMap<>();
-        Set<String> there = new HashSet<>();
-        for (Worker m : w.cloud.machines.values()) {
-            if (m.working()) {
-                free.put(m.host, new Free(m));
+    void check(long faultsEndAtMillis) {
+        Map<String, Free> freeCapacity = new HashMap<>();
+        Map<String, double[]> usageByTeam = new HashMap<>();
+        Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
+        Set<String> presentTasks = new HashSet<>();
+        for (Worker worker : cluster.cloud.machines.values()) {
+            if (worker.isHealthy()) {
+                freeCapacity.put(worker.host, new Free(worker));
             }
-            for (Worker.Task t : m.tasks.values()) {
-                if (!t.ended()) {
-                    JobSpec s = w.spec(t.name);
-                    there.add(t.name);
-                    seen.put(t, new Seen(m, s, w.sim.now()));
-                    sites.computeIfAbsent(s.id(), i -> new HashMap<>()).merge(m.site, 1, Integer::sum);
+            for (Worker.Task t : worker.tasks.values()) {
+                if (!t.hasEnded()) {
+                    JobSpec job = cluster.jobOfTask(t.name);
+                    presentTasks.add(t.name);
+                    lastSightings.put(t, new Seen(worker, job, cluster.clock.nowMillis()));
+                    tasksByZone.computeIfAbsent(job.jobId(), key -> new HashMap<>()).merge(worker.zone, 1, Integer::sum);
                 }
             }
         }
-        seen.values().removeIf(t -> w.sim.now() - t.at > PASSING_ON * 1_000);
-        for (Seen t : seen.values()) {
-            double[] u = use.computeIfAbsent(t.spec.owner(), o -> new double[2]);
-            u[0] += t.spec.vcpus();
-            u[1] += t.spec.cards();
-            if (free.containsKey(t.machine.host)) {
-                free.get(t.machine.host).holds(t.spec);
+        lastSightings.values().removeIf(t -> cluster.clock.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
+        for (Seen t : lastSightings.values()) {
+            double[] usage = usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]);
+            usage[0] += t.job.cpus();
+            usage[1] += t.job.gpus();
+            if (freeCapacity.containsKey(t.worker.host)) {
+                freeCapacity.get(t.worker.host).subtract(t.job);
             }
         }
-        for (String id : w.told()) {
-            JobSpec s = w.specs.get(id);
-            if (w.service().begunAfter(id) < 0 && !w.finalTold(id)) {
-                double[] ahead = new double[2];
-                for (Seen t : seen.values()) {
-                    if (t.spec.owner().equals(s.owner()) && t.spec.urgency().compareTo(s.urgency()) <= 0) {
-                        ahead[0] += t.spec.vcpus();
-                        ahead[1] += t.spec.cards();
+        for (String id : cluster.acceptedJobs()) {
+            JobSpec job = cluster.jobsById.get(id);
+            if (cluster.serviceLevels().firstStartDelayMillis(id) < 0 && !cluster.hasFinalStatus(id)) {
+                double[] usageNotLessUrgent = new double[2];
+                for (Seen t : lastSightings.values()) {
+                    if (t.job.team().equals(job.team()) && t.job.priority().compareTo(job.priority()) <= 0) {
+                        usageNotLessUrgent[0] += t.job.cpus();
+                        usageNotLessUrgent[1] += t.job.gpus();
                     }
                 }
-                couldBegin.merge(id, !w.store.down && could(s, s.members(), free, ahead, Map.of()) ? 1 : 0, Integer::sum);
+                startableSeconds.merge(id, !cluster.store.down && canStart(job, job.taskCount(), freeCapacity, usageNotLessUrgent, Map.of()) ? 1 : 0, Integer::sum);
             }
-            if (w.sim.now() <= calmFrom) {
+            if (cluster.clock.nowMillis() <= faultsEndAtMillis) {
                 continue;
             }
-            boolean could = !w.finalTold(id) && !w.cancelAsked(id)
-                    && could(s, waiting(s, there), free, use.getOrDefault(s.owner(), new double[2]), sites.getOrDefault(id, Map.of()));
-            if (!could) {
-                since.remove(id);
+            boolean startable = !cluster.hasFinalStatus(id) && !cluster.isCancellationRequested(id)
+                    && canStart(job, waitingTasks(job, presentTasks), freeCapacity, usageByTeam.getOrDefault(job.team(), new double[2]), tasksByZone.getOrDefault(id, Map.of()));
+            if (!startable) {
+                startableSinceMillis.remove(id);
                 continue;
             }
-            long from = since.computeIfAbsent(id, i -> w.sim.now());
-            if (w.sim.now() - Math.max(from, calmFrom) > WAIT_MS) {
-                w.breach("waiting", id + " could go on since " + from / 1000 + " s");
+            long sinceMillis = startableSinceMillis.computeIfAbsent(id, key -> cluster.clock.nowMillis());
+            if (cluster.clock.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis) > WAIT_LIMIT_MILLIS) {
+                cluster.recordViolation("waiting", id + " could go on since " + sinceMillis / 1000 + " s");
             }
         }
     }
 
-    private int waiting(JobSpec s, Set<String> there) {
-        int n = 0;
-        for (int i = 0; i < s.members(); i++) {
-            String task = s.id() + "/" + i;
-            n += w.results.contains(task) || there.contains(task) ? 0 : 1;
+    private int waitingTasks(JobSpec job, Set<String> presentTasks) {
+        int count = 0;
+        for (int i = 0; i < job.taskCount(); i++) {
+            String task = job.jobId() + "/" + i;
+            count += cluster.completedTasks.contains(task) || presentTasks.contains(task) ? 0 : 1;
         }
-        return n;
+        return count;
     }
 
-    private boolean could(JobSpec s, int waiting, Map<String, Free> free, double[] use, Map<String, Integer> sites) {
-        int need = s.gang() ? s.members() : 1;
-        if (waiting < need || use[0] + need * s.vcpus() > w.teams.get(s.owner()).cpusMax() || use[1] + need * s.cards() > w.teams.get(s.owner()).gpusMax()) {
+    private boolean canStart(JobSpec job, int waitingTasks, Map<String, Free> freeCapacity, double[] usage, Map<String, Integer> tasksByZone) {
+        int requiredTasks = job.isGang() ? job.taskCount() : 1;
+        if (waitingTasks < requiredTasks || usage[0] + requiredTasks * job.cpus() > cluster.teams.get(job.team()).maxCpus() || usage[1] + requiredTasks * job.gpus() > cluster.teams.get(job.team()).maxGpus()) {
             return false;
         }
-        Map<String, Integer> room = new HashMap<>();
-        for (Free f : free.values()) {
-            room.merge(f.machine.site, f.takes(s), Integer::sum);
+        Map<String, Integer> fittingTasksByZone = new HashMap<>();
+        for (Free capacity : freeCapacity.values()) {
+            fittingTasksByZone.merge(capacity.worker.zone, capacity.tasksThatFit(job), Integer::sum);
         }
-        int most = (s.members() + 1) / 2;
-        room.replaceAll((site, n) -> s.scatter() ? Math.min(n, most - sites.getOrDefault(site, 0)) : n);
-        if (s.oneZone()) {
-            return room.entrySet().stream().anyMatch(e -> e.getValue() >= need && (sites.isEmpty() || sites.containsKey(e.getKey())));
+        int maxPerZone = (job.taskCount() + 1) / 2;
+        fittingTasksByZone.replaceAll((zone, count) -> job.zoneSpread() ? Math.min(count, maxPerZone - tasksByZone.getOrDefault(zone, 0)) : count);
+        if (job.zoneAffinity()) {
+            return fittingTasksByZone.entrySet().stream().anyMatch(entry -> entry.getValue() >= requiredTasks && (tasksByZone.isEmpty() || tasksByZone.containsKey(entry.getKey())));
         }
-        return room.values().stream().mapToInt(n -> Math.max(0, n)).sum() >= need;
+        return fittingTasksByZone.values().stream().mapToInt(count -> Math.max(0, count)).sum() >= requiredTasks;
     }
 }
