--- a/src/test/java/io/quincelead/world/Worker.java
+++ b/src/test/java/io/quincelead/world/Worker.java
@@ -15,14 +15,14 @@
 public final class Worker {
     /** A task on the machine, or one that has ended there. */
     /** ms. gang_wait_s of the settings that the world hands over. */
-    static final long GANG_WAIT_MS = 45_000;
+    static final long GANG_WAIT_MILLIS = 45_000;
 
     public static final class Task {
         final String name;
         final long attempt;
         String status = "fetching";
-        String reason = "";
-        boolean stored;
+        String endReason = "";
+        boolean checkpointStored;
         long doneAt;
 
         Task(String name, long attempt) {
@@ -31,308 +31,308 @@
         }
 
         /** Whether it counts as being on the machine. */
-        boolean on() {
+        boolean occupiesMachine() {
             return status.equals("running") || status.equals("waiting") || status.equals("saving");
         }
 
-        boolean ended() {
+        boolean hasEnded() {
             return status.equals("ended");
         }
     }
 
-    final World world;
-    final Sim sim;
+    final World cluster;
+    final Sim clock;
     final String host;
-    final String addr;
-    final Cloud.Shape shape;
-    final String site;
+    final String address;
+    final Cloud.Shape machineType;
+    final String zone;
     final boolean spot;
-    final long rentedAt;
+    final long rentedAtMillis;
     boolean up;
     boolean dead;
-    boolean gone;
+    boolean released;
     boolean hung;
-    boolean sick;
+    boolean failsTasks;
     /** Its reports arrive; answers and direct commands to it are lost. */
-    boolean deaf;
+    boolean unreachableInbound;
     /** It reaches no controller; direct commands reach it. */
-    boolean mute;
-    double warningS = -1;
-    private long tenure = 1;
+    boolean unreachableOutbound;
+    double preemptionWarningSeconds = -1;
+    private long agentEpoch = 1;
     private long serial;
-    private long epoch;
-    private long leaseFrom;
-    private int target;
-    private boolean inFlight;
-    private boolean soon;
-    private long lastSent = -10_000;
-    private int round;
+    private long fencingToken;
+    private long leaseStartMillis;
+    private int targetController;
+    private boolean heartbeatInFlight;
+    private boolean heartbeatDue;
+    private long lastHeartbeatMillis = -10_000;
+    private int heartbeatNumber;
     final Map<String, Task> tasks = new LinkedHashMap<>();
     /** Images, by when they are here. */
-    private final Map<String, Long> images = new java.util.HashMap<>();
-    private final List<Runnable> frozen = new ArrayList<>();
+    private final Map<String, Long> imageReadyAtMillis = new java.util.HashMap<>();
+    private final List<Runnable> suspendedActions = new ArrayList<>();
 
-    Worker(World world, String host, String addr, Cloud.Shape shape, String site, boolean spot) {
-        this.world = world;
-        this.sim = world.sim;
+    Worker(World cluster, String host, String address, Cloud.Shape machineType, String zone, boolean spot) {
+        this.cluster = cluster;
+        this.clock = cluster.clock;
         this.host = host;
-        this.addr = addr;
-        this.shape = shape;
-        this.site = site;
+        this.address = address;
+        this.machineType = machineType;
+        this.zone = zone;
         this.spot = spot;
-        this.rentedAt = sim.now();
-        this.target = sim.random.nextInt(world.controllers.size());
+        this.rentedAtMillis = clock.nowMillis();
+        this.targetController = clock.random.nextInt(cluster.controllers.size());
     }
 
-    private static String key(String name, long attempt) {
+    private static String taskKey(String name, long attempt) {
         return name + "#" + attempt;
     }
 
     /** Runs now, or when a hanging machine resumes, or never. */
-    private void run(Runnable r) {
-        if (gone || dead) {
+    private void runUnlessHung(Runnable action) {
+        if (released || dead) {
             return;
         }
         if (hung) {
-            frozen.add(r);
+            suspendedActions.add(action);
         } else {
-            r.run();
+            action.run();
         }
     }
 
     void boot() {
-        if (!gone) {
+        if (!released) {
             up = true;
-            leaseFrom = sim.now();
-            world.net.host(addr, r -> run(() -> orders(r)));
-            tick();
+            leaseStartMillis = clock.nowMillis();
+            cluster.network.setHandler(address, request -> runUnlessHung(() -> handleCommand(request)));
+            scheduleHeartbeats();
         }
     }
 
-    void destroy() {
-        gone = true;
+    void release() {
+        released = true;
         tasks.clear();
-        world.net.host(addr, null);
+        cluster.network.setHandler(address, null);
     }
 
-    void die() {
+    void crash() {
         dead = true;
         tasks.clear();
-        world.net.host(addr, null);
+        cluster.network.setHandler(address, null);
     }
 
-    void hang(boolean on) {
-        hung = on;
-        if (!on) {
-            List<Runnable> late = new ArrayList<>(frozen);
-            frozen.clear();
-            checkLease();
-            late.forEach(this::run);
-            if (!gone) {
-                world.wentOn(this);
+    void setHung(boolean enabled) {
+        hung = enabled;
+        if (!enabled) {
+            List<Runnable> resumed = new ArrayList<>(suspendedActions);
+            suspendedActions.clear();
+            endTasksIfLeaseExpired();
+            resumed.forEach(this::runUnlessHung);
+            if (!released) {
+                cluster.onWorkerResumed(this);
             }
         }
     }
 
-    private void checkLease() {
-        if (sim.now() - leaseFrom > world.leaseMs) {
+    private void endTasksIfLeaseExpired() {
+        if (clock.nowMillis() - leaseStartMillis > cluster.workerLeaseMillis) {
             tasks.clear();
-            tenure++;
+            agentEpoch++;
             serial = 0;
-            leaseFrom = sim.now();
+            leaseStartMillis = clock.nowMillis();
         }
     }
 
-    boolean working() {
-        return up && !dead && !gone && !hung && !deaf && !mute && !sick && warningS < 0;
+    boolean isHealthy() {
+        return up && !dead && !released && !hung && !unreachableInbound && !unreachableOutbound && !failsTasks && preemptionWarningSeconds < 0;
     }
 
-    private void tick() {
-        if (gone || dead) {
+    private void scheduleHeartbeats() {
+        if (released || dead) {
             return;
         }
-        run(() -> {
-            checkLease();
-            if (!inFlight && (sim.now() - lastSent >= world.reportMs || soon && sim.now() - lastSent >= 500)) {
-                report();
+        runUnlessHung(() -> {
+            endTasksIfLeaseExpired();
+            if (!heartbeatInFlight && (clock.nowMillis() - lastHeartbeatMillis >= cluster.heartbeatIntervalMillis || heartbeatDue && clock.nowMillis() - lastHeartbeatMillis >= 500)) {
+                sendHeartbeat();
             }
         });
-        sim.after(100, this::tick);
+        clock.schedule(100, this::scheduleHeartbeats);
     }
 
-    private ObjectNode body() {
-        ObjectNode n = Codec.map().put("host", host).put("addr", addr).put("shape", shape.label()).put("site", site)
-                .put("preemptible", spot).put("tenure", tenure).put("serial", ++serial).put("epoch", epoch);
-        if (warningS >= 0) {
-            n.put("warningS", warningS);
+    private ObjectNode heartbeatBody() {
+        ObjectNode node = Codec.newMap().put("host", host).put("addr", address).put("shape", machineType.name()).put("site", zone)
+                .put("preemptible", spot).put("tenure", agentEpoch).put("serial", ++serial).put("epoch", fencingToken);
+        if (preemptionWarningSeconds >= 0) {
+            node.put("warningS", preemptionWarningSeconds);
         }
-        ArrayNode m = n.putArray("members");
-        for (Task t : tasks.values()) {
-            ObjectNode x = m.addObject().put("member", t.name).put("try", t.attempt).put("status", t.status);
-            if (t.ended()) {
-                x.put("exitReason", t.reason).put("stored", t.stored);
+        ArrayNode taskNodes = node.putArray("members");
+        for (Task task : tasks.values()) {
+            ObjectNode taskNode = taskNodes.addObject().put("member", task.name).put("try", task.attempt).put("status", task.status);
+            if (task.hasEnded()) {
+                taskNode.put("exitReason", task.endReason).put("stored", task.checkpointStored);
             }
         }
-        return n;
+        return node;
     }
 
-    private void report() {
-        inFlight = true;
-        soon = false;
-        lastSent = sim.now();
-        long sent = sim.now();
-        long session = tenure;
-        int mine = ++round;
-        if (mute) {
-            sim.after(500, () -> run(() -> answered(mine, sent, session, 0, null)));
+    private void sendHeartbeat() {
+        heartbeatInFlight = true;
+        heartbeatDue = false;
+        lastHeartbeatMillis = clock.nowMillis();
+        long sentMillis = clock.nowMillis();
+        long sentAgentEpoch = agentEpoch;
+        int number = ++heartbeatNumber;
+        if (unreachableOutbound) {
+            clock.schedule(500, () -> runUnlessHung(() -> onHeartbeatResponse(number, sentMillis, sentAgentEpoch, 0, null)));
             return;
         }
-        World.Member to = world.controllers.get(target);
-        world.net.call(addr, to.listen, "POST", "/v1/report", Codec.CBOR.write(body()), 4000, (status, bytes, retry) -> run(() -> {
-            if (mine != round) {
+        World.Member controller = cluster.controllers.get(targetController);
+        cluster.network.call(address, controller.userAddress, "POST", "/v1/report", Codec.CBOR.encode(heartbeatBody()), 4000, (status, responseBody, retryAfterSeconds) -> runUnlessHung(() -> {
+            if (number != heartbeatNumber) {
                 return;
             }
-            if (deaf && status != 0) {
-                sim.after(Math.max(0, 4000 - (sim.now() - sent)), () -> run(() -> answered(mine, sent, session, 0, null)));
+            if (unreachableInbound && status != 0) {
+                clock.schedule(Math.max(0, 4000 - (clock.nowMillis() - sentMillis)), () -> runUnlessHung(() -> onHeartbeatResponse(number, sentMillis, sentAgentEpoch, 0, null)));
                 return;
             }
-            answered(mine, sent, session, status, bytes);
+            onHeartbeatResponse(number, sentMillis, sentAgentEpoch, status, responseBody);
         }));
     }
 
-    private void answered(int mine, long sent, long session, int status, byte[] bytes) {
-        if (mine != round) {
+    private void onHeartbeatResponse(int number, long sentMillis, long sentAgentEpoch, int status, byte[] responseBody) {
+        if (number != heartbeatNumber) {
             return;
         }
-        inFlight = false;
-        ObjectNode answer = Codec.CBOR.readMap(bytes);
-        if (status == 200 && answer != null) {
-            if (sim.now() - sent > 4000 || session != tenure || !answer.has("epoch") || answer.path("epoch").asLong() < epoch) {
+        heartbeatInFlight = false;
+        ObjectNode response = Codec.CBOR.decodeMap(responseBody);
+        if (status == 200 && response != null) {
+            if (clock.nowMillis() - sentMillis > 4000 || sentAgentEpoch != agentEpoch || !response.has("epoch") || response.path("epoch").asLong() < fencingToken) {
                 return;
             }
-            leaseFrom = sent;
-            adopt(answer.path("epoch").asLong());
-            answer.path("orders").forEach(this::obey);
+            leaseStartMillis = sentMillis;
+            adoptToken(response.path("epoch").asLong());
+            response.path("orders").forEach(this::execute);
             return;
         }
-        String other = status == 421 && answer != null ? answer.path("controller").asText("") : "";
-        int named = world.index(other);
-        if (named >= 0 && named != target) {
-            target = named;
-            soon = true;
+        String namedController = status == 421 && response != null ? response.path("controller").asText("") : "";
+        int namedIndex = cluster.indexOfController(namedController);
+        if (namedIndex >= 0 && namedIndex != targetController) {
+            targetController = namedIndex;
+            heartbeatDue = true;
         } else {
-            target = (target + 1) % world.controllers.size();
-            lastSent = sim.now() - world.reportMs + 1000;
+            targetController = (targetController + 1) % cluster.controllers.size();
+            lastHeartbeatMillis = clock.nowMillis() - cluster.heartbeatIntervalMillis + 1000;
         }
     }
 
-    private void adopt(long token) {
-        if (token > epoch) {
-            epoch = token;
-            soon = true;
+    private void adoptToken(long token) {
+        if (token > fencingToken) {
+            fencingToken = token;
+            heartbeatDue = true;
         }
     }
 
-    private void orders(Request r) {
-        if (deaf) {
+    private void handleCommand(Request request) {
+        if (unreachableInbound) {
             return;
         }
-        checkLease();
-        ObjectNode b = r.path.equals("/orders") ? Codec.CBOR.readMap(r.body) : Codec.map();
-        if (r.path.equals("/orders")) {
-            if (b.path("epoch").asLong() < epoch || b.path("tenure").asLong() != tenure) {
-                r.answer(409, body());
+        endTasksIfLeaseExpired();
+        ObjectNode command = request.path.equals("/orders") ? Codec.CBOR.decodeMap(request.body) : Codec.newMap();
+        if (request.path.equals("/orders")) {
+            if (command.path("epoch").asLong() < fencingToken || command.path("tenure").asLong() != agentEpoch) {
+                request.respond(409, heartbeatBody());
                 return;
             }
-            adopt(b.path("epoch").asLong());
-            b.path("orders").forEach(this::obey);
+            adoptToken(command.path("epoch").asLong());
+            command.path("orders").forEach(this::execute);
         }
-        r.answer(200, body());
+        request.respond(200, heartbeatBody());
     }
 
-    private void obey(JsonNode o) {
-        String name = o.path("member").asText();
-        long attempt = o.path("try").asLong();
-        Task t = tasks.get(key(name, attempt));
-        switch (o.path("verb").asText()) {
+    private void execute(JsonNode command) {
+        String name = command.path("member").asText();
+        long attempt = command.path("try").asLong();
+        Task task = tasks.get(taskKey(name, attempt));
+        switch (command.path("verb").asText()) {
             case "start" -> {
-                if (t == null) {
-                    start(name, attempt);
+                if (task == null) {
+                    startTask(name, attempt);
                 }
             }
             case "kill" -> {
-                if (t != null && !t.ended()) {
-                    JobSpec s = world.spec(name);
-                    boolean saves = t.status.equals("running") && s.snapshotEveryS() > 0 && o.path("drainS").asDouble() >= s.snapshotS();
-                    if (saves) {
-                        t.status = "saving";
-                        sim.after((long) (s.snapshotS() * 1000), () -> run(() -> {
-                            if (tasks.get(key(name, attempt)) == t && !t.ended()) {
-                                t.stored = true;
-                                end(t, "halted");
+                if (task != null && !task.hasEnded()) {
+                    JobSpec job = cluster.jobOfTask(name);
+                    boolean checkpointsFirst = task.status.equals("running") && job.checkpointIntervalSeconds() > 0 && command.path("drainS").asDouble() >= job.checkpointSeconds();
+                    if (checkpointsFirst) {
+                        task.status = "saving";
+                        clock.schedule((long) (job.checkpointSeconds() * 1000), () -> runUnlessHung(() -> {
+                            if (tasks.get(taskKey(name, attempt)) == task && !task.hasEnded()) {
+                                task.checkpointStored = true;
+                                endTask(task, "halted");
                             }
                         }));
-                    } else if (!t.status.equals("saving") || o.path("drainS").asDouble() == 0) {
-                        end(t, "halted");
+                    } else if (!task.status.equals("saving") || command.path("drainS").asDouble() == 0) {
+                        endTask(task, "halted");
                     }
                 }
             }
             case "clear" -> {
-                if (t != null && t.ended()) {
-                    tasks.remove(key(name, attempt));
+                if (task != null && task.hasEnded()) {
+                    tasks.remove(taskKey(name, attempt));
                 }
             }
-            default -> throw new IllegalStateException("an unknown order " + o);
+            default -> throw new IllegalStateException("an unknown order " + command);
         }
     }
 
-    private void start(String name, long attempt) {
-        Task t = new Task(name, attempt);
-        JobSpec s = world.spec(name);
-        double cpu = 0;
-        double ram = 0;
-        double gpu = 0;
-        boolean other = false;
-        for (Task x : tasks.values()) {
-            if (!x.ended()) {
-                JobSpec xs = world.spec(x.name);
-                cpu += xs.vcpus();
-                ram += xs.ramGb();
-                gpu += xs.cards();
-                other |= x.name.equals(name);
+    private void startTask(String name, long attempt) {
+        Task task = new Task(name, attempt);
+        JobSpec job = cluster.jobOfTask(name);
+        double usedCpus = 0;
+        double usedMemoryGb = 0;
+        double usedGpus = 0;
+        boolean alreadyHere = false;
+        for (Task otherTask : tasks.values()) {
+            if (!otherTask.hasEnded()) {
+                JobSpec otherJob = cluster.jobOfTask(otherTask.name);
+                usedCpus += otherJob.cpus();
+                usedMemoryGb += otherJob.memoryGb();
+                usedGpus += otherJob.gpus();
+                alreadyHere |= otherTask.name.equals(name);
             }
         }
-        tasks.put(key(name, attempt), t);
-        if (s == null) {
-            end(t, "unknown");
-        } else if (other) {
-            end(t, "busy");
-        } else if (cpu + s.vcpus() > shape.vcpus() + 1e-9 || ram + s.ramGb() > shape.ramGb() + 1e-9 || gpu + s.cards() > shape.cards() + 1e-9) {
-            end(t, "full");
+        tasks.put(taskKey(name, attempt), task);
+        if (job == null) {
+            endTask(task, "unknown");
+        } else if (alreadyHere) {
+            endTask(task, "busy");
+        } else if (usedCpus + job.cpus() > machineType.cpus() + 1e-9 || usedMemoryGb + job.memoryGb() > machineType.memoryGb() + 1e-9 || usedGpus + job.gpus() > machineType.gpus() + 1e-9) {
+            endTask(task, "full");
         } else {
-            sim.after(fetchMs(s), () -> run(() -> {
-                if (tasks.get(key(name, attempt)) == t && t.status.equals("fetching")) {
-                    world.began(this, t, s);
-                    soon = true;
-                    if (sick) {
-                        t.status = "running";
-                        sim.after(700, () -> run(() -> {
-                            if (tasks.get(key(name, attempt)) == t && !t.ended()) {
-                                end(t, "error");
+            clock.schedule(imageFetchMillis(job), () -> runUnlessHung(() -> {
+                if (tasks.get(taskKey(name, attempt)) == task && task.status.equals("fetching")) {
+                    cluster.onTaskStarted(this, task, job);
+                    heartbeatDue = true;
+                    if (failsTasks) {
+                        task.status = "running";
+                        clock.schedule(700, () -> runUnlessHung(() -> {
+                            if (tasks.get(taskKey(name, attempt)) == task && !task.hasEnded()) {
+                                endTask(task, "error");
                             }
                         }));
-                    } else if (s.gang() && world.results.contains(t.name)) {
-                        end(t, "done");
-                    } else if (s.gang()) {
-                        t.status = "waiting";
-                        sim.after(GANG_WAIT_MS, () -> run(() -> {
-                            if (tasks.get(key(name, attempt)) == t && t.status.equals("waiting")) {
-                                end(t, "incomplete");
+                    } else if (job.isGang() && cluster.completedTasks.contains(task.name)) {
+                        endTask(task, "done");
+                    } else if (job.isGang()) {
+                        task.status = "waiting";
+                        clock.schedule(GANG_WAIT_MILLIS, () -> runUnlessHung(() -> {
+                            if (tasks.get(taskKey(name, attempt)) == task && task.status.equals("waiting")) {
+                                endTask(task, "incomplete");
                             }
                         }));
-                        world.gang(s);
+                        cluster.startGangIfComplete(job);
                     } else {
-                        runs(t, s);
+                        beginRunning(task, job);
                     }
                 }
             }));
@@ -340,39 +340,39 @@
     }
 
     /** A machine fetches an image once for all tasks that need it, and keeps it. */
-    private long fetchMs(JobSpec s) {
-        if (world.fetchGbPerS <= 0) {
+    private long imageFetchMillis(JobSpec job) {
+        if (cluster.imageFetchGbPerSecond <= 0) {
             return 300;
         }
-        Long at = images.get(s.container());
-        if (at == null) {
-            world.fetchedGb += s.sizeGb();
-            at = sim.now() + (long) (s.sizeGb() / world.fetchGbPerS * 1000);
-            images.put(s.container(), at);
+        Long readyAtMillis = imageReadyAtMillis.get(job.image());
+        if (readyAtMillis == null) {
+            cluster.fetchedImageGb += job.imageSizeGb();
+            readyAtMillis = clock.nowMillis() + (long) (job.imageSizeGb() / cluster.imageFetchGbPerSecond * 1000);
+            imageReadyAtMillis.put(job.image(), readyAtMillis);
         }
-        return Math.max(50, at - sim.now());
+        return Math.max(50, readyAtMillis - clock.nowMillis());
     }
 
-    void runs(Task t, JobSpec s) {
-        t.status = "running";
-        if (!s.service()) {
-            double real = s.runtimeS() * (0.5 + sim.random.nextDouble());
-            sim.after(world.results.contains(t.name) ? 0 : (long) (real * 1000), () -> run(() -> {
-                if (tasks.get(key(t.name, t.attempt)) == t && t.status.equals("running")) {
-                    world.completed(t, s);
-                    end(t, "done");
+    void beginRunning(Task task, JobSpec job) {
+        task.status = "running";
+        if (!job.isService()) {
+            double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
+            clock.schedule(cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000), () -> runUnlessHung(() -> {
+                if (tasks.get(taskKey(task.name, task.attempt)) == task && task.status.equals("running")) {
+                    cluster.onTaskCompleted(task, job);
+                    endTask(task, "done");
                 }
             }));
         }
     }
 
-    void end(Task t, String reason) {
-        t.status = "ended";
-        t.reason = reason;
-        soon = true;
-        JobSpec s = world.spec(t.name);
-        if (s != null && s.gang()) {
-            world.gangLost(s, t.attempt, reason);
+    void endTask(Task task, String reason) {
+        task.status = "ended";
+        task.endReason = reason;
+        heartbeatDue = true;
+        JobSpec job = cluster.jobOfTask(task.name);
+        if (job != null && job.isGang()) {
+            cluster.onGangTaskEnded(job, task.attempt, reason);
         }
     }
 }
--- a/src/test/java/io/quincelead/world/World.java
+++ b/src/test/java/io/quincelead/world/World.java
@@ -16,283 +16,283 @@
 
 /** Real controllers among stand-ins, in simulated time, with every rule of the protocol checked after each event. */
 public final class World {
-    public static final String STORE = "10.2.0.1:2379";
-    public static final String CLOUD = "10.2.0.2:8443";
-    public static final String USERS = "10.3.0.1:0";
+    public static final String STORE_ADDRESS = "10.2.0.1:2379";
+    public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
+    public static final String USERS_ADDRESS = "10.3.0.1:0";
 
     /** One controller's place; the process on it may be killed and started again. */
     public final class Member {
         public final String name;
         public final String ip;
-        final String listen;
-        final String cluster;
+        final String userAddress;
+        final String peerAddress;
         private Sim.Process process;
 
-        Member(int i) {
-            name = "worker-" + i;
-            ip = "10.0.0." + (i + 1);
-            listen = ip + ":8080";
-            cluster = ip + ":8081";
+        Member(int index) {
+            name = "worker-" + index;
+            ip = "10.0.0." + (index + 1);
+            userAddress = ip + ":8080";
+            peerAddress = ip + ":8081";
         }
 
         public void start() {
-            process = sim.process();
+            process = clock.newProcess();
             Map<String, String> peers = new LinkedHashMap<>();
-            controllers.forEach(m -> peers.put(m.name, m.cluster));
-            Settings settings = new Settings(name, "a", listen, cluster, peers, CLOUD, STORE, controllers.size(), 25, teams, objectives,
-                    new Settings.Workers(reportMs / 1000.0, leaseMs / 1000.0, Worker.GANG_WAIT_MS / 1000.0, 6, cancelS), state,
+            controllers.forEach(peer -> peers.put(peer.name, peer.peerAddress));
+            Settings settings = new Settings(name, "a", userAddress, peerAddress, peers, CLOUD_ADDRESS, STORE_ADDRESS, controllers.size(), 25, teams, objectives,
+                    new Settings.Workers(heartbeatIntervalMillis / 1000.0, workerLeaseMillis / 1000.0, Worker.GANG_WAIT_MILLIS / 1000.0, 6, cancellationDeadlineSeconds), storeSettings,
                     new Settings.Cloud(4, 4), new Settings.Limits(1, 256, 500));
-            Sim.Process mine = process;
-            Controller c = new Controller(mine, net.transport(ip, mine), settings, operator);
-            net.host(listen, c::handle);
-            net.host(cluster, c::handlePeer);
+            Sim.Process currentProcess = process;
+            Controller controller = new Controller(currentProcess, network.transportFor(ip, currentProcess), settings, operatorSettings);
+            network.setHandler(userAddress, controller::handle);
+            network.setHandler(peerAddress, controller::handlePeerRequest);
         }
 
         public void kill() {
             process.kill();
-            net.host(listen, null);
-            net.host(cluster, null);
+            network.setHandler(userAddress, null);
+            network.setHandler(peerAddress, null);
         }
 
-        public boolean alive() {
-            return !process.dead();
+        public boolean isAlive() {
+            return !process.isDead();
         }
     }
 
-    public final Sim sim;
-    public final Net net;
+    public final Sim clock;
+    public final Net network;
     public final Store store;
     public final Cloud cloud;
     public final List<Member> controllers = new ArrayList<>();
     public final Map<String, Settings.Team> teams = new LinkedHashMap<>();
     public final List<Settings.Objective> objectives = new ArrayList<>();
-    public long reportMs = 1000;
-    public Settings.State state = new Settings.State(400, 200, 8, 12);
-    public long leaseMs = 10_000;
+    public long heartbeatIntervalMillis = 1000;
+    public Settings.State storeSettings = new Settings.State(400, 200, 8, 12);
+    public long workerLeaseMillis = 10_000;
     /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
-    public double fetchGbPerS;
+    public double imageFetchGbPerSecond;
     /** GB that machines have fetched. */
-    public double fetchedGb;
-    public OperatorSettings operator = OperatorSettings.DEFAULTS;
-    public final double cancelS = 40;
+    public double fetchedImageGb;
+    public OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
+    public final double cancellationDeadlineSeconds = 40;
     /** ms for which a user repeats a submission. */
-    public long patienceMs = 60_000;
+    public long submissionRetryMillis = 60_000;
     /** ms. The users' own bound: after this time without an answer a job counts as forgotten. */
-    static final long FORGOTTEN_MS = 75_000;
-    final Map<String, JobSpec> specs = new HashMap<>();
-    final Set<String> results = new HashSet<>();
-    private final Set<String> told = new HashSet<>();
-    private final Map<String, String> finalTold = new HashMap<>();
-    private final Map<String, Long> cancelTold = new HashMap<>();
+    static final long UNANSWERED_LIMIT_MILLIS = 75_000;
+    final Map<String, JobSpec> jobsById = new HashMap<>();
+    final Set<String> completedTasks = new HashSet<>();
+    private final Set<String> acceptedJobs = new HashSet<>();
+    private final Map<String, String> finalStatusByJob = new HashMap<>();
+    private final Map<String, Long> cancellationConfirmedAtMillis = new HashMap<>();
     /** ms from the first attempt to submit until somebody was told that the job is accepted. */
-    final Map<String, Long> acceptedAfter = new HashMap<>();
+    final Map<String, Long> acceptanceDelayMillis = new HashMap<>();
     /** When a question about a job was last answered, by its submission at first. */
-    private final Map<String, Long> answeredAt = new HashMap<>();
-    private final Service service = new Service(this);
+    private final Map<String, Long> lastAnswerAtMillis = new HashMap<>();
+    private final Service serviceLevels = new Service(this);
     /** From then on nothing is made to go wrong any more. */
-    private long calmFrom;
-    private final Set<String> cancelAsked = new HashSet<>();
+    private long faultsEndAtMillis;
+    private final Set<String> cancellationRequests = new HashSet<>();
     /** Most tasks that anybody was told are done. */
-    private final Map<String, Integer> doneTold = new HashMap<>();
+    private final Map<String, Integer> maxReportedDoneTasks = new HashMap<>();
     /** Jobs that can't run or lack a field. */
-    final Set<String> never = new HashSet<>();
+    final Set<String> unacceptableJobs = new HashSet<>();
     final Users users = new Users(this);
-    private final Waiting waiting = new Waiting(this);
-    private final Set<String> broken = new HashSet<>();
-    public final Map<String, Integer> starts = new HashMap<>();
+    private final Waiting starvation = new Waiting(this);
+    private final Set<String> violations = new HashSet<>();
+    public final Map<String, Integer> taskStarts = new HashMap<>();
     /** Off for measurements of large worlds: the checks look at every task after every event. */
-    public boolean watchRules = true;
+    public boolean invariantChecksEnabled = true;
     /** Tasks that began: only a beginning can take a team past its limit. */
-    long changes;
-    private long checked = -1;
+    long taskStartCount;
+    private long lastCheckedTaskStartCount = -1;
 
     public World(long seed) {
         this(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
                 new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
     }
 
-    public World(long seed, List<Cloud.Shape> shapes) {
-        this(seed, shapes, 3);
+    public World(long seed, List<Cloud.Shape> machineTypes) {
+        this(seed, machineTypes, 3);
     }
 
-    public World(long seed, List<Cloud.Shape> shapes, int members) {
-        sim = new Sim(seed);
-        net = new Net(sim);
-        store = new Store(sim, 12);
-        cloud = new Cloud(this, shapes);
-        net.host(STORE, r -> store.handle(r, net.sender()));
-        net.host(CLOUD, cloud::handle);
+    public World(long seed, List<Cloud.Shape> machineTypes, int controllerCount) {
+        clock = new Sim(seed);
+        network = new Net(clock);
+        store = new Store(clock, 12);
+        cloud = new Cloud(this, machineTypes);
+        network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.sender()));
+        network.setHandler(CLOUD_ADDRESS, cloud::handle);
         teams.put("red", new Settings.Team("red", 16, 40, 2, 4));
         teams.put("blue", new Settings.Team("blue", 16, 24, 2, 8));
         objectives.add(new Settings.Objective("finished", "slow", 200, 0.9, 1));
-        for (int i = 0; i < members; i++) {
+        for (int i = 0; i < controllerCount; i++) {
             controllers.add(new Member(i));
         }
-        sim.observe(this::checkMachines);
-        sim.after(1_000, this::checkAnswers);
-        sim.after(1_000, this::checkWaiting);
+        clock.setObserver(this::checkTaskInvariants);
+        clock.schedule(1_000, this::checkUnansweredJobs);
+        clock.schedule(1_000, this::checkStarvation);
     }
 
-    private void checkWaiting() {
-        if (watchRules) {
-            waiting.look(calmFrom);
+    private void checkStarvation() {
+        if (invariantChecksEnabled) {
+            starvation.check(faultsEndAtMillis);
         }
-        sim.after(1_000, this::checkWaiting);
+        clock.schedule(1_000, this::checkStarvation);
     }
 
     /** Seconds for which a job that began late could have begun, by what was on the machines and what its team may use. */
-    int couldBegin(String id) {
-        return waiting.couldBegin(id);
+    int startableSeconds(String id) {
+        return starvation.startableSeconds(id);
     }
 
     /** Something is made to go wrong until then. */
-    public void troubled(long untilMs) {
-        calmFrom = Math.max(calmFrom, untilMs);
+    public void expectFaultsUntil(long untilMillis) {
+        faultsEndAtMillis = Math.max(faultsEndAtMillis, untilMillis);
     }
 
     /** How each class, team and size was served, and who was left behind. */
-    public Service service() {
-        return service;
+    public Service serviceLevels() {
+        return serviceLevels;
     }
 
     public void start() {
         controllers.forEach(Member::start);
     }
 
-    int index(String member) {
+    int indexOfController(String controllerName) {
         for (int i = 0; i < controllers.size(); i++) {
-            if (controllers.get(i).name.equals(member)) {
+            if (controllers.get(i).name.equals(controllerName)) {
                 return i;
             }
         }
         return -1;
     }
 
-    JobSpec spec(String task) {
-        return specs.get(task.substring(0, task.indexOf('/')));
+    JobSpec jobOfTask(String task) {
+        return jobsById.get(task.substring(0, task.indexOf('/')));
     }
 
-    public Set<String> broken() {
-        return broken;
+    public Set<String> violations() {
+        return violations;
     }
 
-    void breach(String rule, String detail) {
-        broken.add(rule + ": " + detail);
+    void recordViolation(String rule, String detail) {
+        violations.add(rule + ": " + detail);
     }
 
     // ---- rules about machines
 
     /** Called at the moment a task has its image and begins. */
-    void began(Worker w, Worker.Task t, JobSpec s) {
-        starts.merge(s.id(), 1, Integer::sum);
-        service.began(s, t.name);
-        changes++;
-        if (!watchRules) {
+    void onTaskStarted(Worker worker, Worker.Task task, JobSpec job) {
+        taskStarts.merge(job.jobId(), 1, Integer::sum);
+        serviceLevels.onTaskStarted(job, task.name);
+        taskStartCount++;
+        if (!invariantChecksEnabled) {
             return;
         }
         int inZone = 0;
         boolean otherZone = false;
-        for (Worker o : cloud.machines.values()) {
-            for (Worker.Task x : o.tasks.values()) {
-                if (!x.on() || x == t) {
+        for (Worker otherWorker : cloud.machines.values()) {
+            for (Worker.Task otherTask : otherWorker.tasks.values()) {
+                if (!otherTask.occupiesMachine() || otherTask == task) {
                     continue;
                 }
-                if (x.name.equals(t.name)) {
-                    breach("ran_twice", t.name + " on " + o.host + " and " + w.host);
-                } else if (spec(x.name) == s) {
-                    otherZone |= !o.site.equals(w.site);
-                    inZone += o.site.equals(w.site) ? 1 : 0;
+                if (otherTask.name.equals(task.name)) {
+                    recordViolation("ran_twice", task.name + " on " + otherWorker.host + " and " + worker.host);
+                } else if (jobOfTask(otherTask.name) == job) {
+                    otherZone |= !otherWorker.zone.equals(worker.zone);
+                    inZone += otherWorker.zone.equals(worker.zone) ? 1 : 0;
                 }
             }
         }
-        boolean wrong = s.shapes() != null && !s.shapes().contains(w.shape.label()) || s.site() != null && !s.site().equals(w.site)
-                || w.spot && !s.preemptible() || s.oneZone() && otherZone || s.scatter() && inZone + 1 > (s.members() + 1) / 2;
-        if (wrong) {
-            breach("wrong_place", t.name + " on " + w.host);
+        boolean misplaced = job.machineTypes() != null && !job.machineTypes().contains(worker.machineType.name()) || job.zone() != null && !job.zone().equals(worker.zone)
+                || worker.spot && !job.preemptible() || job.zoneAffinity() && otherZone || job.zoneSpread() && inZone + 1 > (job.taskCount() + 1) / 2;
+        if (misplaced) {
+            recordViolation("wrong_place", task.name + " on " + worker.host);
         }
-        Long at = cancelTold.get(s.id());
-        if (at != null) {
-            breach("ran_cancelled", t.name + " starts");
+        Long confirmedAtMillis = cancellationConfirmedAtMillis.get(job.jobId());
+        if (confirmedAtMillis != null) {
+            recordViolation("ran_cancelled", task.name + " starts");
         }
     }
 
     /** A machine goes on after it hung: what its users have been told is cancelled must not be there any more. */
-    void wentOn(Worker w) {
-        for (Worker.Task t : w.tasks.values()) {
-            if (t.on() && cancelTold.containsKey(spec(t.name).id())) {
-                breach("ran_cancelled", t.name + " goes on after " + w.host + " hung");
+    void onWorkerResumed(Worker worker) {
+        for (Worker.Task task : worker.tasks.values()) {
+            if (task.occupiesMachine() && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
+                recordViolation("ran_cancelled", task.name + " goes on after " + worker.host + " hung");
             }
         }
     }
 
     /** Called after each event. Where nothing has begun since the last look, no limit can have been passed. */
-    private void checkMachines() {
-        if (!watchRules || changes == checked && cancelTold.isEmpty()) {
+    private void checkTaskInvariants() {
+        if (!invariantChecksEnabled || taskStartCount == lastCheckedTaskStartCount && cancellationConfirmedAtMillis.isEmpty()) {
             return;
         }
-        checked = changes;
-        Map<String, double[]> use = new HashMap<>();
-        for (Worker w : cloud.machines.values()) {
-            for (Worker.Task t : w.tasks.values()) {
-                if (!t.on()) {
+        lastCheckedTaskStartCount = taskStartCount;
+        Map<String, double[]> usageByTeam = new HashMap<>();
+        for (Worker worker : cloud.machines.values()) {
+            for (Worker.Task task : worker.tasks.values()) {
+                if (!task.occupiesMachine()) {
                     continue;
                 }
-                JobSpec s = spec(t.name);
-                double[] u = use.computeIfAbsent(s.owner(), k -> new double[2]);
-                u[0] += s.vcpus();
-                u[1] += s.cards();
-                Long at = cancelTold.get(s.id());
-                if (at != null && sim.now() - at > cancelS * 1000) {
-                    breach("ran_cancelled", t.name + " on " + w.host);
+                JobSpec job = jobOfTask(task.name);
+                double[] usage = usageByTeam.computeIfAbsent(job.team(), key -> new double[2]);
+                usage[0] += job.cpus();
+                usage[1] += job.gpus();
+                Long confirmedAtMillis = cancellationConfirmedAtMillis.get(job.jobId());
+                if (confirmedAtMillis != null && clock.nowMillis() - confirmedAtMillis > cancellationDeadlineSeconds * 1000) {
+                    recordViolation("ran_cancelled", task.name + " on " + worker.host);
                 }
             }
         }
-        use.forEach((team, u) -> {
-            if (u[0] > teams.get(team).cpusMax() + 1e-6 || u[1] > teams.get(team).gpusMax() + 1e-6) {
-                breach("quota", team);
+        usageByTeam.forEach((team, usage) -> {
+            if (usage[0] > teams.get(team).maxCpus() + 1e-6 || usage[1] > teams.get(team).maxGpus() + 1e-6) {
+                recordViolation("quota", team);
             }
         });
     }
 
-    void completed(Worker.Task t, JobSpec s) {
-        results.add(t.name);
-        users.completed(s);
-        if (s.gang()) {
-            for (int i = 0; i < s.members(); i++) {
-                results.add(s.id() + "/" + i);
+    void onTaskCompleted(Worker.Task task, JobSpec job) {
+        completedTasks.add(task.name);
+        users.onTaskCompleted(job);
+        if (job.isGang()) {
+            for (int i = 0; i < job.taskCount(); i++) {
+                completedTasks.add(job.jobId() + "/" + i);
             }
-            for (Worker w : cloud.machines.values()) {
-                for (Worker.Task x : new ArrayList<>(w.tasks.values())) {
-                    if (x != t && spec(x.name) == s && x.attempt == t.attempt && x.status.equals("running")) {
-                        w.end(x, "done");
+            for (Worker worker : cloud.machines.values()) {
+                for (Worker.Task otherTask : new ArrayList<>(worker.tasks.values())) {
+                    if (otherTask != task && jobOfTask(otherTask.name) == job && otherTask.attempt == task.attempt && otherTask.status.equals("running")) {
+                        worker.endTask(otherTask, "done");
                     }
                 }
             }
         }
     }
 
-    void gang(JobSpec s) {
+    void startGangIfComplete(JobSpec job) {
         Map<Long, List<Object[]>> waiting = new HashMap<>();
-        for (Worker w : cloud.machines.values()) {
-            for (Worker.Task t : w.tasks.values()) {
-                if (spec(t.name) == s && t.status.equals("waiting")) {
-                    waiting.computeIfAbsent(t.attempt, a -> new ArrayList<>()).add(new Object[] {w, t});
+        for (Worker worker : cloud.machines.values()) {
+            for (Worker.Task task : worker.tasks.values()) {
+                if (jobOfTask(task.name) == job && task.status.equals("waiting")) {
+                    waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>()).add(new Object[] {worker, task});
                 }
             }
         }
-        waiting.values().stream().filter(l -> l.size() == s.members())
-                .forEach(l -> l.forEach(x -> ((Worker) x[0]).runs((Worker.Task) x[1], s)));
+        waiting.values().stream().filter(members -> members.size() == job.taskCount())
+                .forEach(members -> members.forEach(member -> ((Worker) member[0]).beginRunning((Worker.Task) member[1], job)));
     }
 
-    void gangLost(JobSpec s, long attempt, String reason) {
+    void onGangTaskEnded(JobSpec job, long attempt, String reason) {
         if (reason.equals("done") || reason.equals("peers")) {
             return;
         }
-        sim.after(3000, () -> {
-            for (Worker w : cloud.machines.values()) {
-                for (Worker.Task t : new ArrayList<>(w.tasks.values())) {
-                    if (spec(t.name) == s && t.attempt == attempt && t.status.equals("running")) {
-                        w.end(t, "peers");
+        clock.schedule(3000, () -> {
+            for (Worker worker : cloud.machines.values()) {
+                for (Worker.Task task : new ArrayList<>(worker.tasks.values())) {
+                    if (jobOfTask(task.name) == job && task.attempt == attempt && task.status.equals("running")) {
+                        worker.endTask(task, "peers");
                     }
                 }
             }
@@ -302,28 +302,28 @@
     // ---- operators
 
     /** An operator's command at a controller; {@code then} hears status and answer, 0 for none. */
-    public void command(int controller, String path, ObjectNode body, java.util.function.BiConsumer<Integer, ObjectNode> then) {
-        net.call(USERS, controllers.get(controller).cluster, "POST", path, Codec.JSON.write(body), 3000,
-                (status, out, retry) -> then.accept(status, Codec.JSON.readMap(out)));
+    public void sendOperatorCommand(int controller, String path, ObjectNode body, java.util.function.BiConsumer<Integer, ObjectNode> onResponse) {
+        network.call(USERS_ADDRESS, controllers.get(controller).peerAddress, "POST", path, Codec.JSON.encode(body), 3000,
+                (status, responseBody, retryAfterSeconds) -> onResponse.accept(status, Codec.JSON.decodeMap(responseBody)));
     }
 
     // ---- users and rules about answers
 
-    public int accepted() {
-        return told.size();
+    public int acceptedJobCount() {
+        return acceptedJobs.size();
     }
 
-    public boolean told(String id, String status) {
-        return status.equals(finalTold.get(id));
+    public boolean wasToldFinalStatus(String id, String status) {
+        return status.equals(finalStatusByJob.get(id));
     }
 
-    private Member any() {
-        return controllers.get(sim.random.nextInt(controllers.size()));
+    private Member randomController() {
+        return controllers.get(clock.random.nextInt(controllers.size()));
     }
 
     /** Some users stay with one controller, whatever becomes of it. */
-    private Member askedBy(String id) {
-        Member any = any();
+    private Member controllerAskedAbout(String id) {
+        Member any = randomController();
         int number = id.hashCode() & 0xffff;
         return number % 3 == 0 ? controllers.get(number / 3 % controllers.size()) : any;
     }
@@ -332,58 +332,58 @@
      * Once all troubles are over, each accepted job that its user didn't cancel is known: judged job by job, for a question
      * that is never answered doesn't become better by what others are told.
      */
-    private void checkAnswers() {
-        for (String id : told) {
-            if (!cancelAsked.contains(id) && sim.now() - Math.max(answeredAt.get(id), calmFrom) > FORGOTTEN_MS) {
-                breach("forgotten", id + " got no answer for 75 s");
+    private void checkUnansweredJobs() {
+        for (String id : acceptedJobs) {
+            if (!cancellationRequests.contains(id) && clock.nowMillis() - Math.max(lastAnswerAtMillis.get(id), faultsEndAtMillis) > UNANSWERED_LIMIT_MILLIS) {
+                recordViolation("forgotten", id + " got no answer for 75 s");
             }
         }
-        sim.after(1_000, this::checkAnswers);
+        clock.schedule(1_000, this::checkUnansweredJobs);
     }
 
     /** A user uploads the job's description, which workers fetch. */
-    public void upload(JobSpec s) {
-        specs.put(s.id(), s);
+    public void upload(JobSpec job) {
+        jobsById.put(job.jobId(), job);
     }
 
-    public void submit(JobSpec s) {
-        submit(s, -1);
+    public void submit(JobSpec job) {
+        submit(job, -1);
     }
 
     /** Submits at one controller; below 0: at any, as the balancer likes. */
-    public void submit(JobSpec s, int controller) {
-        upload(s);
-        service.submitted(s);
-        submit(s, controller, sim.now() + patienceMs);
+    public void submit(JobSpec job, int controller) {
+        upload(job);
+        serviceLevels.onSubmitted(job);
+        submit(job, controller, clock.nowMillis() + submissionRetryMillis);
     }
 
-    private void submit(JobSpec s, int controller, long until) {
-        boolean known = told.contains(s.id());
-        String before = finalTold.get(s.id());
-        int done = doneTold.getOrDefault(s.id(), 0);
-        net.call(USERS, (controller < 0 ? any() : controllers.get(controller)).listen, "POST", "/v2/runs", Codec.CBOR.write(s.encode()), 5000, (status, body, retry) -> {
+    private void submit(JobSpec job, int controller, long untilMillis) {
+        boolean known = acceptedJobs.contains(job.jobId());
+        String previousFinalStatus = finalStatusByJob.get(job.jobId());
+        int previouslyDone = maxReportedDoneTasks.getOrDefault(job.jobId(), 0);
+        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs", Codec.CBOR.encode(job.encode()), 5000, (status, body, retryAfterSeconds) -> {
             if (status == 200 || status == 201) {
-                if (told.add(s.id())) {
-                    answeredAt.put(s.id(), sim.now());
-                    acceptedAfter.put(s.id(), sim.now() - service.submittedAt(s.id()));
-                    sim.after(5000, () -> poll(s.id()));
-                    users.accepted(s);
+                if (acceptedJobs.add(job.jobId())) {
+                    lastAnswerAtMillis.put(job.jobId(), clock.nowMillis());
+                    acceptanceDelayMillis.put(job.jobId(), clock.nowMillis() - serviceLevels.submittedAtMillis(job.jobId()));
+                    clock.schedule(5000, () -> pollRepeatedly(job.jobId()));
+                    users.onAccepted(job);
                 }
                 if (status == 201 && known) {
-                    breach("forgotten", s.id() + " was accepted once more");
+                    recordViolation("forgotten", job.jobId() + " was accepted once more");
                 }
-                answered(s.id(), Codec.CBOR.readMap(body), before, status == 200 ? done : 0);
+                checkAnswer(job.jobId(), Codec.CBOR.decodeMap(body), previousFinalStatus, status == 200 ? previouslyDone : 0);
             } else if (status == 400 || status == 422) {
-                breach("forgotten", s.id() + " got " + status);
-            } else if (sim.now() < until) {
-                sim.after(1000L * Math.max(1, retry), () -> submit(s, controller, until));
+                recordViolation("forgotten", job.jobId() + " got " + status);
+            } else if (clock.nowMillis() < untilMillis) {
+                clock.schedule(1000L * Math.max(1, retryAfterSeconds), () -> submit(job, controller, untilMillis));
             }
         });
     }
 
-    private void poll(String id) {
+    private void pollRepeatedly(String id) {
         query(id);
-        sim.after(finalTold.containsKey(id) ? 30_000 : 5_000, () -> poll(id));
+        clock.schedule(finalStatusByJob.containsKey(id) ? 30_000 : 5_000, () -> pollRepeatedly(id));
     }
 
     /** Asks once, for a job that may never have been submitted. */
@@ -393,64 +393,64 @@
 
     /** Asks one controller; below 0: whichever the user asks. */
     void query(String id, int controller) {
-        boolean known = told.contains(id);
-        String before = finalTold.get(id);
-        int done = doneTold.getOrDefault(id, 0);
-        net.call(USERS, (controller < 0 ? askedBy(id) : controllers.get(controller)).listen, "GET", "/v2/runs/" + id, null, 2000, (status, body, retry) -> {
+        boolean known = acceptedJobs.contains(id);
+        String previousFinalStatus = finalStatusByJob.get(id);
+        int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
+        network.call(USERS_ADDRESS, (controller < 0 ? controllerAskedAbout(id) : controllers.get(controller)).userAddress, "GET", "/v2/runs/" + id, null, 2000, (status, body, retryAfterSeconds) -> {
             if (status == 404 && known) {
-                breach("forgotten", id);
+                recordViolation("forgotten", id);
             } else if (status == 200) {
-                if (!specs.containsKey(id)) {
-                    breach("invented", id);
+                if (!jobsById.containsKey(id)) {
+                    recordViolation("invented", id);
                 }
-                answeredAt.put(id, sim.now());
-                answered(id, Codec.CBOR.readMap(body), before, done);
+                lastAnswerAtMillis.put(id, clock.nowMillis());
+                checkAnswer(id, Codec.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
             }
         });
     }
 
     /** Submits what can't be accepted: its body can't run or lacks a field. */
-    void submitOdd(String id, byte[] body, int expected) {
-        never.add(id);
-        net.call(USERS, any().listen, "POST", "/v2/runs", body, 5000, (status, out, retry) -> {
+    void submitUnacceptable(String id, byte[] body, int expected) {
+        unacceptableJobs.add(id);
+        network.call(USERS_ADDRESS, randomController().userAddress, "POST", "/v2/runs", body, 5000, (status, responseBody, retryAfterSeconds) -> {
             if (status == 200 || status == 201) {
-                breach("accepted", id + " can't run or lacks a field");
+                recordViolation("accepted", id + " can't run or lacks a field");
             } else if (status == expected) {
-                users.refused++;
+                users.refusedCount++;
             } else if (status == 400 || status == 422) {
-                breach("accepted", id + " got " + status + " instead of " + expected);
+                recordViolation("accepted", id + " got " + status + " instead of " + expected);
             }
         });
     }
 
     /** Judges a whole answer: also how many tasks it calls done, against what anybody had been told when the user asked. */
-    void answered(String id, ObjectNode body, String before, int done) {
-        answered(id, body.path("status").asText(), before);
-        if (body.has("done") && body.path("done").asInt() < done) {
-            breach("older", id + ": " + body.path("done").asInt() + " tasks are done, there were " + done);
+    void checkAnswer(String id, ObjectNode body, String previousFinalStatus, int previouslyDone) {
+        checkAnswer(id, body.path("status").asText(), previousFinalStatus);
+        if (body.has("done") && body.path("done").asInt() < previouslyDone) {
+            recordViolation("older", id + ": " + body.path("done").asInt() + " tasks are done, there were " + previouslyDone);
         }
-        doneTold.merge(id, body.path("done").asInt(), Math::max);
+        maxReportedDoneTasks.merge(id, body.path("done").asInt(), Math::max);
     }
 
     /** Judges what a user was told, against the final state that was told when the user asked, if any. */
-    public void answered(String id, String status, String before) {
-        if (before != null && !before.equals(status)) {
-            breach("went_back", id + " was " + before + ", is " + status);
+    public void checkAnswer(String id, String status, String previousFinalStatus) {
+        if (previousFinalStatus != null && !previousFinalStatus.equals(status)) {
+            recordViolation("went_back", id + " was " + previousFinalStatus + ", is " + status);
         }
-        if (status.equals("cancelled") && !cancelAsked.contains(id)) {
-            breach("went_back", id + " was never cancelled by its user");
+        if (status.equals("cancelled") && !cancellationRequests.contains(id)) {
+            recordViolation("went_back", id + " was never cancelled by its user");
         }
         if (status.equals("done")) {
-            JobSpec s = specs.get(id);
-            for (int i = 0; s != null && i < s.members(); i++) {
-                if (!results.contains(id + "/" + i)) {
-                    breach("not_done", id + "/" + i);
+            JobSpec job = jobsById.get(id);
+            for (int i = 0; job != null && i < job.taskCount(); i++) {
+                if (!completedTasks.contains(id + "/" + i)) {
+                    recordViolation("not_done", id + "/" + i);
                 }
             }
         }
         if (status.equals("done") || status.equals("cancelled")) {
-            if (finalTold.putIfAbsent(id, status) == null) {
-                users.ended(id);
+            if (finalStatusByJob.putIfAbsent(id, status) == null) {
+                users.onFinalStatus(id);
             }
         }
     }
@@ -461,57 +461,57 @@
 
     /** Cancels at one controller; below 0: at any. */
     public void cancel(String id, int controller) {
-        cancelAsked.add(id);
-        String before = finalTold.get(id);
-        boolean known = told.contains(id);
-        int done = doneTold.getOrDefault(id, 0);
-        net.call(USERS, (controller < 0 ? any() : controllers.get(controller)).listen, "POST", "/v2/runs/" + id + "/cancel", Codec.CBOR.write(Codec.map()), 5000, (status, body, retry) -> {
+        cancellationRequests.add(id);
+        String previousFinalStatus = finalStatusByJob.get(id);
+        boolean known = acceptedJobs.contains(id);
+        int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
+        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs/" + id + "/cancel", Codec.CBOR.encode(Codec.newMap()), 5000, (status, body, retryAfterSeconds) -> {
             if (status == 200) {
-                String s = Codec.CBOR.readMap(body).path("status").asText();
-                answered(id, Codec.CBOR.readMap(body), before, done);
-                if (!s.equals("cancelled") && !s.equals("done")) {
-                    breach("went_back", id + " is " + s + " to whoever cancels it");
+                String jobStatus = Codec.CBOR.decodeMap(body).path("status").asText();
+                checkAnswer(id, Codec.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
+                if (!jobStatus.equals("cancelled") && !jobStatus.equals("done")) {
+                    recordViolation("went_back", id + " is " + jobStatus + " to whoever cancels it");
                 }
-                if (s.equals("cancelled")) {
-                    cancelTold.putIfAbsent(id, sim.now());
+                if (jobStatus.equals("cancelled")) {
+                    cancellationConfirmedAtMillis.putIfAbsent(id, clock.nowMillis());
                 }
             } else if (status == 404) {
                 if (known) {
-                    breach("forgotten", id + " can't be cancelled");
+                    recordViolation("forgotten", id + " can't be cancelled");
                 } else {
-                    sim.after(1000, () -> cancel(id, controller));
+                    clock.schedule(1000, () -> cancel(id, controller));
                 }
             } else {
-                sim.after(1000L * Math.max(1, retry), () -> cancel(id, controller));
+                clock.schedule(1000L * Math.max(1, retryAfterSeconds), () -> cancel(id, controller));
             }
         });
     }
 
     /** When the user was told that the job is cancelled; -1: not yet. */
-    public long cancelledAt(String id) {
-        return cancelTold.getOrDefault(id, -1L);
+    public long cancellationConfirmedAtMillis(String id) {
+        return cancellationConfirmedAtMillis.getOrDefault(id, -1L);
     }
 
-    boolean cancelAsked(String id) {
-        return cancelAsked.contains(id);
+    boolean isCancellationRequested(String id) {
+        return cancellationRequests.contains(id);
     }
 
-    Set<String> told() {
-        return told;
+    Set<String> acceptedJobs() {
+        return acceptedJobs;
     }
 
-    boolean finalTold(String id) {
-        return finalTold.containsKey(id);
+    boolean hasFinalStatus(String id) {
+        return finalStatusByJob.containsKey(id);
     }
 
     /** Whether every accepted job has reached its end and its user was told. */
-    public List<String> unfinished() {
-        List<String> out = new ArrayList<>();
-        for (String id : told) {
-            if (!finalTold.containsKey(id) && !specs.get(id).service()) {
-                out.add(id);
+    public List<String> unfinishedJobs() {
+        List<String> result = new ArrayList<>();
+        for (String id : acceptedJobs) {
+            if (!finalStatusByJob.containsKey(id) && !jobsById.get(id).isService()) {
+                result.add(id);
             }
         }
-        return out;
+        return result;
     }
 }
