--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,10 +1,12 @@
 package io.quincelead.app;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
 import io.quincelead.cloud.Fleet;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.jobs.UserApi;
 import io.quincelead.leader.Leader;
 import io.quincelead.net.Codec;
@@ -65,7 +67,7 @@
         Catalog machineTypeCatalog = new Catalog(watchCache);
         ImageCaches imageCaches = new ImageCaches(machines, label -> machineTypeCatalog.get(label) == null ? 0 : machineTypeCatalog.get(label).localDiskGb());
         jobs.onPlacementRecorded(p -> imageCaches.recordUse(p.host, p.job.spec));
-        loop.runEvery(Constants.LIST_EVERY_MS, imageCaches::pruneUnrecordedMachines);
+        loop.runEvery(AutoscalerConstants.INVENTORY_INTERVAL_MILLIS, imageCaches::pruneUnrecordedMachines);
         Leader leader = new Leader(loop, settings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, policy);
         peerMessenger = new Peers(loop, settings, clusterMembership, transport, leader);
         schedulingCycle = new Rounds(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, imageCaches, constrainedDemand, policy, this::flushWorkerResponses);
@@ -101,7 +103,7 @@
         ZoneWatch zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(host -> imageCaches.largeImages(host, operatorSettings.zoneRecovery().heavyImageGb()), imageCaches::mergeRecorded);
-            zoneRecoveryController = new ZoneWatch(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + Constants.SILENCE_SLACK_MS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
+            zoneRecoveryController = new ZoneWatch(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + WorkerConstants.SILENCE_SLACK_MILLIS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
                     policy, leader, machineVisibility);
         }
         Fleet autoscaler = new Fleet(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, leader, transport,
@@ -135,7 +137,7 @@
             schedulingCycle.requestCycleIfNeeded();
             workerGateway.dispatchPendingCommands();
         });
-        loop.runEvery(Constants.IDLE_ROUND_MS, schedulingCycle::requestCycleIfNeeded);
+        loop.runEvery(SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS, schedulingCycle::requestCycleIfNeeded);
         membershipLease.start();
         watchCache.start();
     }
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -1,9 +1,9 @@
 package io.quincelead.app;
 
 import io.quincelead.app.cli.Cli;
-import io.quincelead.base.Constants;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.net.HttpClient;
 import io.quincelead.net.HttpServer;
 import java.io.File;
@@ -112,15 +112,15 @@
         int maxConnections = settings.processLimits().maxConnections();
         Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
         criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
-        int maxSharedConnections = Math.max(1, (int) (maxConnections * Constants.WORKER_CALLS_SHARE));
-        int maxServerConnections = Math.max(maxConnections / 2, maxConnections - maxSharedConnections - criticalAddresses.size() * Constants.MAX_SOCKETS_PER_TARGET - Constants.PEER_SOCKETS - Constants.SPARE_SOCKETS);
+        int maxSharedConnections = Math.max(1, (int) (maxConnections * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION));
+        int maxServerConnections = Math.max(maxConnections / 2, maxConnections - maxSharedConnections - criticalAddresses.size() * TransportConstants.MAX_CONNECTIONS_PER_ADDRESS - TransportConstants.MAX_PEER_CONNECTIONS - TransportConstants.RESERVED_CONNECTIONS);
         loop.runAfter(0, () -> {
             Controller controller = new Controller(loop, new HttpClient(loop, worker.getIoThread(), criticalAddresses, maxSharedConnections), settings, operatorSettings);
             // Servers are started off the loop: binding waits for the accept thread.
             Thread starter = new Thread(() -> {
                 try {
                     new HttpServer(worker, settings.listenAddress(), maxServerConnections, controller::handle).start();
-                    new HttpServer(worker, settings.clusterListenAddress(), Constants.PEER_SOCKETS, controller::handlePeerRequest).start();
+                    new HttpServer(worker, settings.clusterListenAddress(), TransportConstants.MAX_PEER_CONNECTIONS, controller::handlePeerRequest).start();
                     log.info("{} serves on {} and {}", settings.memberId(), settings.listenAddress(), settings.clusterListenAddress());
                 } catch (RuntimeException e) {
                     log.error("can't listen on {} or {}: {}", settings.listenAddress(), settings.clusterListenAddress(), e.getMessage());
--- a/src/main/java/io/quincelead/app/cli/Connection.java
+++ b/src/main/java/io/quincelead/app/cli/Connection.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.app.XnioLoop;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.CliConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.HttpClient;
 import java.io.File;
@@ -60,7 +60,7 @@
                 HttpClient client = new HttpClient(new XnioLoop(worker.getIoThread()), worker.getIoThread(), Set.copyOf(addresses), 1);
                 sendToNext(client, addresses, 0, path, Codec.JSON.encode(body), response, null);
             });
-            return response.get(addresses.size() * 2 * Constants.OPERATOR_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            return response.get(addresses.size() * 2 * CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             return null;
         } finally {
@@ -73,7 +73,7 @@
             response.complete(fallback);
             return;
         }
-        client.call(addresses.get(index), "POST", path, Codec.JSON, body, Constants.OPERATOR_TIMEOUT_MS, (status, bytes) -> {
+        client.call(addresses.get(index), "POST", path, Codec.JSON, body, CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS, (status, bytes) -> {
             ObjectNode responseBody = Codec.JSON.decodeMap(bytes);
             boolean retryable = status == 503 && responseBody != null && !responseBody.path("unknown").asBoolean();
             if (status == 0 || retryable || responseBody == null) {
--- a/src/main/java/io/quincelead/cloud/CloudClient.java
+++ b/src/main/java/io/quincelead/cloud/CloudClient.java
@@ -1,9 +1,9 @@
 package io.quincelead.cloud;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.RateBudget;
 import io.quincelead.net.Transport;
@@ -38,7 +38,7 @@
 
     void call(String method, String path, ObjectNode body, boolean isUrgent, Answer responseHandler) {
         Runnable sendCall = () -> transport.call(cloudAddress, method, path, Codec.CBOR, body == null ? null : Codec.CBOR.encode(body),
-                Constants.CLOUD_TIMEOUT_MS, (status, responseBytes) -> {
+                AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS, (status, responseBytes) -> {
                     ObjectNode responseBody = Codec.CBOR.decodeMap(responseBytes);
                     if (status == 429) {
                         rateBudget.drain();
--- a/src/main/java/io/quincelead/cloud/CloudList.java
+++ b/src/main/java/io/quincelead/cloud/CloudList.java
@@ -1,9 +1,9 @@
 package io.quincelead.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.records.Catalog;
 import io.quincelead.records.MachineTable;
@@ -54,13 +54,13 @@
     }
 
     void readCatalogIfDue() {
-        if (!isCatalogReadInFlight && eventLoop.nowMillis() - catalogReadAtMillis > (catalog.isLoaded() ? Constants.CATALOG_EVERY_MS : Constants.RENT_TICK_MS)) {
+        if (!isCatalogReadInFlight && eventLoop.nowMillis() - catalogReadAtMillis > (catalog.isLoaded() ? AutoscalerConstants.CATALOG_INTERVAL_MILLIS : AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS)) {
             readCatalog();
         }
     }
 
     void readInstancesIfDue() {
-        if (eventLoop.nowMillis() - instancesReadAtMillis > Constants.LIST_EVERY_MS && !cloudClient.isBacklogged()) {
+        if (eventLoop.nowMillis() - instancesReadAtMillis > AutoscalerConstants.INVENTORY_INTERVAL_MILLIS && !cloudClient.isBacklogged()) {
             instancesReadAtMillis = eventLoop.nowMillis();
             readInstances(null);
         }
@@ -107,7 +107,7 @@
             Returns.Leaving returnBatch = scaleInController.newReturnBatch();
             Txn transaction = returnBatch.transaction;
             // What a predecessor returned stays listed for a while; a service that starts on a cluster that is up has none.
-            boolean mayRegister = leader.mayRegisterUnexpectedMachines() && (machines.all().isEmpty() || nowMillis - notLeadingAtMillis > Constants.STRANGER_LAGS * settings.cloudLimits().listLagSeconds() * 1000);
+            boolean mayRegister = leader.mayRegisterUnexpectedMachines() && (machines.all().isEmpty() || nowMillis - notLeadingAtMillis > AutoscalerConstants.TRUST_UNEXPECTED_AFTER_LIST_LAGS * settings.cloudLimits().listLagSeconds() * 1000);
             int registeredCount = 0;
             for (JsonNode instance : response.path("hosts")) {
                 String host = instance.path("nameId").asText();
@@ -117,7 +117,7 @@
                 double ageSeconds = instance.path("ageS").asDouble();
                 if (machine == null) {
                     if (mayRegister && !hasFailed && !scaleInController.wasReleased(host) && !transaction.fits(2, 2, store.maxTransactionOperations())) {
-                        instancesReadAtMillis = nowMillis - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
+                        instancesReadAtMillis = nowMillis - AutoscalerConstants.INVENTORY_INTERVAL_MILLIS + AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS;
                     } else if (mayRegister && !hasFailed && !scaleInController.wasReleased(host)) {
                         registeredCount++;
                         returnBatch.edits.addUnexpected(host, instance.path("shape").asText(), instance.path("site").asText(), instance.path("preemptible").asBoolean(),
@@ -126,7 +126,7 @@
                 } else if (hasFailed && !machine.releasing()) {
                     if (!scaleInController.addReturn(returnBatch, machine, "failed")) {
                         // A zone's machines may fail together: what one change has no room for is looked at again at once.
-                        instancesReadAtMillis = nowMillis - Constants.LIST_EVERY_MS + Constants.RENT_TICK_MS;
+                        instancesReadAtMillis = nowMillis - AutoscalerConstants.INVENTORY_INTERVAL_MILLIS + AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS;
                     }
                 } else if (machine.address() == null && instance.hasNonNull("addr") && transaction.fits(1, 1, store.maxTransactionOperations())) {
                     returnBatch.edits.put(machine.withAddress(instance.path("addr").asText()));
--- a/src/main/java/io/quincelead/cloud/Demand.java
+++ b/src/main/java/io/quincelead/cloud/Demand.java
@@ -1,8 +1,9 @@
 package io.quincelead.cloud;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.placing.QueueOrder;
 import io.quincelead.records.Chunk;
 import io.quincelead.records.Job;
@@ -24,7 +25,7 @@
     private final QueueOrder queueOrder;
     private final Settings settings;
     private final Set<String> observedJobIds = new HashSet<>();
-    private static final double[] WINDOWS_SECONDS = {Constants.LOAD_SHORT_S, Constants.LOAD_LONG_S};
+    private static final double[] WINDOWS_SECONDS = {AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS, AutoscalerConstants.LONG_LOAD_WINDOW_SECONDS};
     private final double[][] arrivedCpuSeconds = new double[WINDOWS_SECONDS.length][JobSpec.Urgency.values().length];
     private final double[] openCpus = new double[JobSpec.Urgency.values().length];
     private long observedAtMillis;
@@ -73,7 +74,7 @@
 
         /** What dear machines should be kept for: what is in use and what the queue needs in time. */
         double costlyCpusToKeep(double reserveFraction) {
-            double reserveCpus = reserveFraction * Math.min(usedCpus, Math.sqrt(usedCpus * Constants.HEADROOM_CPUS));
+            double reserveCpus = reserveFraction * Math.min(usedCpus, Math.sqrt(usedCpus * AutoscalerConstants.LINEAR_RESERVE_MAX_CPUS));
             return Math.max(usedCpus + reserveCpus, deadlineCpus) + bookedCpus;
         }
 
@@ -97,13 +98,13 @@
                 arrivedCpuSeconds[windowIndex][priorityIndex] *= decay;
             }
         }
-        double openCpusDecay = isFirstObservation ? 0 : Math.exp(-(nowMillis - observedAtMillis) / 1000.0 / Constants.LOAD_SHORT_S);
+        double openCpusDecay = isFirstObservation ? 0 : Math.exp(-(nowMillis - observedAtMillis) / 1000.0 / AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS);
         for (int priorityIndex = 0; priorityIndex < openCpus.length; priorityIndex++) {
             openCpus[priorityIndex] *= openCpusDecay;
         }
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.spec.isUnconstrained()) {
-                openCpus[job.spec.priority().ordinal()] += (1 - openCpusDecay) * (job.placedTaskCount() + Constants.OPEN_WAITING_SHARE * job.pendingTaskCount()) * job.spec.cpus();
+                openCpus[job.spec.priority().ordinal()] += (1 - openCpusDecay) * (job.placedTaskCount() + AutoscalerConstants.OPEN_LOAD_WAITING_FRACTION * job.pendingTaskCount()) * job.spec.cpus();
             }
         }
         observedAtMillis = nowMillis;
@@ -129,7 +130,7 @@
             lowestCpus += openCpus[priorityIndex];
         }
         for (int windowIndex = 0; windowIndex < WINDOWS_SECONDS.length; windowIndex++) {
-            double observedSeconds = Math.max(Constants.LOAD_LEAST_S, (eventLoop.nowMillis() - observingSinceMillis) / 1000.0);
+            double observedSeconds = Math.max(AutoscalerConstants.MIN_LOAD_WINDOW_SECONDS, (eventLoop.nowMillis() - observingSinceMillis) / 1000.0);
             double effectiveWindowSeconds = WINDOWS_SECONDS[windowIndex] * (1 - Math.exp(-observedSeconds / WINDOWS_SECONDS[windowIndex]));
             double cpuSeconds = 0;
             for (int priorityIndex = 0; priorityIndex < beforePriority; priorityIndex++) {
@@ -178,9 +179,9 @@
             double teamCpuLimit = settings.teams().containsKey(spec.team()) ? settings.teams().get(spec.team()).maxCpus() : 0;
             double placeableCpus = Math.min(job.pendingTaskCount() * spec.cpus(), Math.max(0, teamCpuLimit - usedCpusByTeam.getOrDefault(spec.team(), 0.0) - pendingCpusByTeam.getOrDefault(spec.team(), 0.0)));
             pendingCpusByTeam.merge(spec.team(), placeableCpus, Double::sum);
-            double dueInSeconds = queueOrder.rank(job, true, wallMillis).slackSeconds() + runtimeSeconds * Constants.ESTIMATE_DISTRUST;
+            double dueInSeconds = queueOrder.rank(job, true, wallMillis).slackSeconds() + runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
             if (dueInSeconds < runtimeSeconds) {
-                dueInSeconds = Constants.LATE_DRAIN_S;
+                dueInSeconds = AutoscalerConstants.OVERDUE_DRAIN_SECONDS;
             }
             // Tasks run in whole waves: of the time until it is due, only whole run times count.
             double wholeRunsSeconds = Math.max(runtimeSeconds, Math.floor(dueInSeconds / runtimeSeconds) * runtimeSeconds);
@@ -195,7 +196,7 @@
         double deadlineCpus = 0;
         for (Map.Entry<Integer, double[]> deadline : workByDeadline.cpuSecondsByDeadline.entrySet()) {
             // A machine rented now can't help what is due at once; that work counts as due when it could.
-            double horizonSeconds = Math.max(deadline.getKey(), Constants.SOONEST_HELP_S);
+            double horizonSeconds = Math.max(deadline.getKey(), AutoscalerConstants.SOONEST_HELP_SECONDS);
             double availableCpuSeconds = capacity.cpuSecondsWithin(horizonSeconds);
             for (int priorityIndex = 0; priorityIndex < steadyCpusBefore.length; priorityIndex++) {
                 if (deadline.getValue()[priorityIndex] <= 0) {
@@ -206,10 +207,10 @@
                 // Until then, more urgent work will arrive and go first.
                 double missingCpuSeconds = dueCpuSeconds + steadyCpusBefore[priorityIndex] * horizonSeconds - availableCpuSeconds;
                 if (missingCpuSeconds > 0) {
-                    shortfallCpus = Math.max(shortfallCpus, missingCpuSeconds / (horizonSeconds - Constants.TYPICAL_BOOT_S));
+                    shortfallCpus = Math.max(shortfallCpus, missingCpuSeconds / (horizonSeconds - AutoscalerConstants.TYPICAL_BOOT_SECONDS));
                 }
             }
         }
-        return new Need(steadyStateCpus(arrivedCpuSeconds[0].length) * Constants.LOAD_MARGIN, shortfallCpus, usedCpus, deadlineCpus, pendingCpusByTeam.values().stream().mapToDouble(x -> x).sum(), 0);
+        return new Need(steadyStateCpus(arrivedCpuSeconds[0].length) * AutoscalerConstants.USUAL_LOAD_MARGIN_FACTOR, shortfallCpus, usedCpus, deadlineCpus, pendingCpusByTeam.values().stream().mapToDouble(x -> x).sum(), 0);
     }
 }
--- a/src/main/java/io/quincelead/cloud/Fleet.java
+++ b/src/main/java/io/quincelead/cloud/Fleet.java
@@ -1,9 +1,9 @@
 package io.quincelead.cloud;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.net.Transport;
 import io.quincelead.placing.QueueOrder;
@@ -73,7 +73,7 @@
         this.scaleOutPlanner = new Renting(eventLoop, settings, operatorSettings, jobs, machines, catalog, queueOrder, provisioningRequests, constrainedDemand, zoneTable, policy, rebalanceDemand);
         this.scaleInController = new Returns(eventLoop, operatorSettings, watchCache, store, shards, jobs, machines, catalog, leader, cloudClient, committer, onTaskTerminated, constrainedDemand);
         this.inventory = new CloudList(eventLoop, settings, watchCache, store, machines, catalog, leader, cloudClient, committer, scaleInController);
-        eventLoop.runEvery(Constants.RENT_TICK_MS, this::runScalingPass);
+        eventLoop.runEvery(AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS, this::runScalingPass);
     }
 
     /** Whether a rental's outcome isn't on record yet. */
@@ -96,7 +96,7 @@
         inventory.readInstancesIfDue();
         List<MachineTable.Machine> readyMachines = new ArrayList<>();
         Demand.Capacity capacity = measureCapacity(readyMachines);
-        double bootSeconds = catalog.all().stream().mapToDouble(Catalog.Shape::bootSeconds).max().orElse(0) * Constants.BOOT_USUAL_MOST + Constants.CALENDAR_RENT_SLACK_S;
+        double bootSeconds = catalog.all().stream().mapToDouble(Catalog.Shape::bootSeconds).max().orElse(0) * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
         Demand.Need demand = demandForecast.estimate(jobs, capacity, eventLoop.wallClockMillis()).withBookedCpus(policy.forecastCpus(jobs.all(), eventLoop.wallClockMillis(), bootSeconds));
         if (!committer.isBusy()) {
             scaleInController.returnExcess(readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
--- a/src/main/java/io/quincelead/cloud/Rentals.java
+++ b/src/main/java/io/quincelead/cloud/Rentals.java
@@ -2,8 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.net.Codec;
 import io.quincelead.records.Blocks;
@@ -97,12 +98,12 @@
         Txn transaction = leader.newTransaction().requireRevision(Keys.PROVISIONING_REQUEST_COUNTER, watchCache.modRevision(Keys.PROVISIONING_REQUEST_COUNTER)).put(Keys.PROVISIONING_REQUEST_COUNTER, Codec.newMap().put("n", recordedRequestCount + purchases.size()));
         List<Rental> newRequests = new ArrayList<>();
         for (Map.Entry<Option, Integer> purchase : purchases.entrySet()) {
-            if (openRequests.size() + newRequests.size() >= Constants.MAX_RENTALS_OPEN || !transaction.fits(1, 0, store.maxTransactionOperations())) {
+            if (openRequests.size() + newRequests.size() >= AutoscalerConstants.MAX_OPEN_PROVISIONING_REQUESTS || !transaction.fits(1, 0, store.maxTransactionOperations())) {
                 break;
             }
             Option offering = purchase.getKey();
             String name = "r-" + shards.leaderRecord().fencingToken() + "-" + membershipLease.incarnation() + "-" + ++lastRequestNumber;
-            int machineCount = Math.min(purchase.getValue(), Constants.MAX_RENT);
+            int machineCount = Math.min(purchase.getValue(), AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST);
             Rental request = new Rental(name, offering.machineType().name(), offering.zone(), offering.spot(), machineCount);
             transaction.put(Keys.PROVISIONING_REQUEST_PREFIX + name, Codec.newMap().put("k", request.machineType).put("s", request.zone).put("p", request.spot).put("n", machineCount));
             newRequests.add(request);
@@ -139,7 +140,7 @@
             } else if (status == 400) {
                 LOG.error("the cloud calls a rental malformed: {}", requestBody);
             } else if (status != 503 || response == null || !response.path("error").asText().contains("capacity")) {
-                eventLoop.runAfter(Constants.RENT_TICK_MS, () -> requestsInFlight.remove(request.name));
+                eventLoop.runAfter(AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS, () -> requestsInFlight.remove(request.name));
                 return;
             }
             if (receivedCount < request.machineCount) {
@@ -151,8 +152,8 @@
 
     private void recordRefusal(String offeringId) {
         Refusal previous = refusalsByOffering.get(offeringId);
-        long pauseMillis = previous == null || eventLoop.nowMillis() - previous.untilMillis > previous.pauseMillis ? Constants.NO_CAPACITY_MS
-                : Math.min(Constants.NO_CAPACITY_MAX_MS, previous.pauseMillis * 2);
+        long pauseMillis = previous == null || eventLoop.nowMillis() - previous.untilMillis > previous.pauseMillis ? AutoscalerConstants.NO_CAPACITY_BACKOFF_INITIAL_MILLIS
+                : Math.min(AutoscalerConstants.NO_CAPACITY_BACKOFF_MAX_MILLIS, previous.pauseMillis * 2);
         refusalsByOffering.put(offeringId, new Refusal(eventLoop.nowMillis() + pauseMillis, pauseMillis));
     }
 
@@ -163,7 +164,7 @@
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
             // Otherwise the record stands and the same name is asked for again; the answer will be the same.
-            eventLoop.runAfter(Constants.RETRY_MS, () -> requestsInFlight.remove(request.name));
+            eventLoop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, () -> requestsInFlight.remove(request.name));
         });
     }
 }
--- a/src/main/java/io/quincelead/cloud/Renting.java
+++ b/src/main/java/io/quincelead/cloud/Renting.java
@@ -1,9 +1,10 @@
 package io.quincelead.cloud;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.placing.QueueOrder;
 import io.quincelead.placing.Tebas;
 import io.quincelead.policy.Policy;
@@ -125,14 +126,14 @@
 
     /** Cheap machines for the usual load and for what is late; ordinary ones only for what would else be late. */
     private void planUnconstrained(Demand.Need demand, Demand.Capacity capacity, double strandedCpus, Map<Option, Integer> purchases) {
-        double spotTargetCpus = Math.max(demand.steadyStateCpus(), demand.usedCpus() + Math.min(strandedCpus, demand.pendingCpus()) + demand.pendingCpus() * Constants.CHEAP_SHARE) + demand.bookedCpus();
+        double spotTargetCpus = Math.max(demand.steadyStateCpus(), demand.usedCpus() + Math.min(strandedCpus, demand.pendingCpus()) + demand.pendingCpus() * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION) + demand.bookedCpus();
         double missingCpus = Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
-        double overdueCpus = demand.shortfallCpus() - capacity.totalCpus() * Constants.DEAR_SHARE;
+        double overdueCpus = demand.shortfallCpus() - capacity.totalCpus() * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
         if (demand.bookedCpus() > 0) {
             // What the calendar books must be there, dear or not; but not more of it than is missing.
             overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
         }
-        double toleratedCpus = demand.pendingCpus() + demand.bookedCpus() > 0 ? 0.5 : Constants.CHEAP_LEAST_CPUS;
+        double toleratedCpus = demand.pendingCpus() + demand.bookedCpus() > 0 ? 0.5 : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
         while (missingCpus > toleratedCpus) {
             Option bestOffering = null;
             double bestCost = Double.MAX_VALUE;
@@ -143,15 +144,15 @@
                 for (String zone : machineType.zones()) {
                     for (boolean spot : new boolean[] {true, false}) {
                         Option offering = new Option(machineType, zone, spot);
-                        if (provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) || !spot && overdueCpus <= 0.5 || purchases.getOrDefault(offering, 0) >= Constants.MAX_RENT) {
+                        if (provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) || !spot && overdueCpus <= 0.5 || purchases.getOrDefault(offering, 0) >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
                             continue;
                         }
                         // Unused parts of a machine cost too, and so do its boot and its first fetch.
                         double usefulCpus = Math.min(machineType.cpus(), Math.max(missingCpus, machineType.cpus() / 2));
-                        double cost = machineType.pricePerHour(spot) / usefulCpus * (1 + machineType.bootSeconds() / Constants.EXPECTED_STAY_S);
+                        double cost = machineType.pricePerHour(spot) / usefulCpus * (1 + machineType.bootSeconds() / AutoscalerConstants.EXPECTED_STAY_SECONDS);
                         if (!spot) {
                             // A dear machine must go again soon, and a large one takes long to run empty.
-                            cost *= 1 + machineType.cpus() / Constants.SLOW_EMPTY_CPUS;
+                            cost *= 1 + machineType.cpus() / AutoscalerConstants.SLOW_DRAIN_MACHINE_CPUS;
                         }
                         if (isBetter(offering, cost, bestOffering, bestCost)) {
                             bestOffering = offering;
@@ -261,7 +262,7 @@
         while (neededTasks > 0) {
             Option bestOffering = cheapestOffering(spec, neededTasks, zoneLimits);
             if (bestOffering == null) {
-                if (starvedSpecs.size() < Constants.KINDS_REMEMBERED && isBlockedByRefusalsOnly(spec, zoneLimits)) {
+                if (starvedSpecs.size() < SchedulerConstants.MAX_CONSTRAINED_DEMANDS && isBlockedByRefusalsOnly(spec, zoneLimits)) {
                     starvedSpecs.add(spec);
                 }
                 return;
@@ -353,7 +354,7 @@
                     }
                     // A machine costs for its boot and the fetch too, so a slow start makes its work dearer.
                     double startSeconds = machineType.bootSeconds() + spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01);
-                    double cost = machineType.pricePerHour(spot) / usableTasks * (1 + startSeconds / Constants.EXPECTED_STAY_S);
+                    double cost = machineType.pricePerHour(spot) / usableTasks * (1 + startSeconds / AutoscalerConstants.EXPECTED_STAY_SECONDS);
                     if (spec.zoneAffinity() ? cost < bestCost : isBetter(offering, cost, bestOffering, bestCost)) {
                         bestOffering = offering;
                         bestCost = cost;
--- a/src/main/java/io/quincelead/cloud/Returns.java
+++ b/src/main/java/io/quincelead/cloud/Returns.java
@@ -1,9 +1,10 @@
 package io.quincelead.cloud;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.net.Codec;
 import io.quincelead.records.Blocks;
@@ -71,7 +72,7 @@
         this.committer = committer;
         this.onTaskTerminated = onTaskTerminated;
         this.constrainedDemand = constrainedDemand;
-        eventLoop.runEvery(Constants.RELEASE_TICK_MS, this::releaseReturningMachines);
+        eventLoop.runEvery(AutoscalerConstants.RELEASE_INTERVAL_MILLIS, this::releaseReturningMachines);
     }
 
     Leaving newReturnBatch() {
@@ -84,7 +85,7 @@
     }
 
     void forgetOldReleases() {
-        releasedAtMillisByHost.values().removeIf(t -> eventLoop.nowMillis() - t > Constants.FORGET_RELEASED_MS);
+        releasedAtMillisByHost.values().removeIf(t -> eventLoop.nowMillis() - t > AutoscalerConstants.FORGET_RELEASED_AFTER_MILLIS);
     }
 
     /** Another controller leads. */
@@ -155,12 +156,12 @@
         for (MachineTable.Machine machine : readyMachines) {
             Long idleSinceMillis = idleSinceMillisByHost.get(machine.host());
             double ageSeconds = (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
-            if (idleSinceMillis == null || ageSeconds < Constants.MIN_CHARGE_S - 2) {
+            if (idleSinceMillis == null || ageSeconds < AutoscalerConstants.MIN_CHARGE_SECONDS - 2) {
                 continue;
             }
             double machineCpus = catalog.get(machine.machineType()).cpus();
             // What is kept from habit may be what the cloud lacks for work that waits now.
-            if (!machine.cordoned() && nowMillis - idleSinceMillis < Constants.KIND_REMEMBERED_MS && isWantedByConstrainedWork(machine)
+            if (!machine.cordoned() && nowMillis - idleSinceMillis < SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS && isWantedByConstrainedWork(machine)
                     && !shouldYieldToStarvedWork.test(new Option(catalog.get(machine.machineType()), machine.zone(), machine.spot()))) {
                 continue;
             }
@@ -201,13 +202,13 @@
         readyMachines.sort(Comparator.comparing(MachineTable.Machine::spot).thenComparingDouble(machine -> secondsUntilEmptyByHost.get(machine.host())));
         for (MachineTable.Machine machine : readyMachines) {
             double machineCpus = catalog.get(machine.machineType()).cpus();
-            if (returnBatch.transaction.operationCount() >= Math.min(Constants.CLOSE_WRITES, Math.max(2, store.affordableWrites()))) {
+            if (returnBatch.transaction.operationCount() >= Math.min(AutoscalerConstants.MAX_CORDON_RECORDS_PER_WRITE, Math.max(2, store.affordableWrites()))) {
                 break;
             }
             if (machine.cordoned() && demand.shortfallCpus() > 0.5) {
                 returnBatch.edits.put(machine.withCordoned(false));
-            } else if (!machine.cordoned() && !machine.spot() && demand.shortfallCpus() <= 0 && spareCpus >= Math.min(machineCpus, Constants.CLOSE_MOST_CPUS) * Constants.CLOSE_MARGIN
-                    && (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0 > Constants.CLOSE_AFTER_S && !isWantedByConstrainedWork(machine) && !runsService(machine)) {
+            } else if (!machine.cordoned() && !machine.spot() && demand.shortfallCpus() <= 0 && spareCpus >= Math.min(machineCpus, AutoscalerConstants.MAX_CORDON_SPARE_CPUS) * AutoscalerConstants.CORDON_SPARE_FACTOR
+                    && (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0 > AutoscalerConstants.MIN_RENTED_BEFORE_CORDON_SECONDS && !isWantedByConstrainedWork(machine) && !runsService(machine)) {
                 returnBatch.edits.put(machine.withCordoned(true));
                 spareCpus -= machineCpus;
             }
@@ -236,7 +237,7 @@
             }
             Long markRevision = markRevisionByReleasedHost.get(machine.host());
             if (markRevision == null) {
-                if (!hostsInRelease.contains(machine.host()) && hosts.size() < Constants.MAX_RELEASE) {
+                if (!hostsInRelease.contains(machine.host()) && hosts.size() < AutoscalerConstants.MAX_MACHINES_PER_RELEASE_REQUEST) {
                     hosts.add(machine.host());
                 }
             } else if (watchCache.storeRevision() >= markRevision) {
--- a/src/main/java/io/quincelead/jobs/UserApi.java
+++ b/src/main/java/io/quincelead/jobs/UserApi.java
@@ -4,9 +4,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.Request;
 import io.quincelead.policy.Policy;
@@ -49,7 +51,7 @@
     private final Catalog catalog;
     private final Policy policy;
     private final Entrance admission;
-    private final Cache<String, ObjectNode> finalResponses = Caffeine.newBuilder().maximumSize(Constants.FINAL_CACHE).executor(Runnable::run).build();
+    private final Cache<String, ObjectNode> finalResponses = Caffeine.newBuilder().maximumSize(ApiConstants.MAX_CACHED_FINAL_STATES).executor(Runnable::run).build();
     private final ArrayDeque<Poll> pendingQueries = new ArrayDeque<>();
     private final Set<String> completing = new HashSet<>();
     private boolean barrierScheduled;
@@ -144,7 +146,7 @@
             queryJob(spec.jobId(), request, 422, reason);
             return;
         }
-        if (committer.isFull() || jobs.all().size() >= Constants.MAX_OPEN_JOBS || jobs.unfinishedTaskCount() + spec.taskCount() > Constants.MAX_OPEN_TASKS) {
+        if (committer.isFull() || jobs.all().size() >= ApiConstants.MAX_OPEN_JOBS || jobs.unfinishedTaskCount() + spec.taskCount() > ApiConstants.MAX_OPEN_TASKS) {
             request.respondRetryLater(429, "too much to do");
             return;
         }
@@ -156,9 +158,9 @@
                 default -> request.respondRetryLater(503, "the state service does not answer");
             }
         };
-        if (!admission.admit(job, Constants.USER_PATIENCE_MS, onOutcome)) {
+        if (!admission.admit(job, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome)) {
             Txn transaction = new Txn().requireRevision(job.storeKey(), 0).requireRevision(Keys.FINAL_STATE_PREFIX + spec.jobId(), 0).put(job.storeKey(), job.encode());
-            committer.submit(transaction, Constants.USER_PATIENCE_MS, onOutcome);
+            committer.submit(transaction, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome);
         }
     }
 
@@ -201,12 +203,12 @@
             request.respondRetryLater(503, "not ready");
             return;
         }
-        if (pendingQueries.size() >= Constants.MAX_WAITING_POLLS) {
+        if (pendingQueries.size() >= ApiConstants.MAX_WAITING_QUERIES) {
             request.respondRetryLater(429, "too many polls");
             return;
         }
-        pendingQueries.addLast(new Poll(jobId, request, loop.nowMillis() + Constants.USER_PATIENCE_MS, absentStatus, absentReason));
-        scheduleBarrier(Constants.BARRIER_GAP_MS);
+        pendingQueries.addLast(new Poll(jobId, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, absentStatus, absentReason));
+        scheduleBarrier(ApiConstants.READ_BARRIER_INTERVAL_MILLIS);
     }
 
     private void scheduleBarrier(long delayMillis) {
@@ -227,19 +229,19 @@
             return;
         }
         if (barriersInFlight >= 2) {
-            scheduleBarrier(Constants.BARRIER_GAP_MS);
+            scheduleBarrier(ApiConstants.READ_BARRIER_INTERVAL_MILLIS);
             return;
         }
         long storeWaitMillis = store.requestDelayMillis();
-        if (storeWaitMillis > Constants.BARRIER_GAP_MS) {
-            scheduleBarrier(Math.min(storeWaitMillis, Constants.RETRY_MS));
+        if (storeWaitMillis > ApiConstants.READ_BARRIER_INTERVAL_MILLIS) {
+            scheduleBarrier(Math.min(storeWaitMillis, StoreConstants.RETRY_DELAY_MILLIS));
             return;
         }
         Txn comparison = new Txn();
         List<Compared> batch = new ArrayList<>();
         while (!pendingQueries.isEmpty()) {
             Compared next = barrierCheck(pendingQueries.peekFirst());
-            if (next.keys.size() > store.maxTransactionOperations() * Constants.GUARDS_PER_OP) {
+            if (next.keys.size() > store.maxTransactionOperations() * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION) {
                 // More records than a comparison holds: they are read.
                 readFromStore(pendingQueries.pollFirst());
                 continue;
@@ -299,7 +301,7 @@
     /** The mirror is behind on this job: the answer is made of its records themselves. Jobs move to their final key, never back. */
     private void readFromStore(Poll query) {
         store.get(Keys.JOB_PREFIX + query.jobId, (status, body) -> {
-            if (status == 200 && body.path("value").path("s").path("members").asInt() > Constants.CHUNK_TASKS) {
+            if (status == 200 && body.path("value").path("s").path("members").asInt() > RecordConstants.TASKS_PER_STATE_PAGE) {
                 readTaskPages(query, null, new Chunk.Counts(0, 0));
             } else if (status == 200) {
                 query.request.respond(200, Job.encodeStatus(query.jobId, Chunk.Counts.of(body.path("value").path("k"))));
@@ -394,14 +396,14 @@
             return;
         }
         if (job.isCancelled()) {
-            awaitTermination(jobId, request, loop.nowMillis() + Constants.USER_PATIENCE_MS, false);
+            awaitTermination(jobId, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, false);
             return;
         }
         if (committer.isFull()) {
             request.respondRetryLater(429, "too much to do");
             return;
         }
-        commitCancellation(job, request, loop.nowMillis() + Constants.USER_PATIENCE_MS);
+        commitCancellation(job, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS);
     }
 
     private void commitCancellation(Job job, Request request, long deadlineMillis) {
@@ -410,7 +412,7 @@
             LOG.debug("the cancellation of {}: {}", job.spec.jobId(), outcome.result());
             switch (outcome.result()) {
                 case COMMITTED -> awaitTermination(job.spec.jobId(), request, deadlineMillis, false);
-                case CONFLICT -> loop.runAfter(Constants.BARRIER_GAP_MS, () -> {
+                case CONFLICT -> loop.runAfter(ApiConstants.READ_BARRIER_INTERVAL_MILLIS, () -> {
                     if (loop.nowMillis() > deadlineMillis) {
                         request.respondRetryLater(503, "try again");
                     } else {
@@ -441,7 +443,7 @@
         } else if (loop.nowMillis() >= deadlineMillis) {
             request.respondRetryLater(503, "its tasks are being stopped");
         } else {
-            loop.runAfter(Constants.BARRIER_GAP_MS, () -> awaitTermination(jobId, request, deadlineMillis, terminated));
+            loop.runAfter(ApiConstants.READ_BARRIER_INTERVAL_MILLIS, () -> awaitTermination(jobId, request, deadlineMillis, terminated));
         }
     }
 
@@ -486,13 +488,13 @@
             transaction.requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey()));
         }
         ObjectNode response = finalResponse(jobId, status, completedTasks);
-        committer.submit(transaction, Constants.STORE_TIMEOUT_MS, outcome -> {
+        committer.submit(transaction, StoreConstants.REQUEST_TIMEOUT_MILLIS, outcome -> {
             if (outcome.result() == Txn.Result.COMMITTED) {
                 finalResponses.put(jobId, response);
                 completing.remove(jobId);
             } else {
                 LOG.debug("the end of {} was not recorded: {}", jobId, outcome.result());
-                loop.runAfter(Constants.RETRY_MS, () -> {
+                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, () -> {
                     completing.remove(jobId);
                     completeTerminatedJobs();
                 });
@@ -515,7 +517,7 @@
             transaction.requireRevision(jobKey, 0).remove(key);
         }
         removingOrphans = true;
-        committer.submit(transaction, Constants.STORE_TIMEOUT_MS, outcome -> loop.runAfter(Constants.RETRY_MS, () -> {
+        committer.submit(transaction, StoreConstants.REQUEST_TIMEOUT_MILLIS, outcome -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, () -> {
             removingOrphans = false;
             completeTerminatedJobs();
         }));
--- a/src/main/java/io/quincelead/leader/Allowances.java
+++ b/src/main/java/io/quincelead/leader/Allowances.java
@@ -1,6 +1,6 @@
 package io.quincelead.leader;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.LeadershipConstants;
 import java.util.Arrays;
 
 /** How a team's limit is split over controllers: arithmetic alone, which the leader calls and a model explores. */
@@ -37,9 +37,9 @@
             double usable = committedTotal > limit + 1e-6 ? currentShares[i] : Math.max(currentShares[i], usedByMember[i]);
             nextShares[i] = Math.min(finalTarget[i], usable);
         }
-        boolean nearlyMet = grantFreeQuota(nextShares, targetStages, currentShares, usedByMember, freeQuota, memberCount * Constants.ALLOWANCE_NEAR * limit);
+        boolean nearlyMet = grantFreeQuota(nextShares, targetStages, currentShares, usedByMember, freeQuota, memberCount * LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit);
         for (int i = 0; i < memberCount; i++) {
-            boolean hasSpare = wantedTotals[i] <= 0 || currentShares[i] - usedByMember[i] > Constants.ALLOWANCE_NEAR * limit;
+            boolean hasSpare = wantedTotals[i] <= 0 || currentShares[i] - usedByMember[i] > LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit;
             boolean reachesTarget = false;
             for (double[] stage : targetStages) {
                 reachesTarget |= currentShares[i] < stage[i] - 1e-9 && currentShares[i] - usedByMember[i] < wantedTotals[i] - 1e-9 && nextShares[i] >= stage[i] - 1e-9;
@@ -60,7 +60,7 @@
         if (mustBeExact) {
             return 1e-6;
         }
-        return Math.max(Constants.ALLOWANCE_STEP, hasSpare ? Constants.ALLOWANCE_NEAR * limit : 0);
+        return Math.max(LeadershipConstants.MIN_QUOTA_SHARE_CHANGE_UNITS, hasSpare ? LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit : 0);
     }
 
     /**
--- a/src/main/java/io/quincelead/leader/Leader.java
+++ b/src/main/java/io/quincelead/leader/Leader.java
@@ -1,8 +1,9 @@
 package io.quincelead.leader;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.config.constants.LeadershipConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Blocks;
@@ -75,7 +76,7 @@
         this.machines = machines;
         this.catalog = catalog;
         this.writeFence = new Fence(eventLoop, store, watchCache, Keys.LEADER, () -> shards.leaderRecord() == null ? null : newTransaction().put(Keys.LEADER, shards.leaderRecord().encode(), membershipLease.leaseId()));
-        eventLoop.runEvery(Constants.LEADER_TICK_MS, this::runCycle);
+        eventLoop.runEvery(LeadershipConstants.LEADER_INTERVAL_MILLIS, this::runCycle);
         watchCache.addChangeListener(this::refreshPhase);
     }
 
@@ -163,13 +164,13 @@
 
     /** A machine that has come up, or whose owner can't be reached. */
     public void onMisroutedWorker(Stray worker) {
-        if (isLeading() && misroutedWorkers.size() < Constants.MAX_OPEN_JOBS) {
+        if (isLeading() && misroutedWorkers.size() < ApiConstants.MAX_OPEN_JOBS) {
             misroutedWorkers.put(worker.host(), worker);
             if (shards.ownerOf(worker.host()) == null && machines.get(worker.host()) != null) {
                 if (commitInFlight) {
                     rerunRequested = true;
                 } else {
-                    eventLoop.runAfter(Constants.GRANT_GAP_MS, this::runCycle);
+                    eventLoop.runAfter(LeadershipConstants.SHARD_ASSIGNMENT_BATCH_MILLIS, this::runCycle);
                 }
             }
         }
@@ -196,7 +197,7 @@
             }
         }
         boolean tokensAssigned = assignMachines(nextShards, changedMembers, transaction) | rebalance(nextShards, changedMembers);
-        if (eventLoop.nowMillis() - quotaDistributedAtMillis >= Constants.ALLOWANCES_EVERY_MS || !changedMembers.isEmpty()) {
+        if (eventLoop.nowMillis() - quotaDistributedAtMillis >= LeadershipConstants.QUOTA_SHARES_INTERVAL_MILLIS || !changedMembers.isEmpty()) {
             quotaDistributedAtMillis = eventLoop.nowMillis();
             distributeQuota(nextShards, changedMembers);
         }
@@ -244,7 +245,7 @@
                 assignedAny = true;
             }
         }
-        boolean mayRegister = mayRegisterUnexpectedMachines() && eventLoop.nowMillis() - registeredAtMillis >= Constants.ADOPT_GAP_MS;
+        boolean mayRegister = mayRegisterUnexpectedMachines() && eventLoop.nowMillis() - registeredAtMillis >= LeadershipConstants.UNEXPECTED_MACHINE_BATCH_MILLIS;
         for (Stray worker : new ArrayList<>(misroutedWorkers.values())) {
             if (!transaction.fits(2 + nextShards.size() + 1, 5, store.maxTransactionOperations())) {
                 rerunRequested = true;
@@ -333,17 +334,17 @@
         }
         Blocks.Block smallest = nextShards.values().stream().min(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
         Blocks.Block largest = nextShards.values().stream().max(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
-        if (eventLoop.nowMillis() - aliveSinceMillis.getOrDefault(smallest.ownerId(), eventLoop.nowMillis()) < Constants.BALANCE_AFTER_MS
-                || eventLoop.nowMillis() - rebalancedAtMillis < Constants.BALANCE_GAP_MS || largest.fencingTokensByHost().size() < 2) {
+        if (eventLoop.nowMillis() - aliveSinceMillis.getOrDefault(smallest.ownerId(), eventLoop.nowMillis()) < LeadershipConstants.MIN_UPTIME_BEFORE_REBALANCE_MILLIS
+                || eventLoop.nowMillis() - rebalancedAtMillis < LeadershipConstants.REBALANCE_INTERVAL_MILLIS || largest.fencingTokensByHost().size() < 2) {
             return false;
         }
         double smallestCpus = shardCpus(smallest);
         double largestCpus = shardCpus(largest);
         int moved = 0;
-        int maxMoves = Math.max(Constants.BALANCE_MOVES, (int) (largest.fencingTokensByHost().size() * Constants.BALANCE_MOVES_SHARE));
+        int maxMoves = Math.max(LeadershipConstants.MIN_REBALANCE_MACHINES, (int) (largest.fencingTokensByHost().size() * LeadershipConstants.REBALANCE_MACHINES_FRACTION));
         for (String host : new ArrayList<>(largest.fencingTokensByHost().keySet())) {
             double hostCpus = machineCpus(host);
-            if (moved >= maxMoves || smallestCpus > largestCpus * Constants.BALANCE_SHARE || smallestCpus + hostCpus > largestCpus - hostCpus) {
+            if (moved >= maxMoves || smallestCpus > largestCpus * LeadershipConstants.BALANCED_CAPACITY_FRACTION || smallestCpus + hostCpus > largestCpus - hostCpus) {
                 break;
             }
             largest.fencingTokensByHost().remove(host);
--- a/src/main/java/io/quincelead/net/BodyReader.java
+++ b/src/main/java/io/quincelead/net/BodyReader.java
@@ -1,6 +1,6 @@
 package io.quincelead.net;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.TransportConstants;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -26,7 +26,7 @@
         this.maxBytes = maxBytes;
         this.onComplete = onComplete;
         this.onFailure = onFailure;
-        this.body = new ByteArrayOutputStream(expectedBytes < 0 ? 512 : (int) Math.min(expectedBytes, Constants.MAX_BODY_BYTES));
+        this.body = new ByteArrayOutputStream(expectedBytes < 0 ? 512 : (int) Math.min(expectedBytes, TransportConstants.MAX_BODY_BYTES));
     }
 
     @Override public void handleEvent(StreamSourceChannel channel) {
--- a/src/main/java/io/quincelead/net/HttpClient.java
+++ b/src/main/java/io/quincelead/net/HttpClient.java
@@ -1,7 +1,7 @@
 package io.quincelead.net;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.TransportConstants;
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
@@ -55,7 +55,7 @@
         this.maxSharedConnections = maxSharedConnections;
         this.loop = loop;
         this.thread = thread;
-        loop.runEvery(Constants.CLIENT_IDLE_MS, this::closeExpiredConnections);
+        loop.runEvery(TransportConstants.CLIENT_IDLE_TIMEOUT_MILLIS, this::closeExpiredConnections);
     }
 
     /** States of a call; {@link Call#transitionTo} is the one function that changes them. */
@@ -197,7 +197,7 @@
     @Override public void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMillis, Reply responseHandler) {
         Target target = targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
         Call call = new Call(address, method, path, codec, body, responseHandler);
-        if (target.waitingCalls.size() >= Constants.MAX_WAITING_CALLS) {
+        if (target.waitingCalls.size() >= TransportConstants.MAX_WAITING_CALLS_PER_ADDRESS) {
             loop.runAfter(0, () -> responseHandler.onResponse(NO_RESPONSE, null));
             return;
         }
@@ -209,8 +209,8 @@
     /** Whether one more attempt should be made: each waiting call has one of its own, but of a silent target few are tried at one time. */
     private boolean shouldConnect(Target target) {
         long nowMillis = loop.nowMillis();
-        long recentAttempts = target.connectAttemptsSinceMillis.stream().filter(startedAtMillis -> nowMillis - startedAtMillis < Constants.CONNECT_MS).count();
-        int maxConnections = target.critical ? Constants.MAX_SOCKETS_PER_TARGET : target.openConnections > 0 ? Constants.MAX_SOCKETS_PER_TARGET : 1;
+        long recentAttempts = target.connectAttemptsSinceMillis.stream().filter(startedAtMillis -> nowMillis - startedAtMillis < TransportConstants.CONNECT_TIMEOUT_MILLIS).count();
+        int maxConnections = target.critical ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS : target.openConnections > 0 ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS : 1;
         return recentAttempts < target.waitingCalls.size() && target.openConnections + recentAttempts < maxConnections;
     }
 
@@ -321,7 +321,7 @@
     private void readResponse(Call call, ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
         boolean closing = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-        new BodyReader(readBuffer, parseLength(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONTENT_LENGTH)), Constants.MAX_ANSWER_BYTES,
+        new BodyReader(readBuffer, parseLength(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONTENT_LENGTH)), TransportConstants.MAX_RESPONSE_BYTES,
                 body -> call.complete(status, body, !closing),
                 failure -> {
                     LOG.debug("{} {}{}: {}", call.method, call.address, call.path, failure.toString());
@@ -338,7 +338,7 @@
     }
 
     private void closeExpiredConnections() {
-        long idleBeforeMillis = loop.nowMillis() - Constants.CLIENT_IDLE_MS;
+        long idleBeforeMillis = loop.nowMillis() - TransportConstants.CLIENT_IDLE_TIMEOUT_MILLIS;
         idleByAge.removeIf(idle -> idle.removed);
         targets.values().removeIf(target -> {
             while (!target.idleConnections.isEmpty() && target.idleConnections.peekFirst().idleSinceMillis < idleBeforeMillis) {
--- a/src/main/java/io/quincelead/net/HttpServer.java
+++ b/src/main/java/io/quincelead/net/HttpServer.java
@@ -1,6 +1,6 @@
 package io.quincelead.net;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.TransportConstants;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.server.HttpServerExchange;
@@ -25,15 +25,15 @@
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     public HttpServer(XnioWorker worker, String address, int maxConnections, Request.Handler handler) {
-        nearLimitThreshold = (int) (maxConnections * Constants.CROWDED_SHARE);
+        nearLimitThreshold = (int) (maxConnections * TransportConstants.CROWDED_CONNECTION_FRACTION);
         int colon = address.lastIndexOf(':');
         undertow = Undertow.builder()
                 .setWorker(worker)
                 .setBufferSize(8 * 1024)
                 .setDirectBuffers(false)
-                .setServerOption(UndertowOptions.IDLE_TIMEOUT, Constants.SERVER_IDLE_MS)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.SERVER_IDLE_MS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, Constants.REQUEST_PARSE_MS)
+                .setServerOption(UndertowOptions.IDLE_TIMEOUT, TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, TransportConstants.REQUEST_PARSE_TIMEOUT_MILLIS)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
                 .setSocketOption(Options.BACKLOG, 64)
@@ -52,7 +52,7 @@
     private void accept(HttpServerExchange exchange, Request.Handler handler) {
         trackConnection(exchange.getConnection());
         String contentLength = exchange.getRequestHeaders().getFirst(Headers.CONTENT_LENGTH);
-        if (exchange.getRequestContentLength() > Constants.MAX_BODY_BYTES) {
+        if (exchange.getRequestContentLength() > TransportConstants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, null)));
             return;
@@ -61,8 +61,8 @@
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, new byte[0])));
             return;
         }
-        exchange.setMaxEntitySize(Constants.MAX_BODY_BYTES);
-        BodyReader reader = new BodyReader(readBuffer, exchange.getRequestContentLength(), Constants.MAX_BODY_BYTES,
+        exchange.setMaxEntitySize(TransportConstants.MAX_BODY_BYTES);
+        BodyReader reader = new BodyReader(readBuffer, exchange.getRequestContentLength(), TransportConstants.MAX_BODY_BYTES,
                 bytes -> handler.handle(new Incoming(exchange, bytes)),
                 failure -> {
                     // Larger than allowed, or its sender is gone.
--- a/src/main/java/io/quincelead/net/Request.java
+++ b/src/main/java/io/quincelead/net/Request.java
@@ -1,6 +1,7 @@
 package io.quincelead.net;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.config.constants.ApiConstants;
 import java.util.Map;
 
 /** A request that came in, to be answered once, now or later, on the loop. */
@@ -51,7 +52,7 @@
 
     /** "Not now": tells the sender when to come back. */
     public final void respondRetryLater(int status, String reason) {
-        respond(status, Codec.CBOR, Codec.newMap().put("error", reason), io.quincelead.base.Constants.RETRY_AFTER_S);
+        respond(status, Codec.CBOR, Codec.newMap().put("error", reason), ApiConstants.RETRY_AFTER_SECONDS);
     }
 
     /** What serves requests. */
--- a/src/main/java/io/quincelead/peers/Peers.java
+++ b/src/main/java/io/quincelead/peers/Peers.java
@@ -3,9 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.PeerConstants;
+import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.net.Codec;
 import io.quincelead.net.Request;
@@ -43,7 +44,7 @@
         this.shards = shards;
         this.transport = transport;
         this.leader = leader;
-        eventLoop.runEvery(Constants.PEER_TELL_MS, this::sendStatusToLeader);
+        eventLoop.runEvery(PeerConstants.STATUS_INTERVAL_MILLIS, this::sendStatusToLeader);
     }
 
     public void setWorkerGateway(Desk gateway) {
@@ -81,19 +82,19 @@
 
     /** Whether the leader has taken our word of late: without it, it leaves our block alone. */
     public boolean isAcknowledgedByLeader() {
-        return eventLoop.nowMillis() - acknowledgedAtMillis < Constants.PEER_NEWS_MS;
+        return eventLoop.nowMillis() - acknowledgedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
     }
 
     /** Whether the owner said of late that the machine may get work. */
     public boolean isReportedSchedulable(String owner, String host) {
         News status = statusByMember.get(owner);
-        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < Constants.PEER_NEWS_MS && status.schedulableHosts.contains(host);
+        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < PeerConstants.STATUS_VALID_MILLIS && status.schedulableHosts.contains(host);
     }
 
     /** Whether the owner said of late that the machine has not come up yet; null without its word. */
     public Boolean reportedBooting(String owner, String host) {
         News status = owner == null ? null : statusByMember.get(owner);
-        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < Constants.PEER_NEWS_MS ? status.bootingHosts.contains(host) : null;
+        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < PeerConstants.STATUS_VALID_MILLIS ? status.bootingHosts.contains(host) : null;
     }
 
     private static Set<String> textSet(JsonNode array) {
@@ -133,7 +134,7 @@
     private void sendToLeader(String path, ObjectNode body, Runnable onAccepted) {
         Blocks.Node leaderMember = shards.leaderId() == null ? null : shards.member(shards.leaderId());
         if (leaderMember != null) {
-            transport.call(leaderMember.address(), "POST", path, Codec.JSON, Codec.JSON.encode(body), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+            transport.call(leaderMember.address(), "POST", path, Codec.JSON, Codec.JSON.encode(body), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
                 if (status == 200) {
                     onAccepted.run();
                 }
--- a/src/main/java/io/quincelead/placing/Explainer.java
+++ b/src/main/java/io/quincelead/placing/Explainer.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Office;
@@ -86,9 +86,9 @@
         out.put("rank", effectivePriority.rank()).put("rankFrom", jobClass == null ? "the middle, for no class matches" : "its class");
         out.put("tier", tierName(ownRank));
         double ageSeconds = (wallMillis - job.acceptedAtEpochMillis) / 1000.0;
-        String dueFrom = effectivePriority.isCovered() && Math.abs(ownRank.slackSeconds() + job.spec.runtimeSeconds() * Constants.ESTIMATE_DISTRUST - (effectivePriority.publicationMillis() - wallMillis) / 1000.0) < 1
+        String dueFrom = effectivePriority.isCovered() && Math.abs(ownRank.slackSeconds() + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR - (effectivePriority.publicationMillis() - wallMillis) / 1000.0) < 1
                 ? "the publication of " + effectivePriority.occurrence().entryName + " on " + effectivePriority.occurrence().date : job.spec.deadlineSeconds() >= 0 ? "its own deadline" : "its class's objective, or twice its estimate";
-        double secondsLeft = ownRank.slackSeconds() + job.spec.runtimeSeconds() * Constants.ESTIMATE_DISTRUST;
+        double secondsLeft = ownRank.slackSeconds() + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
         out.put("due", Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)).toString()).put("dueFrom", dueFrom);
         out.put("ageS", Math.round(ageSeconds)).put("shouldBeginWithinS", effectivePriority.startWithinSeconds()).put("entitledTasks", policy.requiredStartedTaskCount(job, wallMillis));
         out.put("controller", job.controllerId);
@@ -100,7 +100,7 @@
                 break;
             }
             jobsAhead++;
-            if (ahead.size() < Constants.EXPLAIN_AHEAD) {
+            if (ahead.size() < SchedulerConstants.MAX_EXPLAINED_AHEAD_JOBS) {
                 ahead.addObject().put("job", ranked.job().spec.jobId()).put("tier", tierName(ranked)).put("rank", ranked.effectivePriority().rank()).put("waiting", ranked.job().waitingTaskCount());
             }
         }
--- a/src/main/java/io/quincelead/placing/Placer.java
+++ b/src/main/java/io/quincelead/placing/Placer.java
@@ -1,7 +1,7 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.OperatorSettings;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Chunk;
 import io.quincelead.records.ImageCaches;
@@ -41,7 +41,7 @@
         this.machines = machines;
         this.imageCaches = imageCaches;
         this.plan = plan;
-        this.remainingReservations = Math.max(Constants.HOLD_LEAST, (int) (plan.machines.size() * Constants.HOLD_SHARE));
+        this.remainingReservations = Math.max(SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES, (int) (plan.machines.size() * SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION));
     }
 
     /** Places what fits, as a last resort also on machines that should be left to others; returns how many tasks found no place. */
@@ -83,7 +83,7 @@
      * part of them as it comes free, for ever. For a gang, whose tasks start together, also those that have some room now.
      */
     void reserveMachines(JobSpec spec, int tasks) {
-        int maxMachines = spec.isGang() ? Math.max(Constants.HOLD_LEAST, (int) (plan.machines.size() * Constants.HOLD_GANG_SHARE)) : Math.min(tasks, remainingReservations);
+        int maxMachines = spec.isGang() ? Math.max(SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES, (int) (plan.machines.size() * SchedulerConstants.GANG_DRAIN_RESERVE_MACHINES_FRACTION)) : Math.min(tasks, remainingReservations);
         if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
             return;
         }
@@ -224,7 +224,7 @@
      */
     private static double effectiveFrequency(JobSpec spec, Room.Kind pool, double clockFactor, boolean hasImage, double waitSeconds) {
         double fetchSeconds = hasImage ? 0 : spec.imageSizeGb() / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
-        double runSeconds = spec.isService() ? Constants.SERVICE_RANK_S : Math.max(spec.runtimeSeconds(), 1);
+        double runSeconds = spec.isService() ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS : Math.max(spec.runtimeSeconds(), 1);
         // Where workers report seldom, whose answer is still open matters as well to work that should start at once.
         return clockFactor * runSeconds / (runSeconds + fetchSeconds + waitSeconds);
     }
--- a/src/main/java/io/quincelead/placing/Plan.java
+++ b/src/main/java/io/quincelead/placing/Plan.java
@@ -1,6 +1,7 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.records.Blocks;
 import io.quincelead.records.Catalog;
 import io.quincelead.records.Chunk;
@@ -59,7 +60,7 @@
 
     /** How many records one change may hold: each needs two guards, beside those of the leadership, the operators' records and the blocks. */
     static int maxRecords(int writeBudget, int shardCount, int maxTransactionOps) {
-        return Math.min(writeBudget, (maxTransactionOps * Constants.GUARDS_PER_OP - 6 - shardCount) / 2);
+        return Math.min(writeBudget, (maxTransactionOps * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION - 6 - shardCount) / 2);
     }
 
     /** Whether no further record fits into the change. */
@@ -129,7 +130,7 @@
     }
 
     Chunk.Edit edit(Placement placement) {
-        return edit(placement.job, placement.taskIndex / Constants.CHUNK_TASKS);
+        return edit(placement.job, placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
     /** Tasks of the job that may get a place and have none in this plan. */
--- a/src/main/java/io/quincelead/placing/Preemption.java
+++ b/src/main/java/io/quincelead/placing/Preemption.java
@@ -1,8 +1,9 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Chunk;
@@ -137,7 +138,7 @@
 
     /** Whether the task is neither stopped nor over in this plan. */
     private boolean isRunning(Placement placement) {
-        Chunk.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / Constants.CHUNK_TASKS));
+        Chunk.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
         return edit == null || edit.isRunning(placement.taskIndex);
     }
 
@@ -182,7 +183,7 @@
     private boolean isNearlyDone(Placement placement) {
         JobSpec spec = placement.job.spec;
         double ranSeconds = placement.runningSinceMillis == 0 ? 0 : (nowMillis - placement.runningSinceMillis) / 1000.0;
-        return spec.runtimeSeconds() > 0 && ranSeconds > 0 && spec.runtimeSeconds() - ranSeconds < Constants.NEARLY_DONE_S && ranSeconds < 2 * spec.runtimeSeconds();
+        return spec.runtimeSeconds() > 0 && ranSeconds > 0 && spec.runtimeSeconds() - ranSeconds < SchedulerConstants.NEARLY_DONE_SECONDS && ranSeconds < 2 * spec.runtimeSeconds();
     }
 
     private boolean mayPreempt(Job forJob, Placement placement, boolean withinGuarantee) {
--- a/src/main/java/io/quincelead/placing/QueueOrder.java
+++ b/src/main/java/io/quincelead/placing/QueueOrder.java
@@ -1,7 +1,7 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.Standing;
 import io.quincelead.records.Job;
@@ -137,13 +137,13 @@
     public Ranked rank(Job job, boolean withinGuarantee, long wallNowMillis) {
         double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
-        double dueSeconds = job.spec.deadlineSeconds() >= 0 ? job.spec.deadlineSeconds() : objectiveSecondsByClass.getOrDefault(job.spec.jobClass(), 2 * runtimeSeconds + Constants.UNSTATED_DUE_S);
+        double dueSeconds = job.spec.deadlineSeconds() >= 0 ? job.spec.deadlineSeconds() : objectiveSecondsByClass.getOrDefault(job.spec.jobClass(), 2 * runtimeSeconds + SchedulerConstants.UNSTATED_DEADLINE_SLACK_SECONDS);
         Standing effectivePriority = policy.priorityOf(job);
         double secondsLeft = dueSeconds - ageSeconds;
         if (effectivePriority.isCovered()) {
             secondsLeft = Math.min(secondsLeft, (effectivePriority.publicationMillis() - wallNowMillis) / 1000.0);
         }
-        double slackSeconds = secondsLeft - runtimeSeconds * Constants.ESTIMATE_DISTRUST;
+        double slackSeconds = secondsLeft - runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
         return new Ranked(job, job.spec.priority().ordinal(), withinGuarantee, slackSeconds < -runtimeSeconds && !effectivePriority.isCovered(), slackSeconds, false, false, Integer.MAX_VALUE, effectivePriority, 1);
     }
 }
--- a/src/main/java/io/quincelead/placing/QueuePass.java
+++ b/src/main/java/io/quincelead/placing/QueuePass.java
@@ -1,9 +1,10 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.PolicyConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Blocks;
 import io.quincelead.records.Catalog;
@@ -154,7 +155,7 @@
             return;
         }
         collectFreeCapacity(plan, candidates.stream().anyMatch(job -> job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()));
-        plan.reservedCpus = constrainedDemand.expectedUrgentCpus(Constants.RESERVE_S) / (plan.leading ? 1 : Math.max(1, shards.shards().size()));
+        plan.reservedCpus = constrainedDemand.expectedUrgentCpus(SchedulerConstants.CONSTRAINED_RESERVE_SECONDS) / (plan.leading ? 1 : Math.max(1, shards.shards().size()));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
         leaveRoomToLeader(plan, jobsAtLeader);
         walkQueue(plan, candidates, terminations);
@@ -203,7 +204,7 @@
     private void collectStarvingJobs(Plan plan) {
         long wallMillis = loop.wallClockMillis();
         for (Job job : jobs.jobsOldestFirst()) {
-            if (!policy.isInForce() && wallMillis - job.acceptedAtEpochMillis < Constants.BEGIN_WITHIN_S * Constants.LATE_FROM * 1000) {
+            if (!policy.isInForce() && wallMillis - job.acceptedAtEpochMillis < PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS * SchedulerConstants.OVERDUE_RAMP_START_FRACTION * 1000) {
                 break;
             }
             int entitledTasks = job.isCancelled() ? 0 : policy.requiredStartedTaskCount(job, wallMillis);
@@ -227,7 +228,7 @@
             }
             queue.add(ranked);
             int starvingTasks = plan.entitledTasksOfStarving.getOrDefault(waitingJob, 0) - waitingJob.completedTaskCount() - waitingJob.possiblyRunningTaskCount();
-            int firstStarts = waitingJob.spec.isGang() ? starvingTasks : waitingJob.completedTaskCount() + waitingJob.possiblyRunningTaskCount() > 0 ? 0 : Math.min(starvingTasks, 1 + waitingJob.spec.taskCount() / Constants.LATE_BEGIN_PART);
+            int firstStarts = waitingJob.spec.isGang() ? starvingTasks : waitingJob.completedTaskCount() + waitingJob.possiblyRunningTaskCount() > 0 ? 0 : Math.min(starvingTasks, 1 + waitingJob.spec.taskCount() / SchedulerConstants.OVERDUE_FIRST_TASKS_DIVISOR);
             if (firstStarts > 0) {
                 queue.add(ranked.asStarving(true, firstStarts));
             }
@@ -237,25 +238,25 @@
         }
         queue.sort(QueueOrder.BY_QUEUE_ORDER);
         Placer placer = new Placer(operatorSettings, machines, imageCaches, policy, plan);
-        boolean storeUnderPressure = store.backpressure() > Constants.PRESSED;
+        boolean storeUnderPressure = store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
         Preemption preemption = new Preemption(loop, settings, jobs, plan, storeUnderPressure, policy);
         Elsewhere escalation = new Elsewhere(plan);
         boolean gpusInDemand = plan.pools.values().stream().anyMatch(k -> k.gpusInDemand);
         boolean bestEffortDue = loop.nowMillis() >= bestEffortAtMillis;
         if (bestEffortDue) {
-            bestEffortAtMillis = loop.nowMillis() + store.throttledDelayMillis(0, Constants.LOW_GAP_MAX_MS);
+            bestEffortAtMillis = loop.nowMillis() + store.throttledDelayMillis(0, SchedulerConstants.THROTTLED_BEST_EFFORT_INTERVAL_MILLIS);
         }
         Set<Job> stuckJobs = new HashSet<>();
         // Teams whose ends are all on record or in this plan, and whose allowance is short all the same.
         Set<String> teamsShortOfQuota = new HashSet<>();
         Map<String, Integer> savingTierByTeam = new HashMap<>();
-        int starvingRecordBudget = (int) Math.min(Constants.LATE_RECORDS, queue.stream().filter(ranked -> ranked.tier() == QueueOrder.TIER_STARVING).count());
+        int starvingRecordBudget = (int) Math.min(SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE, queue.stream().filter(ranked -> ranked.tier() == QueueOrder.TIER_STARVING).count());
         int starvingRecords = 0;
         boolean terminationsRecorded = false;
         for (QueueOrder.Ranked ranked : queue) {
             Job job = ranked.job();
             boolean bestEffort = ranked.priority() == JobSpec.Urgency.BEST_EFFORT.ordinal();
-            if (ranked.starving() && (bestEffort && !bestEffortDue || storeUnderPressure && starvingRecords >= Constants.LATE_RECORDS && !plan.containsRecordOf(job))) {
+            if (ranked.starving() && (bestEffort && !bestEffortDue || storeUnderPressure && starvingRecords >= SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE && !plan.containsRecordOf(job))) {
                 // Late work gets its turn, but where changes are short not those that urgent work needs next.
                 continue;
             }
@@ -309,14 +310,14 @@
             } else if (ranked.starving()) {
                 starvingRecords += alreadyInPlan ? 0 : 1;
             } else if (unplaced > 0) {
-                boolean waitedLong = ranked.tier() <= QueueOrder.TIER_GUARANTEED && wallMillis - job.acceptedAtEpochMillis > Constants.LATE_AFTER_S * 1000;
+                boolean waitedLong = ranked.tier() <= QueueOrder.TIER_GUARANTEED && wallMillis - job.acceptedAtEpochMillis > SchedulerConstants.LONG_WAIT_SECONDS * 1000;
                 if (waitedLong && job.spec.isGang() && plan.tasksWithinQuotaShare(job.spec) < unplaced && couldSaveUpFor(plan, job, unplaced)) {
                     // Urgent work comes first anyway, but single tasks of all other work fit into what is too little for a gang.
                     savingTierByTeam.putIfAbsent(job.spec.team(), ranked.tier());
                 }
                 int withoutRoom = preemption.makeRoom(ranked, unplaced, placer.allowedZones(job));
                 // What is kept for others' GPUs serves work that nothing else has served for long: empty, it would serve nobody.
-                boolean unservedTooLong = gpusInDemand && loop.nowMillis() - unservedSinceMillis.computeIfAbsent(job, waitingJob -> loop.nowMillis()) > Constants.PASSED_OVER_MS;
+                boolean unservedTooLong = gpusInDemand && loop.nowMillis() - unservedSinceMillis.computeIfAbsent(job, waitingJob -> loop.nowMillis()) > SchedulerConstants.STARVING_AFTER_MILLIS;
                 if (withoutRoom > 0 && (ranked.priority() == JobSpec.Urgency.PRODUCTION.ordinal() || waitedLong || unservedTooLong)) {
                     unplaced = placer.place(ranked, true);
                 }
@@ -346,7 +347,7 @@
             if (!hasRoom) {
                 unsatisfiable.add(spec);
                 roomForLeaderSinceMillis.remove(job);
-            } else if (loop.nowMillis() - roomForLeaderSinceMillis.computeIfAbsent(job, x -> loop.nowMillis()) > Constants.LEADER_FIRST_MS) {
+            } else if (loop.nowMillis() - roomForLeaderSinceMillis.computeIfAbsent(job, x -> loop.nowMillis()) > SchedulerConstants.LEADER_PRECEDENCE_MILLIS) {
                 continue;
             }
             for (Room.Kind pool : plan.pools.values()) {
@@ -392,18 +393,18 @@
                 // Its team's allowance here is what it lacks; that comes to where the want is. But of two gangs on two
                 // controllers each could be given half of what it needs, for ever: the leader serves one after the other.
                 stuckJobs.add(job);
-                return spec.isGang() && loop.nowMillis() - stuckSinceMillis.computeIfAbsent(job, j -> loop.nowMillis()) >= Constants.GANG_HAND_OVER_MS;
+                return spec.isGang() && loop.nowMillis() - stuckSinceMillis.computeIfAbsent(job, j -> loop.nowMillis()) >= SchedulerConstants.ESCALATE_GANG_AFTER_MILLIS;
             }
             if (spec.isGang() || spec.zoneAffinity() || spec.zoneSpread() || plan.pools.values().stream().noneMatch(pool -> pool.allows(spec))) {
                 return true;
             }
             stuckJobs.add(job);
             long sinceMillis = stuckSinceMillis.computeIfAbsent(job, j -> loop.nowMillis());
-            if (loop.nowMillis() - sinceMillis < Constants.HAND_OVER_AFTER_MS || loop.nowMillis() < nextForeignScanMillis && otherPools == null) {
+            if (loop.nowMillis() - sinceMillis < SchedulerConstants.ESCALATE_AFTER_MILLIS || loop.nowMillis() < nextForeignScanMillis && otherPools == null) {
                 return false;
             }
-            nextForeignScanMillis = loop.nowMillis() + Constants.ELSEWHERE_EVERY_MS;
-            int minTasks = Math.min(job.pendingTaskCount(), Constants.HAND_OVER_LEAST);
+            nextForeignScanMillis = loop.nowMillis() + SchedulerConstants.OTHER_SHARDS_CHECK_INTERVAL_MILLIS;
+            int minTasks = Math.min(job.pendingTaskCount(), SchedulerConstants.MIN_ESCALATED_TASKS);
             for (Map.Entry<JobSpec, Integer> entry : tasksFound.entrySet()) {
                 if (entry.getValue() < minTasks && Unmet.isAtLeastAsDemanding(spec, entry.getKey())) {
                     return false;
@@ -432,7 +433,7 @@
             }
             // Room for one serves one: all that wait here would else go to the leader for it. What low work leaves to urgent arrivals lasts, too.
             boolean bestEffort = spec.priority() == JobSpec.Urgency.BEST_EFFORT && spec.isUnconstrained() && plan.reservedCpus > 0;
-            if (bestEffort || !roomPersists || loop.nowMillis() - previous.sinceMillis < Constants.HAND_OVER_LASTING_MS) {
+            if (bestEffort || !roomPersists || loop.nowMillis() - previous.sinceMillis < SchedulerConstants.ESCALATE_TO_LASTING_CAPACITY_AFTER_MILLIS) {
                 return false;
             }
             persistentRoom.clear();
--- a/src/main/java/io/quincelead/placing/Rounds.java
+++ b/src/main/java/io/quincelead/placing/Rounds.java
@@ -1,9 +1,11 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.peers.Peers;
 import io.quincelead.policy.Policy;
@@ -129,7 +131,7 @@
      */
     public boolean admit(Job job, long patienceMillis, Txn.Done onOutcome) {
         boolean urgent = job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
-        if (!urgent || !job.hasSinglePage() || !membership.isValid() || shards.localShard() == null || enteringJobs.size() >= Constants.MAX_WAITING_COMMITS
+        if (!urgent || !job.hasSinglePage() || !membership.isValid() || shards.localShard() == null || enteringJobs.size() >= StoreConstants.MAX_WAITING_COMMITS
                 || enteringJobs.stream().anyMatch(n -> n.job.spec.jobId().equals(job.spec.jobId()))) {
             return false;
         }
@@ -165,7 +167,7 @@
     public void requestCycle() {
         // Who is being submitted isn't kept waiting, nor what a full change had no room for; all else gathers longer while
         // changes are short, and shares records.
-        requestCycleAfterGap(lastPlanTruncated || !enteringJobs.isEmpty() ? Constants.ROUND_GAP_MS : store.throttledDelayMillis(Constants.ROUND_GAP_MS, Constants.ROUND_GAP_MAX_MS));
+        requestCycleAfterGap(lastPlanTruncated || !enteringJobs.isEmpty() ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS : store.throttledDelayMillis(SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS, SchedulerConstants.THROTTLED_CYCLE_INTERVAL_MILLIS));
     }
 
     private void requestCycleAfterGap(long gapMillis) {
@@ -206,12 +208,12 @@
         boolean ownJob = placement.job.controllerId.equals(settings.memberId());
         boolean gone = placement.phase() == Placement.Phase.GONE;
         // Low work that was displaced can wait for its next place while changes are short; others want theirs at once.
-        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Urgency.BEST_EFFORT && store.backpressure() > Constants.PRESSED;
+        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Urgency.BEST_EFFORT && store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
         boolean urgent = gone && !canWait || placement.job.spec.isGang() || placement.job.isCancelled();
-        int pageIndex = placement.taskIndex / Constants.CHUNK_TASKS;
+        int pageIndex = placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE;
         boolean awaitedElsewhere = queuePass.canLeaderUse(placement.host) || !ownJob && placement.job.page(pageIndex).placements.stream().allMatch(Placement::isTerminated);
-        long delayMillis = urgent ? 0 : awaitedElsewhere ? Constants.END_TELL_MS
-                : store.throttledDelayMillis(ownJob ? Constants.END_GATHER_MS : Constants.END_TELL_MS, Constants.END_GATHER_MAX_MS);
+        long delayMillis = urgent ? 0 : awaitedElsewhere ? SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS
+                : store.throttledDelayMillis(ownJob ? SchedulerConstants.COMPLETION_BATCH_MILLIS : SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS, SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
         unrecordedTerminations.merge(new Ref(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
         if (urgent || queuePass.hasWorkWaiting()) {
             requestCycle();
@@ -244,20 +246,20 @@
         expireEnteringJobs();
         if (!membership.isValid() || shards.localShard() == null || !watchCache.isSynced()) {
             // Evidence may be waiting: the round is only put off, or nothing might wake it again.
-            backOff(Constants.RETRY_MS);
+            backOff(StoreConstants.RETRY_DELAY_MILLIS);
             return;
         }
         if (!fence.trySettle()) {
-            backOff(Constants.RETRY_MS);
+            backOff(StoreConstants.RETRY_DELAY_MILLIS);
             return;
         }
         int writeBudget = Math.min(store.affordableWrites(), store.maxTransactionOperations());
         boolean admitting = !enteringJobs.isEmpty() && store.canAffordUrgentWrite();
         if (admitting) {
             writeBudget = Math.max(writeBudget, Math.min(enteringJobs.size(), store.maxTransactionOperations()));
-        } else if (writeBudget < Math.min(Math.max(Constants.ROUND_LEAST_CHANGES, queuePass.largestGangPages()), store.maxTransactionOperations())) {
+        } else if (writeBudget < Math.min(Math.max(SchedulerConstants.MIN_CHANGES_PER_CYCLE, queuePass.largestGangPages()), store.maxTransactionOperations())) {
             // Over our share of the store's limit: a plan made now would be out of date when it may be written.
-            backOff(Constants.BUSY_PAUSE_MS);
+            backOff(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS);
             return;
         }
         List<Newcomer> admitted = new ArrayList<>();
@@ -304,10 +306,10 @@
                 }
                 case CONFLICT -> {
                     LOG.debug("round: conflict on {}", outcome.failedKeys());
-                    loop.runAfter(Constants.ROUND_GAP_MS, this::requestCycle);
+                    loop.runAfter(SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS, this::requestCycle);
                 }
                 // Refused: nothing happened, the plan is made anew. Unknown: the same, once the fence has settled it.
-                default -> loop.runAfter(Constants.RETRY_MS, this::requestCycle);
+                default -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::requestCycle);
             }
             onCycleSettled.run();
         });
@@ -424,7 +426,7 @@
                 JobSpec spec = placement.job.spec;
                 boolean checkpoints = spec.checkpointIntervalSeconds() > 0 || spec.isService();
                 boolean evict = worker.isBeingReclaimed() ? checkpoints || placement.runningSinceMillis == 0
-                        : checkpoints && !spec.isGang() && placement.runningSinceMillis > 0 && loop.nowMillis() - placement.runningSinceMillis > Constants.MOVE_AFTER_MS;
+                        : checkpoints && !spec.isGang() && placement.runningSinceMillis > 0 && loop.nowMillis() - placement.runningSinceMillis > SchedulerConstants.MIN_RUN_BEFORE_MOVE_MILLIS;
                 if (evict && !placement.job.isCancelled()) {
                     stopTask(plan, placement);
                 }
--- a/src/main/java/io/quincelead/placing/Victims.java
+++ b/src/main/java/io/quincelead/placing/Victims.java
@@ -1,6 +1,6 @@
 package io.quincelead.placing;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.records.Placement;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,7 +47,7 @@
             result = Long.compare(second.job.acceptedAtEpochMillis, first.job.acceptedAtEpochMillis);
             result = result != 0 ? result : first.job.spec.jobId().compareTo(second.job.spec.jobId());
         }
-        result = result != 0 || !shareRecords ? result : Integer.compare(first.taskIndex / Constants.CHUNK_TASKS, second.taskIndex / Constants.CHUNK_TASKS);
+        result = result != 0 || !shareRecords ? result : Integer.compare(first.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE, second.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
         result = result != 0 ? result : Double.compare(a.lostCpuSeconds, b.lostCpuSeconds);
         return result != 0 ? result : Integer.compare(a.sequence, b.sequence);
     }
--- a/src/main/java/io/quincelead/policy/Classes.java
+++ b/src/main/java/io/quincelead/policy/Classes.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.records.JobSpec;
 import java.util.ArrayList;
@@ -45,8 +45,8 @@
     public static Classes decode(JsonNode root, long generation, String source) throws Invalid {
         Fields fields = new Fields(root, source, Set.of("classes", "$schema"));
         JsonNode classNodes = fields.get("classes");
-        if (classNodes == null || !classNodes.isArray() || classNodes.size() > Constants.MAX_CLASSES) {
-            throw fields.invalid("classes", "must be a list of at most " + Constants.MAX_CLASSES + " classes");
+        if (classNodes == null || !classNodes.isArray() || classNodes.size() > PolicyConstants.MAX_CLASSES) {
+            throw fields.invalid("classes", "must be a list of at most " + PolicyConstants.MAX_CLASSES + " classes");
         }
         List<JobClass> classes = new ArrayList<>();
         List<Match> earlierSelectors = new ArrayList<>();
@@ -77,8 +77,8 @@
     List<String> encodeParts() {
         String text = encode().toString();
         List<String> parts = new ArrayList<>();
-        for (int i = 0; i < text.length(); i += Constants.CLASSES_PART_CHARS) {
-            parts.add(text.substring(i, Math.min(text.length(), i + Constants.CLASSES_PART_CHARS)));
+        for (int i = 0; i < text.length(); i += PolicyConstants.MAX_CLASSES_PART_CHARS) {
+            parts.add(text.substring(i, Math.min(text.length(), i + PolicyConstants.MAX_CLASSES_PART_CHARS)));
         }
         return parts;
     }
--- a/src/main/java/io/quincelead/policy/Clerk.java
+++ b/src/main/java/io/quincelead/policy/Clerk.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.records.Job;
 import io.quincelead.records.JobTable;
@@ -74,7 +74,7 @@
         this.jobs = jobs;
         this.policy = policy;
         this.leadership = leadership;
-        loop.runEvery(Constants.CLERK_TICK_MS, this::reconcile);
+        loop.runEvery(PolicyConstants.RECONCILE_INTERVAL_MILLIS, this::reconcile);
     }
 
     private void reconcile() {
@@ -141,7 +141,7 @@
             }
         }
         for (long generation : policy.recordedGenerations()) {
-            if (generation != head.activeGeneration() && generation != head.previousGeneration() && generation <= head.highestGeneration() - Constants.CLASSES_KEPT) {
+            if (generation != head.activeGeneration() && generation != head.previousGeneration() && generation <= head.highestGeneration() - PolicyConstants.CLASSES_GENERATIONS_KEPT) {
                 Txn txn = leadership.newTransaction().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
                 policy.partKeys(generation).forEach(txn::remove);
                 return txn;
@@ -174,7 +174,7 @@
                 return txn;
             }
         }
-        if (loop.nowMillis() - plannedAtMillis >= Constants.PLAN_EVERY_MS || plannedVersion != policy.version()) {
+        if (loop.nowMillis() - plannedAtMillis >= PolicyConstants.OCCURRENCE_PLANNING_INTERVAL_MILLIS || plannedVersion != policy.version()) {
             for (Entry entry : policy.entries().values()) {
                 Txn txn = planningChange(entry);
                 if (txn != null) {
@@ -201,8 +201,8 @@
     /** The next occurrence of an entry that isn't on record, from the last that is closed on. */
     private Txn planningChange(Entry entry) {
         long wallClockMillis = loop.wallClockMillis();
-        long fromMillis = Math.max(Math.max(policy.historyOf(entry.name()).closedThroughMillis(), entry.effectiveFromMillis()), wallClockMillis - Constants.LOOK_BACK_MS);
-        for (Entry.When publication : entry.publicationsBetween(fromMillis, wallClockMillis + (long) (entry.leadSeconds() * 1000) + Constants.PLAN_AHEAD_MS)) {
+        long fromMillis = Math.max(Math.max(policy.historyOf(entry.name()).closedThroughMillis(), entry.effectiveFromMillis()), wallClockMillis - PolicyConstants.LOOK_BACK_MILLIS);
+        for (Entry.When publication : entry.publicationsBetween(fromMillis, wallClockMillis + (long) (entry.leadSeconds() * 1000) + PolicyConstants.PLAN_AHEAD_MILLIS)) {
             Occurrence occurrence = Occurrence.planned(entry, publication);
             if (!policy.occurrences().containsKey(occurrence.entryName + "/" + occurrence.date) && !knownLedgerKeys.contains(occurrence.ledgerKey())) {
                 occurrence.leaderTerms.add(leadership.term());
@@ -240,8 +240,8 @@
             }
             case OPEN -> {
                 boolean counted = updateCounts(occurrence, folded);
-                boolean verdictDue = wallClockMillis >= occurrence.publicationMillis + Constants.VERDICT_AFTER_MS;
-                boolean graceElapsed = wallClockMillis >= occurrence.publicationMillis + Math.max((long) (occurrence.graceSeconds * 1000), Constants.VERDICT_AFTER_MS);
+                boolean verdictDue = wallClockMillis >= occurrence.publicationMillis + PolicyConstants.VERDICT_DELAY_MILLIS;
+                boolean graceElapsed = wallClockMillis >= occurrence.publicationMillis + Math.max((long) (occurrence.graceSeconds * 1000), PolicyConstants.VERDICT_DELAY_MILLIS);
                 if (verdictDue && (occurrence.openJobIds.isEmpty() || graceElapsed)) {
                     boolean inTime = occurrence.openJobIds.isEmpty() && occurrence.lastDoneMillis <= occurrence.publicationMillis + (long) (occurrence.graceSeconds * 1000);
                     occurrence.transitionTo(inTime ? Occurrence.State.PUBLISHED : Occurrence.State.MISSED);
@@ -252,7 +252,7 @@
             }
             case PUBLISHED, MISSED -> {
                 boolean counted = updateCounts(occurrence, folded);
-                if (occurrence.openJobIds.isEmpty() || wallClockMillis >= occurrence.publicationMillis + Constants.CLOSE_AFTER_MS) {
+                if (occurrence.openJobIds.isEmpty() || wallClockMillis >= occurrence.publicationMillis + PolicyConstants.OCCURRENCE_CLOSE_DELAY_MILLIS) {
                     return closeOccurrence(occurrence, folded);
                 }
                 return counted && claimCountsWrite(occurrence) ? writeOccurrence(occurrence, false, folded) : null;
@@ -268,7 +268,7 @@
 
     private boolean claimCountsWrite(Occurrence occurrence) {
         long lastWrittenAtMillis = countsWrittenAtMillis.getOrDefault(occurrence.storeKey(), Long.MIN_VALUE / 2);
-        if (loop.nowMillis() - lastWrittenAtMillis < Constants.COUNT_EVERY_MS) {
+        if (loop.nowMillis() - lastWrittenAtMillis < PolicyConstants.MIN_COUNT_RECORD_INTERVAL_MILLIS) {
             return false;
         }
         countsWrittenAtMillis.put(occurrence.storeKey(), loop.nowMillis());
@@ -298,7 +298,7 @@
         Policy.Memory history = policy.historyOf(occurrence.entryName);
         ObjectNode historyNode = Codec.newMap().put("through", Math.max(history.closedThroughMillis(), occurrence.publicationMillis));
         ArrayNode peakNodes = historyNode.putArray("cpus");
-        history.peakCpus().stream().skip(skipped ? 0 : Math.max(0, history.peakCpus().size() - Constants.PEAKS_REMEMBERED + 1)).forEach(peakNodes::add);
+        history.peakCpus().stream().skip(skipped ? 0 : Math.max(0, history.peakCpus().size() - PolicyConstants.MAX_REMEMBERED_PEAKS + 1)).forEach(peakNodes::add);
         if (!skipped) {
             peakNodes.add(occurrence.peakCpus);
         }
@@ -337,7 +337,7 @@
         for (Job job : jobs.all()) {
             if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
                 usedCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
-                if (!occurrence.openJobIds.contains(job.spec.jobId()) && occurrence.openJobIds.size() < Constants.MAX_COVERED_OPEN) {
+                if (!occurrence.openJobIds.contains(job.spec.jobId()) && occurrence.openJobIds.size() < PolicyConstants.MAX_COVERED_OPEN_JOBS) {
                     occurrence.openJobIds.add(job.spec.jobId());
                     occurrence.jobCount++;
                     changed = true;
@@ -365,7 +365,7 @@
             for (JsonNode key : uncounted.getValue().path("occ")) {
                 namesOccurrence |= key.asText().equals(occurrence.entryName + "/" + occurrence.date);
             }
-            if (namesOccurrence && folded.size() < Constants.SWEEP_MOST) {
+            if (namesOccurrence && folded.size() < PolicyConstants.MAX_RECORDS_PER_SWEEP) {
                 if (!occurrence.openJobIds.contains(uncounted.getKey())) {
                     occurrence.jobCount++;
                     updateCounts(occurrence, new End(uncounted.getValue().path("s").asText().equals("done"), uncounted.getValue().path("t").asLong()));
@@ -385,7 +385,7 @@
 
     /** A covered job's record is gone: how it ended stands in its final one. */
     private void readCompletion(String id) {
-        if (finalReadsInFlight.size() < Constants.MAX_FINALS_READ && finalReadsInFlight.add(id)) {
+        if (finalReadsInFlight.size() < PolicyConstants.MAX_CONCURRENT_FINAL_STATE_READS && finalReadsInFlight.add(id)) {
             store.get(Keys.FINAL_STATE_PREFIX + id, (status, body) -> {
                 finalReadsInFlight.remove(id);
                 if (status == 200) {
@@ -403,7 +403,7 @@
     // ---- the ledger's bound
 
     private void sweepLedger() {
-        if (policy.entries().isEmpty() && sweepCursor == null && sweptAtMillis > 0 || loop.nowMillis() - sweptAtMillis < Constants.SWEEP_EVERY_MS) {
+        if (policy.entries().isEmpty() && sweepCursor == null && sweptAtMillis > 0 || loop.nowMillis() - sweptAtMillis < PolicyConstants.LEDGER_SWEEP_INTERVAL_MILLIS) {
             return;
         }
         sweptAtMillis = loop.nowMillis();
@@ -413,21 +413,21 @@
             if (status != 200) {
                 return;
             }
-            String oldestDate = Instant.ofEpochMilli(loop.wallClockMillis()).atZone(ZoneOffset.UTC).toLocalDate().minusDays(Constants.LEDGER_DAYS).toString();
+            String oldestDate = Instant.ofEpochMilli(loop.wallClockMillis()).atZone(ZoneOffset.UTC).toLocalDate().minusDays(PolicyConstants.LEDGER_RETENTION_DAYS).toString();
             Txn txn = leadership.newTransaction();
             String lastKey = null;
             for (JsonNode item : body.path("items")) {
                 String key = item.path("path").asText();
-                if (key.substring(key.lastIndexOf('/') + 1).compareTo(oldestDate) < 0 && txn.operationCount() < Constants.SWEEP_MOST) {
+                if (key.substring(key.lastIndexOf('/') + 1).compareTo(oldestDate) < 0 && txn.operationCount() < PolicyConstants.MAX_RECORDS_PER_SWEEP) {
                     txn.requireRevision(key, item.path("stamp").asLong()).remove(key);
                 }
                 lastKey = key;
             }
             // More to remove, or another page: looked at with the next turns.
-            boolean batchFull = txn.operationCount() >= Constants.SWEEP_MOST;
+            boolean batchFull = txn.operationCount() >= PolicyConstants.MAX_RECORDS_PER_SWEEP;
             sweepCursor = batchFull ? sweepCursor : body.path("truncated").asBoolean() ? lastKey : null;
             if (batchFull || sweepCursor != null) {
-                sweptAtMillis = loop.nowMillis() - Constants.SWEEP_EVERY_MS + Constants.CLERK_TICK_MS;
+                sweptAtMillis = loop.nowMillis() - PolicyConstants.LEDGER_SWEEP_INTERVAL_MILLIS + PolicyConstants.RECONCILE_INTERVAL_MILLIS;
             }
             if (!txn.isEmpty() && leadership.isLeader()) {
                 commit(txn);
--- a/src/main/java/io/quincelead/policy/JobClass.java
+++ b/src/main/java/io/quincelead/policy/JobClass.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.net.Codec;
 import java.util.Locale;
 import java.util.Set;
@@ -34,12 +34,12 @@
     static JobClass decode(JsonNode node, String path) throws Invalid {
         Fields fields = new Fields(node, path, FIELDS);
         if (!fields.has("rank")) {
-            throw fields.invalid("rank", "a whole number from 0 to " + Constants.MAX_RANK + " is required");
+            throw fields.invalid("rank", "a whole number from 0 to " + PolicyConstants.MAX_RANK + " is required");
         }
         return new JobClass(fields.readName("name"), fields.has("description") ? fields.readText("description", true) : "",
                 fields.has("match") ? Match.decode(fields.get("match"), fields.pathOf("match")) : new Match(null, null, null, null),
-                fields.readInt("rank", 0, Constants.MAX_RANK, 0), fields.readNumber("beginWithinS", 1, Constants.MAX_BEGIN_S, Constants.BEGIN_WITHIN_S),
-                fields.readNumber("leastShare", 0, 1, Constants.LEAST_SHARE), fields.readEnum("keep", Keep.class, Keep.PROTOCOL),
+                fields.readInt("rank", 0, PolicyConstants.MAX_RANK, 0), fields.readNumber("beginWithinS", 1, PolicyConstants.MAX_BEGIN_WITHIN_SECONDS, PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS),
+                fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION), fields.readEnum("keep", Keep.class, Keep.PROTOCOL),
                 fields.readEnum("passes", Passes.class, Passes.NONE), fields.readNumber("zonePatienceS", 0, 86_400, -1), fields.readNumber("zoneSpare", 0, 1, 0));
     }
 
--- a/src/main/java/io/quincelead/policy/Office.java
+++ b/src/main/java/io/quincelead/policy/Office.java
@@ -3,8 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.PolicyConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.Request;
 import io.quincelead.records.Job;
@@ -88,7 +91,7 @@
         ObjectNode body = Codec.JSON.decodeMap(request.body);
         Reply responder = (status, out) -> {
             out.put("by", memberId).put("generation", watchCache.storeRevision()).put("classes", policy.activeClasses().generation()).put("calendar", policy.calendarGeneration());
-            request.respond(status, Codec.JSON, out, status == 503 ? Constants.RETRY_AFTER_S : 0);
+            request.respond(status, Codec.JSON, out, status == 503 ? ApiConstants.RETRY_AFTER_SECONDS : 0);
         };
         if (body == null) {
             responder.respondError(400, "the body must be a JSON map of at most 64 KiB");
@@ -146,7 +149,7 @@
             tally[0]++;
             tally[1] += job.waitingTaskCount();
             tally[2] += job.possiblyRunningTaskCount();
-            boolean overdue = !job.isCancelled() && job.completedTaskCount() + job.possiblyRunningTaskCount() == 0 && loop.wallClockMillis() - job.acceptedAtEpochMillis > (jobClass == null ? Constants.BEGIN_WITHIN_S : jobClass.startWithinSeconds()) * 1000;
+            boolean overdue = !job.isCancelled() && job.completedTaskCount() + job.possiblyRunningTaskCount() == 0 && loop.wallClockMillis() - job.acceptedAtEpochMillis > (jobClass == null ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS : jobClass.startWithinSeconds()) * 1000;
             tally[3] += overdue ? 1 : 0;
         }
         ObjectNode countsNode = out.putObject("now");
@@ -177,9 +180,9 @@
     private void proposeClasses(Classes classes, ObjectNode body, Reply responder) {
         Policy.Head head = policy.classesHead();
         List<String> parts = classes.encodeParts();
-        int maxParts = Math.min(Constants.MAX_CLASSES_PARTS, store.maxTransactionOperations() - 1);
+        int maxParts = Math.min(PolicyConstants.MAX_CLASSES_PARTS, store.maxTransactionOperations() - 1);
         if (parts.size() > maxParts) {
-            responder.respondError(400, "classes: too long, " + classes.encode().toString().length() + " characters; at most " + maxParts * Constants.CLASSES_PART_CHARS);
+            responder.respondError(400, "classes: too long, " + classes.encode().toString().length() + " characters; at most " + maxParts * PolicyConstants.MAX_CLASSES_PART_CHARS);
             return;
         }
         ObjectNode out = previewClasses(classes);
@@ -202,7 +205,7 @@
         }
         long generation = classes.generation();
         Map<String, Long> generationByChangeId = new LinkedHashMap<>();
-        head.generationByChangeId().entrySet().stream().skip(Math.max(0, head.generationByChangeId().size() - Constants.CHANGES_REMEMBERED + 1)).forEach(e -> generationByChangeId.put(e.getKey(), e.getValue()));
+        head.generationByChangeId().entrySet().stream().skip(Math.max(0, head.generationByChangeId().size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1)).forEach(e -> generationByChangeId.put(e.getKey(), e.getValue()));
         generationByChangeId.put(changeId, generation);
         Txn txn = new Txn().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
         for (int i = 0; i < parts.size(); i++) {
@@ -240,8 +243,8 @@
         for (JobClass k : classes.all()) {
             double cpus = wantedCpusByClass.get(k.name())[0];
             totalCpus += cpus;
-            if (k.startWithinSeconds() < Constants.LATE_AFTER_S) {
-                warnings.add(k.name() + ": beginWithinS is " + k.startWithinSeconds() + " s; a machine rented for it takes " + (long) Constants.TYPICAL_BOOT_S + " s and more to be up");
+            if (k.startWithinSeconds() < SchedulerConstants.LONG_WAIT_SECONDS) {
+                warnings.add(k.name() + ": beginWithinS is " + k.startWithinSeconds() + " s; a machine rented for it takes " + (long) AutoscalerConstants.TYPICAL_BOOT_SECONDS + " s and more to be up");
             }
         }
         if (totalCpus > runningCpus && runningCpus > 0) {
@@ -332,8 +335,8 @@
             Entry e = Entry.decode(body.get("entry"), body.path("file").asText("entry")).withEffectiveFrom(loop.wallClockMillis());
             if (policy.entries().containsKey(e.name()) && !body.path("replace").asBoolean()) {
                 responder.respondError(409, "name: there is an entry \"" + e.name() + "\" already; --replace puts this one in its place");
-            } else if (policy.entries().size() >= Constants.MAX_ENTRIES) {
-                responder.respondError(409, "the calendar has " + Constants.MAX_ENTRIES + " entries, as many as it may have");
+            } else if (policy.entries().size() >= PolicyConstants.MAX_CALENDAR_ENTRIES) {
+                responder.respondError(409, "the calendar has " + PolicyConstants.MAX_CALENDAR_ENTRIES + " entries, as many as it may have");
             } else {
                 writeEntry(e.name(), e, changeId, body, responder);
             }
@@ -386,7 +389,7 @@
         ArrayNode list = out.putArray("list");
         int days = Math.max(1, Math.min(31, body.path("days").asInt(2)));
         for (Entry entry : policy.entries().values()) {
-            if (list.size() < Constants.MAX_LISTED) {
+            if (list.size() < PolicyConstants.MAX_LISTED_PUBLICATIONS) {
                 addUpcoming(list, entry, days);
             }
         }
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -5,7 +5,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.records.Job;
 import io.quincelead.state.Keys;
@@ -26,7 +27,7 @@
  */
 public final class Policy {
     private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-    private static final Standing DEFAULT_PRIORITY = new Standing(null, Constants.MIDDLE_RANK, null, 0);
+    private static final Standing DEFAULT_PRIORITY = new Standing(null, PolicyConstants.DEFAULT_RANK, null, 0);
 
     /** The head of the classes. {@code rules}: the generation in force; {@code was}: the one before it that all could read; {@code next}:
      *  proposed; {@code last}: the highest number ever given. */
@@ -40,7 +41,7 @@
         ObjectNode encodeNext(String changeId) {
             ObjectNode node = Codec.newMap().put("g", generation + 1);
             ArrayNode changeIdNodes = node.putArray("changes");
-            recentChangeIds.stream().skip(changeId == null ? 0 : Math.max(0, recentChangeIds.size() - Constants.CHANGES_REMEMBERED + 1)).forEach(changeIdNodes::add);
+            recentChangeIds.stream().skip(changeId == null ? 0 : Math.max(0, recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1)).forEach(changeIdNodes::add);
             if (changeId != null) {
                 changeIdNodes.add(changeId);
             }
@@ -319,8 +320,8 @@
                     first = occurrence;
                 }
             }
-            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new Standing(jobClass, jobClass == null ? Constants.MIDDLE_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
-            if (priorityByJob.size() >= Constants.MAX_OPEN_JOBS) {
+            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new Standing(jobClass, jobClass == null ? PolicyConstants.DEFAULT_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
+            if (priorityByJob.size() >= ApiConstants.MAX_OPEN_JOBS) {
                 priorityByJob.clear();
             }
             priorityByJob.put(job, priority);
@@ -394,7 +395,7 @@
         double totalCpus = 0;
         for (Occurrence occurrence : occurrences.values()) {
             boolean opensSoon = occurrence.state() == Occurrence.State.PLANNED && wallClockMillis >= occurrence.opensAtMillis - provisioningSeconds * 1000 && wallClockMillis < occurrence.publicationMillis;
-            boolean justOpened = occurrence.state() == Occurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + Constants.CALENDAR_KEEP_S * 1000 && wallClockMillis < occurrence.publicationMillis;
+            boolean justOpened = occurrence.state() == Occurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + PolicyConstants.CALENDAR_RESERVE_SECONDS * 1000 && wallClockMillis < occurrence.publicationMillis;
             List<Double> peakCpus = historyOf(occurrence.entryName).peakCpus;
             if ((opensSoon || justOpened) && !peakCpus.isEmpty()) {
                 double usedCpus = 0;
--- a/src/main/java/io/quincelead/policy/Standing.java
+++ b/src/main/java/io/quincelead/policy/Standing.java
@@ -1,6 +1,6 @@
 package io.quincelead.policy;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.records.JobSpec;
 
 /**
@@ -31,10 +31,10 @@
 
     /** Seconds within which the job should have begun. */
     public double startWithinSeconds() {
-        return jobClass == null ? Constants.BEGIN_WITHIN_S : jobClass.startWithinSeconds();
+        return jobClass == null ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS : jobClass.startWithinSeconds();
     }
 
     double minStartedShare() {
-        return jobClass == null ? Constants.LEAST_SHARE : jobClass.minStartedShare();
+        return jobClass == null ? PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION : jobClass.minStartedShare();
     }
 }
--- a/src/main/java/io/quincelead/records/Chunk.java
+++ b/src/main/java/io/quincelead/records/Chunk.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.state.Keys;
 import java.nio.charset.StandardCharsets;
@@ -11,7 +11,7 @@
 import java.util.BitSet;
 import java.util.Collection;
 
-/** The recorded states of up to {@link Constants#CHUNK_TASKS} tasks of a job: done, placed, or else pending. */
+/** The recorded states of up to {@link RecordConstants#TASKS_PER_STATE_PAGE} tasks of a job: done, placed, or else pending. */
 public final class Chunk {
     /** After the attempt of a task that is to be stopped. */
     private static final char STOP_MARK = '!';
@@ -36,7 +36,7 @@
     }
 
     static Chunk empty(Job job, int pageNumber) {
-        return new Chunk(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new Places(pageNumber * Constants.CHUNK_TASKS, taskCount(job, pageNumber)), null);
+        return new Chunk(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new Places(pageNumber * RecordConstants.TASKS_PER_STATE_PAGE, taskCount(job, pageNumber)), null);
     }
 
     /** The record it is kept in: the job's own, if one chunk is all there is. */
@@ -51,7 +51,7 @@
     }
 
     public int firstTaskIndex() {
-        return pageNumber * Constants.CHUNK_TASKS;
+        return pageNumber * RecordConstants.TASKS_PER_STATE_PAGE;
     }
 
     public int taskCount() {
@@ -59,7 +59,7 @@
     }
 
     private static int taskCount(Job job, int pageNumber) {
-        return Math.min(Constants.CHUNK_TASKS, job.spec.taskCount() - pageNumber * Constants.CHUNK_TASKS);
+        return Math.min(RecordConstants.TASKS_PER_STATE_PAGE, job.spec.taskCount() - pageNumber * RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
     public int pendingTaskCount() {
@@ -100,7 +100,7 @@
             completed.set(completedRanges.get(i).asInt(), completedRanges.get(i + 1).asInt());
         }
         byte[] text = placementsText(node.path("p")).getBytes(StandardCharsets.ISO_8859_1);
-        int firstTaskIndex = pageNumber * Constants.CHUNK_TASKS;
+        int firstTaskIndex = pageNumber * RecordConstants.TASKS_PER_STATE_PAGE;
         Places placements;
         int from = 0;
         int to = text.length;
--- a/src/main/java/io/quincelead/records/Job.java
+++ b/src/main/java/io/quincelead/records/Job.java
@@ -2,7 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.state.Keys;
 
@@ -36,7 +37,7 @@
     Job(JobSpec spec) {
         this.spec = spec;
         this.storeKey = Keys.JOB_PREFIX + spec.jobId();
-        this.pages = new Chunk[(spec.taskCount() + Constants.CHUNK_TASKS - 1) / Constants.CHUNK_TASKS];
+        this.pages = new Chunk[(spec.taskCount() + RecordConstants.TASKS_PER_STATE_PAGE - 1) / RecordConstants.TASKS_PER_STATE_PAGE];
         this.emptyPages = new Chunk[pages.length];
         for (int pageNumber = 0; pageNumber < emptyPages.length; pageNumber++) {
             emptyPages[pageNumber] = Chunk.empty(this, pageNumber);
@@ -77,11 +78,11 @@
      */
     public int requiredStartedTaskCount(long nowEpochMillis, double startWithinSeconds, double minimumShare) {
         double ageSeconds = (nowEpochMillis - acceptedAtEpochMillis) / 1000.0;
-        double fromSeconds = startWithinSeconds * Constants.LATE_FROM;
+        double fromSeconds = startWithinSeconds * SchedulerConstants.OVERDUE_RAMP_START_FRACTION;
         if (ageSeconds < fromSeconds || minimumShare <= 0 || spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()) {
             return 0;
         }
-        double share = Math.min(1, (ageSeconds - fromSeconds) / (startWithinSeconds * (Constants.LATE_TO - Constants.LATE_FROM)));
+        double share = Math.min(1, (ageSeconds - fromSeconds) / (startWithinSeconds * (SchedulerConstants.OVERDUE_RAMP_END_FRACTION - SchedulerConstants.OVERDUE_RAMP_START_FRACTION)));
         return spec.isGang() ? spec.taskCount() : (int) Math.max(1, Math.ceil(spec.taskCount() * minimumShare * share));
     }
 
@@ -97,7 +98,7 @@
 
     /** Keeps the counts of evidence in step with a placement that is on record. */
     void adjustEvidenceCounts(Placement placement, int delta) {
-        Chunk page = placement.isTerminated() ? pages[placement.taskIndex / Constants.CHUNK_TASKS] : null;
+        Chunk page = placement.isTerminated() ? pages[placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE] : null;
         if (page != null && page.placements.get(placement.taskIndex) == placement) {
             unrecordedCompleted += placement.phase() == Placement.Phase.COMPLETED ? delta : 0;
             unrecordedGone += placement.phase() == Placement.Phase.GONE ? delta : 0;
--- a/src/main/java/io/quincelead/records/JobSpec.java
+++ b/src/main/java/io/quincelead/records/JobSpec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.net.Codec;
 import java.util.ArrayList;
 import java.util.List;
@@ -75,8 +75,8 @@
         }
         JsonNode taskCount = node.get("members");
         if (taskCount == null || !taskCount.isIntegralNumber() || !taskCount.canConvertToInt() || taskCount.asInt() < 1
-                || taskCount.asInt() > Constants.MAX_TASKS) {
-            throw new Malformed("members: must be a whole number from 1 to " + Constants.MAX_TASKS);
+                || taskCount.asInt() > ApiConstants.MAX_TASKS_PER_JOB) {
+            throw new Malformed("members: must be a whole number from 1 to " + ApiConstants.MAX_TASKS_PER_JOB);
         }
         double cpus = requireAmount(node, "vcpus");
         double gpus = requireAmount(node, "cards");
--- a/src/main/java/io/quincelead/records/Kinds.java
+++ b/src/main/java/io/quincelead/records/Kinds.java
@@ -1,7 +1,7 @@
 package io.quincelead.records;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.SchedulerConstants;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -39,32 +39,32 @@
         }
         // After a start, old jobs appear all at once: they say nothing of the rate.
         if (spec.gpus() == 0 && spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()
-                && loop.wallClockMillis() - job.acceptedAtEpochMillis < Constants.RESERVE_WINDOW_S * 1000) {
+                && loop.wallClockMillis() - job.acceptedAtEpochMillis < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
             decay();
             decayedUrgentCpus += spec.taskCount() * spec.cpus();
         }
         Kind requirements = new Kind(spec.cpus(), spec.gpus(), spec.memoryGb(), spec.machineTypes(), spec.zone(), spec.preemptible());
         lastRequestedAt.remove(requirements);
         lastRequestedAt.put(requirements, loop.nowMillis());
-        long oldestRemembered = loop.nowMillis() - Constants.KIND_REMEMBERED_MS;
-        while (lastRequestedAt.size() > Constants.KINDS_REMEMBERED || lastRequestedAt.values().iterator().next() < oldestRemembered) {
+        long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
+        while (lastRequestedAt.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS || lastRequestedAt.values().iterator().next() < oldestRemembered) {
             lastRequestedAt.remove(lastRequestedAt.keySet().iterator().next());
         }
     }
 
     private void decay() {
-        decayedUrgentCpus *= Math.exp(-(loop.nowMillis() - decayedAtMillis) / 1000.0 / Constants.RESERVE_WINDOW_S);
+        decayedUrgentCpus *= Math.exp(-(loop.nowMillis() - decayedAtMillis) / 1000.0 / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS);
         decayedAtMillis = loop.nowMillis();
     }
 
     /** CPUs that urgent constrained work without GPUs would ask for in this time, at the rate of late. */
     public double expectedUrgentCpus(double withinSeconds) {
         decay();
-        return decayedUrgentCpus / Constants.RESERVE_WINDOW_S * withinSeconds;
+        return decayedUrgentCpus / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * withinSeconds;
     }
 
     private boolean hasRecentDemand(Catalog.Shape machineType, String zone, boolean spot, boolean gpusOnly) {
-        long oldestRemembered = loop.nowMillis() - Constants.KIND_REMEMBERED_MS;
+        long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
         for (Map.Entry<Kind, Long> entry : lastRequestedAt.entrySet()) {
             if (entry.getValue() >= oldestRemembered && (!gpusOnly || entry.getKey().gpus > 0) && entry.getKey().fits(machineType, zone, spot)) {
                 return true;
--- a/src/main/java/io/quincelead/records/MachineTable.java
+++ b/src/main/java/io/quincelead/records/MachineTable.java
@@ -3,7 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.state.Keys;
 import io.quincelead.state.Mirror;
@@ -172,7 +173,7 @@
         public void addUnexpected(String host, String machineType, String zone, boolean spot, String address, long rentedAtEpochMillis) {
             String attributes = machineType + "/" + zone + "/" + spot;
             String groupId = openGroupByAttributes.get(attributes);
-            if (groupId == null || machinesOf(groupId).size() >= Constants.MAX_RENT) {
+            if (groupId == null || machinesOf(groupId).size() >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
                 groupId = "s-" + host;
                 openGroupByAttributes.put(attributes, groupId);
             }
@@ -236,7 +237,7 @@
                 }
             }
             // Where weights are is worth a record only as far as it fits beside the machines.
-            if (!largeImages.isEmpty() && largeImages.toString().length() + node.toString().length() < Constants.MACHINE_RECORD_CHARS) {
+            if (!largeImages.isEmpty() && largeImages.toString().length() + node.toString().length() < RecordConstants.MAX_MACHINE_RECORD_CHARS) {
                 node.set("w", largeImages);
             }
             transaction.put(key, node);
--- a/src/main/java/io/quincelead/state/Committer.java
+++ b/src/main/java/io/quincelead/state/Committer.java
@@ -1,7 +1,7 @@
 package io.quincelead.state;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.StoreConstants;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
     }
 
     public boolean isFull() {
-        return pending.size() >= Constants.MAX_WAITING_COMMITS;
+        return pending.size() >= StoreConstants.MAX_WAITING_COMMITS;
     }
 
     /** Commits within the given time or refuses; a confirmed change is in the mirror before {@code done} hears of it. */
@@ -37,7 +37,7 @@
 
     private void resumeAfterDelay() {
         busy = true;
-        loop.runAfter(Constants.BUSY_PAUSE_MS, () -> {
+        loop.runAfter(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS, () -> {
             busy = false;
             commitNextBatch();
         });
--- a/src/main/java/io/quincelead/state/Fence.java
+++ b/src/main/java/io/quincelead/state/Fence.java
@@ -1,7 +1,7 @@
 package io.quincelead.state;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.StoreConstants;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -80,7 +80,7 @@
 
     private void rewriteFenceKey() {
         Txn transaction = rewriteFactory.get();
-        nextRewriteAtMillis = loop.nowMillis() + Constants.RETRY_MS;
+        nextRewriteAtMillis = loop.nowMillis() + StoreConstants.RETRY_DELAY_MILLIS;
         if (transaction == null || !store.canAffordUrgentWrite()) {
             return;
         }
--- a/src/main/java/io/quincelead/state/Mirror.java
+++ b/src/main/java/io/quincelead/state/Mirror.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.net.Transport;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -48,7 +48,7 @@
     public Mirror(Loop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
         this.store = store;
-        this.minWatchIntervalMillis = (long) Math.max(Constants.WATCH_LEAST_MS, 1000 / (requestsPerSecond * Constants.WATCH_SHARE));
+        this.minWatchIntervalMillis = (long) Math.max(StoreConstants.MIN_WATCH_INTERVAL_MILLIS, 1000 / (requestsPerSecond * StoreConstants.WATCH_REQUESTS_FRACTION));
     }
 
     public void addPrefixListener(String prefix, View listener) {
@@ -99,7 +99,7 @@
     private void readPage(String afterKey, long firstPageRevision, Set<String> seenKeys) {
         store.list(Keys.LIVE_PREFIX, afterKey, (status, body) -> {
             if (status != 200 || !body.path("items").isArray()) {
-                loop.runAfter(Constants.RETRY_MS, this::relist);
+                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::relist);
                 return;
             }
             long snapshotRevision = firstPageRevision < 0 ? body.path("generation").asLong() : firstPageRevision;
@@ -137,7 +137,7 @@
                 return;
             }
             if (status != 200) {
-                loop.runAfter(status == Transport.NO_RESPONSE ? 0 : Constants.RETRY_MS, this::watch);
+                loop.runAfter(status == Transport.NO_RESPONSE ? 0 : StoreConstants.RETRY_DELAY_MILLIS, this::watch);
                 return;
             }
             JsonNode changes = body.path("news");
--- a/src/main/java/io/quincelead/state/Session.java
+++ b/src/main/java/io/quincelead/state/Session.java
@@ -1,8 +1,9 @@
 package io.quincelead.state;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.LeaseConstants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.net.Codec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,7 +46,7 @@
 
     /** How long a controller's lease lasts on this deployment: the design's 20 s, or less where workers give up sooner. */
     public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
-        return (long) (Math.min(shardLeaseSeconds, workerLeaseSeconds * Constants.LEASE_SHARE) * 1000);
+        return (long) (Math.min(shardLeaseSeconds, workerLeaseSeconds * LeaseConstants.CONTROLLER_LEASE_FRACTION) * 1000);
     }
 
     private void transitionTo(Phase next) {
@@ -55,7 +56,7 @@
 
     public void start() {
         join();
-        loop.runEvery(leaseMillis / Constants.RENEWALS_PER_LEASE, this::renew);
+        loop.runEvery(leaseMillis / LeaseConstants.RENEWALS_PER_LEASE, this::renew);
     }
 
     public boolean isMember() {
@@ -84,7 +85,7 @@
         long sentAtMillis = loop.nowMillis();
         store.createLease(leaseMillis, (status, body) -> {
             if (status != 200 || !body.path("grant").isNumber()) {
-                loop.runAfter(Constants.RETRY_MS, this::join);
+                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::join);
                 return;
             }
             leaseId = body.path("grant").asLong();
@@ -100,11 +101,11 @@
             if (status == 404) {
                 announce(0);
             } else if (status == 200 && body.path("grant").isNumber() && body.path("grant").asLong() != leaseId) {
-                store.revokeLease(body.path("grant").asLong(), (s, b) -> loop.runAfter(s == 200 || s == 404 ? 0 : Constants.RETRY_MS, this::revokePredecessorLease));
+                store.revokeLease(body.path("grant").asLong(), (s, b) -> loop.runAfter(s == 200 || s == 404 ? 0 : StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease));
             } else if (status == 200) {
                 announce(body.path("stamp").asLong());
             } else {
-                loop.runAfter(Constants.RETRY_MS, this::revokePredecessorLease);
+                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
             }
         });
     }
@@ -125,8 +126,8 @@
                     announcedRevision = outcome.storeRevision();
                     transitionTo(Phase.MEMBER);
                 }
-                case REJECTED -> loop.runAfter(Constants.RETRY_MS, loop.nowMillis() < validUntilMillis ? this::revokePredecessorLease : this::join);
-                default -> loop.runAfter(Constants.RETRY_MS, this::revokePredecessorLease);
+                case REJECTED -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, loop.nowMillis() < validUntilMillis ? this::revokePredecessorLease : this::join);
+                default -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
             }
         });
     }
@@ -164,6 +165,6 @@
     }
 
     private long expiryMillis(long sentAtMillis) {
-        return sentAtMillis + (long) (leaseMillis * (1 - Constants.DRIFT)) - Constants.LEASE_MARGIN_MS;
+        return sentAtMillis + (long) (leaseMillis * (1 - LeaseConstants.CLOCK_DRIFT_FRACTION)) - LeaseConstants.EXPIRY_MARGIN_MILLIS;
     }
 }
--- a/src/main/java/io/quincelead/state/StoreClient.java
+++ b/src/main/java/io/quincelead/state/StoreClient.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.RateBudget;
 import io.quincelead.net.Transport;
@@ -34,8 +34,8 @@
         this.maxTransactionOperations = settings.storeLimits().maxTransactionOperations();
         this.requestBudget = new RateBudget(loop, settings.storeLimits().requestsPerSecond() / settings.controllerCount() * 0.95, 0.9);
         double evenShare = settings.storeLimits().writesPerSecond() / settings.controllerCount();
-        this.writeBudget = new RateBudget(loop, evenShare * 0.95, Math.max(1, maxTransactionOperations / evenShare)).withRateBounds(evenShare * Constants.SHARE_LEAST, settings.storeLimits().writesPerSecond() * Constants.SHARE_MOST);
-        loop.runEvery(Constants.SHARE_TICK_MS, this::adjustWriteShare);
+        this.writeBudget = new RateBudget(loop, evenShare * 0.95, Math.max(1, maxTransactionOperations / evenShare)).withRateBounds(evenShare * StoreConstants.MIN_WRITE_SHARE_FRACTION, settings.storeLimits().writesPerSecond() * StoreConstants.MAX_WRITE_SHARE_FRACTION);
+        loop.runEvery(StoreConstants.WRITE_SHARE_INTERVAL_MILLIS, this::adjustWriteShare);
     }
 
     /** An answer with its map; node is null where the body is none. */
@@ -65,30 +65,30 @@
     }
 
     public void get(String key, Answer handler) {
-        call("GET", "/store/" + key, null, Constants.STORE_TIMEOUT_MS, handler);
+        call("GET", "/store/" + key, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     /** One page of what lies under a prefix, in key order, after the given key if any. */
     public void list(String prefix, String afterKey, Answer handler) {
-        String path = "/store?prefix=" + prefix + "&limit=" + Constants.LIST_PAGE + (afterKey == null ? "" : "&after=" + afterKey);
-        call("GET", path, null, 2 * Constants.STORE_TIMEOUT_MS, handler);
+        String path = "/store?prefix=" + prefix + "&limit=" + StoreConstants.MAX_ITEMS_PER_LIST_PAGE + (afterKey == null ? "" : "&after=" + afterKey);
+        call("GET", path, null, 2 * StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     void watch(String prefix, long afterRevision, Answer handler) {
-        call("GET", "/watch?prefix=" + prefix + "&after=" + afterRevision + "&holdMs=" + Constants.WATCH_HOLD_MS, null,
-                Constants.WATCH_HOLD_MS + Constants.WATCH_SLACK_MS, handler);
+        call("GET", "/watch?prefix=" + prefix + "&after=" + afterRevision + "&holdMs=" + StoreConstants.WATCH_LONG_POLL_MILLIS, null,
+                StoreConstants.WATCH_LONG_POLL_MILLIS + StoreConstants.WATCH_TIMEOUT_SLACK_MILLIS, handler);
     }
 
     void createLease(long leaseMillis, Answer handler) {
-        call("POST", "/holds", Codec.newMap().put("lifeMs", leaseMillis), Constants.STORE_TIMEOUT_MS, handler);
+        call("POST", "/holds", Codec.newMap().put("lifeMs", leaseMillis), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     void renewLease(long leaseId, Answer handler) {
-        call("POST", "/holds/" + leaseId + "/touch", Codec.newMap(), Constants.STORE_TIMEOUT_MS, handler);
+        call("POST", "/holds/" + leaseId + "/touch", Codec.newMap(), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     void revokeLease(long leaseId, Answer handler) {
-        call("DELETE", "/holds/" + leaseId, null, Constants.STORE_TIMEOUT_MS, handler);
+        call("DELETE", "/holds/" + leaseId, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     /** ms until a comparison without changes may be sent; 0: now. */
@@ -116,11 +116,11 @@
      */
     private void adjustWriteShare() {
         if (writesThrottled) {
-            writeBudget.scaleRate(Constants.SHARE_SHRINK);
+            writeBudget.scaleRate(StoreConstants.WRITE_SHARE_SHRINK_FACTOR);
         } else if (writesDelayed) {
-            writeBudget.scaleRate(Constants.SHARE_GROW);
+            writeBudget.scaleRate(StoreConstants.WRITE_SHARE_GROWTH_FACTOR);
         }
-        backpressure = Math.max(0, Math.min(1, backpressure + (writesDelayed || writesThrottled ? Constants.PRESSURE_RISE : -Constants.PRESSURE_FALL)));
+        backpressure = Math.max(0, Math.min(1, backpressure + (writesDelayed || writesThrottled ? StoreConstants.BACKPRESSURE_RISE_PER_INTERVAL_FRACTION : -StoreConstants.BACKPRESSURE_FALL_PER_INTERVAL_FRACTION)));
         writesThrottled = false;
         writesDelayed = false;
     }
@@ -137,7 +137,7 @@
 
     public void commit(Txn transaction, Txn.Done handler) {
         writeBudget.takeUnconditionally(transaction.operationCount());
-        call("POST", "/commit", transaction.encode(), Constants.STORE_TIMEOUT_MS, (status, body) -> {
+        call("POST", "/commit", transaction.encode(), StoreConstants.REQUEST_TIMEOUT_MILLIS, (status, body) -> {
             long storeRevision = body == null ? 0 : body.path("generation").asLong();
             switch (status) {
                 case 200 -> handler.onOutcome(new Txn.Outcome(Txn.Result.COMMITTED, storeRevision, Set.of()));
--- a/src/main/java/io/quincelead/state/Txn.java
+++ b/src/main/java/io/quincelead/state/Txn.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.net.Codec;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -53,7 +53,7 @@
 
     /** Whether this many more changes and guards fit the store's limits. */
     public boolean fits(int moreOperations, int morePreconditions, int maxOperations) {
-        return operations.size() + moreOperations <= maxOperations && preconditions.size() + morePreconditions <= maxOperations * Constants.GUARDS_PER_OP;
+        return operations.size() + moreOperations <= maxOperations && preconditions.size() + morePreconditions <= maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION;
     }
 
     /** Adds another change to this one; both then happen or neither. */
--- a/src/main/java/io/quincelead/workers/Desk.java
+++ b/src/main/java/io/quincelead/workers/Desk.java
@@ -2,9 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.TransportConstants;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.Request;
 import io.quincelead.net.Transport;
@@ -92,7 +93,7 @@
         this.failureDetector = new Health(loop, settings, jobs, machines, catalog, policy, zones);
         shards.onShardChange(this::onShardChanged);
         jobs.onMachineChanged(changedHosts::add);
-        loop.runEvery(Constants.WORKER_TICK_MS, this::checkWorkers);
+        loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
     }
 
     public Own worker(String host) {
@@ -187,7 +188,7 @@
         }
         boolean holdOpen = fresh && worker.isSchedulable() && membershipLease.isValid() && !request.isNearConnectionLimit();
         worker.heldForFutureStart = holdOpen;
-        worker.deferredUntilMillis = now + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit() ? Constants.REPORT_PATIENCE_MS : 0);
+        worker.deferredUntilMillis = now + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit() ? WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS : 0);
         if (holdOpen) {
             worker.deferredUntilMillis = Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
         }
@@ -205,7 +206,7 @@
 
     /** Answers the report when its time is up, unless that has happened; hundreds of reports share few turns of the loop. */
     private void scheduleDeferredResponse(Own worker, Request request) {
-        long respondAtMillis = (worker.deferredUntilMillis + Constants.PARK_GRID_MS - 1) / Constants.PARK_GRID_MS * Constants.PARK_GRID_MS;
+        long respondAtMillis = (worker.deferredUntilMillis + WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS - 1) / WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS * WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
         List<Parked> batch = deferredResponses.get(respondAtMillis);
         if (batch == null) {
             batch = new ArrayList<>();
@@ -227,8 +228,8 @@
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             hasFiniteTasks |= !placement.job.spec.isService();
         }
-        double share = hasFiniteTasks ? Constants.PARK_BUSY_SHARE : Constants.PARK_IDLE_SHARE;
-        return (long) Math.min(settings.workerTimings().heartbeatSeconds() * 1000 * share, Constants.PARK_MAX_MS);
+        double share = hasFiniteTasks ? WorkerConstants.DEFER_BUSY_HEARTBEAT_FRACTION : WorkerConstants.DEFER_IDLE_HEARTBEAT_FRACTION;
+        return (long) Math.min(settings.workerTimings().heartbeatSeconds() * 1000 * share, WorkerConstants.MAX_DEFERRED_RESPONSE_MILLIS);
     }
 
     private void sendDeferredResponse(Own worker) {
@@ -270,7 +271,7 @@
     private void sendCommands(Own worker, long agentEpoch, ArrayNode commands) {
         ObjectNode message = Codec.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
         message.set("orders", commands);
-        transport.call(worker.address, "POST", "/orders", Codec.CBOR, Codec.CBOR.encode(message), Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+        transport.call(worker.address, "POST", "/orders", Codec.CBOR, Codec.CBOR.encode(message), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
             Report response = Report.parse(bytes);
             if (workers.get(worker.host) != worker || response == null || status != 200 && status != 409) {
                 return;
@@ -297,7 +298,7 @@
         }
         for (Own worker : workers.values()) {
             boolean mustAnswer = worker.phase() == Own.Phase.CLAIMING || worker.isUnreachableInbound();
-            if (loop.nowMillis() - worker.lastClaimAtMillis > (mustAnswer ? Constants.NEAR_TIMEOUT_MS : worker.isHeartbeatOverdue() ? Constants.QUIET_ASK_MS : Long.MAX_VALUE)) {
+            if (loop.nowMillis() - worker.lastClaimAtMillis > (mustAnswer ? TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS : worker.isHeartbeatOverdue() ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS : Long.MAX_VALUE)) {
                 sendClaim(worker);
             }
         }
--- a/src/main/java/io/quincelead/workers/Evidence.java
+++ b/src/main/java/io/quincelead/workers/Evidence.java
@@ -1,7 +1,7 @@
 package io.quincelead.workers;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.records.Job;
 import io.quincelead.records.JobTable;
 import io.quincelead.records.Placement;
@@ -122,7 +122,7 @@
                 terminate(worker, placement, "failed on");
             }
             case "full" -> {
-                worker.fullUntilMillis = loop.nowMillis() + Constants.FULL_PAUSE_MS;
+                worker.fullUntilMillis = loop.nowMillis() + WorkerConstants.REFUSED_START_PAUSE_MILLIS;
                 terminate(worker, placement, "refused (full) by");
             }
             case "busy" -> {
@@ -133,7 +133,7 @@
                 }
             }
             case "unknown" -> {
-                job.notBeforeMillis = loop.nowMillis() + Constants.JOB_BACKOFF_MS;
+                job.notBeforeMillis = loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS;
                 terminate(worker, placement, "refused (unknown) by");
             }
             default -> terminate(worker, placement, "stopped (" + reported.exitReason + ") on");
@@ -155,12 +155,12 @@
         // What others saw end well counts too: this process may be new.
         if (job.successCount == 0 && job.completedTaskCount() == 0 && job.consecutiveFailures >= 2 && worker.failedJobIds.size() == 1) {
             // Where it has failed often and on no other machine, nothing will ever show whose fault it is: once, the machine goes.
-            boolean failsOnlyHere = job.failedHosts.size() == 1 && job.consecutiveFailures >= Constants.LONE_FAILURES;
-            worker.consecutiveFailures = failsOnlyHere ? Constants.SICK_FAILURES : Math.min(worker.consecutiveFailures, Constants.SICK_FAILURES - 1);
+            boolean failsOnlyHere = job.failedHosts.size() == 1 && job.consecutiveFailures >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
+            worker.consecutiveFailures = failsOnlyHere ? WorkerConstants.SUSPECT_AFTER_FAILURES : Math.min(worker.consecutiveFailures, WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
         }
         if (job.consecutiveFailures >= 2) {
-            long pauseMillis = Constants.JOB_BACKOFF_MS << Math.min(job.consecutiveFailures - 2, 10);
-            job.notBeforeMillis = loop.nowMillis() + Math.min(pauseMillis, Constants.JOB_BACKOFF_MAX_MS);
+            long pauseMillis = WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS << Math.min(job.consecutiveFailures - 2, 10);
+            job.notBeforeMillis = loop.nowMillis() + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS);
         }
     }
 }
--- a/src/main/java/io/quincelead/workers/Health.java
+++ b/src/main/java/io/quincelead/workers/Health.java
@@ -1,8 +1,10 @@
 package io.quincelead.workers;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.LeaseConstants;
+import io.quincelead.config.constants.WorkerConstants;
+import io.quincelead.config.constants.ZoneConstants;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Catalog;
 import io.quincelead.records.JobTable;
@@ -42,7 +44,7 @@
 
     /** ms. A worker's lease, with what clocks may differ and the way of a report: longer silence is a dead or hung machine's. */
     static long silenceTimeoutMillis(Settings settings) {
-        return (long) (settings.workerTimings().leaseSeconds() * 1000 * (1 + Constants.DRIFT)) + Constants.SILENCE_SLACK_MS;
+        return (long) (settings.workerTimings().leaseSeconds() * 1000 * (1 + LeaseConstants.CLOCK_DRIFT_FRACTION)) + WorkerConstants.SILENCE_SLACK_MILLIS;
     }
 
     /** The machines to be given up, each with the reason. */
@@ -65,11 +67,11 @@
                 continue;
             }
             boolean reclaimed = worker.isBeingReclaimed() && worker.reclaimSecondsLeft() < -1;
-            if (silenceMillis > (reclaimed ? Constants.SILENCE_SLACK_MS + (long) (settings.workerTimings().heartbeatSeconds() * 1500) : silencePatienceMillis(worker, zoneUnreachable))) {
+            if (silenceMillis > (reclaimed ? WorkerConstants.SILENCE_SLACK_MILLIS + (long) (settings.workerTimings().heartbeatSeconds() * 1500) : silencePatienceMillis(worker, zoneUnreachable))) {
                 lost.put(worker, "silent");
             } else if (worker.isUnreachableInboundFor(zoneUnreachable ? unreachableZonePatienceMillis(worker) : silenceTimeoutMillis)) {
                 lost.put(worker, "doesn't hear us");
-            } else if (worker.consecutiveFailures >= Constants.SICK_FAILURES) {
+            } else if (worker.consecutiveFailures >= WorkerConstants.SUSPECT_AFTER_FAILURES) {
                 lost.put(worker, "fails what runs elsewhere");
             } else if (hasOverdueCancellation(worker)) {
                 lost.put(worker, "doesn't let go of cancelled work");
@@ -85,7 +87,7 @@
 
     /** Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault but the way to them. */
     private Set<String> unreachableZones(Collection<Own> workers) {
-        long heardSinceMillis = loop.nowMillis() - (long) (settings.workerTimings().heartbeatSeconds() * 1000 * Constants.HEARD_REPORTS);
+        long heardSinceMillis = loop.nowMillis() - (long) (settings.workerTimings().heartbeatSeconds() * 1000 * WorkerConstants.HEARD_WITHIN_HEARTBEATS);
         Map<String, int[]> countsByZone = new HashMap<>();
         for (Own worker : workers) {
             if (!worker.isBooting() || worker.address != null) {
@@ -96,7 +98,7 @@
         }
         Set<String> unreachable = new HashSet<>();
         countsByZone.forEach((zone, counts) -> {
-            if (counts[0] >= Constants.ZONE_LEAST && counts[1] < counts[0] * Constants.ZONE_HEARD_SHARE) {
+            if (counts[0] >= ZoneConstants.MIN_EVALUATED_MACHINES && counts[1] < counts[0] * ZoneConstants.MIN_HEARD_FRACTION) {
                 unreachable.add(zone);
             }
         });
@@ -129,17 +131,17 @@
             double patienceMillis = placement.isTerminated() ? -1 : policy.unreachableZonePatienceMillis(placement.job);
             leastMillis = patienceMillis < 0 ? leastMillis : Math.min(leastMillis, patienceMillis);
         }
-        return (long) Math.min(Math.max(leastMillis, silenceTimeoutMillis), settings.workerTimings().leaseSeconds() * 1000 * Constants.ZONE_PATIENCE_LEASES);
+        return (long) Math.min(Math.max(leastMillis, silenceTimeoutMillis), settings.workerTimings().leaseSeconds() * 1000 * ZoneConstants.CUT_OFF_PATIENCE_LEASES);
     }
 
     private boolean isBootOverdue(String host) {
         MachineTable.Machine machine = machines.get(host);
         Catalog.Shape machineType = machine == null ? null : catalog.get(machine.machineType());
-        return machineType != null && loop.wallClockMillis() - machine.rentedAtEpochMillis() > machineType.bootSeconds() * 1000 * Constants.BOOT_PATIENCE + Constants.BOOT_SLACK_MS;
+        return machineType != null && loop.wallClockMillis() - machine.rentedAtEpochMillis() > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR + WorkerConstants.BOOT_TIMEOUT_SLACK_MILLIS;
     }
 
     private boolean hasOverdueCancellation(Own worker) {
-        double limitMillis = settings.workerTimings().cancelSeconds() * 1000 * Constants.CANCEL_RELEASE_SHARE;
+        double limitMillis = settings.workerTimings().cancelSeconds() * 1000 * WorkerConstants.CANCEL_RELEASE_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.job.isCancelled() && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis && !placement.isTerminated()) {
                 return true;
--- a/src/main/java/io/quincelead/workers/Orders.java
+++ b/src/main/java/io/quincelead/workers/Orders.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.records.Blocks;
 import io.quincelead.records.JobTable;
@@ -38,7 +38,7 @@
             }
             if (membershipLease.isValid() && shards.localShard() != null) {
                 for (Placement placement : jobs.placementsOn(worker.host).values()) {
-                    if (isStartDue(worker, placement) && commands.size() < Constants.MAX_ORDERS) {
+                    if (isStartDue(worker, placement) && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                         commands.addObject().put("verb", "start").put("member", placement.taskName()).put("try", placement.attempt);
                         placement.transitionTo(Placement.Phase.START_SENT);
                         placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
@@ -60,9 +60,9 @@
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable = placement.phase() == Placement.Phase.OBSERVED && !placement.reportedState.equals("saving");
             if (!isWanted(placement) && (stoppable || placement.phase() == Placement.Phase.RECORDED)
-                    && (placement.killSentAtMillis == 0 || now - placement.killSentAtMillis > Constants.KILL_AGAIN_MS)) {
+                    && (placement.killSentAtMillis == 0 || now - placement.killSentAtMillis > WorkerConstants.KILL_RETRY_MILLIS)) {
                 kills = kills == null ? Codec.newList() : kills;
-                if (kills.size() < Constants.MAX_ORDERS) {
+                if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                     addKill(kills, placement.taskName(), placement.attempt, graceSeconds(placement));
                     placement.killSentAtMillis = now;
                 }
--- a/src/main/java/io/quincelead/workers/Own.java
+++ b/src/main/java/io/quincelead/workers/Own.java
@@ -1,7 +1,7 @@
 package io.quincelead.workers;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.net.Request;
 import io.quincelead.records.JobTable;
 import java.util.HashSet;
@@ -91,7 +91,7 @@
      * runs ends with its lease, though it seems as well as any other.
      */
     boolean isUnreachableInbound() {
-        return missedStarts >= Constants.DEAF_REPORTS;
+        return missedStarts >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
     }
 
     /** Whether it has reported for so long, ms, without showing that it hears us. */
@@ -126,7 +126,7 @@
 
     /** Whether new tasks may go there. */
     public boolean isSchedulable() {
-        return phase == Phase.FENCED && !isUnreachableInbound() && reclaimNoticeSeconds < 0 && consecutiveFailures < Constants.SICK_FAILURES && loop.nowMillis() >= fullUntilMillis
+        return phase == Phase.FENCED && !isUnreachableInbound() && reclaimNoticeSeconds < 0 && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES && loop.nowMillis() >= fullUntilMillis
                 && loop.nowMillis() - lastHeardAtMillis < silenceTimeoutMillis / 2;
     }
 
--- a/src/main/java/io/quincelead/workers/Strays.java
+++ b/src/main/java/io/quincelead/workers/Strays.java
@@ -1,9 +1,10 @@
 package io.quincelead.workers;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.Settings;
+import io.quincelead.config.constants.TransportConstants;
+import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.net.Codec;
 import io.quincelead.net.Request;
 import io.quincelead.net.Transport;
@@ -67,7 +68,7 @@
     }
 
     void expireEntries() {
-        misrouted.values().removeIf(sighting -> loop.nowMillis() - sighting.sinceMillis > 20 * Constants.STRAY_MS);
+        misrouted.values().removeIf(sighting -> loop.nowMillis() - sighting.sinceMillis > 20 * WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS);
         newestHeartbeats.keySet().removeIf(host -> shards.ownerOf(host) == null);
         if (membershipLease.isValid()) {
             keptAlive.clear();
@@ -100,10 +101,10 @@
             leaderNotifier.accept(worker);
             if (settings.memberId().equals(shards.leaderId())) {
                 // The grant is a few ms away: the worker then hears at once where to go.
-                loop.runAfter(Constants.REPORT_PATIENCE_MS, () -> redirectToOwner(request, host));
+                loop.runAfter(WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS, () -> redirectToOwner(request, host));
                 return;
             }
-        } else if (now - sighting.sinceMillis > Constants.STRAY_MS) {
+        } else if (now - sighting.sinceMillis > WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS) {
             probeWorker(worker, heartbeat);
         }
         redirectToOwner(request, host);
@@ -117,10 +118,10 @@
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
             return;
         }
-        transport.call(worker.address(), "GET", "/show", Codec.CBOR, null, Constants.NEAR_TIMEOUT_MS, (status, bytes) -> {
+        transport.call(worker.address(), "GET", "/show", Codec.CBOR, null, TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
             hostsBeingProbed.remove(worker.host());
             Report current = Report.parse(bytes);
-            if (status == 200 && current != null && current.agentEpoch == heartbeat.agentEpoch && current.serial <= heartbeat.serial + Constants.STRAY_SERIALS) {
+            if (status == 200 && current != null && current.agentEpoch == heartbeat.agentEpoch && current.serial <= heartbeat.serial + WorkerConstants.MAX_MISROUTED_SERIAL_ADVANCE_HEARTBEATS) {
                 leaderNotifier.accept(worker);
             }
         });
@@ -134,13 +135,13 @@
         long now = loop.nowMillis();
         double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
         // Sent on, a worker may try all others in vain; its lease must outlast that.
-        if (leaseMillis < Constants.WORKER_TRY_MS * (settings.controllerCount() - 1) * Constants.KEEP_ALIVE_TRIES) {
+        if (leaseMillis < WorkerConstants.CONTROLLER_RETRY_INTERVAL_MILLIS * (settings.controllerCount() - 1) * WorkerConstants.MIN_CONTROLLER_SWEEPS_PER_LEASE) {
             return false;
         }
         // Not among the strays: on record again, it has its time to find its owner from then on.
         misrouted.remove(host);
         Astray sighting = keptAlive.merge(host, new Astray(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
-        if (now - sighting.sinceMillis > leaseMillis * Constants.KEEP_ALIVE_SHARE) {
+        if (now - sighting.sinceMillis > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
             keptAlive.remove(host);
             return false;
         }
--- a/src/main/java/io/quincelead/zones/ZoneJudge.java
+++ b/src/main/java/io/quincelead/zones/ZoneJudge.java
@@ -1,6 +1,6 @@
 package io.quincelead.zones;
 
-import io.quincelead.base.Constants;
+import io.quincelead.config.constants.ZoneConstants;
 import io.quincelead.records.ZoneTable.Order;
 import io.quincelead.records.ZoneTable.State;
 import io.quincelead.records.ZoneTable.Zone;
@@ -25,8 +25,8 @@
 
     /** The next record; the same one if nothing changes, null when the zone is up and needs none. */
     Zone evaluate(Zone zone, Sight observation, long nowMillis) {
-        boolean isConclusive = observation.otherZonesReachable && observation.knownCount >= Constants.ZONE_LEAST && observation.knownCount * 2 >= observation.machineCount;
-        boolean isUnreachable = isConclusive && observation.reachableCount < observation.knownCount * Constants.ZONE_HEARD_SHARE;
+        boolean isConclusive = observation.otherZonesReachable && observation.knownCount >= ZoneConstants.MIN_EVALUATED_MACHINES && observation.knownCount * 2 >= observation.machineCount;
+        boolean isUnreachable = isConclusive && observation.reachableCount < observation.knownCount * ZoneConstants.MIN_HEARD_FRACTION;
         boolean isReachable = observation.reachableCount >= Math.max(1, observation.knownCount / 2);
         return switch (zone.state()) {
             case UP -> isUnreachable ? new Zone(zone.name(), State.DOUBTFUL, nowMillis, observation.machineCount, zone.recentLossCount(), observation.reachableCount + " of " + observation.knownCount + " machines are heard", zone.operatorOrder()) : zone;
@@ -35,20 +35,20 @@
             // Cut never becomes lost by time: only by the cloud's word, or its answer to a release that somebody decided.
             case CUT -> isGone(zone, observation) ? markLost(zone, observation, nowMillis) : isReachable ? recover(zone, nowMillis) : zone;
             // With nobody left there to be heard, new machines are tried when it has been lost for as long as it must hold.
-            case LOST -> observation.reachableCount >= Constants.ZONE_LEAST || observation.reachableCount > 0 && nowMillis - zone.sinceEpochMillis() > silenceThresholdMillis ? zone.withOperatorOrder(Order.NONE).withState(State.RETURNING, nowMillis, observation.reachableCount + " machines are heard again")
+            case LOST -> observation.reachableCount >= ZoneConstants.MIN_EVALUATED_MACHINES || observation.reachableCount > 0 && nowMillis - zone.sinceEpochMillis() > silenceThresholdMillis ? zone.withOperatorOrder(Order.NONE).withState(State.RETURNING, nowMillis, observation.reachableCount + " machines are heard again")
                     : observation.machineCount == 0 && nowMillis - zone.sinceEpochMillis() > requiredSettleMillis(zone) ? zone.withOperatorOrder(Order.NONE).withState(State.RETURNING, nowMillis, "machines may be rented there again") : zone;
             case RETURNING -> isUnreachable ? doubtAgain(zone, observation, nowMillis) : observation.reachableCount > 0 && nowMillis - zone.sinceEpochMillis() > requiredSettleMillis(zone) ? zone.withState(State.SETTLED, nowMillis, "held for " + Math.round(requiredSettleMillis(zone) / 1000) + " s") : zone;
-            case SETTLED -> isUnreachable ? doubtAgain(zone, observation, nowMillis) : nowMillis - zone.sinceEpochMillis() > Constants.ZONE_FORGOTTEN_MS ? null : zone;
+            case SETTLED -> isUnreachable ? doubtAgain(zone, observation, nowMillis) : nowMillis - zone.sinceEpochMillis() > ZoneConstants.FORGET_LOSS_AFTER_MILLIS ? null : zone;
         };
     }
 
     /** The time for which it must hold doubles with each loss of late. */
     double requiredSettleMillis(Zone zone) {
-        return Math.min(Constants.ZONE_SETTLE_MOST_MS, baseSettleMillis * Math.pow(2, Math.max(0, zone.recentLossCount() - 1)));
+        return Math.min(ZoneConstants.MAX_SETTLE_MILLIS, baseSettleMillis * Math.pow(2, Math.max(0, zone.recentLossCount() - 1)));
     }
 
     private static boolean isGone(Zone zone, Sight observation) {
-        return zone.machineCountWhenDoubted() >= Constants.ZONE_LEAST && observation.remainingCount <= zone.machineCountWhenDoubted() * (1 - Constants.ZONE_GONE_SHARE);
+        return zone.machineCountWhenDoubted() >= ZoneConstants.MIN_EVALUATED_MACHINES && observation.remainingCount <= zone.machineCountWhenDoubted() * (1 - ZoneConstants.LOST_MACHINES_FRACTION);
     }
 
     private static Zone markLost(Zone zone, Sight observation, long nowMillis) {
--- a/src/main/java/io/quincelead/zones/ZoneWatch.java
+++ b/src/main/java/io/quincelead/zones/ZoneWatch.java
@@ -1,8 +1,9 @@
 package io.quincelead.zones;
 
-import io.quincelead.base.Constants;
 import io.quincelead.base.Loop;
 import io.quincelead.base.OperatorSettings;
+import io.quincelead.config.constants.RecordConstants;
+import io.quincelead.config.constants.ZoneConstants;
 import io.quincelead.leader.Leader;
 import io.quincelead.policy.Policy;
 import io.quincelead.records.Blocks;
@@ -82,7 +83,7 @@
         this.leader = leader;
         this.machineVisibility = machineVisibility;
         this.healthEvaluator = new ZoneJudge(silenceThresholdMillis, settings.settleSeconds() * 1000);
-        eventLoop.runEvery(Constants.ZONE_TICK_MS, this::runRecoveryPass);
+        eventLoop.runEvery(ZoneConstants.EVALUATION_INTERVAL_MILLIS, this::runRecoveryPass);
     }
 
     private void runRecoveryPass() {
@@ -176,7 +177,7 @@
                 MachineTable.Machine m = machines.get(placement.host);
                 Catalog.Shape machineType = m == null ? null : catalog.get(m.machineType());
                 double fetchMillis = machineType == null ? 0 : job.spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01) * 1000;
-                if (m == null || placement.stopRequested || placement.isTerminated() || eventLoop.nowMillis() - placement.recordSeenAtMillis < Constants.MOVE_STEADY_MS + fetchMillis) {
+                if (m == null || placement.stopRequested || placement.isTerminated() || eventLoop.nowMillis() - placement.recordSeenAtMillis < ZoneConstants.REPLICA_STEADY_AFTER_MILLIS + fetchMillis) {
                     // A replica is away already, or has its place but may not serve yet.
                     return null;
                 }
@@ -209,7 +210,7 @@
         }
         for (Move m : findMoves()) {
             if (hasFreeCapacity(m.job, m.toZone)) {
-                Chunk page = m.job.page(m.replica.taskIndex / Constants.CHUNK_TASKS);
+                Chunk page = m.job.page(m.replica.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
                 Chunk.Edit edit = page.edit();
                 edit.requestStop(m.replica.taskIndex);
                 movedAtMillis = eventLoop.nowMillis();
@@ -242,7 +243,7 @@
 
     /** Records which heavy images machines have, a machine record at a time, when the store has changes to spare. */
     private Txn proposeImageRecord() {
-        if (eventLoop.nowMillis() - imagesRecordedAtMillis < Constants.IMAGES_EVERY_MS || store.backpressure() > 0) {
+        if (eventLoop.nowMillis() - imagesRecordedAtMillis < ZoneConstants.IMAGE_RECORD_INTERVAL_MILLIS || store.backpressure() > 0) {
             return null;
         }
         imagesRecordedAtMillis = eventLoop.nowMillis();
