--- a/src/bench/java/io/quincelead/placing/RoundBench.java
+++ b/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
@@ -1,7 +1,7 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.records.JobSpec;
-import io.quincelead.world.Jobs;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.simulation.JobFixtures;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -27,7 +27,7 @@
 @Fork(value = 1, jvmArgsAppend = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx1g"})
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
-public class RoundBench {
+public class SchedulingCycleBenchmark {
     @Param({"100", "1000", "5000"})
     int machines;
     @Param({"10", "300", "3000"})
@@ -37,20 +37,20 @@
     /** Priority classes and entries of the calendar on record; 0: none. */
     @Param({"0", "128"})
     int classes;
-    private Cluster cluster;
+    private ClusterFixture cluster;
 
     @Setup(Level.Trial) public void fillCluster() {
         SplittableRandom random = new SplittableRandom(7);
-        cluster = new Cluster(machines, random);
+        cluster = new ClusterFixture(machines, random);
         double cpus = cluster.machineTypeByHost.values().stream().mapToDouble(s -> s.cpus()).sum();
         int id = 0;
         for (int remaining = running; remaining > 0; remaining -= 100) {
-            JobSpec.Urgency priority = id % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL;
-            cluster.addRunningJob(Jobs.array(++id, "red", priority, Math.min(100, remaining), Math.min(4, 0.95 * cpus / running), 60), random);
+            JobSpec.Priority priority = id % 2 == 0 ? JobSpec.Priority.BEST_EFFORT : JobSpec.Priority.NORMAL;
+            cluster.addRunningJob(JobFixtures.array(++id, "red", priority, Math.min(100, remaining), Math.min(4, 0.95 * cpus / running), 60), random);
         }
         for (int i = 0; i < waiting; i++) {
-            JobSpec.Urgency priority = JobSpec.Urgency.values()[1 + Math.min(2, random.nextInt(5) / 2)];
-            cluster.addWaitingJob(Jobs.array(++id, "red", priority, 1 + random.nextInt(60), 1 + random.nextDouble() * 3, 20));
+            JobSpec.Priority priority = JobSpec.Priority.values()[1 + Math.min(2, random.nextInt(5) / 2)];
+            cluster.addWaitingJob(JobFixtures.array(++id, "red", priority, 1 + random.nextInt(60), 1 + random.nextDouble() * 3, 20));
         }
         if (classes > 0) {
             cluster.addOperatorRecords(classes, 1_000, 20);
@@ -59,7 +59,7 @@
 
     /** At most 12 records, as the store takes. */
     @Benchmark public int runCycle() {
-        Plan plan = cluster.newPlan(12);
+        SchedulingPlan plan = cluster.newPlan(12);
         cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
         return plan.edits.size();
     }
--- a/src/main/java/io/quincelead/jobs/UserApi.java
+++ b/src/main/java/io/quincelead/api/UserApi.java
@@ -1,29 +1,29 @@
-package io.quincelead.jobs;
+package io.quincelead.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.state.Committer;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.store.GroupCommitter;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -40,32 +40,32 @@
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
     private static final String RUNS_PATH = "/v2/runs";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Session membershipLease;
-    private final Mirror watchCache;
+    private final MembershipLease membershipLease;
+    private final WatchCache watchCache;
     private final StoreClient store;
-    private final Committer committer;
-    private final Blocks shards;
+    private final GroupCommitter committer;
+    private final ClusterMembership shards;
     private final JobTable jobs;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Policy policy;
-    private final Entrance admission;
+    private final JobAdmission admission;
     private final Cache<String, ObjectNode> finalResponses = Caffeine.newBuilder().maximumSize(ApiConstants.MAX_CACHED_FINAL_STATES).executor(Runnable::run).build();
-    private final ArrayDeque<Poll> pendingQueries = new ArrayDeque<>();
+    private final ArrayDeque<PendingQuery> pendingQueries = new ArrayDeque<>();
     private final Set<String> completing = new HashSet<>();
     private boolean barrierScheduled;
     private int barriersInFlight;
     private boolean removingOrphans;
 
     /** {@code otherwise}, {@code why}: how it is refused once the store has shown that there is no such job. */
-    private record Poll(String jobId, Request request, long deadlineMillis, int absentStatus, String absentReason) { }
+    private record PendingQuery(String jobId, IncomingRequest request, long deadlineMillis, int absentStatus, String absentReason) { }
 
     /** What a barrier compares for a poll; {@code absent}: nothing is known of the job here. */
-    private record Compared(Poll query, Job job, boolean absent, List<String> keys) { }
+    private record BarrierCheck(PendingQuery query, Job job, boolean absent, List<String> keys) { }
 
-    public UserApi(Loop loop, Settings settings, Session membershipLease, Mirror watchCache, StoreClient store, Committer committer,
-            Blocks shards, JobTable jobs, Catalog catalog, Policy policy, Entrance admission) {
+    public UserApi(EventLoop loop, Settings settings, MembershipLease membershipLease, WatchCache watchCache, StoreClient store, GroupCommitter committer,
+            ClusterMembership shards, JobTable jobs, MachineTypeCatalog catalog, Policy policy, JobAdmission admission) {
         this.policy = policy;
         this.loop = loop;
         this.settings = settings;
@@ -85,7 +85,7 @@
         return watchCache.isSynced() && membershipLease.isValid();
     }
 
-    public void handle(Request request) {
+    public void handle(IncomingRequest request) {
         String path = request.path;
         if (path.equals(RUNS_PATH)) {
             if (requireMethod(request, "POST")) {
@@ -109,7 +109,7 @@
         }
     }
 
-    private static boolean requireMethod(Request request, String method) {
+    private static boolean requireMethod(IncomingRequest request, String method) {
         if (request.method.equals(method)) {
             return true;
         }
@@ -119,12 +119,12 @@
 
     // ---- submissions
 
-    private void submitJob(Request request) {
-        ObjectNode body = Codec.CBOR.decodeMap(request.body);
+    private void submitJob(IncomingRequest request) {
+        ObjectNode body = WireFormat.CBOR.decodeMap(request.body);
         JobSpec spec;
         try {
             spec = JobSpec.decode(body);
-        } catch (JobSpec.Malformed malformed) {
+        } catch (JobSpec.MalformedJobException malformed) {
             String jobId = body == null ? "" : body.path("nameId").asText();
             if (JobSpec.isValidJobId(jobId)) {
                 queryJob(jobId, request, 400, malformed.getMessage());
@@ -151,15 +151,15 @@
             return;
         }
         Job job = new Job(spec, settings.memberId(), loop.wallClockMillis());
-        Txn.Done onOutcome = outcome -> {
+        Transaction.OutcomeHandler onOutcome = outcome -> {
             switch (outcome.result()) {
-                case COMMITTED -> request.respond(201, Codec.newMap().put("nameId", spec.jobId()).put("status", "pending"));
+                case COMMITTED -> request.respond(201, WireFormat.newMap().put("nameId", spec.jobId()).put("status", "pending"));
                 case CONFLICT -> queryJob(spec.jobId(), request);
                 default -> request.respondRetryLater(503, "the state service does not answer");
             }
         };
         if (!admission.admit(job, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome)) {
-            Txn transaction = new Txn().requireRevision(job.storeKey(), 0).requireRevision(Keys.FINAL_STATE_PREFIX + spec.jobId(), 0).put(job.storeKey(), job.encode());
+            Transaction transaction = new Transaction().requireRevision(job.storeKey(), 0).requireRevision(StoreKeys.FINAL_STATE_PREFIX + spec.jobId(), 0).put(job.storeKey(), job.encode());
             committer.submit(transaction, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome);
         }
     }
@@ -184,12 +184,12 @@
 
     // ---- polls
 
-    private void queryJob(String jobId, Request request) {
+    private void queryJob(String jobId, IncomingRequest request) {
         queryJob(jobId, request, 404, "no such job");
     }
 
     /** A job that was accepted once is never refused, whatever its submission would get now: that is told only where there is none. */
-    private void queryJob(String jobId, Request request, int absentStatus, String absentReason) {
+    private void queryJob(String jobId, IncomingRequest request, int absentStatus, String absentReason) {
         ObjectNode cached = finalResponses.getIfPresent(jobId);
         if (cached != null) {
             request.respond(200, cached);
@@ -207,7 +207,7 @@
             request.respondRetryLater(429, "too many polls");
             return;
         }
-        pendingQueries.addLast(new Poll(jobId, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, absentStatus, absentReason));
+        pendingQueries.addLast(new PendingQuery(jobId, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, absentStatus, absentReason));
         scheduleBarrier(ApiConstants.READ_BARRIER_INTERVAL_MILLIS);
     }
 
@@ -237,10 +237,10 @@
             scheduleBarrier(Math.min(storeWaitMillis, StoreConstants.RETRY_DELAY_MILLIS));
             return;
         }
-        Txn comparison = new Txn();
-        List<Compared> batch = new ArrayList<>();
+        Transaction comparison = new Transaction();
+        List<BarrierCheck> batch = new ArrayList<>();
         while (!pendingQueries.isEmpty()) {
-            Compared next = barrierCheck(pendingQueries.peekFirst());
+            BarrierCheck next = barrierCheck(pendingQueries.peekFirst());
             if (next.keys.size() > store.maxTransactionOperations() * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION) {
                 // More records than a comparison holds: they are read.
                 readFromStore(pendingQueries.pollFirst());
@@ -266,28 +266,28 @@
     }
 
     /** All that an answer is made of: the job's own record, and those of its tasks where these are kept apart. */
-    private Compared barrierCheck(Poll query) {
+    private BarrierCheck barrierCheck(PendingQuery query) {
         Job job = jobs.get(query.jobId);
-        List<String> keys = new ArrayList<>(List.of(Keys.JOB_PREFIX + query.jobId));
-        boolean absent = watchCache.modRevision(Keys.JOB_PREFIX + query.jobId) == 0;
+        List<String> keys = new ArrayList<>(List.of(StoreKeys.JOB_PREFIX + query.jobId));
+        boolean absent = watchCache.modRevision(StoreKeys.JOB_PREFIX + query.jobId) == 0;
         if (absent) {
-            keys.add(Keys.FINAL_STATE_PREFIX + query.jobId);
+            keys.add(StoreKeys.FINAL_STATE_PREFIX + query.jobId);
         } else if (job != null && !job.hasSinglePage()) {
             for (int page = 0; page < job.pages.length; page++) {
                 keys.add(job.page(page).storeKey());
             }
         }
-        return new Compared(query, job, absent, keys);
+        return new BarrierCheck(query, job, absent, keys);
     }
 
     /** 404 only if the store itself has just shown that neither record exists. */
-    private void answerQuery(Compared check, Txn.Outcome outcome) {
-        Poll query = check.query;
-        if (outcome.result() != Txn.Result.COMMITTED && outcome.result() != Txn.Result.CONFLICT) {
+    private void answerQuery(BarrierCheck check, Transaction.Outcome outcome) {
+        PendingQuery query = check.query;
+        if (outcome.result() != Transaction.Result.COMMITTED && outcome.result() != Transaction.Result.CONFLICT) {
             query.request.respondRetryLater(503, "the state service does not answer");
             return;
         }
-        boolean unchanged = outcome.result() == Txn.Result.COMMITTED || !outcome.failedKeys().isEmpty() && check.keys.stream().noneMatch(outcome.failedKeys()::contains);
+        boolean unchanged = outcome.result() == Transaction.Result.COMMITTED || !outcome.failedKeys().isEmpty() && check.keys.stream().noneMatch(outcome.failedKeys()::contains);
         if (unchanged && check.absent) {
             query.request.respondError(query.absentStatus, query.absentReason);
         } else if (unchanged && check.job != null && jobs.get(query.jobId) == check.job) {
@@ -299,12 +299,12 @@
     }
 
     /** The mirror is behind on this job: the answer is made of its records themselves. Jobs move to their final key, never back. */
-    private void readFromStore(Poll query) {
-        store.get(Keys.JOB_PREFIX + query.jobId, (status, body) -> {
+    private void readFromStore(PendingQuery query) {
+        store.get(StoreKeys.JOB_PREFIX + query.jobId, (status, body) -> {
             if (status == 200 && body.path("value").path("s").path("members").asInt() > RecordConstants.TASKS_PER_STATE_PAGE) {
-                readTaskPages(query, null, new Chunk.Counts(0, 0));
+                readTaskPages(query, null, new TaskStatePage.TaskCounts(0, 0));
             } else if (status == 200) {
-                query.request.respond(200, Job.encodeStatus(query.jobId, Chunk.Counts.of(body.path("value").path("k"))));
+                query.request.respond(200, Job.encodeStatus(query.jobId, TaskStatePage.TaskCounts.of(body.path("value").path("k"))));
             } else {
                 answerFromFinalRecord(query, status);
             }
@@ -312,24 +312,24 @@
     }
 
     /** The tasks of a larger job, page by page; then whether the job still was there, so that nothing was swept away meanwhile. */
-    private void readTaskPages(Poll query, String afterKey, Chunk.Counts countsBefore) {
-        store.list(Keys.TASK_STATE_PAGE_PREFIX + query.jobId + "/", afterKey, (status, body) -> {
+    private void readTaskPages(PendingQuery query, String afterKey, TaskStatePage.TaskCounts countsBefore) {
+        store.list(StoreKeys.TASK_STATE_PAGE_PREFIX + query.jobId + "/", afterKey, (status, body) -> {
             if (status != 200 || !body.path("items").isArray()) {
                 query.request.respondRetryLater(503, "the state service does not answer");
                 return;
             }
-            Chunk.Counts counts = countsBefore;
+            TaskStatePage.TaskCounts counts = countsBefore;
             String lastKey = afterKey;
             for (JsonNode item : body.path("items")) {
-                counts = counts.plus(Chunk.Counts.of(item.path("value")));
+                counts = counts.plus(TaskStatePage.TaskCounts.of(item.path("value")));
                 lastKey = item.path("path").asText();
             }
             if (body.path("truncated").asBoolean() && lastKey != null) {
                 readTaskPages(query, lastKey, counts);
                 return;
             }
-            Chunk.Counts total = counts;
-            store.get(Keys.JOB_PREFIX + query.jobId, (jobStatus, job) -> {
+            TaskStatePage.TaskCounts total = counts;
+            store.get(StoreKeys.JOB_PREFIX + query.jobId, (jobStatus, job) -> {
                 if (jobStatus == 200) {
                     query.request.respond(200, Job.encodeStatus(query.jobId, total));
                 } else {
@@ -339,7 +339,7 @@
         });
     }
 
-    private void answerFromFinalRecord(Poll query, int status) {
+    private void answerFromFinalRecord(PendingQuery query, int status) {
         if (status == 404) {
             readFinalRecord(query.jobId, query.request, () -> query.request.respondError(query.absentStatus, query.absentReason));
         } else {
@@ -347,8 +347,8 @@
         }
     }
 
-    private void readFinalRecord(String jobId, Request request, Runnable ifAbsent) {
-        store.get(Keys.FINAL_STATE_PREFIX + jobId, (status, body) -> {
+    private void readFinalRecord(String jobId, IncomingRequest request, Runnable ifAbsent) {
+        store.get(StoreKeys.FINAL_STATE_PREFIX + jobId, (status, body) -> {
             if (status == 200) {
                 ObjectNode response = finalResponse(jobId, body.path("value").path("s").asText(), body.path("value").path("n").asInt());
                 finalResponses.put(jobId, response);
@@ -362,12 +362,12 @@
     }
 
     private static ObjectNode finalResponse(String jobId, String status, int completedTasks) {
-        return Codec.newMap().put("nameId", jobId).put("status", status).put("done", completedTasks).put("running", 0);
+        return WireFormat.newMap().put("nameId", jobId).put("status", status).put("done", completedTasks).put("running", 0);
     }
 
     // ---- cancellations
 
-    private void cancelJob(String jobId, Request request) {
+    private void cancelJob(String jobId, IncomingRequest request) {
         ObjectNode cached = finalResponses.getIfPresent(jobId);
         if (cached != null) {
             request.respond(200, cached);
@@ -384,7 +384,7 @@
         Job job = jobs.get(jobId);
         LOG.debug("the cancellation of {} is asked for", jobId);
         if (job == null) {
-            store.get(Keys.JOB_PREFIX + jobId, (status, body) -> {
+            store.get(StoreKeys.JOB_PREFIX + jobId, (status, body) -> {
                 if (status == 200) {
                     request.respondRetryLater(503, "this controller is catching up");
                 } else if (status == 404) {
@@ -406,8 +406,8 @@
         commitCancellation(job, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS);
     }
 
-    private void commitCancellation(Job job, Request request, long deadlineMillis) {
-        Txn transaction = new Txn().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
+    private void commitCancellation(Job job, IncomingRequest request, long deadlineMillis) {
+        Transaction transaction = new Transaction().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
         committer.submit(transaction, Math.max(0, deadlineMillis - loop.nowMillis()), outcome -> {
             LOG.debug("the cancellation of {}: {}", job.spec.jobId(), outcome.result());
             switch (outcome.result()) {
@@ -430,7 +430,7 @@
      * the record on nothing starts, and the job ends by itself; a user who is sent away asks again. {@code empty}: at the last look
      * no task had a place on record, and yet its own controller had not ended it; the store may refuse that one alone.
      */
-    private void awaitTermination(String jobId, Request request, long deadlineMillis, boolean wasTerminated) {
+    private void awaitTermination(String jobId, IncomingRequest request, long deadlineMillis, boolean wasTerminated) {
         Job job = jobs.get(jobId);
         boolean terminated = job != null && job.isCancelled() && job.placedTaskCount() == 0;
         // Every chunk must fit the guards: its own controller alone knows all of a larger job.
@@ -469,8 +469,8 @@
         String jobId = job.spec.jobId();
         String status = job.isCancelled() ? "cancelled" : "done";
         int completedTasks = job.isCancelled() ? job.completedTaskCount() : job.spec.taskCount();
-        ObjectNode finalRecord = Codec.newMap().put("s", status).put("n", completedTasks);
-        Txn transaction = new Txn().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).remove(job.storeKey()).put(Keys.FINAL_STATE_PREFIX + jobId, finalRecord);
+        ObjectNode finalRecord = WireFormat.newMap().put("s", status).put("n", completedTasks);
+        Transaction transaction = new Transaction().requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).remove(job.storeKey()).put(StoreKeys.FINAL_STATE_PREFIX + jobId, finalRecord);
         policy.recordCompletion(job, finalRecord, transaction, loop.wallClockMillis());
         for (int page = 0; page < job.pages.length; page++) {
             String key = job.page(page).storeKey();
@@ -489,7 +489,7 @@
         }
         ObjectNode response = finalResponse(jobId, status, completedTasks);
         committer.submit(transaction, StoreConstants.REQUEST_TIMEOUT_MILLIS, outcome -> {
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 finalResponses.put(jobId, response);
                 completing.remove(jobId);
             } else {
@@ -507,10 +507,10 @@
         if (removingOrphans || jobs.orphanPageKeys().isEmpty() || !settings.memberId().equals(shards.leaderId())) {
             return;
         }
-        Txn transaction = new Txn();
+        Transaction transaction = new Transaction();
         for (String key : jobs.orphanPageKeys()) {
             // Only where the job is over for good: after a relist a chunk may be seen before its job.
-            String jobKey = Keys.JOB_PREFIX + key.substring(Keys.TASK_STATE_PAGE_PREFIX.length(), key.lastIndexOf('/'));
+            String jobKey = StoreKeys.JOB_PREFIX + key.substring(StoreKeys.TASK_STATE_PAGE_PREFIX.length(), key.lastIndexOf('/'));
             if (!transaction.fits(1, 1, store.maxTransactionOperations())) {
                 break;
             }
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,78 +1,78 @@
 package io.quincelead.app;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
-import io.quincelead.cloud.Fleet;
+import io.quincelead.api.UserApi;
+import io.quincelead.autoscaler.Autoscaler;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.jobs.UserApi;
-import io.quincelead.leader.Leader;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.net.Transport;
-import io.quincelead.peers.Peers;
-import io.quincelead.placing.Explainer;
-import io.quincelead.placing.Rounds;
-import io.quincelead.policy.Clerk;
-import io.quincelead.policy.Office;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.leadership.Leader;
+import io.quincelead.peer.PeerMessenger;
+import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
-import io.quincelead.state.Committer;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
-import io.quincelead.workers.Desk;
-import io.quincelead.workers.Own;
-import io.quincelead.workers.Stray;
-import io.quincelead.zones.ZoneDesk;
-import io.quincelead.zones.ZoneWatch;
+import io.quincelead.policy.PolicyReconciler;
+import io.quincelead.scheduler.QueueExplainer;
+import io.quincelead.scheduler.SchedulingCycle;
+import io.quincelead.store.GroupCommitter;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
+import io.quincelead.worker.MisroutedWorker;
+import io.quincelead.worker.ShardWorker;
+import io.quincelead.worker.WorkerGateway;
+import io.quincelead.zone.ZoneOperatorApi;
+import io.quincelead.zone.ZoneRecoveryController;
 import java.util.Collection;
 import java.util.Map;
 
 /** One controller: the slices, wired. It knows no sockets and no clocks but the loop's and the transport's. */
 public final class Controller {
     private final Settings settings;
-    private final Session membershipLease;
-    private final Mirror watchCache;
-    private final Desk workerGateway;
+    private final MembershipLease membershipLease;
+    private final WatchCache watchCache;
+    private final WorkerGateway workerGateway;
     private final UserApi userApi;
-    private final Peers peerMessenger;
+    private final PeerMessenger peerMessenger;
     private final JobTable jobs;
-    private final Blocks clusterMembership;
-    private final Rounds schedulingCycle;
-    private final Office operatorApi;
+    private final ClusterMembership clusterMembership;
+    private final SchedulingCycle schedulingCycle;
+    private final OperatorApi operatorApi;
 
-    public Controller(Loop loop, Transport transport, Settings settings, OperatorSettings operatorSettings) {
+    public Controller(EventLoop loop, Transport transport, Settings settings, OperatorSettings operatorSettings) {
         this.settings = settings;
         StoreClient store = new StoreClient(loop, transport, settings);
-        watchCache = new Mirror(loop, store, settings.storeLimits().requestsPerSecond() / settings.controllerCount());
-        membershipLease = new Session(loop, store, settings.memberId(), settings.clusterListenAddress(),
-                Session.leaseMillis(operatorSettings.shardLeaseSeconds(), settings.workerTimings().leaseSeconds()));
-        clusterMembership = new Blocks(settings, watchCache);
+        watchCache = new WatchCache(loop, store, settings.storeLimits().requestsPerSecond() / settings.controllerCount());
+        membershipLease = new MembershipLease(loop, store, settings.memberId(), settings.clusterListenAddress(),
+                MembershipLease.leaseMillis(operatorSettings.shardLeaseSeconds(), settings.workerTimings().leaseSeconds()));
+        clusterMembership = new ClusterMembership(settings, watchCache);
         jobs = new JobTable(loop, watchCache);
         Policy policy = new Policy(watchCache);
         ZoneTable zones = new ZoneTable(watchCache);
-        Kinds constrainedDemand = new Kinds(loop, jobs);
+        ConstrainedDemand constrainedDemand = new ConstrainedDemand(loop, jobs);
         MachineTable machines = new MachineTable(watchCache);
-        Catalog machineTypeCatalog = new Catalog(watchCache);
+        MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog(watchCache);
         ImageCaches imageCaches = new ImageCaches(machines, label -> machineTypeCatalog.get(label) == null ? 0 : machineTypeCatalog.get(label).localDiskGb());
         jobs.onPlacementRecorded(p -> imageCaches.recordUse(p.host, p.job.spec));
         loop.runEvery(AutoscalerConstants.INVENTORY_INTERVAL_MILLIS, imageCaches::pruneUnrecordedMachines);
         Leader leader = new Leader(loop, settings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, policy);
-        peerMessenger = new Peers(loop, settings, clusterMembership, transport, leader);
-        schedulingCycle = new Rounds(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, imageCaches, constrainedDemand, policy, this::flushWorkerResponses);
-        workerGateway = new Desk(loop, settings, membershipLease, clusterMembership, jobs, machines, machineTypeCatalog, watchCache, store, transport, policy, zones, new Desk.Office() {
-            @Override public void onMisroutedWorker(Stray stray) {
+        peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
+        schedulingCycle = new SchedulingCycle(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, imageCaches, constrainedDemand, policy, this::flushWorkerResponses);
+        workerGateway = new WorkerGateway(loop, settings, membershipLease, clusterMembership, jobs, machines, machineTypeCatalog, watchCache, store, transport, policy, zones, new WorkerGateway.Callbacks() {
+            @Override public void onMisroutedWorker(MisroutedWorker stray) {
                 peerMessenger.reportMisroutedWorker(stray);
             }
 
@@ -90,33 +90,33 @@
         });
         schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
         peerMessenger.setWorkerGateway(workerGateway);
-        ZoneWatch.Eyes machineVisibility = new ZoneWatch.Eyes() {
+        ZoneRecoveryController.MachineVisibility machineVisibility = new ZoneRecoveryController.MachineVisibility() {
             @Override public Boolean isBooting(String host) {
                 return clusterMembership.ownerOf(host) == null ? null : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
             }
 
             @Override public boolean isReachable(String host) {
-                Own own = workerGateway.worker(host);
+                ShardWorker own = workerGateway.worker(host);
                 return own != null ? own.isSchedulable() : clusterMembership.ownerOf(host) != null && peerMessenger.isReportedSchedulable(clusterMembership.ownerOf(host), host);
             }
         };
-        ZoneWatch zoneRecoveryController = null;
+        ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(host -> imageCaches.largeImages(host, operatorSettings.zoneRecovery().heavyImageGb()), imageCaches::mergeRecorded);
-            zoneRecoveryController = new ZoneWatch(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + WorkerConstants.SILENCE_SLACK_MILLIS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
+            zoneRecoveryController = new ZoneRecoveryController(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + WorkerConstants.SILENCE_SLACK_MILLIS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
                     policy, leader, machineVisibility);
         }
-        Fleet autoscaler = new Fleet(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, leader, transport,
+        Autoscaler autoscaler = new Autoscaler(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, leader, transport,
                 this::isBooting, this::recordTaskTermination, constrainedDemand, policy, zones, zoneRecoveryController == null ? Map::of : zoneRecoveryController::rebalanceDemand);
         leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
-        Committer groupCommitter = new Committer(loop, store, watchCache);
+        GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi = new UserApi(loop, settings, membershipLease, watchCache, store, groupCommitter, clusterMembership, jobs, machineTypeCatalog, policy, schedulingCycle::admit);
-        new Clerk(loop, settings.memberId(), watchCache, store, jobs, policy, new Clerk.Chair() {
+        new PolicyReconciler(loop, settings.memberId(), watchCache, store, jobs, policy, new PolicyReconciler.Leadership() {
             @Override public boolean isLeader() {
                 return leader.isLeading();
             }
 
-            @Override public Txn newTransaction() {
+            @Override public Transaction newTransaction() {
                 return leader.newTransaction();
             }
 
@@ -125,14 +125,14 @@
             }
 
             @Override public Collection<String> activeMemberIds() {
-                return clusterMembership.members().stream().map(Blocks.Node::memberId).toList();
+                return clusterMembership.members().stream().map(ClusterMembership.Member::memberId).toList();
             }
         });
-        operatorApi = new Office(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneDesk(operatorSettings.zoneRecovery().enabled(), watchCache, jobs, machines, machineTypeCatalog, imageCaches, zones, policy, operatorApi, machineVisibility);
-        new Explainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
+        operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), watchCache, jobs, machines, machineTypeCatalog, imageCaches, zones, policy, operatorApi, machineVisibility);
+        new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
         watchCache.addChangeListener(() -> {
-            Blocks.Node ownNode = clusterMembership.member(settings.memberId());
+            ClusterMembership.Member ownNode = clusterMembership.member(settings.memberId());
             membershipLease.verifyMemberRecord(ownNode == null ? 0 : ownNode.leaseId(), watchCache.storeRevision());
             schedulingCycle.requestCycleIfNeeded();
             workerGateway.dispatchPendingCommands();
@@ -158,18 +158,18 @@
         if (!settings.memberId().equals(owner)) {
             return peerMessenger.reportedBooting(owner, host);
         }
-        Own shardWorker = workerGateway.worker(host);
+        ShardWorker shardWorker = workerGateway.worker(host);
         return shardWorker == null ? null : shardWorker.isBooting();
     }
 
     /** Users, workers and health checks. */
-    public void handle(Request request) {
+    public void handle(IncomingRequest request) {
         switch (request.path) {
             case "/ready" -> {
                 if (!request.method.equals("GET")) {
                     request.respondError(405, "only GET is allowed here");
                 } else if (userApi.isReady()) {
-                    request.respond(200, Codec.newMap().put("ready", true));
+                    request.respond(200, WireFormat.newMap().put("ready", true));
                 } else {
                     request.respondRetryLater(503, "not ready");
                 }
@@ -186,13 +186,13 @@
     }
 
     /** Other controllers. */
-    public void handlePeerRequest(Request request) {
+    public void handlePeerRequest(IncomingRequest request) {
         if (request.method.equals("POST") && operatorApi.handles(request.path)) {
             operatorApi.handle(request);
         } else if (request.method.equals("POST")) {
             peerMessenger.handle(request);
         } else {
-            request.respond(405, Codec.JSON, Codec.newMap().put("error", "only POST is allowed here"), 0);
+            request.respond(405, WireFormat.JSON, WireFormat.newMap().put("error", "only POST is allowed here"), 0);
         }
     }
 }
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -1,11 +1,12 @@
 package io.quincelead.app;
 
-import io.quincelead.app.cli.Cli;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
+import io.quincelead.cli.OperatorCli;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.TransportConstants;
-import io.quincelead.net.HttpClient;
-import io.quincelead.net.HttpServer;
+import io.quincelead.transport.HttpClient;
+import io.quincelead.transport.HttpServer;
+import io.quincelead.transport.XnioEventLoop;
 import java.io.File;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -48,7 +49,7 @@
         configureLogging();
         if (args.length > 0 && OPERATOR_COMMANDS.contains(args[0])) {
             // Loaded only here: a controller has no use for them.
-            System.exit(Cli.run(args));
+            System.exit(OperatorCli.run(args));
         }
         int exitCode = new CommandLine(new Main()).execute(args);
         if (exitCode != KEEP_RUNNING) {
@@ -75,7 +76,7 @@
     @Override public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
         if (trainClassDataArchive) {
-            Rehearsal.run();
+            ClassDataArchiveTraining.run();
             return 0;
         }
         if (settingsFile == null) {
@@ -86,7 +87,7 @@
         try {
             settings = Settings.load(settingsFile);
             operatorSettings = operatorSettingsFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.load(operatorSettingsFile);
-        } catch (Settings.Invalid e) {
+        } catch (Settings.InvalidSettingsException e) {
             err.println("quincelead: " + e.getMessage());
             return 1;
         }
@@ -108,7 +109,7 @@
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.THREAD_DAEMON, false)
                 .getMap());
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         int maxConnections = settings.processLimits().maxConnections();
         Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
         criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
--- a/src/main/java/io/quincelead/cloud/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -1,33 +1,33 @@
-package io.quincelead.cloud;
+package io.quincelead.autoscaler;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.RateBudget;
-import io.quincelead.net.Transport;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.RateLimiter;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayDeque;
 
 /** The cloud's protocol, within its limit of calls a second. */
 final class CloudClient {
-    private final Loop eventLoop;
+    private final EventLoop eventLoop;
     private final Transport transport;
     private final String cloudAddress;
-    private final RateBudget rateBudget;
+    private final RateLimiter rateBudget;
     private final ArrayDeque<Runnable> pendingCalls = new ArrayDeque<>();
     private boolean isSendScheduled;
 
-    CloudClient(Loop eventLoop, Transport transport, Settings settings) {
+    CloudClient(EventLoop eventLoop, Transport transport, Settings settings) {
         this.eventLoop = eventLoop;
         this.transport = transport;
         this.cloudAddress = settings.cloudAddress();
-        this.rateBudget = new RateBudget(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
+        this.rateBudget = new RateLimiter(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
     }
 
     /** status 0 also stands for a 200 whose body can't be read. */
     @FunctionalInterface
-    interface Answer {
+    interface ResponseHandler {
         void onResponse(int status, ObjectNode body);
     }
 
@@ -36,10 +36,10 @@
         return pendingCalls.size() > 2;
     }
 
-    void call(String method, String path, ObjectNode body, boolean isUrgent, Answer responseHandler) {
-        Runnable sendCall = () -> transport.call(cloudAddress, method, path, Codec.CBOR, body == null ? null : Codec.CBOR.encode(body),
+    void call(String method, String path, ObjectNode body, boolean isUrgent, ResponseHandler responseHandler) {
+        Runnable sendCall = () -> transport.call(cloudAddress, method, path, WireFormat.CBOR, body == null ? null : WireFormat.CBOR.encode(body),
                 AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS, (status, responseBytes) -> {
-                    ObjectNode responseBody = Codec.CBOR.decodeMap(responseBytes);
+                    ObjectNode responseBody = WireFormat.CBOR.decodeMap(responseBytes);
                     if (status == 429) {
                         rateBudget.drain();
                     }
--- a/src/main/java/io/quincelead/cloud/Demand.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -1,15 +1,15 @@
-package io.quincelead.cloud;
-
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+package io.quincelead.autoscaler;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.placing.QueueOrder;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Placement;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.QueueOrder;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -20,18 +20,18 @@
  * How many CPUs the work needs: the usual load, from what arrived lately, and what must be there so that the work in
  * the queue is done by its due times (demand bound: for each due time, the work due by then against the CPU time until then).
  */
-final class Demand {
-    private final Loop eventLoop;
+final class DemandForecast {
+    private final EventLoop eventLoop;
     private final QueueOrder queueOrder;
     private final Settings settings;
     private final Set<String> observedJobIds = new HashSet<>();
     private static final double[] WINDOWS_SECONDS = {AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS, AutoscalerConstants.LONG_LOAD_WINDOW_SECONDS};
-    private final double[][] arrivedCpuSeconds = new double[WINDOWS_SECONDS.length][JobSpec.Urgency.values().length];
-    private final double[] openCpus = new double[JobSpec.Urgency.values().length];
+    private final double[][] arrivedCpuSeconds = new double[WINDOWS_SECONDS.length][JobSpec.Priority.values().length];
+    private final double[] openCpus = new double[JobSpec.Priority.values().length];
     private long observedAtMillis;
     private long observingSinceMillis = -1;
 
-    Demand(Loop eventLoop, QueueOrder queueOrder, Settings settings) {
+    DemandForecast(EventLoop eventLoop, QueueOrder queueOrder, Settings settings) {
         this.eventLoop = eventLoop;
         this.queueOrder = queueOrder;
         this.settings = settings;
@@ -67,9 +67,9 @@
      * CPUs for the usual load, CPUs missing for what would be late, CPUs in use, CPUs the queue needs in time, CPUs waiting, and CPUs
      * that windows of the calendar will need beyond what is there.
      */
-    record Need(double steadyStateCpus, double shortfallCpus, double usedCpus, double deadlineCpus, double pendingCpus, double bookedCpus) {
-        Need withBookedCpus(double cpus) {
-            return new Need(steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
+    record CpuDemand(double steadyStateCpus, double shortfallCpus, double usedCpus, double deadlineCpus, double pendingCpus, double bookedCpus) {
+        CpuDemand withBookedCpus(double cpus) {
+            return new CpuDemand(steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
         }
 
         /** What dear machines should be kept for: what is in use and what the queue needs in time. */
@@ -142,16 +142,16 @@
     }
 
     /** Work by the second in which it is due, and by urgency; running work counts as the most urgent. */
-    private static final class Dues {
+    private static final class WorkByDeadline {
         final TreeMap<Integer, double[]> cpuSecondsByDeadline = new TreeMap<>();
 
         void add(double dueInSeconds, double cpuSeconds, int priorityIndex) {
-            cpuSecondsByDeadline.computeIfAbsent((int) dueInSeconds, s -> new double[JobSpec.Urgency.values().length])[priorityIndex] += cpuSeconds;
+            cpuSecondsByDeadline.computeIfAbsent((int) dueInSeconds, s -> new double[JobSpec.Priority.values().length])[priorityIndex] += cpuSeconds;
         }
     }
 
-    Need estimate(JobTable jobs, Capacity capacity, long wallMillis) {
-        Dues workByDeadline = new Dues();
+    CpuDemand estimate(JobTable jobs, Capacity capacity, long wallMillis) {
+        WorkByDeadline workByDeadline = new WorkByDeadline();
         Map<String, Double> pendingCpusByTeam = new HashMap<>();
         Map<String, Double> usedCpusByTeam = new HashMap<>();
         jobs.all().forEach(job -> usedCpusByTeam.merge(job.spec.team(), job.possiblyRunningTaskCount() * job.spec.cpus(), Double::sum));
@@ -160,7 +160,7 @@
         for (Job job : jobs.all()) {
             JobSpec spec = job.spec;
             double runtimeSeconds = Math.max(1, spec.runtimeSeconds());
-            for (Chunk page : job.pages) {
+            for (TaskStatePage page : job.pages) {
                 if (page == null) {
                     continue;
                 }
@@ -187,7 +187,7 @@
             double wholeRunsSeconds = Math.max(runtimeSeconds, Math.floor(dueInSeconds / runtimeSeconds) * runtimeSeconds);
             workByDeadline.add(Math.min(dueInSeconds, wholeRunsSeconds), placeableCpus * runtimeSeconds, spec.priority().ordinal());
         }
-        double[] steadyCpusBefore = new double[JobSpec.Urgency.values().length];
+        double[] steadyCpusBefore = new double[JobSpec.Priority.values().length];
         for (int priorityIndex = 0; priorityIndex < steadyCpusBefore.length; priorityIndex++) {
             steadyCpusBefore[priorityIndex] = steadyStateCpus(priorityIndex);
         }
@@ -211,6 +211,6 @@
                 }
             }
         }
-        return new Need(steadyStateCpus(arrivedCpuSeconds[0].length) * AutoscalerConstants.USUAL_LOAD_MARGIN_FACTOR, shortfallCpus, usedCpus, deadlineCpus, pendingCpusByTeam.values().stream().mapToDouble(x -> x).sum(), 0);
+        return new CpuDemand(steadyStateCpus(arrivedCpuSeconds[0].length) * AutoscalerConstants.USUAL_LOAD_MARGIN_FACTOR, shortfallCpus, usedCpus, deadlineCpus, pendingCpusByTeam.values().stream().mapToDouble(x -> x).sum(), 0);
     }
 }
--- a/src/main/java/io/quincelead/cloud/CloudList.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -1,41 +1,41 @@
-package io.quincelead.cloud;
+package io.quincelead.autoscaler;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
-import io.quincelead.leader.Leader;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.MachineTable;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.leadership.Leader;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What the cloud says without being asked for anything: its machine types with their prices, and its list of machines. */
-final class CloudList {
-    private static final Logger LOG = LoggerFactory.getLogger(CloudList.class);
-    private final Loop eventLoop;
+final class InstanceInventory {
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceInventory.class);
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final StoreClient store;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Leader leader;
     private final CloudClient cloudClient;
-    private final Changes committer;
-    private final Returns scaleInController;
+    private final SingleFlightCommitter committer;
+    private final ScaleInController scaleInController;
     private boolean isCatalogReadInFlight;
     private long catalogReadAtMillis = Long.MIN_VALUE / 2;
     private long instancesReadAtMillis = Long.MIN_VALUE / 2;
     private long notLeadingAtMillis;
 
-    CloudList(Loop eventLoop, Settings settings, Mirror watchCache, StoreClient store, MachineTable machines, Catalog catalog, Leader leader,
-            CloudClient cloudClient, Changes committer, Returns scaleInController) {
+    InstanceInventory(EventLoop eventLoop, Settings settings, WatchCache watchCache, StoreClient store, MachineTable machines, MachineTypeCatalog catalog, Leader leader,
+            CloudClient cloudClient, SingleFlightCommitter committer, ScaleInController scaleInController) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.watchCache = watchCache;
@@ -74,17 +74,17 @@
                 return;
             }
             catalogReadAtMillis = eventLoop.nowMillis();
-            Txn transaction = leader.newTransaction();
-            List<Catalog.Shape> machineTypes = new ArrayList<>();
+            Transaction transaction = leader.newTransaction();
+            List<MachineTypeCatalog.MachineType> machineTypes = new ArrayList<>();
             for (JsonNode node : response.path("shapes")) {
-                Catalog.Shape machineType = Catalog.Shape.decode(node);
+                MachineTypeCatalog.MachineType machineType = MachineTypeCatalog.MachineType.decode(node);
                 if (machineType.name().isEmpty() || machineType.cpus() <= 0 || machineType.memoryGb() <= 0 || machineType.zones().isEmpty()) {
                     LOG.info("a machine type of the catalog can't be read: {}", node);
                     continue;
                 }
                 machineTypes.add(machineType);
-                if (watchCache.modRevision(Keys.MACHINE_TYPE_PREFIX + machineType.name()) == 0 && transaction.fits(1, 0, store.maxTransactionOperations())) {
-                    transaction.put(Keys.MACHINE_TYPE_PREFIX + machineType.name(), machineType.encode());
+                if (watchCache.modRevision(StoreKeys.MACHINE_TYPE_PREFIX + machineType.name()) == 0 && transaction.fits(1, 0, store.maxTransactionOperations())) {
+                    transaction.put(StoreKeys.MACHINE_TYPE_PREFIX + machineType.name(), machineType.encode());
                 }
             }
             if (transaction.isEmpty()) {
@@ -104,8 +104,8 @@
             long nowMillis = eventLoop.nowMillis();
             scaleInController.forgetOldReleases();
             String lastHost = afterHost;
-            Returns.Leaving returnBatch = scaleInController.newReturnBatch();
-            Txn transaction = returnBatch.transaction;
+            ScaleInController.ReturnBatch returnBatch = scaleInController.newReturnBatch();
+            Transaction transaction = returnBatch.transaction;
             // What a predecessor returned stays listed for a while; a service that starts on a cluster that is up has none.
             boolean mayRegister = leader.mayRegisterUnexpectedMachines() && (machines.all().isEmpty() || nowMillis - notLeadingAtMillis > AutoscalerConstants.TRUST_UNEXPECTED_AFTER_LIST_LAGS * settings.cloudLimits().listLagSeconds() * 1000);
             int registeredCount = 0;
--- a/src/main/java/io/quincelead/cloud/Returns.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -1,22 +1,22 @@
-package io.quincelead.cloud;
+package io.quincelead.autoscaler;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.leader.Leader;
-import io.quincelead.net.Codec;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.leadership.Leader;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -30,35 +30,35 @@
 import org.slf4j.LoggerFactory;
 
 /** Returning machines: which are closed to new tasks, which are given back, and what the cloud's release of them proves. */
-final class Returns {
-    private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
-    private final Loop eventLoop;
+final class ScaleInController {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleInController.class);
+    private final EventLoop eventLoop;
     private final OperatorSettings operatorSettings;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final StoreClient store;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Leader leader;
     private final CloudClient cloudClient;
-    private final Changes committer;
+    private final SingleFlightCommitter committer;
     private final Consumer<Placement> onTaskTerminated;
-    private final Kinds constrainedDemand;
+    private final ConstrainedDemand constrainedDemand;
     private final Map<String, Long> idleSinceMillisByHost = new HashMap<>();
     private final Set<String> hostsInRelease = new HashSet<>();
     private final Map<String, Long> releasedAtMillisByHost = new HashMap<>();
     private final Map<String, Long> markRevisionByReleasedHost = new HashMap<>();
 
     /** Returns that go into one change: several machines of one block or one record may leave together. */
-    final class Leaving {
-        final Txn transaction = leader.newTransaction();
-        final MachineTable.Edits edits = machines.beginEdits(transaction);
-        final Map<String, Blocks.Block> shrunkShards = new HashMap<>();
+    final class ReturnBatch {
+        final Transaction transaction = leader.newTransaction();
+        final MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        final Map<String, ClusterMembership.Shard> shrunkShards = new HashMap<>();
     }
 
-    Returns(Loop eventLoop, OperatorSettings operatorSettings, Mirror watchCache, StoreClient store, Blocks shards, JobTable jobs, MachineTable machines,
-            Catalog catalog, Leader leader, CloudClient cloudClient, Changes committer, Consumer<Placement> onTaskTerminated, Kinds constrainedDemand) {
+    ScaleInController(EventLoop eventLoop, OperatorSettings operatorSettings, WatchCache watchCache, StoreClient store, ClusterMembership shards, JobTable jobs, MachineTable machines,
+            MachineTypeCatalog catalog, Leader leader, CloudClient cloudClient, SingleFlightCommitter committer, Consumer<Placement> onTaskTerminated, ConstrainedDemand constrainedDemand) {
         this.eventLoop = eventLoop;
         this.operatorSettings = operatorSettings;
         this.watchCache = watchCache;
@@ -75,8 +75,8 @@
         eventLoop.runEvery(AutoscalerConstants.RELEASE_INTERVAL_MILLIS, this::releaseReturningMachines);
     }
 
-    Leaving newReturnBatch() {
-        return new Leaving();
+    ReturnBatch newReturnBatch() {
+        return new ReturnBatch();
     }
 
     /** Whether the cloud has said of late that the machine is gone, though it may still be listed. */
@@ -106,9 +106,9 @@
     }
 
     /** Adds a machine's return to a change: marked on record and out of its block at once, so nothing more is placed there. */
-    boolean addReturn(Leaving returnBatch, MachineTable.Machine machine, String reason) {
+    boolean addReturn(ReturnBatch returnBatch, MachineTable.Machine machine, String reason) {
         String ownerId = shards.ownerOf(machine.host());
-        Txn transaction = returnBatch.transaction;
+        Transaction transaction = returnBatch.transaction;
         if (!transaction.fits(2, 2, store.maxTransactionOperations())) {
             return false;
         }
@@ -116,7 +116,7 @@
             if (shards.member(ownerId) == null) {
                 return false;
             }
-            Blocks.Block shard = returnBatch.shrunkShards.computeIfAbsent(ownerId, o -> shards.shardOf(o).copy());
+            ClusterMembership.Shard shard = returnBatch.shrunkShards.computeIfAbsent(ownerId, o -> shards.shardOf(o).copy());
             shard.fencingTokensByHost().remove(machine.host());
             transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey())).put(shard.storeKey(), shard.encode(), shards.member(ownerId).leaseId());
         }
@@ -126,8 +126,8 @@
     }
 
     /** Closes and returns machines beyond the need. */
-    void returnExcess(List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity, Predicate<Option> shouldYieldToStarvedWork) {
-        Leaving returnBatch = new Leaving();
+    void returnExcess(List<MachineTable.Machine> readyMachines, DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity, Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+        ReturnBatch returnBatch = new ReturnBatch();
         returnIdleMachines(returnBatch, eventLoop.nowMillis(), readyMachines, demand, capacity, shouldYieldToStarvedWork);
         if (returnBatch.transaction.isEmpty()) {
             cordonExcess(returnBatch, readyMachines, demand, capacity);
@@ -138,7 +138,7 @@
     }
 
     private double pricePerCpu(MachineTable.Machine machine) {
-        Catalog.Shape machineType = catalog.get(machine.machineType());
+        MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
         return machineType.pricePerHour(machine.spot()) / machineType.cpus();
     }
 
@@ -147,7 +147,7 @@
         return constrainedDemand.isInDemand(catalog.get(machine.machineType()), machine.zone(), machine.spot());
     }
 
-    private void returnIdleMachines(Leaving returnBatch, long nowMillis, List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity, Predicate<Option> shouldYieldToStarvedWork) {
+    private void returnIdleMachines(ReturnBatch returnBatch, long nowMillis, List<MachineTable.Machine> readyMachines, DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity, Predicate<InstanceOffering> shouldYieldToStarvedWork) {
         double spareCostlyCpus = capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
         double spareSpotCpus = capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
         readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
@@ -162,7 +162,7 @@
             double machineCpus = catalog.get(machine.machineType()).cpus();
             // What is kept from habit may be what the cloud lacks for work that waits now.
             if (!machine.cordoned() && nowMillis - idleSinceMillis < SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS && isWantedByConstrainedWork(machine)
-                    && !shouldYieldToStarvedWork.test(new Option(catalog.get(machine.machineType()), machine.zone(), machine.spot()))) {
+                    && !shouldYieldToStarvedWork.test(new InstanceOffering(catalog.get(machine.machineType()), machine.zone(), machine.spot()))) {
                 continue;
             }
             if (machine.cordoned()) {
@@ -193,7 +193,7 @@
      * The pass spreads tasks over all machines, so a dear machine beyond the need would never run empty: it is closed to
      * new tasks, and returned when its last one has ended. When the need comes back first, it is opened again.
      */
-    private void cordonExcess(Leaving returnBatch, List<MachineTable.Machine> readyMachines, Demand.Need demand, Demand.Capacity capacity) {
+    private void cordonExcess(ReturnBatch returnBatch, List<MachineTable.Machine> readyMachines, DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity) {
         double spareCpus = capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
         // Those that run empty soonest come first: a closed machine is paid for until its last task has ended.
         long nowMillis = eventLoop.nowMillis();
@@ -229,8 +229,8 @@
             return;
         }
         List<String> hosts = new ArrayList<>();
-        Txn cleanup = leader.newTransaction();
-        MachineTable.Edits edits = machines.beginEdits(cleanup);
+        Transaction cleanup = leader.newTransaction();
+        MachineTable.MachineEdits edits = machines.beginEdits(cleanup);
         for (MachineTable.Machine machine : machines.all()) {
             if (!machine.releasing() || shards.ownerOf(machine.host()) != null) {
                 continue;
@@ -266,7 +266,7 @@
         hostsInRelease.addAll(hosts);
         Map<String, Long> markRevisions = new HashMap<>();
         hosts.forEach(host -> markRevisions.put(host, watchCache.modRevision(machines.get(host).storeKey())));
-        ObjectNode requestBody = Codec.newMap();
+        ObjectNode requestBody = WireFormat.newMap();
         hosts.forEach(requestBody.putArray("hosts")::add);
         cloudClient.call("POST", "/rentals/release", requestBody, true, (status, response) -> {
             hostsInRelease.removeAll(hosts);
--- a/src/main/java/io/quincelead/cloud/Renting.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -1,22 +1,22 @@
-package io.quincelead.cloud;
+package io.quincelead.autoscaler;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.placing.QueueOrder;
-import io.quincelead.placing.Tebas;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
+import io.quincelead.scheduler.QueueOrder;
+import io.quincelead.scheduler.Tebas;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -25,16 +25,16 @@
 import java.util.function.Supplier;
 
 /** What should be rented: for what the machines that are up or on their way can't finish in time. */
-final class Renting {
-    private final Loop eventLoop;
+final class ScaleOutPlanner {
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final OperatorSettings operatorSettings;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final QueueOrder queueOrder;
-    private final Rentals provisioningRequests;
-    private final Kinds constrainedDemand;
+    private final ProvisioningRequests provisioningRequests;
+    private final ConstrainedDemand constrainedDemand;
     private final ZoneTable zoneTable;
     /** Replicas that would move to a zone if there were room. */
     private final Supplier<Map<String, List<JobSpec>>> rebalanceDemand;
@@ -44,8 +44,8 @@
     /** CPUs that are up, on their way or planned, by zone: among equals the zone with least is rented. */
     private final Map<String, Double> cpusByZone = new HashMap<>();
 
-    Renting(Loop eventLoop, Settings settings, OperatorSettings operatorSettings, JobTable jobs, MachineTable machines, Catalog catalog, QueueOrder queueOrder,
-            Rentals provisioningRequests, Kinds constrainedDemand, ZoneTable zoneTable, Policy policy, Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
+    ScaleOutPlanner(EventLoop eventLoop, Settings settings, OperatorSettings operatorSettings, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, QueueOrder queueOrder,
+            ProvisioningRequests provisioningRequests, ConstrainedDemand constrainedDemand, ZoneTable zoneTable, Policy policy, Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
         this.rebalanceDemand = rebalanceDemand;
         this.zoneTable = zoneTable;
         this.policy = policy;
@@ -61,13 +61,13 @@
     }
 
     /** A machine, real or planned, with the room that is left in the plan. */
-    private static final class Room {
-        final Option offering;
+    private static final class PlannedMachine {
+        final InstanceOffering offering;
         double freeCpus;
         double freeMemoryGb;
         double freeGpus;
 
-        Room(Option offering) {
+        PlannedMachine(InstanceOffering offering) {
             this.offering = offering;
             freeCpus = offering.machineType().cpus();
             freeMemoryGb = offering.machineType().memoryGb();
@@ -86,7 +86,7 @@
     }
 
     /** Whether such a machine, if it is only kept from habit, should go back: the cloud lacks machines for work that can't use this one. */
-    boolean shouldYieldToStarvedWork(Option offering) {
+    boolean shouldYieldToStarvedWork(InstanceOffering offering) {
         return !starvedSpecs.isEmpty() && starvedSpecs.stream().noneMatch(offering::allows);
     }
 
@@ -94,7 +94,7 @@
      * How many of which to rent. Ordinary work is sized by {@link Demand}; work that only some machines may run is planned
      * task by task.
      */
-    Map<Option, Integer> planScaleOut(Demand.Need demand, Demand.Capacity capacity) {
+    Map<InstanceOffering, Integer> planScaleOut(DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity) {
         long nowMillis = eventLoop.nowMillis();
         Map<String, double[]> plannedUseByTeam = new HashMap<>();
         for (Job job : jobs.all()) {
@@ -102,19 +102,19 @@
             teamUse[0] += job.placedTaskCount() * job.spec.cpus();
             teamUse[1] += job.placedTaskCount() * job.spec.gpus();
         }
-        List<QueueOrder.Ranked> pendingJobs = new ArrayList<>();
+        List<QueueOrder.RankedJob> pendingJobs = new ArrayList<>();
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.pendingTaskCount() > 0 && nowMillis >= job.notBeforeMillis) {
                 pendingJobs.add(queueOrder.rank(job, true, eventLoop.wallClockMillis()));
             }
         }
         pendingJobs.sort(QueueOrder.BY_QUEUE_ORDER);
-        Map<Option, Integer> purchases = new LinkedHashMap<>();
+        Map<InstanceOffering, Integer> purchases = new LinkedHashMap<>();
         starvedSpecs.clear();
         cpusByZone.clear();
-        List<Room> plannedMachines = listPlannedMachines();
+        List<PlannedMachine> plannedMachines = listPlannedMachines();
         plannedMachines.forEach(r -> cpusByZone.merge(r.offering.zone(), r.offering.machineType().cpus(), Double::sum));
-        for (QueueOrder.Ranked ranked : pendingJobs) {
+        for (QueueOrder.RankedJob ranked : pendingJobs) {
             if (!ranked.job().spec.isUnconstrained()) {
                 planConstrainedJob(ranked.job(), plannedMachines, plannedUseByTeam, purchases);
             }
@@ -125,7 +125,7 @@
     }
 
     /** Cheap machines for the usual load and for what is late; ordinary ones only for what would else be late. */
-    private void planUnconstrained(Demand.Need demand, Demand.Capacity capacity, double strandedCpus, Map<Option, Integer> purchases) {
+    private void planUnconstrained(DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity, double strandedCpus, Map<InstanceOffering, Integer> purchases) {
         double spotTargetCpus = Math.max(demand.steadyStateCpus(), demand.usedCpus() + Math.min(strandedCpus, demand.pendingCpus()) + demand.pendingCpus() * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION) + demand.bookedCpus();
         double missingCpus = Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
         double overdueCpus = demand.shortfallCpus() - capacity.totalCpus() * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
@@ -135,15 +135,15 @@
         }
         double toleratedCpus = demand.pendingCpus() + demand.bookedCpus() > 0 ? 0.5 : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
         while (missingCpus > toleratedCpus) {
-            Option bestOffering = null;
+            InstanceOffering bestOffering = null;
             double bestCost = Double.MAX_VALUE;
-            for (Catalog.Shape machineType : catalog.all()) {
+            for (MachineTypeCatalog.MachineType machineType : catalog.all()) {
                 if (machineType.gpus() > 0) {
                     continue;
                 }
                 for (String zone : machineType.zones()) {
                     for (boolean spot : new boolean[] {true, false}) {
-                        Option offering = new Option(machineType, zone, spot);
+                        InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
                         if (provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) || !spot && overdueCpus <= 0.5 || purchases.getOrDefault(offering, 0) >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
                             continue;
                         }
@@ -171,17 +171,17 @@
     }
 
     /** Room for one replica that would move to a zone which came back. */
-    private void planRebalance(JobSpec spec, String zone, List<Room> plannedMachines, Map<Option, Integer> purchases) {
-        for (Room plannedMachine : plannedMachines) {
+    private void planRebalance(JobSpec spec, String zone, List<PlannedMachine> plannedMachines, Map<InstanceOffering, Integer> purchases) {
+        for (PlannedMachine plannedMachine : plannedMachines) {
             if (plannedMachine.offering.zone().equals(zone) && plannedMachine.offering.allows(spec) && plannedMachine.taskCapacity(spec) > 0) {
                 plannedMachine.reserve(spec, 1);
                 return;
             }
         }
-        Option bestOffering = null;
-        for (Catalog.Shape machineType : catalog.all()) {
+        InstanceOffering bestOffering = null;
+        for (MachineTypeCatalog.MachineType machineType : catalog.all()) {
             for (boolean spot : new boolean[] {true, false}) {
-                Option offering = new Option(machineType, zone, spot);
+                InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
                 boolean isCandidate = machineType.zones().contains(zone) && offering.allows(spec) && !provisioningRequests.isRefused(offering);
                 if (isCandidate && (bestOffering == null || machineType.pricePerHour(spot) < bestOffering.machineType().pricePerHour(bestOffering.spot()))) {
                     bestOffering = offering;
@@ -189,7 +189,7 @@
             }
         }
         if (bestOffering != null) {
-            Room plannedMachine = new Room(bestOffering);
+            PlannedMachine plannedMachine = new PlannedMachine(bestOffering);
             plannedMachine.reserve(spec, 1);
             plannedMachines.add(plannedMachine);
             addPurchase(bestOffering, purchases);
@@ -197,7 +197,7 @@
     }
 
     /** CPUs that are free in rooms too small for any ordinary task that waits: whole-machine tasks wait beside half-filled machines. */
-    private double strandedCpus(List<Room> plannedMachines) {
+    private double strandedCpus(List<PlannedMachine> plannedMachines) {
         JobSpec smallestSpec = null;
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.pendingTaskCount() > 0 && job.spec.isUnconstrained() && (smallestSpec == null || job.spec.cpus() < smallestSpec.cpus())) {
@@ -205,34 +205,34 @@
             }
         }
         double freeCpus = 0;
-        for (Room plannedMachine : smallestSpec == null ? List.<Room>of() : plannedMachines) {
+        for (PlannedMachine plannedMachine : smallestSpec == null ? List.<PlannedMachine>of() : plannedMachines) {
             freeCpus += plannedMachine.offering.machineType().gpus() == 0 && plannedMachine.taskCapacity(smallestSpec) == 0 ? Math.max(0, plannedMachine.freeCpus) : 0;
         }
         return freeCpus;
     }
 
-    private List<Room> listPlannedMachines() {
-        List<Room> plannedMachines = new ArrayList<>();
+    private List<PlannedMachine> listPlannedMachines() {
+        List<PlannedMachine> plannedMachines = new ArrayList<>();
         for (MachineTable.Machine machine : machines.all()) {
-            Catalog.Shape machineType = catalog.get(machine.machineType());
+            MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
             if (!machine.releasing() && machineType != null) {
-                Room r = new Room(new Option(machineType, machine.zone(), machine.spot()));
+                PlannedMachine r = new PlannedMachine(new InstanceOffering(machineType, machine.zone(), machine.spot()));
                 for (Placement placement : jobs.placementsOn(machine.host()).values()) {
                     r.reserve(placement.job.spec, 1);
                 }
                 plannedMachines.add(r);
             }
         }
-        for (Rentals.Rental r : provisioningRequests.openRequests()) {
-            Catalog.Shape machineType = catalog.get(r.machineType());
+        for (ProvisioningRequests.ProvisioningRequest r : provisioningRequests.openRequests()) {
+            MachineTypeCatalog.MachineType machineType = catalog.get(r.machineType());
             for (int i = 0; machineType != null && i < r.machineCount(); i++) {
-                plannedMachines.add(new Room(new Option(machineType, r.zone(), r.spot())));
+                plannedMachines.add(new PlannedMachine(new InstanceOffering(machineType, r.zone(), r.spot())));
             }
         }
         return plannedMachines;
     }
 
-    private void planConstrainedJob(Job job, List<Room> plannedMachines, Map<String, double[]> plannedUseByTeam, Map<Option, Integer> purchases) {
+    private void planConstrainedJob(Job job, List<PlannedMachine> plannedMachines, Map<String, double[]> plannedUseByTeam, Map<InstanceOffering, Integer> purchases) {
         JobSpec spec = job.spec;
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
@@ -245,8 +245,8 @@
         int neededTasks = Math.min(quotaTasks, (int) Math.ceil(job.pendingTaskCount() * startShare));
         teamUse[0] += neededTasks * spec.cpus();
         teamUse[1] += neededTasks * spec.gpus();
-        Zones zoneLimits = new Zones(job);
-        for (Room plannedMachine : plannedMachines) {
+        ZoneLimits zoneLimits = new ZoneLimits(job);
+        for (PlannedMachine plannedMachine : plannedMachines) {
             if (neededTasks <= 0) {
                 return;
             }
@@ -260,14 +260,14 @@
             }
         }
         while (neededTasks > 0) {
-            Option bestOffering = cheapestOffering(spec, neededTasks, zoneLimits);
+            InstanceOffering bestOffering = cheapestOffering(spec, neededTasks, zoneLimits);
             if (bestOffering == null) {
                 if (starvedSpecs.size() < SchedulerConstants.MAX_CONSTRAINED_DEMANDS && isBlockedByRefusalsOnly(spec, zoneLimits)) {
                     starvedSpecs.add(spec);
                 }
                 return;
             }
-            Room plannedMachine = new Room(bestOffering);
+            PlannedMachine plannedMachine = new PlannedMachine(bestOffering);
             int taskCount = Math.min(Math.min(neededTasks, plannedMachine.taskCapacity(spec)), zoneLimits.remainingTasks(bestOffering.zone()));
             plannedMachine.reserve(spec, taskCount);
             zoneLimits.addTasks(bestOffering.zone(), taskCount);
@@ -278,16 +278,16 @@
     }
 
     /** How many more tasks of a job its zone rules let into each zone, given where its tasks are and are planned to be. */
-    private final class Zones {
+    private final class ZoneLimits {
         private final JobSpec spec;
         private final Map<String, Integer> tasksByZone = new HashMap<>();
         private final int maxTasksPerZone;
 
-        Zones(Job job) {
+        ZoneLimits(Job job) {
             spec = job.spec;
             maxTasksPerZone = spec.isService() || spec.zoneSpread() ? policy.maxTasksPerZone(job) : Integer.MAX_VALUE;
             if (maxTasksPerZone < spec.taskCount() || spec.zoneAffinity()) {
-                for (Chunk page : job.pages) {
+                for (TaskStatePage page : job.pages) {
                     for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                         MachineTable.Machine machine = machines.get(placement.host);
                         if (machine != null && !placement.isTerminated()) {
@@ -312,13 +312,13 @@
         }
     }
 
-    private void addPurchase(Option offering, Map<Option, Integer> purchases) {
+    private void addPurchase(InstanceOffering offering, Map<InstanceOffering, Integer> purchases) {
         purchases.merge(offering, 1, Integer::sum);
         cpusByZone.merge(offering.zone(), offering.machineType().cpus(), Double::sum);
     }
 
     /** Whether an option is the cheaper one, or as cheap in a zone with less. */
-    private boolean isBetter(Option offering, double cost, Option bestOffering, double bestCost) {
+    private boolean isBetter(InstanceOffering offering, double cost, InstanceOffering bestOffering, double bestCost) {
         if (bestOffering == null || Math.abs(cost - bestCost) > 1e-9 * bestCost) {
             return cost < bestCost;
         }
@@ -326,10 +326,10 @@
     }
 
     /** Whether there are machines for the job that only the cloud's refusals keep it from. */
-    private boolean isBlockedByRefusalsOnly(JobSpec spec, Zones zoneLimits) {
-        for (Catalog.Shape machineType : catalog.all()) {
+    private boolean isBlockedByRefusalsOnly(JobSpec spec, ZoneLimits zoneLimits) {
+        for (MachineTypeCatalog.MachineType machineType : catalog.all()) {
             for (String zone : machineType.fits(spec) ? machineType.zones() : List.<String>of()) {
-                if (zoneLimits.remainingTasks(zone) > 0 && (new Option(machineType, zone, false).allows(spec) || new Option(machineType, zone, true).allows(spec))) {
+                if (zoneLimits.remainingTasks(zone) > 0 && (new InstanceOffering(machineType, zone, false).allows(spec) || new InstanceOffering(machineType, zone, true).allows(spec))) {
                     return true;
                 }
             }
@@ -337,17 +337,17 @@
         return false;
     }
 
-    private Option cheapestOffering(JobSpec spec, int neededTasks, Zones zoneLimits) {
-        Option bestOffering = null;
+    private InstanceOffering cheapestOffering(JobSpec spec, int neededTasks, ZoneLimits zoneLimits) {
+        InstanceOffering bestOffering = null;
         double bestCost = Double.MAX_VALUE;
-        for (Catalog.Shape machineType : catalog.all()) {
+        for (MachineTypeCatalog.MachineType machineType : catalog.all()) {
             int tasksPerMachine = machineType.fits(spec) ? Tebas.taskCapacity(machineType.cpus(), machineType.memoryGb(), machineType.gpus(), spec.cpus(), spec.memoryGb(), spec.gpus()) : 0;
             if (tasksPerMachine <= 0) {
                 continue;
             }
             for (String zone : machineType.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Option offering = new Option(machineType, zone, spot);
+                    InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
                     int usableTasks = Math.min(Math.min(tasksPerMachine, neededTasks), zoneLimits.remainingTasks(zone));
                     if (usableTasks <= 0 || !offering.allows(spec) || provisioningRequests.isRefused(offering) || zoneTable.isUnavailable(zone) && spec.zone() == null) {
                         continue;
--- a/src/main/java/io/quincelead/cloud/Changes.java
+++ b/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
@@ -1,18 +1,18 @@
-package io.quincelead.cloud;
+package io.quincelead.autoscaler;
 
-import io.quincelead.leader.Leader;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.leadership.Leader;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
 
 /** The leader's changes of what it rents and returns, one at a time. */
-final class Changes {
+final class SingleFlightCommitter {
     private final StoreClient store;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final Leader leader;
     private boolean isCommitInFlight;
 
-    Changes(StoreClient store, Mirror watchCache, Leader leader) {
+    SingleFlightCommitter(StoreClient store, WatchCache watchCache, Leader leader) {
         this.store = store;
         this.watchCache = watchCache;
         this.leader = leader;
@@ -23,12 +23,12 @@
         return isCommitInFlight || !leader.areWritesSettled();
     }
 
-    void commit(Txn transaction, Runnable onCommitted) {
+    void commit(Transaction transaction, Runnable onCommitted) {
         isCommitInFlight = true;
         store.commit(transaction, outcome -> {
             isCommitInFlight = false;
             leader.onOutcome(transaction, outcome);
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
                 onCommitted.run();
             }
--- a/src/main/java/io/quincelead/app/cli/Connection.java
+++ b/src/main/java/io/quincelead/cli/ControllerClient.java
@@ -1,11 +1,11 @@
-package io.quincelead.app.cli;
+package io.quincelead.cli;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.app.XnioLoop;
-import io.quincelead.base.Settings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.CliConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.HttpClient;
+import io.quincelead.transport.HttpClient;
+import io.quincelead.transport.WireFormat;
+import io.quincelead.transport.XnioEventLoop;
 import java.io.File;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,9 +21,9 @@
 import picocli.CommandLine;
 
 /** Asks any controller that answers. */
-final class Connection {
+final class ControllerClient {
     /** Where controllers listen for each other. */
-    static final class Where {
+    static final class ControllerAddresses {
         @CommandLine.Option(names = "--at", paramLabel = "HOST:PORT", description = "A controller's cluster_listen address; may be repeated.")
         private List<String> addresses = new ArrayList<>();
 
@@ -32,12 +32,12 @@
     }
 
     /** Status and body of an answer. */
-    record Answer(int status, ObjectNode body) { }
+    record Response(int status, ObjectNode body) { }
 
-    private Connection() { }
+    private ControllerClient() { }
 
     /** The first answer of a controller that is ready; null if none answers. Only what was surely not carried out is asked of the next one. */
-    static Answer send(Where options, String path, ObjectNode body) throws Settings.Invalid {
+    static Response send(ControllerAddresses options, String path, ObjectNode body) throws Settings.InvalidSettingsException {
         List<String> addresses = new ArrayList<>(options.addresses);
         if (options.settingsFile != null) {
             Settings settings = Settings.load(options.settingsFile);
@@ -45,20 +45,20 @@
             addresses.addAll(settings.peerAddresses().values());
         }
         if (addresses.isEmpty()) {
-            throw new Settings.Invalid("--at or --config is required, to know where the controllers are");
+            throw new Settings.InvalidSettingsException("--at or --config is required, to know where the controllers are");
         }
         XnioWorker worker;
         try {
             worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
                     .set(Options.THREAD_DAEMON, true).getMap());
         } catch (java.io.IOException e) {
-            throw new Settings.Invalid("no connections can be made: " + e.getMessage());
+            throw new Settings.InvalidSettingsException("no connections can be made: " + e.getMessage());
         }
         try {
-            CompletableFuture<Answer> response = new CompletableFuture<>();
+            CompletableFuture<Response> response = new CompletableFuture<>();
             worker.getIoThread().execute(() -> {
-                HttpClient client = new HttpClient(new XnioLoop(worker.getIoThread()), worker.getIoThread(), Set.copyOf(addresses), 1);
-                sendToNext(client, addresses, 0, path, Codec.JSON.encode(body), response, null);
+                HttpClient client = new HttpClient(new XnioEventLoop(worker.getIoThread()), worker.getIoThread(), Set.copyOf(addresses), 1);
+                sendToNext(client, addresses, 0, path, WireFormat.JSON.encode(body), response, null);
             });
             return response.get(addresses.size() * 2 * CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
@@ -68,19 +68,19 @@
         }
     }
 
-    private static void sendToNext(HttpClient client, List<String> addresses, int index, String path, byte[] body, CompletableFuture<Answer> response, Answer fallback) {
+    private static void sendToNext(HttpClient client, List<String> addresses, int index, String path, byte[] body, CompletableFuture<Response> response, Response fallback) {
         if (index == addresses.size()) {
             response.complete(fallback);
             return;
         }
-        client.call(addresses.get(index), "POST", path, Codec.JSON, body, CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS, (status, bytes) -> {
-            ObjectNode responseBody = Codec.JSON.decodeMap(bytes);
+        client.call(addresses.get(index), "POST", path, WireFormat.JSON, body, CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS, (status, bytes) -> {
+            ObjectNode responseBody = WireFormat.JSON.decodeMap(bytes);
             boolean retryable = status == 503 && responseBody != null && !responseBody.path("unknown").asBoolean();
             if (status == 0 || retryable || responseBody == null) {
                 // An answer that didn't come may have been carried out: the next one knows the change by its id.
-                sendToNext(client, addresses, index + 1, path, body, response, responseBody == null ? fallback : new Answer(status, responseBody));
+                sendToNext(client, addresses, index + 1, path, body, response, responseBody == null ? fallback : new Response(status, responseBody));
             } else {
-                response.complete(new Answer(status, responseBody));
+                response.complete(new Response(status, responseBody));
             }
         });
     }
--- a/src/main/java/io/quincelead/app/cli/Cli.java
+++ b/src/main/java/io/quincelead/cli/OperatorCli.java
@@ -1,4 +1,4 @@
-package io.quincelead.app.cli;
+package io.quincelead.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -6,8 +6,8 @@
 import com.networknt.schema.JsonSchemaFactory;
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.io.File;
 import java.io.IOException;
 import java.io.InputStream;
@@ -25,29 +25,29 @@
 import picocli.CommandLine.Parameters;
 
 /** The operators' commands: each asks one controller, in JSON, and prints what it says. */
-@Command(name = "quincelead", mixinStandardHelpOptions = true, subcommands = {Cli.Classes.class, Cli.Calendar.class, Cli.Zones.class, Cli.Explain.class},
+@Command(name = "quincelead", mixinStandardHelpOptions = true, subcommands = {OperatorCli.ClassesCommand.class, OperatorCli.CalendarCommand.class, OperatorCli.ZonesCommand.class, OperatorCli.ExplainCommand.class},
         footer = {"", "Exit: 0 done; 1 a file or settings that can't be used; 2 a wrong command line; 3 the outcome is unknown: repeat with the same",
             "--change ID; 4 refused, nothing has changed; 5 no controller answers."})
-public final class Cli {
+public final class OperatorCli {
     private static final int EXIT_UNUSABLE_INPUT = 1;
     private static final int EXIT_OUTCOME_UNKNOWN = 3;
     private static final int EXIT_REFUSED = 4;
     private static final int EXIT_UNREACHABLE = 5;
 
-    private Cli() { }
+    private OperatorCli() { }
 
     public static int run(String[] args) {
         return run(args, new PrintWriter(System.out, true), new PrintWriter(System.err, true));
     }
 
     static int run(String[] args, PrintWriter out, PrintWriter err) {
-        return new CommandLine(new Cli()).setOut(out).setErr(err).execute(args);
+        return new CommandLine(new OperatorCli()).setOut(out).setErr(err).execute(args);
     }
 
     /** What every command has. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class OperatorCommand implements Callable<Integer> {
         @Mixin
-        private Connection.Where controllerAddresses;
+        private ControllerClient.ControllerAddresses controllerAddresses;
 
         @Option(names = "--json", description = "Print the answer as it came.")
         private boolean printJson;
@@ -56,7 +56,7 @@
         private CommandLine.Model.CommandSpec spec;
 
         /** Path of the command and its body. */
-        abstract String buildRequest(ObjectNode body) throws Settings.Invalid;
+        abstract String buildRequest(ObjectNode body) throws Settings.InvalidSettingsException;
 
         /** The columns of its list, in order. */
         List<String> columns() {
@@ -66,11 +66,11 @@
         @Override public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            ObjectNode body = Codec.newMap();
-            Connection.Answer response;
+            ObjectNode body = WireFormat.newMap();
+            ControllerClient.Response response;
             try {
-                response = Connection.send(controllerAddresses, buildRequest(body), body);
-            } catch (Settings.Invalid e) {
+                response = ControllerClient.send(controllerAddresses, buildRequest(body), body);
+            } catch (Settings.InvalidSettingsException e) {
                 err.println("quincelead: " + e.getMessage());
                 return EXIT_UNUSABLE_INPUT;
             }
@@ -81,7 +81,7 @@
             if (printJson) {
                 out.println(response.body());
             } else if (response.status() == 200) {
-                Table.print(response.body(), columns(), out);
+                ResponsePrinter.print(response.body(), columns(), out);
             } else {
                 err.println("quincelead: " + response.body().path("error").asText() + " (" + response.body().path("by").asText() + ")");
             }
@@ -94,7 +94,7 @@
     }
 
     /** A command that changes something. */
-    abstract static class Changing extends Asking {
+    abstract static class ChangeCommand extends OperatorCommand {
         @Option(names = "--dry-run", description = "Show what would change, and change nothing.")
         private boolean dryRun;
 
@@ -111,20 +111,20 @@
     }
 
     /** Reads a file and checks it against a schema of the jar: the error names file, field and what is allowed. */
-    static JsonNode readValidated(File file, String schemaName) throws Settings.Invalid {
+    static JsonNode readValidated(File file, String schemaName) throws Settings.InvalidSettingsException {
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(file);
         } catch (IOException e) {
-            throw new Settings.Invalid(file + ": can't be read as JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable"));
+            throw new Settings.InvalidSettingsException(file + ": can't be read as JSON: " + String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable"));
         }
-        try (InputStream schemaStream = Cli.class.getResourceAsStream("/" + schemaName)) {
+        try (InputStream schemaStream = OperatorCli.class.getResourceAsStream("/" + schemaName)) {
             Set<String> violations = new LinkedHashSet<>();
             for (ValidationMessage message : JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream).validate(root)) {
                 violations.add(message.getMessage());
             }
             if (!violations.isEmpty()) {
-                throw new Settings.Invalid(file + ": " + String.join("; ", violations));
+                throw new Settings.InvalidSettingsException(file + ": " + String.join("; ", violations));
             }
         } catch (IOException e) {
             throw new IllegalStateException("the schema is not in the jar", e);
@@ -135,15 +135,15 @@
     // ---- classes
 
     @Command(name = "classes", description = "Priority classes.", mixinStandardHelpOptions = true,
-            subcommands = {Apply.class, ListClasses.class, History.class, Rollback.class})
-    static final class Classes { }
+            subcommands = {ApplyClasses.class, ListClasses.class, ClassesHistory.class, RollBackClasses.class})
+    static final class ClassesCommand { }
 
     @Command(name = "apply", description = "Proposes the classes of a file; the leader puts them in force.", mixinStandardHelpOptions = true)
-    static final class Apply extends Changing {
+    static final class ApplyClasses extends ChangeCommand {
         @Parameters(paramLabel = "FILE", description = "Classes (JSON, see deploy/classes.example.json).")
         private File file;
 
-        @Override String buildRequest(ObjectNode body) throws Settings.Invalid {
+        @Override String buildRequest(ObjectNode body) throws Settings.InvalidSettingsException {
             putChangeFields(body);
             body.put("file", file.getName()).set("classes", readValidated(file, "classes.schema.json").get("classes"));
             return "/ops/classes/apply";
@@ -151,7 +151,7 @@
     }
 
     @Command(name = "list", description = "The classes in force, and how their jobs fare.", mixinStandardHelpOptions = true)
-    static final class ListClasses extends Asking {
+    static final class ListClasses extends OperatorCommand {
         @Override String buildRequest(ObjectNode body) {
             return "/ops/classes/list";
         }
@@ -162,7 +162,7 @@
     }
 
     @Command(name = "history", description = "The generations on record.", mixinStandardHelpOptions = true)
-    static final class History extends Asking {
+    static final class ClassesHistory extends OperatorCommand {
         @Override String buildRequest(ObjectNode body) {
             return "/ops/classes/history";
         }
@@ -173,7 +173,7 @@
     }
 
     @Command(name = "rollback", description = "Proposes an earlier generation anew.", mixinStandardHelpOptions = true)
-    static final class Rollback extends Changing {
+    static final class RollBackClasses extends ChangeCommand {
         @Option(names = "--to", paramLabel = "N", description = "Generation; the one before the ruling one if left out, 0 for none.")
         private Long generation;
 
@@ -189,18 +189,18 @@
     // ---- calendar
 
     @Command(name = "calendar", description = "Times of publication.", mixinStandardHelpOptions = true,
-            subcommands = {Add.class, Move.class, Skip.class, Remove.class, Next.class, ListEntries.class, Ledger.class})
-    static final class Calendar { }
+            subcommands = {AddEntry.class, MovePublication.class, SkipPublication.class, RemoveEntry.class, ListUpcoming.class, ListEntries.class, ListLedger.class})
+    static final class CalendarCommand { }
 
     @Command(name = "add", description = "Adds the entry of a file.", mixinStandardHelpOptions = true)
-    static final class Add extends Changing {
+    static final class AddEntry extends ChangeCommand {
         @Parameters(paramLabel = "FILE", description = "An entry (JSON, see deploy/calendar.example.json).")
         private File file;
 
         @Option(names = "--replace", description = "Put it in the place of the entry of the same name.")
         private boolean replace;
 
-        @Override String buildRequest(ObjectNode body) throws Settings.Invalid {
+        @Override String buildRequest(ObjectNode body) throws Settings.InvalidSettingsException {
             putChangeFields(body);
             body.put("file", file.getName()).put("replace", replace).set("entry", readValidated(file, "calendar.schema.json"));
             return "/ops/calendar/add";
@@ -208,7 +208,7 @@
     }
 
     @Command(name = "move", description = "Moves one day's publication.", mixinStandardHelpOptions = true)
-    static final class Move extends Changing {
+    static final class MovePublication extends ChangeCommand {
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
         @Parameters(index = "1", paramLabel = "DATE")
@@ -224,7 +224,7 @@
     }
 
     @Command(name = "skip", description = "Leaves one day's publication out.", mixinStandardHelpOptions = true)
-    static final class Skip extends Changing {
+    static final class SkipPublication extends ChangeCommand {
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
         @Parameters(index = "1", paramLabel = "DATE")
@@ -238,7 +238,7 @@
     }
 
     @Command(name = "remove", description = "Removes an entry.", mixinStandardHelpOptions = true)
-    static final class Remove extends Changing {
+    static final class RemoveEntry extends ChangeCommand {
         @Parameters(paramLabel = "NAME")
         private String name;
 
@@ -250,7 +250,7 @@
     }
 
     @Command(name = "next", description = "The publications to come.", mixinStandardHelpOptions = true)
-    static final class Next extends Asking {
+    static final class ListUpcoming extends OperatorCommand {
         @Option(names = "--days", paramLabel = "N", description = "Days to look ahead, at most 31.")
         private int days = 2;
 
@@ -265,7 +265,7 @@
     }
 
     @Command(name = "list", description = "The entries, and the occurrences under way.", mixinStandardHelpOptions = true)
-    static final class ListEntries extends Asking {
+    static final class ListEntries extends OperatorCommand {
         @Override String buildRequest(ObjectNode body) {
             return "/ops/calendar/list";
         }
@@ -276,7 +276,7 @@
     }
 
     @Command(name = "ledger", description = "What became of an entry's publications.", mixinStandardHelpOptions = true)
-    static final class Ledger extends Asking {
+    static final class ListLedger extends OperatorCommand {
         @Parameters(paramLabel = "NAME")
         private String name;
 
@@ -293,11 +293,11 @@
     // ---- zones
 
     @Command(name = "zones", description = "Zones that are lost and come back.", mixinStandardHelpOptions = true,
-            subcommands = {ListZones.class, PlanZone.class, Hold.class, Release.class})
-    static final class Zones { }
+            subcommands = {ListZones.class, PlanZoneRecovery.class, HoldZone.class, ReleaseZone.class})
+    static final class ZonesCommand { }
 
     @Command(name = "list", description = "The zones, their states, and what led there.", mixinStandardHelpOptions = true)
-    static final class ListZones extends Asking {
+    static final class ListZones extends OperatorCommand {
         @Override String buildRequest(ObjectNode body) {
             return "/ops/zones/list";
         }
@@ -308,7 +308,7 @@
     }
 
     @Command(name = "plan", description = "Which models return first and where to, now or if a zone went.", mixinStandardHelpOptions = true)
-    static final class PlanZone extends Asking {
+    static final class PlanZoneRecovery extends OperatorCommand {
         @Option(names = "--lost", paramLabel = "ZONE", description = "As if this zone were gone now.")
         private List<String> lostZones = new ArrayList<>();
 
@@ -323,7 +323,7 @@
     }
 
     @Command(name = "hold", description = "Gives up no machine of a zone that can't be reached, until it is released.", mixinStandardHelpOptions = true)
-    static final class Hold extends Changing {
+    static final class HoldZone extends ChangeCommand {
         @Parameters(paramLabel = "ZONE")
         private String zone;
 
@@ -335,7 +335,7 @@
     }
 
     @Command(name = "release", description = "Returns the machines of a zone that can't be reached, at once; what serves on inside ends.", mixinStandardHelpOptions = true)
-    static final class Release extends Changing {
+    static final class ReleaseZone extends ChangeCommand {
         @Parameters(paramLabel = "ZONE")
         private String zone;
 
@@ -349,7 +349,7 @@
     // ---- one job
 
     @Command(name = "explain", description = "Why a job is where it is in the queue.", mixinStandardHelpOptions = true)
-    static final class Explain extends Asking {
+    static final class ExplainCommand extends OperatorCommand {
         @Parameters(paramLabel = "JOB")
         private String jobId;
 
--- a/src/main/java/io/quincelead/app/cli/Table.java
+++ b/src/main/java/io/quincelead/cli/ResponsePrinter.java
@@ -1,4 +1,4 @@
-package io.quincelead.app.cli;
+package io.quincelead.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,10 +11,10 @@
 import java.util.Set;
 
 /** Prints an answer for people: single values a line each, lists as tables. */
-final class Table {
+final class ResponsePrinter {
     private static final Set<String> EPOCH_MILLIS_FIELDS = Set.of("pub", "last", "open", "closed", "since");
 
-    private Table() { }
+    private ResponsePrinter() { }
 
     static void print(ObjectNode response, List<String> columns, PrintWriter out) {
         for (Iterator<Map.Entry<String, JsonNode>> fields = response.fields(); fields.hasNext();) {
--- a/src/main/java/io/quincelead/records/Blocks.java
+++ b/src/main/java/io/quincelead/cluster/ClusterMembership.java
@@ -1,11 +1,11 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
+import io.quincelead.config.Settings;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -15,39 +15,39 @@
 import java.util.TreeMap;
 
 /** Who is alive, who leads and who holds which machines under which terms, as mirrored from the store. */
-public final class Blocks {
+public final class ClusterMembership {
     /** A live controller. */
-    public record Node(String memberId, String address, long incarnation, long leaseId) { }
+    public record Member(String memberId, String address, long incarnation, long leaseId) { }
 
     /** The leadership, fixed to one incarnation of a controller. */
-    public record Lead(String memberId, long incarnation, long fencingToken) {
+    public record LeaderRecord(String memberId, long incarnation, long fencingToken) {
         public ObjectNode encode() {
-            return Codec.newMap().put("m", memberId).put("i", incarnation).put("t", fencingToken);
+            return WireFormat.newMap().put("m", memberId).put("i", incarnation).put("t", fencingToken);
         }
     }
 
     /** What a team may use: CPUs and GPUs. */
-    public record Amount(double cpus, double gpus) {
-        public static final Amount NONE = new Amount(0, 0);
+    public record QuotaShare(double cpus, double gpus) {
+        public static final QuotaShare NONE = new QuotaShare(0, 0);
 
         /** What is left when tasks on record move to another controller with their job: their use moves out with them. */
-        public Amount minusTasks(int taskCount, double cpusPerTask, double gpusPerTask) {
-            return new Amount(Math.max(0, cpus - taskCount * cpusPerTask), Math.max(0, gpus - taskCount * gpusPerTask));
+        public QuotaShare minusTasks(int taskCount, double cpusPerTask, double gpusPerTask) {
+            return new QuotaShare(Math.max(0, cpus - taskCount * cpusPerTask), Math.max(0, gpus - taskCount * gpusPerTask));
         }
     }
 
     /** A block: the machines leased to a controller, each with its term (the token), and its share of the teams' limits. */
-    public record Block(String ownerId, Map<String, Long> fencingTokensByHost, Map<String, Amount> quotaShares) {
-        public Amount quotaShare(String team) {
-            return quotaShares.getOrDefault(team, Amount.NONE);
+    public record Shard(String ownerId, Map<String, Long> fencingTokensByHost, Map<String, QuotaShare> quotaShares) {
+        public QuotaShare quotaShare(String team) {
+            return quotaShares.getOrDefault(team, QuotaShare.NONE);
         }
 
-        public Block copy() {
-            return new Block(ownerId, new LinkedHashMap<>(fencingTokensByHost), new LinkedHashMap<>(quotaShares));
+        public Shard copy() {
+            return new Shard(ownerId, new LinkedHashMap<>(fencingTokensByHost), new LinkedHashMap<>(quotaShares));
         }
 
         public String storeKey() {
-            return Keys.SHARD_PREFIX + ownerId;
+            return StoreKeys.SHARD_PREFIX + ownerId;
         }
 
         private static String commonPrefix(String left, String right) {
@@ -60,8 +60,8 @@
 
         /** Machines by term, names without their common prefix: a controller alone may hold every machine in one record. */
         public ObjectNode encode() {
-            ObjectNode node = Codec.newMap();
-            String prefix = fencingTokensByHost.keySet().stream().reduce(Block::commonPrefix).orElse("");
+            ObjectNode node = WireFormat.newMap();
+            String prefix = fencingTokensByHost.keySet().stream().reduce(Shard::commonPrefix).orElse("");
             node.put("p", prefix);
             ObjectNode hostsByToken = node.putObject("ms");
             fencingTokensByHost.forEach((host, token) -> hostsByToken.withArray("/" + token).add(host.substring(prefix.length())));
@@ -72,56 +72,56 @@
     }
 
     private final String localMemberId;
-    private final Map<String, Node> membersById = new TreeMap<>();
-    private final Map<String, Block> shardsByOwner = new TreeMap<>();
+    private final Map<String, Member> membersById = new TreeMap<>();
+    private final Map<String, Shard> shardsByOwner = new TreeMap<>();
     private final Map<String, String> ownerByHost = new HashMap<>();
     private final List<Runnable> shardListeners = new ArrayList<>();
-    private Lead leaderRecord;
+    private LeaderRecord leaderRecord;
     private long latestFencingToken;
     private long shardVersion;
 
-    public Blocks(Settings settings, Mirror mirror) {
+    public ClusterMembership(Settings settings, WatchCache mirror) {
         this.localMemberId = settings.memberId();
-        mirror.addPrefixListener(Keys.MEMBER_PREFIX, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.MEMBER_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
-                String member = key.substring(Keys.MEMBER_PREFIX.length());
-                membersById.put(member, new Node(member, v.path("a").asText(), v.path("i").asLong(), v.path("g").asLong()));
+                String member = key.substring(StoreKeys.MEMBER_PREFIX.length());
+                membersById.put(member, new Member(member, v.path("a").asText(), v.path("i").asLong(), v.path("g").asLong()));
             }
 
             @Override public void onRemove(String key) {
-                membersById.remove(key.substring(Keys.MEMBER_PREFIX.length()));
+                membersById.remove(key.substring(StoreKeys.MEMBER_PREFIX.length()));
             }
         });
-        mirror.addPrefixListener(Keys.SHARD_PREFIX, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.SHARD_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
-                String member = key.substring(Keys.SHARD_PREFIX.length());
+                String member = key.substring(StoreKeys.SHARD_PREFIX.length());
                 forgetShard(member);
                 Map<String, Long> machines = new LinkedHashMap<>();
                 String prefix = v.path("p").asText();
                 v.path("ms").fields().forEachRemaining(f -> f.getValue().forEach(h -> machines.put(prefix + h.asText(), Long.parseLong(f.getKey()))));
-                Map<String, Amount> allowances = new LinkedHashMap<>();
+                Map<String, QuotaShare> allowances = new LinkedHashMap<>();
                 v.path("al").fields().forEachRemaining(f -> allowances.put(f.getKey(),
-                        new Amount(f.getValue().path(0).asDouble(), f.getValue().path(1).asDouble())));
-                shardsByOwner.put(member, new Block(member, machines, allowances));
+                        new QuotaShare(f.getValue().path(0).asDouble(), f.getValue().path(1).asDouble())));
+                shardsByOwner.put(member, new Shard(member, machines, allowances));
                 machines.keySet().forEach(h -> ownerByHost.put(h, member));
                 shardListeners.forEach(Runnable::run);
             }
 
             @Override public void onRemove(String key) {
-                forgetShard(key.substring(Keys.SHARD_PREFIX.length()));
+                forgetShard(key.substring(StoreKeys.SHARD_PREFIX.length()));
                 shardListeners.forEach(Runnable::run);
             }
         });
-        mirror.addPrefixListener(Keys.LEADER, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.LEADER, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
-                leaderRecord = new Lead(v.path("m").asText(), v.path("i").asLong(), v.path("t").asLong());
+                leaderRecord = new LeaderRecord(v.path("m").asText(), v.path("i").asLong(), v.path("t").asLong());
             }
 
             @Override public void onRemove(String key) {
                 leaderRecord = null;
             }
         });
-        mirror.addPrefixListener(Keys.FENCING_TOKEN_COUNTER, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.FENCING_TOKEN_COUNTER, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
                 latestFencingToken = v.path("n").asLong();
             }
@@ -134,7 +134,7 @@
 
     private void forgetShard(String ownerId) {
         shardVersion++;
-        Block previous = shardsByOwner.remove(ownerId);
+        Shard previous = shardsByOwner.remove(ownerId);
         if (previous != null) {
             previous.fencingTokensByHost.keySet().forEach(host -> ownerByHost.remove(host, ownerId));
         }
@@ -150,15 +150,15 @@
         return shardVersion;
     }
 
-    public Block localShard() {
+    public Shard localShard() {
         return shardsByOwner.get(localMemberId);
     }
 
-    public Block shardOf(String ownerId) {
+    public Shard shardOf(String ownerId) {
         return shardsByOwner.get(ownerId);
     }
 
-    public Collection<Block> shards() {
+    public Collection<Shard> shards() {
         return shardsByOwner.values();
     }
 
@@ -166,15 +166,15 @@
         return ownerByHost.get(host);
     }
 
-    public Collection<Node> members() {
+    public Collection<Member> members() {
         return membersById.values();
     }
 
-    public Node member(String memberId) {
+    public Member member(String memberId) {
         return membersById.get(memberId);
     }
 
-    public Lead leaderRecord() {
+    public LeaderRecord leaderRecord() {
         return leaderRecord;
     }
 
--- a/src/main/java/io/quincelead/records/Kinds.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -1,7 +1,7 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.eventloop.EventLoop;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,24 +10,24 @@
  * What constrained work has asked for lately: work that not every machine may run. The machines it needs are kept for it
  * and left free for it, for more of the same is likely to come.
  */
-public final class Kinds {
+public final class ConstrainedDemand {
     /** What a task demands of its machine. */
-    private record Kind(double cpus, double gpus, double memoryGb, List<String> machineTypes, String zone, boolean preemptible) {
-        boolean fits(Catalog.Shape machineType, String inZone, boolean spot) {
+    private record Requirements(double cpus, double gpus, double memoryGb, List<String> machineTypes, String zone, boolean preemptible) {
+        boolean fits(MachineTypeCatalog.MachineType machineType, String inZone, boolean spot) {
             return cpus <= machineType.cpus() && gpus <= machineType.gpus() && memoryGb <= machineType.memoryGb() && (machineTypes == null || machineTypes.contains(machineType.name()))
                     && (zone == null || zone.equals(inZone)) && (preemptible || !spot);
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     /** When each kind was last asked for, the oldest first. */
-    private final Map<Kind, Long> lastRequestedAt = new LinkedHashMap<>();
+    private final Map<Requirements, Long> lastRequestedAt = new LinkedHashMap<>();
 
     /** CPUs asked for by urgent work, fading with time. */
     private double decayedUrgentCpus;
     private long decayedAtMillis;
 
-    public Kinds(Loop loop, JobTable jobs) {
+    public ConstrainedDemand(EventLoop loop, JobTable jobs) {
         this.loop = loop;
         jobs.onJobAdded(this::recordDemand);
     }
@@ -38,12 +38,12 @@
             return;
         }
         // After a start, old jobs appear all at once: they say nothing of the rate.
-        if (spec.gpus() == 0 && spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()
+        if (spec.gpus() == 0 && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
                 && loop.wallClockMillis() - job.acceptedAtEpochMillis < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
             decay();
             decayedUrgentCpus += spec.taskCount() * spec.cpus();
         }
-        Kind requirements = new Kind(spec.cpus(), spec.gpus(), spec.memoryGb(), spec.machineTypes(), spec.zone(), spec.preemptible());
+        Requirements requirements = new Requirements(spec.cpus(), spec.gpus(), spec.memoryGb(), spec.machineTypes(), spec.zone(), spec.preemptible());
         lastRequestedAt.remove(requirements);
         lastRequestedAt.put(requirements, loop.nowMillis());
         long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
@@ -63,9 +63,9 @@
         return decayedUrgentCpus / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * withinSeconds;
     }
 
-    private boolean hasRecentDemand(Catalog.Shape machineType, String zone, boolean spot, boolean gpusOnly) {
+    private boolean hasRecentDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot, boolean gpusOnly) {
         long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
-        for (Map.Entry<Kind, Long> entry : lastRequestedAt.entrySet()) {
+        for (Map.Entry<Requirements, Long> entry : lastRequestedAt.entrySet()) {
             if (entry.getValue() >= oldestRemembered && (!gpusOnly || entry.getKey().gpus > 0) && entry.getKey().fits(machineType, zone, spot)) {
                 return true;
             }
@@ -74,12 +74,12 @@
     }
 
     /** Whether constrained work of late could use such a machine. */
-    public boolean isInDemand(Catalog.Shape machineType, String zone, boolean spot) {
+    public boolean isInDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return hasRecentDemand(machineType, zone, spot, false);
     }
 
     /** Whether work of late needs the GPUs of such a machine: other work should leave it alone. */
-    public boolean isGpuInDemand(Catalog.Shape machineType, String zone, boolean spot) {
+    public boolean isGpuInDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return machineType.gpus() > 0 && hasRecentDemand(machineType, zone, spot, true);
     }
 }
--- a/src/main/java/io/quincelead/records/ImageCaches.java
+++ b/src/main/java/io/quincelead/cluster/ImageCaches.java
@@ -1,4 +1,4 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/quincelead/records/Job.java
+++ b/src/main/java/io/quincelead/cluster/Job.java
@@ -1,11 +1,11 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.transport.WireFormat;
 
 /** An unfinished job as the store has it. */
 public final class Job {
@@ -17,9 +17,9 @@
     public long acceptedAtEpochMillis;
     /** Time of day in ms at which its cancellation was recorded; 0: not cancelled. */
     public long cancelledAtEpochMillis;
-    public final Chunk[] pages;
+    public final TaskStatePage[] pages;
     /** Stand in for chunks that have no record yet; always the same ones, so that a plan can tell them by identity. */
-    private final Chunk[] emptyPages;
+    private final TaskStatePage[] emptyPages;
     private int completedTasks;
     private int placedTasks;
     /** Of the placed: those whose end this process has evidence of, though it may not be on record yet. */
@@ -36,11 +36,11 @@
 
     Job(JobSpec spec) {
         this.spec = spec;
-        this.storeKey = Keys.JOB_PREFIX + spec.jobId();
-        this.pages = new Chunk[(spec.taskCount() + RecordConstants.TASKS_PER_STATE_PAGE - 1) / RecordConstants.TASKS_PER_STATE_PAGE];
-        this.emptyPages = new Chunk[pages.length];
+        this.storeKey = StoreKeys.JOB_PREFIX + spec.jobId();
+        this.pages = new TaskStatePage[(spec.taskCount() + RecordConstants.TASKS_PER_STATE_PAGE - 1) / RecordConstants.TASKS_PER_STATE_PAGE];
+        this.emptyPages = new TaskStatePage[pages.length];
         for (int pageNumber = 0; pageNumber < emptyPages.length; pageNumber++) {
-            emptyPages[pageNumber] = Chunk.empty(this, pageNumber);
+            emptyPages[pageNumber] = TaskStatePage.empty(this, pageNumber);
         }
     }
 
@@ -79,7 +79,7 @@
     public int requiredStartedTaskCount(long nowEpochMillis, double startWithinSeconds, double minimumShare) {
         double ageSeconds = (nowEpochMillis - acceptedAtEpochMillis) / 1000.0;
         double fromSeconds = startWithinSeconds * SchedulerConstants.OVERDUE_RAMP_START_FRACTION;
-        if (ageSeconds < fromSeconds || minimumShare <= 0 || spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()) {
+        if (ageSeconds < fromSeconds || minimumShare <= 0 || spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()) {
             return 0;
         }
         double share = Math.min(1, (ageSeconds - fromSeconds) / (startWithinSeconds * (SchedulerConstants.OVERDUE_RAMP_END_FRACTION - SchedulerConstants.OVERDUE_RAMP_START_FRACTION)));
@@ -98,7 +98,7 @@
 
     /** Keeps the counts of evidence in step with a placement that is on record. */
     void adjustEvidenceCounts(Placement placement, int delta) {
-        Chunk page = placement.isTerminated() ? pages[placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE] : null;
+        TaskStatePage page = placement.isTerminated() ? pages[placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE] : null;
         if (page != null && page.placements.get(placement.taskIndex) == placement) {
             unrecordedCompleted += placement.phase() == Placement.Phase.COMPLETED ? delta : 0;
             unrecordedGone += placement.phase() == Placement.Phase.GONE ? delta : 0;
@@ -113,20 +113,20 @@
         return !spec.isService() && completedTasks == spec.taskCount();
     }
 
-    public Chunk page(int pageNumber) {
+    public TaskStatePage page(int pageNumber) {
         return pages[pageNumber] == null ? emptyPages[pageNumber] : pages[pageNumber];
     }
 
     /** A chunk as it is before it has a record. */
-    Chunk emptyPage(int pageNumber) {
+    TaskStatePage emptyPage(int pageNumber) {
         return emptyPages[pageNumber];
     }
 
-    void replacePage(int pageNumber, Chunk nextPage) {
-        Chunk previousPage = pages[pageNumber];
-        Places before = previousPage == null ? null : previousPage.placements;
-        Places after = nextPage == null ? null : nextPage.placements;
-        Places.forEachChange(before, after, (was, is) -> {
+    void replacePage(int pageNumber, TaskStatePage nextPage) {
+        TaskStatePage previousPage = pages[pageNumber];
+        PlacementTable before = previousPage == null ? null : previousPage.placements;
+        PlacementTable after = nextPage == null ? null : nextPage.placements;
+        PlacementTable.forEachChange(before, after, (was, is) -> {
             if (was != null) {
                 adjustEvidenceCounts(was, -1);
             }
@@ -140,7 +140,7 @@
             completedTasks += nextPage.completed.cardinality();
             placedTasks += nextPage.placements.size();
         }
-        Places.forEachChange(before, after, (was, is) -> {
+        PlacementTable.forEachChange(before, after, (was, is) -> {
             if (is != null) {
                 adjustEvidenceCounts(is, 1);
             }
@@ -163,7 +163,7 @@
     }
 
     ObjectNode encode(String newControllerId, long cancelledEpochMillis, ObjectNode tasks) {
-        ObjectNode node = Codec.newMap();
+        ObjectNode node = WireFormat.newMap();
         node.set("s", spec.encode());
         node.put("c", newControllerId).put("at", acceptedAtEpochMillis);
         if (cancelledEpochMillis > 0) {
@@ -183,11 +183,11 @@
 
     /** The state that users are told while the job is not finished; a cancelled one is called so when its tasks are gone. */
     public ObjectNode encodeStatus() {
-        return encodeStatus(spec.jobId(), new Chunk.Counts(completedTasks, placedTasks));
+        return encodeStatus(spec.jobId(), new TaskStatePage.TaskCounts(completedTasks, placedTasks));
     }
 
     /** The same of a job whose records have just been read. */
-    public static ObjectNode encodeStatus(String jobId, Chunk.Counts counts) {
-        return Codec.newMap().put("nameId", jobId).put("status", counts.placed() > 0 ? "running" : "pending").put("done", counts.completed()).put("running", counts.placed());
+    public static ObjectNode encodeStatus(String jobId, TaskStatePage.TaskCounts counts) {
+        return WireFormat.newMap().put("nameId", jobId).put("status", counts.placed() > 0 ? "running" : "pending").put("done", counts.completed()).put("running", counts.placed());
     }
 }
--- a/src/main/java/io/quincelead/records/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -1,10 +1,10 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.WatchCache;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -20,9 +20,9 @@
 /** All unfinished jobs and where their tasks may be, as mirrored from the store. */
 public final class JobTable {
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
-    private final Loop loop;
+    private final EventLoop loop;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, HostLoad> loadByHost = new HashMap<>();
+    private final Map<String, MachineLoad> loadByHost = new HashMap<>();
     /** The same jobs, the longest accepted first. */
     private final List<Job> jobsOldestFirst = new ArrayList<>();
     private final Set<String> orphanPageKeys = new LinkedHashSet<>();
@@ -31,18 +31,18 @@
     private Consumer<String> machineListener = h -> { };
     private Consumer<Job> jobListener = j -> { };
 
-    public JobTable(Loop loop, Mirror mirror) {
+    public JobTable(EventLoop loop, WatchCache mirror) {
         this.loop = loop;
-        mirror.addPrefixListener(Keys.JOB_PREFIX, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.JOB_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long stamp) {
                 applyJob(key, value);
             }
 
             @Override public void onRemove(String key) {
-                removeJob(key.substring(Keys.JOB_PREFIX.length()));
+                removeJob(key.substring(StoreKeys.JOB_PREFIX.length()));
             }
         });
-        mirror.addPrefixListener(Keys.TASK_STATE_PAGE_PREFIX, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.TASK_STATE_PAGE_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long stamp) {
                 applyPage(key, value);
             }
@@ -96,22 +96,22 @@
 
     /** Where tasks may be on a machine, by task name. */
     public Map<String, Placement> placementsOn(String host) {
-        HostLoad load = loadByHost.get(host);
+        MachineLoad load = loadByHost.get(host);
         return load == null ? Map.of() : load.placementsByTask;
     }
 
     /** What those tasks use; null if there are none. */
-    public HostLoad loadOf(String host) {
+    public MachineLoad loadOf(String host) {
         return loadByHost.get(host);
     }
 
     private void applyJob(String key, JsonNode value) {
-        String jobId = key.substring(Keys.JOB_PREFIX.length());
+        String jobId = key.substring(StoreKeys.JOB_PREFIX.length());
         Job job = jobs.get(jobId);
         if (job == null) {
             try {
                 job = new Job(JobSpec.decode((ObjectNode) value.path("s")));
-            } catch (JobSpec.Malformed | ClassCastException malformed) {
+            } catch (JobSpec.MalformedJobException | ClassCastException malformed) {
                 LOG.error("the record {} can't be read ({}); the job is left alone", key, malformed.getMessage());
                 return;
             }
@@ -131,7 +131,7 @@
             applyPage(job, 0, value.get("k"));
         }
         if (job.isCancelled() && !wasCancelled) {
-            for (Chunk page : job.pages) {
+            for (TaskStatePage page : job.pages) {
                 if (page != null) {
                     for (Placement placement : page.placements) {
                         placement.machineLoad.invalidate();
@@ -149,7 +149,7 @@
         }
         unfinishedTaskCount -= job.spec.taskCount();
         jobsOldestFirst.remove(job);
-        for (Chunk page : job.pages) {
+        for (TaskStatePage page : job.pages) {
             if (page != null) {
                 if (!job.hasSinglePage()) {
                     orphanPageKeys.add(page.storeKey());
@@ -163,7 +163,7 @@
     }
 
     private void applyPage(String key, JsonNode value) {
-        String rest = key.substring(Keys.TASK_STATE_PAGE_PREFIX.length());
+        String rest = key.substring(StoreKeys.TASK_STATE_PAGE_PREFIX.length());
         int slash = rest.lastIndexOf('/');
         Job job = slash < 0 ? null : jobs.get(rest.substring(0, slash));
         if (job == null) {
@@ -188,17 +188,17 @@
     }
 
     private void applyPage(Job job, int pageNumber, JsonNode value) {
-        Chunk previousPage = job.pages[pageNumber];
-        Chunk nextPage;
+        TaskStatePage previousPage = job.pages[pageNumber];
+        TaskStatePage nextPage;
         try {
-            nextPage = value == null ? null : Chunk.decode(job, pageNumber, value, previousPage, loop.nowMillis());
+            nextPage = value == null ? null : TaskStatePage.decode(job, pageNumber, value, previousPage, loop.nowMillis());
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             LOG.error("the places of {} in record {} can't be read; the record is left alone", job.spec.jobId(), pageNumber);
             return;
         }
-        Places placementsBefore = previousPage == null ? null : previousPage.placements;
-        Places placementsAfter = nextPage == null ? null : nextPage.placements;
-        Places.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
+        PlacementTable placementsBefore = previousPage == null ? null : previousPage.placements;
+        PlacementTable placementsAfter = nextPage == null ? null : nextPage.placements;
+        PlacementTable.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
             if (previous != null) {
                 unindex(previous);
                 if (current == null) {
@@ -207,7 +207,7 @@
             }
         });
         job.replacePage(pageNumber, nextPage);
-        Places.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
+        PlacementTable.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
             if (current != null) {
                 index(previous, current);
             }
@@ -222,13 +222,13 @@
         if (!sameStart || previous.stopRequested != placement.stopRequested) {
             machineListener.accept(placement.host);
         }
-        placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new HostLoad());
+        placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new MachineLoad());
         placement.machineLoad.placementsByTask.put(placement.taskName(), placement);
         placement.machineLoad.invalidate();
     }
 
     private void unindex(Placement placement) {
-        HostLoad load = loadByHost.get(placement.host);
+        MachineLoad load = loadByHost.get(placement.host);
         if (load != null) {
             load.placementsByTask.remove(placement.taskName());
             load.invalidate();
--- a/src/main/java/io/quincelead/records/HostLoad.java
+++ b/src/main/java/io/quincelead/cluster/MachineLoad.java
@@ -1,4 +1,4 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,8 +10,8 @@
  * The tasks that may be on one machine, with what they use. The sums are read anew from the tasks only after one of them
  * has changed, so a round over all machines costs what has changed since the last one, and no sum ever drifts.
  */
-public final class HostLoad {
-    private static final int PRIORITY_COUNT = JobSpec.Urgency.values().length;
+public final class MachineLoad {
+    private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
 
     final Map<String, Placement> placementsByTask = new LinkedHashMap<>();
     private boolean stale = true;
--- a/src/main/java/io/quincelead/records/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -1,14 +1,14 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.RecordConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Txn;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -48,11 +48,11 @@
 
         /** The record it shares. */
         public String storeKey() {
-            return Keys.MACHINE_PREFIX + groupId;
+            return StoreKeys.MACHINE_PREFIX + groupId;
         }
     }
 
-    private final Mirror mirror;
+    private final WatchCache mirror;
     private final Map<String, Machine> machinesByHost = new LinkedHashMap<>();
     private final Map<String, List<String>> hostsByGroup = new HashMap<>();
     private final Set<String> cordonedHosts = new HashSet<>();
@@ -62,15 +62,15 @@
     private java.util.function.Function<String, Map<String, Double>> currentLargeImages = h -> null;
     private java.util.function.BiConsumer<String, Map<String, Double>> largeImagesListener = (h, i) -> { };
 
-    public MachineTable(Mirror mirror) {
+    public MachineTable(WatchCache mirror) {
         this.mirror = mirror;
-        mirror.addPrefixListener(Keys.MACHINE_PREFIX, new Mirror.View() {
+        mirror.addPrefixListener(StoreKeys.MACHINE_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
-                applyRecord(key.substring(Keys.MACHINE_PREFIX.length()), v);
+                applyRecord(key.substring(StoreKeys.MACHINE_PREFIX.length()), v);
             }
 
             @Override public void onRemove(String key) {
-                forgetGroup(key.substring(Keys.MACHINE_PREFIX.length()), Set.of());
+                forgetGroup(key.substring(StoreKeys.MACHINE_PREFIX.length()), Set.of());
             }
         });
     }
@@ -146,18 +146,18 @@
     }
 
     /** Changes of machines that are part of one transaction. */
-    public Edits beginEdits(Txn transaction) {
-        return new Edits(transaction);
+    public MachineEdits beginEdits(Transaction transaction) {
+        return new MachineEdits(transaction);
     }
 
     /** Keeps a transaction's machine records in step with the changes asked for; each shared record is written once. */
-    public final class Edits {
-        private final Txn transaction;
+    public final class MachineEdits {
+        private final Transaction transaction;
         private final Map<String, Map<String, Machine>> machinesByEditedGroup = new HashMap<>();
         /** Records begun for unexpected machines, by what all machines of one record have in common. */
         private final Map<String, String> openGroupByAttributes = new HashMap<>();
 
-        private Edits(Txn transaction) {
+        private MachineEdits(Transaction transaction) {
             this.transaction = transaction;
         }
 
@@ -179,7 +179,7 @@
             }
             put(new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis).withAddress(address));
             // The record may be gone again when a copy of this comes: its guard of 0 would then hold, and bring back machines that are gone.
-            transaction.requireRevision(Keys.UNEXPECTED_MACHINE_INTAKE, mirror.modRevision(Keys.UNEXPECTED_MACHINE_INTAKE)).put(Keys.UNEXPECTED_MACHINE_INTAKE, Codec.newMap());
+            transaction.requireRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE, mirror.modRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE)).put(StoreKeys.UNEXPECTED_MACHINE_INTAKE, WireFormat.newMap());
         }
 
         public void put(Machine machine) {
@@ -201,11 +201,11 @@
                 return;
             }
             Machine any = groupMachines.values().iterator().next();
-            ObjectNode node = Codec.newMap().put("k", any.machineType()).put("s", any.zone()).put("p", any.spot()).put("r", any.rentedAtEpochMillis());
+            ObjectNode node = WireFormat.newMap().put("k", any.machineType()).put("s", any.zone()).put("p", any.spot()).put("r", any.rentedAtEpochMillis());
             ArrayNode hosts = node.putArray("h");
-            ArrayNode releasing = Codec.newList();
-            ArrayNode cordoned = Codec.newList();
-            ObjectNode addresses = Codec.newMap();
+            ArrayNode releasing = WireFormat.newList();
+            ArrayNode cordoned = WireFormat.newList();
+            ObjectNode addresses = WireFormat.newMap();
             for (Machine machine : groupMachines.values()) {
                 hosts.add(machine.host());
                 if (machine.releasing()) {
@@ -227,7 +227,7 @@
             if (!cordoned.isEmpty()) {
                 node.set("q", cordoned);
             }
-            ObjectNode largeImages = Codec.newMap();
+            ObjectNode largeImages = WireFormat.newMap();
             for (Machine machine : groupMachines.values()) {
                 Map<String, Double> current = currentLargeImages.apply(machine.host());
                 current = current == null ? recordedLargeImages(machine.host()) : current;
--- a/src/main/java/io/quincelead/records/Catalog.java
+++ b/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
@@ -1,10 +1,10 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 
 /** The machine types, as the leader last read them from the cloud and recorded them for all controllers. */
-public final class Catalog {
+public final class MachineTypeCatalog {
     /** A machine type; prices are per hour. */
-    public record Shape(String name, double cpus, double gpus, double memoryGb, double localDiskGb, double imagePullGbPerSecond, double onDemandPricePerHour,
+    public record MachineType(String name, double cpus, double gpus, double memoryGb, double localDiskGb, double imagePullGbPerSecond, double onDemandPricePerHour,
             double spotPricePerHour, double bootSeconds, List<String> zones) {
 
         public double pricePerHour(boolean spot) {
@@ -27,34 +27,34 @@
 
         /** The record of this type. */
         public ObjectNode encode() {
-            ObjectNode node = Codec.newMap().put("label", name).put("vcpus", cpus).put("cards", gpus).put("ramGb", memoryGb).put("localGb", localDiskGb)
+            ObjectNode node = WireFormat.newMap().put("label", name).put("vcpus", cpus).put("cards", gpus).put("ramGb", memoryGb).put("localGb", localDiskGb)
                     .put("pullGbPerS", imagePullGbPerSecond).put("price", onDemandPricePerHour).put("spotPrice", spotPricePerHour).put("bootS", bootSeconds);
             zones.forEach(node.putArray("sites")::add);
             return node;
         }
 
         /** A type as the cloud's catalog and our record have it (protocol, "GET /catalog"); what is missing gets a careful value. */
-        public static Shape decode(JsonNode node) {
+        public static MachineType decode(JsonNode node) {
             List<String> zones = new ArrayList<>();
             node.path("sites").forEach(zone -> zones.add(zone.asText()));
             double onDemandPricePerHour = node.path("price").asDouble();
-            return new Shape(node.path("label").asText(), node.path("vcpus").asDouble(), node.path("cards").asDouble(),
+            return new MachineType(node.path("label").asText(), node.path("vcpus").asDouble(), node.path("cards").asDouble(),
                     node.path("ramGb").asDouble(), node.path("localGb").asDouble(20), node.path("pullGbPerS").asDouble(1), onDemandPricePerHour,
                     node.path("spotPrice").asDouble(onDemandPricePerHour), node.path("bootS").asDouble(30), zones);
         }
     }
 
-    private final Map<String, Shape> machineTypes = new TreeMap<>();
+    private final Map<String, MachineType> machineTypes = new TreeMap<>();
 
-    public Catalog(Mirror mirror) {
-        mirror.addPrefixListener(Keys.MACHINE_TYPE_PREFIX, new Mirror.View() {
+    public MachineTypeCatalog(WatchCache mirror) {
+        mirror.addPrefixListener(StoreKeys.MACHINE_TYPE_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long stamp) {
-                Shape s = Shape.decode(value);
+                MachineType s = MachineType.decode(value);
                 machineTypes.put(s.name(), s);
             }
 
             @Override public void onRemove(String key) {
-                machineTypes.remove(key.substring(Keys.MACHINE_TYPE_PREFIX.length()));
+                machineTypes.remove(key.substring(StoreKeys.MACHINE_TYPE_PREFIX.length()));
             }
         });
     }
@@ -63,16 +63,16 @@
         return !machineTypes.isEmpty();
     }
 
-    public Shape get(String name) {
+    public MachineType get(String name) {
         return machineTypes.get(name);
     }
 
-    public Collection<Shape> all() {
+    public Collection<MachineType> all() {
         return machineTypes.values();
     }
 
     /** Prices move; the leader's last reading counts for the leader alone and is not recorded again. */
-    public void overrideLocally(Shape machineType) {
+    public void overrideLocally(MachineType machineType) {
         machineTypes.put(machineType.name(), machineType);
     }
 
--- a/src/main/java/io/quincelead/records/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -1,4 +1,4 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 /**
  * One task's recorded place: the task may be on that machine until evidence says that it is gone. The record is in
@@ -40,7 +40,7 @@
     /** Loop time at which this process first saw the record. */
     public long recordSeenAtMillis;
     /** The machine's load while this record is the one that counts there. */
-    HostLoad machineLoad;
+    MachineLoad machineLoad;
 
     public Placement(Job job, int taskIndex, String host, long attempt, boolean stopRequested, long recordSeenAtMillis) {
         this.job = job;
--- a/src/main/java/io/quincelead/records/Places.java
+++ b/src/main/java/io/quincelead/cluster/PlacementTable.java
@@ -1,4 +1,4 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import java.util.AbstractCollection;
 import java.util.Arrays;
@@ -9,18 +9,18 @@
  * The places of one chunk's tasks, in the order of the tasks. Slots instead of a sorted map: every controller reads every
  * change of a chunk, and looking up, copying and walking 200 tasks is most of what that costs.
  */
-public final class Places extends AbstractCollection<Placement> {
+public final class PlacementTable extends AbstractCollection<Placement> {
     private final int firstTaskIndex;
     private final Placement[] slots;
     private int size;
 
     /** For {@code tasks} tasks, the first of which has the index {@code first}. */
-    Places(int firstTaskIndex, int taskCount) {
+    PlacementTable(int firstTaskIndex, int taskCount) {
         this.firstTaskIndex = firstTaskIndex;
         this.slots = new Placement[taskCount];
     }
 
-    Places(Places other) {
+    PlacementTable(PlacementTable other) {
         this.firstTaskIndex = other.firstTaskIndex;
         this.slots = Arrays.copyOf(other.slots, other.slots.length);
         this.size = other.size;
@@ -48,12 +48,12 @@
     }
 
     /** Takes what one chunk had and another has of a task; either may be null. */
-    interface Change {
+    interface ChangeVisitor {
         void visit(Placement before, Placement after);
     }
 
     /** Walks over the tasks whose places differ from those before; null: there are none. */
-    static void forEachChange(Places before, Places after, Change visitor) {
+    static void forEachChange(PlacementTable before, PlacementTable after, ChangeVisitor visitor) {
         int slotCount = before != null ? before.slots.length : after != null ? after.slots.length : 0;
         for (int slot = 0; slot < slotCount; slot++) {
             Placement previous = before == null ? null : before.slots[slot];
--- a/src/main/java/io/quincelead/records/Chunk.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePage.java
@@ -1,18 +1,18 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.RecordConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.transport.WireFormat;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.Collection;
 
 /** The recorded states of up to {@link RecordConstants#TASKS_PER_STATE_PAGE} tasks of a job: done, placed, or else pending. */
-public final class Chunk {
+public final class TaskStatePage {
     /** After the attempt of a task that is to be stopped. */
     private static final char STOP_MARK = '!';
     public final Job job;
@@ -20,12 +20,12 @@
     /** The highest attempt used so far. */
     public final long lastAttempt;
     public final BitSet completed;
-    public final Places placements;
+    public final PlacementTable placements;
     private final String storeKey;
     /** The places as they are on record; null where no record was read. */
     private final byte[] recordedPlacements;
 
-    private Chunk(Job job, int pageNumber, String storeKey, long lastAttempt, BitSet completed, Places placements, byte[] recordedPlacements) {
+    private TaskStatePage(Job job, int pageNumber, String storeKey, long lastAttempt, BitSet completed, PlacementTable placements, byte[] recordedPlacements) {
         this.job = job;
         this.storeKey = storeKey;
         this.pageNumber = pageNumber;
@@ -35,8 +35,8 @@
         this.recordedPlacements = recordedPlacements;
     }
 
-    static Chunk empty(Job job, int pageNumber) {
-        return new Chunk(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new Places(pageNumber * RecordConstants.TASKS_PER_STATE_PAGE, taskCount(job, pageNumber)), null);
+    static TaskStatePage empty(Job job, int pageNumber) {
+        return new TaskStatePage(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new PlacementTable(pageNumber * RecordConstants.TASKS_PER_STATE_PAGE, taskCount(job, pageNumber)), null);
     }
 
     /** The record it is kept in: the job's own, if one chunk is all there is. */
@@ -47,7 +47,7 @@
     /** Four digits, so that a job's chunks are listed in their order. */
     private static String pageKey(String jobId, int pageNumber) {
         String digits = Integer.toString(pageNumber);
-        return Keys.TASK_STATE_PAGE_PREFIX + jobId + "/" + "0".repeat(Math.max(0, 4 - digits.length())) + digits;
+        return StoreKeys.TASK_STATE_PAGE_PREFIX + jobId + "/" + "0".repeat(Math.max(0, 4 - digits.length())) + digits;
     }
 
     public int firstTaskIndex() {
@@ -76,24 +76,24 @@
     }
 
     /** How many tasks of a record are done, and how many have a place. */
-    public record Counts(int completed, int placed) {
+    public record TaskCounts(int completed, int placed) {
         /** Of a record as the store has it; none where it is missing. */
-        public static Counts of(JsonNode node) {
+        public static TaskCounts of(JsonNode node) {
             int completed = 0;
             JsonNode completedRanges = node.path("d");
             for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
                 completed += completedRanges.get(i + 1).asInt() - completedRanges.get(i).asInt();
             }
-            return new Counts(completed, (int) placementsText(node.path("p")).chars().filter(character -> character == ';').count());
+            return new TaskCounts(completed, (int) placementsText(node.path("p")).chars().filter(character -> character == ';').count());
         }
 
         /** Both together. */
-        public Counts plus(Counts other) {
-            return new Counts(completed + other.completed, placed + other.placed);
+        public TaskCounts plus(TaskCounts other) {
+            return new TaskCounts(completed + other.completed, placed + other.placed);
         }
     }
 
-    static Chunk decode(Job job, int pageNumber, JsonNode node, Chunk previousPage, long nowMillis) {
+    static TaskStatePage decode(Job job, int pageNumber, JsonNode node, TaskStatePage previousPage, long nowMillis) {
         BitSet completed = new BitSet();
         JsonNode completedRanges = node.path("d");
         for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
@@ -101,18 +101,18 @@
         }
         byte[] text = placementsText(node.path("p")).getBytes(StandardCharsets.ISO_8859_1);
         int firstTaskIndex = pageNumber * RecordConstants.TASKS_PER_STATE_PAGE;
-        Places placements;
+        PlacementTable placements;
         int from = 0;
         int to = text.length;
         if (previousPage == null || previousPage.recordedPlacements == null) {
-            placements = new Places(firstTaskIndex, taskCount(job, pageNumber));
+            placements = new PlacementTable(firstTaskIndex, taskCount(job, pageNumber));
         } else {
             // Most of a chunk is as before: only the places between what both texts begin and end with are read.
             byte[] old = previousPage.recordedPlacements;
             from = commonPrefixLength(old, text);
             int unchangedSuffix = commonSuffixLength(old, text, from);
             to = text.length - unchangedSuffix;
-            placements = new Places(previousPage.placements);
+            placements = new PlacementTable(previousPage.placements);
             for (int at = from; at < old.length - unchangedSuffix; at = indexAfter(old, at, ';')) {
                 placements.remove(firstTaskIndex + (int) parseDecimal(old, at, indexAfter(old, at, ' ') - 1));
             }
@@ -138,7 +138,7 @@
             }
             placements.put(next);
         }
-        return new Chunk(job, pageNumber, job.emptyPage(pageNumber).storeKey, node.path("t").asLong(), completed, placements, text);
+        return new TaskStatePage(job, pageNumber, job.emptyPage(pageNumber).storeKey, node.path("t").asLong(), completed, placements, text);
     }
 
     /** Bytes that both texts begin with, up to the end of a place. */
@@ -221,20 +221,20 @@
 
     /** A planned change of a chunk. It becomes real only when the store has confirmed it. */
     public static final class Edit {
-        private final Chunk page;
+        private final TaskStatePage page;
         private final BitSet completed;
-        private final Places placements;
+        private final PlacementTable placements;
         private long lastAttempt;
         private boolean changed;
 
-        private Edit(Chunk page) {
+        private Edit(TaskStatePage page) {
             this.page = page;
             this.completed = (BitSet) page.completed.clone();
-            this.placements = new Places(page.placements);
+            this.placements = new PlacementTable(page.placements);
             this.lastAttempt = page.lastAttempt;
         }
 
-        public Chunk page() {
+        public TaskStatePage page() {
             return page;
         }
 
@@ -302,7 +302,7 @@
 
         /** The record under the chunk's key with this change made. */
         public ObjectNode encode() {
-            ObjectNode node = Chunk.encode(page.firstTaskIndex(), lastAttempt, completed, placements);
+            ObjectNode node = TaskStatePage.encode(page.firstTaskIndex(), lastAttempt, completed, placements);
             return page.job.hasSinglePage() ? page.job.encode(page.job.controllerId, page.job.cancelledAtEpochMillis, node) : node;
         }
     }
@@ -311,8 +311,8 @@
         return encode(firstTaskIndex(), lastAttempt, completed, placements);
     }
 
-    private static ObjectNode encode(int firstTaskIndex, long lastAttempt, BitSet completed, Places placements) {
-        ObjectNode node = Codec.newMap().put("t", lastAttempt);
+    private static ObjectNode encode(int firstTaskIndex, long lastAttempt, BitSet completed, PlacementTable placements) {
+        ObjectNode node = WireFormat.newMap().put("t", lastAttempt);
         ArrayNode completedRanges = node.putArray("d");
         for (int from = completed.nextSetBit(0); from >= 0;) {
             int to = completed.nextClearBit(from);
--- a/src/main/java/io/quincelead/records/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -1,10 +1,10 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.Collection;
 import java.util.Locale;
 import java.util.Map;
@@ -29,40 +29,40 @@
     }
 
     /** What operators have ordered for a zone that can't be reached. */
-    public enum Order { NONE, HOLD, RELEASE }
+    public enum OperatorOrder { NONE, HOLD, RELEASE }
 
     /**
      * A zone's record. {@code since}: when it came into the state, in ms since 1970; {@code had}: machines it had when it was first doubted;
      * {@code losses}: how often it was lost of late; {@code why}: the evidence, in words.
      */
-    public record Zone(String name, State state, long sinceEpochMillis, int machineCountWhenDoubted, int recentLossCount, String reason, Order operatorOrder) {
+    public record Zone(String name, State state, long sinceEpochMillis, int machineCountWhenDoubted, int recentLossCount, String reason, OperatorOrder operatorOrder) {
         public static Zone up(String zoneName) {
-            return new Zone(zoneName, State.UP, 0, 0, 0, "", Order.NONE);
+            return new Zone(zoneName, State.UP, 0, 0, 0, "", OperatorOrder.NONE);
         }
 
         public Zone withState(State next, long nowEpochMillis, String evidence) {
             return new Zone(name, next, nowEpochMillis, machineCountWhenDoubted, recentLossCount, evidence, operatorOrder);
         }
 
-        public Zone withOperatorOrder(Order newOrder) {
+        public Zone withOperatorOrder(OperatorOrder newOrder) {
             return new Zone(name, state, sinceEpochMillis, machineCountWhenDoubted, recentLossCount, reason, newOrder);
         }
 
         public ObjectNode encode() {
-            return Codec.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("since", sinceEpochMillis).put("had", machineCountWhenDoubted).put("losses", recentLossCount).put("why", reason)
+            return WireFormat.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("since", sinceEpochMillis).put("had", machineCountWhenDoubted).put("losses", recentLossCount).put("why", reason)
                     .put("order", operatorOrder.name().toLowerCase(Locale.ROOT));
         }
     }
 
     private final Map<String, Zone> zones = new TreeMap<>();
 
-    public ZoneTable(Mirror mirror) {
-        mirror.addPrefixListener(Keys.ZONE_PREFIX, new Mirror.View() {
+    public ZoneTable(WatchCache mirror) {
+        mirror.addPrefixListener(StoreKeys.ZONE_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode v, long stamp) {
-                String name = key.substring(Keys.ZONE_PREFIX.length());
+                String name = key.substring(StoreKeys.ZONE_PREFIX.length());
                 try {
                     zones.put(name, new Zone(name, State.valueOf(v.path("st").asText().toUpperCase(Locale.ROOT)), v.path("since").asLong(), v.path("had").asInt(),
-                            v.path("losses").asInt(), v.path("why").asText(), Order.valueOf(v.path("order").asText("none").toUpperCase(Locale.ROOT))));
+                            v.path("losses").asInt(), v.path("why").asText(), OperatorOrder.valueOf(v.path("order").asText("none").toUpperCase(Locale.ROOT))));
                 } catch (IllegalArgumentException e) {
                     // A state of a later build: as it was, the zone goes on.
                     zones.putIfAbsent(name, Zone.up(name));
@@ -70,7 +70,7 @@
             }
 
             @Override public void onRemove(String key) {
-                zones.remove(key.substring(Keys.ZONE_PREFIX.length()));
+                zones.remove(key.substring(StoreKeys.ZONE_PREFIX.length()));
             }
         });
     }
@@ -91,6 +91,6 @@
     }
 
     public static String storeKey(String name) {
-        return Keys.ZONE_PREFIX + name;
+        return StoreKeys.ZONE_PREFIX + name;
     }
 }
--- a/src/main/java/io/quincelead/base/Settings.java
+++ b/src/main/java/io/quincelead/config/Settings.java
@@ -1,4 +1,4 @@
-package io.quincelead.base;
+package io.quincelead.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -11,100 +11,100 @@
 
 /** The settings file that the platform hands over (TOML), checked once at the start. Unknown fields are ignored. */
 public record Settings(String memberId, String zone, String listenAddress, String clusterListenAddress, Map<String, String> peerAddresses,
-        String cloudAddress, String storeAddress, int controllerCount, double clockErrorMillis, Map<String, Team> teams, List<Objective> objectives,
-        Workers workerTimings, State storeLimits, Cloud cloudLimits, Limits processLimits) {
+        String cloudAddress, String storeAddress, int controllerCount, double clockErrorMillis, Map<String, Team> teams, List<ServiceLevelObjective> objectives,
+        WorkerTimings workerTimings, StoreLimits storeLimits, CloudLimits cloudLimits, ProcessLimits processLimits) {
 
     /** A team's guarantee and limit. */
     public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) { }
 
     /** What is expected of a class of jobs. */
-    public record Objective(String metric, String jobClass, double withinSeconds, double fraction, double factor) { }
+    public record ServiceLevelObjective(String metric, String jobClass, double withinSeconds, double fraction, double factor) { }
 
     /** What the platform says of workers, in seconds. */
-    public record Workers(double heartbeatSeconds, double leaseSeconds, double gangWaitSeconds, double gangPeerSeconds, double cancelSeconds) { }
+    public record WorkerTimings(double heartbeatSeconds, double leaseSeconds, double gangWaitSeconds, double gangPeerSeconds, double cancelSeconds) { }
 
     /** Limits of the state service. */
-    public record State(double requestsPerSecond, double writesPerSecond, double maxValueKb, int maxTransactionOperations) { }
+    public record StoreLimits(double requestsPerSecond, double writesPerSecond, double maxValueKb, int maxTransactionOperations) { }
 
     /** Limits of the cloud. */
-    public record Cloud(double requestsPerSecond, double listLagSeconds) { }
+    public record CloudLimits(double requestsPerSecond, double listLagSeconds) { }
 
     /** What the process may use. */
-    public record Limits(double cpuShare, double memoryMb, int maxConnections) { }
+    public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) { }
 
     /** A settings file that can't be used: the message names file, field and what is allowed. */
-    public static final class Invalid extends Exception {
+    public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Invalid(String message) {
+        public InvalidSettingsException(String message) {
             super(message);
         }
     }
 
-    public static Settings load(File file) throws Invalid {
+    public static Settings load(File file) throws InvalidSettingsException {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(file);
         } catch (IOException e) {
             String firstLine = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
-            throw new Invalid(file + ": can't be read as TOML: " + firstLine);
+            throw new InvalidSettingsException(file + ": can't be read as TOML: " + firstLine);
         }
         return read(root, file.toString());
     }
 
     /** Reads settings; {@code file} is named in the error. */
-    public static Settings read(JsonNode root, String fileName) throws Invalid {
-        Reader rootTable = new Reader(fileName, "", root);
-        Reader externalTable = rootTable.table("external");
-        Reader settingsTable = rootTable.table("settings");
+    public static Settings read(JsonNode root, String fileName) throws InvalidSettingsException {
+        TableReader rootTable = new TableReader(fileName, "", root);
+        TableReader externalTable = rootTable.table("external");
+        TableReader settingsTable = rootTable.table("settings");
         Map<String, String> peerAddresses = new LinkedHashMap<>();
-        for (Reader peerTable : rootTable.tables("known", false)) {
+        for (TableReader peerTable : rootTable.tables("known", false)) {
             peerAddresses.put(peerTable.text("member"), peerTable.address("address"));
         }
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Reader teamTable : settingsTable.tables("teams", true)) {
+        for (TableReader teamTable : settingsTable.tables("teams", true)) {
             Team team = new Team(teamTable.text("name"), teamTable.number("cpus", 0, 0), teamTable.number("cpus_max", 0, null),
                     teamTable.number("gpus", 0, 0), teamTable.number("gpus_max", 0, 0));
             teams.put(team.name(), team);
         }
-        List<Objective> objectives = new ArrayList<>();
-        for (Reader objectiveTable : settingsTable.tables("objectives", false)) {
-            objectives.add(new Objective(objectiveTable.text("kind"), objectiveTable.textOrDefault("class", ""), objectiveTable.number("within_s", 0, 0),
+        List<ServiceLevelObjective> objectives = new ArrayList<>();
+        for (TableReader objectiveTable : settingsTable.tables("objectives", false)) {
+            objectives.add(new ServiceLevelObjective(objectiveTable.text("kind"), objectiveTable.textOrDefault("class", ""), objectiveTable.number("within_s", 0, 0),
                     objectiveTable.number("share", 0, 0), objectiveTable.number("times", 0, 1)));
         }
-        Reader workersTable = settingsTable.table("workers");
-        Reader stateTable = settingsTable.table("state");
-        Reader cloudTable = settingsTable.table("cloud");
-        Reader limitsTable = settingsTable.table("limits");
+        TableReader workersTable = settingsTable.table("workers");
+        TableReader stateTable = settingsTable.table("state");
+        TableReader cloudTable = settingsTable.table("cloud");
+        TableReader limitsTable = settingsTable.table("limits");
         return new Settings(rootTable.text("member"), rootTable.text("domain"), rootTable.address("listen"), rootTable.address("cluster_listen"), peerAddresses,
                 externalTable.address("cloud"), externalTable.address("state"), (int) settingsTable.number("count", 1, peerAddresses.size() + 1),
                 settingsTable.number("clock_error_ms", 0, 0), teams, objectives,
-                new Workers(workersTable.number("report_s", 0.01, null), workersTable.number("lease_s", 0.1, null),
+                new WorkerTimings(workersTable.number("report_s", 0.01, null), workersTable.number("lease_s", 0.1, null),
                         workersTable.number("gang_wait_s", 0, 30), workersTable.number("gang_peer_s", 0, 5), workersTable.number("cancel_s", 0.1, null)),
-                new State(stateTable.number("rps", 1, null), stateTable.number("write_rps", 1, null), stateTable.number("value_kb", 1, null),
+                new StoreLimits(stateTable.number("rps", 1, null), stateTable.number("write_rps", 1, null), stateTable.number("value_kb", 1, null),
                         (int) stateTable.number("txn_ops", 4, null)),
-                new Cloud(cloudTable.number("rps", 0.01, null), cloudTable.number("list_lag_s", 0, 5)),
-                new Limits(limitsTable.number("cpu_share", 0, 1), limitsTable.number("ram_mb", 1, 256),
+                new CloudLimits(cloudTable.number("rps", 0.01, null), cloudTable.number("list_lag_s", 0, 5)),
+                new ProcessLimits(limitsTable.number("cpu_share", 0, 1), limitsTable.number("ram_mb", 1, 256),
                         (int) limitsTable.number("max_connections", 8, 500)));
     }
 
     /** Reads one table of the file and names the place of whatever is wrong. */
-    private record Reader(String fileName, String path, JsonNode node) {
-        Invalid invalid(String field, String allowed) {
-            return new Invalid(fileName + ": " + path + field + ": " + allowed);
+    private record TableReader(String fileName, String path, JsonNode node) {
+        InvalidSettingsException invalid(String field, String allowed) {
+            return new InvalidSettingsException(fileName + ": " + path + field + ": " + allowed);
         }
 
-        Reader table(String field) throws Invalid {
+        TableReader table(String field) throws InvalidSettingsException {
             JsonNode value = node.get(field);
             if (value == null || !value.isObject()) {
                 throw invalid(field, "a table is required");
             }
-            return new Reader(fileName, path + field + ".", value);
+            return new TableReader(fileName, path + field + ".", value);
         }
 
-        List<Reader> tables(String field, boolean required) throws Invalid {
+        List<TableReader> tables(String field, boolean required) throws InvalidSettingsException {
             JsonNode value = node.get(field);
-            List<Reader> tables = new ArrayList<>();
+            List<TableReader> tables = new ArrayList<>();
             if (value == null && !required) {
                 return tables;
             }
@@ -115,12 +115,12 @@
                 if (!value.get(index).isObject()) {
                     throw invalid(field + "[" + index + "]", "a table is required");
                 }
-                tables.add(new Reader(fileName, path + field + "[" + index + "].", value.get(index)));
+                tables.add(new TableReader(fileName, path + field + "[" + index + "].", value.get(index)));
             }
             return tables;
         }
 
-        String text(String field) throws Invalid {
+        String text(String field) throws InvalidSettingsException {
             JsonNode value = node.get(field);
             if (value == null || !value.isTextual() || value.asText().isBlank()) {
                 throw invalid(field, "a non-empty text is required");
@@ -128,11 +128,11 @@
             return value.asText();
         }
 
-        String textOrDefault(String field, String fallback) throws Invalid {
+        String textOrDefault(String field, String fallback) throws InvalidSettingsException {
             return node.get(field) == null ? fallback : text(field);
         }
 
-        String address(String field) throws Invalid {
+        String address(String field) throws InvalidSettingsException {
             String address = text(field);
             int colon = address.lastIndexOf(':');
             try {
@@ -146,7 +146,7 @@
             throw invalid(field, "an address like 10.0.0.1:8080 is required, not \"" + address + "\"");
         }
 
-        double number(String field, double minimum, Number fallback) throws Invalid {
+        double number(String field, double minimum, Number fallback) throws InvalidSettingsException {
             JsonNode value = node.get(field);
             if (value == null && fallback != null) {
                 return fallback.doubleValue();
--- a/src/main/java/io/quincelead/base/Loop.java
+++ b/src/main/java/io/quincelead/eventloop/EventLoop.java
@@ -1,7 +1,7 @@
-package io.quincelead.base;
+package io.quincelead.eventloop;
 
 /** The one event loop that owns all state of a controller. Time and turns come from here, so tests can inject both. */
-public interface Loop {
+public interface EventLoop {
     /** Steady time in ms. */
     long nowMillis();
 
--- a/src/main/java/io/quincelead/leader/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -1,24 +1,24 @@
-package io.quincelead.leader;
-
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+package io.quincelead.leadership;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.config.constants.LeadershipConstants;
-import io.quincelead.net.Codec;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.MachineTable;
-import io.quincelead.state.Fence;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
-import io.quincelead.workers.Stray;
+import io.quincelead.store.IndeterminateWriteFence;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
+import io.quincelead.worker.MisroutedWorker;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -40,19 +40,19 @@
     /** States of the election; {@link #transitionTo} is the one function that changes them. */
     public enum Phase { FOLLOWER, CANDIDATE, LEADER }
 
-    private final Loop eventLoop;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final Session membershipLease;
-    private final Mirror watchCache;
+    private final MembershipLease membershipLease;
+    private final WatchCache watchCache;
     private final StoreClient store;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final Policy policy;
-    private final Map<String, Stray> misroutedWorkers = new LinkedHashMap<>();
+    private final Map<String, MisroutedWorker> misroutedWorkers = new LinkedHashMap<>();
     private final Map<String, Long> aliveSinceMillis = new HashMap<>();
-    private final Fence writeFence;
+    private final IndeterminateWriteFence writeFence;
     private BooleanSupplier provisioningPending = () -> true;
     private Phase phase = Phase.FOLLOWER;
     private boolean commitInFlight;
@@ -63,8 +63,8 @@
     private long registeredAtMillis;
     private long rebalancedAtMillis;
 
-    public Leader(Loop eventLoop, Settings settings, Session membershipLease, Mirror watchCache, StoreClient store, Blocks shards, JobTable jobs,
-            MachineTable machines, Catalog catalog, Policy policy) {
+    public Leader(EventLoop eventLoop, Settings settings, MembershipLease membershipLease, WatchCache watchCache, StoreClient store, ClusterMembership shards, JobTable jobs,
+            MachineTable machines, MachineTypeCatalog catalog, Policy policy) {
         this.policy = policy;
         this.eventLoop = eventLoop;
         this.settings = settings;
@@ -75,7 +75,7 @@
         this.jobs = jobs;
         this.machines = machines;
         this.catalog = catalog;
-        this.writeFence = new Fence(eventLoop, store, watchCache, Keys.LEADER, () -> shards.leaderRecord() == null ? null : newTransaction().put(Keys.LEADER, shards.leaderRecord().encode(), membershipLease.leaseId()));
+        this.writeFence = new IndeterminateWriteFence(eventLoop, store, watchCache, StoreKeys.LEADER, () -> shards.leaderRecord() == null ? null : newTransaction().put(StoreKeys.LEADER, shards.leaderRecord().encode(), membershipLease.leaseId()));
         eventLoop.runEvery(LeadershipConstants.LEADER_INTERVAL_MILLIS, this::runCycle);
         watchCache.addChangeListener(this::refreshPhase);
     }
@@ -99,7 +99,7 @@
     }
 
     private void refreshPhase() {
-        Blocks.Lead leader = shards.leaderRecord();
+        ClusterMembership.LeaderRecord leader = shards.leaderRecord();
         boolean isSelf = leader != null && leader.memberId().equals(settings.memberId()) && leader.incarnation() == membershipLease.incarnation();
         if (isSelf) {
             transitionTo(Phase.LEADER);
@@ -110,12 +110,12 @@
     }
 
     /** The guard that every change by the leader bears. */
-    public Txn newTransaction() {
-        return new Txn().requireRevision(Keys.LEADER, watchCache.modRevision(Keys.LEADER));
+    public Transaction newTransaction() {
+        return new Transaction().requireRevision(StoreKeys.LEADER, watchCache.modRevision(StoreKeys.LEADER));
     }
 
     /** Takes the outcome of a change that bears the leader's guard. */
-    public void onOutcome(Txn transaction, Txn.Outcome outcome) {
+    public void onOutcome(Transaction transaction, Transaction.Outcome outcome) {
         writeFence.onOutcome(transaction, outcome);
     }
 
@@ -139,18 +139,18 @@
     private void campaign() {
         transitionTo(Phase.CANDIDATE);
         long fencingToken = shards.latestFencingToken() + 1;
-        Txn transaction = new Txn().requireRevision(Keys.LEADER, 0).requireRevision(Keys.FENCING_TOKEN_COUNTER, watchCache.modRevision(Keys.FENCING_TOKEN_COUNTER))
-                .put(Keys.LEADER, new Blocks.Lead(settings.memberId(), membershipLease.incarnation(), fencingToken).encode(), membershipLease.leaseId())
-                .put(Keys.FENCING_TOKEN_COUNTER, Codec.newMap().put("n", fencingToken));
+        Transaction transaction = new Transaction().requireRevision(StoreKeys.LEADER, 0).requireRevision(StoreKeys.FENCING_TOKEN_COUNTER, watchCache.modRevision(StoreKeys.FENCING_TOKEN_COUNTER))
+                .put(StoreKeys.LEADER, new ClusterMembership.LeaderRecord(settings.memberId(), membershipLease.incarnation(), fencingToken).encode(), membershipLease.leaseId())
+                .put(StoreKeys.FENCING_TOKEN_COUNTER, WireFormat.newMap().put("n", fencingToken));
         commit(transaction, () -> transitionTo(Phase.FOLLOWER));
     }
 
-    private void commit(Txn transaction, Runnable onFailure) {
+    private void commit(Transaction transaction, Runnable onFailure) {
         commitInFlight = true;
         store.commit(transaction, outcome -> {
             commitInFlight = false;
             onOutcome(transaction, outcome);
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
                 if (rerunRequested) {
                     rerunRequested = false;
@@ -163,7 +163,7 @@
     }
 
     /** A machine that has come up, or whose owner can't be reached. */
-    public void onMisroutedWorker(Stray worker) {
+    public void onMisroutedWorker(MisroutedWorker worker) {
         if (isLeading() && misroutedWorkers.size() < ApiConstants.MAX_OPEN_JOBS) {
             misroutedWorkers.put(worker.host(), worker);
             if (shards.ownerOf(worker.host()) == null && machines.get(worker.host()) != null) {
@@ -177,15 +177,15 @@
     }
 
     private void runLeaderDuties() {
-        for (Blocks.Node member : shards.members()) {
+        for (ClusterMembership.Member member : shards.members()) {
             aliveSinceMillis.putIfAbsent(member.memberId(), eventLoop.nowMillis());
         }
         aliveSinceMillis.keySet().removeIf(memberId -> shards.member(memberId) == null);
-        Txn transaction = newTransaction();
-        Map<String, Blocks.Block> nextShards = new LinkedHashMap<>();
-        for (Blocks.Node member : shards.members()) {
-            Blocks.Block shard = shards.shardOf(member.memberId());
-            nextShards.put(member.memberId(), shard == null ? new Blocks.Block(member.memberId(), new LinkedHashMap<>(), new LinkedHashMap<>()) : shard.copy());
+        Transaction transaction = newTransaction();
+        Map<String, ClusterMembership.Shard> nextShards = new LinkedHashMap<>();
+        for (ClusterMembership.Member member : shards.members()) {
+            ClusterMembership.Shard shard = shards.shardOf(member.memberId());
+            nextShards.put(member.memberId(), shard == null ? new ClusterMembership.Shard(member.memberId(), new LinkedHashMap<>(), new LinkedHashMap<>()) : shard.copy());
         }
         if (nextShards.isEmpty()) {
             return;
@@ -203,13 +203,13 @@
         }
         if (!changedMembers.isEmpty()) {
             if (tokensAssigned) {
-                transaction.requireRevision(Keys.FENCING_TOKEN_COUNTER, watchCache.modRevision(Keys.FENCING_TOKEN_COUNTER)).put(Keys.FENCING_TOKEN_COUNTER, Codec.newMap().put("n", shards.latestFencingToken() + 1));
+                transaction.requireRevision(StoreKeys.FENCING_TOKEN_COUNTER, watchCache.modRevision(StoreKeys.FENCING_TOKEN_COUNTER)).put(StoreKeys.FENCING_TOKEN_COUNTER, WireFormat.newMap().put("n", shards.latestFencingToken() + 1));
             }
-            for (Blocks.Block shard : shards.shards()) {
+            for (ClusterMembership.Shard shard : shards.shards()) {
                 transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
             }
             for (String memberId : changedMembers.stream().distinct().toList()) {
-                Blocks.Block shard = nextShards.get(memberId);
+                ClusterMembership.Shard shard = nextShards.get(memberId);
                 trimToRecordLimit(shard, shards.latestFencingToken() + 1);
                 if (shard.equals(shards.shardOf(memberId))) {
                     continue;
@@ -225,7 +225,7 @@
     }
 
     /** Gives machines without an owner, and those whose owner can't hear them, to live controllers under a new term. */
-    private boolean assignMachines(Map<String, Blocks.Block> nextShards, List<String> changedMembers, Txn transaction) {
+    private boolean assignMachines(Map<String, ClusterMembership.Shard> nextShards, List<String> changedMembers, Transaction transaction) {
         long fencingToken = shards.latestFencingToken() + 1;
         boolean assignedAny = false;
         Map<String, Double> cpusByMember = new HashMap<>();
@@ -236,17 +236,17 @@
                 changedMembers.add(memberId);
             }
         });
-        MachineTable.Edits edits = machines.beginEdits(transaction);
+        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
         for (MachineTable.Machine machine : machines.all()) {
             // Also while it boots: its worker then hears at its first report where to go.
             if (!machine.releasing() && shards.ownerOf(machine.host()) == null) {
-                Stray worker = misroutedWorkers.remove(machine.host());
+                MisroutedWorker worker = misroutedWorkers.remove(machine.host());
                 assignToShard(nextShards, cpusByMember, changedMembers, machine.host(), worker == null ? null : worker.reportsTo(), fencingToken);
                 assignedAny = true;
             }
         }
         boolean mayRegister = mayRegisterUnexpectedMachines() && eventLoop.nowMillis() - registeredAtMillis >= LeadershipConstants.UNEXPECTED_MACHINE_BATCH_MILLIS;
-        for (Stray worker : new ArrayList<>(misroutedWorkers.values())) {
+        for (MisroutedWorker worker : new ArrayList<>(misroutedWorkers.values())) {
             if (!transaction.fits(2 + nextShards.size() + 1, 5, store.maxTransactionOperations())) {
                 rerunRequested = true;
                 break;
@@ -287,7 +287,7 @@
      * predecessor settled and the watch has not brought yet, for a machine must never be on two records.
      */
     public boolean mayRegisterUnexpectedMachines() {
-        return !provisioningPending.getAsBoolean() && watchCache.storeRevision() >= watchCache.modRevision(Keys.LEADER);
+        return !provisioningPending.getAsBoolean() && watchCache.storeRevision() >= watchCache.modRevision(StoreKeys.LEADER);
     }
 
     /** Whether machines that are on no record report here: until they are taken in, nothing should be rented. */
@@ -295,7 +295,7 @@
         return misroutedWorkers.keySet().stream().anyMatch(h -> machines.get(h) == null);
     }
 
-    private void assignToShard(Map<String, Blocks.Block> nextShards, Map<String, Double> cpusByMember, List<String> changedMembers, String host, String preferredOwner, long fencingToken) {
+    private void assignToShard(Map<String, ClusterMembership.Shard> nextShards, Map<String, Double> cpusByMember, List<String> changedMembers, String host, String preferredOwner, long fencingToken) {
         String newOwner = preferredOwner != null && nextShards.containsKey(preferredOwner) ? preferredOwner
                 : nextShards.keySet().stream().min(Comparator.comparingDouble(cpusByMember::get)).orElseThrow();
         nextShards.get(newOwner).fencingTokensByHost().put(host, fencingToken);
@@ -306,7 +306,7 @@
     }
 
     /** Takes back what was just granted as far as a block's record would pass the store's limit for a value. */
-    private void trimToRecordLimit(Blocks.Block shard, long fencingToken) {
+    private void trimToRecordLimit(ClusterMembership.Shard shard, long fencingToken) {
         int maxLength = (int) (settings.storeLimits().maxValueKb() * 1024);
         List<String> assignedHosts = new ArrayList<>(shard.fencingTokensByHost().keySet());
         assignedHosts.removeIf(assigned -> shard.fencingTokensByHost().get(assigned) != fencingToken);
@@ -317,23 +317,23 @@
         }
     }
 
-    private double shardCpus(Blocks.Block shard) {
+    private double shardCpus(ClusterMembership.Shard shard) {
         return shard.fencingTokensByHost().keySet().stream().mapToDouble(this::machineCpus).sum();
     }
 
     private double machineCpus(String host) {
         MachineTable.Machine machine = machines.get(host);
-        Catalog.Shape machineType = machine == null ? null : catalog.get(machine.machineType());
+        MachineTypeCatalog.MachineType machineType = machine == null ? null : catalog.get(machine.machineType());
         return machineType == null ? 1 : machineType.cpus();
     }
 
     /** Moves a few machines to a controller that has been up for a while and holds much less than its share. */
-    private boolean rebalance(Map<String, Blocks.Block> nextShards, List<String> changedMembers) {
+    private boolean rebalance(Map<String, ClusterMembership.Shard> nextShards, List<String> changedMembers) {
         if (!changedMembers.isEmpty() || nextShards.size() < 2) {
             return false;
         }
-        Blocks.Block smallest = nextShards.values().stream().min(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
-        Blocks.Block largest = nextShards.values().stream().max(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
+        ClusterMembership.Shard smallest = nextShards.values().stream().min(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
+        ClusterMembership.Shard largest = nextShards.values().stream().max(Comparator.comparingDouble(this::shardCpus)).orElseThrow();
         if (eventLoop.nowMillis() - aliveSinceMillis.getOrDefault(smallest.ownerId(), eventLoop.nowMillis()) < LeadershipConstants.MIN_UPTIME_BEFORE_REBALANCE_MILLIS
                 || eventLoop.nowMillis() - rebalancedAtMillis < LeadershipConstants.REBALANCE_INTERVAL_MILLIS || largest.fencingTokensByHost().size() < 2) {
             return false;
@@ -364,12 +364,12 @@
     // ---- allowances
 
     /** What a controller's jobs of a team use and still want. */
-    private static final class Demand {
+    private static final class TeamDemand {
         double usedCpus;
         double usedGpus;
         /** By urgency. */
-        final double[] wantedCpus = new double[JobSpec.Urgency.values().length];
-        final double[] wantedGpus = new double[JobSpec.Urgency.values().length];
+        final double[] wantedCpus = new double[JobSpec.Priority.values().length];
+        final double[] wantedGpus = new double[JobSpec.Priority.values().length];
 
         void addWanted(int priority, int taskCount, JobSpec spec) {
             wantedCpus[priority] += taskCount * spec.cpus();
@@ -382,15 +382,15 @@
      * known exactly up to the mirror's generation; so only what is free under the allowances <em>on record</em> is
      * given out, and what one write takes away can be given out only by a later one, when the mirror has caught up.
      */
-    private void distributeQuota(Map<String, Blocks.Block> nextShards, List<String> changedMembers) {
-        for (Blocks.Block shard : shards.shards()) {
+    private void distributeQuota(Map<String, ClusterMembership.Shard> nextShards, List<String> changedMembers) {
+        for (ClusterMembership.Shard shard : shards.shards()) {
             if (watchCache.modRevision(shard.storeKey()) > watchCache.storeRevision()) {
                 return;
             }
         }
         for (Settings.Team team : settings.teams().values()) {
-            Map<String, Demand> demandByMember = new LinkedHashMap<>();
-            nextShards.keySet().forEach(memberId -> demandByMember.put(memberId, new Demand()));
+            Map<String, TeamDemand> demandByMember = new LinkedHashMap<>();
+            nextShards.keySet().forEach(memberId -> demandByMember.put(memberId, new TeamDemand()));
             double orphanedCpus = 0;
             double orphanedGpus = 0;
             for (Job job : jobs.all()) {
@@ -399,7 +399,7 @@
                 }
                 double usedCpus = job.placedTaskCount() * job.spec.cpus();
                 double usedGpus = job.placedTaskCount() * job.spec.gpus();
-                Demand memberDemand = shards.shardOf(job.controllerId) == null ? null : demandByMember.get(job.controllerId);
+                TeamDemand memberDemand = shards.shardOf(job.controllerId) == null ? null : demandByMember.get(job.controllerId);
                 if (memberDemand == null) {
                     orphanedCpus += usedCpus;
                     orphanedGpus += usedGpus;
@@ -410,12 +410,12 @@
                 if (!job.isCancelled()) {
                     // What a job would be left behind by is wanted as much as normal work: of a team at its limit, low work would else get nothing.
                     int overdueTasks = Math.min(job.pendingTaskCount(), Math.max(0, policy.requiredStartedTaskCount(job, eventLoop.wallClockMillis()) - job.completedTaskCount() - job.possiblyRunningTaskCount()));
-                    memberDemand.addWanted(Math.min(job.spec.priority().ordinal(), JobSpec.Urgency.NORMAL.ordinal()), overdueTasks, job.spec);
+                    memberDemand.addWanted(Math.min(job.spec.priority().ordinal(), JobSpec.Priority.NORMAL.ordinal()), overdueTasks, job.spec);
                     memberDemand.addWanted(job.spec.priority().ordinal(), job.pendingTaskCount() - overdueTasks, job.spec);
                 }
             }
             // A block that isn't on our list of live controllers may still be in use.
-            for (Blocks.Block shard : shards.shards()) {
+            for (ClusterMembership.Shard shard : shards.shards()) {
                 if (!nextShards.containsKey(shard.ownerId())) {
                     return;
                 }
@@ -423,10 +423,10 @@
             double[] cpuShares = splitResource(team.maxCpus(), orphanedCpus, nextShards.keySet(), demandByMember, true, team.name());
             double[] gpuShares = splitResource(team.maxGpus(), orphanedGpus, nextShards.keySet(), demandByMember, false, team.name());
             int index = 0;
-            for (Map.Entry<String, Blocks.Block> entry : nextShards.entrySet()) {
-                Blocks.Amount newShare = new Blocks.Amount(cpuShares[index], gpuShares[index]);
+            for (Map.Entry<String, ClusterMembership.Shard> entry : nextShards.entrySet()) {
+                ClusterMembership.QuotaShare newShare = new ClusterMembership.QuotaShare(cpuShares[index], gpuShares[index]);
                 index++;
-                Blocks.Amount oldShare = entry.getValue().quotaShare(team.name());
+                ClusterMembership.QuotaShare oldShare = entry.getValue().quotaShare(team.name());
                 if (Math.abs(newShare.cpus() - oldShare.cpus()) > 1e-6 || Math.abs(newShare.gpus() - oldShare.gpus()) > 1e-6) {
                     entry.getValue().quotaShares().put(team.name(), newShare);
                     changedMembers.add(entry.getKey());
@@ -435,22 +435,22 @@
         }
     }
 
-    private double[] splitResource(double limit, double orphanedUse, java.util.Set<String> memberIds, Map<String, Demand> demandByMember, boolean forCpus, String team) {
+    private double[] splitResource(double limit, double orphanedUse, java.util.Set<String> memberIds, Map<String, TeamDemand> demandByMember, boolean forCpus, String team) {
         double[] currentShares = new double[memberIds.size()];
         double[] usedByMember = new double[memberIds.size()];
         double[][] wantedByPriority = new double[memberIds.size()][];
         boolean hasNewMember = false;
         int index = 0;
         for (String memberId : memberIds) {
-            Demand memberDemand = demandByMember.get(memberId);
-            Blocks.Amount quotaShare = shards.shardOf(memberId) == null ? Blocks.Amount.NONE : shards.shardOf(memberId).quotaShare(team);
+            TeamDemand memberDemand = demandByMember.get(memberId);
+            ClusterMembership.QuotaShare quotaShare = shards.shardOf(memberId) == null ? ClusterMembership.QuotaShare.NONE : shards.shardOf(memberId).quotaShare(team);
             hasNewMember |= shards.shardOf(memberId) == null || !shards.shardOf(memberId).quotaShares().containsKey(team);
             currentShares[index] = forCpus ? quotaShare.cpus() : quotaShare.gpus();
             usedByMember[index] = forCpus ? memberDemand.usedCpus : memberDemand.usedGpus;
             wantedByPriority[index] = forCpus ? memberDemand.wantedCpus : memberDemand.wantedGpus;
             index++;
         }
-        return Allowances.split(limit, orphanedUse, currentShares, usedByMember, wantedByPriority, hasNewMember);
+        return QuotaShares.split(limit, orphanedUse, currentShares, usedByMember, wantedByPriority, hasNewMember);
     }
 
     // ---- jobs of lost controllers
@@ -460,8 +460,8 @@
      * before it knew of the job must not land after it, so the new controller's block is rewritten in the same change; jobs that use
      * something go to one heir at a time, for a block's record is large.
      */
-    private void reassignJobs(Txn transaction) {
-        List<String> liveMembers = shards.shards().stream().map(Blocks.Block::ownerId).filter(memberId -> shards.member(memberId) != null).toList();
+    private void reassignJobs(Transaction transaction) {
+        List<String> liveMembers = shards.shards().stream().map(ClusterMembership.Shard::ownerId).filter(memberId -> shards.member(memberId) != null).toList();
         if (liveMembers.isEmpty()) {
             return;
         }
@@ -474,14 +474,14 @@
         int maxWrites = store.affordableWrites();
         for (Job job : orphanedJobs) {
             boolean hasPlacements = job.placedTaskCount() > 0;
-            Blocks.Block newOwnerShard = shards.shardOf(newOwner);
+            ClusterMembership.Shard newOwnerShard = shards.shardOf(newOwner);
             int writes = hasPlacements && !transaction.writesKey(newOwnerShard.storeKey()) ? 2 : 1;
             if (transaction.operationCount() + writes > maxWrites || !transaction.fits(writes, 2 + writes, store.maxTransactionOperations())) {
                 break;
             }
             // Only after the lost controller's block is gone: then nothing it placed can be unknown to us.
             if (shards.shardOf(job.controllerId) == null) {
-                transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).requireRevision(Keys.SHARD_PREFIX + job.controllerId, 0)
+                transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).requireRevision(StoreKeys.SHARD_PREFIX + job.controllerId, 0)
                         .put(job.storeKey(), job.encode(hasPlacements ? newOwner : liveMembers.get(nextMember++ % liveMembers.size()), job.cancelledAtEpochMillis));
                 if (writes > 1) {
                     nextNewOwner++;
--- a/src/main/java/io/quincelead/leader/Allowances.java
+++ b/src/main/java/io/quincelead/leadership/QuotaShares.java
@@ -1,11 +1,11 @@
-package io.quincelead.leader;
+package io.quincelead.leadership;
 
 import io.quincelead.config.constants.LeadershipConstants;
 import java.util.Arrays;
 
 /** How a team's limit is split over controllers: arithmetic alone, which the leader calls and a model explores. */
-public final class Allowances {
-    private Allowances() { }
+public final class QuotaShares {
+    private QuotaShares() { }
 
     /**
      * The next allowances by controller. Each may use the larger of its allowance {@code now} and its {@code use} on record;
