--- a/src/main/java/io/quincelead/policy/Entry.java
+++ b/src/main/java/io/quincelead/policy/CalendarEntry.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.time.DateTimeException;
 import java.time.DayOfWeek;
 import java.time.Instant;
@@ -29,16 +29,16 @@
  * <p>Nights when clocks change: a time that a day lacks is published as much later as the clock jumps; one that it has twice, at the first
  * of the two. Yearly dates (month and day) that a year lacks, 29 February, have no occurrence in it.
  */
-public record Entry(String name, LocalTime timeOfDay, ZoneId timeZone, Set<DayOfWeek> weekdays, Set<LocalDate> dates, Set<MonthDay> yearlyDates, List<Match> selectors,
+public record CalendarEntry(String name, LocalTime timeOfDay, ZoneId timeZone, Set<DayOfWeek> weekdays, Set<LocalDate> dates, Set<MonthDay> yearlyDates, List<JobSelector> selectors,
         double leadSeconds, double graceSeconds, Set<LocalDate> skippedDates, Map<LocalDate, LocalTime> movedTimes, long effectiveFromMillis) {
     private static final Set<String> FIELDS = Set.of("name", "time", "zone", "days", "dates", "covers", "leadS", "graceS", "skipped", "moved", "since");
     private static final int MAX_DATES = 100;
 
     /** One publication: its date in the entry's zone, and the time in ms since 1970. */
-    public record When(LocalDate date, long epochMillis) { }
+    public record Publication(LocalDate date, long epochMillis) { }
 
-    public static Entry decode(JsonNode node, String path) throws Invalid {
-        Fields fields = new Fields(node, path, FIELDS);
+    public static CalendarEntry decode(JsonNode node, String path) throws InvalidRecordException {
+        RecordFieldReader fields = new RecordFieldReader(node, path, FIELDS);
         String name = fields.readName("name");
         LocalTime timeOfDay = parseTime(fields, fields.readText("time", true), "time");
         ZoneId timeZone;
@@ -67,13 +67,13 @@
         if (weekdays.isEmpty() == (dates.isEmpty() && yearlyDates.isEmpty())) {
             throw fields.invalid("days", "either days or dates must be given, not both");
         }
-        List<Match> selectors = new ArrayList<>();
+        List<JobSelector> selectors = new ArrayList<>();
         JsonNode selectorNodes = fields.get("covers");
         if (selectorNodes == null || !selectorNodes.isArray() || selectorNodes.isEmpty() || selectorNodes.size() > 20) {
             throw fields.invalid("covers", "must be a list of 1 to 20 matches");
         }
         for (int i = 0; i < selectorNodes.size(); i++) {
-            selectors.add(Match.decode(selectorNodes.get(i), fields.pathOf("covers[" + i + "]")));
+            selectors.add(JobSelector.decode(selectorNodes.get(i), fields.pathOf("covers[" + i + "]")));
         }
         Set<LocalDate> skippedDates = new TreeSet<>();
         for (String text : fields.readTexts("skipped")) {
@@ -88,11 +88,11 @@
         if (dates.size() + yearlyDates.size() > MAX_DATES || skippedDates.size() > MAX_DATES || movedTimes.size() > MAX_DATES) {
             throw fields.invalid("dates", "at most " + MAX_DATES + " dates, skipped or moved days");
         }
-        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, List.copyOf(selectors), fields.readNumber("leadS", 1, 86_400, 3_600), fields.readNumber("graceS", 0, 86_400, 0),
+        return new CalendarEntry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, List.copyOf(selectors), fields.readNumber("leadS", 1, 86_400, 3_600), fields.readNumber("graceS", 0, 86_400, 0),
                 skippedDates, movedTimes, (long) fields.readNumber("since", 0, 1e15, 0));
     }
 
-    private static DayOfWeek parseWeekday(Fields fields, String text) throws Invalid {
+    private static DayOfWeek parseWeekday(RecordFieldReader fields, String text) throws InvalidRecordException {
         for (DayOfWeek weekday : DayOfWeek.values()) {
             if (weekday.name().substring(0, 3).toLowerCase(Locale.ROOT).equals(text)) {
                 return weekday;
@@ -101,7 +101,7 @@
         throw fields.invalid("days", "must be of mon, tue, wed, thu, fri, sat, sun, not \"" + text + "\"");
     }
 
-    private static LocalTime parseTime(Fields fields, String text, String field) throws Invalid {
+    private static LocalTime parseTime(RecordFieldReader fields, String text, String field) throws InvalidRecordException {
         try {
             return LocalTime.parse(text);
         } catch (DateTimeException e) {
@@ -110,24 +110,24 @@
     }
 
     /** A date as it stands in commands and records. */
-    static LocalDate parseDate(String text, String path) throws Invalid {
+    static LocalDate parseDate(String text, String path) throws InvalidRecordException {
         try {
             return LocalDate.parse(text);
         } catch (DateTimeException e) {
-            throw new Invalid(path, "must be a date like 2027-01-31, not \"" + text + "\"");
+            throw new InvalidRecordException(path, "must be a date like 2027-01-31, not \"" + text + "\"");
         }
     }
 
-    static LocalTime parseTime(String text, String path) throws Invalid {
+    static LocalTime parseTime(String text, String path) throws InvalidRecordException {
         try {
             return LocalTime.parse(text);
         } catch (DateTimeException e) {
-            throw new Invalid(path, "must be a time of day like 06:30, not \"" + text + "\"");
+            throw new InvalidRecordException(path, "must be a time of day like 06:30, not \"" + text + "\"");
         }
     }
 
     ObjectNode encode() {
-        ObjectNode node = Codec.newMap().put("name", name).put("time", timeOfDay.toString()).put("zone", timeZone.getId());
+        ObjectNode node = WireFormat.newMap().put("name", name).put("time", timeOfDay.toString()).put("zone", timeZone.getId());
         if (!weekdays.isEmpty()) {
             ArrayNode list = node.putArray("days");
             weekdays.forEach(d -> list.add(d.name().substring(0, 3).toLowerCase(Locale.ROOT)));
@@ -150,20 +150,20 @@
         return node.put("since", effectiveFromMillis);
     }
 
-    Entry withEffectiveFrom(long epochMillis) {
-        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, movedTimes, epochMillis);
+    CalendarEntry withEffectiveFrom(long epochMillis) {
+        return new CalendarEntry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, movedTimes, epochMillis);
     }
 
-    Entry withSkippedDate(LocalDate date) {
+    CalendarEntry withSkippedDate(LocalDate date) {
         Set<LocalDate> updatedDates = new TreeSet<>(skippedDates);
         updatedDates.add(date);
-        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, updatedDates, movedTimes, effectiveFromMillis);
+        return new CalendarEntry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, updatedDates, movedTimes, effectiveFromMillis);
     }
 
-    Entry withMovedTime(LocalDate date, LocalTime newTime) {
+    CalendarEntry withMovedTime(LocalDate date, LocalTime newTime) {
         Map<LocalDate, LocalTime> updatedTimes = new TreeMap<>(movedTimes);
         updatedTimes.put(date, newTime);
-        return new Entry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, updatedTimes, effectiveFromMillis);
+        return new CalendarEntry(name, timeOfDay, timeZone, weekdays, dates, yearlyDates, selectors, leadSeconds, graceSeconds, skippedDates, updatedTimes, effectiveFromMillis);
     }
 
     /** Whether its publication falls on that day, skipped or not. */
@@ -178,13 +178,13 @@
     }
 
     /** Its publications after {@code fromMs} and up to {@code toMs}, in order; days that are skipped left out. */
-    public List<When> publicationsBetween(long fromMillis, long toMillis) {
-        List<When> publications = new ArrayList<>();
+    public List<Publication> publicationsBetween(long fromMillis, long toMillis) {
+        List<Publication> publications = new ArrayList<>();
         LocalDate lastDate = Instant.ofEpochMilli(toMillis).atZone(timeZone).toLocalDate();
         for (LocalDate date = Instant.ofEpochMilli(fromMillis).atZone(timeZone).toLocalDate(); !date.isAfter(lastDate); date = date.plusDays(1)) {
             long epochMillis = isScheduledOn(date) && !skippedDates.contains(date) ? publicationMillis(date) : Long.MIN_VALUE;
             if (epochMillis > fromMillis && epochMillis <= toMillis) {
-                publications.add(new When(date, epochMillis));
+                publications.add(new Publication(date, epochMillis));
             }
         }
         return publications;
--- a/src/main/java/io/quincelead/policy/Invalid.java
+++ b/src/main/java/io/quincelead/policy/InvalidRecordException.java
@@ -1,10 +1,10 @@
 package io.quincelead.policy;
 
 /** An operators' record that can't be used: the message names the field and what is allowed. */
-public final class Invalid extends Exception {
+public final class InvalidRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String path, String requirement) {
+    InvalidRecordException(String path, String requirement) {
         super(path + ": " + requirement, null, false, false);
     }
 }
--- a/src/main/java/io/quincelead/policy/JobClass.java
+++ b/src/main/java/io/quincelead/policy/JobClass.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.PolicyConstants;
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import java.util.Locale;
 import java.util.Set;
 
@@ -13,13 +13,13 @@
  * by then. {@code zonePatienceS}: seconds for which replicas in a zone that is cut off are left there, though they may serve nobody;
  * negative: as without the class. {@code zoneSpare}: part of a service's replicas that should be left when any one zone is lost.
  */
-public record JobClass(String name, String description, Match selector, int rank, double startWithinSeconds, double minStartedShare, Keep preemptionProtection,
-        Passes orderingPriority, double unreachableZonePatienceSeconds, double minShareAfterZoneLoss) {
+public record JobClass(String name, String description, JobSelector selector, int rank, double startWithinSeconds, double minStartedShare, PreemptionProtection preemptionProtection,
+        OrderingPriority orderingPriority, double unreachableZonePatienceSeconds, double minShareAfterZoneLoss) {
     private static final Set<String> FIELDS = Set.of("name", "description", "match", "rank", "beginWithinS", "leastShare", "keep", "passes",
             "zonePatienceS", "zoneSpare");
 
     /** Whose work its running tasks may be stopped for. It only narrows what the protocol allows. */
-    public enum Keep {
+    public enum PreemptionProtection {
         /** Whatever the protocol allows. */
         PROTOCOL,
         /** Production and high work alone. */
@@ -29,31 +29,31 @@
     }
 
     /** Up to which urgency its waiting jobs are ordered as if they were of it; what they may stop stays as it is. */
-    public enum Passes { NONE, NORMAL, HIGH, PRODUCTION }
+    public enum OrderingPriority { NONE, NORMAL, HIGH, PRODUCTION }
 
-    static JobClass decode(JsonNode node, String path) throws Invalid {
-        Fields fields = new Fields(node, path, FIELDS);
+    static JobClass decode(JsonNode node, String path) throws InvalidRecordException {
+        RecordFieldReader fields = new RecordFieldReader(node, path, FIELDS);
         if (!fields.has("rank")) {
             throw fields.invalid("rank", "a whole number from 0 to " + PolicyConstants.MAX_RANK + " is required");
         }
         return new JobClass(fields.readName("name"), fields.has("description") ? fields.readText("description", true) : "",
-                fields.has("match") ? Match.decode(fields.get("match"), fields.pathOf("match")) : new Match(null, null, null, null),
+                fields.has("match") ? JobSelector.decode(fields.get("match"), fields.pathOf("match")) : new JobSelector(null, null, null, null),
                 fields.readInt("rank", 0, PolicyConstants.MAX_RANK, 0), fields.readNumber("beginWithinS", 1, PolicyConstants.MAX_BEGIN_WITHIN_SECONDS, PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS),
-                fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION), fields.readEnum("keep", Keep.class, Keep.PROTOCOL),
-                fields.readEnum("passes", Passes.class, Passes.NONE), fields.readNumber("zonePatienceS", 0, 86_400, -1), fields.readNumber("zoneSpare", 0, 1, 0));
+                fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION), fields.readEnum("keep", PreemptionProtection.class, PreemptionProtection.PROTOCOL),
+                fields.readEnum("passes", OrderingPriority.class, OrderingPriority.NONE), fields.readNumber("zonePatienceS", 0, 86_400, -1), fields.readNumber("zoneSpare", 0, 1, 0));
     }
 
     ObjectNode encode() {
-        ObjectNode node = Codec.newMap().put("name", name);
+        ObjectNode node = WireFormat.newMap().put("name", name);
         if (!description.isEmpty()) {
             node.put("description", description);
         }
         node.set("match", selector.encode());
         node.put("rank", rank).put("beginWithinS", startWithinSeconds).put("leastShare", minStartedShare);
-        if (preemptionProtection != Keep.PROTOCOL) {
+        if (preemptionProtection != PreemptionProtection.PROTOCOL) {
             node.put("keep", preemptionProtection.name().toLowerCase(Locale.ROOT));
         }
-        if (orderingPriority != Passes.NONE) {
+        if (orderingPriority != OrderingPriority.NONE) {
             node.put("passes", orderingPriority.name().toLowerCase(Locale.ROOT));
         }
         if (unreachableZonePatienceSeconds >= 0) {
--- a/src/main/java/io/quincelead/policy/Match.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -12,17 +12,17 @@
 import java.util.Set;
 
 /** Which jobs an operators' rule is about: all that agree in each stated field; null: any. */
-public record Match(String jobClass, String team, JobSpec.Urgency priority, JobSpec.Mode mode) {
+public record JobSelector(String jobClass, String team, JobSpec.Priority priority, JobSpec.Mode mode) {
     private static final Set<String> FIELDS = Set.of("jobClass", "owner", "urgency", "mode");
 
-    static Match decode(JsonNode node, String path) throws Invalid {
-        Fields fields = new Fields(node, path, FIELDS);
-        return new Match(fields.readText("jobClass", false), fields.readText("owner", false), fields.readEnum("urgency", JobSpec.Urgency.class, null),
+    static JobSelector decode(JsonNode node, String path) throws InvalidRecordException {
+        RecordFieldReader fields = new RecordFieldReader(node, path, FIELDS);
+        return new JobSelector(fields.readText("jobClass", false), fields.readText("owner", false), fields.readEnum("urgency", JobSpec.Priority.class, null),
                 fields.readEnum("mode", JobSpec.Mode.class, null));
     }
 
     ObjectNode encode() {
-        ObjectNode node = Codec.newMap();
+        ObjectNode node = WireFormat.newMap();
         if (jobClass != null) {
             node.put("jobClass", jobClass);
         }
@@ -42,29 +42,29 @@
         return matchesValues(spec.jobClass(), spec.team(), spec.priority(), spec.mode());
     }
 
-    private boolean matchesValues(String candidateClass, String candidateTeam, JobSpec.Urgency candidatePriority, JobSpec.Mode candidateMode) {
+    private boolean matchesValues(String candidateClass, String candidateTeam, JobSpec.Priority candidatePriority, JobSpec.Mode candidateMode) {
         return (jobClass == null || jobClass.equals(candidateClass)) && (team == null || team.equals(candidateTeam))
                 && (priority == null || priority == candidatePriority) && (mode == null || mode == candidateMode);
     }
 
-    private boolean subsumes(Match other) {
+    private boolean subsumes(JobSelector other) {
         return (jobClass == null || jobClass.equals(other.jobClass)) && (team == null || team.equals(other.team))
                 && (priority == null || priority == other.priority) && (mode == null || mode == other.mode);
     }
 
     /** Whether no job is left that this one matches and none of the earlier ones does. */
-    boolean isShadowedBy(List<Match> earlier) {
+    boolean isShadowedBy(List<JobSelector> earlier) {
         if (earlier.stream().anyMatch(e -> e.subsumes(this))) {
             return true;
         }
         // Several earlier ones may share it out among them: every value that they name is tried, and one that they don't.
-        List<String> classes = candidateValues(jobClass, earlier.stream().map(Match::jobClass).toList());
-        List<String> teams = candidateValues(team, earlier.stream().map(Match::team).toList());
-        List<JobSpec.Urgency> priorities = priority != null ? List.of(priority) : Arrays.asList(JobSpec.Urgency.values());
+        List<String> classes = candidateValues(jobClass, earlier.stream().map(JobSelector::jobClass).toList());
+        List<String> teams = candidateValues(team, earlier.stream().map(JobSelector::team).toList());
+        List<JobSpec.Priority> priorities = priority != null ? List.of(priority) : Arrays.asList(JobSpec.Priority.values());
         List<JobSpec.Mode> modes = mode != null ? List.of(mode) : Arrays.asList(JobSpec.Mode.values());
         for (String candidateClass : classes) {
             for (String candidateTeam : teams) {
-                for (JobSpec.Urgency candidatePriority : priorities) {
+                for (JobSpec.Priority candidatePriority : priorities) {
                     for (JobSpec.Mode candidateMode : modes) {
                         if (earlier.stream().noneMatch(e -> e.matchesValues(candidateClass, candidateTeam, candidatePriority, candidateMode))) {
                             return false;
--- a/src/main/java/io/quincelead/policy/Office.java
+++ b/src/main/java/io/quincelead/policy/OperatorApi.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobTable;
 import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobTable;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
 import java.time.LocalDate;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,14 +29,14 @@
  * decided from and bearing the operator's change id, so a repeat takes effect once; what comes of it when the store doesn't answer is
  * told as unknown, never as refused.
  */
-public final class Office {
+public final class OperatorApi {
     /** Answers one command. */
-    public interface Desk {
-        void handle(ObjectNode body, Reply responder);
+    public interface CommandHandler {
+        void handle(ObjectNode body, Responder responder);
     }
 
     /** What a command is answered with. */
-    public interface Reply {
+    public interface Responder {
         /** Status and body; who answers and by which generations is added. */
         void respond(int status, ObjectNode body);
 
@@ -45,19 +45,19 @@
         }
 
         default void respondError(int status, String reason) {
-            respond(status, Codec.newMap().put("error", reason));
+            respond(status, WireFormat.newMap().put("error", reason));
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String memberId;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final StoreClient store;
     private final JobTable jobs;
     private final Policy policy;
-    private final Map<String, Desk> handlers = new HashMap<>();
+    private final Map<String, CommandHandler> handlers = new HashMap<>();
 
-    public Office(Loop loop, String memberId, Mirror watchCache, StoreClient store, JobTable jobs, Policy policy) {
+    public OperatorApi(EventLoop loop, String memberId, WatchCache watchCache, StoreClient store, JobTable jobs, Policy policy) {
         this.loop = loop;
         this.memberId = memberId;
         this.watchCache = watchCache;
@@ -70,7 +70,7 @@
         register("/ops/classes/history", this::listClassesHistory);
         register("/ops/calendar/list", this::listEntries);
         register("/ops/calendar/add", this::addEntry);
-        register("/ops/calendar/move", (body, responder) -> changeEntry(body, responder, e -> e.withMovedTime(requireChangeableDate(body, e), Entry.parseTime(body.path("time").asText(), "time"))));
+        register("/ops/calendar/move", (body, responder) -> changeEntry(body, responder, e -> e.withMovedTime(requireChangeableDate(body, e), CalendarEntry.parseTime(body.path("time").asText(), "time"))));
         register("/ops/calendar/skip", (body, responder) -> changeEntry(body, responder, e -> e.withSkippedDate(requireChangeableDate(body, e))));
         register("/ops/calendar/remove", (body, responder) -> changeEntry(body, responder, e -> null));
         register("/ops/calendar/next", this::listUpcoming);
@@ -78,7 +78,7 @@
     }
 
     /** Another duty's command. */
-    public void register(String path, Desk handler) {
+    public void register(String path, CommandHandler handler) {
         handlers.put(path, handler);
     }
 
@@ -87,11 +87,11 @@
         return handlers.containsKey(path);
     }
 
-    public void handle(Request request) {
-        ObjectNode body = Codec.JSON.decodeMap(request.body);
-        Reply responder = (status, out) -> {
+    public void handle(IncomingRequest request) {
+        ObjectNode body = WireFormat.JSON.decodeMap(request.body);
+        Responder responder = (status, out) -> {
             out.put("by", memberId).put("generation", watchCache.storeRevision()).put("classes", policy.activeClasses().generation()).put("calendar", policy.calendarGeneration());
-            request.respond(status, Codec.JSON, out, status == 503 ? ApiConstants.RETRY_AFTER_SECONDS : 0);
+            request.respond(status, WireFormat.JSON, out, status == 503 ? ApiConstants.RETRY_AFTER_SECONDS : 0);
         };
         if (body == null) {
             responder.respondError(400, "the body must be a JSON map of at most 64 KiB");
@@ -105,7 +105,7 @@
     // ---- one change
 
     /** The change's id, under which a repeat is known; null after a refusal. */
-    private static String requireChangeId(ObjectNode body, Reply responder) {
+    private static String requireChangeId(ObjectNode body, Responder responder) {
         String changeId = body.path("change").asText();
         if (!changeId.matches("[A-Za-z0-9._-]{1,60}")) {
             responder.respondError(400, "change: an id of 1 to 60 letters, digits, dots, dashes or underscores is required");
@@ -115,7 +115,7 @@
     }
 
     /** Commits and tells what came of it. */
-    public void commit(Txn txn, Reply responder, ObjectNode successBody) {
+    public void commit(Transaction txn, Responder responder, ObjectNode successBody) {
         store.commit(txn, outcome -> {
             switch (outcome.result()) {
                 case COMMITTED -> {
@@ -124,17 +124,17 @@
                 }
                 case CONFLICT -> responder.respondError(409, "somebody else has changed this meanwhile; look again and repeat");
                 case THROTTLED, REJECTED -> responder.respondError(503, "the state service took nothing; repeat later");
-                default -> responder.respond(503, Codec.newMap().put("error", "the state service did not answer; the change may have been made: repeat it with the same id").put("unknown", true));
+                default -> responder.respond(503, WireFormat.newMap().put("error", "the state service did not answer; the change may have been made: repeat it with the same id").put("unknown", true));
             }
         });
     }
 
     // ---- classes
 
-    private void listClasses(ObjectNode body, Reply responder) {
-        ObjectNode out = Codec.newMap();
+    private void listClasses(ObjectNode body, Responder responder) {
+        ObjectNode out = WireFormat.newMap();
         out.set("list", policy.activeClasses().encode().get("classes"));
-        Policy.Head head = policy.classesHead();
+        Policy.ClassesHead head = policy.classesHead();
         out.put("rules", head.activeGeneration()).put("was", head.previousGeneration()).put("next", head.proposedGeneration());
         if (head.rejectedGeneration() != 0) {
             out.put("refused", head.rejectedGeneration()).put("why", head.rejectionReason());
@@ -157,28 +157,28 @@
         responder.respondOk(out);
     }
 
-    private void applyClasses(ObjectNode body, Reply responder) {
+    private void applyClasses(ObjectNode body, Responder responder) {
         try {
-            ObjectNode file = Codec.newMap();
+            ObjectNode file = WireFormat.newMap();
             file.set("classes", body.get("classes"));
-            proposeClasses(Classes.decode(file, policy.classesHead().highestGeneration() + 1, body.path("file").asText("classes")), body, responder);
-        } catch (Invalid e) {
+            proposeClasses(PriorityClasses.decode(file, policy.classesHead().highestGeneration() + 1, body.path("file").asText("classes")), body, responder);
+        } catch (InvalidRecordException e) {
             responder.respondError(400, e.getMessage());
         }
     }
 
-    private void rollBackClasses(ObjectNode body, Reply responder) {
+    private void rollBackClasses(ObjectNode body, Responder responder) {
         long targetGeneration = body.path("to").asLong(policy.classesHead().previousGeneration());
         try {
-            Classes target = targetGeneration == 0 ? Classes.NONE : policy.loadGeneration(targetGeneration);
-            proposeClasses(new Classes(policy.classesHead().highestGeneration() + 1, target.all()), body, responder);
-        } catch (Invalid e) {
+            PriorityClasses target = targetGeneration == 0 ? PriorityClasses.NONE : policy.loadGeneration(targetGeneration);
+            proposeClasses(new PriorityClasses(policy.classesHead().highestGeneration() + 1, target.all()), body, responder);
+        } catch (InvalidRecordException e) {
             responder.respondError(404, "generation " + targetGeneration + " is not on record any more; there are " + policy.recordedGenerations());
         }
     }
 
-    private void proposeClasses(Classes classes, ObjectNode body, Reply responder) {
-        Policy.Head head = policy.classesHead();
+    private void proposeClasses(PriorityClasses classes, ObjectNode body, Responder responder) {
+        Policy.ClassesHead head = policy.classesHead();
         List<String> parts = classes.encodeParts();
         int maxParts = Math.min(PolicyConstants.MAX_CLASSES_PARTS, store.maxTransactionOperations() - 1);
         if (parts.size() > maxParts) {
@@ -207,17 +207,17 @@
         Map<String, Long> generationByChangeId = new LinkedHashMap<>();
         head.generationByChangeId().entrySet().stream().skip(Math.max(0, head.generationByChangeId().size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1)).forEach(e -> generationByChangeId.put(e.getKey(), e.getValue()));
         generationByChangeId.put(changeId, generation);
-        Txn txn = new Txn().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
+        Transaction txn = new Transaction().requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD));
         for (int i = 0; i < parts.size(); i++) {
-            txn.put(Keys.CLASSES_PART_PREFIX + generation + "/" + i, Codec.newMap().put("t", parts.get(i)));
+            txn.put(StoreKeys.CLASSES_PART_PREFIX + generation + "/" + i, WireFormat.newMap().put("t", parts.get(i)));
         }
-        txn.put(Keys.CLASSES_HEAD, Clerk.encodeClassesHead(new Policy.Head(head.activeGeneration(), head.previousGeneration(), generation, generation, generationByChangeId, head.rejectedGeneration(), head.rejectionReason())));
+        txn.put(StoreKeys.CLASSES_HEAD, PolicyReconciler.encodeClassesHead(new Policy.ClassesHead(head.activeGeneration(), head.previousGeneration(), generation, generation, generationByChangeId, head.rejectedGeneration(), head.rejectionReason())));
         commit(txn, responder, out.put("proposed", generation).put("state", "proposed"));
     }
 
     /** What the classes would change for the jobs that wait now, and where their bounds can't be kept, in figures. */
-    private ObjectNode previewClasses(Classes classes) {
-        ObjectNode out = Codec.newMap();
+    private ObjectNode previewClasses(PriorityClasses classes) {
+        ObjectNode out = WireFormat.newMap();
         Map<String, int[]> movesByTransition = new TreeMap<>();
         Map<String, double[]> wantedCpusByClass = new LinkedHashMap<>();
         classes.all().forEach(k -> wantedCpusByClass.put(k.name(), new double[2]));
@@ -254,10 +254,10 @@
         return out;
     }
 
-    private void listClassesHistory(ObjectNode body, Reply responder) {
-        ObjectNode out = Codec.newMap();
+    private void listClassesHistory(ObjectNode body, Responder responder) {
+        ObjectNode out = WireFormat.newMap();
         ArrayNode list = out.putArray("list");
-        Policy.Head head = policy.classesHead();
+        Policy.ClassesHead head = policy.classesHead();
         for (long number : policy.recordedGenerations()) {
             ObjectNode node = list.addObject().put("number", number)
                     .put("state", number == head.activeGeneration() ? "rules" : number == head.proposedGeneration() ? "proposed" : number == head.rejectedGeneration() ? "refused" : "past");
@@ -268,7 +268,7 @@
             });
             try {
                 node.put("count", policy.loadGeneration(number).all().size());
-            } catch (Invalid e) {
+            } catch (InvalidRecordException e) {
                 node.put("error", e.getMessage());
             }
         }
@@ -277,62 +277,62 @@
 
     // ---- calendar
 
-    private interface Edit {
+    private interface EntryEdit {
         /** The entry as it should be; null: removed. */
-        Entry apply(Entry current) throws Invalid;
+        CalendarEntry apply(CalendarEntry current) throws InvalidRecordException;
     }
 
-    private LocalDate requireChangeableDate(ObjectNode body, Entry entry) throws Invalid {
-        LocalDate date = Entry.parseDate(body.path("date").asText(), "date");
+    private LocalDate requireChangeableDate(ObjectNode body, CalendarEntry entry) throws InvalidRecordException {
+        LocalDate date = CalendarEntry.parseDate(body.path("date").asText(), "date");
         if (!entry.isScheduledOn(date)) {
-            throw new Invalid("date", entry.name() + " has no publication on " + date);
+            throw new InvalidRecordException("date", entry.name() + " has no publication on " + date);
         }
-        Occurrence occurrence = policy.occurrences().get(entry.name() + "/" + date);
-        if (occurrence != null && occurrence.state() != Occurrence.State.PLANNED && occurrence.state() != Occurrence.State.OPEN || date.isBefore(today(entry).minusDays(1))) {
-            throw new Invalid("date", "the verdict on " + entry.name() + " of " + date + " is given");
+        ScheduledOccurrence occurrence = policy.occurrences().get(entry.name() + "/" + date);
+        if (occurrence != null && occurrence.state() != ScheduledOccurrence.State.PLANNED && occurrence.state() != ScheduledOccurrence.State.OPEN || date.isBefore(today(entry).minusDays(1))) {
+            throw new InvalidRecordException("date", "the verdict on " + entry.name() + " of " + date + " is given");
         }
         return date;
     }
 
-    private LocalDate today(Entry entry) {
+    private LocalDate today(CalendarEntry entry) {
         return java.time.Instant.ofEpochMilli(loop.wallClockMillis()).atZone(entry.timeZone()).toLocalDate();
     }
 
     /** The id of a change of the calendar, empty for a dry run; null after an answer: a bad id, or a repeat. */
-    private String requireCalendarChangeId(ObjectNode body, Reply responder) {
+    private String requireCalendarChangeId(ObjectNode body, Responder responder) {
         String changeId = body.path("dryRun").asBoolean() ? "" : requireChangeId(body, responder);
         if (changeId != null && policy.calendarHead().recentChangeIds().contains(changeId)) {
-            responder.respondOk(Codec.newMap().put("state", "done before"));
+            responder.respondOk(WireFormat.newMap().put("state", "done before"));
             return null;
         }
         return changeId;
     }
 
-    private void changeEntry(ObjectNode body, Reply responder, Edit edit) {
+    private void changeEntry(ObjectNode body, Responder responder, EntryEdit edit) {
         String name = body.path("name").asText();
         String changeId = requireCalendarChangeId(body, responder);
         if (changeId == null) {
             return;
         }
-        Entry current = policy.entries().get(name);
+        CalendarEntry current = policy.entries().get(name);
         if (current == null) {
             responder.respondError(404, "name: there is no entry \"" + name + "\"; there are " + policy.entries().keySet());
             return;
         }
         try {
             writeEntry(name, edit.apply(current), changeId, body, responder);
-        } catch (Invalid e) {
+        } catch (InvalidRecordException e) {
             responder.respondError(400, e.getMessage());
         }
     }
 
-    private void addEntry(ObjectNode body, Reply responder) {
+    private void addEntry(ObjectNode body, Responder responder) {
         String changeId = requireCalendarChangeId(body, responder);
         if (changeId == null) {
             return;
         }
         try {
-            Entry e = Entry.decode(body.get("entry"), body.path("file").asText("entry")).withEffectiveFrom(loop.wallClockMillis());
+            CalendarEntry e = CalendarEntry.decode(body.get("entry"), body.path("file").asText("entry")).withEffectiveFrom(loop.wallClockMillis());
             if (policy.entries().containsKey(e.name()) && !body.path("replace").asBoolean()) {
                 responder.respondError(409, "name: there is an entry \"" + e.name() + "\" already; --replace puts this one in its place");
             } else if (policy.entries().size() >= PolicyConstants.MAX_CALENDAR_ENTRIES) {
@@ -340,13 +340,13 @@
             } else {
                 writeEntry(e.name(), e, changeId, body, responder);
             }
-        } catch (Invalid e) {
+        } catch (InvalidRecordException e) {
             responder.respondError(400, e.getMessage());
         }
     }
 
-    private void writeEntry(String name, Entry updated, String changeId, ObjectNode body, Reply responder) {
-        ObjectNode out = Codec.newMap();
+    private void writeEntry(String name, CalendarEntry updated, String changeId, ObjectNode body, Responder responder) {
+        ObjectNode out = WireFormat.newMap();
         if (updated != null) {
             addUpcoming(out.putArray("next"), updated, 7);
         }
@@ -354,8 +354,8 @@
             responder.respondOk(out.put("state", "dry run"));
             return;
         }
-        String key = Keys.CALENDAR_ENTRY_PREFIX + name;
-        Txn txn = new Txn().requireRevision(key, watchCache.modRevision(key)).requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD)).put(Keys.CALENDAR_HEAD, policy.calendarHead().encodeNext(changeId));
+        String key = StoreKeys.CALENDAR_ENTRY_PREFIX + name;
+        Transaction txn = new Transaction().requireRevision(key, watchCache.modRevision(key)).requireRevision(StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD)).put(StoreKeys.CALENDAR_HEAD, policy.calendarHead().encodeNext(changeId));
         if (updated == null) {
             txn.remove(key);
         } else {
@@ -364,8 +364,8 @@
         commit(txn, responder, out.put("state", "done"));
     }
 
-    private void listEntries(ObjectNode body, Reply responder) {
-        ObjectNode out = Codec.newMap();
+    private void listEntries(ObjectNode body, Responder responder) {
+        ObjectNode out = WireFormat.newMap();
         ArrayNode list = out.putArray("list");
         policy.entries().values().forEach(e -> list.add(e.encode()));
         ArrayNode now = out.putArray("occurrences");
@@ -373,8 +373,8 @@
         responder.respondOk(out);
     }
 
-    private void addUpcoming(ArrayNode publications, Entry entry, int days) {
-        for (Entry.When publication : entry.publicationsBetween(loop.wallClockMillis(), loop.wallClockMillis() + days * 86_400_000L)) {
+    private void addUpcoming(ArrayNode publications, CalendarEntry entry, int days) {
+        for (CalendarEntry.Publication publication : entry.publicationsBetween(loop.wallClockMillis(), loop.wallClockMillis() + days * 86_400_000L)) {
             ObjectNode node = publications.addObject().put("entry", entry.name()).put("date", publication.date().toString()).put("publication", java.time.Instant.ofEpochMilli(publication.epochMillis()).toString())
                     .put("opens", java.time.Instant.ofEpochMilli(publication.epochMillis() - (long) (entry.leadSeconds() * 1000)).toString());
             List<Double> peaks = policy.historyOf(entry.name()).peakCpus();
@@ -384,11 +384,11 @@
         }
     }
 
-    private void listUpcoming(ObjectNode body, Reply responder) {
-        ObjectNode out = Codec.newMap();
+    private void listUpcoming(ObjectNode body, Responder responder) {
+        ObjectNode out = WireFormat.newMap();
         ArrayNode list = out.putArray("list");
         int days = Math.max(1, Math.min(31, body.path("days").asInt(2)));
-        for (Entry entry : policy.entries().values()) {
+        for (CalendarEntry entry : policy.entries().values()) {
             if (list.size() < PolicyConstants.MAX_LISTED_PUBLICATIONS) {
                 addUpcoming(list, entry, days);
             }
@@ -396,14 +396,14 @@
         responder.respondOk(out);
     }
 
-    private void listLedger(ObjectNode body, Reply responder) {
+    private void listLedger(ObjectNode body, Responder responder) {
         String name = body.path("name").asText();
-        store.list(Keys.LEDGER_PREFIX + name + "/", null, (status, listing) -> {
+        store.list(StoreKeys.LEDGER_PREFIX + name + "/", null, (status, listing) -> {
             if (status != 200) {
                 responder.respondError(503, "the state service does not answer");
                 return;
             }
-            ObjectNode out = Codec.newMap();
+            ObjectNode out = WireFormat.newMap();
             List<ObjectNode> summaries = new ArrayList<>();
             for (JsonNode item : listing.path("items")) {
                 String path = item.path("path").asText();
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.Job;
 import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.config.constants.PolicyConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.records.Job;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Txn;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,19 +27,19 @@
  */
 public final class Policy {
     private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-    private static final Standing DEFAULT_PRIORITY = new Standing(null, PolicyConstants.DEFAULT_RANK, null, 0);
+    private static final EffectivePriority DEFAULT_PRIORITY = new EffectivePriority(null, PolicyConstants.DEFAULT_RANK, null, 0);
 
     /** The head of the classes. {@code rules}: the generation in force; {@code was}: the one before it that all could read; {@code next}:
      *  proposed; {@code last}: the highest number ever given. */
-    record Head(long activeGeneration, long previousGeneration, long proposedGeneration, long highestGeneration, Map<String, Long> generationByChangeId, long rejectedGeneration, String rejectionReason) { }
+    record ClassesHead(long activeGeneration, long previousGeneration, long proposedGeneration, long highestGeneration, Map<String, Long> generationByChangeId, long rejectedGeneration, String rejectionReason) { }
 
-    static final Head EMPTY_CLASSES_HEAD = new Head(0, 0, 0, 0, Map.of(), 0, "");
+    static final ClassesHead EMPTY_CLASSES_HEAD = new ClassesHead(0, 0, 0, 0, Map.of(), 0, "");
 
     /** Generation of the calendar, and the operators' last changes of it. */
     record CalendarHead(long generation, List<String> recentChangeIds) {
         /** The next generation, with the change that makes it; null: the leader's own. */
         ObjectNode encodeNext(String changeId) {
-            ObjectNode node = Codec.newMap().put("g", generation + 1);
+            ObjectNode node = WireFormat.newMap().put("g", generation + 1);
             ArrayNode changeIdNodes = node.putArray("changes");
             recentChangeIds.stream().skip(changeId == null ? 0 : Math.max(0, recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1)).forEach(changeIdNodes::add);
             if (changeId != null) {
@@ -52,53 +52,53 @@
     static final CalendarHead EMPTY_CALENDAR_HEAD = new CalendarHead(0, List.of());
 
     /** What is remembered of an entry: up to when its occurrences are closed, and the peaks of the last ones in CPUs. */
-    record Memory(long closedThroughMillis, List<Double> peakCpus) { }
+    record EntryHistory(long closedThroughMillis, List<Double> peakCpus) { }
 
-    private final Mirror watchCache;
-    private Head classesHead = EMPTY_CLASSES_HEAD;
+    private final WatchCache watchCache;
+    private ClassesHead classesHead = EMPTY_CLASSES_HEAD;
     private CalendarHead calendarHead = EMPTY_CALENDAR_HEAD;
     private final Map<Long, TreeMap<Integer, String>> classesParts = new TreeMap<>();
     private final Map<String, Long> unreadableGenerationByMember = new TreeMap<>();
-    private final Map<String, Entry> entries = new TreeMap<>();
-    private final Map<String, Occurrence> occurrences = new TreeMap<>();
+    private final Map<String, CalendarEntry> entries = new TreeMap<>();
+    private final Map<String, ScheduledOccurrence> occurrences = new TreeMap<>();
     /** Those whose window is open. */
-    private final List<Occurrence> priorityOccurrences = new ArrayList<>();
-    private final Map<String, Memory> historyByEntry = new HashMap<>();
+    private final List<ScheduledOccurrence> priorityOccurrences = new ArrayList<>();
+    private final Map<String, EntryHistory> historyByEntry = new HashMap<>();
     private final Map<String, JsonNode> uncountedCompletions = new TreeMap<>();
-    private Classes classes = Classes.NONE;
+    private PriorityClasses classes = PriorityClasses.NONE;
     /** Generation of the classes that can't be read here; 0: none. */
     private long unreadableGeneration;
     private long version;
-    private final Map<Job, Standing> priorityByJob = new java.util.IdentityHashMap<>();
+    private final Map<Job, EffectivePriority> priorityByJob = new java.util.IdentityHashMap<>();
 
-    public Policy(Mirror watchCache) {
+    public Policy(WatchCache watchCache) {
         this.watchCache = watchCache;
-        subscribe(Keys.CLASSES_HEAD, (rest, v) -> classesHead = v == null ? EMPTY_CLASSES_HEAD : decodeClassesHead(v));
-        subscribe(Keys.CLASSES_PART_PREFIX, this::onClassesPart);
-        subscribe(Keys.CLASSES_OBJECTION_PREFIX, (member, v) -> putOrRemove(unreadableGenerationByMember, member, v == null ? null : v.path("g").asLong()));
-        subscribe(Keys.CALENDAR_ENTRY_PREFIX, this::onEntry);
-        watchCache.addPrefixListener(Keys.OCCURRENCE_PREFIX, new Mirror.View() {
+        subscribe(StoreKeys.CLASSES_HEAD, (rest, v) -> classesHead = v == null ? EMPTY_CLASSES_HEAD : decodeClassesHead(v));
+        subscribe(StoreKeys.CLASSES_PART_PREFIX, this::onClassesPart);
+        subscribe(StoreKeys.CLASSES_OBJECTION_PREFIX, (member, v) -> putOrRemove(unreadableGenerationByMember, member, v == null ? null : v.path("g").asLong()));
+        subscribe(StoreKeys.CALENDAR_ENTRY_PREFIX, this::onEntry);
+        watchCache.addPrefixListener(StoreKeys.OCCURRENCE_PREFIX, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long stamp) {
-                onOccurrence(key.substring(Keys.OCCURRENCE_PREFIX.length()), value);
+                onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), value);
             }
 
             @Override public void onRemove(String key) {
-                onOccurrence(key.substring(Keys.OCCURRENCE_PREFIX.length()), null);
+                onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), null);
             }
         });
-        subscribe(Keys.ENTRY_HISTORY_PREFIX, (name, v) -> putOrRemove(historyByEntry, name, v == null ? null : decodeHistory(v)));
-        subscribe(Keys.UNCOUNTED_COMPLETION_PREFIX, (id, v) -> putOrRemove(uncountedCompletions, id, v));
-        subscribe(Keys.CALENDAR_HEAD, (rest, v) -> calendarHead = v == null ? EMPTY_CALENDAR_HEAD : decodeCalendarHead(v));
+        subscribe(StoreKeys.ENTRY_HISTORY_PREFIX, (name, v) -> putOrRemove(historyByEntry, name, v == null ? null : decodeHistory(v)));
+        subscribe(StoreKeys.UNCOUNTED_COMPLETION_PREFIX, (id, v) -> putOrRemove(uncountedCompletions, id, v));
+        subscribe(StoreKeys.CALENDAR_HEAD, (rest, v) -> calendarHead = v == null ? EMPTY_CALENDAR_HEAD : decodeCalendarHead(v));
         // Only when a whole batch is in: a generation's head and its parts come together.
         watchCache.addChangeListener(this::refreshClasses);
     }
 
-    private interface Reader {
+    private interface RecordConsumer {
         void accept(String keySuffix, JsonNode value);
     }
 
-    private void subscribe(String prefix, Reader consumer) {
-        watchCache.addPrefixListener(prefix, new Mirror.View() {
+    private void subscribe(String prefix, RecordConsumer consumer) {
+        watchCache.addPrefixListener(prefix, new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long stamp) {
                 applyChange(() -> consumer.accept(key.substring(prefix.length()), value));
             }
@@ -123,10 +123,10 @@
         }
     }
 
-    private static Head decodeClassesHead(JsonNode node) {
+    private static ClassesHead decodeClassesHead(JsonNode node) {
         Map<String, Long> generationByChangeId = new java.util.LinkedHashMap<>();
         node.path("changes").forEach(c -> generationByChangeId.put(c.path(0).asText(), c.path(1).asLong()));
-        return new Head(node.path("rules").asLong(), node.path("was").asLong(), node.path("next").asLong(), node.path("last").asLong(), generationByChangeId,
+        return new ClassesHead(node.path("rules").asLong(), node.path("was").asLong(), node.path("next").asLong(), node.path("last").asLong(), generationByChangeId,
                 node.path("refused").asLong(), node.path("why").asText());
     }
 
@@ -151,14 +151,14 @@
                 classesParts.remove(generation);
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            LOG.error("the record {}{} does not belong to any classes; it is left alone", Keys.CLASSES_PART_PREFIX, keySuffix);
+            LOG.error("the record {}{} does not belong to any classes; it is left alone", StoreKeys.CLASSES_PART_PREFIX, keySuffix);
         }
     }
 
     private void onEntry(String name, JsonNode node) {
         try {
-            putOrRemove(entries, name, node == null ? null : Entry.decode(node, name));
-        } catch (Invalid e) {
+            putOrRemove(entries, name, node == null ? null : CalendarEntry.decode(node, name));
+        } catch (InvalidRecordException e) {
             // The entry as it was goes on ruling; occurrences under way hold what they cover.
             LOG.error("the calendar's entry {} can't be read ({}); as it was it stays in force", name, e.getMessage());
         }
@@ -169,31 +169,31 @@
         if (slash < 0) {
             return;
         }
-        Occurrence before = occurrences.get(keySuffix);
+        ScheduledOccurrence before = occurrences.get(keySuffix);
         try {
-            putOrRemove(occurrences, keySuffix, node == null ? null : Occurrence.decode(keySuffix.substring(0, slash), keySuffix.substring(slash + 1), node));
-        } catch (Invalid e) {
+            putOrRemove(occurrences, keySuffix, node == null ? null : ScheduledOccurrence.decode(keySuffix.substring(0, slash), keySuffix.substring(slash + 1), node));
+        } catch (InvalidRecordException e) {
             LOG.error("the occurrence {} can't be read ({}); as it was it stays in force", keySuffix, e.getMessage());
         }
-        Occurrence now = occurrences.get(keySuffix);
+        ScheduledOccurrence now = occurrences.get(keySuffix);
         // Counts are written often and change nobody's standing.
         boolean samePriority = before != null && now != null && before.state() == now.state() && before.publicationMillis == now.publicationMillis && before.selectors.equals(now.selectors);
         priorityOccurrences.clear();
-        occurrences.values().stream().filter(Occurrence::raisesPriority).forEach(priorityOccurrences::add);
+        occurrences.values().stream().filter(ScheduledOccurrence::raisesPriority).forEach(priorityOccurrences::add);
         if (!samePriority) {
             applyChange(() -> { });
         }
     }
 
-    private static Memory decodeHistory(JsonNode node) {
+    private static EntryHistory decodeHistory(JsonNode node) {
         List<Double> peakCpus = new ArrayList<>();
         node.path("cpus").forEach(p -> peakCpus.add(p.asDouble()));
-        return new Memory(node.path("through").asLong(), peakCpus);
+        return new EntryHistory(node.path("through").asLong(), peakCpus);
     }
 
     /** Reads the ruling generation, once its parts are here. Until then nothing is placed by another one. */
     private void refreshClasses() {
-        Classes before = classes;
+        PriorityClasses before = classes;
         loadActiveClasses();
         if (before != classes) {
             LOG.info("priority classes: generation {} rules", classes.generation());
@@ -208,14 +208,14 @@
             return;
         }
         if (classesHead.activeGeneration == 0) {
-            classes = Classes.NONE;
+            classes = PriorityClasses.NONE;
             unreadableGeneration = 0;
             return;
         }
         try {
             classes = loadGeneration(classesHead.activeGeneration);
             unreadableGeneration = 0;
-        } catch (Invalid e) {
+        } catch (InvalidRecordException e) {
             if (unreadableGeneration != classesHead.activeGeneration) {
                 LOG.error("generation {} of the priority classes can't be read here ({}); nothing is placed until one can be read", classesHead.activeGeneration, e.getMessage());
                 unreadableGeneration = classesHead.activeGeneration;
@@ -224,16 +224,16 @@
     }
 
     /** A generation as its parts say; refused while one is missing. */
-    Classes loadGeneration(long generation) throws Invalid {
+    PriorityClasses loadGeneration(long generation) throws InvalidRecordException {
         TreeMap<Integer, String> partTexts = classesParts.getOrDefault(generation, new TreeMap<>());
         String text = String.join("", partTexts.values());
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new Invalid("generation " + generation, "its " + partTexts.size() + " parts are no JSON");
+            throw new InvalidRecordException("generation " + generation, "its " + partTexts.size() + " parts are no JSON");
         }
-        return Classes.decode(root, generation, "generation " + generation);
+        return PriorityClasses.decode(root, generation, "generation " + generation);
     }
 
     Collection<Long> recordedGenerations() {
@@ -241,10 +241,10 @@
     }
 
     Collection<String> partKeys(long generation) {
-        return classesParts.getOrDefault(generation, new TreeMap<>()).keySet().stream().map(i -> Keys.CLASSES_PART_PREFIX + generation + "/" + i).toList();
+        return classesParts.getOrDefault(generation, new TreeMap<>()).keySet().stream().map(i -> StoreKeys.CLASSES_PART_PREFIX + generation + "/" + i).toList();
     }
 
-    Head classesHead() {
+    ClassesHead classesHead() {
         return classesHead;
     }
 
@@ -276,20 +276,20 @@
         return classesHead.activeGeneration != 0 || !occurrences.isEmpty();
     }
 
-    public Classes activeClasses() {
+    public PriorityClasses activeClasses() {
         return classes;
     }
 
-    Map<String, Entry> entries() {
+    Map<String, CalendarEntry> entries() {
         return entries;
     }
 
-    Map<String, Occurrence> occurrences() {
+    Map<String, ScheduledOccurrence> occurrences() {
         return occurrences;
     }
 
-    Memory historyOf(String entry) {
-        return historyByEntry.getOrDefault(entry, new Memory(0, List.of()));
+    EntryHistory historyOf(String entry) {
+        return historyByEntry.getOrDefault(entry, new EntryHistory(0, List.of()));
     }
 
     Map<String, JsonNode> uncountedCompletions() {
@@ -302,25 +302,25 @@
     }
 
     /** The change then fails if it was decided by another generation of classes or calendar than rules when it is carried out. */
-    public void requireCurrentPolicy(Txn txn) {
-        txn.requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD)).requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD));
+    public void requireCurrentPolicy(Transaction txn) {
+        txn.requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD)).requireRevision(StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD));
     }
 
     /** Of two open windows that cover a job, the one that is published first counts. */
-    public Standing priorityOf(Job job) {
+    public EffectivePriority priorityOf(Job job) {
         if (!isInForce()) {
             return DEFAULT_PRIORITY;
         }
-        Standing priority = priorityByJob.get(job);
+        EffectivePriority priority = priorityByJob.get(job);
         if (priority == null) {
             JobClass jobClass = classes.classOf(job.spec);
-            Occurrence first = null;
-            for (Occurrence occurrence : priorityOccurrences) {
+            ScheduledOccurrence first = null;
+            for (ScheduledOccurrence occurrence : priorityOccurrences) {
                 if ((first == null || occurrence.publicationMillis < first.publicationMillis) && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
                     first = occurrence;
                 }
             }
-            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new Standing(jobClass, jobClass == null ? PolicyConstants.DEFAULT_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
+            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new EffectivePriority(jobClass, jobClass == null ? PolicyConstants.DEFAULT_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
             if (priorityByJob.size() >= ApiConstants.MAX_OPEN_JOBS) {
                 priorityByJob.clear();
             }
@@ -331,7 +331,7 @@
 
     /** How many of the job's tasks must have begun by now, so that nobody is left behind by the bounds of its class. */
     public int requiredStartedTaskCount(Job job, long wallClockMillis) {
-        Standing priority = priorityOf(job);
+        EffectivePriority priority = priorityOf(job);
         return job.requiredStartedTaskCount(wallClockMillis, priority.startWithinSeconds(), priority.minStartedShare());
     }
 
@@ -339,24 +339,24 @@
      * A covered job's end: its final record says when, and what no occurrence's record names yet is recorded beside it in the same
      * change, so that every covered job is counted though no leader ever saw it.
      */
-    public void recordCompletion(Job job, ObjectNode finalRecord, Txn txn, long wallClockMillis) {
-        List<Occurrence> covering = occurrencesCovering(job);
+    public void recordCompletion(Job job, ObjectNode finalRecord, Transaction txn, long wallClockMillis) {
+        List<ScheduledOccurrence> covering = occurrencesCovering(job);
         if (covering.isEmpty()) {
             return;
         }
         finalRecord.put("t", wallClockMillis);
-        List<Occurrence> missing = covering.stream().filter(o -> !o.openJobIds.contains(job.spec.jobId())).toList();
+        List<ScheduledOccurrence> missing = covering.stream().filter(o -> !o.openJobIds.contains(job.spec.jobId())).toList();
         if (!missing.isEmpty()) {
-            ObjectNode uncountedCompletion = Codec.newMap().put("s", finalRecord.path("s").asText()).put("t", wallClockMillis);
+            ObjectNode uncountedCompletion = WireFormat.newMap().put("s", finalRecord.path("s").asText()).put("t", wallClockMillis);
             ArrayNode occurrenceNodes = uncountedCompletion.putArray("occ");
             missing.forEach(o -> occurrenceNodes.add(o.entryName + "/" + o.date));
-            txn.put(Keys.UNCOUNTED_COMPLETION_PREFIX + job.spec.jobId(), uncountedCompletion);
+            txn.put(StoreKeys.UNCOUNTED_COMPLETION_PREFIX + job.spec.jobId(), uncountedCompletion);
         }
     }
 
     /** Whether any window is open. */
     public boolean isAnyWindowOpen() {
-        return priorityOccurrences.stream().anyMatch(o -> o.state() == Occurrence.State.OPEN);
+        return priorityOccurrences.stream().anyMatch(o -> o.state() == ScheduledOccurrence.State.OPEN);
     }
 
     /** How many of a service's replicas may be in one zone, by the job and by the part that its class wants left when any zone is lost. */
@@ -377,9 +377,9 @@
     }
 
     /** The occurrences whose window is open and that cover the job. */
-    List<Occurrence> occurrencesCovering(Job job) {
-        List<Occurrence> occurrencesCovering = new ArrayList<>();
-        for (Occurrence occurrence : priorityOccurrences) {
+    List<ScheduledOccurrence> occurrencesCovering(Job job) {
+        List<ScheduledOccurrence> occurrencesCovering = new ArrayList<>();
+        for (ScheduledOccurrence occurrence : priorityOccurrences) {
             if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
                 occurrencesCovering.add(occurrence);
             }
@@ -393,9 +393,9 @@
      */
     public double forecastCpus(Collection<Job> jobs, long wallClockMillis, double provisioningSeconds) {
         double totalCpus = 0;
-        for (Occurrence occurrence : occurrences.values()) {
-            boolean opensSoon = occurrence.state() == Occurrence.State.PLANNED && wallClockMillis >= occurrence.opensAtMillis - provisioningSeconds * 1000 && wallClockMillis < occurrence.publicationMillis;
-            boolean justOpened = occurrence.state() == Occurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + PolicyConstants.CALENDAR_RESERVE_SECONDS * 1000 && wallClockMillis < occurrence.publicationMillis;
+        for (ScheduledOccurrence occurrence : occurrences.values()) {
+            boolean opensSoon = occurrence.state() == ScheduledOccurrence.State.PLANNED && wallClockMillis >= occurrence.opensAtMillis - provisioningSeconds * 1000 && wallClockMillis < occurrence.publicationMillis;
+            boolean justOpened = occurrence.state() == ScheduledOccurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + PolicyConstants.CALENDAR_RESERVE_SECONDS * 1000 && wallClockMillis < occurrence.publicationMillis;
             List<Double> peakCpus = historyOf(occurrence.entryName).peakCpus;
             if ((opensSoon || justOpened) && !peakCpus.isEmpty()) {
                 double usedCpus = 0;
--- a/src/main/java/io/quincelead/policy/Clerk.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobTable;
 import io.quincelead.config.constants.PolicyConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobTable;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.time.Instant;
 import java.time.LocalDate;
 import java.time.ZoneOffset;
@@ -30,15 +30,15 @@
  * the calendar. Every change is guarded by the leader's key and by the stamps of what it was decided from, one change at a time, so
  * whoever leads goes on where the last one stopped. A controller that can't read what rules says so on record, whoever leads.
  */
-public final class Clerk {
-    private static final Logger LOG = LoggerFactory.getLogger(Clerk.class);
+public final class PolicyReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(PolicyReconciler.class);
 
     /** The leadership, as this controller has it. */
-    public interface Chair {
+    public interface Leadership {
         boolean isLeader();
 
         /** A change that stands only while this controller leads. */
-        Txn newTransaction();
+        Transaction newTransaction();
 
         long term();
 
@@ -47,17 +47,17 @@
     }
 
     /** How a covered job ended. */
-    private record End(boolean done, long completedAtMillis) { }
+    private record JobCompletion(boolean done, long completedAtMillis) { }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String memberId;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final StoreClient store;
     private final JobTable jobs;
     private final Policy policy;
-    private final Chair leadership;
+    private final Leadership leadership;
     private boolean requestInFlight;
-    private final Map<String, End> completions = new HashMap<>();
+    private final Map<String, JobCompletion> completions = new HashMap<>();
     private final Set<String> finalReadsInFlight = new HashSet<>();
     private final Map<String, Long> countsWrittenAtMillis = new HashMap<>();
     private final Set<String> knownLedgerKeys = new HashSet<>();
@@ -66,7 +66,7 @@
     private long plannedAtMillis = Long.MIN_VALUE / 2;
     private long plannedVersion = -1;
 
-    public Clerk(Loop loop, String memberId, Mirror watchCache, StoreClient store, JobTable jobs, Policy policy, Chair leadership) {
+    public PolicyReconciler(EventLoop loop, String memberId, WatchCache watchCache, StoreClient store, JobTable jobs, Policy policy, Leadership leadership) {
         this.loop = loop;
         this.memberId = memberId;
         this.watchCache = watchCache;
@@ -81,7 +81,7 @@
         if (requestInFlight || !watchCache.isSynced() || !store.canAffordUrgentWrite()) {
             return;
         }
-        Txn txn = unreadableClassesChange();
+        Transaction txn = unreadableClassesChange();
         if (txn == null && leadership.isLeader()) {
             txn = classesChange();
             txn = txn != null ? txn : calendarChange();
@@ -98,14 +98,14 @@
         }
     }
 
-    private void commit(Txn txn) {
+    private void commit(Transaction txn) {
         requestInFlight = true;
         store.commit(txn, outcome -> {
             requestInFlight = false;
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(txn, outcome.storeRevision());
-            } else if (outcome.result() == Txn.Result.CONFLICT) {
-                outcome.failedKeys().stream().filter(k -> k.startsWith(Keys.LEDGER_PREFIX)).forEach(knownLedgerKeys::add);
+            } else if (outcome.result() == Transaction.Result.CONFLICT) {
+                outcome.failedKeys().stream().filter(k -> k.startsWith(StoreKeys.LEDGER_PREFIX)).forEach(knownLedgerKeys::add);
             }
             // Otherwise it is decided anew from what the watch brings; what was carried out all the same fails its guards.
         });
@@ -114,35 +114,35 @@
     // ---- classes
 
     /** Says on record that the ruling generation can't be read here, or takes that back. */
-    private Txn unreadableClassesChange() {
+    private Transaction unreadableClassesChange() {
         Long reportedGeneration = policy.unreadableGenerationByMember().get(memberId);
-        String key = Keys.CLASSES_OBJECTION_PREFIX + memberId;
+        String key = StoreKeys.CLASSES_OBJECTION_PREFIX + memberId;
         if (policy.unreadableGeneration() != 0 && (reportedGeneration == null || reportedGeneration != policy.unreadableGeneration())) {
-            return new Txn().requireRevision(key, watchCache.modRevision(key)).put(key, Codec.newMap().put("g", policy.unreadableGeneration()));
+            return new Transaction().requireRevision(key, watchCache.modRevision(key)).put(key, WireFormat.newMap().put("g", policy.unreadableGeneration()));
         }
-        return policy.unreadableGeneration() == 0 && reportedGeneration != null ? new Txn().requireRevision(key, watchCache.modRevision(key)).remove(key) : null;
+        return policy.unreadableGeneration() == 0 && reportedGeneration != null ? new Transaction().requireRevision(key, watchCache.modRevision(key)).remove(key) : null;
     }
 
-    private Txn classesChange() {
-        Policy.Head head = policy.classesHead();
+    private Transaction classesChange() {
+        Policy.ClassesHead head = policy.classesHead();
         for (Map.Entry<String, Long> report : policy.unreadableGenerationByMember().entrySet()) {
             if (head.activeGeneration() != 0 && report.getValue() == head.activeGeneration() && leadership.activeMemberIds().contains(report.getKey())) {
                 LOG.error("generation {} of the priority classes can't be read by {}: generation {} rules again", head.activeGeneration(), report.getKey(), head.previousGeneration());
-                return classesHeadChange(new Policy.Head(head.previousGeneration(), head.previousGeneration(), head.proposedGeneration(), head.highestGeneration(), head.generationByChangeId(), head.activeGeneration(), report.getKey() + " can't read it"));
+                return classesHeadChange(new Policy.ClassesHead(head.previousGeneration(), head.previousGeneration(), head.proposedGeneration(), head.highestGeneration(), head.generationByChangeId(), head.activeGeneration(), report.getKey() + " can't read it"));
             }
         }
         if (head.proposedGeneration() != 0) {
             try {
                 policy.loadGeneration(head.proposedGeneration());
-                return classesHeadChange(new Policy.Head(head.proposedGeneration(), head.activeGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.rejectedGeneration(), head.rejectionReason()));
-            } catch (Invalid e) {
+                return classesHeadChange(new Policy.ClassesHead(head.proposedGeneration(), head.activeGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.rejectedGeneration(), head.rejectionReason()));
+            } catch (InvalidRecordException e) {
                 LOG.error("the proposed priority classes can't be read ({}); generation {} goes on ruling", e.getMessage(), head.activeGeneration());
-                return classesHeadChange(new Policy.Head(head.activeGeneration(), head.previousGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.proposedGeneration(), e.getMessage()));
+                return classesHeadChange(new Policy.ClassesHead(head.activeGeneration(), head.previousGeneration(), 0, head.highestGeneration(), head.generationByChangeId(), head.proposedGeneration(), e.getMessage()));
             }
         }
         for (long generation : policy.recordedGenerations()) {
             if (generation != head.activeGeneration() && generation != head.previousGeneration() && generation <= head.highestGeneration() - PolicyConstants.CLASSES_GENERATIONS_KEPT) {
-                Txn txn = leadership.newTransaction().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD));
+                Transaction txn = leadership.newTransaction().requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD));
                 policy.partKeys(generation).forEach(txn::remove);
                 return txn;
             }
@@ -150,12 +150,12 @@
         return null;
     }
 
-    private Txn classesHeadChange(Policy.Head head) {
-        return leadership.newTransaction().requireRevision(Keys.CLASSES_HEAD, watchCache.modRevision(Keys.CLASSES_HEAD)).put(Keys.CLASSES_HEAD, encodeClassesHead(head));
+    private Transaction classesHeadChange(Policy.ClassesHead head) {
+        return leadership.newTransaction().requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD)).put(StoreKeys.CLASSES_HEAD, encodeClassesHead(head));
     }
 
-    static ObjectNode encodeClassesHead(Policy.Head head) {
-        ObjectNode node = Codec.newMap().put("rules", head.activeGeneration()).put("was", head.previousGeneration()).put("next", head.proposedGeneration()).put("last", head.highestGeneration());
+    static ObjectNode encodeClassesHead(Policy.ClassesHead head) {
+        ObjectNode node = WireFormat.newMap().put("rules", head.activeGeneration()).put("was", head.previousGeneration()).put("next", head.proposedGeneration()).put("last", head.highestGeneration());
         ArrayNode changeNodes = node.putArray("changes");
         head.generationByChangeId().forEach((id, g) -> changeNodes.addArray().add(id).add(g));
         if (head.rejectedGeneration() != 0) {
@@ -166,17 +166,17 @@
 
     // ---- calendar
 
-    private Txn calendarChange() {
+    private Transaction calendarChange() {
         dropStaleCompletions();
-        for (Occurrence occurrence : policy.occurrences().values()) {
-            Txn txn = occurrenceChange(occurrence);
+        for (ScheduledOccurrence occurrence : policy.occurrences().values()) {
+            Transaction txn = occurrenceChange(occurrence);
             if (txn != null) {
                 return txn;
             }
         }
         if (loop.nowMillis() - plannedAtMillis >= PolicyConstants.OCCURRENCE_PLANNING_INTERVAL_MILLIS || plannedVersion != policy.version()) {
-            for (Entry entry : policy.entries().values()) {
-                Txn txn = planningChange(entry);
+            for (CalendarEntry entry : policy.entries().values()) {
+                Transaction txn = planningChange(entry);
                 if (txn != null) {
                     return txn;
                 }
@@ -191,7 +191,7 @@
                 referenced |= policy.occurrences().containsKey(key.asText());
             }
             if (!referenced) {
-                String key = Keys.UNCOUNTED_COMPLETION_PREFIX + uncounted.getKey();
+                String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + uncounted.getKey();
                 return leadership.newTransaction().requireRevision(key, watchCache.modRevision(key)).remove(key);
             }
         }
@@ -199,27 +199,27 @@
     }
 
     /** The next occurrence of an entry that isn't on record, from the last that is closed on. */
-    private Txn planningChange(Entry entry) {
+    private Transaction planningChange(CalendarEntry entry) {
         long wallClockMillis = loop.wallClockMillis();
         long fromMillis = Math.max(Math.max(policy.historyOf(entry.name()).closedThroughMillis(), entry.effectiveFromMillis()), wallClockMillis - PolicyConstants.LOOK_BACK_MILLIS);
-        for (Entry.When publication : entry.publicationsBetween(fromMillis, wallClockMillis + (long) (entry.leadSeconds() * 1000) + PolicyConstants.PLAN_AHEAD_MILLIS)) {
-            Occurrence occurrence = Occurrence.planned(entry, publication);
+        for (CalendarEntry.Publication publication : entry.publicationsBetween(fromMillis, wallClockMillis + (long) (entry.leadSeconds() * 1000) + PolicyConstants.PLAN_AHEAD_MILLIS)) {
+            ScheduledOccurrence occurrence = ScheduledOccurrence.planned(entry, publication);
             if (!policy.occurrences().containsKey(occurrence.entryName + "/" + occurrence.date) && !knownLedgerKeys.contains(occurrence.ledgerKey())) {
                 occurrence.leaderTerms.add(leadership.term());
-                return leadership.newTransaction().requireRevision(occurrence.storeKey(), 0).requireRevision(occurrence.ledgerKey(), 0).requireRevision(Keys.CALENDAR_ENTRY_PREFIX + entry.name(), watchCache.modRevision(Keys.CALENDAR_ENTRY_PREFIX + entry.name())).put(occurrence.storeKey(), occurrence.encode());
+                return leadership.newTransaction().requireRevision(occurrence.storeKey(), 0).requireRevision(occurrence.ledgerKey(), 0).requireRevision(StoreKeys.CALENDAR_ENTRY_PREFIX + entry.name(), watchCache.modRevision(StoreKeys.CALENDAR_ENTRY_PREFIX + entry.name())).put(occurrence.storeKey(), occurrence.encode());
             }
         }
         return null;
     }
 
-    private Txn occurrenceChange(Occurrence current) {
-        Occurrence occurrence = current.copy();
+    private Transaction occurrenceChange(ScheduledOccurrence current) {
+        ScheduledOccurrence occurrence = current.copy();
         long wallClockMillis = loop.wallClockMillis();
-        Entry entry = policy.entries().get(occurrence.entryName);
+        CalendarEntry entry = policy.entries().get(occurrence.entryName);
         LocalDate date = LocalDate.parse(occurrence.date);
-        boolean beforeVerdict = occurrence.state() == Occurrence.State.PLANNED || occurrence.state() == Occurrence.State.OPEN;
+        boolean beforeVerdict = occurrence.state() == ScheduledOccurrence.State.PLANNED || occurrence.state() == ScheduledOccurrence.State.OPEN;
         if (beforeVerdict && (entry == null || entry.skippedDates().contains(date) || !entry.isScheduledOn(date))) {
-            occurrence.transitionTo(Occurrence.State.SKIPPED);
+            occurrence.transitionTo(ScheduledOccurrence.State.SKIPPED);
             return writeOccurrence(occurrence, true, new ArrayList<>());
         }
         if (beforeVerdict && entry.publicationMillis(date) != occurrence.publicationMillis) {
@@ -235,7 +235,7 @@
                     return null;
                 }
                 updateCounts(occurrence, folded);
-                occurrence.transitionTo(Occurrence.State.OPEN);
+                occurrence.transitionTo(ScheduledOccurrence.State.OPEN);
                 return writeOccurrence(occurrence, true, folded);
             }
             case OPEN -> {
@@ -244,7 +244,7 @@
                 boolean graceElapsed = wallClockMillis >= occurrence.publicationMillis + Math.max((long) (occurrence.graceSeconds * 1000), PolicyConstants.VERDICT_DELAY_MILLIS);
                 if (verdictDue && (occurrence.openJobIds.isEmpty() || graceElapsed)) {
                     boolean inTime = occurrence.openJobIds.isEmpty() && occurrence.lastDoneMillis <= occurrence.publicationMillis + (long) (occurrence.graceSeconds * 1000);
-                    occurrence.transitionTo(inTime ? Occurrence.State.PUBLISHED : Occurrence.State.MISSED);
+                    occurrence.transitionTo(inTime ? ScheduledOccurrence.State.PUBLISHED : ScheduledOccurrence.State.MISSED);
                     LOG.info("{} of {} is {}: {} covered jobs, {} done, {} open", occurrence.entryName, occurrence.date, inTime ? "published" : "missed", occurrence.jobCount, occurrence.doneCount, occurrence.openJobIds.size());
                     return writeOccurrence(occurrence, true, folded);
                 }
@@ -266,7 +266,7 @@
         }
     }
 
-    private boolean claimCountsWrite(Occurrence occurrence) {
+    private boolean claimCountsWrite(ScheduledOccurrence occurrence) {
         long lastWrittenAtMillis = countsWrittenAtMillis.getOrDefault(occurrence.storeKey(), Long.MIN_VALUE / 2);
         if (loop.nowMillis() - lastWrittenAtMillis < PolicyConstants.MIN_COUNT_RECORD_INTERVAL_MILLIS) {
             return false;
@@ -276,44 +276,44 @@
     }
 
     /** Writes an occurrence, guarded by its record; with {@code ranks} its state or time has changed, and with it the calendar's generation. */
-    private Txn writeOccurrence(Occurrence occurrence, boolean priorityChanged, List<String> folded) {
+    private Transaction writeOccurrence(ScheduledOccurrence occurrence, boolean priorityChanged, List<String> folded) {
         occurrence.leaderTerms.add(leadership.term());
-        Txn txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).put(occurrence.storeKey(), occurrence.encode());
+        Transaction txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).put(occurrence.storeKey(), occurrence.encode());
         if (priorityChanged) {
             advanceCalendarGeneration(txn);
         }
         return removeUncountedCompletions(txn, occurrence, folded);
     }
 
-    private void advanceCalendarGeneration(Txn txn) {
-        txn.requireRevision(Keys.CALENDAR_HEAD, watchCache.modRevision(Keys.CALENDAR_HEAD)).put(Keys.CALENDAR_HEAD, policy.calendarHead().encodeNext(null));
+    private void advanceCalendarGeneration(Transaction txn) {
+        txn.requireRevision(StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD)).put(StoreKeys.CALENDAR_HEAD, policy.calendarHead().encodeNext(null));
     }
 
     /** The one final record of an occurrence: into the ledger, out of what is live, and remembered with its peak, in one change. */
-    private Txn closeOccurrence(Occurrence occurrence, List<String> folded) {
+    private Transaction closeOccurrence(ScheduledOccurrence occurrence, List<String> folded) {
         occurrence.leaderTerms.add(leadership.term());
         ObjectNode summary = occurrence.encodeSummary().put("closed", loop.wallClockMillis()).put("unfinished", occurrence.openJobIds.size());
-        boolean skipped = occurrence.state() == Occurrence.State.SKIPPED;
-        occurrence.transitionTo(Occurrence.State.CLOSED);
-        Policy.Memory history = policy.historyOf(occurrence.entryName);
-        ObjectNode historyNode = Codec.newMap().put("through", Math.max(history.closedThroughMillis(), occurrence.publicationMillis));
+        boolean skipped = occurrence.state() == ScheduledOccurrence.State.SKIPPED;
+        occurrence.transitionTo(ScheduledOccurrence.State.CLOSED);
+        Policy.EntryHistory history = policy.historyOf(occurrence.entryName);
+        ObjectNode historyNode = WireFormat.newMap().put("through", Math.max(history.closedThroughMillis(), occurrence.publicationMillis));
         ArrayNode peakNodes = historyNode.putArray("cpus");
         history.peakCpus().stream().skip(skipped ? 0 : Math.max(0, history.peakCpus().size() - PolicyConstants.MAX_REMEMBERED_PEAKS + 1)).forEach(peakNodes::add);
         if (!skipped) {
             peakNodes.add(occurrence.peakCpus);
         }
-        Txn txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).remove(occurrence.storeKey()).requireRevision(occurrence.ledgerKey(), 0).put(occurrence.ledgerKey(), summary)
-                .requireRevision(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName, watchCache.modRevision(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName)).put(Keys.ENTRY_HISTORY_PREFIX + occurrence.entryName, historyNode);
+        Transaction txn = leadership.newTransaction().requireRevision(occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey())).remove(occurrence.storeKey()).requireRevision(occurrence.ledgerKey(), 0).put(occurrence.ledgerKey(), summary)
+                .requireRevision(StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName, watchCache.modRevision(StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName)).put(StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName, historyNode);
         advanceCalendarGeneration(txn);
         return removeUncountedCompletions(txn, occurrence, folded);
     }
 
     /** Takes ends that were recorded apart out of the records they wait in. */
-    private Txn removeUncountedCompletions(Txn txn, Occurrence occurrence, List<String> folded) {
+    private Transaction removeUncountedCompletions(Transaction txn, ScheduledOccurrence occurrence, List<String> folded) {
         for (String id : folded) {
-            String key = Keys.UNCOUNTED_COMPLETION_PREFIX + id;
+            String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + id;
             ObjectNode remainder = policy.uncountedCompletions().get(id).deepCopy();
-            ArrayNode otherOccurrences = Codec.newList();
+            ArrayNode otherOccurrences = WireFormat.newList();
             remainder.path("occ").forEach(k -> {
                 if (!k.asText().equals(occurrence.entryName + "/" + occurrence.date)) {
                     otherOccurrences.add(k);
@@ -331,7 +331,7 @@
     }
 
     /** Brings the count up to date with what is known here; says whether it changed. */
-    private boolean updateCounts(Occurrence occurrence, List<String> folded) {
+    private boolean updateCounts(ScheduledOccurrence occurrence, List<String> folded) {
         boolean changed = false;
         double usedCpus = 0;
         for (Job job : jobs.all()) {
@@ -350,7 +350,7 @@
         }
         for (String id : new ArrayList<>(occurrence.openJobIds)) {
             if (jobs.get(id) == null) {
-                End completion = completions.get(id);
+                JobCompletion completion = completions.get(id);
                 if (completion == null) {
                     readCompletion(id);
                     continue;
@@ -368,7 +368,7 @@
             if (namesOccurrence && folded.size() < PolicyConstants.MAX_RECORDS_PER_SWEEP) {
                 if (!occurrence.openJobIds.contains(uncounted.getKey())) {
                     occurrence.jobCount++;
-                    updateCounts(occurrence, new End(uncounted.getValue().path("s").asText().equals("done"), uncounted.getValue().path("t").asLong()));
+                    updateCounts(occurrence, new JobCompletion(uncounted.getValue().path("s").asText().equals("done"), uncounted.getValue().path("t").asLong()));
                 }
                 folded.add(uncounted.getKey());
                 changed = true;
@@ -377,7 +377,7 @@
         return changed;
     }
 
-    private static void updateCounts(Occurrence occurrence, End completion) {
+    private static void updateCounts(ScheduledOccurrence occurrence, JobCompletion completion) {
         occurrence.doneCount += completion.done ? 1 : 0;
         occurrence.cancelledCount += completion.done ? 0 : 1;
         occurrence.lastDoneMillis = completion.done ? Math.max(occurrence.lastDoneMillis, completion.completedAtMillis) : occurrence.lastDoneMillis;
@@ -386,11 +386,11 @@
     /** A covered job's record is gone: how it ended stands in its final one. */
     private void readCompletion(String id) {
         if (finalReadsInFlight.size() < PolicyConstants.MAX_CONCURRENT_FINAL_STATE_READS && finalReadsInFlight.add(id)) {
-            store.get(Keys.FINAL_STATE_PREFIX + id, (status, body) -> {
+            store.get(StoreKeys.FINAL_STATE_PREFIX + id, (status, body) -> {
                 finalReadsInFlight.remove(id);
                 if (status == 200) {
                     JsonNode finalRecord = body.path("value");
-                    completions.put(id, new End(finalRecord.path("s").asText().equals("done"), finalRecord.path("t").asLong(loop.wallClockMillis())));
+                    completions.put(id, new JobCompletion(finalRecord.path("s").asText().equals("done"), finalRecord.path("t").asLong(loop.wallClockMillis())));
                 }
             });
         }
@@ -408,13 +408,13 @@
         }
         sweptAtMillis = loop.nowMillis();
         requestInFlight = true;
-        store.list(Keys.LEDGER_PREFIX, sweepCursor, (status, body) -> {
+        store.list(StoreKeys.LEDGER_PREFIX, sweepCursor, (status, body) -> {
             requestInFlight = false;
             if (status != 200) {
                 return;
             }
             String oldestDate = Instant.ofEpochMilli(loop.wallClockMillis()).atZone(ZoneOffset.UTC).toLocalDate().minusDays(PolicyConstants.LEDGER_RETENTION_DAYS).toString();
-            Txn txn = leadership.newTransaction();
+            Transaction txn = leadership.newTransaction();
             String lastKey = null;
             for (JsonNode item : body.path("items")) {
                 String key = item.path("path").asText();
--- a/src/main/java/io/quincelead/policy/Classes.java
+++ b/src/main/java/io/quincelead/policy/PriorityClasses.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.config.constants.PolicyConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /** One generation of the priority classes, in their stated order; the first that matches a job is its class. */
-public final class Classes {
+public final class PriorityClasses {
     /** No record: every job is ranked as the protocol and the settings say. */
-    public static final Classes NONE = new Classes(0, List.of());
+    public static final PriorityClasses NONE = new PriorityClasses(0, List.of());
     private final long generation;
     private final List<JobClass> all;
 
-    Classes(long generation, List<JobClass> all) {
+    PriorityClasses(long generation, List<JobClass> all) {
         this.generation = generation;
         this.all = List.copyOf(all);
     }
@@ -42,32 +42,32 @@
     }
 
     /** Reads {@code {"classes":[...]}}; {@code file} is named in errors. */
-    public static Classes decode(JsonNode root, long generation, String source) throws Invalid {
-        Fields fields = new Fields(root, source, Set.of("classes", "$schema"));
+    public static PriorityClasses decode(JsonNode root, long generation, String source) throws InvalidRecordException {
+        RecordFieldReader fields = new RecordFieldReader(root, source, Set.of("classes", "$schema"));
         JsonNode classNodes = fields.get("classes");
         if (classNodes == null || !classNodes.isArray() || classNodes.size() > PolicyConstants.MAX_CLASSES) {
             throw fields.invalid("classes", "must be a list of at most " + PolicyConstants.MAX_CLASSES + " classes");
         }
         List<JobClass> classes = new ArrayList<>();
-        List<Match> earlierSelectors = new ArrayList<>();
+        List<JobSelector> earlierSelectors = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classNodes.size(); i++) {
             String path = fields.pathOf("classes[" + i + "]");
             JobClass jobClass = JobClass.decode(classNodes.get(i), path);
             if (!names.add(jobClass.name())) {
-                throw new Invalid(path + ".name", "\"" + jobClass.name() + "\" stands twice");
+                throw new InvalidRecordException(path + ".name", "\"" + jobClass.name() + "\" stands twice");
             }
             if (jobClass.selector().isShadowedBy(earlierSelectors)) {
-                throw new Invalid(path + ".match", "never matches: every such job (" + jobClass.selector().describe() + ") is matched by a class before it");
+                throw new InvalidRecordException(path + ".match", "never matches: every such job (" + jobClass.selector().describe() + ") is matched by a class before it");
             }
             earlierSelectors.add(jobClass.selector());
             classes.add(jobClass);
         }
-        return new Classes(generation, classes);
+        return new PriorityClasses(generation, classes);
     }
 
     public ObjectNode encode() {
-        ObjectNode node = Codec.newMap();
+        ObjectNode node = WireFormat.newMap();
         ArrayNode classNodes = node.putArray("classes");
         all.forEach(c -> classNodes.add(c.encode()));
         return node;
--- a/src/main/java/io/quincelead/policy/Fields.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -12,13 +12,13 @@
  * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this build doesn't know are refused: a rule
  * half understood would be enforced otherwise here than elsewhere.
  */
-final class Fields {
+final class RecordFieldReader {
     private final JsonNode node;
     private final String path;
 
-    Fields(JsonNode node, String path, Set<String> knownFields) throws Invalid {
+    RecordFieldReader(JsonNode node, String path, Set<String> knownFields) throws InvalidRecordException {
         if (node == null || !node.isObject()) {
-            throw new Invalid(path, "must be a map");
+            throw new InvalidRecordException(path, "must be a map");
         }
         this.node = node;
         this.path = path;
@@ -30,8 +30,8 @@
         }
     }
 
-    Invalid invalid(String field, String requirement) {
-        return new Invalid(path + "." + field, requirement);
+    InvalidRecordException invalid(String field, String requirement) {
+        return new InvalidRecordException(path + "." + field, requirement);
     }
 
     boolean has(String field) {
@@ -47,7 +47,7 @@
     }
 
     /** A text of 1 to 200 characters; null if it is missing and may be. */
-    String readText(String field, boolean required) throws Invalid {
+    String readText(String field, boolean required) throws InvalidRecordException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             if (required) {
@@ -62,7 +62,7 @@
     }
 
     /** A name that may be part of a key. */
-    String readName(String field) throws Invalid {
+    String readName(String field) throws InvalidRecordException {
         String value = readText(field, true);
         if (!value.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,39}")) {
             throw invalid(field, "must be 1 to 40 letters, digits, dots, dashes or underscores, and begin with a letter or digit");
@@ -70,7 +70,7 @@
         return value;
     }
 
-    double readNumber(String field, double min, double max, double defaultValue) throws Invalid {
+    double readNumber(String field, double min, double max, double defaultValue) throws InvalidRecordException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             return defaultValue;
@@ -81,7 +81,7 @@
         return value.asDouble();
     }
 
-    int readInt(String field, int min, int max, int defaultValue) throws Invalid {
+    int readInt(String field, int min, int max, int defaultValue) throws InvalidRecordException {
         JsonNode value = node.get(field);
         if (value != null && !value.isNull() && !value.isIntegralNumber()) {
             throw invalid(field, "must be a whole number from " + min + " to " + max);
@@ -89,7 +89,7 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
-    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue) throws Invalid {
+    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue) throws InvalidRecordException {
         String text = readText(field, false);
         if (text == null) {
             return defaultValue;
@@ -102,7 +102,7 @@
         throw invalid(field, "must be one of " + Arrays.stream(type.getEnumConstants()).map(constant -> constant.name().toLowerCase(Locale.ROOT)).toList());
     }
 
-    List<String> readTexts(String field) throws Invalid {
+    List<String> readTexts(String field) throws InvalidRecordException {
         List<String> texts = new ArrayList<>();
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
--- a/src/main/java/io/quincelead/policy/Occurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
-import io.quincelead.state.Keys;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -16,8 +16,8 @@
  * One publication of an entry as it stands on record, from before its window opens until it is closed; then the ledger has it. The record
  * holds what it covers, so that a change of the entry never changes what an occurrence under way is about.
  */
-public final class Occurrence {
-    /** States; {@link Clerk} alone changes them, by {@link #transitionTo}. */
+public final class ScheduledOccurrence {
+    /** States; {@link PolicyReconciler} alone changes them, by {@link #transitionTo}. */
     public enum State {
         /** Its window hasn't opened. */
         PLANNED,
@@ -39,7 +39,7 @@
     long publicationMillis;
     long opensAtMillis;
     final double graceSeconds;
-    final List<Match> selectors;
+    final List<JobSelector> selectors;
     /** Covered jobs that have been counted and aren't known to be over. */
     final Set<String> openJobIds = new LinkedHashSet<>();
     int jobCount;
@@ -52,7 +52,7 @@
     /** Terms of the leaders that have written it. */
     final Set<Long> leaderTerms = new LinkedHashSet<>();
 
-    Occurrence(String entryName, String date, State state, long publicationMillis, long opensAtMillis, double graceSeconds, List<Match> selectors) {
+    ScheduledOccurrence(String entryName, String date, State state, long publicationMillis, long opensAtMillis, double graceSeconds, List<JobSelector> selectors) {
         this.entryName = entryName;
         this.date = date;
         this.state = state;
@@ -62,8 +62,8 @@
         this.selectors = selectors;
     }
 
-    static Occurrence planned(Entry entry, Entry.When publication) {
-        return new Occurrence(entry.name(), publication.date().toString(), State.PLANNED, publication.epochMillis(), publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
+    static ScheduledOccurrence planned(CalendarEntry entry, CalendarEntry.Publication publication) {
+        return new ScheduledOccurrence(entry.name(), publication.date().toString(), State.PLANNED, publication.epochMillis(), publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
                 entry.graceSeconds(), entry.selectors());
     }
 
@@ -86,11 +86,11 @@
     }
 
     String storeKey() {
-        return Keys.OCCURRENCE_PREFIX + entryName + "/" + date;
+        return StoreKeys.OCCURRENCE_PREFIX + entryName + "/" + date;
     }
 
     String ledgerKey() {
-        return Keys.LEDGER_PREFIX + entryName + "/" + date;
+        return StoreKeys.LEDGER_PREFIX + entryName + "/" + date;
     }
 
     public long publicationMillis() {
@@ -111,18 +111,18 @@
         return state == State.OPEN || state == State.PUBLISHED || state == State.MISSED;
     }
 
-    static Occurrence decode(String entryName, String date, JsonNode node) throws Invalid {
+    static ScheduledOccurrence decode(String entryName, String date, JsonNode node) throws InvalidRecordException {
         State state;
         try {
             state = State.valueOf(node.path("st").asText().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new Invalid("st", "unknown state " + node.path("st"));
+            throw new InvalidRecordException("st", "unknown state " + node.path("st"));
         }
-        List<Match> selectors = new ArrayList<>();
+        List<JobSelector> selectors = new ArrayList<>();
         for (JsonNode selectorNode : node.path("cov")) {
-            selectors.add(Match.decode(selectorNode, "cov"));
+            selectors.add(JobSelector.decode(selectorNode, "cov"));
         }
-        Occurrence occurrence = new Occurrence(entryName, date, state, node.path("pub").asLong(), node.path("open").asLong(), node.path("grace").asDouble(), selectors);
+        ScheduledOccurrence occurrence = new ScheduledOccurrence(entryName, date, state, node.path("pub").asLong(), node.path("open").asLong(), node.path("grace").asDouble(), selectors);
         node.path("ids").forEach(id -> occurrence.openJobIds.add(id.asText()));
         occurrence.jobCount = node.path("n").asInt();
         occurrence.doneCount = node.path("done").asInt();
@@ -133,8 +133,8 @@
         return occurrence;
     }
 
-    Occurrence copy() {
-        Occurrence occurrence = new Occurrence(entryName, date, state, publicationMillis, opensAtMillis, graceSeconds, selectors);
+    ScheduledOccurrence copy() {
+        ScheduledOccurrence occurrence = new ScheduledOccurrence(entryName, date, state, publicationMillis, opensAtMillis, graceSeconds, selectors);
         occurrence.openJobIds.addAll(openJobIds);
         occurrence.jobCount = jobCount;
         occurrence.doneCount = doneCount;
@@ -156,7 +156,7 @@
 
     /** What the ledger keeps. */
     ObjectNode encodeSummary() {
-        ObjectNode node = Codec.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("pub", publicationMillis).put("open", opensAtMillis).put("grace", graceSeconds)
+        ObjectNode node = WireFormat.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("pub", publicationMillis).put("open", opensAtMillis).put("grace", graceSeconds)
                 .put("n", jobCount).put("done", doneCount).put("cancelled", cancelledCount).put("last", lastDoneMillis).put("peak", peakCpus);
         ArrayNode termNodes = node.putArray("leaders");
         leaderTerms.forEach(termNodes::add);
--- a/src/main/java/io/quincelead/placing/Room.java
+++ b/src/main/java/io/quincelead/scheduler/FreeCapacity.java
@@ -1,26 +1,26 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.records.Catalog;
-import io.quincelead.records.HostLoad;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.Placement;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineLoad;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A machine's room in one round's plan. */
-final class Room {
+final class FreeCapacity {
     /** What machines that every job sees alike have in common: type, zone and kind of rental. */
-    static final class Kind {
-        final Catalog.Shape machineType;
+    static final class MachinePool {
+        final MachineTypeCatalog.MachineType machineType;
         final String zone;
         final boolean spot;
         /** Whether other work needs their GPUs. */
         boolean gpusInDemand;
         /** Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the leader is placing some. */
         int maxTier = Integer.MAX_VALUE;
-        final List<Room> machines = new ArrayList<>();
+        final List<FreeCapacity> machines = new ArrayList<>();
 
-        Kind(Catalog.Shape machineType, String zone, boolean spot) {
+        MachinePool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
             this.machineType = machineType;
             this.zone = zone;
             this.spot = spot;
@@ -43,12 +43,12 @@
 
         /** Whether it is one of the machines that the job names. */
         boolean matchesConstraints(JobSpec spec) {
-            return Catalog.isAllowed(spec, machineType.name()) && (spec.zone() == null || spec.zone().equals(zone)) && (spec.preemptible() || !spot);
+            return MachineTypeCatalog.isAllowed(spec, machineType.name()) && (spec.zone() == null || spec.zone().equals(zone)) && (spec.preemptible() || !spot);
         }
     }
 
     final String host;
-    final Kind pool;
+    final MachinePool pool;
     final boolean inOwnShard;
     /** It runs empty for a task of this tier that needs more of it than is free: only work of a smaller one may take from it. */
     int reservedForTier = Integer.MAX_VALUE;
@@ -63,7 +63,7 @@
     private double upcomingGpus;
 
     /** {@code load}: what is there; null for nothing. */
-    Room(String host, Kind pool, boolean inOwnShard, HostLoad load) {
+    FreeCapacity(String host, MachinePool pool, boolean inOwnShard, MachineLoad load) {
         this.host = host;
         this.pool = pool;
         this.inOwnShard = inOwnShard;
--- a/src/main/java/io/quincelead/placing/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -1,14 +1,14 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.base.OperatorSettings;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
     private final OperatorSettings operatorSettings;
     private final MachineTable machines;
     private final ImageCaches imageCaches;
-    private final Plan plan;
+    private final SchedulingPlan plan;
     private final Policy policy;
     private final boolean spreadsServices;
     private boolean lastResort;
@@ -31,10 +31,10 @@
     private int remainingReservations;
     private int tier;
     /** Demands that no machine had any room for: on those that suit, and as a last resort on all that are allowed. */
-    private final Unmet unsatisfiable = new Unmet();
-    private final Unmet unsatisfiableAnywhere = new Unmet();
+    private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
+    private final UnsatisfiableDemands unsatisfiableAnywhere = new UnsatisfiableDemands();
 
-    Placer(OperatorSettings operatorSettings, MachineTable machines, ImageCaches imageCaches, Policy policy, Plan plan) {
+    Placer(OperatorSettings operatorSettings, MachineTable machines, ImageCaches imageCaches, Policy policy, SchedulingPlan plan) {
         this.policy = policy;
         this.spreadsServices = operatorSettings.zoneRecovery().enabled();
         this.operatorSettings = operatorSettings;
@@ -45,14 +45,14 @@
     }
 
     /** Places what fits, as a last resort also on machines that should be left to others; returns how many tasks found no place. */
-    int place(QueueOrder.Ranked ranked, boolean anywhere) {
+    int place(QueueOrder.RankedJob ranked, boolean anywhere) {
         Job job = ranked.job();
         lastResort = anywhere;
         tier = ranked.tier();
         JobSpec spec = job.spec;
         int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
         int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
-        if (spec.priority() == JobSpec.Urgency.BEST_EFFORT && spec.isUnconstrained()) {
+        if (spec.priority() == JobSpec.Priority.BEST_EFFORT && spec.isUnconstrained()) {
             // What urgent work will need before long is left free: displacing low work costs it its run, and the store changes.
             tasks = Math.min(tasks, Tebas.taskCapacity((anywhere ? plan.freeCpus(true) : plan.freeCpus()) - plan.reservedCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0));
         }
@@ -87,23 +87,23 @@
         if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
             return;
         }
-        Map<String, List<Room>> machinesByZone = new LinkedHashMap<>();
-        for (Room.Kind pool : plan.pools.values()) {
-            for (Room machine : pool.suits(spec, tier) ? pool.machines : List.<Room>of()) {
+        Map<String, List<FreeCapacity>> machinesByZone = new LinkedHashMap<>();
+        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+            for (FreeCapacity machine : pool.suits(spec, tier) ? pool.machines : List.<FreeCapacity>of()) {
                 if (machine.reservedForTier == Integer.MAX_VALUE && (machine.inOwnShard || plan.leading) && (spec.isGang() || machine.taskCapacity(spec) == 0)) {
                     machinesByZone.computeIfAbsent(spec.zoneAffinity() ? pool.zone : "", z -> new ArrayList<>()).add(machine);
                 }
             }
         }
-        List<Room> bestMachines = List.of();
+        List<FreeCapacity> bestMachines = List.of();
         double bestFreeCpus = -1;
-        for (List<Room> zoneMachines : machinesByZone.values()) {
-            zoneMachines.sort(Comparator.comparingDouble((Room machine) -> -machine.freeCpus()).thenComparing(machine -> machine.host));
+        for (List<FreeCapacity> zoneMachines : machinesByZone.values()) {
+            zoneMachines.sort(Comparator.comparingDouble((FreeCapacity machine) -> -machine.freeCpus()).thenComparing(machine -> machine.host));
             int uncovered = tasks;
             int count = 0;
             double freeCpus = 0;
             while (uncovered > 0 && count < Math.min(maxMachines, zoneMachines.size())) {
-                Room machine = zoneMachines.get(count++);
+                FreeCapacity machine = zoneMachines.get(count++);
                 freeCpus += machine.freeCpus();
                 uncovered -= spec.isGang() ? machine.pool.tasksPerEmptyMachine(spec) : 1;
             }
@@ -112,7 +112,7 @@
                 bestFreeCpus = freeCpus;
             }
         }
-        for (Room machine : bestMachines) {
+        for (FreeCapacity machine : bestMachines) {
             machine.reservedForTier = tier;
             remainingReservations--;
         }
@@ -121,7 +121,7 @@
     /** Runs the pass over the block's machines (or, for the leader, all machines) within the job's zone rules. */
     private int assign(Job job, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
         JobSpec spec = job.spec;
-        Map<String, List<Tebas.Seat>> candidatesByZone = candidatesByZone(spec, ownShardOnly, tasksByHost);
+        Map<String, List<Tebas.CandidateMachine>> candidatesByZone = candidatesByZone(spec, ownShardOnly, tasksByHost);
         if (candidatesByZone.isEmpty() && tasksByHost.isEmpty() && (!ownShardOnly || !plan.leading)) {
             (lastResort ? unsatisfiableAnywhere : unsatisfiable).add(spec);
         }
@@ -130,7 +130,7 @@
             return assignEvenly(job, tasks, candidatesByZone, tasksByHost, maxPerZone);
         }
         if (!spec.zoneAffinity() && !spec.zoneSpread()) {
-            List<Tebas.Seat> candidates = new ArrayList<>();
+            List<Tebas.CandidateMachine> candidates = new ArrayList<>();
             candidatesByZone.values().forEach(candidates::addAll);
             int unplaced = Tebas.assign(candidates, tasks, operatorSettings.tebasGroupSize());
             candidates.forEach(candidate -> tally(tasksByHost, candidate));
@@ -161,7 +161,7 @@
     }
 
     /** A service's replicas go where the fewest are, one by one, within what one zone may have; within a zone the pass places them. */
-    private int assignEvenly(Job job, int tasks, Map<String, List<Tebas.Seat>> candidatesByZone, Map<String, Integer> tasksByHost, int maxPerZone) {
+    private int assignEvenly(Job job, int tasks, Map<String, List<Tebas.CandidateMachine>> candidatesByZone, Map<String, Integer> tasksByHost, int maxPerZone) {
         Map<String, Integer> tasksByZone = tasksByZone(job);
         tasksByHost.forEach((host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
         Map<String, Integer> capacityByZone = new TreeMap<>();
@@ -192,26 +192,26 @@
     }
 
     /** The machines with room for a task of the job, by zone. */
-    private Map<String, List<Tebas.Seat>> candidatesByZone(JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
-        Map<String, List<Tebas.Seat>> candidatesByZone = new LinkedHashMap<>();
-        for (Room.Kind pool : plan.pools.values()) {
+    private Map<String, List<Tebas.CandidateMachine>> candidatesByZone(JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+        Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
+        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
             if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
                 continue;
             }
-            List<Tebas.Seat> candidates = null;
+            List<Tebas.CandidateMachine> candidates = null;
             double clockFactor = operatorSettings.clockSpeedByMachineType().getOrDefault(pool.machineType.name(), 1.0);
             // Where the time to reach a worker doesn't count, a kind's machines differ by the image alone.
-            boolean urgent = spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+            boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
             double fitnessWithImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, true, 0));
             double fitnessWithoutImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, false, 0));
-            for (Room machine : pool.machines) {
+            for (FreeCapacity machine : pool.machines) {
                 int capacity = ownShardOnly && !machine.inOwnShard || !machine.hasFreeCapacity() || tier >= machine.reservedForTier ? 0 : machine.taskCapacity(spec) - (tasksByHost.isEmpty() ? 0 : tasksByHost.getOrDefault(machine.host, 0));
                 if (capacity > 0) {
                     boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
                     double fitness = !urgent || machine.reachSeconds <= 0 ? hasImage ? fitnessWithImage : fitnessWithoutImage
                             : Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, hasImage, machine.reachSeconds));
                     candidates = candidates == null ? candidatesByZone.computeIfAbsent(pool.zone, z -> new ArrayList<>()) : candidates;
-                    candidates.add(new Tebas.Seat(machine.host, fitness, capacity, capacity));
+                    candidates.add(new Tebas.CandidateMachine(machine.host, fitness, capacity, capacity));
                 }
             }
         }
@@ -222,14 +222,14 @@
      * The machine's frequency as this task gets to feel it: while its image is fetched, nothing runs. Where fetches take
      * as long as the tasks themselves, the paper's gain of a machine is mostly a matter of who has the image.
      */
-    private static double effectiveFrequency(JobSpec spec, Room.Kind pool, double clockFactor, boolean hasImage, double waitSeconds) {
+    private static double effectiveFrequency(JobSpec spec, FreeCapacity.MachinePool pool, double clockFactor, boolean hasImage, double waitSeconds) {
         double fetchSeconds = hasImage ? 0 : spec.imageSizeGb() / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
         double runSeconds = spec.isService() ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS : Math.max(spec.runtimeSeconds(), 1);
         // Where workers report seldom, whose answer is still open matters as well to work that should start at once.
         return clockFactor * runSeconds / (runSeconds + fetchSeconds + waitSeconds);
     }
 
-    private static void tally(Map<String, Integer> tasksByHost, Tebas.Seat candidate) {
+    private static void tally(Map<String, Integer> tasksByHost, Tebas.CandidateMachine candidate) {
         if (candidate.assigned > 0) {
             tasksByHost.merge(candidate.host, candidate.assigned, Integer::sum);
         }
@@ -249,14 +249,14 @@
     /** Where the job's tasks may be now, by zone, evidence of this round included. */
     private Map<String, Integer> tasksByZone(Job job) {
         Map<String, Integer> tasksByZone = new HashMap<>();
-        for (Chunk page : job.pages) {
+        for (TaskStatePage page : job.pages) {
             if (page == null) {
                 continue;
             }
             tally(tasksByZone, page.placements.stream().filter(p -> plan.edits.get(page) == null));
         }
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            Chunk.Edit edit = plan.edits.get(job.page(pageIndex));
+            TaskStatePage.Edit edit = plan.edits.get(job.page(pageIndex));
             if (edit != null) {
                 // What an earlier pass of this round has placed counts too.
                 tally(tasksByZone, edit.placements().stream());
@@ -286,14 +286,14 @@
             if (plan.unplacedTasks(job, pageIndex) == 0) {
                 continue;
             }
-            Chunk.Edit edit = plan.edit(job, pageIndex);
+            TaskStatePage.Edit edit = plan.edit(job, pageIndex);
             if (edit == null) {
                 break;
             }
             long attempt = (job.spec.isGang() ? lastGangAttempt : edit.page().lastAttempt) + 1;
             for (int i = edit.page().firstTaskIndex(); i < edit.page().firstTaskIndex() + edit.page().taskCount() && placed < hosts.size(); i++) {
                 if (edit.isPlaceable(i)) {
-                    Room machine = plan.machines.get(hosts.get(placed));
+                    FreeCapacity machine = plan.machines.get(hosts.get(placed));
                     edit.place(i, machine.host, attempt);
                     plan.allocate(machine, job.spec, 1);
                     plan.addUsage(plan.ownUsage, job.spec, 1);
--- a/src/main/java/io/quincelead/placing/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -1,17 +1,17 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineLoad;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.HostLoad;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Placement;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -28,17 +28,17 @@
     private final long nowMillis;
     private final Settings settings;
     private final JobTable jobs;
-    private final Plan plan;
+    private final SchedulingPlan plan;
     private final Policy policy;
     /** Whether victims should share records, for the store's changes are short. */
     private final boolean shareRecords;
     /** What could be stopped, cheapest first, for those in a hurry and for others, by whom it is for. Made when needed. */
-    private final Map<List<Object>, Victims> candidates = new HashMap<>();
+    private final Map<List<Object>, PreemptionCandidates> candidates = new HashMap<>();
     /** Demands for which everything that may be stopped is being stopped, without and within a guarantee (by team). */
-    private final Unmet unsatisfiable = new Unmet();
-    private final Map<String, Unmet> unsatisfiableWithinGuarantee = new HashMap<>();
+    private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
+    private final Map<String, UnsatisfiableDemands> unsatisfiableWithinGuarantee = new HashMap<>();
 
-    Preemption(Loop loop, Settings settings, JobTable jobs, Plan plan, boolean shareRecords, Policy policy) {
+    Preemption(EventLoop loop, Settings settings, JobTable jobs, SchedulingPlan plan, boolean shareRecords, Policy policy) {
         this.policy = policy;
         this.nowMillis = loop.nowMillis();
         this.settings = settings;
@@ -48,23 +48,23 @@
     }
 
     /** Returns how many tasks will find no room all the same. {@code zoneLets}: zones where the job may have more tasks. */
-    int makeRoom(QueueOrder.Ranked ranked, int unplaced, Predicate<String> zoneAllowed) {
+    int makeRoom(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
         Job job = ranked.job();
         JobSpec spec = job.spec;
         int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
         boolean withinGuarantee = ranked.withinGuarantee();
         int tier = ranked.tier();
-        if (needed <= 0 || spec.priority() == JobSpec.Urgency.BEST_EFFORT && !withinGuarantee) {
+        if (needed <= 0 || spec.priority() == JobSpec.Priority.BEST_EFFORT && !withinGuarantee) {
             return needed;
         }
         if (withinGuarantee ? unsatisfiableWithinGuarantee.containsKey(spec.team()) && unsatisfiableWithinGuarantee.get(spec.team()).covers(spec) : unsatisfiable.covers(spec)) {
             return needed;
         }
-        for (Room.Kind pool : plan.pools.values()) {
+        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
             if (!pool.suits(spec, tier) || !zoneAllowed.test(pool.zone)) {
                 continue;
             }
-            for (Room machine : pool.machines) {
+            for (FreeCapacity machine : pool.machines) {
                 int tasks = needed <= 0 ? 0 : Math.min(needed, machine.upcomingTaskCapacity(spec));
                 if (tasks > 0) {
                     machine.allocateUpcoming(spec, tasks);
@@ -72,20 +72,20 @@
                 }
             }
         }
-        Victims cheapestFirst = needed <= 0 ? null : candidatesFor(job, withinGuarantee);
-        Set<Room> exhaustedMachines = new HashSet<>();
+        PreemptionCandidates cheapestFirst = needed <= 0 ? null : candidatesFor(job, withinGuarantee);
+        Set<FreeCapacity> exhaustedMachines = new HashSet<>();
         for (int i = 0; needed > 0; i++) {
-            Victims.Victim candidate = cheapestFirst.get(i);
+            PreemptionCandidates.Candidate candidate = cheapestFirst.get(i);
             if (candidate == null) {
                 // What is stopped for one within its guarantee is more than another may stop.
                 unsatisfiable.add(spec);
                 if (withinGuarantee) {
-                    unsatisfiableWithinGuarantee.computeIfAbsent(spec.team(), t -> new Unmet()).add(spec);
+                    unsatisfiableWithinGuarantee.computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands()).add(spec);
                 }
                 break;
             }
             Placement placement = candidate.placement();
-            Room machine = candidate.machine();
+            FreeCapacity machine = candidate.machine();
             if (exhaustedMachines.contains(machine) || !mayPreempt(job, placement, withinGuarantee) || !machine.pool.suits(spec, tier) || !zoneAllowed.test(machine.pool.zone) || !isRunning(placement)) {
                 continue;
             }
@@ -112,14 +112,14 @@
      * The task and as many others of its machine, the cheapest first, as must go before one of the job fits there; empty if all of them aren't
      * enough. Taken one by one over all machines, many would be stopped and each leave room too small for anybody but its like.
      */
-    private List<Placement> fewestToStop(Job job, Placement first, Room machine, boolean withinGuarantee) {
+    private List<Placement> fewestToStop(Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
         List<Placement> chosen = new ArrayList<>(List.of(first));
         if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
             return chosen;
         }
-        HostLoad load = jobs.loadOf(machine.host);
+        MachineLoad load = jobs.loadOf(machine.host);
         List<Placement> others = new ArrayList<>();
-        for (int priority = JobSpec.Urgency.values().length - 1; load != null && priority >= 0; priority--) {
+        for (int priority = JobSpec.Priority.values().length - 1; load != null && priority >= 0; priority--) {
             for (Placement placement : load.stoppablePlacements(priority)) {
                 if (placement != first && mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement) && isRunning(placement)) {
                     others.add(placement);
@@ -138,14 +138,14 @@
 
     /** Whether the task is neither stopped nor over in this plan. */
     private boolean isRunning(Placement placement) {
-        Chunk.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
+        TaskStatePage.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
         return edit == null || edit.isRunning(placement.taskIndex);
     }
 
     /** Stops all of them, or what the change has room for; false if that isn't all. */
-    private boolean stopAll(List<Placement> toStop, Room machine) {
+    private boolean stopAll(List<Placement> toStop, FreeCapacity machine) {
         for (Placement placement : toStop) {
-            Chunk.Edit edit = plan.edit(placement);
+            TaskStatePage.Edit edit = plan.edit(placement);
             if (edit == null) {
                 return false;
             }
@@ -157,26 +157,26 @@
         return true;
     }
 
-    private Victims candidatesFor(Job job, boolean withinGuarantee) {
+    private PreemptionCandidates candidatesFor(Job job, boolean withinGuarantee) {
         JobSpec spec = job.spec;
-        boolean urgent = spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+        boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
         int highestPriority = spec.priority().ordinal() + (withinGuarantee ? 0 : 1);
         List<Object> key = Arrays.asList(urgent, highestPriority, withinGuarantee ? spec.team() : null, spec.machineTypes(), spec.zone(), spec.preemptible());
         return candidates.computeIfAbsent(key, k -> {
-            List<Victims.Victim> found = new ArrayList<>();
-            for (Room.Kind pool : plan.pools.values()) {
-                for (Room machine : pool.matchesConstraints(spec) ? pool.machines : List.<Room>of()) {
-                    HostLoad load = jobs.loadOf(machine.host);
-                    for (int priority = highestPriority; load != null && priority < JobSpec.Urgency.values().length; priority++) {
+            List<PreemptionCandidates.Candidate> found = new ArrayList<>();
+            for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+                for (FreeCapacity machine : pool.matchesConstraints(spec) ? pool.machines : List.<FreeCapacity>of()) {
+                    MachineLoad load = jobs.loadOf(machine.host);
+                    for (int priority = highestPriority; load != null && priority < JobSpec.Priority.values().length; priority++) {
                         for (Placement placement : load.stoppablePlacements(priority)) {
                             if (mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement)) {
-                                found.add(new Victims.Victim(placement, machine, lostCpuSeconds(placement), plan.entitledTasksOfStarving.containsKey(placement.job), found.size()));
+                                found.add(new PreemptionCandidates.Candidate(placement, machine, lostCpuSeconds(placement), plan.entitledTasksOfStarving.containsKey(placement.job), found.size()));
                             }
                         }
                     }
                 }
             }
-            return new Victims(found, urgent, shareRecords);
+            return new PreemptionCandidates(found, urgent, shareRecords);
         });
     }
 
@@ -212,15 +212,15 @@
 
     /** Operators' records only narrow what may be stopped. */
     private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
-        JobClass.Keep keep = policy.priorityOf(placement.job).preemptionProtection();
-        if (keep == JobClass.Keep.NEVER || keep == JobClass.Keep.URGENT && forJob.spec.priority().ordinal() > JobSpec.Urgency.HIGH.ordinal()) {
+        JobClass.PreemptionProtection keep = policy.priorityOf(placement.job).preemptionProtection();
+        if (keep == JobClass.PreemptionProtection.NEVER || keep == JobClass.PreemptionProtection.URGENT && forJob.spec.priority().ordinal() > JobSpec.Priority.HIGH.ordinal()) {
             return false;
         }
         return !QueueOrder.precedes(rankOf(placement.job, plan.jobsWithinGuarantee.contains(placement.job), plan.entitledTasksOfStarving.containsKey(placement.job)), rankOf(forJob, withinGuarantee, false));
     }
 
-    private QueueOrder.Ranked rankOf(Job job, boolean withinGuarantee, boolean starving) {
-        return new QueueOrder.Ranked(job, job.spec.priority().ordinal(), withinGuarantee, false, 0, starving, false, 0, policy.priorityOf(job), 1);
+    private QueueOrder.RankedJob rankOf(Job job, boolean withinGuarantee, boolean starving) {
+        return new QueueOrder.RankedJob(job, job.spec.priority().ordinal(), withinGuarantee, false, 0, starving, false, 0, policy.priorityOf(job), 1);
     }
 
     /** CPU seconds of work that stopping the task would lose. */
--- a/src/main/java/io/quincelead/placing/Victims.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -1,30 +1,30 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
+import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.RecordConstants;
-import io.quincelead.records.Placement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
 
 /** Tasks that could be stopped to make room, cheapest first. Sorted only as far as somebody looks: few are ever needed. */
-final class Victims {
+final class PreemptionCandidates {
     /** A running task, the room it is in, what stopping it would lose in CPU seconds, whether its job has only just begun, late, and its place among equals. */
-    record Victim(Placement placement, Room machine, double lostCpuSeconds, boolean starving, int sequence) { }
+    record Candidate(Placement placement, FreeCapacity machine, double lostCpuSeconds, boolean starving, int sequence) { }
 
-    private final PriorityQueue<Victim> remaining;
-    private final List<Victim> sorted = new ArrayList<>();
+    private final PriorityQueue<Candidate> remaining;
+    private final List<Candidate> sorted = new ArrayList<>();
 
     /**
      * {@code hurry}: the room is waited for, and a task that first saves would keep it longer than one that just ends.
      * {@code together}: victims should share records, for the store's changes are short.
      */
-    Victims(List<Victim> candidates, boolean urgent, boolean shareRecords) {
+    PreemptionCandidates(List<Candidate> candidates, boolean urgent, boolean shareRecords) {
         remaining = new PriorityQueue<>(Math.max(1, candidates.size()), (a, b) -> compare(a, b, urgent, shareRecords));
         remaining.addAll(candidates);
     }
 
     /** The i-th cheapest; null if there are no more. Must be asked in order. */
-    Victim get(int index) {
+    Candidate get(int index) {
         if (index == sorted.size() && !remaining.isEmpty()) {
             sorted.add(remaining.poll());
         }
@@ -35,7 +35,7 @@
         return placement.job.spec.checkpointIntervalSeconds() > 0 ? placement.job.spec.checkpointSeconds() : 0;
     }
 
-    static int compare(Victim a, Victim b, boolean urgent, boolean shareRecords) {
+    static int compare(Candidate a, Candidate b, boolean urgent, boolean shareRecords) {
         Placement first = a.placement;
         Placement second = b.placement;
         // The little with which a late job has begun goes last: it would have to begin again, and is spread over many records.
--- a/src/main/java/io/quincelead/placing/Explainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -1,33 +1,33 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.net.Codec;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.policy.EffectivePriority;
 import io.quincelead.policy.JobClass;
-import io.quincelead.policy.Office;
+import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
-import io.quincelead.policy.Standing;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobTable;
+import io.quincelead.transport.WireFormat;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
 /** Says why a job is where it is in the queue, by the same order that rounds use, over the waiting jobs of all controllers. */
-public final class Explainer {
-    private final Loop loop;
+public final class QueueExplainer {
+    private final EventLoop loop;
     private final Settings settings;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final Policy policy;
     private final QueueOrder queueOrder;
 
-    public Explainer(Loop loop, Settings settings, Blocks shards, JobTable jobs, Policy policy, Office operatorApi) {
+    public QueueExplainer(EventLoop loop, Settings settings, ClusterMembership shards, JobTable jobs, Policy policy, OperatorApi operatorApi) {
         this.loop = loop;
         this.settings = settings;
         this.shards = shards;
@@ -38,10 +38,10 @@
         operatorApi.register("/ops/queue", this::describeQueue);
     }
 
-    private List<QueueOrder.Ranked> rankWaitingJobs() {
+    private List<QueueOrder.RankedJob> rankWaitingJobs() {
         long wallMillis = loop.wallClockMillis();
         Set<Job> withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
-        List<QueueOrder.Ranked> ranked = new ArrayList<>();
+        List<QueueOrder.RankedJob> ranked = new ArrayList<>();
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.waitingTaskCount() > 0) {
                 ranked.add(queueOrder.rank(job, withinGuarantee.contains(job), wallMillis));
@@ -52,11 +52,11 @@
     }
 
     /** The waiting jobs in their order; of each, what operators' records make of it. */
-    private void describeQueue(ObjectNode body, Office.Reply reply) {
-        ObjectNode out = Codec.newMap();
+    private void describeQueue(ObjectNode body, OperatorApi.Responder reply) {
+        ObjectNode out = WireFormat.newMap();
         ArrayNode list = out.putArray("list");
         int limit = body.path("most").asInt(200);
-        for (QueueOrder.Ranked ranked : rankWaitingJobs()) {
+        for (QueueOrder.RankedJob ranked : rankWaitingJobs()) {
             if (list.size() >= limit) {
                 break;
             }
@@ -67,20 +67,20 @@
         reply.respondOk(out);
     }
 
-    private void explainJob(ObjectNode body, Office.Reply reply) {
+    private void explainJob(ObjectNode body, OperatorApi.Responder reply) {
         String jobId = body.path("job").asText();
         Job job = jobs.get(jobId);
         if (job == null) {
             reply.respondError(404, "job: no unfinished job " + jobId + " is known here");
             return;
         }
-        List<QueueOrder.Ranked> queue = rankWaitingJobs();
+        List<QueueOrder.RankedJob> queue = rankWaitingJobs();
         long wallMillis = loop.wallClockMillis();
         boolean withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
-        QueueOrder.Ranked ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
-        Standing effectivePriority = ownRank.effectivePriority();
+        QueueOrder.RankedJob ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
+        EffectivePriority effectivePriority = ownRank.effectivePriority();
         JobClass jobClass = effectivePriority.jobClass();
-        ObjectNode out = Codec.newMap().put("job", jobId).put("status", job.encodeStatus().path("status").asText()).put("done", job.completedTaskCount())
+        ObjectNode out = WireFormat.newMap().put("job", jobId).put("status", job.encodeStatus().path("status").asText()).put("done", job.completedTaskCount())
                 .put("running", job.possiblyRunningTaskCount()).put("waiting", job.waitingTaskCount());
         out.put("class", jobClass == null ? "" : jobClass.name()).put("classFrom", jobClass == null ? "no class matches" : "generation " + policy.activeClasses().generation());
         out.put("rank", effectivePriority.rank()).put("rankFrom", jobClass == null ? "the middle, for no class matches" : "its class");
@@ -95,7 +95,7 @@
         out.put("waitsFor", waitingReason(job));
         ArrayNode ahead = out.putArray("ahead");
         int jobsAhead = 0;
-        for (QueueOrder.Ranked ranked : queue) {
+        for (QueueOrder.RankedJob ranked : queue) {
             if (ranked.job() == job) {
                 break;
             }
@@ -108,7 +108,7 @@
         reply.respondOk(out);
     }
 
-    private static String tierName(QueueOrder.Ranked ranked) {
+    private static String tierName(QueueOrder.RankedJob ranked) {
         int tier = ranked.orderingTier();
         String covered = ranked.effectivePriority().isCovered() ? ", covered by " + ranked.effectivePriority().occurrence().entryName : "";
         return (tier == 0 ? "production" : tier == 1 ? "high" : tier == QueueOrder.TIER_GUARANTEED ? "its team's guarantee" : tier == QueueOrder.TIER_STARVING ? "late to begin" : "surplus") + covered;
--- a/src/main/java/io/quincelead/placing/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -1,11 +1,11 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.policy.EffectivePriority;
 import io.quincelead.policy.Policy;
-import io.quincelead.policy.Standing;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
     public QueueOrder(Settings settings, Policy policy) {
         this.policy = policy;
         teams = settings.teams();
-        for (Settings.Objective objective : settings.objectives()) {
+        for (Settings.ServiceLevelObjective objective : settings.objectives()) {
             if (!objective.jobClass().isEmpty() && objective.withinSeconds() > 0) {
                 objectiveSecondsByClass.merge(objective.jobClass(), objective.withinSeconds(), Math::min);
             }
@@ -36,11 +36,11 @@
      * A job and what its place in the queue depends on. {@code late}: only so many of its tasks as it would else be left behind
      * by, at most {@code most}; {@code begins}: none of its tasks has begun.
      */
-    public record Ranked(Job job, int priority, boolean withinGuarantee, boolean deadlineUnreachable, double slackSeconds, boolean starving, boolean firstStart, int maxTasks,
-            Standing effectivePriority, double replicaRank) {
+    public record RankedJob(Job job, int priority, boolean withinGuarantee, boolean deadlineUnreachable, double slackSeconds, boolean starving, boolean firstStart, int maxTasks,
+            EffectivePriority effectivePriority, double replicaRank) {
         /** The same with its place among services: 0 for the first replica of one that has none, else the larger the more are there. */
-        Ranked withReplicaRank(double rank, int tasks) {
-            return new Ranked(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, starving, firstStart, tasks, effectivePriority, rank);
+        RankedJob withReplicaRank(double rank, int tasks) {
+            return new RankedJob(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, starving, firstStart, tasks, effectivePriority, rank);
         }
 
         /** By its own urgency: what it may stop and what may be stopped for it goes by this. */
@@ -64,13 +64,13 @@
         }
 
         /** The same job's place for the tasks that it would be left behind by. */
-        Ranked asStarving(boolean atFirstStart, int tasks) {
-            return new Ranked(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, true, atFirstStart, tasks, effectivePriority, replicaRank);
+        RankedJob asStarving(boolean atFirstStart, int tasks) {
+            return new RankedJob(job, priority, withinGuarantee, deadlineUnreachable, slackSeconds, true, atFirstStart, tasks, effectivePriority, replicaRank);
         }
     }
 
     /** Tier of the little with which a job begins that has waited long. */
-    static final int TIER_FIRST_START = JobSpec.Urgency.HIGH.ordinal() + 1;
+    static final int TIER_FIRST_START = JobSpec.Priority.HIGH.ordinal() + 1;
     /** Tier of what its team is guaranteed. */
     static final int TIER_GUARANTEED = TIER_FIRST_START + 1;
     /** Tier of the first tasks of jobs that have waited long. */
@@ -81,9 +81,9 @@
         return priority < TIER_FIRST_START ? priority : withinGuarantee ? TIER_GUARANTEED : starving ? TIER_STARVING : priority + TIER_STARVING - TIER_FIRST_START + 1;
     }
 
-    public static final Comparator<Ranked> BY_QUEUE_ORDER = QueueOrder::compare;
+    public static final Comparator<RankedJob> BY_QUEUE_ORDER = QueueOrder::compare;
 
-    private static int compare(Ranked a, Ranked b) {
+    private static int compare(RankedJob a, RankedJob b) {
         int result = Integer.compare(a.orderingTier(), b.orderingTier());
         if (result == 0 && (a.orderingTier() == TIER_STARVING || a.orderingTier() == TIER_FIRST_START)) {
             // First open windows; then whoever has waited longest, or endless arrivals of one urgency would leave another behind.
@@ -99,7 +99,7 @@
     }
 
     /** What operators' records say, within a tier: urgency, then open windows, then the rank of the class. */
-    private static int compareEffectivePriority(Ranked a, Ranked b) {
+    private static int compareEffectivePriority(RankedJob a, RankedJob b) {
         int result = Integer.compare(a.orderingPriority(), b.orderingPriority());
         result = result != 0 ? result : Boolean.compare(b.effectivePriority.isCovered(), a.effectivePriority.isCovered());
         return result != 0 ? result : Integer.compare(a.effectivePriority.rank(), b.effectivePriority.rank());
@@ -109,7 +109,7 @@
      * Whether running work comes before waiting work by the operators' records. It isn't stopped for it then, whatever the protocol
      * allows: it would take the room back at once, and the two would take turns without end.
      */
-    static boolean precedes(Ranked running, Ranked waiting) {
+    static boolean precedes(RankedJob running, RankedJob waiting) {
         int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
         return (result != 0 ? result : compareEffectivePriority(running, waiting)) < 0;
     }
@@ -134,16 +134,16 @@
         return within;
     }
 
-    public Ranked rank(Job job, boolean withinGuarantee, long wallNowMillis) {
+    public RankedJob rank(Job job, boolean withinGuarantee, long wallNowMillis) {
         double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
         double dueSeconds = job.spec.deadlineSeconds() >= 0 ? job.spec.deadlineSeconds() : objectiveSecondsByClass.getOrDefault(job.spec.jobClass(), 2 * runtimeSeconds + SchedulerConstants.UNSTATED_DEADLINE_SLACK_SECONDS);
-        Standing effectivePriority = policy.priorityOf(job);
+        EffectivePriority effectivePriority = policy.priorityOf(job);
         double secondsLeft = dueSeconds - ageSeconds;
         if (effectivePriority.isCovered()) {
             secondsLeft = Math.min(secondsLeft, (effectivePriority.publicationMillis() - wallNowMillis) / 1000.0);
         }
         double slackSeconds = secondsLeft - runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
-        return new Ranked(job, job.spec.priority().ordinal(), withinGuarantee, slackSeconds < -runtimeSeconds && !effectivePriority.isCovered(), slackSeconds, false, false, Integer.MAX_VALUE, effectivePriority, 1);
+        return new RankedJob(job, job.spec.priority().ordinal(), withinGuarantee, slackSeconds < -runtimeSeconds && !effectivePriority.isCovered(), slackSeconds, false, false, Integer.MAX_VALUE, effectivePriority, 1);
     }
 }
--- a/src/main/java/io/quincelead/placing/QueuePass.java
+++ b/src/main/java/io/quincelead/scheduler/QueuePass.java
@@ -1,20 +1,20 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.PolicyConstants;
 import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.state.StoreClient;
+import io.quincelead.store.StoreClient;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -29,7 +29,7 @@
  */
 final class QueuePass {
     /** What is known of machines beside their records. */
-    interface Machines {
+    interface MachineStatus {
         /** Whether new tasks may go to a machine of that controller's block. */
         boolean isAcceptingTasks(String owner, String host);
 
@@ -38,27 +38,27 @@
     }
 
     /** How ends of tasks get on record. */
-    interface Ends {
+    interface TerminationRecorder {
         /** Those that are due. */
-        void recordDue(Plan plan);
+        void recordDue(SchedulingPlan plan);
 
         /** Those of the job's team, due or not, until its allowance lets in this many tasks of the job. */
-        void recordForQuota(Plan plan, JobSpec spec, int tasks);
+        void recordForQuota(SchedulingPlan plan, JobSpec spec, int tasks);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
     private final OperatorSettings operatorSettings;
     private final StoreClient store;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final ImageCaches imageCaches;
-    private final Kinds constrainedDemand;
+    private final ConstrainedDemand constrainedDemand;
     private final Policy policy;
     private final QueueOrder queueOrder;
-    private final Machines machineStatus;
+    private final MachineStatus machineStatus;
     /** When low work may be placed again. */
     private long bestEffortAtMillis;
     /** Whether work of ours waits for room, and what work of the leader does. */
@@ -72,24 +72,24 @@
     private final Map<Job, Long> unservedSinceMillis = new HashMap<>();
 
     /** A machine of another block that had room for a job at each look since then. */
-    private record Lasting(String host, long sinceMillis) { }
+    private record PersistentRoom(String host, long sinceMillis) { }
 
-    private final Map<Job, Lasting> persistentRoom = new HashMap<>();
+    private final Map<Job, PersistentRoom> persistentRoom = new HashMap<>();
     /** When the room of other blocks may be looked at again. */
     private long nextForeignScanMillis;
     /** Machines on record that this controller may place on, by kind; made anew when a record of machines or blocks has changed. */
-    private final Map<List<Object>, List<Seen>> usableMachines = new LinkedHashMap<>();
+    private final Map<List<Object>, List<UsableMachine>> usableMachines = new LinkedHashMap<>();
     private long seenMachinesVersion = -1;
     private long seenShardsVersion = -1;
     private boolean seenAsLeader;
 
-    private record Seen(String host, String owner, boolean inOwnShard) { }
+    private record UsableMachine(String host, String owner, boolean inOwnShard) { }
 
     /** Since when there has been room here for a job that waits at the leader. */
     private final Map<Job, Long> roomForLeaderSinceMillis = new HashMap<>();
 
-    QueuePass(Loop loop, Settings settings, OperatorSettings operatorSettings, StoreClient store, Blocks shards, JobTable jobs, MachineTable machines,
-            Catalog catalog, ImageCaches imageCaches, Kinds constrainedDemand, Policy policy, Machines machineStatus) {
+    QueuePass(EventLoop loop, Settings settings, OperatorSettings operatorSettings, StoreClient store, ClusterMembership shards, JobTable jobs, MachineTable machines,
+            MachineTypeCatalog catalog, ImageCaches imageCaches, ConstrainedDemand constrainedDemand, Policy policy, MachineStatus machineStatus) {
         this.policy = policy;
         this.loop = loop;
         this.settings = settings;
@@ -117,11 +117,11 @@
     /** Whether work that waits at the leader could go where a task has just ended. */
     boolean canLeaderUse(String host) {
         MachineTable.Machine machine = machines.get(host);
-        Catalog.Shape machineType = machine == null || demandsAtLeader.isEmpty() ? null : catalog.get(machine.machineType());
+        MachineTypeCatalog.MachineType machineType = machine == null || demandsAtLeader.isEmpty() ? null : catalog.get(machine.machineType());
         if (machineType == null) {
             return false;
         }
-        Room.Kind pool = new Room.Kind(machineType, machine.zone(), machine.spot());
+        FreeCapacity.MachinePool pool = new FreeCapacity.MachinePool(machineType, machine.zone(), machine.spot());
         pool.gpusInDemand = constrainedDemand.isGpuInDemand(machineType, machine.zone(), machine.spot());
         return demandsAtLeader.stream().anyMatch(spec -> pool.suits(spec, 0));
     }
@@ -130,7 +130,7 @@
      * Writes into the plan where waiting tasks go. {@code chief}: the leader, if it is heard of; {@code ends} puts ends on
      * record, after urgent work and before low work.
      */
-    void placeWaitingJobs(Plan plan, String leaderId, Ends terminations) {
+    void placeWaitingJobs(SchedulingPlan plan, String leaderId, TerminationRecorder terminations) {
         List<Job> candidates = new ArrayList<>();
         List<Job> jobsAtLeader = new ArrayList<>();
         collectWaitingJobs(plan, plan.leading ? null : leaderId, candidates, jobsAtLeader);
@@ -154,7 +154,7 @@
             terminations.recordDue(plan);
             return;
         }
-        collectFreeCapacity(plan, candidates.stream().anyMatch(job -> job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal()));
+        collectFreeCapacity(plan, candidates.stream().anyMatch(job -> job.spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()));
         plan.reservedCpus = constrainedDemand.expectedUrgentCpus(SchedulerConstants.CONSTRAINED_RESERVE_SECONDS) / (plan.leading ? 1 : Math.max(1, shards.shards().size()));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
         leaveRoomToLeader(plan, jobsAtLeader);
@@ -162,7 +162,7 @@
     }
 
     /** Sums up what teams use, and finds the jobs that wait: ours, and the leader's that its team's allowance lets in. */
-    private void collectWaitingJobs(Plan plan, String leaderId, List<Job> candidates, List<Job> jobsAtLeader) {
+    private void collectWaitingJobs(SchedulingPlan plan, String leaderId, List<Job> candidates, List<Job> jobsAtLeader) {
         long nowMillis = loop.nowMillis();
         String memberId = settings.memberId();
         Map<String, double[]> leaderUsage = new HashMap<>();
@@ -186,12 +186,12 @@
                 candidates.add(job);
             }
         }
-        Blocks.Block leaderShard = leaderId == null ? null : shards.shardOf(leaderId);
-        jobsAtLeader.removeIf(j -> leaderShard == null || Plan.tasksWithinQuotaShare(leaderShard, leaderUsage, j.spec) < (j.spec.isGang() ? j.pendingTaskCount() : 1));
+        ClusterMembership.Shard leaderShard = leaderId == null ? null : shards.shardOf(leaderId);
+        jobsAtLeader.removeIf(j -> leaderShard == null || SchedulingPlan.tasksWithinQuotaShare(leaderShard, leaderUsage, j.spec) < (j.spec.isGang() ? j.pendingTaskCount() : 1));
     }
 
     /** Whether the team's allowance here would do for the gang when all that ends by itself has ended; if not, saving for it only idles the team. */
-    private boolean couldSaveUpFor(Plan plan, Job gang, int tasks) {
+    private boolean couldSaveUpFor(SchedulingPlan plan, Job gang, int tasks) {
         double serviceCpus = 0;
         for (Job job : jobs.all()) {
             if (job.spec.isService() && job.spec.team().equals(gang.spec.team()) && job.controllerId.equals(settings.memberId())) {
@@ -201,7 +201,7 @@
         return plan.shard.quotaShare(gang.spec.team()).cpus() - serviceCpus >= tasks * gang.spec.cpus() - 1e-9;
     }
 
-    private void collectStarvingJobs(Plan plan) {
+    private void collectStarvingJobs(SchedulingPlan plan) {
         long wallMillis = loop.wallClockMillis();
         for (Job job : jobs.jobsOldestFirst()) {
             if (!policy.isInForce() && wallMillis - job.acceptedAtEpochMillis < PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS * SchedulerConstants.OVERDUE_RAMP_START_FRACTION * 1000) {
@@ -214,11 +214,11 @@
         }
     }
 
-    private void walkQueue(Plan plan, List<Job> candidates, Ends terminations) {
+    private void walkQueue(SchedulingPlan plan, List<Job> candidates, TerminationRecorder terminations) {
         long wallMillis = loop.wallClockMillis();
-        List<QueueOrder.Ranked> queue = new ArrayList<>(candidates.size());
+        List<QueueOrder.RankedJob> queue = new ArrayList<>(candidates.size());
         for (Job waitingJob : candidates) {
-            QueueOrder.Ranked ranked = queueOrder.rank(waitingJob, plan.jobsWithinGuarantee.contains(waitingJob), wallMillis);
+            QueueOrder.RankedJob ranked = queueOrder.rank(waitingJob, plan.jobsWithinGuarantee.contains(waitingJob), wallMillis);
             if (operatorSettings.zoneRecovery().enabled() && waitingJob.spec.isService()) {
                 // One replica of every model before any second one; then those of which the largest part is missing.
                 ranked = ranked.withReplicaRank(1 + waitingJob.possiblyRunningTaskCount() / (double) waitingJob.spec.taskCount(), Integer.MAX_VALUE);
@@ -240,7 +240,7 @@
         Placer placer = new Placer(operatorSettings, machines, imageCaches, policy, plan);
         boolean storeUnderPressure = store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
         Preemption preemption = new Preemption(loop, settings, jobs, plan, storeUnderPressure, policy);
-        Elsewhere escalation = new Elsewhere(plan);
+        EscalationDecision escalation = new EscalationDecision(plan);
         boolean gpusInDemand = plan.pools.values().stream().anyMatch(k -> k.gpusInDemand);
         boolean bestEffortDue = loop.nowMillis() >= bestEffortAtMillis;
         if (bestEffortDue) {
@@ -253,9 +253,9 @@
         int starvingRecordBudget = (int) Math.min(SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE, queue.stream().filter(ranked -> ranked.tier() == QueueOrder.TIER_STARVING).count());
         int starvingRecords = 0;
         boolean terminationsRecorded = false;
-        for (QueueOrder.Ranked ranked : queue) {
+        for (QueueOrder.RankedJob ranked : queue) {
             Job job = ranked.job();
-            boolean bestEffort = ranked.priority() == JobSpec.Urgency.BEST_EFFORT.ordinal();
+            boolean bestEffort = ranked.priority() == JobSpec.Priority.BEST_EFFORT.ordinal();
             if (ranked.starving() && (bestEffort && !bestEffortDue || storeUnderPressure && starvingRecords >= SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE && !plan.containsRecordOf(job))) {
                 // Late work gets its turn, but where changes are short not those that urgent work needs next.
                 continue;
@@ -318,7 +318,7 @@
                 int withoutRoom = preemption.makeRoom(ranked, unplaced, placer.allowedZones(job));
                 // What is kept for others' GPUs serves work that nothing else has served for long: empty, it would serve nobody.
                 boolean unservedTooLong = gpusInDemand && loop.nowMillis() - unservedSinceMillis.computeIfAbsent(job, waitingJob -> loop.nowMillis()) > SchedulerConstants.STARVING_AFTER_MILLIS;
-                if (withoutRoom > 0 && (ranked.priority() == JobSpec.Urgency.PRODUCTION.ordinal() || waitedLong || unservedTooLong)) {
+                if (withoutRoom > 0 && (ranked.priority() == JobSpec.Priority.PRODUCTION.ordinal() || waitedLong || unservedTooLong)) {
                     unplaced = placer.place(ranked, true);
                 }
                 if (unplaced > 0 && !plan.leading && escalation.shouldEscalate(job, stuckJobs)) {
@@ -338,9 +338,9 @@
      * Leaves room here to work that comes first and that the leader is placing, where it could go. A leader that hasn't used the room in
      * this time can't; waiting on would idle the block.
      */
-    private void leaveRoomToLeader(Plan plan, List<Job> jobsAtLeader) {
+    private void leaveRoomToLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         roomForLeaderSinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
-        Unmet unsatisfiable = new Unmet();
+        UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
         for (Job job : jobsAtLeader) {
             JobSpec spec = job.spec;
             boolean hasRoom = !unsatisfiable.covers(spec) && hasRoomFor(plan, spec);
@@ -350,7 +350,7 @@
             } else if (loop.nowMillis() - roomForLeaderSinceMillis.computeIfAbsent(job, x -> loop.nowMillis()) > SchedulerConstants.LEADER_PRECEDENCE_MILLIS) {
                 continue;
             }
-            for (Room.Kind pool : plan.pools.values()) {
+            for (FreeCapacity.MachinePool pool : plan.pools.values()) {
                 if (pool.allows(spec)) {
                     pool.maxTier = Math.min(pool.maxTier, plan.tier(job));
                 }
@@ -358,9 +358,9 @@
         }
     }
 
-    private static boolean hasRoomFor(Plan plan, JobSpec spec) {
-        for (Room.Kind pool : plan.pools.values()) {
-            for (Room machine : pool.allows(spec) ? pool.machines : List.<Room>of()) {
+    private static boolean hasRoomFor(SchedulingPlan plan, JobSpec spec) {
+        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+            for (FreeCapacity machine : pool.allows(spec) ? pool.machines : List.<FreeCapacity>of()) {
                 if (machine.hasFreeCapacity() && machine.taskCapacity(spec) > 0) {
                     return true;
                 }
@@ -370,14 +370,14 @@
     }
 
     /** Whether jobs that found no room here should go to the leader. */
-    private final class Elsewhere {
-        private final Plan plan;
+    private final class EscalationDecision {
+        private final SchedulingPlan plan;
         /** Machines of other blocks that have room; read when first needed. */
-        private Map<List<Object>, Room.Kind> otherPools;
+        private Map<List<Object>, FreeCapacity.MachinePool> otherPools;
         /** Tasks that others had room for, of jobs that had too little of it. */
         private final Map<JobSpec, Integer> tasksFound = new HashMap<>();
 
-        Elsewhere(Plan plan) {
+        EscalationDecision(SchedulingPlan plan) {
             this.plan = plan;
         }
 
@@ -406,16 +406,16 @@
             nextForeignScanMillis = loop.nowMillis() + SchedulerConstants.OTHER_SHARDS_CHECK_INTERVAL_MILLIS;
             int minTasks = Math.min(job.pendingTaskCount(), SchedulerConstants.MIN_ESCALATED_TASKS);
             for (Map.Entry<JobSpec, Integer> entry : tasksFound.entrySet()) {
-                if (entry.getValue() < minTasks && Unmet.isAtLeastAsDemanding(spec, entry.getKey())) {
+                if (entry.getValue() < minTasks && UnsatisfiableDemands.isAtLeastAsDemanding(spec, entry.getKey())) {
                     return false;
                 }
             }
             int tasksElsewhere = 0;
             String hostWithRoom = null;
             boolean roomPersists = false;
-            Lasting previous = persistentRoom.get(job);
-            for (Room.Kind pool : otherPools().values()) {
-                for (Room machine : pool.allows(spec) ? pool.machines : List.<Room>of()) {
+            PersistentRoom previous = persistentRoom.get(job);
+            for (FreeCapacity.MachinePool pool : otherPools().values()) {
+                for (FreeCapacity machine : pool.allows(spec) ? pool.machines : List.<FreeCapacity>of()) {
                     int capacity = machine.taskCapacity(spec);
                     tasksElsewhere += capacity;
                     if (tasksElsewhere >= minTasks) {
@@ -429,10 +429,10 @@
             if (hostWithRoom == null) {
                 persistentRoom.remove(job);
             } else if (!roomPersists) {
-                persistentRoom.put(job, new Lasting(hostWithRoom, loop.nowMillis()));
+                persistentRoom.put(job, new PersistentRoom(hostWithRoom, loop.nowMillis()));
             }
             // Room for one serves one: all that wait here would else go to the leader for it. What low work leaves to urgent arrivals lasts, too.
-            boolean bestEffort = spec.priority() == JobSpec.Urgency.BEST_EFFORT && spec.isUnconstrained() && plan.reservedCpus > 0;
+            boolean bestEffort = spec.priority() == JobSpec.Priority.BEST_EFFORT && spec.isUnconstrained() && plan.reservedCpus > 0;
             if (bestEffort || !roomPersists || loop.nowMillis() - previous.sinceMillis < SchedulerConstants.ESCALATE_TO_LASTING_CAPACITY_AFTER_MILLIS) {
                 return false;
             }
@@ -440,14 +440,14 @@
             return true;
         }
 
-        private Map<List<Object>, Room.Kind> otherPools() {
+        private Map<List<Object>, FreeCapacity.MachinePool> otherPools() {
             if (otherPools == null) {
-                Plan others = new Plan(plan.shard, false, 0, 0, 0);
+                SchedulingPlan others = new SchedulingPlan(plan.shard, false, 0, 0, 0);
                 for (MachineTable.Machine machine : machines.all()) {
-                    Catalog.Shape machineType = catalog.get(machine.machineType());
+                    MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
                     if (shards.ownerOf(machine.host()) != null && !plan.shard.fencingTokensByHost().containsKey(machine.host()) && machineType != null && !machine.releasing()
                             && !machine.cordoned() && imageCaches.isKnown(machine.host())) {
-                        others.addMachine(new Room(machine.host(), others.pool(machineType, machine.zone(), machine.spot()), false, jobs.loadOf(machine.host())));
+                        others.addMachine(new FreeCapacity(machine.host(), others.pool(machineType, machine.zone(), machine.spot()), false, jobs.loadOf(machine.host())));
                     }
                 }
                 otherPools = others.pools;
@@ -457,17 +457,17 @@
     }
 
     /** {@code urgent}: work waits for which it counts how soon a worker can be told. */
-    private void collectFreeCapacity(Plan plan, boolean urgent) {
+    private void collectFreeCapacity(SchedulingPlan plan, boolean urgent) {
         refreshUsableMachines(plan);
         usableMachines.forEach((poolKey, poolMachines) -> {
-            Catalog.Shape machineType = catalog.get((String) poolKey.get(0));
+            MachineTypeCatalog.MachineType machineType = catalog.get((String) poolKey.get(0));
             if (machineType == null) {
                 return;
             }
-            Room.Kind pool = plan.pool(machineType, (String) poolKey.get(1), (Boolean) poolKey.get(2));
-            for (Seen usable : poolMachines) {
+            FreeCapacity.MachinePool pool = plan.pool(machineType, (String) poolKey.get(1), (Boolean) poolKey.get(2));
+            for (UsableMachine usable : poolMachines) {
                 if (machineStatus.isAcceptingTasks(usable.owner, usable.host)) {
-                    Room machine = new Room(usable.host, pool, usable.inOwnShard, jobs.loadOf(usable.host));
+                    FreeCapacity machine = new FreeCapacity(usable.host, pool, usable.inOwnShard, jobs.loadOf(usable.host));
                     machine.reachSeconds = urgent ? machineStatus.secondsToReach(usable.host) : 0;
                     plan.addMachine(machine);
                 }
@@ -478,7 +478,7 @@
     }
 
     /** Most rounds see the same machines as the one before. */
-    private void refreshUsableMachines(Plan plan) {
+    private void refreshUsableMachines(SchedulingPlan plan) {
         if (seenMachinesVersion == machines.version() && seenShardsVersion == shards.shardVersion() && seenAsLeader == plan.leading) {
             return;
         }
@@ -504,7 +504,7 @@
     private void addIfUsable(MachineTable.Machine machine, boolean inOwnShard) {
         String owner = shards.ownerOf(machine.host());
         if (!machine.releasing() && !machine.cordoned() && owner != null) {
-            usableMachines.computeIfAbsent(List.of(machine.machineType(), machine.zone(), machine.spot()), k -> new ArrayList<>()).add(new Seen(machine.host(), owner, inOwnShard));
+            usableMachines.computeIfAbsent(List.of(machine.machineType(), machine.zone(), machine.spot()), k -> new ArrayList<>()).add(new UsableMachine(machine.host(), owner, inOwnShard));
         }
     }
 }
--- a/src/main/java/io/quincelead/placing/Rounds.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -1,32 +1,32 @@
-package io.quincelead.placing;
-
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.leader.Leader;
-import io.quincelead.peers.Peers;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.leadership.Leader;
+import io.quincelead.peer.PeerMessenger;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.state.Fence;
-import io.quincelead.state.Keys;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
-import io.quincelead.workers.Desk;
-import io.quincelead.workers.Own;
+import io.quincelead.store.IndeterminateWriteFence;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.worker.ShardWorker;
+import io.quincelead.worker.WorkerGateway;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -40,8 +40,8 @@
  * Rounds: each gathers the evidence of ends, places waiting tasks and commits all of it as one durable write, guarded
  * by this controller's block, by each job and by each chunk it touches. No start leaves before that is confirmed.
  */
-public final class Rounds {
-    private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+public final class SchedulingCycle {
+    private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
 
     /** States of the round; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
@@ -55,19 +55,19 @@
         COMMITTING
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Session membership;
-    private final Mirror watchCache;
+    private final MembershipLease membership;
+    private final WatchCache watchCache;
     private final StoreClient store;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final MachineTable machines;
     private final Runnable onCycleSettled;
     private final Policy policy;
-    private Desk workerGateway;
+    private WorkerGateway workerGateway;
     private Leader leader;
-    private Peers peers;
+    private PeerMessenger peers;
     private Phase phase = Phase.IDLE;
     private boolean cycleRequestedMeanwhile;
     /** Whether the last plan had more to write than one change holds. */
@@ -77,18 +77,18 @@
     private long scheduledAtMillis = Long.MAX_VALUE;
     private final QueuePass queuePass;
     /** Two rounds that know nothing of each other may use up the same allowance, or choose two zones for one job. */
-    private final Fence fence;
+    private final IndeterminateWriteFence fence;
     /** Chunks with ends that aren't on record, and when they should be. */
-    private final Map<Ref, Long> unrecordedTerminations = new LinkedHashMap<>();
-    private record Ref(Job job, int pageIndex) { }
+    private final Map<PageRef, Long> unrecordedTerminations = new LinkedHashMap<>();
+    private record PageRef(Job job, int pageIndex) { }
 
     /** Urgent jobs that are being submitted: recorded by the next round, with their first places if there are any. */
-    private final ArrayDeque<Newcomer> enteringJobs = new ArrayDeque<>();
+    private final ArrayDeque<EnteringJob> enteringJobs = new ArrayDeque<>();
 
-    private record Newcomer(Job job, long deadlineMillis, Txn.Done onOutcome) { }
+    private record EnteringJob(Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) { }
 
-    public Rounds(Loop loop, Settings settings, OperatorSettings operatorSettings, Session membership, Mirror watchCache, StoreClient store,
-            Blocks shards, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches imageCaches, Kinds constrainedDemand, Policy policy,
+    public SchedulingCycle(EventLoop loop, Settings settings, OperatorSettings operatorSettings, MembershipLease membership, WatchCache watchCache, StoreClient store,
+            ClusterMembership shards, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, ImageCaches imageCaches, ConstrainedDemand constrainedDemand, Policy policy,
             Runnable onCycleSettled) {
         this.policy = policy;
         this.loop = loop;
@@ -100,22 +100,22 @@
         this.jobs = jobs;
         this.machines = machines;
         this.onCycleSettled = onCycleSettled;
-        this.fence = new Fence(loop, store, watchCache, Keys.SHARD_PREFIX + settings.memberId(), () -> shards.localShard() == null ? null
-                : new Txn().requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey())).put(shards.localShard().storeKey(), shards.localShard().encode(), membership.leaseId()));
-        this.queuePass = new QueuePass(loop, settings, operatorSettings, store, shards, jobs, machines, catalog, imageCaches, constrainedDemand, policy, new QueuePass.Machines() {
+        this.fence = new IndeterminateWriteFence(loop, store, watchCache, StoreKeys.SHARD_PREFIX + settings.memberId(), () -> shards.localShard() == null ? null
+                : new Transaction().requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey())).put(shards.localShard().storeKey(), shards.localShard().encode(), membership.leaseId()));
+        this.queuePass = new QueuePass(loop, settings, operatorSettings, store, shards, jobs, machines, catalog, imageCaches, constrainedDemand, policy, new QueuePass.MachineStatus() {
             @Override public boolean isAcceptingTasks(String owner, String host) {
-                Own own = workerGateway.worker(host);
+                ShardWorker own = workerGateway.worker(host);
                 return owner.equals(settings.memberId()) ? own != null && own.isSchedulable() : peers.isReportedSchedulable(owner, host);
             }
 
             @Override public double secondsToReach(String host) {
-                Own own = workerGateway.worker(host);
+                ShardWorker own = workerGateway.worker(host);
                 return own != null ? own.startDelaySeconds() : settings.workerTimings().heartbeatSeconds() / 2;
             }
         });
     }
 
-    public void setCollaborators(Desk gateway, Leader newLeader, Peers messenger) {
+    public void setCollaborators(WorkerGateway gateway, Leader newLeader, PeerMessenger messenger) {
         workerGateway = gateway;
         leader = newLeader;
         peers = messenger;
@@ -129,29 +129,29 @@
      * Takes in an urgent job that is being submitted. One change then records both that it is accepted and where its tasks
      * go, and its first start can leave as soon as its user is answered.
      */
-    public boolean admit(Job job, long patienceMillis, Txn.Done onOutcome) {
-        boolean urgent = job.spec.priority().ordinal() <= JobSpec.Urgency.HIGH.ordinal();
+    public boolean admit(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome) {
+        boolean urgent = job.spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
         if (!urgent || !job.hasSinglePage() || !membership.isValid() || shards.localShard() == null || enteringJobs.size() >= StoreConstants.MAX_WAITING_COMMITS
                 || enteringJobs.stream().anyMatch(n -> n.job.spec.jobId().equals(job.spec.jobId()))) {
             return false;
         }
-        enteringJobs.addLast(new Newcomer(job, loop.nowMillis() + patienceMillis, onOutcome));
+        enteringJobs.addLast(new EnteringJob(job, loop.nowMillis() + patienceMillis, onOutcome));
         requestCycle();
         return true;
     }
 
     private void expireEnteringJobs() {
         while (!enteringJobs.isEmpty() && enteringJobs.peekFirst().deadlineMillis < loop.nowMillis()) {
-            enteringJobs.pollFirst().onOutcome.onOutcome(new Txn.Outcome(Txn.Result.REJECTED, 0, Set.of()));
+            enteringJobs.pollFirst().onOutcome.onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
         }
     }
 
     /** Tells what became of the round to those who entered with it; who isn't concerned by a conflict tries again. */
-    private void answerEnteringJobs(List<Newcomer> entering, Txn.Outcome outcome) {
+    private void answerEnteringJobs(List<EnteringJob> entering, Transaction.Outcome outcome) {
         for (int i = entering.size() - 1; i >= 0; i--) {
-            Newcomer entry = entering.get(i);
-            boolean concernsThisJob = outcome.failedKeys().contains(entry.job.storeKey()) || outcome.failedKeys().contains(Keys.FINAL_STATE_PREFIX + entry.job.spec.jobId());
-            if (outcome.result() == Txn.Result.THROTTLED || outcome.result() == Txn.Result.CONFLICT && !concernsThisJob) {
+            EnteringJob entry = entering.get(i);
+            boolean concernsThisJob = outcome.failedKeys().contains(entry.job.storeKey()) || outcome.failedKeys().contains(StoreKeys.FINAL_STATE_PREFIX + entry.job.spec.jobId());
+            if (outcome.result() == Transaction.Result.THROTTLED || outcome.result() == Transaction.Result.CONFLICT && !concernsThisJob) {
                 enteringJobs.addFirst(entry);
             } else {
                 entry.onOutcome.onOutcome(outcome);
@@ -208,13 +208,13 @@
         boolean ownJob = placement.job.controllerId.equals(settings.memberId());
         boolean gone = placement.phase() == Placement.Phase.GONE;
         // Low work that was displaced can wait for its next place while changes are short; others want theirs at once.
-        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Urgency.BEST_EFFORT && store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
+        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Priority.BEST_EFFORT && store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
         boolean urgent = gone && !canWait || placement.job.spec.isGang() || placement.job.isCancelled();
         int pageIndex = placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE;
         boolean awaitedElsewhere = queuePass.canLeaderUse(placement.host) || !ownJob && placement.job.page(pageIndex).placements.stream().allMatch(Placement::isTerminated);
         long delayMillis = urgent ? 0 : awaitedElsewhere ? SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS
                 : store.throttledDelayMillis(ownJob ? SchedulerConstants.COMPLETION_BATCH_MILLIS : SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS, SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
-        unrecordedTerminations.merge(new Ref(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
+        unrecordedTerminations.merge(new PageRef(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
         if (urgent || queuePass.hasWorkWaiting()) {
             requestCycle();
         }
@@ -262,23 +262,23 @@
             backOff(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS);
             return;
         }
-        List<Newcomer> admitted = new ArrayList<>();
-        while (admitting && !enteringJobs.isEmpty() && admitted.size() < Plan.maxRecords(writeBudget, shards.shards().size(), store.maxTransactionOperations())) {
-            Newcomer entry = enteringJobs.pollFirst();
+        List<EnteringJob> admitted = new ArrayList<>();
+        while (admitting && !enteringJobs.isEmpty() && admitted.size() < SchedulingPlan.maxRecords(writeBudget, shards.shards().size(), store.maxTransactionOperations())) {
+            EnteringJob entry = enteringJobs.pollFirst();
             if (jobs.get(entry.job.spec.jobId()) == null) {
                 admitted.add(entry);
             } else {
                 // Recorded since it was taken in, by another submission of the same job: it must not be told as new, nor be planned twice.
-                entry.onOutcome.onOutcome(new Txn.Outcome(Txn.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
+                entry.onOutcome.onOutcome(new Transaction.Outcome(Transaction.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
             }
         }
-        Plan plan;
+        SchedulingPlan plan;
         try {
-            plan = makePlan(writeBudget, admitted.stream().map(Newcomer::job).toList());
+            plan = makePlan(writeBudget, admitted.stream().map(EnteringJob::job).toList());
         } catch (RuntimeException failure) {
             // A defect must not end all rounds: this one is given up, and what waits for it is looked at again.
             transitionTo(Phase.IDLE);
-            answerEnteringJobs(admitted, new Txn.Outcome(Txn.Result.REJECTED, 0, Set.of()));
+            answerEnteringJobs(admitted, new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
             throw failure;
         }
         // Where the store's budget is what limits a change, another one right after it would be no fuller.
@@ -294,7 +294,7 @@
         store.commit(plan.transaction, outcome -> {
             transitionTo(Phase.IDLE);
             fence.onOutcome(plan.transaction, outcome);
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(plan.transaction, outcome.storeRevision());
             }
             answerEnteringJobs(admitted, outcome);
@@ -315,18 +315,18 @@
         });
     }
 
-    private Plan makePlan(int writeBudget, List<Job> admitted) {
-        Plan plan = new Plan(shards.localShard(), leader.isLeading(), shards.shards().size(), writeBudget, store.maxTransactionOperations());
+    private SchedulingPlan makePlan(int writeBudget, List<Job> admitted) {
+        SchedulingPlan plan = new SchedulingPlan(shards.localShard(), leader.isLeading(), shards.shards().size(), writeBudget, store.maxTransactionOperations());
         plan.enteringJobs.addAll(admitted);
         admitted.forEach(j -> plan.edit(j, 0));
         stopBrokenGangs(plan);
         drainMachines(plan);
-        queuePass.placeWaitingJobs(plan, peers.isAcknowledgedByLeader() ? shards.leaderId() : null, new QueuePass.Ends() {
-            @Override public void recordDue(Plan p) {
+        queuePass.placeWaitingJobs(plan, peers.isAcknowledgedByLeader() ? shards.leaderId() : null, new QueuePass.TerminationRecorder() {
+            @Override public void recordDue(SchedulingPlan p) {
                 recordDueTerminations(p);
             }
 
-            @Override public void recordForQuota(Plan p, JobSpec s, int tasks) {
+            @Override public void recordForQuota(SchedulingPlan p, JobSpec s, int tasks) {
                 recordTerminationsForQuota(p, s, tasks);
             }
         });
@@ -336,15 +336,15 @@
     }
 
     /** Puts the ends on record that are due; a chunk that is written anyway takes all its ends along. */
-    private void recordDueTerminations(Plan plan) {
+    private void recordDueTerminations(SchedulingPlan plan) {
         long nowMillis = loop.nowMillis();
-        for (Map.Entry<Ref, Long> entry : new ArrayList<>(unrecordedTerminations.entrySet())) {
-            Ref ref = entry.getKey();
-            Chunk page = jobs.get(ref.job.spec.jobId()) == ref.job ? ref.job.pages[ref.pageIndex] : null;
+        for (Map.Entry<PageRef, Long> entry : new ArrayList<>(unrecordedTerminations.entrySet())) {
+            PageRef ref = entry.getKey();
+            TaskStatePage page = jobs.get(ref.job.spec.jobId()) == ref.job ? ref.job.pages[ref.pageIndex] : null;
             if (page == null || page.placements.stream().noneMatch(Placement::isTerminated)) {
                 unrecordedTerminations.remove(ref);
             } else if (entry.getValue() <= nowMillis) {
-                Chunk.Edit edit = plan.edit(ref.job, ref.pageIndex);
+                TaskStatePage.Edit edit = plan.edit(ref.job, ref.pageIndex);
                 if (edit == null) {
                     return;
                 }
@@ -355,8 +355,8 @@
         }
     }
 
-    private void recordTerminationsForQuota(Plan plan, JobSpec spec, int tasks) {
-        for (Ref ref : unrecordedTerminations.keySet()) {
+    private void recordTerminationsForQuota(SchedulingPlan plan, JobSpec spec, int tasks) {
+        for (PageRef ref : unrecordedTerminations.keySet()) {
             if (plan.tasksWithinQuotaShare(spec) >= tasks || plan.isFull()) {
                 return;
             }
@@ -368,9 +368,9 @@
     }
 
     /** The tasks of a gang complete together: if one is done, all are. */
-    private void completeGang(Plan plan, Job job) {
+    private void completeGang(SchedulingPlan plan, Job job) {
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            Chunk.Edit edit = plan.edit(job, pageIndex);
+            TaskStatePage.Edit edit = plan.edit(job, pageIndex);
             for (int i = 0; edit != null && i < edit.page().taskCount(); i++) {
                 edit.markCompleted(edit.page().firstTaskIndex() + i);
             }
@@ -378,13 +378,13 @@
     }
 
     /** A gang that lost a task can't go on: the rest is stopped, and the next attempt starts when all are gone. */
-    private void stopBrokenGangs(Plan plan) {
+    private void stopBrokenGangs(SchedulingPlan plan) {
         for (Job job : jobs.all()) {
             if (!job.spec.isGang() || job.placedTaskCount() == 0 || job.isCancelled()) {
                 continue;
             }
             boolean broken = job.placedTaskCount() + job.completedTaskCount() < job.spec.taskCount();
-            for (Chunk page : job.pages) {
+            for (TaskStatePage page : job.pages) {
                 for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                     broken |= placement.stopRequested || placement.phase() == Placement.Phase.GONE;
                 }
@@ -395,17 +395,17 @@
         }
     }
 
-    private void stopAllTasks(Plan plan, Job job) {
-        for (Chunk page : job.pages) {
+    private void stopAllTasks(SchedulingPlan plan, Job job) {
+        for (TaskStatePage page : job.pages) {
             for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                 stopTask(plan, placement);
             }
         }
     }
 
-    private static void stopTask(Plan plan, Placement placement) {
+    private static void stopTask(SchedulingPlan plan, Placement placement) {
         if (!placement.stopRequested && !placement.isTerminated()) {
-            Chunk.Edit edit = plan.edit(placement);
+            TaskStatePage.Edit edit = plan.edit(placement);
             if (edit != null) {
                 edit.requestStop(placement.taskIndex);
             }
@@ -416,8 +416,8 @@
      * A machine with a spot notice is drained of what can save or has not begun; the rest may still finish in time.
      * From a closed machine, only what saves and has run for a while is moved, so that it can be returned sooner.
      */
-    private void drainMachines(Plan plan) {
-        for (Own worker : workerGateway.workers()) {
+    private void drainMachines(SchedulingPlan plan) {
+        for (ShardWorker worker : workerGateway.workers()) {
             boolean cordoned = machines.cordonedHosts().contains(worker.host);
             if (!worker.isBeingReclaimed() && !cordoned) {
                 continue;
@@ -436,15 +436,15 @@
 
     // ---- the write
 
-    private void encodePlan(Plan plan) {
+    private void encodePlan(SchedulingPlan plan) {
         boolean anyChange = false;
-        for (Map.Entry<Chunk, Chunk.Edit> entry : plan.edits.entrySet()) {
-            Chunk.Edit edit = entry.getValue();
+        for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
+            TaskStatePage.Edit edit = entry.getValue();
             Job job = edit.page().job;
             if (plan.enteringJobs.contains(job)) {
                 String leaderId = shards.leaderId();
                 boolean assignedToLeader = !edit.isChanged() && plan.jobsToEscalate.contains(job) && leaderId != null && shards.shardOf(leaderId) != null;
-                plan.transaction.requireRevision(job.storeKey(), 0).requireRevision(Keys.FINAL_STATE_PREFIX + job.spec.jobId(), 0).put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
+                plan.transaction.requireRevision(job.storeKey(), 0).requireRevision(StoreKeys.FINAL_STATE_PREFIX + job.spec.jobId(), 0).put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
                 anyChange |= edit.isChanged();
                 continue;
             }
@@ -462,8 +462,8 @@
         plan.transaction.requireRevision(plan.shard.storeKey(), watchCache.modRevision(plan.shard.storeKey()));
         policy.requireCurrentPolicy(plan.transaction);
         if (plan.leading) {
-            plan.transaction.requireRevision(Keys.LEADER, watchCache.modRevision(Keys.LEADER));
-            for (Blocks.Block shard : shards.shards()) {
+            plan.transaction.requireRevision(StoreKeys.LEADER, watchCache.modRevision(StoreKeys.LEADER));
+            for (ClusterMembership.Shard shard : shards.shards()) {
                 plan.transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
             }
         }
@@ -473,12 +473,12 @@
      * Hands jobs that don't fit this block to the leader. What their tasks use moves with them, out of this block's
      * allowances and in the same change, so the sum of all allowances and uses can't pass a team's limit.
      */
-    private void escalateToLeader(Plan plan) {
+    private void escalateToLeader(SchedulingPlan plan) {
         String leaderId = shards.leaderId();
         if (plan.jobsToEscalate.isEmpty() || leaderId == null || leaderId.equals(settings.memberId()) || shards.shardOf(leaderId) == null) {
             return;
         }
-        Blocks.Block shard = plan.shard.copy();
+        ClusterMembership.Shard shard = plan.shard.copy();
         boolean shardRewritten = false;
         boolean anyEscalated = false;
         for (Job job : plan.jobsToEscalate) {
@@ -492,7 +492,7 @@
             anyEscalated = true;
             plan.transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(leaderId, 0));
             if (job.placedTaskCount() > 0) {
-                Blocks.Amount quotaShare = shard.quotaShare(job.spec.team());
+                ClusterMembership.QuotaShare quotaShare = shard.quotaShare(job.spec.team());
                 shard.quotaShares().put(job.spec.team(), quotaShare.minusTasks(job.placedTaskCount(), job.spec.cpus(), job.spec.gpus()));
                 shardRewritten = true;
             }
--- a/src/main/java/io/quincelead/placing/Plan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -1,14 +1,14 @@
-package io.quincelead.placing;
-
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.Placement;
-import io.quincelead.state.Txn;
+import io.quincelead.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -18,12 +18,12 @@
 import java.util.Set;
 
 /** One round's plan: the changes of chunks it would write, and what room and use there is under them. */
-final class Plan {
-    final Txn transaction = new Txn();
-    final Map<Chunk, Chunk.Edit> edits = new LinkedHashMap<>();
-    final Map<String, Room> machines = new LinkedHashMap<>();
+final class SchedulingPlan {
+    final Transaction transaction = new Transaction();
+    final Map<TaskStatePage, TaskStatePage.Edit> edits = new LinkedHashMap<>();
+    final Map<String, FreeCapacity> machines = new LinkedHashMap<>();
     /** The same rooms by what every job sees alike in them. */
-    final Map<List<Object>, Room.Kind> pools = new LinkedHashMap<>();
+    final Map<List<Object>, FreeCapacity.MachinePool> pools = new LinkedHashMap<>();
     /**
      * What tasks of this controller's jobs use by team: those on record, less the ends that this very change puts on record.
      * An end that is only known here doesn't count: were the machine to change hands before it is on record, the record
@@ -39,7 +39,7 @@
     Set<Job> jobsWithinGuarantee = Set.of();
     /** Jobs of which no more has begun than they would else be left behind by, with how many tasks that is. */
     final Map<Job, Integer> entitledTasksOfStarving = new HashMap<>();
-    final Blocks.Block shard;
+    final ClusterMembership.Shard shard;
     final boolean leading;
     final int shardCount;
     final int writeBudget;
@@ -50,7 +50,7 @@
     /** CPUs of the rooms that low work leaves free. */
     double reservedCpus;
 
-    Plan(Blocks.Block shard, boolean leading, int shardCount, int writeBudget, int maxTransactionOps) {
+    SchedulingPlan(ClusterMembership.Shard shard, boolean leading, int shardCount, int writeBudget, int maxTransactionOps) {
         this.shard = shard;
         this.leading = leading;
         this.shardCount = shardCount;
@@ -88,26 +88,26 @@
         return false;
     }
 
-    Room.Kind pool(Catalog.Shape machineType, String zone, boolean spot) {
-        return pools.computeIfAbsent(List.of(machineType.name(), zone, spot), k -> new Room.Kind(machineType, zone, spot));
+    FreeCapacity.MachinePool pool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+        return pools.computeIfAbsent(List.of(machineType.name(), zone, spot), k -> new FreeCapacity.MachinePool(machineType, zone, spot));
     }
 
-    void addMachine(Room machine) {
+    void addMachine(FreeCapacity machine) {
         machines.put(machine.host, machine);
         machine.pool.machines.add(machine);
         cachedFreeCpus = Double.NaN;
     }
 
     /** Room of a machine is taken by tasks that get their place in this plan. */
-    void allocate(Room machine, JobSpec spec, int tasks) {
+    void allocate(FreeCapacity machine, JobSpec spec, int tasks) {
         machine.allocate(spec, tasks);
         cachedFreeCpus = Double.NaN;
     }
 
     /** The edit of a chunk, with the ends known by evidence; null when the transaction has no room for one more. */
-    Chunk.Edit edit(Job job, int pageIndex) {
-        Chunk page = job.page(pageIndex);
-        Chunk.Edit edit = edits.get(page);
+    TaskStatePage.Edit edit(Job job, int pageIndex) {
+        TaskStatePage page = job.page(pageIndex);
+        TaskStatePage.Edit edit = edits.get(page);
         if (edit == null) {
             if (isFull()) {
                 truncated = true;
@@ -129,7 +129,7 @@
         return edit;
     }
 
-    Chunk.Edit edit(Placement placement) {
+    TaskStatePage.Edit edit(Placement placement) {
         return edit(placement.job, placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
@@ -137,20 +137,20 @@
     int unplacedTasks(Job job) {
         int tasks = job.waitingTaskCount();
         for (int pageIndex = 0; !edits.isEmpty() && pageIndex < job.pages.length; pageIndex++) {
-            Chunk page = job.page(pageIndex);
-            Chunk.Edit edit = edits.get(page);
+            TaskStatePage page = job.page(pageIndex);
+            TaskStatePage.Edit edit = edits.get(page);
             tasks += edit == null ? 0 : edit.placeableTaskCount() - waitingTasks(page);
         }
         return tasks;
     }
 
     int unplacedTasks(Job job, int pageIndex) {
-        Chunk page = job.page(pageIndex);
-        Chunk.Edit edit = edits.get(page);
+        TaskStatePage page = job.page(pageIndex);
+        TaskStatePage.Edit edit = edits.get(page);
         return edit != null ? edit.placeableTaskCount() : waitingTasks(page);
     }
 
-    private static int waitingTasks(Chunk page) {
+    private static int waitingTasks(TaskStatePage page) {
         int tasks = page.pendingTaskCount();
         if (!page.job.spec.isGang()) {
             for (Placement placement : page.placements) {
@@ -171,7 +171,7 @@
     /** The same, also in the others if {@code anywhere}. */
     double freeCpus(boolean anywhere) {
         double free = 0;
-        for (Room machine : machines.values()) {
+        for (FreeCapacity machine : machines.values()) {
             free += machine.hasFreeCapacity() && (anywhere || !machine.pool.gpusInDemand) ? machine.freeCpus() : 0;
         }
         return free;
@@ -192,8 +192,8 @@
         return tasksWithinQuotaShare(shard, ownUsage, spec);
     }
 
-    static int tasksWithinQuotaShare(Blocks.Block shard, Map<String, double[]> usageByTeam, JobSpec spec) {
-        Blocks.Amount quotaShare = shard.quotaShare(spec.team());
+    static int tasksWithinQuotaShare(ClusterMembership.Shard shard, Map<String, double[]> usageByTeam, JobSpec spec) {
+        ClusterMembership.QuotaShare quotaShare = shard.quotaShare(spec.team());
         double[] usage = usageByTeam.getOrDefault(spec.team(), new double[2]);
         return Tebas.taskCapacity(quotaShare.cpus() - usage[0], Double.MAX_VALUE, quotaShare.gpus() - usage[1], spec.cpus(), 0, spec.gpus());
     }
