--- a/src/main/java/io/quincelead/placing/Tebas.java
+++ b/src/main/java/io/quincelead/scheduler/Tebas.java
@@ -1,4 +1,4 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
     private Tebas() { }
 
     /** A machine as the pass sees it. */
-    public static final class Seat {
+    public static final class CandidateMachine {
         public final String host;
         final double fitness;
         final double initialCapacity;
@@ -21,7 +21,7 @@
         /** Tasks the pass has assigned. */
         public int assigned;
 
-        public Seat(String host, double fitness, double initialCapacity, int remainingCapacity) {
+        public CandidateMachine(String host, double fitness, double initialCapacity, int remainingCapacity) {
             this.host = host;
             this.fitness = fitness;
             this.initialCapacity = initialCapacity;
@@ -45,13 +45,13 @@
     }
 
     /** Assigns up to {@code tasks} tasks; returns how many found no room. */
-    public static int assign(List<Seat> machines, int tasks, int beta) {
+    public static int assign(List<CandidateMachine> machines, int tasks, int beta) {
         int machineCount = machines.size();
         if (machineCount == 0 || tasks <= 0) {
             return tasks;
         }
         // Each member with room takes a task at least, so the first sweep of a small job ends within the first machines.
-        List<Seat> sorted = fittestFirst(machines, tasks);
+        List<CandidateMachine> sorted = fittestFirst(machines, tasks);
         int groupCount = Math.max(1, machineCount / beta);
         int groupSize = machineCount / groupCount;
         int unassigned = tasks;
@@ -64,7 +64,7 @@
                 if (i == group * groupSize) {
                     average = unassigned / (group < groupCount - 1 ? groupSize : machineCount - groupSize * (groupCount - 1));
                 }
-                Seat machine = sorted.get(i);
+                CandidateMachine machine = sorted.get(i);
                 int take = Math.min(unassigned, Math.min(Math.max(average, 1), machine.remainingCapacity));
                 if (take > 0) {
                     machine.assigned += take;
@@ -77,25 +77,25 @@
         return unassigned;
     }
 
-    private static int compare(Seat a, Seat b) {
+    private static int compare(CandidateMachine a, CandidateMachine b) {
         int byFitness = Double.compare(b.fitness, a.fitness);
         int byCapacity = byFitness != 0 ? byFitness : Double.compare(b.initialCapacity, a.initialCapacity);
         return byCapacity != 0 ? byCapacity : a.host.compareTo(b.host);
     }
 
     /** The machines by descending Fitness; of many, only as many as the job has tasks: the pass gets no further. */
-    private static List<Seat> fittestFirst(List<Seat> machines, int tasks) {
+    private static List<CandidateMachine> fittestFirst(List<CandidateMachine> machines, int tasks) {
         boolean all = tasks >= machines.size() / 2;
         for (int i = 0; !all && i < machines.size(); i++) {
             all = machines.get(i).remainingCapacity <= 0;
         }
         if (all) {
-            List<Seat> sorted = new ArrayList<>(machines);
+            List<CandidateMachine> sorted = new ArrayList<>(machines);
             sorted.sort(Tebas::compare);
             return sorted;
         }
-        PriorityQueue<Seat> best = new PriorityQueue<>(tasks + 1, (a, b) -> compare(b, a));
-        for (Seat machine : machines) {
+        PriorityQueue<CandidateMachine> best = new PriorityQueue<>(tasks + 1, (a, b) -> compare(b, a));
+        for (CandidateMachine machine : machines) {
             if (best.size() < tasks) {
                 best.add(machine);
             } else if (compare(machine, best.peek()) < 0) {
@@ -103,7 +103,7 @@
                 best.add(machine);
             }
         }
-        List<Seat> sorted = new ArrayList<>(best);
+        List<CandidateMachine> sorted = new ArrayList<>(best);
         sorted.sort(Tebas::compare);
         return sorted;
     }
--- a/src/main/java/io/quincelead/placing/Unmet.java
+++ b/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
@@ -1,6 +1,6 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * Demands for which a round found nothing. Room only shrinks while a round is planned, so a job that asks for as much or
  * more, and may go to no other machines, finds nothing either and need not be tried. Most waiting jobs are alike.
  */
-final class Unmet {
+final class UnsatisfiableDemands {
     private final List<JobSpec> minimalDemands = new ArrayList<>();
 
     /** Whether one that asks for no more than this has found nothing. */
--- a/src/main/java/io/quincelead/state/Committer.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -1,7 +1,7 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.StoreConstants;
+import io.quincelead.eventloop.EventLoop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,16 +10,16 @@
  * Group commit for small independent changes (submissions, cancellations, finals): those that wait together share a
  * transaction. When a shared one fails on a guard, each is tried alone, so that one conflict doesn't fail the others.
  */
-public final class Committer {
-    private final Loop loop;
+public final class GroupCommitter {
+    private final EventLoop loop;
     private final StoreClient store;
-    private final Mirror watchCache;
-    private final ArrayDeque<Entry> pending = new ArrayDeque<>();
+    private final WatchCache watchCache;
+    private final ArrayDeque<PendingTransaction> pending = new ArrayDeque<>();
     private boolean busy;
 
-    private record Entry(Txn transaction, Txn.Done handler, long deadlineMillis, boolean commitAlone) { }
+    private record PendingTransaction(Transaction transaction, Transaction.OutcomeHandler handler, long deadlineMillis, boolean commitAlone) { }
 
-    public Committer(Loop loop, StoreClient store, Mirror watchCache) {
+    public GroupCommitter(EventLoop loop, StoreClient store, WatchCache watchCache) {
         this.loop = loop;
         this.store = store;
         this.watchCache = watchCache;
@@ -30,8 +30,8 @@
     }
 
     /** Commits within the given time or refuses; a confirmed change is in the mirror before {@code done} hears of it. */
-    public void submit(Txn transaction, long timeoutMillis, Txn.Done handler) {
-        pending.addLast(new Entry(transaction, handler, loop.nowMillis() + timeoutMillis, false));
+    public void submit(Transaction transaction, long timeoutMillis, Transaction.OutcomeHandler handler) {
+        pending.addLast(new PendingTransaction(transaction, handler, loop.nowMillis() + timeoutMillis, false));
         loop.runAfter(0, this::commitNextBatch);
     }
 
@@ -46,7 +46,7 @@
     private void commitNextBatch() {
         long nowMillis = loop.nowMillis();
         while (!pending.isEmpty() && pending.peekFirst().deadlineMillis < nowMillis) {
-            pending.pollFirst().handler.onOutcome(new Txn.Outcome(Txn.Result.REJECTED, 0, java.util.Set.of()));
+            pending.pollFirst().handler.onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, java.util.Set.of()));
         }
         if (busy || pending.isEmpty()) {
             return;
@@ -55,10 +55,10 @@
             resumeAfterDelay();
             return;
         }
-        Txn transaction = new Txn();
-        List<Entry> batch = new ArrayList<>();
+        Transaction transaction = new Transaction();
+        List<PendingTransaction> batch = new ArrayList<>();
         while (!pending.isEmpty()) {
-            Entry entry = pending.peekFirst();
+            PendingTransaction entry = pending.peekFirst();
             boolean fitsBatch = batch.isEmpty() || !entry.commitAlone && !batch.get(0).commitAlone && !transaction.conflictsWith(entry.transaction) && !entry.transaction.conflictsWith(transaction)
                     && transaction.fits(entry.transaction.operationCount(), entry.transaction.preconditionCount(), store.maxTransactionOperations());
             if (!fitsBatch) {
@@ -70,14 +70,14 @@
         busy = true;
         store.commit(transaction, outcome -> {
             busy = false;
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
-            if (outcome.result() == Txn.Result.THROTTLED || outcome.result() == Txn.Result.CONFLICT && batch.size() > 1) {
-                boolean retryAlone = outcome.result() == Txn.Result.CONFLICT;
+            if (outcome.result() == Transaction.Result.THROTTLED || outcome.result() == Transaction.Result.CONFLICT && batch.size() > 1) {
+                boolean retryAlone = outcome.result() == Transaction.Result.CONFLICT;
                 for (int i = batch.size() - 1; i >= 0; i--) {
-                    Entry entry = batch.get(i);
-                    pending.addFirst(new Entry(entry.transaction, entry.handler, entry.deadlineMillis, retryAlone));
+                    PendingTransaction entry = batch.get(i);
+                    pending.addFirst(new PendingTransaction(entry.transaction, entry.handler, entry.deadlineMillis, retryAlone));
                 }
                 if (!retryAlone) {
                     // Nothing happened; whoever waits is told so at the end of its patience.
--- a/src/main/java/io/quincelead/state/Fence.java
+++ b/src/main/java/io/quincelead/store/IndeterminateWriteFence.java
@@ -1,7 +1,7 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.StoreConstants;
+import io.quincelead.eventloop.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -15,8 +15,8 @@
  * leader's key); after an outcome that isn't known the office decides nothing more until that key's record has been rewritten,
  * so that the lost change can't land any more, and the watch has been past the rewriting, so that what it did before is known.
  */
-public final class Fence {
-    private static final Logger LOG = LoggerFactory.getLogger(Fence.class);
+public final class IndeterminateWriteFence {
+    private static final Logger LOG = LoggerFactory.getLogger(IndeterminateWriteFence.class);
 
     /** States of the office's changes; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
@@ -28,17 +28,17 @@
         REWRITING
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StoreClient store;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final String fenceKey;
-    private final Supplier<Txn> rewriteFactory;
-    private final List<Txn> indeterminateWrites = new ArrayList<>();
+    private final Supplier<Transaction> rewriteFactory;
+    private final List<Transaction> indeterminateWrites = new ArrayList<>();
     private Phase phase = Phase.SETTLED;
     private long nextRewriteAtMillis;
 
     /** {@code rewrite}: puts the office's {@code key} again as it is, guarded by its stamp; null where the key is gone. */
-    public Fence(Loop loop, StoreClient store, Mirror watchCache, String fenceKey, Supplier<Txn> rewriteFactory) {
+    public IndeterminateWriteFence(EventLoop loop, StoreClient store, WatchCache watchCache, String fenceKey, Supplier<Transaction> rewriteFactory) {
         this.loop = loop;
         this.store = store;
         this.watchCache = watchCache;
@@ -54,8 +54,8 @@
     }
 
     /** Takes the outcome of a change: one that isn't known is settled before the next decision. What doesn't bear the key decided nothing. */
-    public void onOutcome(Txn transaction, Txn.Outcome outcome) {
-        if (outcome.result() == Txn.Result.INDETERMINATE && transaction.isFencedBy(fenceKey)) {
+    public void onOutcome(Transaction transaction, Transaction.Outcome outcome) {
+        if (outcome.result() == Transaction.Result.INDETERMINATE && transaction.isFencedBy(fenceKey)) {
             indeterminateWrites.add(transaction);
             if (phase == Phase.SETTLED) {
                 transitionTo(Phase.INDETERMINATE);
@@ -79,7 +79,7 @@
     }
 
     private void rewriteFenceKey() {
-        Txn transaction = rewriteFactory.get();
+        Transaction transaction = rewriteFactory.get();
         nextRewriteAtMillis = loop.nowMillis() + StoreConstants.RETRY_DELAY_MILLIS;
         if (transaction == null || !store.canAffordUrgentWrite()) {
             return;
@@ -87,7 +87,7 @@
         transitionTo(Phase.REWRITING);
         store.commit(transaction, outcome -> {
             transitionTo(Phase.INDETERMINATE);
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
             }
         });
--- a/src/main/java/io/quincelead/state/Session.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -1,10 +1,10 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.LeaseConstants;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.net.Codec;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.WireFormat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,8 +12,8 @@
  * This controller's membership: a hold in the store that it renews, and its node key attached to it. Its blocks and
  * its leadership hang on the same hold, so all of it lapses together.
  */
-public final class Session {
-    private static final Logger LOG = LoggerFactory.getLogger(Session.class);
+public final class MembershipLease {
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
 
     /** States of the membership; {@link #transitionTo} is the one function that changes them. */
     public enum Phase {
@@ -25,7 +25,7 @@
         MEMBER
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StoreClient store;
     private final String memberId;
     private final String address;
@@ -36,7 +36,7 @@
     /** Generation of our announcement. */
     private long announcedRevision;
 
-    public Session(Loop loop, StoreClient store, String memberId, String address, long leaseMillis) {
+    public MembershipLease(EventLoop loop, StoreClient store, String memberId, String address, long leaseMillis) {
         this.loop = loop;
         this.store = store;
         this.memberId = memberId;
@@ -97,7 +97,7 @@
 
     /** The platform runs one process a member, so whatever holds our node key is dead: its lease need not run out. */
     private void revokePredecessorLease() {
-        store.get(Keys.MEMBER_PREFIX + memberId, (status, body) -> {
+        store.get(StoreKeys.MEMBER_PREFIX + memberId, (status, body) -> {
             if (status == 404) {
                 announce(0);
             } else if (status == 200 && body.path("grant").isNumber() && body.path("grant").asLong() != leaseId) {
@@ -115,9 +115,9 @@
      * must not take the successor's place.
      */
     private void announce(long modRevision) {
-        ObjectNode memberRecord = Codec.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+        ObjectNode memberRecord = WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
         long announcedLeaseId = leaseId;
-        store.commit(new Txn().requireRevision(Keys.MEMBER_PREFIX + memberId, modRevision).put(Keys.MEMBER_PREFIX + memberId, memberRecord, announcedLeaseId), outcome -> {
+        store.commit(new Transaction().requireRevision(StoreKeys.MEMBER_PREFIX + memberId, modRevision).put(StoreKeys.MEMBER_PREFIX + memberId, memberRecord, announcedLeaseId), outcome -> {
             if (announcedLeaseId != leaseId || phase != Phase.JOINING) {
                 return;
             }
--- a/src/main/java/io/quincelead/state/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -1,13 +1,13 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.RateBudget;
-import io.quincelead.net.Transport;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.RateLimiter;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
@@ -16,31 +16,31 @@
 /** The state service's protocol, within this controller's share of its limits. */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-    private final Loop loop;
+    private final EventLoop loop;
     private final Transport transport;
     private final String storeAddress;
     private final int maxTransactionOperations;
-    final RateBudget requestBudget;
-    final RateBudget writeBudget;
+    final RateLimiter requestBudget;
+    final RateLimiter writeBudget;
     private boolean writesDelayed;
     private boolean writesThrottled;
     /** 0 to 1: how long this controller has been short of changes. */
     private double backpressure;
 
-    public StoreClient(Loop loop, Transport transport, Settings settings) {
+    public StoreClient(EventLoop loop, Transport transport, Settings settings) {
         this.loop = loop;
         this.transport = transport;
         this.storeAddress = settings.storeAddress();
         this.maxTransactionOperations = settings.storeLimits().maxTransactionOperations();
-        this.requestBudget = new RateBudget(loop, settings.storeLimits().requestsPerSecond() / settings.controllerCount() * 0.95, 0.9);
+        this.requestBudget = new RateLimiter(loop, settings.storeLimits().requestsPerSecond() / settings.controllerCount() * 0.95, 0.9);
         double evenShare = settings.storeLimits().writesPerSecond() / settings.controllerCount();
-        this.writeBudget = new RateBudget(loop, evenShare * 0.95, Math.max(1, maxTransactionOperations / evenShare)).withRateBounds(evenShare * StoreConstants.MIN_WRITE_SHARE_FRACTION, settings.storeLimits().writesPerSecond() * StoreConstants.MAX_WRITE_SHARE_FRACTION);
+        this.writeBudget = new RateLimiter(loop, evenShare * 0.95, Math.max(1, maxTransactionOperations / evenShare)).withRateBounds(evenShare * StoreConstants.MIN_WRITE_SHARE_FRACTION, settings.storeLimits().writesPerSecond() * StoreConstants.MAX_WRITE_SHARE_FRACTION);
         loop.runEvery(StoreConstants.WRITE_SHARE_INTERVAL_MILLIS, this::adjustWriteShare);
     }
 
     /** An answer with its map; node is null where the body is none. */
     @FunctionalInterface
-    public interface Answer {
+    public interface ResponseHandler {
         void onResponse(int status, ObjectNode body);
     }
 
@@ -48,10 +48,10 @@
         return maxTransactionOperations;
     }
 
-    private void call(String method, String path, ObjectNode body, long timeoutMillis, Answer handler) {
+    private void call(String method, String path, ObjectNode body, long timeoutMillis, ResponseHandler handler) {
         requestBudget.takeUnconditionally(1);
-        transport.call(storeAddress, method, path, Codec.CBOR, body == null ? null : Codec.CBOR.encode(body), timeoutMillis, (status, bytes) -> {
-            ObjectNode responseBody = Codec.CBOR.decodeMap(bytes);
+        transport.call(storeAddress, method, path, WireFormat.CBOR, body == null ? null : WireFormat.CBOR.encode(body), timeoutMillis, (status, bytes) -> {
+            ObjectNode responseBody = WireFormat.CBOR.decodeMap(bytes);
             if (status == 429) {
                 requestBudget.drain();
             }
@@ -64,30 +64,30 @@
         });
     }
 
-    public void get(String key, Answer handler) {
+    public void get(String key, ResponseHandler handler) {
         call("GET", "/store/" + key, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     /** One page of what lies under a prefix, in key order, after the given key if any. */
-    public void list(String prefix, String afterKey, Answer handler) {
+    public void list(String prefix, String afterKey, ResponseHandler handler) {
         String path = "/store?prefix=" + prefix + "&limit=" + StoreConstants.MAX_ITEMS_PER_LIST_PAGE + (afterKey == null ? "" : "&after=" + afterKey);
         call("GET", path, null, 2 * StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    void watch(String prefix, long afterRevision, Answer handler) {
+    void watch(String prefix, long afterRevision, ResponseHandler handler) {
         call("GET", "/watch?prefix=" + prefix + "&after=" + afterRevision + "&holdMs=" + StoreConstants.WATCH_LONG_POLL_MILLIS, null,
                 StoreConstants.WATCH_LONG_POLL_MILLIS + StoreConstants.WATCH_TIMEOUT_SLACK_MILLIS, handler);
     }
 
-    void createLease(long leaseMillis, Answer handler) {
-        call("POST", "/holds", Codec.newMap().put("lifeMs", leaseMillis), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
+    void createLease(long leaseMillis, ResponseHandler handler) {
+        call("POST", "/holds", WireFormat.newMap().put("lifeMs", leaseMillis), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    void renewLease(long leaseId, Answer handler) {
-        call("POST", "/holds/" + leaseId + "/touch", Codec.newMap(), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
+    void renewLease(long leaseId, ResponseHandler handler) {
+        call("POST", "/holds/" + leaseId + "/touch", WireFormat.newMap(), StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    void revokeLease(long leaseId, Answer handler) {
+    void revokeLease(long leaseId, ResponseHandler handler) {
         call("DELETE", "/holds/" + leaseId, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
@@ -135,12 +135,12 @@
         return minMillis + (long) (backpressure * (maxMillis - minMillis));
     }
 
-    public void commit(Txn transaction, Txn.Done handler) {
+    public void commit(Transaction transaction, Transaction.OutcomeHandler handler) {
         writeBudget.takeUnconditionally(transaction.operationCount());
         call("POST", "/commit", transaction.encode(), StoreConstants.REQUEST_TIMEOUT_MILLIS, (status, body) -> {
             long storeRevision = body == null ? 0 : body.path("generation").asLong();
             switch (status) {
-                case 200 -> handler.onOutcome(new Txn.Outcome(Txn.Result.COMMITTED, storeRevision, Set.of()));
+                case 200 -> handler.onOutcome(new Transaction.Outcome(Transaction.Result.COMMITTED, storeRevision, Set.of()));
                 case 409 -> {
                     Set<String> failedKeys = new HashSet<>();
                     if (body != null) {
@@ -148,7 +148,7 @@
                             failedKeys.add(failedKey.asText());
                         }
                     }
-                    handler.onOutcome(new Txn.Outcome(Txn.Result.CONFLICT, storeRevision, failedKeys));
+                    handler.onOutcome(new Transaction.Outcome(Transaction.Result.CONFLICT, storeRevision, failedKeys));
                 }
                 case 400, 429, 503 -> {
                     if (status == 429) {
@@ -158,9 +158,9 @@
                     if (status == 400) {
                         LOG.info("the store refused a transaction: {}", body);
                     }
-                    handler.onOutcome(new Txn.Outcome(status == 429 ? Txn.Result.THROTTLED : Txn.Result.REJECTED, storeRevision, Set.of()));
+                    handler.onOutcome(new Transaction.Outcome(status == 429 ? Transaction.Result.THROTTLED : Transaction.Result.REJECTED, storeRevision, Set.of()));
                 }
-                default -> handler.onOutcome(new Txn.Outcome(Txn.Result.INDETERMINATE, 0, Set.of()));
+                default -> handler.onOutcome(new Transaction.Outcome(Transaction.Result.INDETERMINATE, 0, Set.of()));
             }
         });
     }
--- a/src/main/java/io/quincelead/state/Keys.java
+++ b/src/main/java/io/quincelead/store/StoreKeys.java
@@ -1,11 +1,11 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 /**
  * The layout of the store. Everything under {@code a/} is live and mirrored by every controller; final states lie
  * under {@code z/} and are read when asked for.
  */
-public final class Keys {
-    private Keys() { }
+public final class StoreKeys {
+    private StoreKeys() { }
 
     public static final String LIVE_PREFIX = "a/";
     /** Who leads, attached to the leader's hold. */
--- a/src/main/java/io/quincelead/state/Txn.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -1,40 +1,40 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** One atomic change of the store: conditions on stamps, then puts and removals. */
-public final class Txn {
+public final class Transaction {
     private final Map<String, Long> preconditions = new LinkedHashMap<>();
     private final Map<String, ObjectNode> operations = new LinkedHashMap<>();
 
     /** The key must have this stamp; 0: it must not exist. */
-    public Txn requireRevision(String key, long modRevision) {
+    public Transaction requireRevision(String key, long modRevision) {
         preconditions.put(key, modRevision);
         return this;
     }
 
-    public Txn put(String key, JsonNode value) {
-        ObjectNode operation = Codec.newMap().put("put", key);
+    public Transaction put(String key, JsonNode value) {
+        ObjectNode operation = WireFormat.newMap().put("put", key);
         operation.set("value", value);
         operations.put(key, operation);
         return this;
     }
 
     /** A put whose key lives only as long as the hold does. */
-    public Txn put(String key, JsonNode value, long leaseId) {
+    public Transaction put(String key, JsonNode value, long leaseId) {
         put(key, value);
         operations.get(key).put("grant", leaseId);
         return this;
     }
 
-    public Txn remove(String key) {
-        operations.put(key, Codec.newMap().put("remove", key));
+    public Transaction remove(String key) {
+        operations.put(key, WireFormat.newMap().put("remove", key));
         return this;
     }
 
@@ -57,13 +57,13 @@
     }
 
     /** Adds another change to this one; both then happen or neither. */
-    public void merge(Txn other) {
+    public void merge(Transaction other) {
         preconditions.putAll(other.preconditions);
         operations.putAll(other.operations);
     }
 
     /** Whether the two speak of a common key, so that they can't be merged without thought: each keeps what it was decided from. */
-    public boolean conflictsWith(Txn other) {
+    public boolean conflictsWith(Transaction other) {
         for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
             if (!precondition.getValue().equals(preconditions.getOrDefault(precondition.getKey(), precondition.getValue()))) {
                 return true;
@@ -81,7 +81,7 @@
      * Whether this can't be carried out any more and all that it may have done is in the mirror: a guard has failed for good, and
      * the watch has been past what made it fail. A guard of 0 proves nothing, for it holds again once its key is gone.
      */
-    boolean isSettled(Mirror watchCache) {
+    boolean isSettled(WatchCache watchCache) {
         return preconditions.entrySet().stream().anyMatch(precondition -> precondition.getValue() != 0 && watchCache.isSuperseded(precondition.getKey(), precondition.getValue()));
     }
 
@@ -99,7 +99,7 @@
     }
 
     public ObjectNode encode() {
-        ObjectNode body = Codec.newMap();
+        ObjectNode body = WireFormat.newMap();
         ArrayNode preconditionNodes = body.putArray("guards");
         preconditions.forEach((key, modRevision) -> preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
         ArrayNode operationNodes = body.putArray("then");
@@ -126,7 +126,7 @@
 
     /** Takes the outcome on the loop. */
     @FunctionalInterface
-    public interface Done {
+    public interface OutcomeHandler {
         void onOutcome(Outcome outcome);
     }
 }
--- a/src/main/java/io/quincelead/state/Mirror.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -1,10 +1,10 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.net.Transport;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.Transport;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -20,11 +20,11 @@
  * hands each key to the slice it belongs to. Own commits are applied as soon as they are confirmed; a key's older
  * change that the watch brings afterwards is ignored by its stamp.
  */
-public final class Mirror {
-    private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
+public final class WatchCache {
+    private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
 
     /** A slice's view of the keys under one prefix. */
-    public interface View {
+    public interface PrefixListener {
         void onPut(String key, JsonNode value, long modRevision);
 
         void onRemove(String key);
@@ -33,9 +33,9 @@
     /** States of the mirror; {@link #transitionTo} is the one function that changes them. */
     private enum Phase { EMPTY, LISTING, WATCHING }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StoreClient store;
-    private final Map<String, View> prefixListeners = new LinkedHashMap<>();
+    private final Map<String, PrefixListener> prefixListeners = new LinkedHashMap<>();
     private final List<Runnable> changeListeners = new ArrayList<>();
     /** Stamps of the keys that exist, and of the last removals that the watch has not yet passed; 0: none. */
     private final Object2LongHashMap<String> modRevisions = new Object2LongHashMap<>(0);
@@ -45,13 +45,13 @@
     private boolean synced;
     private long storeRevision;
 
-    public Mirror(Loop loop, StoreClient store, double requestsPerSecond) {
+    public WatchCache(EventLoop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
         this.store = store;
         this.minWatchIntervalMillis = (long) Math.max(StoreConstants.MIN_WATCH_INTERVAL_MILLIS, 1000 / (requestsPerSecond * StoreConstants.WATCH_REQUESTS_FRACTION));
     }
 
-    public void addPrefixListener(String prefix, View listener) {
+    public void addPrefixListener(String prefix, PrefixListener listener) {
         prefixListeners.put(prefix, listener);
     }
 
@@ -97,7 +97,7 @@
     }
 
     private void readPage(String afterKey, long firstPageRevision, Set<String> seenKeys) {
-        store.list(Keys.LIVE_PREFIX, afterKey, (status, body) -> {
+        store.list(StoreKeys.LIVE_PREFIX, afterKey, (status, body) -> {
             if (status != 200 || !body.path("items").isArray()) {
                 loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::relist);
                 return;
@@ -131,7 +131,7 @@
 
     private void watch() {
         long sentAtMillis = loop.nowMillis();
-        store.watch(Keys.LIVE_PREFIX, storeRevision, (status, body) -> {
+        store.watch(StoreKeys.LIVE_PREFIX, storeRevision, (status, body) -> {
             if (status == 410) {
                 relist();
                 return;
@@ -161,14 +161,14 @@
     }
 
     /** Applies a transaction of our own that the store has confirmed. */
-    public void applyCommitted(Txn transaction, long modRevision) {
+    public void applyCommitted(Transaction transaction, long modRevision) {
         if (modRevision <= storeRevision) {
             // The confirmation was slow and the watch has been past it: what it wrote may be changed or removed by now.
             notifyChangeListeners();
             return;
         }
         for (Map.Entry<String, ObjectNode> operation : transaction.operations().entrySet()) {
-            if (!operation.getKey().startsWith(Keys.LIVE_PREFIX)) {
+            if (!operation.getKey().startsWith(StoreKeys.LIVE_PREFIX)) {
                 continue;
             }
             JsonNode value = operation.getValue().get("value");
@@ -186,7 +186,7 @@
             return;
         }
         modRevisions.put(key, modRevision);
-        View listener = listenerFor(key);
+        PrefixListener listener = listenerFor(key);
         if (listener != null) {
             listener.onPut(key, value, modRevision);
         }
@@ -200,15 +200,15 @@
         tombstones.put(key, Math.max(modRevision, tombstones.getValue(key)));
         if (knownRevision != 0) {
             modRevisions.removeKey(key);
-            View listener = listenerFor(key);
+            PrefixListener listener = listenerFor(key);
             if (listener != null) {
                 listener.onRemove(key);
             }
         }
     }
 
-    private View listenerFor(String key) {
-        for (Map.Entry<String, View> entry : prefixListeners.entrySet()) {
+    private PrefixListener listenerFor(String key) {
+        for (Map.Entry<String, PrefixListener> entry : prefixListeners.entrySet()) {
             if (key.startsWith(entry.getKey())) {
                 return entry.getValue();
             }
--- a/src/main/java/io/quincelead/net/BodyReader.java
+++ b/src/main/java/io/quincelead/transport/BodyReader.java
@@ -1,4 +1,4 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
 import io.quincelead.config.constants.TransportConstants;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/io/quincelead/net/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -1,7 +1,7 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
-import io.quincelead.base.Loop;
 import io.quincelead.config.constants.TransportConstants;
+import io.quincelead.eventloop.EventLoop;
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
@@ -35,7 +35,7 @@
 /** HTTP calls on Undertow's client: kept connections, a bounded number a target, one call at a time on each. */
 public final class HttpClient implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
-    private final Loop loop;
+    private final EventLoop loop;
     private final XnioIoThread thread;
     private final ByteBufferPool bufferPool = new DefaultByteBufferPool(false, 8 * 1024, 16, 0);
     private final Map<String, Target> targets = new HashMap<>();
@@ -44,13 +44,13 @@
     /** Connections to all targets that aren't core, attempts among them. */
     private int sharedConnections;
     /** Kept connections of all targets, the longest unused first; those in use again are skipped. */
-    private final ArrayDeque<Idle> idleByAge = new ArrayDeque<>();
+    private final ArrayDeque<IdleConnection> idleByAge = new ArrayDeque<>();
     /** Targets whose calls wait because all connections are in use. */
     private final LinkedHashSet<String> stalledAddresses = new LinkedHashSet<>();
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     /** {@code core}: addresses that are always called; {@code most}: connections to all others together. */
-    public HttpClient(Loop loop, XnioIoThread thread, Set<String> criticalAddresses, int maxSharedConnections) {
+    public HttpClient(EventLoop loop, XnioIoThread thread, Set<String> criticalAddresses, int maxSharedConnections) {
         this.criticalAddresses = criticalAddresses;
         this.maxSharedConnections = maxSharedConnections;
         this.loop = loop;
@@ -66,7 +66,7 @@
         final String address;
         /** Whether it is one that the service can't do without: others never take its connections away. */
         final boolean critical;
-        final ArrayDeque<Idle> idleConnections = new ArrayDeque<>();
+        final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
         final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
         /** Connections that stand. */
         int openConnections;
@@ -80,13 +80,13 @@
     }
 
     /** A kept connection. */
-    private static final class Idle {
+    private static final class IdleConnection {
         final Target target;
         final ClientConnection connection;
         final long idleSinceMillis;
         boolean removed;
 
-        Idle(Target target, ClientConnection connection, long idleSinceMillis) {
+        IdleConnection(Target target, ClientConnection connection, long idleSinceMillis) {
             this.target = target;
             this.connection = connection;
             this.idleSinceMillis = idleSinceMillis;
@@ -97,14 +97,14 @@
         final String address;
         final String method;
         final String path;
-        final Codec codec;
+        final WireFormat codec;
         final byte[] body;
-        final Reply responseHandler;
+        final ResponseHandler responseHandler;
         CallState state = CallState.WAITING;
         ClientConnection connection;
         XnioExecutor.Key timeoutKey;
 
-        Call(String address, String method, String path, Codec codec, byte[] body, Reply responseHandler) {
+        Call(String address, String method, String path, WireFormat codec, byte[] body, ResponseHandler responseHandler) {
             this.address = address;
             this.method = method;
             this.path = path;
@@ -129,7 +129,7 @@
             Target target = targets.get(address);
             if (connection != null) {
                 if (reusable && connection.isOpen()) {
-                    Idle idle = new Idle(target, connection, loop.nowMillis());
+                    IdleConnection idle = new IdleConnection(target, connection, loop.nowMillis());
                     addIdle(idle);
                 } else {
                     IoUtils.safeClose(connection);
@@ -147,7 +147,7 @@
         }
     }
 
-    private void addIdle(Idle idle) {
+    private void addIdle(IdleConnection idle) {
         idle.target.idleConnections.addLast(idle);
         if (!idle.target.critical) {
             idleByAge.addLast(idle);
@@ -167,7 +167,7 @@
     /** Makes room for one more connection: the longest unused one is closed, whoever's it is. */
     private boolean ensureSharedCapacity() {
         while (sharedConnections >= maxSharedConnections) {
-            Idle oldest = idleByAge.pollFirst();
+            IdleConnection oldest = idleByAge.pollFirst();
             if (oldest == null) {
                 return false;
             }
@@ -194,7 +194,7 @@
         }
     }
 
-    @Override public void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMillis, Reply responseHandler) {
+    @Override public void call(String address, String method, String path, WireFormat codec, byte[] body, long timeoutMillis, ResponseHandler responseHandler) {
         Target target = targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
         Call call = new Call(address, method, path, codec, body, responseHandler);
         if (target.waitingCalls.size() >= TransportConstants.MAX_WAITING_CALLS_PER_ADDRESS) {
@@ -216,7 +216,7 @@
 
     private void dispatchCalls(Target target) {
         while (!target.waitingCalls.isEmpty()) {
-            Idle idle = target.idleConnections.pollLast();
+            IdleConnection idle = target.idleConnections.pollLast();
             if (idle != null) {
                 idle.removed = true;
                 if (!idle.connection.isOpen()) {
@@ -245,7 +245,7 @@
             @Override public void completed(ClientConnection connection) {
                 target.connectAttemptsSinceMillis.remove(startedAtMillis);
                 target.openConnections++;
-                addIdle(new Idle(target, connection, loop.nowMillis()));
+                addIdle(new IdleConnection(target, connection, loop.nowMillis()));
                 dispatchCalls(target);
             }
 
@@ -342,7 +342,7 @@
         idleByAge.removeIf(idle -> idle.removed);
         targets.values().removeIf(target -> {
             while (!target.idleConnections.isEmpty() && target.idleConnections.peekFirst().idleSinceMillis < idleBeforeMillis) {
-                Idle idle = target.idleConnections.pollFirst();
+                IdleConnection idle = target.idleConnections.pollFirst();
                 idle.removed = true;
                 IoUtils.safeClose(idle.connection);
                 onConnectionClosed(target);
--- a/src/main/java/io/quincelead/net/HttpServer.java
+++ b/src/main/java/io/quincelead/transport/HttpServer.java
@@ -1,4 +1,4 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
 import io.quincelead.config.constants.TransportConstants;
 import io.undertow.Undertow;
@@ -24,7 +24,7 @@
     private final int nearLimitThreshold;
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
-    public HttpServer(XnioWorker worker, String address, int maxConnections, Request.Handler handler) {
+    public HttpServer(XnioWorker worker, String address, int maxConnections, IncomingRequest.Handler handler) {
         nearLimitThreshold = (int) (maxConnections * TransportConstants.CROWDED_CONNECTION_FRACTION);
         int colon = address.lastIndexOf(':');
         undertow = Undertow.builder()
@@ -49,25 +49,25 @@
         undertow.start();
     }
 
-    private void accept(HttpServerExchange exchange, Request.Handler handler) {
+    private void accept(HttpServerExchange exchange, IncomingRequest.Handler handler) {
         trackConnection(exchange.getConnection());
         String contentLength = exchange.getRequestHeaders().getFirst(Headers.CONTENT_LENGTH);
         if (exchange.getRequestContentLength() > TransportConstants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, null)));
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new UndertowRequest(exchange, null)));
             return;
         }
         if (contentLength == null && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new Incoming(exchange, new byte[0])));
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new UndertowRequest(exchange, new byte[0])));
             return;
         }
         exchange.setMaxEntitySize(TransportConstants.MAX_BODY_BYTES);
         BodyReader reader = new BodyReader(readBuffer, exchange.getRequestContentLength(), TransportConstants.MAX_BODY_BYTES,
-                bytes -> handler.handle(new Incoming(exchange, bytes)),
+                bytes -> handler.handle(new UndertowRequest(exchange, bytes)),
                 failure -> {
                     // Larger than allowed, or its sender is gone.
                     exchange.setPersistent(false);
-                    handler.handle(new Incoming(exchange, null));
+                    handler.handle(new UndertowRequest(exchange, null));
                 });
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> reader.handleEvent(exchange.getRequestChannel()));
     }
@@ -80,10 +80,10 @@
         }
     }
 
-    private final class Incoming extends Request {
+    private final class UndertowRequest extends IncomingRequest {
         private final HttpServerExchange exchange;
 
-        Incoming(HttpServerExchange exchange, byte[] body) {
+        UndertowRequest(HttpServerExchange exchange, byte[] body) {
             super(exchange.getRequestMethod().toString(), exchange.getRequestPath(), parseQuery(exchange), body);
             this.exchange = exchange;
         }
@@ -107,7 +107,7 @@
             return parameters;
         }
 
-        @Override protected void sendResponse(int status, Codec codec, byte[] body, int retryAfterSeconds) {
+        @Override protected void sendResponse(int status, WireFormat codec, byte[] body, int retryAfterSeconds) {
             exchange.setStatusCode(status);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, codec.contentType());
             if (retryAfterSeconds > 0) {
--- a/src/main/java/io/quincelead/net/RateBudget.java
+++ b/src/main/java/io/quincelead/transport/RateLimiter.java
@@ -1,10 +1,10 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
-import io.quincelead.base.Loop;
+import io.quincelead.eventloop.EventLoop;
 
 /** A token bucket with a burst of one second's worth, kept a little below what the other side allows. */
-public final class RateBudget {
-    private final Loop loop;
+public final class RateLimiter {
+    private final EventLoop loop;
     private double ratePerSecond;
     private final double capacity;
     private double minRatePerSecond;
@@ -12,7 +12,7 @@
     private double tokens;
     private long refilledAtMillis;
 
-    public RateBudget(Loop loop, double ratePerSecond, double burstSeconds) {
+    public RateLimiter(EventLoop loop, double ratePerSecond, double burstSeconds) {
         this.loop = loop;
         this.ratePerSecond = ratePerSecond;
         this.capacity = Math.max(1, ratePerSecond * burstSeconds);
@@ -23,7 +23,7 @@
     }
 
     /** Lets the rate move between these. */
-    public RateBudget withRateBounds(double minPerSecond, double maxPerSecond) {
+    public RateLimiter withRateBounds(double minPerSecond, double maxPerSecond) {
         minRatePerSecond = minPerSecond;
         maxRatePerSecond = Math.max(minPerSecond, maxPerSecond);
         return this;
--- a/src/main/java/io/quincelead/net/Transport.java
+++ b/src/main/java/io/quincelead/transport/Transport.java
@@ -1,4 +1,4 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
 /** Calls to other hosts. The answer arrives on the loop. */
 public interface Transport {
@@ -7,9 +7,9 @@
 
     /** One call's answer. */
     @FunctionalInterface
-    interface Reply {
+    interface ResponseHandler {
         void onResponse(int status, byte[] body);
     }
 
-    void call(String address, String method, String path, Codec codec, byte[] body, long timeoutMillis, Reply responseHandler);
+    void call(String address, String method, String path, WireFormat codec, byte[] body, long timeoutMillis, ResponseHandler responseHandler);
 }
--- a/src/main/java/io/quincelead/net/Codec.java
+++ b/src/main/java/io/quincelead/transport/WireFormat.java
@@ -1,4 +1,4 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -11,7 +11,7 @@
 import java.io.UncheckedIOException;
 
 /** CBOR for users, workers, cloud and state; JSON between controllers. */
-public enum Codec {
+public enum WireFormat {
     CBOR(new CBORMapper(), "application/cbor"),
     JSON(new ObjectMapper(), "application/json");
 
@@ -19,7 +19,7 @@
     private final ObjectMapper mapper;
     private final String contentType;
 
-    Codec(ObjectMapper mapper, String contentType) {
+    WireFormat(ObjectMapper mapper, String contentType) {
         this.mapper = mapper;
         this.contentType = contentType;
     }
--- a/src/main/java/io/quincelead/app/XnioLoop.java
+++ b/src/main/java/io/quincelead/transport/XnioEventLoop.java
@@ -1,17 +1,17 @@
-package io.quincelead.app;
+package io.quincelead.transport;
 
-import io.quincelead.base.Loop;
+import io.quincelead.eventloop.EventLoop;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
 /** The loop of a real process: the single I/O thread of XNIO, so no message changes threads. */
-public final class XnioLoop implements Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private final XnioIoThread thread;
 
-    public XnioLoop(XnioIoThread thread) {
+    public XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/io/quincelead/workers/Report.java
+++ b/src/main/java/io/quincelead/worker/Heartbeat.java
@@ -1,8 +1,8 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * A worker's report (protocol, "Workers"). Read from the stream: reports are most of what a controller receives, each lists
  * every task of its machine, and a tree of it would be thrown away at once.
  */
-final class Report {
+final class Heartbeat {
     String host;
     String address;
     String machineType = "";
@@ -24,17 +24,17 @@
     /** Seconds until the cloud takes the machine away; -1: no notice. */
     double reclaimNoticeSeconds = -1;
     /** What is on the machine, by task. */
-    Map<String, Shown> tasks = Map.of();
+    Map<String, ReportedAttempt> tasks = Map.of();
 
     /** An attempt as a worker's list shows it, and the next one of the same task; those that are not over come first. */
-    static final class Shown {
+    static final class ReportedAttempt {
         String taskId = "";
         long attempt;
         String status = "";
         String exitReason = "";
-        private Shown next;
+        private ReportedAttempt next;
 
-        Shown next() {
+        ReportedAttempt next() {
             return next;
         }
 
@@ -43,8 +43,8 @@
         }
 
         /** The entry of this attempt among those of the task; null: not shown. */
-        static Shown find(Shown first, long attempt) {
-            Shown reported = first;
+        static ReportedAttempt find(ReportedAttempt first, long attempt) {
+            ReportedAttempt reported = first;
             while (reported != null && reported.attempt != attempt) {
                 reported = reported.next;
             }
@@ -52,7 +52,7 @@
         }
 
         /** Puts another entry of the task among them and returns the first. */
-        private Shown insert(Shown other) {
+        private ReportedAttempt insert(ReportedAttempt other) {
             if (!isTerminated() && other.isTerminated()) {
                 other.next = next;
                 next = other;
@@ -63,7 +63,7 @@
         }
     }
 
-    private Report() { }
+    private Heartbeat() { }
 
     /** Whether a message of a worker is newer than another one, by tenure and serial (protocol, "Workers"). */
     static boolean isNewer(long agentEpoch, long serial, long otherAgentEpoch, long otherSerial) {
@@ -71,12 +71,12 @@
     }
 
     /** The report in a body; null if it is none: malformed input is never an exception. */
-    static Report parse(byte[] body) {
+    static Heartbeat parse(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
         }
-        try (JsonParser parser = Codec.CBOR.createParser(body)) {
-            Report heartbeat = new Report();
+        try (JsonParser parser = WireFormat.CBOR.createParser(body)) {
+            Heartbeat heartbeat = new Heartbeat();
             boolean complete = parser.nextToken() == JsonToken.START_OBJECT && heartbeat.readFields(parser) && parser.nextToken() == null;
             return complete && heartbeat.host != null && heartbeat.agentEpoch >= 0 && heartbeat.serial >= 0 && heartbeat.fencingToken >= 0 ? heartbeat : null;
         } catch (IOException | RuntimeException e) {
@@ -118,7 +118,7 @@
                 parser.skipChildren();
                 continue;
             }
-            Shown reported = new Shown();
+            ReportedAttempt reported = new ReportedAttempt();
             for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
                 JsonToken value = parser.nextToken();
                 switch (name) {
@@ -129,7 +129,7 @@
                     default -> parser.skipChildren();
                 }
             }
-            Shown first = tasks.putIfAbsent(reported.taskId, reported);
+            ReportedAttempt first = tasks.putIfAbsent(reported.taskId, reported);
             if (first != null) {
                 tasks.put(reported.taskId, first.insert(reported));
             }
--- a/src/main/java/io/quincelead/workers/Strays.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -1,16 +1,16 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.net.Transport;
-import io.quincelead.records.Blocks;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -18,22 +18,22 @@
 import java.util.function.Consumer;
 
 /** Workers that report here and belong to another controller, or to none: sent on, told of, or kept alive behind a cut. */
-final class Strays {
+final class MisroutedWorkers {
     /** Since when a machine has been reporting here though it is granted elsewhere under this term. */
-    private record Astray(long fencingToken, long sinceMillis) { }
+    private record Sighting(long fencingToken, long sinceMillis) { }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Session membershipLease;
-    private final Mirror watchCache;
-    private final Blocks shards;
+    private final MembershipLease membershipLease;
+    private final WatchCache watchCache;
+    private final ClusterMembership shards;
     private final Transport transport;
-    private final Consumer<Stray> leaderNotifier;
-    private final Map<String, Astray> misrouted = new HashMap<>();
+    private final Consumer<MisroutedWorker> leaderNotifier;
+    private final Map<String, Sighting> misrouted = new HashMap<>();
     /** Workers of others that are answered here while the store can't be reached. */
-    private final Map<String, Astray> keptAlive = new HashMap<>();
+    private final Map<String, Sighting> keptAlive = new HashMap<>();
 
-    Strays(Loop loop, Settings settings, Session membershipLease, Mirror watchCache, Blocks shards, Transport transport, Consumer<Stray> leaderNotifier) {
+    MisroutedWorkers(EventLoop loop, Settings settings, MembershipLease membershipLease, WatchCache watchCache, ClusterMembership shards, Transport transport, Consumer<MisroutedWorker> leaderNotifier) {
         this.loop = loop;
         this.settings = settings;
         this.membershipLease = membershipLease;
@@ -53,9 +53,9 @@
     }
 
     /** Whether a newer report has been here; else this is the newest now. */
-    private boolean isStale(Report heartbeat) {
+    private boolean isStale(Heartbeat heartbeat) {
         long[] last = newestHeartbeats.get(heartbeat.host);
-        if (last != null && !Report.isNewer(heartbeat.agentEpoch, heartbeat.serial, last[0], last[1])) {
+        if (last != null && !Heartbeat.isNewer(heartbeat.agentEpoch, heartbeat.serial, last[0], last[1])) {
             return true;
         }
         newestHeartbeats.put(heartbeat.host, new long[] {heartbeat.agentEpoch, heartbeat.serial});
@@ -76,7 +76,7 @@
     }
 
     /** Answers a worker that isn't of our block. */
-    void handleHeartbeat(Request request, Report heartbeat) {
+    void handleHeartbeat(IncomingRequest request, Heartbeat heartbeat) {
         String host = heartbeat.host;
         if (!watchCache.isSynced() || !membershipLease.isMember()) {
             request.respondRetryLater(503, "not ready");
@@ -95,8 +95,8 @@
         long fencingToken = grantedToken == null ? 0 : grantedToken;
         // Counted anew for each grant: a worker on its way to a new owner would else be moved back before it gets there, and
         // two controllers could pass a machine to each other for ever.
-        Astray sighting = misrouted.merge(host, new Astray(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
-        Stray worker = new Stray(host, heartbeat.address == null ? "" : heartbeat.address, heartbeat.machineType, heartbeat.zone, heartbeat.spot, settings.memberId(), owner != null, fencingToken);
+        Sighting sighting = misrouted.merge(host, new Sighting(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
+        MisroutedWorker worker = new MisroutedWorker(host, heartbeat.address == null ? "" : heartbeat.address, heartbeat.machineType, heartbeat.zone, heartbeat.spot, settings.memberId(), owner != null, fencingToken);
         if (owner == null) {
             leaderNotifier.accept(worker);
             if (settings.memberId().equals(shards.leaderId())) {
@@ -114,13 +114,13 @@
      * Says that the worker is stuck here if it hears us and is where that report says it is. One that hears nobody tries all
      * controllers in turn, and would be passed around for ever; a report that was held up speaks of long ago.
      */
-    private void probeWorker(Stray worker, Report heartbeat) {
+    private void probeWorker(MisroutedWorker worker, Heartbeat heartbeat) {
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
             return;
         }
-        transport.call(worker.address(), "GET", "/show", Codec.CBOR, null, TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
+        transport.call(worker.address(), "GET", "/show", WireFormat.CBOR, null, TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
             hostsBeingProbed.remove(worker.host());
-            Report current = Report.parse(bytes);
+            Heartbeat current = Heartbeat.parse(bytes);
             if (status == 200 && current != null && current.agentEpoch == heartbeat.agentEpoch && current.serial <= heartbeat.serial + WorkerConstants.MAX_MISROUTED_SERIAL_ADVANCE_HEARTBEATS) {
                 leaderNotifier.accept(worker);
             }
@@ -131,7 +131,7 @@
      * Cut off from the store, perhaps with a whole zone: a worker that can't reach its owner either is answered under the owner's
      * term, without any order, so that its tasks live on. Every now and then it is sent to look for its owner again.
      */
-    private boolean keepAliveForOwner(Request request, String host, Report heartbeat, long fencingToken) {
+    private boolean keepAliveForOwner(IncomingRequest request, String host, Heartbeat heartbeat, long fencingToken) {
         long now = loop.nowMillis();
         double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
         // Sent on, a worker may try all others in vain; its lease must outlast that.
@@ -140,7 +140,7 @@
         }
         // Not among the strays: on record again, it has its time to find its owner from then on.
         misrouted.remove(host);
-        Astray sighting = keptAlive.merge(host, new Astray(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
+        Sighting sighting = keptAlive.merge(host, new Sighting(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
         if (now - sighting.sinceMillis > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
             keptAlive.remove(host);
             return false;
@@ -148,15 +148,15 @@
         if (heartbeat.fencingToken > fencingToken) {
             return false;
         }
-        ObjectNode response = Codec.newMap().put("epoch", fencingToken);
+        ObjectNode response = WireFormat.newMap().put("epoch", fencingToken);
         response.putArray("orders");
         request.respond(200, response);
         return true;
     }
 
-    void redirectToOwner(Request request, String host) {
+    void redirectToOwner(IncomingRequest request, String host) {
         String controller = shards.ownerOf(host) != null ? shards.ownerOf(host) : shards.leaderId();
-        ObjectNode body = Codec.newMap();
+        ObjectNode body = WireFormat.newMap();
         if (controller != null && !controller.equals(settings.memberId())) {
             body.put("controller", controller);
         }
--- a/src/main/java/io/quincelead/workers/Own.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -1,9 +1,9 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
-import io.quincelead.base.Loop;
+import io.quincelead.cluster.JobTable;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.net.Request;
-import io.quincelead.records.JobTable;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.IncomingRequest;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /** A machine of our block and what we know of it under the current term. */
-public final class Own {
+public final class ShardWorker {
     /** States of a machine of our block; {@link #transitionTo} is the one function that changes them. */
     public enum Phase {
         /** Granted; no message bearing our term has come from it. Nothing may be concluded or started. */
@@ -22,8 +22,8 @@
         LEAVING
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Own.class);
-    private final Loop loop;
+    private static final Logger LOG = LoggerFactory.getLogger(ShardWorker.class);
+    private final EventLoop loop;
     private final JobTable jobs;
     private final double heartbeatIntervalSeconds;
     private final long silenceTimeoutMillis;
@@ -53,13 +53,13 @@
     int consecutiveFailures;
     final Set<String> failedJobIds = new HashSet<>();
     long fullUntilMillis;
-    Map<String, Report.Shown> reportedTasks = Map.of();
-    Request deferredRequest;
+    Map<String, Heartbeat.ReportedAttempt> reportedTasks = Map.of();
+    IncomingRequest deferredRequest;
     long deferredUntilMillis;
     boolean heldForFutureStart;
 
     /** {@code silentMs}: how long its silence is borne. */
-    Own(Loop loop, JobTable jobs, double heartbeatIntervalSeconds, long silenceTimeoutMillis, String host, long fencingToken, long grantRevision) {
+    ShardWorker(EventLoop loop, JobTable jobs, double heartbeatIntervalSeconds, long silenceTimeoutMillis, String host, long fencingToken, long grantRevision) {
         this.loop = loop;
         this.jobs = jobs;
         this.heartbeatIntervalSeconds = heartbeatIntervalSeconds;
@@ -82,8 +82,8 @@
     }
 
     /** Whether this very report, or one that the worker sent after it, came before. */
-    boolean isStale(Report heartbeat) {
-        return !Report.isNewer(heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
+    boolean isStale(Heartbeat heartbeat) {
+        return !Heartbeat.isNewer(heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
     }
 
     /**
--- a/src/main/java/io/quincelead/workers/Evidence.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -1,21 +1,21 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
-import io.quincelead.base.Loop;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Placement;
+import io.quincelead.eventloop.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What workers' lists prove: which tasks are there, which are over, and whose fault a failure is. Nothing follows from time alone. */
-final class Evidence {
-    private static final Logger LOG = LoggerFactory.getLogger(Evidence.class);
-    private final Loop loop;
+final class TaskStatusReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
+    private final EventLoop loop;
     private final JobTable jobs;
-    private final Desk.Office callbacks;
+    private final WorkerGateway.Callbacks callbacks;
 
-    Evidence(Loop loop, JobTable jobs, Desk.Office callbacks) {
+    TaskStatusReconciler(EventLoop loop, JobTable jobs, WorkerGateway.Callbacks callbacks) {
         this.loop = loop;
         this.jobs = jobs;
         this.callbacks = callbacks;
@@ -25,10 +25,10 @@
      * Takes a worker's list as evidence, if it is newer than all before and bears our term. A body of {@code /orders}
      * may overtake the answer to a report, so it never proves that a start of ours did not arrive.
      */
-    boolean reconcile(Own worker, Report heartbeat, boolean isHeartbeatRequest) {
+    boolean reconcile(ShardWorker worker, Heartbeat heartbeat, boolean isHeartbeatRequest) {
         long agentEpoch = heartbeat.agentEpoch;
         long serial = heartbeat.serial;
-        if (!Report.isNewer(agentEpoch, serial, worker.agentEpoch, worker.serial)) {
+        if (!Heartbeat.isNewer(agentEpoch, serial, worker.agentEpoch, worker.serial)) {
             return false;
         }
         worker.agentEpoch = agentEpoch;
@@ -51,8 +51,8 @@
         if (heartbeat.fencingToken != worker.fencingToken) {
             return true;
         }
-        if (worker.phase() == Own.Phase.CLAIMING) {
-            worker.transitionTo(Own.Phase.FENCED);
+        if (worker.phase() == ShardWorker.Phase.CLAIMING) {
+            worker.transitionTo(ShardWorker.Phase.FENCED);
             callbacks.requestCycle();
         }
         worker.reportedTasks = heartbeat.tasks;
@@ -60,18 +60,18 @@
             checkStartDelivery(worker);
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            reconcileTask(worker, placement, Report.Shown.find(worker.reportedTasks.get(placement.taskName()), placement.attempt));
+            reconcileTask(worker, placement, Heartbeat.ReportedAttempt.find(worker.reportedTasks.get(placement.taskName()), placement.attempt));
         }
         return true;
     }
 
     /** Looks whether the starts that were sent and not yet seen have arrived: only those, for every report passes here. */
-    private void checkStartDelivery(Own worker) {
+    private void checkStartDelivery(ShardWorker worker) {
         boolean anyArrived = false;
         boolean anyMissing = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.phase() == Placement.Phase.START_SENT) {
-                boolean arrived = Report.Shown.find(worker.reportedTasks.get(placement.taskName()), placement.attempt) != null;
+                boolean arrived = Heartbeat.ReportedAttempt.find(worker.reportedTasks.get(placement.taskName()), placement.attempt) != null;
                 anyArrived |= arrived;
                 anyMissing |= !arrived && hasReportedSinceStart(worker, placement);
             }
@@ -80,11 +80,11 @@
     }
 
     /** Whether the machine has reported again since the answer that carried the start, or has begun another session, which drops that answer. */
-    static boolean hasReportedSinceStart(Own worker, Placement placement) {
-        return placement.phase() == Placement.Phase.START_SENT && (Report.isNewer(worker.heartbeatAgentEpoch, worker.heartbeatSerial, placement.startSentAgentEpoch, placement.startSentSerial) || worker.agentEpoch > placement.startSentAgentEpoch);
+    static boolean hasReportedSinceStart(ShardWorker worker, Placement placement) {
+        return placement.phase() == Placement.Phase.START_SENT && (Heartbeat.isNewer(worker.heartbeatAgentEpoch, worker.heartbeatSerial, placement.startSentAgentEpoch, placement.startSentSerial) || worker.agentEpoch > placement.startSentAgentEpoch);
     }
 
-    private void reconcileTask(Own worker, Placement placement, Report.Shown reported) {
+    private void reconcileTask(ShardWorker worker, Placement placement, Heartbeat.ReportedAttempt reported) {
         if (placement.isTerminated()) {
             return;
         }
@@ -127,7 +127,7 @@
             }
             case "busy" -> {
                 // Another attempt of the task is there: only its end makes the task free to go elsewhere.
-                Report.Shown first = worker.reportedTasks.get(placement.taskName());
+                Heartbeat.ReportedAttempt first = worker.reportedTasks.get(placement.taskName());
                 if (first != null && first.isTerminated()) {
                     terminate(worker, placement, "refused (busy) by");
                 }
@@ -140,14 +140,14 @@
         }
     }
 
-    private void terminate(Own worker, Placement placement, String reason) {
+    private void terminate(ShardWorker worker, Placement placement, String reason) {
         LOG.debug("task {} try {} {} {}", placement.taskName(), placement.attempt, reason, worker.host);
         placement.transitionTo(Placement.Phase.GONE);
         callbacks.onTaskTerminated(placement);
     }
 
     /** Blames the machine if other jobs fail there too or the job does well elsewhere; else the job, which pauses. */
-    private void recordFailure(Own worker, Job job) {
+    private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
         job.consecutiveFailures++;
--- a/src/main/java/io/quincelead/workers/Orders.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -1,26 +1,26 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Placement;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.Map;
 
 /** What a worker is told: starts, only in answers to reports; kills, at once; clears, only of ends that are on record. */
-final class Orders {
-    private final Loop loop;
-    private final Session membershipLease;
-    private final Mirror watchCache;
-    private final Blocks shards;
+final class WorkerCommands {
+    private final EventLoop loop;
+    private final MembershipLease membershipLease;
+    private final WatchCache watchCache;
+    private final ClusterMembership shards;
     private final JobTable jobs;
 
-    Orders(Loop loop, Session membershipLease, Mirror watchCache, Blocks shards, JobTable jobs) {
+    WorkerCommands(EventLoop loop, MembershipLease membershipLease, WatchCache watchCache, ClusterMembership shards, JobTable jobs) {
         this.loop = loop;
         this.membershipLease = membershipLease;
         this.watchCache = watchCache;
@@ -29,10 +29,10 @@
     }
 
     /** The answer to the worker's last report; the starts in it count as sent. */
-    ObjectNode buildHeartbeatResponse(Own worker) {
-        ObjectNode response = Codec.newMap().put("epoch", worker.fencingToken);
+    ObjectNode buildHeartbeatResponse(ShardWorker worker) {
+        ObjectNode response = WireFormat.newMap().put("epoch", worker.fencingToken);
         ArrayNode commands = response.putArray("orders");
-        if (worker.phase() == Own.Phase.FENCED) {
+        if (worker.phase() == ShardWorker.Phase.FENCED) {
             if (membershipLease.isMember()) {
                 commands.addAll(killsAndClears(worker));
             }
@@ -54,14 +54,14 @@
      * Kills to be sent at once; null if there are none. A kill of what we have sent no start of changes nothing on the machine, but its
      * answer shows at once that the task isn't there.
      */
-    ArrayNode collectDueKills(Own worker) {
+    ArrayNode collectDueKills(ShardWorker worker) {
         long now = loop.nowMillis();
         ArrayNode kills = null;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable = placement.phase() == Placement.Phase.OBSERVED && !placement.reportedState.equals("saving");
             if (!isWanted(placement) && (stoppable || placement.phase() == Placement.Phase.RECORDED)
                     && (placement.killSentAtMillis == 0 || now - placement.killSentAtMillis > WorkerConstants.KILL_RETRY_MILLIS)) {
-                kills = kills == null ? Codec.newList() : kills;
+                kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                     addKill(kills, placement.taskName(), placement.attempt, graceSeconds(placement));
                     placement.killSentAtMillis = now;
@@ -75,18 +75,18 @@
         return !placement.stopRequested && !placement.job.isCancelled();
     }
 
-    private boolean isStartDue(Own worker, Placement placement) {
-        if (placement.isTerminated() || !isWanted(placement) || worker.phase() != Own.Phase.FENCED || watchCache.storeRevision() < worker.grantRevision) {
+    private boolean isStartDue(ShardWorker worker, Placement placement) {
+        if (placement.isTerminated() || !isWanted(placement) || worker.phase() != ShardWorker.Phase.FENCED || watchCache.storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what its predecessors on that machine recorded:
             // a start by such a record could be of a task that has been placed elsewhere since.
             return false;
         }
-        return placement.phase() == Placement.Phase.RECORDED || Evidence.hasReportedSinceStart(worker, placement);
+        return placement.phase() == Placement.Phase.RECORDED || TaskStatusReconciler.hasReportedSinceStart(worker, placement);
     }
 
     /** Whether there is something to tell the worker. */
-    boolean hasCommands(Own worker) {
-        if (worker.phase() != Own.Phase.FENCED || !membershipLease.isValid()) {
+    boolean hasCommands(ShardWorker worker) {
+        if (worker.phase() != ShardWorker.Phase.FENCED || !membershipLease.isValid()) {
             return true;
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -98,12 +98,12 @@
     }
 
     /** Kills for what must not run and clears for ends that are on record. */
-    private ArrayNode killsAndClears(Own worker) {
-        ArrayNode commands = Codec.newList();
+    private ArrayNode killsAndClears(ShardWorker worker) {
+        ArrayNode commands = WireFormat.newList();
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
-        for (Report.Shown first : worker.reportedTasks.values()) {
+        for (Heartbeat.ReportedAttempt first : worker.reportedTasks.values()) {
             Placement placement = recorded.get(first.taskId);
-            for (Report.Shown reported = first; reported != null; reported = reported.next()) {
+            for (Heartbeat.ReportedAttempt reported = first; reported != null; reported = reported.next()) {
                 boolean isRecorded = placement != null && placement.attempt == reported.attempt;
                 if (reported.isTerminated()) {
                     if (!isRecorded) {
--- a/src/main/java/io/quincelead/workers/Health.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -1,16 +1,16 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.LeaseConstants;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.config.constants.ZoneConstants;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -19,19 +19,19 @@
 import java.util.Set;
 
 /** Which machines of our block should be given up, and which zones are only cut off from here. */
-final class Health {
-    private final Loop loop;
+final class WorkerFailureDetector {
+    private final EventLoop loop;
     private final Settings settings;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final long silenceTimeoutMillis;
     private final Policy policy;
     private final ZoneTable zones;
     /** When each zone was last cut off from here. */
     private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
-    Health(Loop loop, Settings settings, JobTable jobs, MachineTable machines, Catalog catalog, Policy policy, ZoneTable zones) {
+    WorkerFailureDetector(EventLoop loop, Settings settings, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, Policy policy, ZoneTable zones) {
         this.policy = policy;
         this.zones = zones;
         this.loop = loop;
@@ -48,13 +48,13 @@
     }
 
     /** The machines to be given up, each with the reason. */
-    Map<Own, String> findLost(Collection<Own> workers) {
+    Map<ShardWorker, String> findLost(Collection<ShardWorker> workers) {
         long now = loop.nowMillis();
-        Map<Own, String> lost = new LinkedHashMap<>();
+        Map<ShardWorker, String> lost = new LinkedHashMap<>();
         Set<String> unreachableZones = unreachableZones(workers);
         unreachableZones.forEach(zone -> zoneUnreachableAtMillis.put(zone, now));
-        for (Own worker : workers) {
-            if (worker.phase() == Own.Phase.LEAVING) {
+        for (ShardWorker worker : workers) {
+            if (worker.phase() == ShardWorker.Phase.LEAVING) {
                 continue;
             }
             boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
@@ -80,16 +80,16 @@
         return lost;
     }
 
-    private String zoneOf(Own worker) {
+    private String zoneOf(ShardWorker worker) {
         MachineTable.Machine machine = machines.get(worker.host);
         return machine == null ? "" : machine.zone();
     }
 
     /** Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault but the way to them. */
-    private Set<String> unreachableZones(Collection<Own> workers) {
+    private Set<String> unreachableZones(Collection<ShardWorker> workers) {
         long heardSinceMillis = loop.nowMillis() - (long) (settings.workerTimings().heartbeatSeconds() * 1000 * WorkerConstants.HEARD_WITHIN_HEARTBEATS);
         Map<String, int[]> countsByZone = new HashMap<>();
-        for (Own worker : workers) {
+        for (ShardWorker worker : workers) {
             if (!worker.isBooting() || worker.address != null) {
                 int[] counts = countsByZone.computeIfAbsent(zoneOf(worker), zone -> new int[2]);
                 counts[0]++;
@@ -109,13 +109,13 @@
      * How long a machine's silence is borne. In a zone that is cut off, its tasks go on, kept by a controller inside; giving them up
      * would only lose them. Elsewhere a silent machine hangs or is dead; what should run all the time is not left there for long.
      */
-    private long silencePatienceMillis(Own worker, boolean zoneUnreachable) {
-        ZoneTable.Order order = zones.get(zoneOf(worker)).operatorOrder();
-        if (order == ZoneTable.Order.HOLD && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
+    private long silencePatienceMillis(ShardWorker worker, boolean zoneUnreachable) {
+        ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
+        if (order == ZoneTable.OperatorOrder.HOLD && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
             return Long.MAX_VALUE;
         }
         if (zoneUnreachable) {
-            return order == ZoneTable.Order.RELEASE ? 0 : unreachableZonePatienceMillis(worker);
+            return order == ZoneTable.OperatorOrder.RELEASE ? 0 : unreachableZonePatienceMillis(worker);
         }
         boolean hasService = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -125,7 +125,7 @@
     }
 
     /** The shortest that the classes of its services state, but no shorter than silence means anything; else some leases. */
-    private long unreachableZonePatienceMillis(Own worker) {
+    private long unreachableZonePatienceMillis(ShardWorker worker) {
         double leastMillis = Double.MAX_VALUE;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             double patienceMillis = placement.isTerminated() ? -1 : policy.unreachableZonePatienceMillis(placement.job);
@@ -136,11 +136,11 @@
 
     private boolean isBootOverdue(String host) {
         MachineTable.Machine machine = machines.get(host);
-        Catalog.Shape machineType = machine == null ? null : catalog.get(machine.machineType());
+        MachineTypeCatalog.MachineType machineType = machine == null ? null : catalog.get(machine.machineType());
         return machineType != null && loop.wallClockMillis() - machine.rentedAtEpochMillis() > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR + WorkerConstants.BOOT_TIMEOUT_SLACK_MILLIS;
     }
 
-    private boolean hasOverdueCancellation(Own worker) {
+    private boolean hasOverdueCancellation(ShardWorker worker) {
         double limitMillis = settings.workerTimings().cancelSeconds() * 1000 * WorkerConstants.CANCEL_RELEASE_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.job.isCancelled() && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis && !placement.isTerminated()) {
--- a/src/main/java/io/quincelead/workers/Desk.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -1,25 +1,25 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.Settings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.Settings;
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.config.constants.WorkerConstants;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.net.Transport;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Session;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -35,13 +35,13 @@
  * Speaks with the workers of this controller's block: takes their reports as evidence, answers with what the records
  * say, and sends kills at once. It never decides where a task runs, and it never concludes anything from time alone.
  */
-public final class Desk {
-    private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
+public final class WorkerGateway {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerGateway.class);
 
     /** What the rest of the controller does for the desk. */
-    public interface Office {
+    public interface Callbacks {
         /** A worker reports to this controller though it isn't of its block, or of any. */
-        void onMisroutedWorker(Stray worker);
+        void onMisroutedWorker(MisroutedWorker worker);
 
         /** Something changed that the next round should see. */
         void requestCycle();
@@ -53,30 +53,30 @@
         boolean isCyclePending();
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Session membershipLease;
-    private final Blocks shards;
+    private final MembershipLease membershipLease;
+    private final ClusterMembership shards;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final StoreClient store;
     private final Transport transport;
-    private final Office callbacks;
-    private final Strays misroutedWorkers;
-    private final Evidence statusReconciler;
-    private final Orders workerCommands;
-    private final Health failureDetector;
-    private final Map<String, Own> workers = new LinkedHashMap<>();
+    private final Callbacks callbacks;
+    private final MisroutedWorkers misroutedWorkers;
+    private final TaskStatusReconciler statusReconciler;
+    private final WorkerCommands workerCommands;
+    private final WorkerFailureDetector failureDetector;
+    private final Map<String, ShardWorker> workers = new LinkedHashMap<>();
     /** Machines whose records changed since the last look. */
     private final Set<String> changedHosts = new HashSet<>();
     /** Machines whose report's answer waits for the round that is due. */
-    private final Set<Own> awaitingCycle = new LinkedHashSet<>();
+    private final Set<ShardWorker> awaitingCycle = new LinkedHashSet<>();
     /** Reports whose answers wait, by the loop time in ms at which that is over. */
-    private final Map<Long, List<Parked>> deferredResponses = new HashMap<>();
+    private final Map<Long, List<DeferredResponse>> deferredResponses = new HashMap<>();
 
-    public Desk(Loop loop, Settings settings, Session membershipLease, Blocks shards, JobTable jobs, MachineTable machines,
-            Catalog catalog, Mirror watchCache, StoreClient store, Transport transport, Policy policy, ZoneTable zones, Office callbacks) {
+    public WorkerGateway(EventLoop loop, Settings settings, MembershipLease membershipLease, ClusterMembership shards, JobTable jobs, MachineTable machines,
+            MachineTypeCatalog catalog, WatchCache watchCache, StoreClient store, Transport transport, Policy policy, ZoneTable zones, Callbacks callbacks) {
         this.loop = loop;
         this.settings = settings;
         this.membershipLease = membershipLease;
@@ -87,26 +87,26 @@
         this.store = store;
         this.transport = transport;
         this.callbacks = callbacks;
-        this.misroutedWorkers = new Strays(loop, settings, membershipLease, watchCache, shards, transport, callbacks::onMisroutedWorker);
-        this.statusReconciler = new Evidence(loop, jobs, callbacks);
-        this.workerCommands = new Orders(loop, membershipLease, watchCache, shards, jobs);
-        this.failureDetector = new Health(loop, settings, jobs, machines, catalog, policy, zones);
+        this.misroutedWorkers = new MisroutedWorkers(loop, settings, membershipLease, watchCache, shards, transport, callbacks::onMisroutedWorker);
+        this.statusReconciler = new TaskStatusReconciler(loop, jobs, callbacks);
+        this.workerCommands = new WorkerCommands(loop, membershipLease, watchCache, shards, jobs);
+        this.failureDetector = new WorkerFailureDetector(loop, settings, jobs, machines, catalog, policy, zones);
         shards.onShardChange(this::onShardChanged);
         jobs.onMachineChanged(changedHosts::add);
         loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
     }
 
-    public Own worker(String host) {
+    public ShardWorker worker(String host) {
         return workers.get(host);
     }
 
-    public Iterable<Own> workers() {
+    public Iterable<ShardWorker> workers() {
         return workers.values();
     }
 
     /** Takes over the machines that our block now names, each under its term; a new term starts from nothing. */
     private void onShardChanged() {
-        Blocks.Block shard = shards.localShard();
+        ClusterMembership.Shard shard = shards.localShard();
         Map<String, Long> fencingTokens = shard == null ? Map.of() : shard.fencingTokensByHost();
         if (shard != null) {
             workers.values().removeIf(worker -> {
@@ -120,7 +120,7 @@
         // Without a block we keep answering under the old terms: until a higher one shows up, that keeps work alive.
         for (Map.Entry<String, Long> grant : fencingTokens.entrySet()) {
             if (!workers.containsKey(grant.getKey())) {
-                Own worker = new Own(loop, jobs, settings.workerTimings().heartbeatSeconds(), Health.silenceTimeoutMillis(settings), grant.getKey(), grant.getValue(), watchCache.modRevision(shard.storeKey()));
+                ShardWorker worker = new ShardWorker(loop, jobs, settings.workerTimings().heartbeatSeconds(), WorkerFailureDetector.silenceTimeoutMillis(settings), grant.getKey(), grant.getValue(), watchCache.modRevision(shard.storeKey()));
                 MachineTable.Machine machine = machines.get(worker.host);
                 // A worker may be held by a controller that is cut off from the store alone: only a claim calls it away.
                 worker.address = machine == null ? null : machine.address();
@@ -131,7 +131,7 @@
         }
     }
 
-    private void releaseWorker(Own worker) {
+    private void releaseWorker(ShardWorker worker) {
         jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
         misroutedWorkers.onWorkerReleased(worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
         if (worker.deferredRequest != null) {
@@ -141,23 +141,23 @@
     }
 
     /** Shows the worker our term at once, or whether it hears us, so that nothing from before can run there, and learns what it holds. */
-    private void sendClaim(Own worker) {
-        if (workers.get(worker.host) == worker && worker.phase() != Own.Phase.LEAVING && worker.address != null && membershipLease.isValid()) {
+    private void sendClaim(ShardWorker worker) {
+        if (workers.get(worker.host) == worker && worker.phase() != ShardWorker.Phase.LEAVING && worker.address != null && membershipLease.isValid()) {
             worker.lastClaimAtMillis = loop.nowMillis();
-            sendCommands(worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, Codec.newList());
+            sendCommands(worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, WireFormat.newList());
         }
     }
 
     // ---- reports
 
-    public void handleHeartbeat(Request request) {
-        Report heartbeat = Report.parse(request.body);
+    public void handleHeartbeat(IncomingRequest request) {
+        Heartbeat heartbeat = Heartbeat.parse(request.body);
         if (heartbeat == null) {
             request.respondError(400, "not a report");
             return;
         }
         String host = heartbeat.host;
-        Own worker = workers.get(host);
+        ShardWorker worker = workers.get(host);
         if (worker == null || shards.localShard() == null && shards.ownerOf(host) != null) {
             misroutedWorkers.handleHeartbeat(request, heartbeat);
             return;
@@ -170,7 +170,7 @@
         misroutedWorkers.onWorkerAtOwner(host);
         if (worker.isStale(heartbeat)) {
             // A copy, or what a cut held back: nobody waits for the answer, and the starts in it would count as sent.
-            ObjectNode response = Codec.newMap().put("epoch", worker.fencingToken);
+            ObjectNode response = WireFormat.newMap().put("epoch", worker.fencingToken);
             response.putArray("orders");
             request.respond(200, response);
             return;
@@ -202,28 +202,28 @@
         }
     }
 
-    private record Parked(Own worker, Request request) { }
+    private record DeferredResponse(ShardWorker worker, IncomingRequest request) { }
 
     /** Answers the report when its time is up, unless that has happened; hundreds of reports share few turns of the loop. */
-    private void scheduleDeferredResponse(Own worker, Request request) {
+    private void scheduleDeferredResponse(ShardWorker worker, IncomingRequest request) {
         long respondAtMillis = (worker.deferredUntilMillis + WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS - 1) / WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS * WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
-        List<Parked> batch = deferredResponses.get(respondAtMillis);
+        List<DeferredResponse> batch = deferredResponses.get(respondAtMillis);
         if (batch == null) {
             batch = new ArrayList<>();
             deferredResponses.put(respondAtMillis, batch);
             loop.runAfter(respondAtMillis - loop.nowMillis(), () -> {
-                for (Parked deferred : deferredResponses.remove(respondAtMillis)) {
+                for (DeferredResponse deferred : deferredResponses.remove(respondAtMillis)) {
                     if (deferred.worker.deferredRequest == deferred.request) {
                         sendDeferredResponse(deferred.worker);
                     }
                 }
             });
         }
-        batch.add(new Parked(worker, request));
+        batch.add(new DeferredResponse(worker, request));
     }
 
     /** How long an answer may wait for a start: starts travel only in answers, so a parked one makes them instant. */
-    private long maxDeferralMillis(Own worker) {
+    private long maxDeferralMillis(ShardWorker worker) {
         boolean hasFiniteTasks = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             hasFiniteTasks |= !placement.job.spec.isService();
@@ -232,8 +232,8 @@
         return (long) Math.min(settings.workerTimings().heartbeatSeconds() * 1000 * share, WorkerConstants.MAX_DEFERRED_RESPONSE_MILLIS);
     }
 
-    private void sendDeferredResponse(Own worker) {
-        Request request = worker.deferredRequest;
+    private void sendDeferredResponse(ShardWorker worker) {
+        IncomingRequest request = worker.deferredRequest;
         worker.deferredRequest = null;
         if (request != null) {
             request.respond(200, workerCommands.buildHeartbeatResponse(worker));
@@ -243,7 +243,7 @@
     /** Called when records changed or a round ended: answers what need not wait longer and sends kills at once. */
     public void dispatchPendingCommands() {
         for (String host : changedHosts) {
-            Own worker = workers.get(host);
+            ShardWorker worker = workers.get(host);
             if (worker != null) {
                 if (worker.deferredRequest != null && workerCommands.hasCommands(worker)) {
                     sendDeferredResponse(worker);
@@ -258,8 +258,8 @@
         }
     }
 
-    private void sendDueKills(Own worker) {
-        if (worker.phase() == Own.Phase.CLAIMING || worker.address == null || !membershipLease.isMember()) {
+    private void sendDueKills(ShardWorker worker) {
+        if (worker.phase() == ShardWorker.Phase.CLAIMING || worker.address == null || !membershipLease.isMember()) {
             return;
         }
         ArrayNode kills = workerCommands.collectDueKills(worker);
@@ -268,11 +268,11 @@
         }
     }
 
-    private void sendCommands(Own worker, long agentEpoch, ArrayNode commands) {
-        ObjectNode message = Codec.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
+    private void sendCommands(ShardWorker worker, long agentEpoch, ArrayNode commands) {
+        ObjectNode message = WireFormat.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
         message.set("orders", commands);
-        transport.call(worker.address, "POST", "/orders", Codec.CBOR, Codec.CBOR.encode(message), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
-            Report response = Report.parse(bytes);
+        transport.call(worker.address, "POST", "/orders", WireFormat.CBOR, WireFormat.CBOR.encode(message), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
+            Heartbeat response = Heartbeat.parse(bytes);
             if (workers.get(worker.host) != worker || response == null || status != 200 && status != 409) {
                 return;
             }
@@ -280,7 +280,7 @@
             statusReconciler.reconcile(worker, response, false);
             if (status == 200) {
                 worker.recordCommandAccepted();
-            } else if (response.agentEpoch > agentEpoch && worker.phase() == Own.Phase.CLAIMING) {
+            } else if (response.agentEpoch > agentEpoch && worker.phase() == ShardWorker.Phase.CLAIMING) {
                 // Nothing was executed; a newer session of the worker is claimed under its number.
                 sendClaim(worker);
             }
@@ -296,8 +296,8 @@
         if (!membershipLease.isValid() || shards.localShard() == null) {
             return;
         }
-        for (Own worker : workers.values()) {
-            boolean mustAnswer = worker.phase() == Own.Phase.CLAIMING || worker.isUnreachableInbound();
+        for (ShardWorker worker : workers.values()) {
+            boolean mustAnswer = worker.phase() == ShardWorker.Phase.CLAIMING || worker.isUnreachableInbound();
             if (loop.nowMillis() - worker.lastClaimAtMillis > (mustAnswer ? TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS : worker.isHeartbeatOverdue() ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS : Long.MAX_VALUE)) {
                 sendClaim(worker);
             }
@@ -308,19 +308,19 @@
     }
 
     /** Records that machines are to be returned and drops them from our block, in one change; the leader returns them. */
-    private void declareLost(Map<Own, String> lost) {
-        Blocks.Block shard = shards.localShard().copy();
-        Txn transaction = new Txn().requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
-        MachineTable.Edits edits = machines.beginEdits(transaction);
-        List<Own> leaving = new ArrayList<>();
-        for (Map.Entry<Own, String> candidate : lost.entrySet()) {
-            Own worker = candidate.getKey();
+    private void declareLost(Map<ShardWorker, String> lost) {
+        ClusterMembership.Shard shard = shards.localShard().copy();
+        Transaction transaction = new Transaction().requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
+        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        List<ShardWorker> leaving = new ArrayList<>();
+        for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
+            ShardWorker worker = candidate.getKey();
             MachineTable.Machine machine = machines.get(worker.host);
             if (machine == null || machine.releasing() || !transaction.fits(2, 2, store.maxTransactionOperations())) {
                 continue;
             }
             LOG.info("machine {} is given up: {}", worker.host, candidate.getValue());
-            worker.transitionTo(Own.Phase.LEAVING);
+            worker.transitionTo(ShardWorker.Phase.LEAVING);
             leaving.add(worker);
             shard.fencingTokensByHost().remove(worker.host);
             edits.put(machine.asReleasing());
@@ -330,11 +330,11 @@
         }
         transaction.put(shard.storeKey(), shard.encode(), membershipLease.leaseId());
         store.commit(transaction, outcome -> {
-            if (outcome.result() == Txn.Result.COMMITTED) {
+            if (outcome.result() == Transaction.Result.COMMITTED) {
                 watchCache.applyCommitted(transaction, outcome.storeRevision());
                 return;
             }
-            leaving.stream().filter(worker -> workers.get(worker.host) == worker).forEach(worker -> worker.transitionTo(Own.Phase.CLAIMING));
+            leaving.stream().filter(worker -> workers.get(worker.host) == worker).forEach(worker -> worker.transitionTo(ShardWorker.Phase.CLAIMING));
         });
     }
 }
--- a/src/main/java/io/quincelead/zones/ZoneDesk.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorApi.java
@@ -1,23 +1,23 @@
-package io.quincelead.zones;
+package io.quincelead.zone;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.policy.Office;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.policy.EffectivePriority;
+import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
-import io.quincelead.policy.Standing;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.Txn;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -27,20 +27,20 @@
 import java.util.TreeSet;
 
 /** What operators ask and order about zones. */
-public final class ZoneDesk {
+public final class ZoneOperatorApi {
     private final boolean isWatched;
-    private final Mirror watchCache;
+    private final WatchCache watchCache;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final ImageCaches imageCaches;
     private final ZoneTable zoneTable;
     private final Policy policy;
-    private final Office operatorApi;
-    private final ZoneWatch.Eyes machineVisibility;
+    private final OperatorApi operatorApi;
+    private final ZoneRecoveryController.MachineVisibility machineVisibility;
 
-    public ZoneDesk(boolean isWatched, Mirror watchCache, JobTable jobs, MachineTable machines, Catalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, Office operatorApi,
-            ZoneWatch.Eyes machineVisibility) {
+    public ZoneOperatorApi(boolean isWatched, WatchCache watchCache, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, OperatorApi operatorApi,
+            ZoneRecoveryController.MachineVisibility machineVisibility) {
         this.isWatched = isWatched;
         this.watchCache = watchCache;
         this.jobs = jobs;
@@ -53,8 +53,8 @@
         this.machineVisibility = machineVisibility;
         operatorApi.register("/ops/zones/list", this::listZones);
         operatorApi.register("/ops/zones/plan", this::planRecovery);
-        operatorApi.register("/ops/zones/hold", (body, reply) -> applyOrder(body, reply, ZoneTable.Order.HOLD));
-        operatorApi.register("/ops/zones/release", (body, reply) -> applyOrder(body, reply, ZoneTable.Order.RELEASE));
+        operatorApi.register("/ops/zones/hold", (body, reply) -> applyOrder(body, reply, ZoneTable.OperatorOrder.HOLD));
+        operatorApi.register("/ops/zones/release", (body, reply) -> applyOrder(body, reply, ZoneTable.OperatorOrder.RELEASE));
     }
 
     private Set<String> zoneNames() {
@@ -65,8 +65,8 @@
         return names;
     }
 
-    private void listZones(ObjectNode request, Office.Reply reply) {
-        ObjectNode response = Codec.newMap().put("watched", isWatched);
+    private void listZones(ObjectNode request, OperatorApi.Responder reply) {
+        ObjectNode response = WireFormat.newMap().put("watched", isWatched);
         ArrayNode zoneList = response.putArray("list");
         for (String name : zoneNames()) {
             ZoneTable.Zone zone = zoneTable.get(name);
@@ -79,7 +79,7 @@
     }
 
     /** An order stands on record; whoever holds machines there follows it, and it ends with the zone's doubt. */
-    private void applyOrder(ObjectNode request, Office.Reply reply, ZoneTable.Order order) {
+    private void applyOrder(ObjectNode request, OperatorApi.Responder reply, ZoneTable.OperatorOrder order) {
         String name = request.path("zone").asText();
         if (!isWatched) {
             reply.respondError(409, "zones aren't watched here: the operators' settings turn it on (zones.on)");
@@ -91,7 +91,7 @@
         }
         ZoneTable.Zone zone = zoneTable.get(name);
         boolean isUnreachable = zone.state() == ZoneTable.State.DOUBTFUL || zone.state() == ZoneTable.State.CUT;
-        if (order == ZoneTable.Order.RELEASE && !isUnreachable) {
+        if (order == ZoneTable.OperatorOrder.RELEASE && !isUnreachable) {
             reply.respondError(409, "zone: " + name + " is " + zone.state().name().toLowerCase(java.util.Locale.ROOT) + "; only what can't be reached (doubtful or cut) is released");
             return;
         }
@@ -99,19 +99,19 @@
         for (MachineTable.Machine machine : machines.all()) {
             replicaCount += machine.zone().equals(name) ? (int) jobs.placementsOn(machine.host()).values().stream().filter(p -> p.job.spec.isService() && !p.isTerminated()).count() : 0;
         }
-        ObjectNode response = Codec.newMap().put("replicasInside", replicaCount).put("order", order.name().toLowerCase(java.util.Locale.ROOT));
+        ObjectNode response = WireFormat.newMap().put("replicasInside", replicaCount).put("order", order.name().toLowerCase(java.util.Locale.ROOT));
         if (request.path("dryRun").asBoolean()) {
             reply.respondOk(response.put("state", "dry run"));
         } else if (zone.operatorOrder() == order) {
             reply.respondOk(response.put("state", "done before"));
         } else {
             String recordKey = ZoneTable.storeKey(name);
-            operatorApi.commit(new Txn().requireRevision(recordKey, watchCache.modRevision(recordKey)).put(recordKey, zone.withOperatorOrder(order).encode()), reply, response.put("state", "done"));
+            operatorApi.commit(new Transaction().requireRevision(recordKey, watchCache.modRevision(recordKey)).put(recordKey, zone.withOperatorOrder(order).encode()), reply, response.put("state", "done"));
         }
     }
 
     /** As things are, or as if the named zones were gone now. */
-    private void planRecovery(ObjectNode request, Office.Reply reply) {
+    private void planRecovery(ObjectNode request, OperatorApi.Responder reply) {
         Set<String> lostZones = new HashSet<>();
         for (JsonNode z : request.path("lost")) {
             if (!zoneNames().contains(z.asText())) {
@@ -122,11 +122,11 @@
         }
         boolean isCurrentState = lostZones.isEmpty();
         zoneTable.all().stream().filter(z -> zoneTable.isUnavailable(z.name())).forEach(z -> lostZones.add(z.name()));
-        ObjectNode response = Codec.newMap().put("lost", String.join(", ", new TreeSet<>(lostZones))).put("what", isCurrentState ? "as things are" : "as if they were gone now");
+        ObjectNode response = WireFormat.newMap().put("lost", String.join(", ", new TreeSet<>(lostZones))).put("what", isCurrentState ? "as things are" : "as if they were gone now");
         ArrayNode stepList = response.putArray("list");
         double totalFetchGb = 0;
         int unavailableCount = 0;
-        for (ReturnPlan.Step step : ReturnPlan.compute(lostServices(lostZones), candidateMachines(lostZones), rentableTypes(lostZones))) {
+        for (ZoneRecoveryPlan.RecoveryStep step : ZoneRecoveryPlan.compute(lostServices(lostZones), candidateMachines(lostZones), rentableTypes(lostZones))) {
             stepList.addObject().put("order", step.position()).put("model", step.jobId()).put("class", step.jobClass()).put("replica", step.replicaNumber()).put("how", step.method()).put("where", step.location())
                     .put("fetchGb", step.fetchGb()).put("etaS", Math.round(step.etaSeconds())).put("why", step.reason());
             totalFetchGb += step.fetchGb();
@@ -135,15 +135,15 @@
         reply.respondOk(response.put("fetchGb", totalFetchGb).put("cantBeHad", unavailableCount));
     }
 
-    private List<ReturnPlan.Model> lostServices(Set<String> lostZones) {
-        List<ReturnPlan.Model> services = new ArrayList<>();
+    private List<ZoneRecoveryPlan.LostService> lostServices(Set<String> lostZones) {
+        List<ZoneRecoveryPlan.LostService> services = new ArrayList<>();
         for (Job job : jobs.all()) {
             JobSpec spec = job.spec;
             if (!spec.isService() || job.isCancelled()) {
                 continue;
             }
             Map<String, Integer> survivorsByZone = new TreeMap<>();
-            for (Chunk page : job.pages) {
+            for (TaskStatePage page : job.pages) {
                 for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                     MachineTable.Machine machine = machines.get(placement.host);
                     if (machine != null && !placement.isTerminated() && !lostZones.contains(machine.zone())) {
@@ -151,23 +151,23 @@
                     }
                 }
             }
-            Standing effectivePriority = policy.priorityOf(job);
-            services.add(new ReturnPlan.Model(spec.jobId(), effectivePriority.jobClass() == null ? "" : effectivePriority.jobClass().name(), effectivePriority.rank(), spec.priority().ordinal(), spec.taskCount(), survivorsByZone, effectivePriority.isCovered(),
+            EffectivePriority effectivePriority = policy.priorityOf(job);
+            services.add(new ZoneRecoveryPlan.LostService(spec.jobId(), effectivePriority.jobClass() == null ? "" : effectivePriority.jobClass().name(), effectivePriority.rank(), spec.priority().ordinal(), spec.taskCount(), survivorsByZone, effectivePriority.isCovered(),
                     spec.cpus(), spec.memoryGb(), spec.gpus(), spec.image(), spec.imageSizeGb(), spec.machineTypes(), spec.zone(), spec.preemptible(), policy.maxTasksPerZone(job)));
         }
         return services;
     }
 
-    private List<ReturnPlan.Place> candidateMachines(Set<String> lostZones) {
-        List<ReturnPlan.Place> candidates = new ArrayList<>();
+    private List<ZoneRecoveryPlan.CandidateMachine> candidateMachines(Set<String> lostZones) {
+        List<ZoneRecoveryPlan.CandidateMachine> candidates = new ArrayList<>();
         for (MachineTable.Machine machine : machines.all()) {
-            Catalog.Shape machineType = catalog.get(machine.machineType());
+            MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
             if (machine.releasing() || machine.cordoned() || machineType == null || lostZones.contains(machine.zone()) || Boolean.TRUE.equals(machineVisibility.isBooting(machine.host())) || !machineVisibility.isReachable(machine.host())) {
                 continue;
             }
             double[] freeResources = {machineType.cpus(), machineType.memoryGb(), machineType.gpus()};
             List<double[]> displaceableByPriority = new ArrayList<>();
-            for (int priority = 0; priority < JobSpec.Urgency.values().length; priority++) {
+            for (int priority = 0; priority < JobSpec.Priority.values().length; priority++) {
                 displaceableByPriority.add(new double[3]);
             }
             for (Placement placement : jobs.placementsOn(machine.host()).values()) {
@@ -179,17 +179,17 @@
                     }
                 }
             }
-            candidates.add(new ReturnPlan.Place(machine.host(), machine.machineType(), machine.zone(), machine.spot(), freeResources[0], freeResources[1], freeResources[2], machineType.imagePullGbPerSecond(), imageCaches.images(machine.host()), displaceableByPriority));
+            candidates.add(new ZoneRecoveryPlan.CandidateMachine(machine.host(), machine.machineType(), machine.zone(), machine.spot(), freeResources[0], freeResources[1], freeResources[2], machineType.imagePullGbPerSecond(), imageCaches.images(machine.host()), displaceableByPriority));
         }
         return candidates;
     }
 
-    private List<ReturnPlan.Rentable> rentableTypes(Set<String> lostZones) {
-        List<ReturnPlan.Rentable> types = new ArrayList<>();
-        for (Catalog.Shape machineType : catalog.all()) {
+    private List<ZoneRecoveryPlan.RentableType> rentableTypes(Set<String> lostZones) {
+        List<ZoneRecoveryPlan.RentableType> types = new ArrayList<>();
+        for (MachineTypeCatalog.MachineType machineType : catalog.all()) {
             for (String zone : machineType.zones()) {
                 for (boolean spot : lostZones.contains(zone) ? new boolean[0] : new boolean[] {true, false}) {
-                    types.add(new ReturnPlan.Rentable(machineType.name(), zone, spot, machineType.cpus(), machineType.memoryGb(), machineType.gpus(), machineType.imagePullGbPerSecond(), machineType.bootSeconds(), machineType.pricePerHour(spot)));
+                    types.add(new ZoneRecoveryPlan.RentableType(machineType.name(), zone, spot, machineType.cpus(), machineType.memoryGb(), machineType.gpus(), machineType.imagePullGbPerSecond(), machineType.bootSeconds(), machineType.pricePerHour(spot)));
                 }
             }
         }
--- a/src/main/java/io/quincelead/zones/ZoneWatch.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -1,25 +1,25 @@
-package io.quincelead.zones;
+package io.quincelead.zone;
 
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineLoad;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.ZoneConstants;
-import io.quincelead.leader.Leader;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.leadership.Leader;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.HostLoad;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.MachineTable;
-import io.quincelead.records.Placement;
-import io.quincelead.records.ZoneTable;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -37,11 +37,11 @@
  * The leader's watch over zones: records their states, and restores the spread of services when a zone that came back has settled, by moves
  * at a stated pace. Every change is guarded by the leader's key and by the records it was decided from.
  */
-public final class ZoneWatch {
-    private static final Logger LOG = LoggerFactory.getLogger(ZoneWatch.class);
+public final class ZoneRecoveryController {
+    private static final Logger LOG = LoggerFactory.getLogger(ZoneRecoveryController.class);
 
     /** What owners say of their machines. */
-    public interface Eyes {
+    public interface MachineVisibility {
         /** Whether the machine has not come up yet; null when its owner wasn't heard of late. */
         Boolean isBooting(String host);
 
@@ -49,26 +49,26 @@
         boolean isReachable(String host);
     }
 
-    private final Loop eventLoop;
-    private final OperatorSettings.Zones settings;
-    private final Mirror watchCache;
+    private final EventLoop eventLoop;
+    private final OperatorSettings.ZoneRecovery settings;
+    private final WatchCache watchCache;
     private final StoreClient store;
     private final JobTable jobs;
-    private final Blocks shards;
+    private final ClusterMembership shards;
     private final MachineTable machines;
-    private final Catalog catalog;
+    private final MachineTypeCatalog catalog;
     private final ImageCaches imageCaches;
     private final ZoneTable zoneTable;
     private final Policy policy;
     private final Leader leader;
-    private final Eyes machineVisibility;
-    private final ZoneJudge healthEvaluator;
+    private final MachineVisibility machineVisibility;
+    private final ZoneHealthEvaluator healthEvaluator;
     private boolean isCommitInFlight;
     private long movedAtMillis;
     private long imagesRecordedAtMillis;
 
-    public ZoneWatch(Loop eventLoop, OperatorSettings.Zones settings, double silenceThresholdMillis, Mirror watchCache, StoreClient store, JobTable jobs, Blocks shards, MachineTable machines,
-            Catalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, Leader leader, Eyes machineVisibility) {
+    public ZoneRecoveryController(EventLoop eventLoop, OperatorSettings.ZoneRecovery settings, double silenceThresholdMillis, WatchCache watchCache, StoreClient store, JobTable jobs, ClusterMembership shards, MachineTable machines,
+            MachineTypeCatalog catalog, ImageCaches imageCaches, ZoneTable zoneTable, Policy policy, Leader leader, MachineVisibility machineVisibility) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.watchCache = watchCache;
@@ -82,7 +82,7 @@
         this.policy = policy;
         this.leader = leader;
         this.machineVisibility = machineVisibility;
-        this.healthEvaluator = new ZoneJudge(silenceThresholdMillis, settings.settleSeconds() * 1000);
+        this.healthEvaluator = new ZoneHealthEvaluator(silenceThresholdMillis, settings.settleSeconds() * 1000);
         eventLoop.runEvery(ZoneConstants.EVALUATION_INTERVAL_MILLIS, this::runRecoveryPass);
     }
 
@@ -90,15 +90,15 @@
         if (isCommitInFlight || !leader.isLeading() || !watchCache.isSynced() || !store.canAffordUrgentWrite()) {
             return;
         }
-        Txn transaction = proposeStateChange();
+        Transaction transaction = proposeStateChange();
         transaction = transaction != null ? transaction : proposeMove();
         transaction = transaction != null ? transaction : proposeImageRecord();
         if (transaction != null) {
-            Txn proposed = transaction;
+            Transaction proposed = transaction;
             isCommitInFlight = true;
             store.commit(proposed, outcome -> {
                 isCommitInFlight = false;
-                if (outcome.result() == Txn.Result.COMMITTED) {
+                if (outcome.result() == Transaction.Result.COMMITTED) {
                     watchCache.applyCommitted(proposed, outcome.storeRevision());
                 }
             });
@@ -107,7 +107,7 @@
 
     // ---- states
 
-    private Txn proposeStateChange() {
+    private Transaction proposeStateChange() {
         Map<String, int[]> countsByZone = new TreeMap<>();
         zoneTable.all().forEach(zone -> countsByZone.put(zone.name(), new int[4]));
         for (MachineTable.Machine machine : machines.all()) {
@@ -129,12 +129,12 @@
             int[] counts = entry.getValue();
             boolean otherZonesReachable = countsByZone.entrySet().stream().anyMatch(o -> !o.getKey().equals(entry.getKey()) && o.getValue()[1] > 0 && o.getValue()[2] * 2 >= o.getValue()[1]);
             ZoneTable.Zone current = zoneTable.get(entry.getKey());
-            ZoneTable.Zone next = healthEvaluator.evaluate(current, new ZoneJudge.Sight(counts[0], counts[1], counts[2], counts[3], otherZonesReachable), eventLoop.wallClockMillis());
+            ZoneTable.Zone next = healthEvaluator.evaluate(current, new ZoneHealthEvaluator.ZoneObservation(counts[0], counts[1], counts[2], counts[3], otherZonesReachable), eventLoop.wallClockMillis());
             if (Objects.equals(next, current)) {
                 continue;
             }
             LOG.info("zone {} {} -> {}: {}", current.name(), current.state(), next == null ? ZoneTable.State.UP : next.state(), next == null ? "heard" : next.reason());
-            Txn transaction = leader.newTransaction().requireRevision(ZoneTable.storeKey(current.name()), watchCache.modRevision(ZoneTable.storeKey(current.name())));
+            Transaction transaction = leader.newTransaction().requireRevision(ZoneTable.storeKey(current.name()), watchCache.modRevision(ZoneTable.storeKey(current.name())));
             return next == null ? transaction.remove(ZoneTable.storeKey(current.name())) : transaction.put(ZoneTable.storeKey(current.name()), next.encode());
         }
         return null;
@@ -143,14 +143,14 @@
     // ---- moves
 
     /** A replica that should be in another zone. */
-    private record Move(Job job, Placement replica, String fromZone, String toZone) { }
+    private record ReplicaMove(Job job, Placement replica, String fromZone, String toZone) { }
 
     /**
      * Services that have too many replicas in one zone while another that came back has too few, or all of them in one zone. None while a
      * window covers any work, or while any zone is in doubt.
      */
-    private List<Move> findMoves() {
-        List<Move> moves = new ArrayList<>();
+    private List<ReplicaMove> findMoves() {
+        List<ReplicaMove> moves = new ArrayList<>();
         if (settings.movesPerMinute() <= 0 || policy.isAnyWindowOpen() || zoneTable.all().stream().anyMatch(z -> zoneTable.isUnavailable(z.name()) || z.state() == ZoneTable.State.RETURNING)) {
             return moves;
         }
@@ -160,7 +160,7 @@
         settledZones.removeIf(z -> zoneTable.get(z).state() != ZoneTable.State.SETTLED);
         for (Job job : jobs.all()) {
             if (job.spec.isService() && !job.isCancelled() && !job.spec.zoneAffinity() && job.spec.zone() == null && job.spec.taskCount() > 1 && job.possiblyRunningTaskCount() == job.spec.taskCount()) {
-                Move move = findMove(job, allZones, settledZones);
+                ReplicaMove move = findMove(job, allZones, settledZones);
                 if (move != null) {
                     moves.add(move);
                 }
@@ -169,13 +169,13 @@
         return moves;
     }
 
-    private Move findMove(Job job, Set<String> allZones, Set<String> settledZones) {
+    private ReplicaMove findMove(Job job, Set<String> allZones, Set<String> settledZones) {
         Map<String, Integer> replicasByZone = new TreeMap<>();
         Map<String, Placement> replicaByZone = new HashMap<>();
-        for (Chunk page : job.pages) {
+        for (TaskStatePage page : job.pages) {
             for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                 MachineTable.Machine m = machines.get(placement.host);
-                Catalog.Shape machineType = m == null ? null : catalog.get(m.machineType());
+                MachineTypeCatalog.MachineType machineType = m == null ? null : catalog.get(m.machineType());
                 double fetchMillis = machineType == null ? 0 : job.spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01) * 1000;
                 if (m == null || placement.stopRequested || placement.isTerminated() || eventLoop.nowMillis() - placement.recordSeenAtMillis < ZoneConstants.REPLICA_STEADY_AFTER_MILLIS + fetchMillis) {
                     // A replica is away already, or has its place but may not serve yet.
@@ -187,14 +187,14 @@
         }
         String fromZone = replicasByZone.entrySet().stream().max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey())).map(Map.Entry::getKey).orElse(null);
         String toZone = (replicasByZone.size() == 1 ? allZones : settledZones).stream().min(Comparator.comparing((String z) -> replicasByZone.getOrDefault(z, 0)).thenComparing(z -> z)).orElse(null);
-        return fromZone == null || toZone == null || replicasByZone.get(fromZone) - replicasByZone.getOrDefault(toZone, 0) < 2 ? null : new Move(job, replicaByZone.get(fromZone), fromZone, toZone);
+        return fromZone == null || toZone == null || replicasByZone.get(fromZone) - replicasByZone.getOrDefault(toZone, 0) < 2 ? null : new ReplicaMove(job, replicaByZone.get(fromZone), fromZone, toZone);
     }
 
     /** Demands of replicas that would move to a zone if there were room, as many as would move within a minute: machines are rented for them. */
     public Map<String, List<JobSpec>> rebalanceDemand() {
         Map<String, List<JobSpec>> specsByZone = new TreeMap<>();
         int count = 0;
-        for (Move move : findMoves()) {
+        for (ReplicaMove move : findMoves()) {
             if (count++ >= settings.movesPerMinute()) {
                 break;
             }
@@ -204,14 +204,14 @@
     }
 
     /** Stops one replica, which then starts where the fewest are. At most one of a model is away at a time, and only where room waits for it. */
-    private Txn proposeMove() {
+    private Transaction proposeMove() {
         if (eventLoop.nowMillis() - movedAtMillis < 60_000 / Math.max(settings.movesPerMinute(), 0.01)) {
             return null;
         }
-        for (Move m : findMoves()) {
+        for (ReplicaMove m : findMoves()) {
             if (hasFreeCapacity(m.job, m.toZone)) {
-                Chunk page = m.job.page(m.replica.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
-                Chunk.Edit edit = page.edit();
+                TaskStatePage page = m.job.page(m.replica.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
+                TaskStatePage.Edit edit = page.edit();
                 edit.requestStop(m.replica.taskIndex);
                 movedAtMillis = eventLoop.nowMillis();
                 LOG.info("replica {} moves from {} to {}", m.replica.taskName(), m.fromZone, m.toZone);
@@ -225,10 +225,10 @@
     private boolean hasFreeCapacity(Job job, String zone) {
         boolean isLeadersJob = job.controllerId.equals(shards.leaderId());
         for (MachineTable.Machine machine : machines.all()) {
-            Catalog.Shape machineType = catalog.get(machine.machineType());
-            if (machine.zone().equals(zone) && !machine.releasing() && !machine.cordoned() && machineType != null && Catalog.isAllowed(job.spec, machine.machineType()) && (job.spec.preemptible() || !machine.spot())
+            MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
+            if (machine.zone().equals(zone) && !machine.releasing() && !machine.cordoned() && machineType != null && MachineTypeCatalog.isAllowed(job.spec, machine.machineType()) && (job.spec.preemptible() || !machine.spot())
                     && (isLeadersJob || job.controllerId.equals(shards.ownerOf(machine.host()))) && machineVisibility.isReachable(machine.host())) {
-                HostLoad load = jobs.loadOf(machine.host());
+                MachineLoad load = jobs.loadOf(machine.host());
                 boolean fits = machineType.cpus() - (load == null ? 0 : load.cpus()) >= job.spec.cpus() - 1e-9 && machineType.memoryGb() - (load == null ? 0 : load.memoryGb()) >= job.spec.memoryGb() - 1e-9
                         && machineType.gpus() - (load == null ? 0 : load.gpus()) >= job.spec.gpus() - 1e-9;
                 if (fits) {
@@ -242,7 +242,7 @@
     // ---- weights
 
     /** Records which heavy images machines have, a machine record at a time, when the store has changes to spare. */
-    private Txn proposeImageRecord() {
+    private Transaction proposeImageRecord() {
         if (eventLoop.nowMillis() - imagesRecordedAtMillis < ZoneConstants.IMAGE_RECORD_INTERVAL_MILLIS || store.backpressure() > 0) {
             return null;
         }
@@ -250,7 +250,7 @@
         Set<String> visitedHosts = new HashSet<>();
         for (MachineTable.Machine machine : machines.all()) {
             if (!machine.releasing() && visitedHosts.add(machine.host()) && !imageCaches.largeImages(machine.host(), settings.heavyImageGb()).equals(machines.recordedLargeImages(machine.host()))) {
-                Txn transaction = leader.newTransaction();
+                Transaction transaction = leader.newTransaction();
                 machines.beginEdits(transaction).put(machine);
                 return transaction;
             }
--- a/src/main/java/io/quincelead/zones/ReturnPlan.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
@@ -1,4 +1,4 @@
-package io.quincelead.zones;
+package io.quincelead.zone;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,9 +13,9 @@
  * by an open window. Capacity, in order: free room where the weights are; free room elsewhere, with the fetch; work that may be displaced,
  * least first; renting in the zones left; what can't be had.
  */
-final class ReturnPlan {
+final class ZoneRecoveryPlan {
     /** A model: a service with its replicas. {@code up}: those left, by zone; {@code zoneMost}: how many one zone may have. */
-    record Model(String jobId, String jobClass, int classRank, int priority, int taskCount, Map<String, Integer> survivorsByZone, boolean coveredByWindow, double cpus, double memoryGb, double gpus,
+    record LostService(String jobId, String jobClass, int classRank, int priority, int taskCount, Map<String, Integer> survivorsByZone, boolean coveredByWindow, double cpus, double memoryGb, double gpus,
             String image, double imageGb, List<String> machineTypes, String requiredZone, boolean allowsSpot, int maxTasksPerZone) {
         int survivorCount() {
             return survivorsByZone.values().stream().mapToInt(n -> n).sum();
@@ -23,7 +23,7 @@
     }
 
     /** A machine in a zone that is left, with its free room; {@code displaceable}: more of it that work of less urgency holds. */
-    static final class Place {
+    static final class CandidateMachine {
         final String host;
         final String machineType;
         final String zone;
@@ -36,7 +36,7 @@
         /** CPUs, GB and GPUs held by work that may be stopped, by the urgency that may stop it. */
         final List<double[]> displaceableByPriority;
 
-        Place(String host, String machineType, String zone, boolean spot, double freeCpus, double freeMemoryGb, double freeGpus, double pullGbPerSecond, Set<String> cachedImages, List<double[]> displaceableByPriority) {
+        CandidateMachine(String host, String machineType, String zone, boolean spot, double freeCpus, double freeMemoryGb, double freeGpus, double pullGbPerSecond, Set<String> cachedImages, List<double[]> displaceableByPriority) {
             this.host = host;
             this.machineType = machineType;
             this.zone = zone;
@@ -49,16 +49,16 @@
             this.displaceableByPriority = displaceableByPriority;
         }
 
-        boolean allows(Model service) {
+        boolean allows(LostService service) {
             return (service.machineTypes == null || service.machineTypes.contains(machineType)) && (service.requiredZone == null || service.requiredZone.equals(zone)) && (service.allowsSpot || !spot);
         }
 
-        boolean fits(Model service) {
+        boolean fits(LostService service) {
             return freeCpus >= service.cpus - 1e-9 && freeMemoryGb >= service.memoryGb - 1e-9 && freeGpus >= service.gpus - 1e-9;
         }
 
         /** The least urgent work that would have to go is stopped first; null if all of it isn't enough. */
-        Integer displacingPriority(Model service) {
+        Integer displacingPriority(LostService service) {
             double availableCpus = freeCpus;
             double availableMemoryGb = freeMemoryGb;
             double availableGpus = freeGpus;
@@ -73,7 +73,7 @@
             return null;
         }
 
-        void allocate(Model service) {
+        void allocate(LostService service) {
             double missingCpus = service.cpus - freeCpus;
             double missingMemoryGb = service.memoryGb - freeMemoryGb;
             double missingGpus = service.gpus - freeGpus;
@@ -94,31 +94,31 @@
     }
 
     /** A type that can be rented in a zone that is left. */
-    record Rentable(String machineType, String zone, boolean spot, double cpus, double memoryGb, double gpus, double pullGbPerSecond, double bootSeconds, double price) { }
+    record RentableType(String machineType, String zone, boolean spot, double cpus, double memoryGb, double gpus, double pullGbPerSecond, double bootSeconds, double price) { }
 
     /** One replica's way back. {@code etaS}: seconds from the evidence on; negative: never, as things are. */
-    record Step(int position, String jobId, String jobClass, int replicaNumber, String method, String location, double fetchGb, double etaSeconds, String reason) { }
+    record RecoveryStep(int position, String jobId, String jobClass, int replicaNumber, String method, String location, double fetchGb, double etaSeconds, String reason) { }
 
-    private ReturnPlan() { }
+    private ZoneRecoveryPlan() { }
 
-    static List<Step> compute(List<Model> services, List<Place> candidates, List<Rentable> rentableTypes) {
-        List<Step> steps = new ArrayList<>();
-        Map<Model, Integer> restoredCounts = new LinkedHashMap<>();
-        Map<Model, Map<String, Integer>> replicasByService = new LinkedHashMap<>();
+    static List<RecoveryStep> compute(List<LostService> services, List<CandidateMachine> candidates, List<RentableType> rentableTypes) {
+        List<RecoveryStep> steps = new ArrayList<>();
+        Map<LostService, Integer> restoredCounts = new LinkedHashMap<>();
+        Map<LostService, Map<String, Integer>> replicasByService = new LinkedHashMap<>();
         services.forEach(service -> {
             restoredCounts.put(service, 0);
             replicasByService.put(service, new LinkedHashMap<>(service.survivorsByZone));
         });
-        List<Place> machines = new ArrayList<>(candidates);
+        List<CandidateMachine> machines = new ArrayList<>(candidates);
         int rentedCount = 0;
         while (true) {
-            Model next = restoredCounts.keySet().stream().filter(service -> service.survivorCount() + restoredCounts.get(service) < service.taskCount).min(recoveryOrder(restoredCounts)).orElse(null);
+            LostService next = restoredCounts.keySet().stream().filter(service -> service.survivorCount() + restoredCounts.get(service) < service.taskCount).min(recoveryOrder(restoredCounts)).orElse(null);
             if (next == null) {
                 return steps;
             }
             int replicaNumber = next.survivorCount() + restoredCounts.get(next) + 1;
             restoredCounts.merge(next, 1, Integer::sum);
-            Place target = bestWithFreeCapacity(next, machines, replicasByService.get(next));
+            CandidateMachine target = bestWithFreeCapacity(next, machines, replicasByService.get(next));
             String method = "free room, weights there";
             double fetchGb = 0;
             double etaSeconds = 0;
@@ -133,9 +133,9 @@
                 fetchGb = target != null && !target.cachedImages.contains(next.image) ? next.imageGb : 0;
             }
             if (target == null) {
-                Rentable rentableType = cheapestRentable(next, rentableTypes, replicasByService.get(next));
+                RentableType rentableType = cheapestRentable(next, rentableTypes, replicasByService.get(next));
                 if (rentableType != null) {
-                    target = new Place("new " + rentableType.machineType + " " + ++rentedCount, rentableType.machineType, rentableType.zone, rentableType.spot, rentableType.cpus, rentableType.memoryGb, rentableType.gpus, rentableType.pullGbPerSecond, new java.util.HashSet<>(),
+                    target = new CandidateMachine("new " + rentableType.machineType + " " + ++rentedCount, rentableType.machineType, rentableType.zone, rentableType.spot, rentableType.cpus, rentableType.memoryGb, rentableType.gpus, rentableType.pullGbPerSecond, new java.util.HashSet<>(),
                             List.of(new double[3], new double[3], new double[3], new double[3]));
                     machines.add(target);
                     method = rentableType.spot ? "rented, cheap" : "rented";
@@ -144,45 +144,45 @@
                 }
             }
             if (target == null) {
-                steps.add(new Step(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, "can't be had", "-", 0, -1, bindingConstraint(next, machines, replicasByService.get(next))));
+                steps.add(new RecoveryStep(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, "can't be had", "-", 0, -1, bindingConstraint(next, machines, replicasByService.get(next))));
                 continue;
             }
             target.allocate(next);
             target.cachedImages.add(next.image);
             replicasByService.get(next).merge(target.zone, 1, Integer::sum);
-            steps.add(new Step(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, method, target.host + " in " + target.zone, fetchGb, etaSeconds + fetchGb / Math.max(target.pullGbPerSecond, 0.01), reason));
+            steps.add(new RecoveryStep(steps.size() + 1, next.jobId, next.jobClass, replicaNumber, method, target.host + " in " + target.zone, fetchGb, etaSeconds + fetchGb / Math.max(target.pullGbPerSecond, 0.01), reason));
         }
     }
 
-    private static Comparator<Model> recoveryOrder(Map<Model, Integer> restoredCounts) {
-        return Comparator.comparingInt(Model::classRank).thenComparing(service -> service.survivorCount() + restoredCounts.get(service) > 0)
-                .thenComparingDouble(service -> (service.survivorCount() + restoredCounts.get(service)) / (double) service.taskCount).thenComparing(service -> !service.coveredByWindow).thenComparing(Model::jobId);
+    private static Comparator<LostService> recoveryOrder(Map<LostService, Integer> restoredCounts) {
+        return Comparator.comparingInt(LostService::classRank).thenComparing(service -> service.survivorCount() + restoredCounts.get(service) > 0)
+                .thenComparingDouble(service -> (service.survivorCount() + restoredCounts.get(service)) / (double) service.taskCount).thenComparing(service -> !service.coveredByWindow).thenComparing(LostService::jobId);
     }
 
-    private static boolean zoneAllows(Model service, String zone, Map<String, Integer> replicasByZone) {
+    private static boolean zoneAllows(LostService service, String zone, Map<String, Integer> replicasByZone) {
         return replicasByZone.getOrDefault(zone, 0) < service.maxTasksPerZone;
     }
 
-    private static Place bestWithFreeCapacity(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+    private static CandidateMachine bestWithFreeCapacity(LostService service, List<CandidateMachine> machines, Map<String, Integer> replicasByZone) {
         return machines.stream().filter(candidate -> candidate.allows(service) && candidate.fits(service) && zoneAllows(service, candidate.zone, replicasByZone))
-                .min(Comparator.comparing((Place candidate) -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> replicasByZone.getOrDefault(candidate.zone, 0))
+                .min(Comparator.comparing((CandidateMachine candidate) -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> replicasByZone.getOrDefault(candidate.zone, 0))
                         // Where others' weights are is left to them.
                         .thenComparing(candidate -> candidate.cachedImages.contains(service.image) ? 0 : candidate.cachedImages.size())
                         .thenComparing(candidate -> service.imageGb / Math.max(candidate.pullGbPerSecond, 0.01)).thenComparing(candidate -> candidate.host)).orElse(null);
     }
 
-    private static Place bestByDisplacing(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+    private static CandidateMachine bestByDisplacing(LostService service, List<CandidateMachine> machines, Map<String, Integer> replicasByZone) {
         return machines.stream().filter(candidate -> candidate.allows(service) && zoneAllows(service, candidate.zone, replicasByZone) && candidate.displacingPriority(service) != null)
-                .min(Comparator.comparing((Place candidate) -> -candidate.displacingPriority(service)).thenComparing(candidate -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> candidate.host)).orElse(null);
+                .min(Comparator.comparing((CandidateMachine candidate) -> -candidate.displacingPriority(service)).thenComparing(candidate -> !candidate.cachedImages.contains(service.image)).thenComparing(candidate -> candidate.host)).orElse(null);
     }
 
-    private static Rentable cheapestRentable(Model service, List<Rentable> rentableTypes, Map<String, Integer> replicasByZone) {
+    private static RentableType cheapestRentable(LostService service, List<RentableType> rentableTypes, Map<String, Integer> replicasByZone) {
         return rentableTypes.stream().filter(type -> type.cpus >= service.cpus && type.memoryGb >= service.memoryGb && type.gpus >= service.gpus && (service.machineTypes == null || service.machineTypes.contains(type.machineType))
                 && (service.requiredZone == null || service.requiredZone.equals(type.zone)) && (service.allowsSpot || !type.spot) && zoneAllows(service, type.zone, replicasByZone))
-                .min(Comparator.comparingDouble(Rentable::price).thenComparing(type -> replicasByZone.getOrDefault(type.zone, 0)).thenComparing(Rentable::zone)).orElse(null);
+                .min(Comparator.comparingDouble(RentableType::price).thenComparing(type -> replicasByZone.getOrDefault(type.zone, 0)).thenComparing(RentableType::zone)).orElse(null);
     }
 
-    private static String bindingConstraint(Model service, List<Place> machines, Map<String, Integer> replicasByZone) {
+    private static String bindingConstraint(LostService service, List<CandidateMachine> machines, Map<String, Integer> replicasByZone) {
         if (service.requiredZone != null && machines.stream().noneMatch(candidate -> candidate.zone.equals(service.requiredZone))) {
             return "it may run in " + service.requiredZone + " alone";
         }
--- a/src/test/java/io/quincelead/jobs/UserApiTest.java
+++ b/src/test/java/io/quincelead/api/UserApiTest.java
@@ -1,19 +1,19 @@
-package io.quincelead.jobs;
+package io.quincelead.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
-import io.quincelead.world.Jobs;
-import io.quincelead.world.World;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.simulation.JobFixtures;
+import io.quincelead.simulation.SimulatedCluster;
+import io.quincelead.transport.WireFormat;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** The statuses of the users' table, from a real controller. */
 class UserApiTest {
-    private final World cluster = new World(1);
+    private final SimulatedCluster cluster = new SimulatedCluster(1);
     private int status;
     private int retryAfter;
     private ObjectNode answer;
@@ -24,9 +24,9 @@
     }
 
     private int call(String method, String path, byte[] body) {
-        cluster.network.call(World.USERS_ADDRESS, "10.0.0.1:8080", method, path, body, 5_000, (responseStatus, responseBody, responseRetryAfter) -> {
+        cluster.network.call(SimulatedCluster.USERS_ADDRESS, "10.0.0.1:8080", method, path, body, 5_000, (responseStatus, responseBody, responseRetryAfter) -> {
             status = responseStatus;
-            answer = Codec.CBOR.decodeMap(responseBody);
+            answer = WireFormat.CBOR.decodeMap(responseBody);
             retryAfter = responseRetryAfter;
         });
         cluster.clock.runUntil(cluster.clock.nowMillis() + 3_000);
@@ -34,13 +34,13 @@
     }
 
     private ObjectNode validJob(int id) {
-        JobSpec spec = Jobs.array(id, "red", JobSpec.Urgency.HIGH, 2, 1, 5);
+        JobSpec spec = JobFixtures.array(id, "red", JobSpec.Priority.HIGH, 2, 1, 5);
         cluster.upload(spec);
         return spec.encode();
     }
 
     private int submit(ObjectNode job) {
-        return call("POST", "/v2/runs", Codec.CBOR.encode(job));
+        return call("POST", "/v2/runs", WireFormat.CBOR.encode(job));
     }
 
     @Test void acceptsOnceAndKnowsARetry() {
@@ -56,7 +56,7 @@
 
     @Test void malformedIs400WithAReason() {
         assertEquals(400, call("POST", "/v2/runs", new byte[] {1, 2, 3}));
-        assertEquals(400, call("POST", "/v2/runs", Codec.CBOR.encode(Codec.newList())));
+        assertEquals(400, call("POST", "/v2/runs", WireFormat.CBOR.encode(WireFormat.newList())));
         for (String field : new String[] {"nameId", "jobClass", "owner", "mode", "urgency", "members", "vcpus", "ramGb", "preemptible", "runtimeS"}) {
             ObjectNode missing = validJob(2);
             missing.remove(field);
@@ -91,19 +91,19 @@
     @Test void unknownJobsPathsAndMethods() {
         assertEquals(404, call("GET", "/v2/runs/wk-123", null));
         assertEquals(404, call("GET", "/v2/runs/nonsense", null));
-        assertEquals(404, call("POST", "/v2/runs/wk-123/cancel", Codec.CBOR.encode(Codec.newMap())));
+        assertEquals(404, call("POST", "/v2/runs/wk-123/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals(404, call("GET", "/nothing", null));
         assertEquals(405, call("DELETE", "/v2/runs", null));
         assertEquals(405, call("POST", "/ready", null));
         assertEquals(200, call("GET", "/ready", null));
-        assertEquals(400, call("POST", "/v1/report", Codec.CBOR.encode(Codec.newMap().put("host", 7))));
+        assertEquals(400, call("POST", "/v1/report", WireFormat.CBOR.encode(WireFormat.newMap().put("host", 7))));
     }
 
     @Test void cancelIsKept() {
         assertEquals(201, submit(validJob(4)));
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.encode(Codec.newMap())));
+        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals("cancelled", answer.path("status").asText());
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", Codec.CBOR.encode(Codec.newMap())));
+        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals(200, call("GET", "/v2/runs/wk-000004", null));
         assertEquals("cancelled", answer.path("status").asText());
     }
--- a/src/test/java/io/quincelead/app/LayersTest.java
+++ b/src/test/java/io/quincelead/app/PackageDependencyTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The direction of dependencies, and who may touch sockets, threads and the system's clock: see the picture in docs/design.md. */
-class LayersTest {
+class PackageDependencyTest {
     /** Each may use those before it, none those behind it. */
-    private static final List<String> ORDER = List.of("base", "net", "state", "records", "policy", "jobs", "workers", "leader", "peers", "placing", "zones", "cloud", "app");
+    private static final List<String> ORDER = List.of("config", "eventloop", "transport", "store", "cluster", "policy", "api", "worker", "leadership", "peer", "scheduler", "zone", "autoscaler", "cli", "app");
     private static final JavaClasses CLASSES = new ClassFileImporter().withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("io.quincelead");
 
@@ -31,7 +31,7 @@
 
     /** What runs in simulated time gets its clock, turns and calls handed in. */
     @Test void onlyTransportAndProgramsTouchSocketsThreadsAndClocks() {
-        noClasses().that().resideOutsideOfPackages("io.quincelead.net..", "io.quincelead.app..").should()
+        noClasses().that().resideOutsideOfPackages("io.quincelead.transport..", "io.quincelead.cli..", "io.quincelead.app..").should()
                 .dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.channels..", "java.util.concurrent..", "org.xnio..", "io.undertow..")
                 .orShould().dependOnClassesThat().belongToAnyOf(Thread.class, java.time.Clock.class, java.util.Random.class)
                 .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
--- a/src/test/java/io/quincelead/app/PackagedIT.java
+++ b/src/test/java/io/quincelead/app/PackagedJarIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.net.httpserver.HttpServer;
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import java.io.File;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** One start of the packaged jar on loopback, against a store that is in trouble: it serves, and says "not now" at once. */
-class PackagedIT {
+class PackagedJarIT {
     @TempDir Path dir;
 
     @Test void packagedJarStartsAndServesRequests() throws Exception {
@@ -91,7 +91,7 @@
             HttpResponse<byte[]> poll = freshClient.send(HttpRequest.newBuilder(base.resolve("/v2/runs/wk-1")).build(), HttpResponse.BodyHandlers.ofByteArray());
             assertEquals(503, poll.statusCode());
             assertEquals("1", poll.headers().firstValue("Retry-After").orElse(""));
-            assertTrue(Codec.CBOR.decodeMap(poll.body()).has("error"));
+            assertTrue(WireFormat.CBOR.decodeMap(poll.body()).has("error"));
             assertEquals(404, freshClient.send(HttpRequest.newBuilder(base.resolve("/nothing")).build(), HttpResponse.BodyHandlers.discarding()).statusCode());
         }
     }
--- a/src/test/java/io/quincelead/app/cli/CliTest.java
+++ b/src/test/java/io/quincelead/cli/OperatorCliTest.java
@@ -1,12 +1,12 @@
-package io.quincelead.app.cli;
+package io.quincelead.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.app.Main;
-import io.quincelead.net.Codec;
-import io.quincelead.net.HttpServer;
+import io.quincelead.transport.HttpServer;
+import io.quincelead.transport.WireFormat;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -26,13 +26,13 @@
 import org.xnio.XnioWorker;
 
 /** The commands against a stand-in controller on loopback: what is asked, what is printed, and the exit codes. */
-class CliTest {
+class OperatorCliTest {
     @TempDir
     private Path dir;
     private XnioWorker worker;
     private String controllerAddress;
     private int status = 200;
-    private ObjectNode response = Codec.newMap().put("by", "w-0");
+    private ObjectNode response = WireFormat.newMap().put("by", "w-0");
     private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -50,7 +50,7 @@
         controllerAddress = "127.0.0.1:" + freePort();
         new HttpServer(worker, controllerAddress, 20, request -> {
             requests.add(request.path + " " + new String(request.body));
-            request.respond(status, Codec.JSON, response, 0);
+            request.respond(status, WireFormat.JSON, response, 0);
         }).start();
     }
 
@@ -59,7 +59,7 @@
     }
 
     private int run(String... args) {
-        return Cli.run(args, new PrintWriter(out, true), new PrintWriter(err, true));
+        return OperatorCli.run(args, new PrintWriter(out, true), new PrintWriter(err, true));
     }
 
     private String file(String text) throws Exception {
--- a/src/test/java/io/quincelead/records/ChunkTest.java
+++ b/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
@@ -1,19 +1,19 @@
-package io.quincelead.records;
+package io.quincelead.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.world.Jobs;
+import io.quincelead.simulation.JobFixtures;
+import io.quincelead.transport.WireFormat;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ChunkTest {
-    private static List<String> describePlacements(Chunk page) {
+class TaskStatePageTest {
+    private static List<String> describePlacements(TaskStatePage page) {
         return page.placements.stream().map(placement -> placement.taskIndex + " " + placement.host + " " + placement.attempt + " " + placement.stopRequested).toList();
     }
 
@@ -22,11 +22,11 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void decodingOnlyTheChangeEqualsDecodingTheWholeRecord(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Job job = new Job(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 430, 1, 10));
+        Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
         for (int pageNumber = 0; pageNumber < 3; pageNumber++) {
-            Chunk current = Chunk.decode(job, pageNumber, Codec.newMap().put("p", ""), null, 0);
+            TaskStatePage current = TaskStatePage.decode(job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
             for (int change = 0; change < 400; change++) {
-                Chunk.Edit edit = current.edit();
+                TaskStatePage.Edit edit = current.edit();
                 for (int remaining = random.nextInt(8); remaining >= 0; remaining--) {
                     int taskIndex = current.firstTaskIndex() + random.nextInt(current.taskCount());
                     switch (random.nextInt(5)) {
@@ -37,8 +37,8 @@
                     }
                 }
                 ObjectNode record = edit.encode();
-                Chunk next = Chunk.decode(job, pageNumber, record, current, 0);
-                Chunk whole = Chunk.decode(job, pageNumber, record, null, 0);
+                TaskStatePage next = TaskStatePage.decode(job, pageNumber, record, current, 0);
+                TaskStatePage whole = TaskStatePage.decode(job, pageNumber, record, null, 0);
                 assertEquals(describePlacements(whole), describePlacements(next));
                 assertEquals(whole.placements.size(), next.placements.size());
                 for (Placement placement : next.placements) {
@@ -55,10 +55,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"0 i-1 1", "0 i-1;", "x i-1 1;", "0 i-1 y;", "200 i-1 1;", "-1 i-1 1;", "0  1;0", ";"})
     void unreadablePlacementsAreRejected(String places) {
-        Job job = new Job(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 430, 1, 10));
-        Chunk before = Chunk.decode(job, 0, Codec.newMap().put("p", "0 i-1 1;3 i-2 1;"), null, 0);
-        for (Chunk previous : new Chunk[] {null, before}) {
-            RuntimeException thrown = assertThrows(RuntimeException.class, () -> Chunk.decode(job, 0, Codec.newMap().put("p", places), previous, 0));
+        Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
+        TaskStatePage before = TaskStatePage.decode(job, 0, WireFormat.newMap().put("p", "0 i-1 1;3 i-2 1;"), null, 0);
+        for (TaskStatePage previous : new TaskStatePage[] {null, before}) {
+            RuntimeException thrown = assertThrows(RuntimeException.class, () -> TaskStatePage.decode(job, 0, WireFormat.newMap().put("p", places), previous, 0));
             assertEquals(true, thrown instanceof IndexOutOfBoundsException || thrown instanceof NumberFormatException, thrown.toString());
         }
     }
--- a/src/test/java/io/quincelead/base/SettingsTest.java
+++ b/src/test/java/io/quincelead/config/SettingsTest.java
@@ -1,4 +1,4 @@
-package io.quincelead.base;
+package io.quincelead.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -66,7 +66,7 @@
 
     private String errorFor(String text) throws IOException {
         File settingsFile = writeFile("wrong.toml", text);
-        String message = assertThrows(Settings.Invalid.class, () -> Settings.load(settingsFile)).getMessage();
+        String message = assertThrows(Settings.InvalidSettingsException.class, () -> Settings.load(settingsFile)).getMessage();
         assertTrue(message.contains("wrong.toml") && message.lines().count() == 1, message);
         return message;
     }
@@ -86,7 +86,7 @@
         assertTrue(errorFor(VALID_SETTINGS.replace("cpus_max = 7.0", "")).contains("settings.teams[0].cpus_max"));
         assertTrue(errorFor(VALID_SETTINGS.replace("[external]", "[other]")).contains("external: a table is required"));
         assertTrue(errorFor("this is = = not TOML").contains("can't be read as TOML"));
-        assertTrue(assertThrows(Settings.Invalid.class, () -> Settings.load(new File(dir.toFile(), "missing"))).getMessage().contains("missing"));
+        assertTrue(assertThrows(Settings.InvalidSettingsException.class, () -> Settings.load(new File(dir.toFile(), "missing"))).getMessage().contains("missing"));
     }
 
     @Test void operatorSettingsAreCheckedAgainstTheirSchema() throws Exception {
@@ -96,7 +96,7 @@
         assertEquals(1.2, operatorSettings.clockSpeedByMachineType().get("gull"));
         for (String bad : new String[] {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"}) {
             File settingsFile = writeFile("bad.json", bad);
-            assertTrue(assertThrows(Settings.Invalid.class, () -> OperatorSettings.load(settingsFile)).getMessage().contains("bad.json"), bad);
+            assertTrue(assertThrows(Settings.InvalidSettingsException.class, () -> OperatorSettings.load(settingsFile)).getMessage().contains("bad.json"), bad);
         }
     }
 
--- a/src/test/java/io/quincelead/leader/AllowanceModelTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
@@ -1,10 +1,10 @@
-package io.quincelead.leader;
+package io.quincelead.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quincelead.records.Blocks;
+import io.quincelead.cluster.ClusterMembership;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,9 +20,9 @@
  * four tasks of one CPU in three jobs, two machines. Rounds and splits are prepared and take effect later or never;
  * workers start, lose and are heard; machines change hands; a job is handed over. The arithmetic is the product's own.
  */
-class AllowanceModelTest {
+class QuotaShareModelTest {
     /** What the protocol relies on; the model can leave one out, to see that it is needed. */
-    private enum Guard { USE_BY_RECORD, USE_MOVES_WITH_JOB, GROWTH_WAITS_FOR_FREE_QUOTA, SHARD_REVISION, JOB_REVISION }
+    private enum Safeguard { USE_BY_RECORD, USE_MOVES_WITH_JOB, GROWTH_WAITS_FOR_FREE_QUOTA, SHARD_REVISION, JOB_REVISION }
 
     private static final double LIMIT = 2;
     private static final int[] JOB_OF = {0, 1, 1, 2};
@@ -31,10 +31,10 @@
     private static final int[] PRIORITY = {1, 0, 0};
 
     /** What a machine's owner knows of a task recorded there. */
-    private enum Known { NOTHING, RUNNING, TERMINATED }
+    private enum Evidence { NOTHING, RUNNING, TERMINATED }
 
     /** A round that was sent and may take effect: where it places a task, and whether its guards still hold. */
-    private record Round(int task, int machine, boolean shardUnchanged, boolean jobUnchanged) { }
+    private record CycleCommit(int task, int machine, boolean shardUnchanged, boolean jobUnchanged) { }
 
     /** A split that was sent and may take effect. */
     private record Split(double first, double second, boolean shardsUnchanged) { }
@@ -47,8 +47,8 @@
         int[] machineOnRecord = {-1, -1, -1, -1};
         /** By task and machine: whether it runs there. */
         boolean[][] runsOn = new boolean[TASKS][2];
-        Known[] evidence = {Known.NOTHING, Known.NOTHING, Known.NOTHING, Known.NOTHING};
-        Round[] pendingCycle = new Round[2];
+        Evidence[] evidence = {Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING};
+        CycleCommit[] pendingCycle = new CycleCommit[2];
         Split pendingSplit;
 
         State copy() {
@@ -82,22 +82,22 @@
         double used(int controllerId, boolean byRecord) {
             double total = 0;
             for (int task = 0; task < TASKS; task++) {
-                boolean knownTerminated = !byRecord && evidence[task] == Known.TERMINATED && machineOnRecord[task] >= 0 && owner[machineOnRecord[task]] == controllerId;
+                boolean knownTerminated = !byRecord && evidence[task] == Evidence.TERMINATED && machineOnRecord[task] >= 0 && owner[machineOnRecord[task]] == controllerId;
                 total += controller[JOB_OF[task]] == controllerId && machineOnRecord[task] >= 0 && !knownTerminated ? 1 : 0;
             }
             return total;
         }
 
         void onShardChanged(int controllerId) {
-            Round cycle = pendingCycle[controllerId];
-            pendingCycle[controllerId] = cycle == null ? null : new Round(cycle.task, cycle.machine, false, cycle.jobUnchanged);
+            CycleCommit cycle = pendingCycle[controllerId];
+            pendingCycle[controllerId] = cycle == null ? null : new CycleCommit(cycle.task, cycle.machine, false, cycle.jobUnchanged);
             pendingSplit = pendingSplit == null ? null : new Split(pendingSplit.first, pendingSplit.second, false);
         }
 
         void onJobChanged(int job) {
             for (int controllerId = 0; controllerId < 2; controllerId++) {
-                Round cycle = pendingCycle[controllerId];
-                pendingCycle[controllerId] = cycle == null || JOB_OF[cycle.task] != job ? cycle : new Round(cycle.task, cycle.machine, cycle.shardUnchanged, false);
+                CycleCommit cycle = pendingCycle[controllerId];
+                pendingCycle[controllerId] = cycle == null || JOB_OF[cycle.task] != job ? cycle : new CycleCommit(cycle.task, cycle.machine, cycle.shardUnchanged, false);
             }
         }
     }
@@ -105,12 +105,12 @@
     private record Step(String name, State to) { }
 
     private static final class Model {
-        final Guard omitted;
+        final Safeguard omitted;
         final List<Step> successors = new ArrayList<>();
         long states;
         int depth;
 
-        Model(Guard omitted) {
+        Model(Safeguard omitted) {
             this.omitted = omitted;
         }
 
@@ -137,7 +137,7 @@
                 successor.owner[machine] = 1 - successor.owner[machine];
                 for (int task = 0; task < TASKS; task++) {
                     // What the former owner concluded ends with its ownership.
-                    successor.evidence[task] = successor.machineOnRecord[task] == machine ? Known.NOTHING : successor.evidence[task];
+                    successor.evidence[task] = successor.machineOnRecord[task] == machine ? Evidence.NOTHING : successor.evidence[task];
                 }
                 successor.onShardChanged(0);
                 successor.onShardChanged(1);
@@ -148,11 +148,11 @@
 
         private void planCycle(State state, int controllerId) {
             for (int task = 0; task < TASKS; task++) {
-                boolean withinShare = state.quotaShare[controllerId] - state.used(controllerId, omitted != Guard.USE_BY_RECORD) >= 1 - 1e-9;
+                boolean withinShare = state.quotaShare[controllerId] - state.used(controllerId, omitted != Safeguard.USE_BY_RECORD) >= 1 - 1e-9;
                 for (int machine = 0; machine < 2; machine++) {
                     if (withinShare && state.controller[JOB_OF[task]] == controllerId && state.machineOnRecord[task] < 0 && state.owner[machine] == controllerId) {
                         State successor = state.copy();
-                        successor.pendingCycle[controllerId] = new Round(task, machine, true, true);
+                        successor.pendingCycle[controllerId] = new CycleCommit(task, machine, true, true);
                         addSuccessor(controllerId + " plans " + task + " on " + machine, successor);
                     }
                 }
@@ -160,15 +160,15 @@
         }
 
         private void finishCycle(State state, int controllerId) {
-            Round cycle = state.pendingCycle[controllerId];
+            CycleCommit cycle = state.pendingCycle[controllerId];
             State lost = state.copy();
             lost.pendingCycle[controllerId] = null;
             addSuccessor("round of " + controllerId + " has no effect", lost);
-            if ((cycle.shardUnchanged || omitted == Guard.SHARD_REVISION) && (cycle.jobUnchanged || omitted == Guard.JOB_REVISION)) {
+            if ((cycle.shardUnchanged || omitted == Safeguard.SHARD_REVISION) && (cycle.jobUnchanged || omitted == Safeguard.JOB_REVISION)) {
                 State successor = state.copy();
                 successor.pendingCycle[controllerId] = null;
                 successor.machineOnRecord[cycle.task] = cycle.machine;
-                successor.evidence[cycle.task] = Known.NOTHING;
+                successor.evidence[cycle.task] = Evidence.NOTHING;
                 successor.onJobChanged(JOB_OF[cycle.task]);
                 addSuccessor("round of " + controllerId + " places " + cycle.task + " on " + cycle.machine, successor);
             }
@@ -176,19 +176,19 @@
 
         private void stepWorker(State state, int task) {
             int machine = state.machineOnRecord[task];
-            if (state.evidence[task] == Known.NOTHING) {
+            if (state.evidence[task] == Evidence.NOTHING) {
                 State successor = state.copy();
                 successor.runsOn[task][machine] = true;
-                successor.evidence[task] = Known.RUNNING;
+                successor.evidence[task] = Evidence.RUNNING;
                 addSuccessor(task + (state.runsOn[task][machine] ? " is seen on " : " starts on ") + machine, successor);
-            } else if (state.evidence[task] == Known.RUNNING && !state.runsOn[task][machine]) {
+            } else if (state.evidence[task] == Evidence.RUNNING && !state.runsOn[task][machine]) {
                 State successor = state.copy();
-                successor.evidence[task] = Known.TERMINATED;
+                successor.evidence[task] = Evidence.TERMINATED;
                 addSuccessor(task + " is seen to be gone from " + machine, successor);
-            } else if (state.evidence[task] == Known.TERMINATED) {
+            } else if (state.evidence[task] == Evidence.TERMINATED) {
                 State successor = state.copy();
                 successor.machineOnRecord[task] = -1;
-                successor.evidence[task] = Known.NOTHING;
+                successor.evidence[task] = Evidence.NOTHING;
                 successor.onJobChanged(JOB_OF[task]);
                 addSuccessor(task + " is recorded as gone", successor);
             }
@@ -204,7 +204,7 @@
                 State lost = state.copy();
                 lost.pendingSplit = null;
                 addSuccessor("split has no effect", lost);
-                if (state.pendingSplit.shardsUnchanged || omitted == Guard.SHARD_REVISION) {
+                if (state.pendingSplit.shardsUnchanged || omitted == Safeguard.SHARD_REVISION) {
                     State successor = state.copy();
                     successor.quotaShare = new double[] {state.pendingSplit.first, state.pendingSplit.second};
                     successor.pendingSplit = null;
@@ -219,8 +219,8 @@
                     wanted[state.controller[JOB_OF[task]]][PRIORITY[JOB_OF[task]]] += state.machineOnRecord[task] < 0 ? 1 : 0;
                 }
                 // As if what others may still use were free already: each gets its target at once.
-                double[] currentShares = omitted == Guard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
-                double[] newShares = Allowances.split(LIMIT, 0, currentShares, used, wanted, false);
+                double[] currentShares = omitted == Safeguard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
+                double[] newShares = QuotaShares.split(LIMIT, 0, currentShares, used, wanted, false);
                 if (!Arrays.equals(newShares, state.quotaShare)) {
                     State successor = state.copy();
                     successor.pendingSplit = new Split(newShares[0], newShares[1], true);
@@ -231,8 +231,8 @@
                 State successor = state.copy();
                 successor.controller[1] = 0;
                 int placed = (state.machineOnRecord[1] >= 0 ? 1 : 0) + (state.machineOnRecord[2] >= 0 ? 1 : 0);
-                if (placed > 0 && omitted != Guard.USE_MOVES_WITH_JOB) {
-                    successor.quotaShare[1] = new Blocks.Amount(state.quotaShare[1], 0).minusTasks(placed, 1, 0).cpus();
+                if (placed > 0 && omitted != Safeguard.USE_MOVES_WITH_JOB) {
+                    successor.quotaShare[1] = new ClusterMembership.QuotaShare(state.quotaShare[1], 0).minusTasks(placed, 1, 0).cpus();
                     successor.onShardChanged(1);
                 }
                 successor.onJobChanged(1);
@@ -277,8 +277,8 @@
 
     /** Each guard, left out alone, lets some interleaving pass the limit or run a task twice. */
     @ParameterizedTest
-    @EnumSource(Guard.class)
-    void eachSafeguardIsNeeded(Guard safeguard) {
+    @EnumSource(Safeguard.class)
+    void eachSafeguardIsNeeded(Safeguard safeguard) {
         Model model = new Model(safeguard);
         List<String> trace = model.search(100, 400_000);
         System.out.println("without " + safeguard + " (" + model.states + " states, depth " + model.depth + "): " + trace);
--- a/src/test/java/io/quincelead/leader/AllowancesTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
@@ -1,4 +1,4 @@
-package io.quincelead.leader;
+package io.quincelead.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** Properties of the split of a team's limit, over random allowances, uses and wants of four controllers. */
-class AllowancesTest {
+class QuotaSharesTest {
     private static final double LIMIT = 100;
 
     private static double committed(double[] shares, double[] used, double orphanedUse) {
@@ -37,7 +37,7 @@
     void neverMoreThanTheLimit(@ForAll @Size(4) List<@DoubleRange(max = 60) Double> shares, @ForAll @Size(4) List<@DoubleRange(max = 60) Double> used,
             @ForAll @Size(4) List<@DoubleRange(max = 200) Double> high, @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low,
             @ForAll @DoubleRange(max = 40) double orphanedUse, @ForAll boolean hasNewMember) {
-        double[] nextShares = Allowances.split(LIMIT, orphanedUse, array(shares), array(used), byPriority(array(high), array(low)), hasNewMember);
+        double[] nextShares = QuotaShares.split(LIMIT, orphanedUse, array(shares), array(used), byPriority(array(high), array(low)), hasNewMember);
         assertTrue(committed(nextShares, array(used), orphanedUse) <= Math.max(LIMIT, committed(array(shares), array(used), orphanedUse)) + 1e-6);
     }
 
@@ -52,7 +52,7 @@
         double[] usedArray = array(used);
         double[] shares = committed(array(start), usedArray, 0) > LIMIT ? usedArray : array(start);
         for (int round = 0; round < 8; round++) {
-            shares = Allowances.split(LIMIT, 0, shares, usedArray, byPriority(new double[] {gang, 0, 0, 0}, array(low)), false);
+            shares = QuotaShares.split(LIMIT, 0, shares, usedArray, byPriority(new double[] {gang, 0, 0, 0}, array(low)), false);
         }
         assertTrue(shares[0] - usedArray[0] >= gang - 1e-9, "got " + (shares[0] - usedArray[0]) + " of " + gang);
     }
--- a/src/test/java/io/quincelead/placing/Cluster.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -1,24 +1,24 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Loop;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ConstrainedDemand;
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
+import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.records.Blocks;
-import io.quincelead.records.Catalog;
-import io.quincelead.records.Chunk;
-import io.quincelead.records.ImageCaches;
-import io.quincelead.records.Job;
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.JobTable;
-import io.quincelead.records.Kinds;
-import io.quincelead.records.MachineTable;
-import io.quincelead.state.Mirror;
-import io.quincelead.state.StoreClient;
-import io.quincelead.state.Txn;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,13 +26,13 @@
 import java.util.SplittableRandom;
 
 /** Machines, jobs and the leader's pass over them, made of records alone: for tests and measurements of one round. */
-final class Cluster {
+final class ClusterFixture {
     static final String MEMBER_ID = "w";
-    private static final List<Catalog.Shape> MACHINE_TYPES = List.of(new Catalog.Shape("small", 8, 0, 64, 70, 0.2, 0.46, 0.17, 25, List.of("a")),
-            new Catalog.Shape("middle", 16, 0, 64, 50, 0.8, 0.83, 0.36, 15, List.of("a")),
-            new Catalog.Shape("big", 64, 0, 512, 60, 0.8, 3.81, 1.7, 20, List.of("a")));
+    private static final List<MachineTypeCatalog.MachineType> MACHINE_TYPES = List.of(new MachineTypeCatalog.MachineType("small", 8, 0, 64, 70, 0.2, 0.46, 0.17, 25, List.of("a")),
+            new MachineTypeCatalog.MachineType("middle", 16, 0, 64, 50, 0.8, 0.83, 0.36, 15, List.of("a")),
+            new MachineTypeCatalog.MachineType("big", 64, 0, 512, 60, 0.8, 3.81, 1.7, 20, List.of("a")));
 
-    private final Loop loop = new Loop() {
+    private final EventLoop loop = new EventLoop() {
         @Override public long nowMillis() {
             return 100_000;
         }
@@ -44,18 +44,18 @@
         @Override public void runAfter(long ms, Runnable task) { }
     };
     final Settings settings = new Settings(MEMBER_ID, "a", "10.0.0.1:1", "10.0.0.1:2", Map.of(), "10.2.0.2:1", "10.2.0.1:1", 1, 25,
-            Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)), List.of(), new Settings.Workers(3, 17.5, 45, 6, 40),
-            new Settings.State(600, 250, 8, 12), new Settings.Cloud(2, 4), new Settings.Limits(1, 256, 100));
+            Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)), List.of(), new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
+            new Settings.StoreLimits(600, 250, 8, 12), new Settings.CloudLimits(2, 4), new Settings.ProcessLimits(1, 256, 100));
     private final StoreClient store = new StoreClient(loop, (address, method, path, codec, body, ms, reply) -> { }, settings);
-    private final Mirror watchCache = new Mirror(loop, store, 100);
-    private final Blocks shards = new Blocks(settings, watchCache);
+    private final WatchCache watchCache = new WatchCache(loop, store, 100);
+    private final ClusterMembership shards = new ClusterMembership(settings, watchCache);
     final JobTable jobs = new JobTable(loop, watchCache);
     private final MachineTable machines = new MachineTable(watchCache);
-    private final Catalog catalog = new Catalog(watchCache);
+    private final MachineTypeCatalog catalog = new MachineTypeCatalog(watchCache);
     final Policy policy = new Policy(watchCache);
     private final QueueOrder queueOrder = new QueueOrder(settings, policy);
     final QueuePass queuePass = new QueuePass(loop, settings, OperatorSettings.DEFAULTS, store, shards, jobs, machines, catalog,
-            new ImageCaches(machines, label -> 50), new Kinds(loop, jobs), policy, new QueuePass.Machines() {
+            new ImageCaches(machines, label -> 50), new ConstrainedDemand(loop, jobs), policy, new QueuePass.MachineStatus() {
                 @Override public boolean isAcceptingTasks(String owner, String host) {
                     return true;
                 }
@@ -64,24 +64,24 @@
                     return 0;
                 }
             });
-    final Map<String, Catalog.Shape> machineTypeByHost = new LinkedHashMap<>();
+    final Map<String, MachineTypeCatalog.MachineType> machineTypeByHost = new LinkedHashMap<>();
     private final Map<String, double[]> freeByHost = new LinkedHashMap<>();
     private final List<String> hostNames;
     double quotaShareCpus = 1e9;
     private long revision;
 
     /** Puts no end on record. */
-    final QueuePass.Ends recordsNoTerminations = new QueuePass.Ends() {
-        @Override public void recordDue(Plan plan) { }
+    final QueuePass.TerminationRecorder recordsNoTerminations = new QueuePass.TerminationRecorder() {
+        @Override public void recordDue(SchedulingPlan plan) { }
 
-        @Override public void recordForQuota(Plan plan, JobSpec s, int tasks) { }
+        @Override public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) { }
     };
 
     /** Puts every end on record that is asked for. */
-    final QueuePass.Ends recordsAllTerminations = new QueuePass.Ends() {
-        @Override public void recordDue(Plan plan) { }
+    final QueuePass.TerminationRecorder recordsAllTerminations = new QueuePass.TerminationRecorder() {
+        @Override public void recordDue(SchedulingPlan plan) { }
 
-        @Override public void recordForQuota(Plan plan, JobSpec s, int tasks) {
+        @Override public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {
             for (Job j : jobs.all()) {
                 for (int k = 0; k < j.pages.length; k++) {
                     if (j.pages[k] != null && j.possiblyRunningTaskCount() < j.placedTaskCount()) {
@@ -92,37 +92,37 @@
         }
     };
 
-    Cluster(int size, SplittableRandom random) {
-        for (Catalog.Shape machineType : MACHINE_TYPES) {
-            ObjectNode typeRecord = Codec.newMap().put("label", machineType.name()).put("vcpus", machineType.cpus()).put("cards", 0).put("ramGb", machineType.memoryGb()).put("localGb", machineType.localDiskGb())
+    ClusterFixture(int size, SplittableRandom random) {
+        for (MachineTypeCatalog.MachineType machineType : MACHINE_TYPES) {
+            ObjectNode typeRecord = WireFormat.newMap().put("label", machineType.name()).put("vcpus", machineType.cpus()).put("cards", 0).put("ramGb", machineType.memoryGb()).put("localGb", machineType.localDiskGb())
                     .put("pullGbPerS", machineType.imagePullGbPerSecond()).put("price", machineType.onDemandPricePerHour()).put("spotPrice", machineType.spotPricePerHour()).put("bootS", machineType.bootSeconds());
             typeRecord.putArray("sites").add("a");
             putRecord("a/c/" + machineType.name(), typeRecord);
         }
         Map<String, ArrayNode> hostsByType = new LinkedHashMap<>();
-        MACHINE_TYPES.forEach(machineType -> hostsByType.put(machineType.name(), Codec.newList()));
-        ObjectNode shard = Codec.newMap().put("p", "");
+        MACHINE_TYPES.forEach(machineType -> hostsByType.put(machineType.name(), WireFormat.newList()));
+        ObjectNode shard = WireFormat.newMap().put("p", "");
         ArrayNode shardMachines = shard.putObject("ms").putArray("1");
         shard.putObject("al").putArray("red").add(1e9).add(0);
         for (int i = 0; i < size; i++) {
-            Catalog.Shape machineType = MACHINE_TYPES.get(Math.max(0, random.nextInt(10) - 7));
+            MachineTypeCatalog.MachineType machineType = MACHINE_TYPES.get(Math.max(0, random.nextInt(10) - 7));
             String host = String.format("i-%06d", i);
             machineTypeByHost.put(host, machineType);
             freeByHost.put(host, new double[] {machineType.cpus(), machineType.memoryGb()});
             hostsByType.get(machineType.name()).add(host);
             shardMachines.add(host);
         }
-        hostsByType.forEach((label, list) -> putRecord("a/m/r-" + label, (ObjectNode) Codec.newMap().put("k", label).put("s", "a").put("p", false).put("r", 0).set("h", list)));
+        hostsByType.forEach((label, list) -> putRecord("a/m/r-" + label, (ObjectNode) WireFormat.newMap().put("k", label).put("s", "a").put("p", false).put("r", 0).set("h", list)));
         putRecord("a/b/" + MEMBER_ID, shard);
         hostNames = new ArrayList<>(machineTypeByHost.keySet());
     }
 
     private void putRecord(String key, ObjectNode value) {
-        watchCache.applyCommitted(new Txn().put(key, value), ++revision);
+        watchCache.applyCommitted(new Transaction().put(key, value), ++revision);
     }
 
     private ObjectNode jobRecord(JobSpec spec) {
-        ObjectNode record = Codec.newMap().put("c", MEMBER_ID).put("at", 999_000 + revision);
+        ObjectNode record = WireFormat.newMap().put("c", MEMBER_ID).put("at", 999_000 + revision);
         record.set("s", spec.encode());
         return record;
     }
@@ -134,7 +134,7 @@
 
     /** Records the job's tasks on machines that have room for them; those that find none stay out, as if done. */
     JobSpec addRunningJob(JobSpec spec, SplittableRandom random) {
-        ObjectNode tasks = Codec.newMap().put("t", 1);
+        ObjectNode tasks = WireFormat.newMap().put("t", 1);
         ArrayNode done = tasks.putArray("d");
         StringBuilder placed = new StringBuilder();
         int hostIndex = random.nextInt(hostNames.size());
@@ -164,8 +164,8 @@
         return freeByHost.get(host)[0] >= spec.cpus() && freeByHost.get(host)[1] >= spec.memoryGb();
     }
 
-    Plan newPlan(int writeBudget) {
-        return new Plan(new Blocks.Block(MEMBER_ID, shards.localShard().fencingTokensByHost(), Map.of("red", new Blocks.Amount(quotaShareCpus, 0))), true, 1, writeBudget, writeBudget);
+    SchedulingPlan newPlan(int writeBudget) {
+        return new SchedulingPlan(new ClusterMembership.Shard(MEMBER_ID, shards.localShard().fencingTokensByHost(), Map.of("red", new ClusterMembership.QuotaShare(quotaShareCpus, 0))), true, 1, writeBudget, writeBudget);
     }
 
     List<JobSpec> inQueueOrder(List<JobSpec> waiting) {
@@ -173,9 +173,9 @@
     }
 
     /** Machines of all chunks with a place. */
-    static Map<String, Integer> tasksByMachine(Plan plan, JobSpec spec) {
+    static Map<String, Integer> tasksByMachine(SchedulingPlan plan, JobSpec spec) {
         Map<String, Integer> tasksByMachine = new LinkedHashMap<>();
-        for (Map.Entry<Chunk, Chunk.Edit> entry : plan.edits.entrySet()) {
+        for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
             if (entry.getKey().job.spec.jobId().equals(spec.jobId())) {
                 entry.getValue().placements().forEach(p -> tasksByMachine.merge(p.host, 1, Integer::sum));
             }
@@ -185,19 +185,19 @@
 
     /** So many priority classes, entries of the calendar, and windows that are open; few of them match any job. */
     void addOperatorRecords(int classes, int entries, int openWindows) {
-        Txn transaction = new Txn();
+        Transaction transaction = new Transaction();
         StringBuilder text = new StringBuilder("{\"classes\":[");
         for (int i = 0; i < classes; i++) {
             text.append(i == 0 ? "" : ",").append("{\"name\":\"c").append(i).append("\",\"rank\":").append(i).append(",\"match\":{\"jobClass\":\"k").append(i).append("\"}}");
         }
-        transaction.put("a/oc/p/1/0", Codec.newMap().put("t", text.append("]}").toString())).put("a/oc/head", Codec.newMap().put("rules", 1).put("last", 1));
+        transaction.put("a/oc/p/1/0", WireFormat.newMap().put("t", text.append("]}").toString())).put("a/oc/head", WireFormat.newMap().put("rules", 1).put("last", 1));
         for (int i = 0; i < entries; i++) {
-            ObjectNode entry = Codec.newMap().put("name", "e" + i).put("time", "06:00").put("zone", "UTC");
+            ObjectNode entry = WireFormat.newMap().put("name", "e" + i).put("time", "06:00").put("zone", "UTC");
             entry.putArray("days").add("mon");
             entry.putArray("covers").addObject().put("jobClass", "k" + i);
             transaction.put("a/ok/e/e" + i, entry);
             if (i < openWindows) {
-                ObjectNode occurrence = Codec.newMap().put("st", "open").put("pub", loop.wallClockMillis() + 60_000).put("open", 1);
+                ObjectNode occurrence = WireFormat.newMap().put("st", "open").put("pub", loop.wallClockMillis() + 60_000).put("open", 1);
                 occurrence.putArray("cov").addObject().put("jobClass", i == 0 ? "quick" : "k" + i).put("owner", i == 0 ? "blue" : "red");
                 transaction.put("a/ok/o/e" + i + "/2026-12-07", occurrence);
             }
--- a/src/test/java/io/quincelead/placing/QueuePassTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueuePassTest.java
@@ -1,11 +1,11 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quincelead.records.JobSpec;
-import io.quincelead.records.Placement;
-import io.quincelead.world.Jobs;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.Placement;
+import io.quincelead.simulation.JobFixtures;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -21,7 +21,7 @@
      * The plain way: each job in the order of the queue filters all machines, sorts them, runs the pass over them with nothing
      * left out, and takes the room. What the pass with kept loads and remembered failures assigns must be the same.
      */
-    private static Map<String, Map<String, Integer>> assignNaively(Cluster cluster, List<JobSpec> queue) {
+    private static Map<String, Map<String, Integer>> assignNaively(ClusterFixture cluster, List<JobSpec> queue) {
         Map<String, double[]> freeByHost = new TreeMap<>();
         cluster.machineTypeByHost.forEach((host, shape) -> {
             double[] f = {shape.cpus(), shape.memoryGb()};
@@ -33,18 +33,18 @@
         });
         Map<String, Map<String, Integer>> tasksByJob = new TreeMap<>();
         for (JobSpec spec : queue) {
-            List<Tebas.Seat> candidates = new ArrayList<>();
+            List<Tebas.CandidateMachine> candidates = new ArrayList<>();
             for (Map.Entry<String, double[]> f : freeByHost.entrySet()) {
                 boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(cluster.machineTypeByHost.get(f.getKey()).name());
                 int capacity = Tebas.taskCapacity(f.getValue()[0], f.getValue()[1], 0, spec.cpus(), spec.memoryGb(), 0);
                 if (allowed && capacity > 0) {
                     double effectiveFrequency = spec.runtimeSeconds() / (spec.runtimeSeconds() + spec.imageSizeGb() / cluster.machineTypeByHost.get(f.getKey()).imagePullGbPerSecond());
-                    candidates.add(new Tebas.Seat(f.getKey(), Tebas.fitness(0.9, spec.cpus(), effectiveFrequency), capacity, capacity));
+                    candidates.add(new Tebas.CandidateMachine(f.getKey(), Tebas.fitness(0.9, spec.cpus(), effectiveFrequency), capacity, capacity));
                 }
             }
             assignFullySorted(candidates, spec.taskCount());
             Map<String, Integer> tasksByHost = new TreeMap<>();
-            for (Tebas.Seat candidate : candidates) {
+            for (Tebas.CandidateMachine candidate : candidates) {
                 if (candidate.assigned > 0) {
                     tasksByHost.put(candidate.host, candidate.assigned);
                 }
@@ -57,8 +57,8 @@
     }
 
     /** Algorithm 1 over all machines, fully sorted. */
-    private static void assignFullySorted(List<Tebas.Seat> machines, int tasks) {
-        machines.sort(Comparator.comparingDouble((Tebas.Seat s) -> -s.fitness).thenComparingDouble(s -> -s.initialCapacity).thenComparing(s -> s.host));
+    private static void assignFullySorted(List<Tebas.CandidateMachine> machines, int tasks) {
+        machines.sort(Comparator.comparingDouble((Tebas.CandidateMachine s) -> -s.fitness).thenComparingDouble(s -> -s.initialCapacity).thenComparing(s -> s.host));
         int machineCount = machines.size();
         int groupCount = Math.max(1, machineCount / 3);
         int unassigned = tasks;
@@ -83,10 +83,10 @@
     void assignsSameAsNaiveReference(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < 25; run++) {
-            Cluster cluster = new Cluster(3 + random.nextInt(60), random);
+            ClusterFixture cluster = new ClusterFixture(3 + random.nextInt(60), random);
             int id = 0;
             for (int i = random.nextInt(40); i > 0; i--) {
-                cluster.addRunningJob(Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 1 + random.nextInt(4), 0.5 + random.nextInt(8) / 2.0, 60), random);
+                cluster.addRunningJob(JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 1 + random.nextInt(4), 0.5 + random.nextInt(8) / 2.0, 60), random);
             }
             // Ends that are known but not on record leave room at once.
             cluster.jobs.all().forEach(j -> j.pages[0].placements.forEach(p -> {
@@ -96,13 +96,13 @@
             }));
             List<JobSpec> waiting = new ArrayList<>();
             for (int i = 1 + random.nextInt(60); i > 0; i--) {
-                waiting.add(cluster.addWaitingJob(Jobs.job(++id, "red", JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 1 + random.nextInt(12), 0.5 + random.nextInt(20) / 2.0, 0,
+                waiting.add(cluster.addWaitingJob(JobFixtures.job(++id, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 1 + random.nextInt(12), 0.5 + random.nextInt(20) / 2.0, 0,
                         10 + random.nextInt(50), random.nextInt(4) == 0 ? List.of("big") : null, null, false, false, true, 0)));
             }
-            Plan plan = cluster.newPlan(10_000);
+            SchedulingPlan plan = cluster.newPlan(10_000);
             cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
             Map<String, Map<String, Integer>> assigned = new TreeMap<>();
-            waiting.forEach(s -> assigned.put(s.jobId(), Cluster.tasksByMachine(plan, s)));
+            waiting.forEach(s -> assigned.put(s.jobId(), ClusterFixture.tasksByMachine(plan, s)));
             assertEquals(assignNaively(cluster, cluster.inQueueOrder(waiting)), assigned);
         }
     }
@@ -113,31 +113,31 @@
      */
     @Test void terminationFreesQuotaShareOnlyInTheTransactionThatRecordsIt() {
         SplittableRandom random = new SplittableRandom(1);
-        Cluster cluster = new Cluster(6, random);
-        JobSpec ended = cluster.addRunningJob(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 2, 4, 60), random);
-        JobSpec next = cluster.addWaitingJob(Jobs.array(2, "red", JobSpec.Urgency.HIGH, 2, 4, 60));
+        ClusterFixture cluster = new ClusterFixture(6, random);
+        JobSpec ended = cluster.addRunningJob(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 4, 60), random);
+        JobSpec next = cluster.addWaitingJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 2, 4, 60));
         cluster.quotaShareCpus = 8;
         cluster.jobs.get(ended.jobId()).pages[0].placements.forEach(p -> p.transitionTo(Placement.Phase.GONE));
-        Plan without = cluster.newPlan(10_000);
+        SchedulingPlan without = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(without, null, cluster.recordsNoTerminations);
-        assertEquals(Map.of(), Cluster.tasksByMachine(without, next));
-        Plan with = cluster.newPlan(10_000);
+        assertEquals(Map.of(), ClusterFixture.tasksByMachine(without, next));
+        SchedulingPlan with = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(with, null, cluster.recordsAllTerminations);
-        assertEquals(2, Cluster.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
+        assertEquals(2, ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
         assertTrue(with.edits.containsKey(cluster.jobs.get(ended.jobId()).pages[0]));
     }
 
     /** A change that was full of jobs entering with it once placed none of them: each waited for a second change. */
     @Test void jobsEnteringWithAFullTransactionArePlacedByIt() {
-        Cluster cluster = new Cluster(20, new SplittableRandom(3));
+        ClusterFixture cluster = new ClusterFixture(20, new SplittableRandom(3));
         List<JobSpec> specs = new ArrayList<>();
         for (int i = 1; i <= 12; i++) {
-            specs.add(cluster.addWaitingJob(Jobs.array(i, "red", JobSpec.Urgency.HIGH, 1, 1, 10)));
+            specs.add(cluster.addWaitingJob(JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 1, 1, 10)));
         }
-        Plan plan = cluster.newPlan(12);
+        SchedulingPlan plan = cluster.newPlan(12);
         specs.forEach(s -> plan.edit(cluster.jobs.get(s.jobId()), 0));
         assertTrue(plan.isFull());
         cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
-        specs.forEach(s -> assertEquals(1, Cluster.tasksByMachine(plan, s).size()));
+        specs.forEach(s -> assertEquals(1, ClusterFixture.tasksByMachine(plan, s).size()));
     }
 }
