--- a/src/test/java/io/quincelead/placing/TebasTest.java
+++ b/src/test/java/io/quincelead/scheduler/TebasTest.java
@@ -1,4 +1,4 @@
-package io.quincelead.placing;
+package io.quincelead.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,19 +9,19 @@
 
 /** The pass against examples worked by hand from the paper's Algorithm 1. */
 class TebasTest {
-    private static List<Tebas.Seat> machines(int... capacities) {
-        List<Tebas.Seat> machines = new ArrayList<>();
+    private static List<Tebas.CandidateMachine> machines(int... capacities) {
+        List<Tebas.CandidateMachine> machines = new ArrayList<>();
         for (int i = 0; i < capacities.length; i++) {
-            machines.add(new Tebas.Seat("m" + i, 1, capacities[i], capacities[i]));
+            machines.add(new Tebas.CandidateMachine("m" + i, 1, capacities[i], capacities[i]));
         }
         return machines;
     }
 
-    private static int[] assigned(List<Tebas.Seat> machines) {
+    private static int[] assigned(List<Tebas.CandidateMachine> machines) {
         return machines.stream().mapToInt(s -> s.assigned).toArray();
     }
 
-    private static void assertAssigned(List<Tebas.Seat> machines, int... expected) {
+    private static void assertAssigned(List<Tebas.CandidateMachine> machines, int... expected) {
         assertEquals(java.util.Arrays.toString(expected), java.util.Arrays.toString(assigned(machines)));
     }
 
@@ -40,33 +40,33 @@
 
     @Test void theFirstGroupTakesAllThatFits() {
         // Six machines, beta 3: two groups. Seven tasks: 7 / 3 = 2 each for the first three, then 1 / 3 < 1: one for the fourth.
-        List<Tebas.Seat> machines = machines(9, 8, 7, 6, 5, 4);
+        List<Tebas.CandidateMachine> machines = machines(9, 8, 7, 6, 5, 4);
         assertEquals(0, Tebas.assign(machines, 7, 3));
         assertAssigned(machines, 2, 2, 2, 1, 0, 0);
     }
 
     @Test void oneTaskEachWhenFewerTasksThanMachines() {
-        List<Tebas.Seat> machines = machines(9, 8, 7, 6, 5, 4);
+        List<Tebas.CandidateMachine> machines = machines(9, 8, 7, 6, 5, 4);
         assertEquals(0, Tebas.assign(machines, 2, 3));
         assertAssigned(machines, 1, 1, 0, 0, 0, 0);
     }
 
     @Test void remainingCapacityBoundsAndFurtherSweepsFillUp() {
         // Ten tasks, 3 machines in one group: 3 each, but the last holds 1; the second sweep places what is left.
-        List<Tebas.Seat> machines = machines(9, 4, 1);
+        List<Tebas.CandidateMachine> machines = machines(9, 4, 1);
         assertEquals(0, Tebas.assign(machines, 10, 3));
         assertAssigned(machines, 5, 4, 1);
     }
 
     @Test void theLastGroupHoldsTheRemainder() {
         // Seven machines, beta 3: two groups, of 3 and of 4.
-        List<Tebas.Seat> machines = machines(1, 1, 1, 1, 1, 1, 1);
+        List<Tebas.CandidateMachine> machines = machines(1, 1, 1, 1, 1, 1, 1);
         assertEquals(2, Tebas.assign(machines, 9, 3));
         assertAssigned(machines, 1, 1, 1, 1, 1, 1, 1);
     }
 
     @Test void higherFitnessComesBeforeMoreCapacity() {
-        List<Tebas.Seat> machines = new ArrayList<>(List.of(new Tebas.Seat("slow", 1.0, 50, 50), new Tebas.Seat("fast", 1.2, 2, 2)));
+        List<Tebas.CandidateMachine> machines = new ArrayList<>(List.of(new Tebas.CandidateMachine("slow", 1.0, 50, 50), new Tebas.CandidateMachine("fast", 1.2, 2, 2)));
         assertEquals(0, Tebas.assign(machines, 1, 1));
         assertAssigned(machines, 0, 1);
     }
@@ -75,13 +75,13 @@
         SplittableRandom random = new SplittableRandom(5964);
         for (int run = 0; run < 500; run++) {
             int machineCount = random.nextInt(0, 12);
-            List<Tebas.Seat> machines = new ArrayList<>();
+            List<Tebas.CandidateMachine> machines = new ArrayList<>();
             int totalCapacity = 0;
             int[] capacities = new int[machineCount];
             for (int i = 0; i < machineCount; i++) {
                 capacities[i] = random.nextInt(0, 9);
                 totalCapacity += capacities[i];
-                machines.add(new Tebas.Seat("m" + i, random.nextInt(3), capacities[i], capacities[i]));
+                machines.add(new Tebas.CandidateMachine("m" + i, random.nextInt(3), capacities[i], capacities[i]));
             }
             int tasks = random.nextInt(0, 60);
             int unassigned = Tebas.assign(machines, tasks, random.nextInt(1, 5));
--- a/src/test/java/io/quincelead/world/MoreMeetingsTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -1,17 +1,17 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import static io.quincelead.world.MeetingsTest.LONG_LEASE_MILLIS;
-import static io.quincelead.world.MeetingsTest.anyStartsWith;
-import static io.quincelead.world.MeetingsTest.assertAllJobsFinished;
-import static io.quincelead.world.MeetingsTest.clusterWithReadyMachines;
+import static io.quincelead.simulation.CompoundFaultTest.LONG_LEASE_MILLIS;
+import static io.quincelead.simulation.CompoundFaultTest.anyStartsWith;
+import static io.quincelead.simulation.CompoundFaultTest.assertAllJobsFinished;
+import static io.quincelead.simulation.CompoundFaultTest.clusterWithReadyMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -26,59 +26,59 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** More troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it came about. */
-class MoreMeetingsTest {
-    private static double cpusInUse(World cluster, String team) {
-        return cluster.cloud.machines.values().stream().flatMap(worker -> worker.tasks.values().stream()).filter(Worker.Task::occupiesMachine)
+class CompoundFaultInteractionTest {
+    private static double cpusInUse(SimulatedCluster cluster, String team) {
+        return cluster.cloud.machines.values().stream().flatMap(worker -> worker.tasks.values().stream()).filter(SimulatedWorker.SimulatedTask::occupiesMachine)
                 .map(task -> cluster.jobOfTask(task.name)).filter(job -> job.team().equals(team)).mapToDouble(JobSpec::cpus).sum();
     }
 
-    private static String ipOf(Worker worker) {
+    private static String ipOf(SimulatedWorker worker) {
         return worker.address.substring(0, worker.address.indexOf(':'));
     }
 
-    private static List<String> controllerIps(World cluster) {
+    private static List<String> controllerIps(SimulatedCluster cluster) {
         return cluster.controllers.stream().map(controller -> controller.ip).toList();
     }
 
     /** What the machines of the cancelled jobs do meanwhile. */
-    private enum Machines { PARTITIONED, HUNG, UNREACHABLE_INBOUND, UNREACHABLE_OUTBOUND }
+    private enum MachineFault { PARTITIONED, HUNG, UNREACHABLE_INBOUND, UNREACHABLE_OUTBOUND }
 
     /**
      * Every team is at its limit, half of its jobs are cancelled, the machines that run them can't be asked, and the leader changes: what
      * runs there counts until there is evidence, and is free again within the time that silence is borne.
      */
     @ParameterizedTest
-    @EnumSource(Machines.class)
-    void quotaOfCancelledTasksOnFaultyMachinesIsReleased(Machines fault) {
+    @EnumSource(MachineFault.class)
+    void quotaOfCancelledTasksOnFaultyMachinesIsReleased(MachineFault fault) {
         for (int seed = 1; seed <= 4; seed++) {
-            World cluster = clusterWithReadyMachines(seed, 3, 24);
+            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
             cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
             cluster.teams.put("red", new Settings.Team("red", 20, 40, 0, 0));
             cluster.start();
             // Both teams are at their limits with long tasks; as much again waits.
             for (int i = 1; i <= 40; i++) {
-                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, i <= 20 ? 300 : 20);
+                JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 4, 1, i <= 20 ? 300 : 20);
                 cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
             }
             cluster.clock.runUntil(30_000);
             assertTrue(cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21, "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
             Set<String> cancelled = new HashSet<>();
-            for (Worker worker : cluster.cloud.machines.values()) {
-                for (Worker.Task task : worker.tasks.values()) {
+            for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+                for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                     if (task.occupiesMachine() && cancelled.size() < 10) {
                         cancelled.add(cluster.jobOfTask(task.name).jobId());
                     }
                 }
             }
-            long durationMillis = fault == Machines.HUNG ? 20_000 : 60_000;
+            long durationMillis = fault == MachineFault.HUNG ? 20_000 : 60_000;
             int[] faultyMachines = {0};
-            for (Worker worker : new ArrayList<>(cluster.cloud.machines.values())) {
+            for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
                 if (worker.tasks.values().stream().anyMatch(task -> cancelled.contains(cluster.jobOfTask(task.name).jobId())) && faultyMachines[0] < 8) {
                     faultyMachines[0]++;
                     switch (fault) {
-                        case PARTITIONED -> Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), durationMillis);
-                        case UNREACHABLE_INBOUND -> Meetings.makeUnreachableInbound(cluster, worker, durationMillis);
-                        case UNREACHABLE_OUTBOUND -> Meetings.makeUnreachableOutbound(cluster, worker, durationMillis);
+                        case PARTITIONED -> FaultInjector.partition(cluster, ipOf(worker), controllerIps(cluster), durationMillis);
+                        case UNREACHABLE_INBOUND -> CompoundFaults.makeUnreachableInbound(cluster, worker, durationMillis);
+                        case UNREACHABLE_OUTBOUND -> CompoundFaults.makeUnreachableOutbound(cluster, worker, durationMillis);
                         default -> {
                             worker.setHung(true);
                             cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
@@ -87,9 +87,9 @@
                 }
             }
             assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
-            int oldLeader = Meetings.leaderIndex(cluster);
+            int oldLeader = CompoundFaults.leaderIndex(cluster);
             cancelled.forEach(id -> cluster.clock.schedule(cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
-            cluster.clock.schedule(300 * seed, () -> Troubles.crashController(cluster, oldLeader, 8_000));
+            cluster.clock.schedule(300 * seed, () -> FaultInjector.crashController(cluster, oldLeader, 8_000));
             cluster.expectFaultsUntil(30_000 + durationMillis);
             // The lease, its slack, the new leader and a round: from then on others of the team run there.
             cluster.clock.runUntil(30_000 + 75_000);
@@ -102,7 +102,7 @@
         }
     }
 
-    private static Set<String> machinesOnTwoRecords(World cluster) {
+    private static Set<String> machinesOnTwoRecords(SimulatedCluster cluster) {
         Set<String> seen = new HashSet<>();
         Set<String> duplicates = new HashSet<>();
         for (String key : cluster.store.keys()) {
@@ -118,7 +118,7 @@
     }
 
     /** What the leader does last. */
-    private enum Last {
+    private enum LastLeaderWrite {
         PROVISIONING_REQUEST(transaction -> anyStartsWith(transaction.path("then"), "put", "a/r/")),
         MACHINE_REGISTRATION(transaction -> anyStartsWith(transaction.path("then"), "remove", "a/r/") && anyStartsWith(transaction.path("then"), "put", "a/m/")),
         SHARD_GRANT(transaction -> anyStartsWith(transaction.path("then"), "put", "a/b/") && anyStartsWith(transaction.path("then"), "put", "a/term")),
@@ -126,17 +126,17 @@
 
         private final Predicate<ObjectNode> matcher;
 
-        Last(Predicate<ObjectNode> matcher) {
+        LastLeaderWrite(Predicate<ObjectNode> matcher) {
             this.matcher = matcher;
         }
     }
 
     /** Machines are up within two seconds and get work at once, writes lag, and the leader's last change is each of those that brought them. */
     @ParameterizedTest
-    @EnumSource(Last.class)
-    void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(Last lastWrite) {
+    @EnumSource(LastLeaderWrite.class)
+    void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(LastLeaderWrite lastWrite) {
         for (int seed = 1; seed <= 5; seed++) {
-            World cluster = new World(200 + seed);
+            SimulatedCluster cluster = new SimulatedCluster(200 + seed);
             cluster.submissionRetryMillis = 200_000;
             cluster.cloud.fastBoots = true;
             cluster.start();
@@ -149,11 +149,11 @@
                     duplicateHosts.addAll(machinesOnTwoRecords(cluster));
                 }
                 if (lastWrite.matcher.test(transaction) && occurrences[0]++ % 3 == 0 && occurrences[0] < 8) {
-                    cluster.clock.schedule(occurrences[0] % 2, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 300 + 900L * (occurrences[0] % 4)));
+                    cluster.clock.schedule(occurrences[0] % 2, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300 + 900L * (occurrences[0] % 4)));
                 }
             };
             for (int i = 1; i <= 20; i++) {
-                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 3, 2, 8);
+                JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[i % 4], 3, 2, 8);
                 cluster.clock.schedule(i * 1_200L, () -> cluster.submit(job));
             }
             cluster.clock.schedule(45_000, () -> cluster.store.delayedWriteRate = 0);
@@ -170,18 +170,18 @@
     }
 
     /** Of what the old reports are that arrive. */
-    private enum Old { FENCING_TOKEN, AGENT_EPOCH, ATTEMPT }
+    private enum StaleElement { FENCING_TOKEN, AGENT_EPOCH, ATTEMPT }
 
     /** Old reports reach every controller as a leader begins: before its first grant, while it claims, and after that. */
     @ParameterizedTest
-    @EnumSource(Old.class)
-    void staleHeartbeatsAtFailoverAreNoEvidence(Old staleElement) {
+    @EnumSource(StaleElement.class)
+    void staleHeartbeatsAtFailoverAreNoEvidence(StaleElement staleElement) {
         for (int seed = 1; seed <= 6; seed++) {
-            World cluster = clusterWithReadyMachines(300 + seed, 3, 14);
+            SimulatedCluster cluster = clusterWithReadyMachines(300 + seed, 3, 14);
             cluster.heartbeatIntervalMillis = 2_000;
             cluster.start();
             for (int i = 1; i <= 16; i++) {
-                JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", staleElement == Old.ATTEMPT && i % 2 == 0 ? JobSpec.Urgency.BEST_EFFORT : JobSpec.Urgency.NORMAL, 5, 1, 40);
+                JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", staleElement == StaleElement.ATTEMPT && i % 2 == 0 ? JobSpec.Priority.BEST_EFFORT : JobSpec.Priority.NORMAL, 5, 1, 40);
                 cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
             }
             cluster.clock.runUntil(10_000);
@@ -190,22 +190,22 @@
             cluster.network.heartbeatRetentionRate = 0;
             switch (staleElement) {
                 // Machines change hands and get a new term.
-                case FENCING_TOKEN -> Troubles.crashController(cluster, (Meetings.leaderIndex(cluster) + 1) % 3, 12_000);
+                case FENCING_TOKEN -> FaultInjector.crashController(cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 12_000);
                 // They lose their sessions with all that they run.
-                case AGENT_EPOCH -> cluster.cloud.machines.values().stream().limit(6).toList().forEach(worker -> Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), 12_000));
+                case AGENT_EPOCH -> cluster.cloud.machines.values().stream().limit(6).toList().forEach(worker -> FaultInjector.partition(cluster, ipOf(worker), controllerIps(cluster), 12_000));
                 // Their tasks fail and begin again.
                 default -> cluster.cloud.machines.values().stream().filter(worker -> !worker.tasks.isEmpty()).limit(5).toList()
-                        .forEach(worker -> worker.tasks.values().stream().filter(Worker.Task::occupiesMachine).toList().forEach(task -> worker.endTask(task, "error")));
+                        .forEach(worker -> worker.tasks.values().stream().filter(SimulatedWorker.SimulatedTask::occupiesMachine).toList().forEach(task -> worker.endTask(task, "error")));
             }
             cluster.clock.runUntil(34_000);
             List<String> addresses = cluster.controllers.stream().map(controller -> controller.userAddress).toList();
             long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
             boolean[] elected = {false};
-            Meetings.onLeaderElected(cluster, 60_000, () -> {
+            CompoundFaults.onLeaderElected(cluster, 60_000, () -> {
                 elected[0] = true;
                 cluster.clock.schedule(replayDelayMillis, () -> cluster.network.replayRetainedHeartbeats(addresses));
             });
-            Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), seed % 2 == 0 ? 300 : 9_000);
+            FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), seed % 2 == 0 ? 300 : 9_000);
             cluster.expectFaultsUntil(60_000);
             cluster.clock.runUntil(60_000);
             assertTrue(elected[0] && cluster.network.replayedHeartbeats > 20, staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
@@ -219,16 +219,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsHeldUntilFailoverAreNoEvidence(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 14);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 14);
         cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 4, 1, 12);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 4, 1, 12);
             cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(14_000);
-        Meetings.holdHeartbeats(cluster, 0.4, 6_000, 40_000);
-        cluster.clock.schedule(3_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 10_000));
-        cluster.clock.schedule(9_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 400));
+        CompoundFaults.holdHeartbeats(cluster, 0.4, 6_000, 40_000);
+        cluster.clock.schedule(3_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 10_000));
+        cluster.clock.schedule(9_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 400));
         cluster.clock.runUntil(60_000);
         assertTrue(cluster.network.releasedHeartbeats > 10, "held: " + cluster.network.releasedHeartbeats);
         cluster.clock.runUntil(500_000);
@@ -236,24 +236,24 @@
     }
 
     /** What goes wrong beside the stream of small jobs. */
-    private enum Beside { NOTHING, SLOW_STORE, LEADER_CRASHES_TWICE }
+    private enum BackgroundFault { NOTHING, SLOW_STORE, LEADER_CRASHES_TWICE }
 
     /** One-task jobs come four a second for five minutes, a quarter of them cancelled. */
     @ParameterizedTest
-    @EnumSource(Beside.class)
-    void streamOfSingleTaskJobsIsAnsweredInTime(Beside fault) {
-        World cluster = clusterWithReadyMachines(400 + fault.ordinal(), 3, 12);
-        cluster.storeSettings = new Settings.State(400, 60, 8, 12);
+    @EnumSource(BackgroundFault.class)
+    void streamOfSingleTaskJobsIsAnsweredInTime(BackgroundFault fault) {
+        SimulatedCluster cluster = clusterWithReadyMachines(400 + fault.ordinal(), 3, 12);
+        cluster.storeSettings = new Settings.StoreLimits(400, 60, 8, 12);
         cluster.start();
         cluster.clock.runUntil(8_000);
         long firstRevision = cluster.store.revision();
         cluster.users.submitSingleTaskJobs(1_200, 250);
-        if (fault == Beside.SLOW_STORE) {
+        if (fault == BackgroundFault.SLOW_STORE) {
             cluster.store.maxExtraLatencyMillis = 400;
             cluster.clock.schedule(300_000, () -> cluster.store.maxExtraLatencyMillis = 0);
-        } else if (fault == Beside.LEADER_CRASHES_TWICE) {
+        } else if (fault == BackgroundFault.LEADER_CRASHES_TWICE) {
             for (long atMillis : new long[] {80_000, 200_000}) {
-                cluster.clock.schedule(atMillis, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 3_000));
+                cluster.clock.schedule(atMillis, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 3_000));
             }
         }
         cluster.expectFaultsUntil(308_000);
@@ -274,27 +274,27 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void zonePartitionedWithAControllerKeepsInvariants(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 16; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 80);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 80);
             cluster.clock.schedule(2_000, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
-        int insideController = seed % 2 == 0 ? Meetings.leaderIndex(cluster) : (Meetings.leaderIndex(cluster) + 1) % 3;
+        int insideController = seed % 2 == 0 ? CompoundFaults.leaderIndex(cluster) : (CompoundFaults.leaderIndex(cluster) + 1) % 3;
         long busyMachines = cluster.cloud.machines.values().stream().filter(worker -> worker.zone.equals("a") && !worker.tasks.isEmpty()).count();
-        Troubles.partitionZone(cluster, "a", insideController, 45_000);
+        FaultInjector.partitionZone(cluster, "a", insideController, 45_000);
         for (int i = 1; i <= 6; i++) {
             String id = String.format("wk-%06d", i);
             cluster.clock.schedule(i * 3_000L, () -> cluster.cancel(id));
         }
         if (seed == 3) {
-            cluster.clock.schedule(20_000, () -> Troubles.crashController(cluster, (insideController + 1) % 3, 500));
+            cluster.clock.schedule(20_000, () -> FaultInjector.crashController(cluster, (insideController + 1) % 3, 500));
         }
         cluster.clock.runUntil(64_000);
         assertTrue(busyMachines > 2, "machines in the zone: " + busyMachines);
-        assertNotEquals(insideController, Meetings.leaderIndex(cluster));
+        assertNotEquals(insideController, CompoundFaults.leaderIndex(cluster));
         cluster.clock.runUntil(600_000);
         assertAllJobsFinished(cluster, 16);
     }
@@ -303,24 +303,24 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tenLeaderChangesInTwoMinutesKeepInvariants(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.submissionRetryMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 4, 1, 25);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[i % 4], 4, 1, 25);
             cluster.clock.schedule(2_000 + i * 3_500L, () -> cluster.submit(job));
             if (i % 4 == 0) {
                 cluster.clock.schedule(6_000 + i * 3_500L, () -> cluster.cancel(job.jobId()));
             }
         }
         int[] elections = {0};
-        Meetings.onLeaderElected(cluster, 200_000, () -> elections[0]++);
-        cluster.clock.schedule(8_000, () -> Meetings.changeLeadersRepeatedly(cluster, 11, 11_000));
+        CompoundFaults.onLeaderElected(cluster, 200_000, () -> elections[0]++);
+        cluster.clock.schedule(8_000, () -> CompoundFaults.changeLeadersRepeatedly(cluster, 11, 11_000));
         if (seed % 2 == 0) {
-            cluster.clock.schedule(50_000, () -> Meetings.storeOutage(cluster, 30_000));
+            cluster.clock.schedule(50_000, () -> CompoundFaults.storeOutage(cluster, 30_000));
             for (int k = 0; k < 6; k++) {
                 int controller = k % 3;
-                cluster.clock.schedule(52_000 + k * 4_000L, () -> Troubles.crashController(cluster, controller, 300));
+                cluster.clock.schedule(52_000 + k * 4_000L, () -> FaultInjector.crashController(cluster, controller, 300));
             }
         }
         cluster.clock.runUntil(200_000);
@@ -333,20 +333,20 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workersUnreachableOutboundAreDeclaredLost(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
         cluster.start();
         for (int i = 1; i <= 14; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 5, 1, i < 7 ? 60 : 12);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 5, 1, i < 7 ? 60 : 12);
             cluster.clock.schedule(i < 7 ? 2_000 : 15_000 + i * 2_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(16_000);
-        List<Worker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 3 == 0).toList();
-        unreachable.forEach(worker -> Meetings.makeUnreachableOutbound(cluster, worker, 300_000));
+        List<SimulatedWorker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 3 == 0).toList();
+        unreachable.forEach(worker -> CompoundFaults.makeUnreachableOutbound(cluster, worker, 300_000));
         cluster.cancel("wk-000001");
         cluster.cancel("wk-000002");
         cluster.clock.schedule(2_000, () -> cluster.cancel("wk-000003"));
         if (seed % 2 == 0) {
-            Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 5_000);
+            FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 5_000);
         }
         cluster.clock.runUntil(100_000);
         assertTrue(unreachable.size() >= 3);
@@ -365,22 +365,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void quotaOfTasksEndedOnUnreachableMachinesIsReleased(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 30)), 1);
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 30)), 1);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
         cluster.cloud.addRunningMachines("small", "a", 12);
         cluster.start();
         for (int i = 1; i <= 10; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 400);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 400);
             cluster.clock.schedule(9_000 + i * 100L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
-        List<Worker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up).limit(10).toList();
-        long runningTasks = unreachable.stream().mapToLong(worker -> worker.tasks.values().stream().filter(Worker.Task::occupiesMachine).count()).sum();
+        List<SimulatedWorker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up).limit(10).toList();
+        long runningTasks = unreachable.stream().mapToLong(worker -> worker.tasks.values().stream().filter(SimulatedWorker.SimulatedTask::occupiesMachine).count()).sum();
         assertTrue(unreachable.size() == 10 && runningTasks > 24, runningTasks + " tasks on " + unreachable.size());
-        unreachable.forEach(worker -> Meetings.makeUnreachableOutbound(cluster, worker, 125_000));
+        unreachable.forEach(worker -> CompoundFaults.makeUnreachableOutbound(cluster, worker, 125_000));
         for (int i = 11; i <= 14; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.HIGH, 4, 1, 10);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 4, 1, 10);
             cluster.clock.schedule(i * 100L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000 + LONG_LEASE_MILLIS + 2_000 + 16_000);
@@ -396,11 +396,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void zoneBoundJobsSurviveMachineLoss(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 20);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 20);
         cluster.start();
         for (int i = 1; i <= 24; i++) {
             boolean isGang = i % 3 == 0;
-            JobSpec job = Jobs.job(i, "red", isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 4, 2, 0, 20, null,
+            JobSpec job = JobFixtures.job(i, "red", isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 4, 2, 0, 20, null,
                     i % 4 == 1 ? "a" : null, i % 4 > 1, i % 4 == 0, true, isGang ? 5 : 0);
             cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
@@ -408,16 +408,16 @@
         for (int k = 0; k < 6; k++) {
             int round = k;
             cluster.clock.schedule(9_000 + k * 5_000L, () -> cluster.cloud.machines.values().stream()
-                    .filter(worker -> !worker.dead && worker.tasks.values().stream().anyMatch(Worker.Task::occupiesMachine)).skip(round % 3).findFirst().ifPresent(worker -> {
+                    .filter(worker -> !worker.dead && worker.tasks.values().stream().anyMatch(SimulatedWorker.SimulatedTask::occupiesMachine)).skip(round % 3).findFirst().ifPresent(worker -> {
                         lostMachines[0]++;
                         if (round % 2 == 0) {
                             worker.crash();
                         } else {
-                            Troubles.partition(cluster, ipOf(worker), controllerIps(cluster), 25_000);
+                            FaultInjector.partition(cluster, ipOf(worker), controllerIps(cluster), 25_000);
                         }
                     }));
         }
-        cluster.clock.schedule(18_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 500));
+        cluster.clock.schedule(18_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 500));
         cluster.expectFaultsUntil(70_000);
         cluster.clock.runUntil(70_000);
         assertTrue(lostMachines[0] >= 5, "lost: " + lostMachines[0]);
@@ -429,12 +429,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void overloadOverSlowLinksServesUrgentJobsFirst(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 4)));
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 4)));
         cluster.submissionRetryMillis = 300_000;
         cluster.start();
         cluster.network.maxExtraLatencyMillis = 250 * (int) seed;
         for (int i = 1; i <= 36; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 6, 2, 8);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[i % 4], 6, 2, 8);
             cluster.clock.schedule(2_000 + i * 800L, () -> cluster.submit(job));
         }
         double[] maxCpusInUse = {0};
@@ -445,7 +445,7 @@
                 maxWaitingJobs[0] = Math.max(maxWaitingJobs[0], cluster.acceptedJobs().stream().filter(id -> cluster.serviceLevels().firstStartDelayMillis(id) < 0).count());
             });
         }
-        cluster.clock.schedule(30_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 800));
+        cluster.clock.schedule(30_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 800));
         cluster.clock.schedule(120_000, () -> cluster.network.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(125_000);
         cluster.clock.runUntil(120_000);
@@ -461,22 +461,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsSurviveControllersDownLongerThanTheLease(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.submissionRetryMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 20; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 3, 1, 40);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 3, 1, 40);
             cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(14_000);
         cluster.cancel("wk-000001");
         cluster.cancel("wk-000002");
         for (int i = 0; i < 3; i++) {
-            Troubles.crashController(cluster, i, 14_000 + i * 2_500L + seed * 1_000);
+            FaultInjector.crashController(cluster, i, 14_000 + i * 2_500L + seed * 1_000);
         }
         cluster.clock.runUntil(27_000);
-        assertTrue(cluster.cloud.machines.values().stream().noneMatch(worker -> worker.tasks.values().stream().anyMatch(Worker.Task::occupiesMachine)), "the leases are over");
-        assertTrue(cluster.controllers.stream().noneMatch(World.Member::isAlive));
+        assertTrue(cluster.cloud.machines.values().stream().noneMatch(worker -> worker.tasks.values().stream().anyMatch(SimulatedWorker.SimulatedTask::occupiesMachine)), "the leases are over");
+        assertTrue(cluster.controllers.stream().noneMatch(SimulatedCluster.SimulatedController::isAlive));
         cluster.clock.runUntil(500_000);
         assertAllJobsFinished(cluster, 20);
         assertTrue(cluster.hasFinalStatus("wk-000001") && cluster.hasFinalStatus("wk-000002"));
@@ -486,18 +486,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancelledTasksDoNotResumeOnHungMachines(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 4, 1, 120);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 120);
             cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
         cluster.users.consistencyProbes = true;
         cluster.users.cancelRunningJobs(14, seed % 2 == 0 ? 15_000 : 35_000);
         if (seed > 2) {
-            cluster.clock.schedule(1_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 4_000));
+            cluster.clock.schedule(1_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 4_000));
         }
         assertEquals(14, cluster.users.massCancelledCount);
         assertEquals(8, cluster.cloud.machines.values().stream().filter(worker -> worker.hung).count());
@@ -512,12 +512,12 @@
     @Test void teamAtItsLimitUsesSmallFreeCapacityOfOtherShards() {
         Map<Long, Set<String>> violationsBySeed = new HashMap<>();
         for (long seed = 1; seed <= 10; seed++) {
-            World cluster = clusterWithReadyMachines(seed, 3, 30);
+            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 30);
             cluster.start();
             for (int i = 1; i <= 12; i++) {
-                JobSpec redJob = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 9, 2, 400);
+                JobSpec redJob = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 9, 2, 400);
                 cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(redJob));
-                JobSpec blueJob = Jobs.array(100 + i, "blue", JobSpec.Urgency.NORMAL, 8, 2, 100);
+                JobSpec blueJob = JobFixtures.array(100 + i, "blue", JobSpec.Priority.NORMAL, 8, 2, 100);
                 cluster.clock.schedule(2_100 + i * 200L, () -> cluster.submit(blueJob));
             }
             cluster.clock.runUntil(1_800_000);
@@ -532,13 +532,13 @@
     /** An urgent gang that needs most of what its team may use comes together though single tasks of lower work fit into less. */
     @Test void urgentGangOfATeamAtItsLimitStarts() {
         for (long seed = 1; seed <= 4; seed++) {
-            World cluster = clusterWithReadyMachines(seed, 3, 12);
+            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
             cluster.start();
             for (int i = 1; i <= 40; i++) {
-                JobSpec lowPriorityJob = Jobs.array(i, "blue", i % 2 == 0 ? JobSpec.Urgency.NORMAL : JobSpec.Urgency.BEST_EFFORT, 9, 2, 20);
+                JobSpec lowPriorityJob = JobFixtures.array(i, "blue", i % 2 == 0 ? JobSpec.Priority.NORMAL : JobSpec.Priority.BEST_EFFORT, 9, 2, 20);
                 cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(lowPriorityJob));
             }
-            JobSpec gang = Jobs.job(50, "blue", JobSpec.Mode.ENSEMBLE, JobSpec.Urgency.PRODUCTION, 9, 2, 0, 20, null, null, false, false, true, 0);
+            JobSpec gang = JobFixtures.job(50, "blue", JobSpec.Mode.ENSEMBLE, JobSpec.Priority.PRODUCTION, 9, 2, 0, 20, null, null, false, false, true, 0);
             cluster.clock.schedule(20_000, () -> cluster.submit(gang));
             cluster.clock.runUntil(280_000);
             long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
@@ -554,16 +554,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void schedulingCommitForJobCancelledElsewhereStartsNothing(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
         cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
         cluster.start();
         cluster.clock.runUntil(9_000);
-        int ownController = (Meetings.leaderIndex(cluster) + 1) % 3;
-        int otherController = (Meetings.leaderIndex(cluster) + 2) % 3;
+        int ownController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
         // The team is at its limit by tasks that end at 20 s or a little later, so that the larger job has no place until then.
-        cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.PRODUCTION, 40, 1, 16), ownController);
+        cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.PRODUCTION, 40, 1, 16), ownController);
         cluster.clock.runUntil(12_000);
-        JobSpec largeJob = Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 230, 0.2, 20);
+        JobSpec largeJob = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 230, 0.2, 20);
         cluster.submit(largeJob, ownController);
         cluster.clock.runUntil(13_000);
         assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
@@ -584,22 +584,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void schedulingCommitWithMovedQuotaShareFails(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 18);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 18);
         cluster.start();
         cluster.clock.runUntil(9_000);
-        int staleController = (Meetings.leaderIndex(cluster) + 1) % 3;
-        int otherController = (Meetings.leaderIndex(cluster) + 2) % 3;
+        int staleController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
         // The allowance comes to where the want is, and stays there when that has ended.
-        cluster.submit(Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 12, 2, 4), staleController);
+        cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 4), staleController);
         cluster.clock.runUntil(30_000);
         assertTrue(cluster.hasFinalStatus("wk-000001"));
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
-        cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 12, 2, 60), otherController);
+        cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 2, 60), otherController);
         cluster.clock.runUntil(42_000);
         assertTrue(cpusInUse(cluster, "blue") > 20, "use: " + cpusInUse(cluster, "blue"));
         int[] attempts = {0};
         cluster.store.arrivalObserver = transaction -> attempts[0] += anyStartsWith(transaction.path("then"), "put", "a/j/wk-000003") && transaction.path("then").toString().contains(" i-0") ? 1 : 0;
-        cluster.submit(Jobs.array(3, "blue", JobSpec.Urgency.HIGH, 12, 1, 20), staleController);
+        cluster.submit(JobFixtures.array(3, "blue", JobSpec.Priority.HIGH, 12, 1, 20), staleController);
         cluster.clock.runUntil(50_000);
         assertTrue(attempts[0] > 0, "it never tried");
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, false);
--- a/src/test/java/io/quincelead/world/MeetingsTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -1,4 +1,4 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,9 +6,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it came about. */
-class MeetingsTest {
+class CompoundFaultTest {
     static final long LONG_LEASE_MILLIS = 22_000;
 
-    static World clusterWithReadyMachines(long seed, int controllerCount, int machineCount) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), machineCount)), controllerCount);
+    static SimulatedCluster clusterWithReadyMachines(long seed, int controllerCount, int machineCount) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), machineCount)), controllerCount);
         cluster.teams.put("red", new Settings.Team("red", 300, 400, 0, 0));
         cluster.cloud.addRunningMachines("small", "a", machineCount / 2);
         cluster.cloud.addRunningMachines("small", "b", machineCount / 2);
         return cluster;
     }
 
-    static void assertAllJobsFinished(World cluster, int jobCount) {
+    static void assertAllJobsFinished(SimulatedCluster cluster, int jobCount) {
         assertEquals(Set.of(), cluster.violations());
         assertEquals(jobCount, cluster.acceptedJobCount());
         assertEquals(List.of(), cluster.unfinishedJobs());
@@ -45,15 +45,15 @@
     }
 
     /** The machines of a controller's block. */
-    static Set<String> machinesOf(World cluster, String controllerName) {
+    static Set<String> machinesOf(SimulatedCluster cluster, String controllerName) {
         JsonNode shard = cluster.store.value("a/b/" + controllerName);
         Set<String> result = new HashSet<>();
         shard.path("ms").forEach(group -> group.forEach(host -> result.add(shard.path("p").asText() + host.asText())));
         return result;
     }
 
-    private static void commitDirectly(World cluster, ObjectNode transaction, int[] status) {
-        cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (responseStatus, body, retryAfterSeconds) -> status[0] = responseStatus);
+    private static void commitDirectly(SimulatedCluster cluster, ObjectNode transaction, int[] status) {
+        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (responseStatus, body, retryAfterSeconds) -> status[0] = responseStatus);
     }
 
     /**
@@ -63,18 +63,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void cancellationsConfirmedBetweenLeaderRefusalAndStoreOutageTakeEffect(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 30);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 30);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 60; i++) {
             // Of every four one belongs to a team at its limit, and most of those have no place yet.
-            JobSpec job = i % 4 == 0 ? Jobs.array(i, "blue", JobSpec.Urgency.NORMAL, 12, 2, 100) : Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 1 + i % 3, 1, 200);
+            JobSpec job = i % 4 == 0 ? JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 12, 2, 100) : JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 200);
             cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(40_000);
-        int oldLeader = Meetings.leaderIndex(cluster);
+        int oldLeader = CompoundFaults.leaderIndex(cluster);
         long gapMillis = 500 + seed * 950;
-        Meetings.refuseByStore(cluster, oldLeader, 14_000);
+        CompoundFaults.refuseByStore(cluster, oldLeader, 14_000);
         String leaderName = cluster.controllers.get(oldLeader).name;
         Set<String> leaderHosts = machinesOf(cluster, leaderName);
         List<String> jobsElsewhere = new ArrayList<>();
@@ -87,7 +87,7 @@
             }
             cluster.clock.schedule(cluster.clock.random.nextLong(Math.min(gapMillis, 1_000)), () -> cluster.cancel(id));
         }
-        cluster.clock.schedule(gapMillis, () -> Meetings.storeOutage(cluster, 64_000));
+        cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 64_000));
         cluster.clock.runUntil(40_000 + gapMillis + 64_000);
         long confirmedInGap = cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 40_000 && cluster.cancellationConfirmedAtMillis(id) <= 40_000 + gapMillis + 10).count();
         assertTrue(confirmedInGap > 0, "nobody was told in the gap");
@@ -102,36 +102,36 @@
     }
 
     /** What else happens in the gap. */
-    private enum Besides { SECOND_CONTROLLER_REFUSED, CONFIRMING_CONTROLLER_CRASH, OLD_LEADER_RESTARTS_WITH_STORE, SECOND_REFUSAL_AND_OUTAGE }
+    private enum AdditionalFault { SECOND_CONTROLLER_REFUSED, CONFIRMING_CONTROLLER_CRASH, OLD_LEADER_RESTARTS_WITH_STORE, SECOND_REFUSAL_AND_OUTAGE }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void cancellationsBetweenLeaderRefusalAndStoreOutageSurviveAnAdditionalFault(long seed) {
-        for (Besides fault : Besides.values()) {
-            World cluster = clusterWithReadyMachines(seed, 3, 16);
+        for (AdditionalFault fault : AdditionalFault.values()) {
+            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
             cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
             cluster.start();
             for (int i = 1; i <= 30; i++) {
-                JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 1 + i % 3, 1, 150);
+                JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
                 cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
             }
             cluster.clock.runUntil(30_000);
-            int oldLeader = Meetings.leaderIndex(cluster);
+            int oldLeader = CompoundFaults.leaderIndex(cluster);
             long gapMillis = 2_000 + seed * 700;
-            Meetings.refuseByStore(cluster, oldLeader, 14_000);
+            CompoundFaults.refuseByStore(cluster, oldLeader, 14_000);
             for (int i = 1; i <= 20; i++) {
                 String id = String.format("wk-%06d", i);
                 cluster.clock.schedule(cluster.clock.random.nextLong(1_500), () -> cluster.cancel(id));
             }
-            cluster.clock.schedule(gapMillis, () -> Meetings.storeOutage(cluster, 60_000));
+            cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 60_000));
             switch (fault) {
-                case SECOND_CONTROLLER_REFUSED -> cluster.clock.schedule(gapMillis / 2, () -> Meetings.refuseByStore(cluster, (oldLeader + 1) % 3, 12_000));
-                case CONFIRMING_CONTROLLER_CRASH -> cluster.clock.schedule(gapMillis - 100, () -> Troubles.crashController(cluster, (oldLeader + 1) % 3, 300));
-                case OLD_LEADER_RESTARTS_WITH_STORE -> cluster.clock.schedule(gapMillis + 59_800, () -> Troubles.crashController(cluster, oldLeader, 250));
+                case SECOND_CONTROLLER_REFUSED -> cluster.clock.schedule(gapMillis / 2, () -> CompoundFaults.refuseByStore(cluster, (oldLeader + 1) % 3, 12_000));
+                case CONFIRMING_CONTROLLER_CRASH -> cluster.clock.schedule(gapMillis - 100, () -> FaultInjector.crashController(cluster, (oldLeader + 1) % 3, 300));
+                case OLD_LEADER_RESTARTS_WITH_STORE -> cluster.clock.schedule(gapMillis + 59_800, () -> FaultInjector.crashController(cluster, oldLeader, 250));
                 default -> cluster.clock.schedule(gapMillis + 75_000, () -> {
-                    Meetings.refuseByStore(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 14_000);
+                    CompoundFaults.refuseByStore(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 14_000);
                     cluster.cancel("wk-000021");
-                    cluster.clock.schedule(gapMillis, () -> Meetings.storeOutage(cluster, 60_000));
+                    cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 60_000));
                 });
             }
             cluster.clock.runUntil(30_000 + gapMillis + 10);
@@ -147,7 +147,7 @@
      * of its own job and of the block alone, which no later round had changed: a team once passed its limit.
      */
     @Test void delayedSchedulingCommitDoesNotExceedTeamLimit() {
-        World cluster = clusterWithReadyMachines(1, 1, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(1, 1, 12);
         cluster.start();
         cluster.clock.runUntil(8_000);
         ObjectNode[] delayed = {null};
@@ -155,13 +155,13 @@
         cluster.store.dropsTransaction = transaction -> {
             if (delayed[0] == null && anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && anyStartsWith(transaction.path("guards"), "path", "a/b/")) {
                 delayed[0] = transaction;
-                cluster.clock.schedule(900, () -> cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 12, 2, 30)));
+                cluster.clock.schedule(900, () -> cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 2, 30)));
                 cluster.clock.schedule(6_000, () -> commitDirectly(cluster, transaction, status));
                 return true;
             }
             return false;
         };
-        cluster.submit(Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 12, 2, 30));
+        cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 30));
         cluster.clock.runUntil(20_000);
         assertTrue(delayed[0] != null && cluster.taskStarts.getOrDefault("wk-000002", 0) == 12, "the meeting: " + cluster.taskStarts);
         assertEquals(409, status[0]);
@@ -171,21 +171,21 @@
 
     /** The return of an idle machine got no answer and was carried out when work ran there again, of which its guards knew nothing. */
     @Test void delayedScaleInCommitDoesNotReleaseMachineInUse() {
-        World cluster = new World(3, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)), 1);
+        SimulatedCluster cluster = new SimulatedCluster(3, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)), 1);
         cluster.start();
         int[] status = {0};
         cluster.store.dropsTransaction = transaction -> {
             for (JsonNode operation : transaction.path("then")) {
                 if (status[0] == 0 && operation.path("put").asText().startsWith("a/m/") && operation.path("value").has("x")) {
                     status[0] = 1;
-                    cluster.submit(Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 12, 2, 30));
+                    cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 12, 2, 30));
                     cluster.clock.schedule(5_000, () -> commitDirectly(cluster, transaction, status));
                     return true;
                 }
             }
             return false;
         };
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 12, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
         cluster.clock.runUntil(250_000);
         assertEquals(409, status[0]);
         assertEquals(12, cluster.taskStarts.get("wk-000002"));
@@ -197,14 +197,14 @@
      * leader's next split counted only the one or the other. A team passed its limit.
      */
     @Test void reassignedJobKeepsItsQuotaUse() {
-        World cluster = clusterWithReadyMachines(4, 3, 18);
+        SimulatedCluster cluster = clusterWithReadyMachines(4, 3, 18);
         cluster.start();
         cluster.clock.runUntil(8_000);
-        int lostController = (Meetings.leaderIndex(cluster) + 1) % 3;
-        cluster.submit(Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 12, 1, 300), lostController);
+        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 1, 300), lostController);
         cluster.clock.runUntil(16_000);
         assertEquals(12, cluster.taskStarts.get("wk-000001"));
-        int leader = Meetings.leaderIndex(cluster);
+        int leader = CompoundFaults.leaderIndex(cluster);
         int[] newOwner = {-1};
         cluster.store.arrivalObserver = transaction -> {
             for (JsonNode operation : transaction.path("then")) {
@@ -214,8 +214,8 @@
                         cluster.store.setWatchDelayed(cluster.controllers.get(controller).ip, true);
                         cluster.clock.schedule(2_500, () -> cluster.store.setWatchDelayed(cluster.controllers.get(controller).ip, false));
                     }
-                    cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 12, 1, 60), newOwner[0]);
-                    cluster.submit(Jobs.array(3, "blue", JobSpec.Urgency.HIGH, 12, 1, 60), leader);
+                    cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 1, 60), newOwner[0]);
+                    cluster.submit(JobFixtures.array(3, "blue", JobSpec.Priority.HIGH, 12, 1, 60), leader);
                 }
             }
         };
@@ -230,7 +230,7 @@
 
     /** A copy of a rental's settling came when its machines had long gone: the record they shared, of which there was none again, came back. */
     @Test void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
-        World cluster = new World(2, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+        SimulatedCluster cluster = new SimulatedCluster(2, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
         cluster.start();
         List<ObjectNode> settlements = new ArrayList<>();
         cluster.store.arrivalObserver = transaction -> {
@@ -238,7 +238,7 @@
                 settlements.add(transaction);
             }
         };
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 12, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
         cluster.clock.runUntil(60_000);
         assertTrue(!settlements.isEmpty());
         long untilMillis = 60_000;
@@ -255,7 +255,7 @@
 
     /** The same of a taking-in of machines that nobody had rented. */
     @Test void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
-        World cluster = new World(2, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+        SimulatedCluster cluster = new SimulatedCluster(2, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
         cluster.cloud.addRunningMachines("small", "a", 6);
         List<ObjectNode> registrations = new ArrayList<>();
         cluster.store.arrivalObserver = transaction -> {
@@ -284,12 +284,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobSubmittedDuringPagedRelistIsReadCompletely(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 60);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 60);
         cluster.start();
         cluster.clock.runUntil(12_000);
         cluster.store.maxPageSize = 3;
         for (int i = 1; i <= 12; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 220, 0.2, 15);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 220, 0.2, 15);
             cluster.clock.schedule(i * 400L, () -> cluster.submit(job));
         }
         int[] restarts = {0};
@@ -297,7 +297,7 @@
             int controller = i % 3;
             cluster.clock.schedule(1_000 + i * 3_500L, () -> {
                 restarts[0]++;
-                Troubles.crashController(cluster, controller, 100);
+                FaultInjector.crashController(cluster, controller, 100);
             });
         }
         cluster.store.maxExtraLatencyMillis = 60;
@@ -313,19 +313,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void partitionedLeaderGivesNoStaleAnswers(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 20);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 20);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 3, 1, 60);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 3, 1, 60);
             cluster.clock.schedule(i < 20 ? 2_000 : 34_000 + i * 600L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(30_000);
-        int oldLeader = Meetings.leaderIndex(cluster);
+        int oldLeader = CompoundFaults.leaderIndex(cluster);
         List<String> otherIps = new ArrayList<>(List.of("10.2.0.1"));
         cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
         otherIps.remove(cluster.controllers.get(oldLeader).ip);
-        Troubles.partition(cluster, cluster.controllers.get(oldLeader).ip, otherIps, 40_000);
+        FaultInjector.partition(cluster, cluster.controllers.get(oldLeader).ip, otherIps, 40_000);
         for (int i = 1; i <= 10; i++) {
             String id = String.format("wk-%06d", i);
             cluster.clock.schedule(2_000 + i * 2_000L, () -> cluster.cancel(id));
@@ -335,7 +335,7 @@
             cluster.clock.schedule(second * 1_000L, () -> cluster.query(id));
         }
         cluster.clock.runUntil(66_000);
-        assertNotEquals(oldLeader, Meetings.leaderIndex(cluster));
+        assertNotEquals(oldLeader, CompoundFaults.leaderIndex(cluster));
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
         // What ran on the old leader's machines ran on: its successor called the workers away by the addresses on record.
@@ -348,16 +348,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void slowRefusingAndFailingStoreKeepsInvariants(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 20);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 20);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 2, 2, 40);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2, 2, 40);
             cluster.clock.schedule(2_000 + i * 900L, () -> cluster.submit(job));
         }
         cluster.clock.schedule(30_000, () -> cluster.store.maxExtraLatencyMillis = 1_900);
-        cluster.clock.schedule(40_000, () -> Meetings.refuseByStore(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 12_000));
-        cluster.clock.schedule(47_000, () -> Meetings.storeOutage(cluster, 55_000));
+        cluster.clock.schedule(40_000, () -> CompoundFaults.refuseByStore(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
+        cluster.clock.schedule(47_000, () -> CompoundFaults.storeOutage(cluster, 55_000));
         cluster.clock.schedule(110_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(110_000);
         for (int i = 1; i <= 12; i++) {
@@ -378,18 +378,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void machinesUnreachableInboundAreDeclaredLost(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 14; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 6, 1, i < 7 ? 80 : 15);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, i < 7 ? 80 : 15);
             cluster.clock.schedule(i < 7 ? 2_000 : 25_000 + i * 2_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
-        List<Worker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 4 == 0).toList();
-        unreachable.forEach(worker -> Meetings.makeUnreachableInbound(cluster, worker, 400_000));
-        int oldLeader = Meetings.leaderIndex(cluster);
-        Troubles.crashController(cluster, oldLeader, 15_000);
+        List<SimulatedWorker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 4 == 0).toList();
+        unreachable.forEach(worker -> CompoundFaults.makeUnreachableInbound(cluster, worker, 400_000));
+        int oldLeader = CompoundFaults.leaderIndex(cluster);
+        FaultInjector.crashController(cluster, oldLeader, 15_000);
         cluster.clock.runUntil(20_000 + 150_000);
         assertNotEquals(0, unreachable.size());
         unreachable.forEach(worker -> assertTrue(worker.released, worker.host + " hears nobody and is kept"));
@@ -402,11 +402,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void machinesPartitionedAtLeaderFailoverRunNoTaskTwice(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 10; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 6, 1, 90);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 90);
             cluster.clock.schedule(2_000, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
@@ -414,15 +414,15 @@
         List<String> controllerIps = new ArrayList<>();
         cluster.controllers.forEach(controller -> controllerIps.add(controller.ip));
         Set<String> partitionedHosts = new HashSet<>();
-        for (Worker worker : cluster.cloud.machines.values()) {
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             if (Integer.parseInt(worker.host.substring(2)) % 3 == 0 && !worker.tasks.isEmpty()) {
                 partitionedHosts.add(worker.host);
-                Troubles.partition(cluster, worker.address.substring(0, worker.address.indexOf(':')), controllerIps, durationMillis);
+                FaultInjector.partition(cluster, worker.address.substring(0, worker.address.indexOf(':')), controllerIps, durationMillis);
             }
         }
         assertNotEquals(Set.of(), partitionedHosts);
-        int oldLeader = Meetings.leaderIndex(cluster);
-        Troubles.crashController(cluster, oldLeader, 3_000);
+        int oldLeader = CompoundFaults.leaderIndex(cluster);
+        FaultInjector.crashController(cluster, oldLeader, 3_000);
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 10);
     }
@@ -431,12 +431,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void staleHeartbeatsMoveNoMachine(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 20);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 20);
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 8; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 6, 1, 100);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 100);
             cluster.clock.schedule(2_000, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(15_000);
@@ -444,11 +444,11 @@
         cluster.network.maxStaleHeartbeatDelayMillis = seed == 1 ? 45_000 : 9_000;
         cluster.expectFaultsUntil(130_000);
         // Machines change hands, by loss and by balance, so that copies reach those who had them.
-        Troubles.crashController(cluster, (Meetings.leaderIndex(cluster) + 1) % 3, 1_000);
+        FaultInjector.crashController(cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 1_000);
         cluster.clock.runUntil(25_000);
         long fencingToken = cluster.store.value("a/term").path("n").asLong();
         int[] stuckReports = {0};
-        cluster.network.requestObserver = (path, body) -> stuckReports[0] += path.equals("/peer/stray") && Codec.JSON.decodeMap(body).path("stuck").asBoolean() ? 1 : 0;
+        cluster.network.requestObserver = (path, body) -> stuckReports[0] += path.equals("/peer/stray") && WireFormat.JSON.decodeMap(body).path("stuck").asBoolean() ? 1 : 0;
         cluster.clock.runUntil(85_000);
         assertTrue(cluster.network.staleHeartbeatsSent > 100, "copies: " + cluster.network.staleHeartbeatsSent);
         assertTrue(cluster.store.value("a/term").path("n").asLong() > fencingToken, "no machine changed hands");
@@ -462,18 +462,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void delayedCommandsKeepInvariants(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 8);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 8);
         cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", i % 4 == 0 ? JobSpec.Urgency.HIGH : JobSpec.Urgency.BEST_EFFORT, 4, 2, 15);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", i % 4 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT, 4, 2, 15);
             cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
             if (i % 3 == 0) {
                 cluster.clock.schedule(6_000 + i * 1_500L, () -> cluster.cancel(job.jobId()));
             }
         }
         cluster.network.commandHoldRate = 0.6;
-        cluster.clock.schedule(15_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(30_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 8_000));
+        cluster.clock.schedule(15_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
+        cluster.clock.schedule(30_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 8_000));
         cluster.clock.schedule(80_000, () -> cluster.network.commandHoldRate = 0);
         cluster.expectFaultsUntil(95_000);
         cluster.clock.runUntil(80_000);
@@ -486,13 +486,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void overtakenKillResponseIsNoEvidence(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 8);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 8);
         cluster.start();
         cluster.network.commandHoldRate = 0.7;
         cluster.network.minCommandResponseDelayMillis = 1_000 + (int) seed * 100;
         for (int i = 1; i <= 40; i++) {
             boolean high = i % 2 == 0;
-            JobSpec job = Jobs.array(i, high ? "blue" : "red", high ? JobSpec.Urgency.HIGH : JobSpec.Urgency.BEST_EFFORT, high ? 8 : 24, 1, high ? 4 : 20);
+            JobSpec job = JobFixtures.array(i, high ? "blue" : "red", high ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT, high ? 8 : 24, 1, high ? 4 : 20);
             cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(60_000);
@@ -506,26 +506,26 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void repeatedFailoverWithDelayedWritesKeepsInvariants(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 5, 1, 20);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 5, 1, 20);
             cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
         }
         cluster.store.delayedWriteRate = 0.2;
         Set<Integer> leaders = new HashSet<>();
         for (int k = 0; k < 5; k++) {
             cluster.clock.schedule(10_000 + k * 9_000L, () -> {
-                leaders.add(Meetings.leaderIndex(cluster));
-                Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), Troubles.quickRestartDelayMillis(cluster) + 3_000);
+                leaders.add(CompoundFaults.leaderIndex(cluster));
+                FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), FaultInjector.quickRestartDelayMillis(cluster) + 3_000);
             });
         }
         cluster.clock.schedule(56_000, () -> {
             for (int i = 0; i < 3; i++) {
-                Troubles.crashController(cluster, i, i == seed % 3 ? 200 : 6_000);
+                FaultInjector.crashController(cluster, i, i == seed % 3 ? 200 : 6_000);
             }
         });
-        cluster.clock.schedule(57_500, () -> Troubles.crashController(cluster, (int) (seed % 3), 200));
+        cluster.clock.schedule(57_500, () -> FaultInjector.crashController(cluster, (int) (seed % 3), 200));
         cluster.clock.schedule(70_000, () -> cluster.store.delayedWriteRate = 0);
         cluster.expectFaultsUntil(90_000);
         cluster.clock.runUntil(100_000);
@@ -539,10 +539,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void completedTaskOfSmallJobSurvivesFailover(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.start();
         for (int i = 1; i <= 20; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 2 + i % 2, 2, 50);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2 + i % 2, 2, 50);
             cluster.clock.schedule(2_000, () -> cluster.submit(job));
         }
         int[] partlyCompletedJobs = {0};
@@ -553,7 +553,7 @@
                     long completedTasks = cluster.completedTasks.stream().filter(task -> task.startsWith(id + "/")).count();
                     partlyCompletedJobs[0] += completedTasks > 0 && completedTasks < 2 + i % 2 ? 1 : 0;
                 }
-                Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), cluster.clock.random.nextBoolean() ? 200 : 5_000);
+                FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), cluster.clock.random.nextBoolean() ? 200 : 5_000);
             });
         }
         cluster.clock.runUntil(400_000);
@@ -566,11 +566,11 @@
 
     /** The controller that is asked to cancel hasn't heard yet that the job's first tasks have places: it must not call it cancelled. */
     @Test void controllerUnawareOfFirstPlacementsDoesNotConfirmCancellation() {
-        World cluster = clusterWithReadyMachines(6, 3, 18);
+        SimulatedCluster cluster = clusterWithReadyMachines(6, 3, 18);
         cluster.start();
         cluster.clock.runUntil(8_000);
-        int askedController = (Meetings.leaderIndex(cluster) + 1) % 3;
-        int otherController = (Meetings.leaderIndex(cluster) + 2) % 3;
+        int askedController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
         boolean[] met = {false, false};
         cluster.store.arrivalObserver = t -> {
             if (!met[0] && anyStartsWith(t.path("then"), "put", "a/t/wk-000001/")) {
@@ -580,10 +580,10 @@
                 cluster.clock.schedule(4_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(askedController).ip, false));
             }
         };
-        cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 250, 0.2, 100), otherController);
+        cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 250, 0.2, 100), otherController);
         for (int t = 8_000; t < 30_000; t += 10) {
             cluster.clock.schedule(t - 8_000, () -> met[1] |= cluster.cancellationConfirmedAtMillis("wk-000001") >= 0
-                    && cluster.cloud.machines.values().stream().anyMatch(worker -> worker.tasks.values().stream().anyMatch(Worker.Task::occupiesMachine)));
+                    && cluster.cloud.machines.values().stream().anyMatch(worker -> worker.tasks.values().stream().anyMatch(SimulatedWorker.SimulatedTask::occupiesMachine)));
         }
         cluster.clock.runUntil(60_000);
         assertTrue(met[0] && cluster.taskStarts.get("wk-000001") > 0, "the meeting: " + cluster.taskStarts);
@@ -593,14 +593,14 @@
 
     /** Half of the jobs are cancelled as soon as their places are on record: who had no start yet once waited for its machine's next report. */
     @Test void cancellationOfJobWithoutStartsIsConfirmedAtOnce() {
-        World cluster = clusterWithReadyMachines(5, 1, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(5, 1, 12);
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         cluster.clock.runUntil(20_000);
         long[] confirmationDelaysMillis = new long[41];
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 6, 1, 30);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 30);
             int jobNumber = i;
             cluster.clock.schedule(i * 1_000L, () -> cluster.submit(job));
             cluster.clock.schedule(i * 1_000L + 250, () -> {
@@ -621,11 +621,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void randomCompoundFaultsOfAllKindsKeepInvariants(long seed) {
-        World cluster = new World(300_000 + seed);
-        Meetings.playAllKinds(cluster);
+        SimulatedCluster cluster = new SimulatedCluster(300_000 + seed);
+        CompoundFaults.playAllKinds(cluster);
         assertEquals(Set.of(), cluster.violations());
         assertEquals(List.of(), cluster.unfinishedJobs());
-        assertEquals(List.of(), Meetings.starvedDespiteCapacity(cluster));
+        assertEquals(List.of(), CompoundFaults.starvedDespiteCapacity(cluster));
     }
 
     /** Two or three of the first kinds, 0 to 10 s apart, three times a day. */
@@ -634,9 +634,9 @@
     // after it, within the allowance, and the leader's next split counted only one of the two.
     @ValueSource(longs = {20559, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void randomCompoundFaultsOfInitialKindsKeepInvariants(long seed) {
-        World cluster = new World(80_000 + seed);
-        Meetings.playInitialKinds(cluster);
+        SimulatedCluster cluster = new SimulatedCluster(80_000 + seed);
+        CompoundFaults.playInitialKinds(cluster);
         assertAllJobsFinished(cluster, 45);
-        assertEquals(List.of(), Meetings.starved(cluster));
+        assertEquals(List.of(), CompoundFaults.starved(cluster));
     }
 }
--- a/src/test/java/io/quincelead/world/Meetings.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaults.java
@@ -1,18 +1,18 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** Troubles that meet: each of the kinds that broke rules on real machines, alone or drawn together a few seconds apart. */
-final class Meetings {
-    private Meetings() { }
+final class CompoundFaults {
+    private CompoundFaults() { }
 
     /** What can meet. */
-    enum Kind {
+    enum FaultKind {
         /** The leader is cut from the store and from the other controllers; its workers and users still reach it. */
         LEADER_PARTITIONED,
         /** Transactions get no answer and are carried out 2 to 12 s later. */
@@ -68,14 +68,14 @@
     }
 
     /** The kinds that the first drawn days know, whose seeds stay what they were. */
-    private static final int INITIAL_KIND_COUNT = Kind.ALL_CONTROLLERS_CRASH.ordinal() + 1;
+    private static final int INITIAL_KIND_COUNT = FaultKind.ALL_CONTROLLERS_CRASH.ordinal() + 1;
 
     /** The leader's place among the controllers; -1: nobody leads. */
-    static int leaderIndex(World cluster) {
+    static int leaderIndex(SimulatedCluster cluster) {
         return cluster.store.value("a/lead") == null ? -1 : cluster.indexOfController(cluster.store.value("a/lead").path("m").asText());
     }
 
-    static void inject(World cluster, Kind kind) {
+    static void inject(SimulatedCluster cluster, FaultKind kind) {
         long durationMillis = 3_000 + cluster.clock.random.nextLong(30_000);
         int leader = Math.max(0, leaderIndex(cluster));
         String ip = cluster.controllers.get(leader).ip;
@@ -85,7 +85,7 @@
                 List<String> otherIps = new ArrayList<>(List.of("10.2.0.1"));
                 cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
                 otherIps.remove(ip);
-                Troubles.partition(cluster, ip, otherIps, durationMillis);
+                FaultInjector.partition(cluster, ip, otherIps, durationMillis);
             }
             case DELAYED_WRITES -> {
                 cluster.store.delayedWriteRate = 0.05 + cluster.clock.random.nextDouble() * 0.3;
@@ -98,11 +98,11 @@
             }
             case LEADER_REFUSED_BY_STORE -> refuseByStore(cluster, leader, durationMillis);
             case STORE_DOWN -> storeOutage(cluster, durationMillis + cluster.clock.random.nextLong(40_000));
-            case LEADER_CRASH -> Troubles.crashController(cluster, leader, cluster.clock.random.nextBoolean() ? Troubles.quickRestartDelayMillis(cluster) : 2_000 + cluster.clock.random.nextLong(20_000));
+            case LEADER_CRASH -> FaultInjector.crashController(cluster, leader, cluster.clock.random.nextBoolean() ? FaultInjector.quickRestartDelayMillis(cluster) : 2_000 + cluster.clock.random.nextLong(20_000));
             case MACHINES_PARTITIONED -> forSomeMachines(cluster, worker -> {
                 List<String> controllerIps = new ArrayList<>();
                 cluster.controllers.forEach(controller -> controllerIps.add(controller.ip));
-                Troubles.partition(cluster, worker.address.substring(0, worker.address.indexOf(':')), controllerIps, durationMillis);
+                FaultInjector.partition(cluster, worker.address.substring(0, worker.address.indexOf(':')), controllerIps, durationMillis);
             });
             case MACHINES_UNREACHABLE_INBOUND -> forSomeMachines(cluster, worker -> makeUnreachableInbound(cluster, worker, durationMillis));
             case STALE_HEARTBEATS -> {
@@ -122,7 +122,7 @@
             case ALL_CONTROLLERS_CRASH -> {
                 int first = cluster.clock.random.nextInt(cluster.controllers.size());
                 for (int i = 0; i < cluster.controllers.size(); i++) {
-                    Troubles.crashController(cluster, i, i == first ? Troubles.quickRestartDelayMillis(cluster) : 1_000 + cluster.clock.random.nextLong(8_000));
+                    FaultInjector.crashController(cluster, i, i == first ? FaultInjector.quickRestartDelayMillis(cluster) : 1_000 + cluster.clock.random.nextLong(8_000));
                 }
             }
             case LOST_STORE_RESPONSES -> {
@@ -156,39 +156,39 @@
                 cluster.network.maxExtraLatencyMillis = 50 + cluster.clock.random.nextInt(350);
                 cluster.clock.schedule(durationMillis, () -> cluster.network.maxExtraLatencyMillis = 0);
                 for (int i = 0; i < 6; i++) {
-                    JobSpec job = Jobs.array(cluster.users.nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[cluster.clock.random.nextInt(4)], 12, 2, 12);
+                    JobSpec job = JobFixtures.array(cluster.users.nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[cluster.clock.random.nextInt(4)], 12, 2, 12);
                     cluster.clock.schedule(cluster.clock.random.nextLong(5_000), () -> cluster.submit(job));
                 }
             }
-            case ZONE_PARTITIONED -> Troubles.partitionZone(cluster, cluster.clock.random.nextBoolean() ? "a" : "b", cluster.clock.random.nextInt(cluster.controllers.size()), durationMillis);
+            case ZONE_PARTITIONED -> FaultInjector.partitionZone(cluster, cluster.clock.random.nextBoolean() ? "a" : "b", cluster.clock.random.nextInt(cluster.controllers.size()), durationMillis);
             case REPEATED_LEADER_CHANGES -> changeLeadersRepeatedly(cluster, 5, 1_000 + cluster.clock.random.nextLong(8_000));
         }
     }
 
     /** The leader ends, and is back at once or a little later; so often, so many ms apart. */
-    static void changeLeadersRepeatedly(World cluster, int count, long intervalMillis) {
+    static void changeLeadersRepeatedly(SimulatedCluster cluster, int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
             cluster.clock.schedule(i * intervalMillis, () -> {
                 if (leaderIndex(cluster) >= 0) {
-                    Troubles.crashController(cluster, leaderIndex(cluster), cluster.clock.random.nextBoolean() ? Troubles.quickRestartDelayMillis(cluster) : 3_000);
+                    FaultInjector.crashController(cluster, leaderIndex(cluster), cluster.clock.random.nextBoolean() ? FaultInjector.quickRestartDelayMillis(cluster) : 3_000);
                 }
             });
         }
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + count * intervalMillis + 5_000);
     }
 
-    static void makeUnreachableOutbound(World cluster, Worker worker, long durationMillis) {
+    static void makeUnreachableOutbound(SimulatedCluster cluster, SimulatedWorker worker, long durationMillis) {
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         worker.unreachableOutbound = true;
         cluster.clock.schedule(durationMillis, () -> worker.unreachableOutbound = false);
     }
 
     /** Calls this each time that somebody comes to lead, for so many ms. */
-    static void onLeaderElected(World cluster, long durationMillis, Runnable action) {
+    static void onLeaderElected(SimulatedCluster cluster, long durationMillis, Runnable action) {
         onStoreWrite(cluster, durationMillis, "a/lead", action);
     }
 
-    private static void onStoreWrite(World cluster, long durationMillis, String prefix, Runnable action) {
+    private static void onStoreWrite(SimulatedCluster cluster, long durationMillis, String prefix, Runnable action) {
         Consumer<ObjectNode> previousObserver = cluster.store.commitObserver;
         boolean[] active = {true};
         cluster.store.commitObserver = transaction -> {
@@ -204,7 +204,7 @@
     }
 
     /** Copies of that share of the reports arrive at every controller just as the next leader begins. */
-    static void replayHeartbeats(World cluster, double share, long durationMillis) {
+    static void replayHeartbeats(SimulatedCluster cluster, double share, long durationMillis) {
         cluster.network.heartbeatRetentionRate = share;
         List<String> addresses = cluster.controllers.stream().map(controller -> controller.userAddress).toList();
         onLeaderElected(cluster, durationMillis, () -> cluster.network.replayRetainedHeartbeats(addresses));
@@ -213,7 +213,7 @@
     }
 
     /** That share of the reports is held up and arrives when the next leader has granted machines; at the latest after {@code latestMs}. */
-    static void holdHeartbeats(World cluster, double share, long holdMillis, long releaseAtLatestMillis) {
+    static void holdHeartbeats(SimulatedCluster cluster, double share, long holdMillis, long releaseAtLatestMillis) {
         cluster.network.heartbeatHoldRate = share;
         cluster.clock.schedule(holdMillis, () -> cluster.network.heartbeatHoldRate = 0);
         long[] electedAtMillis = {-1};
@@ -227,14 +227,14 @@
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + releaseAtLatestMillis + 1_000);
     }
 
-    static void refuseByStore(World cluster, int controller, long durationMillis) {
+    static void refuseByStore(SimulatedCluster cluster, int controller, long durationMillis) {
         String ip = cluster.controllers.get(controller).ip;
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         cluster.store.setRefused(ip, true);
         cluster.clock.schedule(durationMillis, () -> cluster.store.setRefused(ip, false));
     }
 
-    static void storeOutage(World cluster, long durationMillis) {
+    static void storeOutage(SimulatedCluster cluster, long durationMillis) {
         if (cluster.store.down) {
             return;
         }
@@ -243,15 +243,15 @@
         cluster.clock.schedule(durationMillis, () -> cluster.store.setDown(false));
     }
 
-    static void makeUnreachableInbound(World cluster, Worker worker, long durationMillis) {
+    static void makeUnreachableInbound(SimulatedCluster cluster, SimulatedWorker worker, long durationMillis) {
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         worker.unreachableInbound = true;
         cluster.clock.schedule(durationMillis, () -> worker.unreachableInbound = false);
     }
 
     /** A third of the machines that are up. */
-    private static void forSomeMachines(World cluster, java.util.function.Consumer<Worker> action) {
-        for (Worker worker : new ArrayList<>(cluster.cloud.machines.values())) {
+    private static void forSomeMachines(SimulatedCluster cluster, java.util.function.Consumer<SimulatedWorker> action) {
+        for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
             if (worker.up && !worker.dead && cluster.clock.random.nextInt(3) == 0) {
                 action.accept(worker);
             }
@@ -262,32 +262,32 @@
     private static final int STARTABLE_LIMIT_SECONDS = 45;
 
     /** The same without those whose team was at its limit with work as urgent, or for whom there was no room: by what was on the machines. */
-    static List<String> starvedDespiteCapacity(World cluster) {
+    static List<String> starvedDespiteCapacity(SimulatedCluster cluster) {
         return starved(cluster).stream().filter(line -> !line.startsWith("wk-") || cluster.startableSeconds(line.substring(0, line.indexOf(' '))) > STARTABLE_LIMIT_SECONDS).toList();
     }
 
     /** Who was left behind, though the time in which the store was down is not counted: nothing begins without it. */
-    static List<String> starved(World cluster) {
-        return cluster.serviceLevels().starved(Service.FIRST_START_LIMIT_MILLIS + cluster.store.totalDownMillis);
+    static List<String> starved(SimulatedCluster cluster) {
+        return cluster.serviceLevels().starved(ServiceLevelChecker.FIRST_START_LIMIT_MILLIS + cluster.store.totalDownMillis);
     }
 
     /** Three times on a day, two or three kinds meet, 0 to 10 s apart; users submit, cancel and ask all the while. */
-    static void playInitialKinds(World cluster) {
+    static void playInitialKinds(SimulatedCluster cluster) {
         play(cluster, 0, INITIAL_KIND_COUNT);
     }
 
     /** The same with every kind; the first of those that meet is always a newer one. */
-    static void playAllKinds(World cluster) {
-        play(cluster, INITIAL_KIND_COUNT, Kind.values().length);
+    static void playAllKinds(SimulatedCluster cluster) {
+        play(cluster, INITIAL_KIND_COUNT, FaultKind.values().length);
     }
 
-    private static void play(World cluster, int firstKind, int kindCount) {
+    private static void play(SimulatedCluster cluster, int firstKind, int kindCount) {
         cluster.submissionRetryMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 45; i++) {
-            JobSpec randomJob = Jobs.randomJob(i, cluster.clock.random);
+            JobSpec randomJob = JobFixtures.randomJob(i, cluster.clock.random);
             // Long tasks, and jobs of two or three that end far apart: what is under way when a leader changes.
-            JobSpec job = i % 3 == 0 ? Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[cluster.clock.random.nextInt(4)], 2 + cluster.clock.random.nextInt(2), 2,
+            JobSpec job = i % 3 == 0 ? JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[cluster.clock.random.nextInt(4)], 2 + cluster.clock.random.nextInt(2), 2,
                     20 + cluster.clock.random.nextInt(60)) : randomJob;
             long atMillis = 3_000 + cluster.clock.random.nextLong(130_000);
             cluster.clock.schedule(atMillis, () -> cluster.submit(job));
@@ -300,7 +300,7 @@
             long atMillis = 12_000 + i * 55_000L + cluster.clock.random.nextLong(15_000);
             int faultCount = 2 + cluster.clock.random.nextInt(2);
             for (int k = 0; k < faultCount; k++) {
-                Kind kind = Kind.values()[k == 0 ? cluster.clock.random.nextInt(firstKind, kindCount) : cluster.clock.random.nextInt(kindCount)];
+                FaultKind kind = FaultKind.values()[k == 0 ? cluster.clock.random.nextInt(firstKind, kindCount) : cluster.clock.random.nextInt(kindCount)];
                 long gapMillis = k == 0 ? 0 : cluster.clock.random.nextLong(10_000);
                 cluster.clock.schedule(atMillis + gapMillis, () -> inject(cluster, kind));
             }
--- a/src/test/java/io/quincelead/world/Troubles.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -1,4 +1,4 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /** What goes wrong on the days of the test world. */
-final class Troubles {
-    private Troubles() { }
+final class FaultInjector {
+    private FaultInjector() { }
 
     /** One of many, at random. */
-    static void injectRandomFault(World cluster) {
+    static void injectRandomFault(SimulatedCluster cluster) {
         int controllerCount = cluster.controllers.size();
         long durationMillis = 2_000 + cluster.clock.random.nextLong(25_000);
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
@@ -43,12 +43,12 @@
                 worker.setHung(true);
                 cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
             });
-            case 7 -> onRandomMachine(cluster, Worker::crash);
+            case 7 -> onRandomMachine(cluster, SimulatedWorker::crash);
             default -> onRandomMachine(cluster, worker -> worker.failsTasks = true);
         }
     }
 
-    static void crashController(World cluster, int controller, long restartDelayMillis) {
+    static void crashController(SimulatedCluster cluster, int controller, long restartDelayMillis) {
         if (cluster.controllers.get(controller).isAlive()) {
             cluster.controllers.get(controller).kill();
             cluster.expectFaultsUntil(cluster.clock.nowMillis() + restartDelayMillis);
@@ -56,7 +56,7 @@
         }
     }
 
-    static void partition(World cluster, String ip, List<String> otherIps, long durationMillis) {
+    static void partition(SimulatedCluster cluster, String ip, List<String> otherIps, long durationMillis) {
         boolean buffer = cluster.clock.random.nextBoolean();
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         otherIps.forEach(otherIp -> cluster.network.partition(ip, otherIp, buffer));
@@ -64,12 +64,12 @@
     }
 
     /** Cuts a zone's machines, with one controller among them, off from everything else. */
-    static void partitionZone(World cluster, String zone, int controller, long durationMillis) {
+    static void partitionZone(SimulatedCluster cluster, String zone, int controller, long durationMillis) {
         partitionZone(cluster, zone, List.of(controller), durationMillis);
     }
 
     /** The same with these controllers inside, perhaps none. */
-    static void partitionZone(World cluster, String zone, List<Integer> controllers, long durationMillis) {
+    static void partitionZone(SimulatedCluster cluster, String zone, List<Integer> controllers, long durationMillis) {
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         List<String> insideIps = new ArrayList<>(controllers.stream().map(controller -> cluster.controllers.get(controller).ip).toList());
         List<String> outsideIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
@@ -80,8 +80,8 @@
         cluster.clock.schedule(durationMillis, () -> insideIps.forEach(insideIp -> outsideIps.forEach(outsideIp -> cluster.network.heal(insideIp, outsideIp))));
     }
 
-    static void onRandomMachine(World cluster, Consumer<Worker> action) {
-        List<Worker> runningWorkers = cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead).toList();
+    static void onRandomMachine(SimulatedCluster cluster, Consumer<SimulatedWorker> action) {
+        List<SimulatedWorker> runningWorkers = cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead).toList();
         if (!runningWorkers.isEmpty()) {
             action.accept(runningWorkers.get(cluster.clock.random.nextInt(runningWorkers.size())));
         }
@@ -89,12 +89,12 @@
 
 
     /** ms. A process may be back within a fraction of a second. */
-    static long quickRestartDelayMillis(World cluster) {
+    static long quickRestartDelayMillis(SimulatedCluster cluster) {
         return 50 + cluster.clock.random.nextLong(450);
     }
 
     /** Processes that end and are back at once: one, all, one again and again, and leaders as they come to lead. */
-    static void injectRandomQuickRestart(World cluster) {
+    static void injectRandomQuickRestart(SimulatedCluster cluster) {
         int controllerCount = cluster.controllers.size();
         int controller = cluster.clock.random.nextInt(controllerCount);
         switch (cluster.clock.random.nextInt(6)) {
@@ -105,14 +105,14 @@
                 }
             }
             case 2 -> crashRepeatedly(cluster, controller, 5);
-            case 3 -> crashLeaderAndSuccessor(cluster, Moment.CANDIDACY_COMMITTED);
-            case 4 -> crashLeaderAndSuccessor(cluster, Moment.ELECTED);
-            default -> crashLeaderAndSuccessor(cluster, Moment.FIRST_GRANT);
+            case 3 -> crashLeaderAndSuccessor(cluster, ElectionPhase.CANDIDACY_COMMITTED);
+            case 4 -> crashLeaderAndSuccessor(cluster, ElectionPhase.ELECTED);
+            default -> crashLeaderAndSuccessor(cluster, ElectionPhase.FIRST_GRANT);
         }
     }
 
     /** Ends one process and, each time that it is back, ends it again a little later. */
-    private static void crashRepeatedly(World cluster, int controller, int count) {
+    private static void crashRepeatedly(SimulatedCluster cluster, int controller, int count) {
         if (count > 0) {
             crashController(cluster, controller, quickRestartDelayMillis(cluster));
             cluster.clock.schedule(700 + cluster.clock.random.nextLong(2_500), () -> crashRepeatedly(cluster, controller, count - 1));
@@ -120,7 +120,7 @@
     }
 
     /** Moments of an election. */
-    enum Moment {
+    enum ElectionPhase {
         /** Its candidacy has come to the store and is carried out; the answer finds nobody. */
         CANDIDACY_COMMITTED,
         /** It has just heard that it leads. */
@@ -130,7 +130,7 @@
     }
 
     /** Ends the leader, and its successor at that moment of its election; both are back at once. */
-    static void crashLeaderAndSuccessor(World cluster, Moment phase) {
+    static void crashLeaderAndSuccessor(SimulatedCluster cluster, ElectionPhase phase) {
         JsonNode leaderRecord = cluster.store.value("a/lead");
         if (leaderRecord == null) {
             return;
@@ -141,10 +141,10 @@
             for (JsonNode operation : transaction.path("then")) {
                 boolean candidacy = operation.path("put").asText().equals("a/lead");
                 boolean grant = operation.path("put").asText().startsWith("a/b/") && cluster.store.value("a/lead") != null;
-                if (phase == Moment.FIRST_GRANT ? grant : candidacy) {
-                    int next = cluster.indexOfController(phase == Moment.FIRST_GRANT ? cluster.store.value("a/lead").path("m").asText() : operation.path("value").path("m").asText());
+                if (phase == ElectionPhase.FIRST_GRANT ? grant : candidacy) {
+                    int next = cluster.indexOfController(phase == ElectionPhase.FIRST_GRANT ? cluster.store.value("a/lead").path("m").asText() : operation.path("value").path("m").asText());
                     cluster.store.arrivalObserver = previousObserver;
-                    cluster.clock.schedule(phase == Moment.ELECTED ? 15 : 0, () -> crashController(cluster, next, quickRestartDelayMillis(cluster)));
+                    cluster.clock.schedule(phase == ElectionPhase.ELECTED ? 15 : 0, () -> crashController(cluster, next, quickRestartDelayMillis(cluster)));
                     return;
                 }
             }
--- a/src/test/java/io/quincelead/world/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -1,4 +1,4 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/test/java/io/quincelead/world/CheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -1,29 +1,29 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** The checker can fail: a deliberately broken world trips each rule. */
-class CheckerTest {
-    private final World cluster = new World(1);
+class InvariantCheckerTest {
+    private final SimulatedCluster cluster = new SimulatedCluster(1);
     private int machineCount;
 
-    private Worker addMachine(String zone, boolean spot) {
+    private SimulatedWorker addMachine(String zone, boolean spot) {
         machineCount++;
-        Worker worker = new Worker(cluster, "i-" + machineCount, "10.1.0." + machineCount + ":9000", cluster.cloud.machineType("small"), zone, spot);
+        SimulatedWorker worker = new SimulatedWorker(cluster, "i-" + machineCount, "10.1.0." + machineCount + ":9000", cluster.cloud.machineType("small"), zone, spot);
         cluster.cloud.machines.put(worker.host, worker);
         return worker;
     }
 
-    private Worker.Task runTask(Worker worker, JobSpec job, int index, long attempt) {
+    private SimulatedWorker.SimulatedTask runTask(SimulatedWorker worker, JobSpec job, int index, long attempt) {
         cluster.jobsById.put(job.jobId(), job);
-        Worker.Task task = new Worker.Task(job.jobId() + "/" + index, attempt);
+        SimulatedWorker.SimulatedTask task = new SimulatedWorker.SimulatedTask(job.jobId() + "/" + index, attempt);
         worker.tasks.put(task.name + "#" + attempt, task);
         cluster.onTaskStarted(worker, task, job);
         task.status = "running";
@@ -37,7 +37,7 @@
     }
 
     private static JobSpec plainJob() {
-        return Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 4, 2, 10);
+        return JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10);
     }
 
     @Test void taskRunningTwiceIsDetected() {
@@ -47,7 +47,7 @@
     }
 
     @Test void exceededQuotaIsDetected() {
-        JobSpec job = Jobs.array(1, "blue", JobSpec.Urgency.NORMAL, 40, 8, 10);
+        JobSpec job = JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 40, 8, 10);
         for (int i = 0; i < 4; i++) {
             runTask(addMachine("a", true), job, i, 1);
         }
@@ -55,12 +55,12 @@
     }
 
     @Test void wrongMachineTypeIsDetected() {
-        runTask(addMachine("a", true), Jobs.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 2, 1, 0, 5, List.of("big"), null, false, false, true, 0), 0, 1);
+        runTask(addMachine("a", true), JobFixtures.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 2, 1, 0, 5, List.of("big"), null, false, false, true, 0), 0, 1);
         assertTripped("wrong_place");
     }
 
     @Test void violatedZoneAffinityIsDetected() {
-        JobSpec job = Jobs.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Urgency.NORMAL, 2, 1, 0, 5, null, null, true, false, true, 0);
+        JobSpec job = JobFixtures.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 2, 1, 0, 5, null, null, true, false, true, 0);
         runTask(addMachine("a", true), job, 0, 1);
         runTask(addMachine("b", true), job, 1, 1);
         assertTripped("wrong_place");
@@ -69,9 +69,9 @@
     @Test void taskRunningAfterCancellationIsDetected() {
         JobSpec job = plainJob();
         runTask(addMachine("a", true), job, 0, 1);
-        cluster.network.setHandler("10.0.0.1:8080", request -> request.respond(200, Codec.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
-        cluster.network.setHandler("10.0.0.2:8080", request -> request.respond(200, Codec.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
-        cluster.network.setHandler("10.0.0.3:8080", request -> request.respond(200, Codec.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
+        cluster.network.setHandler("10.0.0.1:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
+        cluster.network.setHandler("10.0.0.2:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
+        cluster.network.setHandler("10.0.0.3:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
         cluster.cancel(job.jobId());
         cluster.clock.runUntil(60_000);
         assertTripped("ran_cancelled");
@@ -80,9 +80,9 @@
     private void answerEverywhere(int status, String answer) {
         cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
             if (request.method.equals("POST")) {
-                request.respond(201, Codec.newMap().put("status", "pending"));
+                request.respond(201, WireFormat.newMap().put("status", "pending"));
             } else {
-                request.respond(status, Codec.newMap().put("status", answer));
+                request.respond(status, WireFormat.newMap().put("status", answer));
             }
         }));
     }
@@ -98,16 +98,16 @@
     @Test void unansweredJobIsDetected() {
         cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
             if (request.method.equals("POST")) {
-                request.respond(201, Codec.newMap().put("status", "pending"));
+                request.respond(201, WireFormat.newMap().put("status", "pending"));
             } else if (request.path.endsWith("2")) {
-                request.respond(200, Codec.newMap().put("status", "pending"));
+                request.respond(200, WireFormat.newMap().put("status", "pending"));
             } else {
                 request.respondRetryLater(503, "not ready");
             }
         }));
         cluster.expectFaultsUntil(40_000);
         cluster.submit(plainJob());
-        cluster.submit(Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 4, 2, 10));
+        cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 4, 2, 10));
         cluster.clock.runUntil(114_000);
         assertEquals(Set.of(), cluster.violations());
         cluster.clock.runUntil(120_000);
@@ -118,7 +118,7 @@
     @Test void starvedJobsAreDetected() {
         answerEverywhere(200, "pending");
         for (int i = 1; i <= 11; i++) {
-            cluster.submit(Jobs.array(i, i == 11 ? "blue" : "red", JobSpec.Urgency.NORMAL, i == 10 ? 40 : 4, 2, 10));
+            cluster.submit(JobFixtures.array(i, i == 11 ? "blue" : "red", JobSpec.Priority.NORMAL, i == 10 ? 40 : 4, 2, 10));
         }
         cluster.clock.runUntil(20_000);
         for (int i = 1; i <= 9; i++) {
@@ -143,9 +143,9 @@
         cluster.network.duplicationRate = 1;
         cluster.network.setHandler("10.9.0.1:1", request -> {
             requests[0]++;
-            request.respond(200, Codec.newMap());
+            request.respond(200, WireFormat.newMap());
         });
-        cluster.network.call(World.USERS_ADDRESS, "10.9.0.1:1", "POST", "/x", null, 1_000, (status, body, retryAfterSeconds) -> { });
+        cluster.network.call(SimulatedCluster.USERS_ADDRESS, "10.9.0.1:1", "POST", "/x", null, 1_000, (status, body, retryAfterSeconds) -> { });
         cluster.clock.runUntil(200_000);
         assertEquals(2, requests[0]);
     }
@@ -173,7 +173,7 @@
 
     private void confirmCancellation(JobSpec job) {
         cluster.jobsById.put(job.jobId(), job);
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, Codec.newMap().put("nameId", job.jobId()).put("status", "cancelled"))));
+        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled"))));
         cluster.cancel(job.jobId());
         cluster.clock.runUntil(cluster.clock.nowMillis() + 1_000);
         assertTrue(cluster.cancellationConfirmedAtMillis(job.jobId()) >= 0);
@@ -189,7 +189,7 @@
 
     @Test void cancelledTaskResumingOnHungMachineIsDetected() {
         JobSpec job = plainJob();
-        Worker worker = addMachine("a", true);
+        SimulatedWorker worker = addMachine("a", true);
         worker.boot();
         runTask(worker, job, 0, 1);
         worker.setHung(true);
@@ -202,29 +202,29 @@
     /** Fewer tasks are done than anybody had been told before the question was sent; not: before its answer came. */
     @Test void staleAnswerIsDetected() {
         int[] done = {3};
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, Codec.newMap().put("status", "running").put("done", done[0]))));
+        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("status", "running").put("done", done[0]))));
         cluster.submit(plainJob());
         cluster.clock.runUntil(1_000);
         cluster.query("wk-000001", 0);
         done[0] = 2;
-        cluster.checkAnswer("wk-000001", Codec.newMap().put("status", "running").put("done", 3), null, 0);
+        cluster.checkAnswer("wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.query("wk-000001", 1);
         cluster.clock.runUntil(1_100);
         assertTripped("older: wk-000001: 2 tasks are done, there were 3");
     }
 
     @Test void overtakenAnswerIsNotStale() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, Codec.newMap().put("status", "running").put("done", 2))));
+        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("status", "running").put("done", 2))));
         cluster.submit(plainJob());
         cluster.query("wk-000001", 0);
-        cluster.checkAnswer("wk-000001", Codec.newMap().put("status", "running").put("done", 3), null, 0);
+        cluster.checkAnswer("wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.clock.runUntil(500);
         assertEquals(Set.of(), cluster.violations());
     }
 
     @Test void acceptedUnrunnableJobIsDetected() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(201, Codec.newMap().put("status", "pending"))));
-        cluster.submitUnacceptable("wk-700001", Codec.CBOR.encode(plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)), 422);
+        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(201, WireFormat.newMap().put("status", "pending"))));
+        cluster.submitUnacceptable("wk-700001", WireFormat.CBOR.encode(plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)), 422);
         cluster.clock.runUntil(500);
         assertTripped("accepted: wk-700001 can't run");
     }
@@ -242,7 +242,7 @@
             if (request.path.endsWith("/cancel")) {
                 request.respondError(404, "");
             } else {
-                request.respond(201, Codec.newMap().put("status", "pending"));
+                request.respond(201, WireFormat.newMap().put("status", "pending"));
             }
         }));
         cluster.submit(plainJob());
@@ -257,19 +257,19 @@
     /** By real room: a machine that fits, a team under its limit, and nothing for 90 s; not where either is missing or just being passed on. */
     @Test void waitingDespiteFreeCapacityIsDetected() {
         answerEverywhere(200, "pending");
-        Worker worker = addMachine("a", true);
+        SimulatedWorker worker = addMachine("a", true);
         worker.boot();
         JobSpec waiting = plainJob();
-        JobSpec tooLarge = Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 1, 9, 10);
-        JobSpec overLimit = Jobs.array(3, "blue", JobSpec.Urgency.NORMAL, 4, 1, 10);
+        JobSpec tooLarge = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 1, 9, 10);
+        JobSpec overLimit = JobFixtures.array(3, "blue", JobSpec.Priority.NORMAL, 4, 1, 10);
         cluster.expectFaultsUntil(10_000);
         cluster.submit(waiting);
         cluster.submit(tooLarge);
         cluster.submit(overLimit);
-        JobSpec filling = Jobs.array(4, "blue", JobSpec.Urgency.NORMAL, 24, 1, 10);
+        JobSpec filling = JobFixtures.array(4, "blue", JobSpec.Priority.NORMAL, 24, 1, 10);
         cluster.submit(filling);
         for (int i = 0; i < 24; i++) {
-            Worker otherWorker = i % 8 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
+            SimulatedWorker otherWorker = i % 8 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
         cluster.clock.runUntil(99_000);
@@ -280,14 +280,14 @@
 
     @Test void placeBeingHandedOverIsNotFree() {
         answerEverywhere(200, "pending");
-        Worker worker = addMachine("a", true);
+        SimulatedWorker worker = addMachine("a", true);
         worker.boot();
-        JobSpec waiting = Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 1, 8, 10);
-        JobSpec many = Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 100, 8, 10);
+        JobSpec waiting = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 8, 10);
+        JobSpec many = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 100, 8, 10);
         cluster.submit(waiting);
         cluster.submit(many);
         for (int i = 0; i < 40; i++) {
-            Worker.Task task = runTask(worker, many, i, 1);
+            SimulatedWorker.SimulatedTask task = runTask(worker, many, i, 1);
             cluster.clock.runUntil(cluster.clock.nowMillis() + 2_000);
             worker.tasks.remove(task.name + "#1");
             cluster.clock.runUntil(cluster.clock.nowMillis() + 2_000);
@@ -299,30 +299,30 @@
     /** Who could not have begun, for its team was at its limit with work as urgent, is not left behind; who could have is. */
     @Test void jobsBehindMoreUrgentWorkAreNotStarved() {
         answerEverywhere(200, "pending");
-        Worker worker = addMachine("a", true);
+        SimulatedWorker worker = addMachine("a", true);
         worker.boot();
-        JobSpec high = Jobs.array(1, "blue", JobSpec.Urgency.HIGH, 1, 2, 10);
-        JobSpec low = Jobs.array(2, "blue", JobSpec.Urgency.BEST_EFFORT, 1, 2, 10);
-        JobSpec filling = Jobs.array(3, "blue", JobSpec.Urgency.NORMAL, 12, 2, 10);
+        JobSpec high = JobFixtures.array(1, "blue", JobSpec.Priority.HIGH, 1, 2, 10);
+        JobSpec low = JobFixtures.array(2, "blue", JobSpec.Priority.BEST_EFFORT, 1, 2, 10);
+        JobSpec filling = JobFixtures.array(3, "blue", JobSpec.Priority.NORMAL, 12, 2, 10);
         cluster.submit(high);
         cluster.submit(low);
         cluster.submit(filling);
         for (int i = 0; i < 12; i++) {
-            Worker otherWorker = i % 4 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
+            SimulatedWorker otherWorker = i % 4 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
         cluster.clock.runUntil(250_000);
         assertTrue(cluster.startableSeconds(high.jobId()) > 200, "high: " + cluster.startableSeconds(high.jobId()));
         assertEquals(0, cluster.startableSeconds(low.jobId()));
-        assertTrue(Meetings.starvedDespiteCapacity(cluster).stream().anyMatch(line -> line.startsWith(high.jobId())));
-        assertTrue(Meetings.starvedDespiteCapacity(cluster).stream().noneMatch(line -> line.startsWith(low.jobId())));
+        assertTrue(CompoundFaults.starvedDespiteCapacity(cluster).stream().anyMatch(line -> line.startsWith(high.jobId())));
+        assertTrue(CompoundFaults.starvedDespiteCapacity(cluster).stream().noneMatch(line -> line.startsWith(low.jobId())));
     }
 
     /** Carried out, and nobody hears of it. */
     @Test void storeResponseIsLostAfterCommit() {
         int[] status = {-1};
         cluster.store.responseLossRate = 1;
-        cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(Codec.JSON.decodeMap(
+        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(WireFormat.JSON.decodeMap(
                 "{\"guards\":[],\"then\":[{\"put\":\"a/x\",\"value\":{}}]}".getBytes(java.nio.charset.StandardCharsets.UTF_8))), 1_000, (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
         cluster.clock.runUntil(2_000);
         assertEquals(0, status[0]);
@@ -335,9 +335,9 @@
         int[] requests = {0};
         cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
             requests[0]++;
-            request.respond(200, Codec.newMap().put("epoch", 1));
+            request.respond(200, WireFormat.newMap().put("epoch", 1));
         }));
-        Worker worker = addMachine("a", true);
+        SimulatedWorker worker = addMachine("a", true);
         cluster.network.heartbeatRetentionRate = 1;
         worker.boot();
         cluster.clock.runUntil(4_500);
--- a/src/test/java/io/quincelead/world/Jobs.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -1,27 +1,27 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Jobs for tests. */
-public final class Jobs {
-    private Jobs() { }
+public final class JobFixtures {
+    private JobFixtures() { }
 
-    public static JobSpec array(int id, String team, JobSpec.Urgency priority, int taskCount, double cpus, double runtimeSeconds) {
+    public static JobSpec array(int id, String team, JobSpec.Priority priority, int taskCount, double cpus, double runtimeSeconds) {
         return job(id, team, JobSpec.Mode.ARRAY, priority, taskCount, cpus, 0, runtimeSeconds, null, null, false, false, true, 0);
     }
 
-    public static JobSpec job(int id, String team, JobSpec.Mode mode, JobSpec.Urgency priority, int taskCount, double cpus, double gpus,
+    public static JobSpec job(int id, String team, JobSpec.Mode mode, JobSpec.Priority priority, int taskCount, double cpus, double gpus,
             double runtimeSeconds, List<String> machineTypes, String zone, boolean zoneAffinity, boolean zoneSpread, boolean spot, double checkpointIntervalSeconds) {
-        return new JobSpec(String.format("wk-%06d", id), priority == JobSpec.Urgency.BEST_EFFORT ? "slow" : "quick", team, mode, priority, taskCount,
+        return new JobSpec(String.format("wk-%06d", id), priority == JobSpec.Priority.BEST_EFFORT ? "slow" : "quick", team, mode, priority, taskCount,
                 cpus, gpus, cpus * 2, machineTypes, zone, zoneAffinity, zoneSpread, spot, "img-1", 0.5, mode == JobSpec.Mode.STANDING ? 0 : runtimeSeconds,
                 checkpointIntervalSeconds, checkpointIntervalSeconds > 0 ? 2 : 0, -1);
     }
 
     /** A job of any kind that the test world can run. */
     public static JobSpec randomJob(int id, SplittableRandom random) {
-        JobSpec.Urgency priority = JobSpec.Urgency.values()[random.nextInt(4)];
+        JobSpec.Priority priority = JobSpec.Priority.values()[random.nextInt(4)];
         String team = random.nextBoolean() ? "red" : "blue";
         double run = 2 + random.nextInt(25);
         return switch (random.nextInt(8)) {
--- a/src/test/java/io/quincelead/world/LostAnswersTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -1,15 +1,15 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import static io.quincelead.world.MeetingsTest.anyStartsWith;
-import static io.quincelead.world.MeetingsTest.assertAllJobsFinished;
-import static io.quincelead.world.MeetingsTest.clusterWithReadyMachines;
+import static io.quincelead.simulation.CompoundFaultTest.anyStartsWith;
+import static io.quincelead.simulation.CompoundFaultTest.assertAllJobsFinished;
+import static io.quincelead.simulation.CompoundFaultTest.clusterWithReadyMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -23,7 +23,7 @@
  * A change is carried out at once and only its answer is lost, while others read what it wrote and act on it (docs/design/meetings.md);
  * and cancellations at each step of a hand-over, which is made of such changes.
  */
-class LostAnswersTest {
+class LostResponseTest {
     private static boolean removes(ObjectNode transaction, String prefix) {
         return anyStartsWith(transaction.path("then"), "remove", prefix);
     }
@@ -46,7 +46,7 @@
     }
 
     /** Every kind of commit, by what it writes and what it is guarded by. */
-    private enum Commit {
+    private enum CommitKind {
         SCHEDULING_CYCLE(transaction -> (puts(transaction, "a/j/") || puts(transaction, "a/t/")) && hasPrecondition(transaction, "a/b/") && !hasPrecondition(transaction, "z/") && !puts(transaction, "a/b/")),
         ADMITTING_SCHEDULING_CYCLE(transaction -> puts(transaction, "a/j/") && hasPrecondition(transaction, "z/") && hasPrecondition(transaction, "a/b/")),
         SUBMISSION(transaction -> puts(transaction, "a/j/") && hasPrecondition(transaction, "z/") && !hasPrecondition(transaction, "a/b/")),
@@ -65,24 +65,24 @@
 
         private final Predicate<ObjectNode> matcher;
 
-        Commit(Predicate<ObjectNode> matcher) {
+        CommitKind(Predicate<ObjectNode> matcher) {
             this.matcher = matcher;
         }
     }
 
     /** What its writer does then. */
-    private enum Writer { CONTINUES, CRASHES }
+    private enum WriterFate { CONTINUES, CRASHES }
 
     /**
      * A day on which all of these happen: jobs of all kinds, cancellations, machines that come, go, hang and die, and controllers that end.
      * The first answers of one kind are lost, and so is every second one after that; the writer goes on or ends.
      */
     @ParameterizedTest
-    @EnumSource(Commit.class)
-    void committedWriteWithLostResponseIsSettled(Commit kind) {
-        for (Writer writerFate : Writer.values()) {
+    @EnumSource(CommitKind.class)
+    void committedWriteWithLostResponseIsSettled(CommitKind kind) {
+        for (WriterFate writerFate : WriterFate.values()) {
             for (int seed = 1; seed <= 3; seed++) {
-                World cluster = new World(40 + seed);
+                SimulatedCluster cluster = new SimulatedCluster(40 + seed);
                 cluster.submissionRetryMillis = 200_000;
                 int[] occurrences = {0};
                 int[] laterWrites = {0};
@@ -96,27 +96,27 @@
                     }
                     long revision = cluster.store.revision();
                     cluster.clock.schedule(60, () -> laterWrites[0] += cluster.store.revision() > revision + 1 ? 1 : 0);
-                    if (writerFate == Writer.CRASHES && occurrences[0] % 3 == 1 && occurrences[0] < 10) {
+                    if (writerFate == WriterFate.CRASHES && occurrences[0] % 3 == 1 && occurrences[0] < 10) {
                         // The member that wrote it: whoever of them the records name; the leader where nobody is named.
                         String name = transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
-                        int writer = name.startsWith("worker-") && name.length() == 8 ? cluster.indexOfController(name) : Math.max(0, Meetings.leaderIndex(cluster));
-                        cluster.clock.schedule(2, () -> Troubles.crashController(cluster, writer, 400));
+                        int writer = name.startsWith("worker-") && name.length() == 8 ? cluster.indexOfController(name) : Math.max(0, CompoundFaults.leaderIndex(cluster));
+                        cluster.clock.schedule(2, () -> FaultInjector.crashController(cluster, writer, 400));
                     }
                     return true;
                 };
                 cluster.start();
                 cluster.users.consistencyProbes = true;
                 for (int i = 1; i <= 30; i++) {
-                    JobSpec job = i == 5 ? Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 230, 0.2, 5) : Jobs.randomJob(i, cluster.clock.random);
+                    JobSpec job = i == 5 ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5) : JobFixtures.randomJob(i, cluster.clock.random);
                     cluster.clock.schedule(4_000 + i * 2_000L, () -> cluster.submit(job));
                     if (job.isService() || i % 5 == 0) {
                         cluster.clock.schedule(7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), () -> cluster.cancel(job.jobId()));
                     }
                 }
-                cluster.clock.schedule(25_000, () -> Troubles.onRandomMachine(cluster, Worker::crash));
-                cluster.clock.schedule(30_000, () -> Troubles.crashController(cluster, (Meetings.leaderIndex(cluster) + 1) % 3, 15_000));
-                cluster.clock.schedule(55_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 500));
-                cluster.clock.schedule(62_000, () -> Troubles.onRandomMachine(cluster, Worker::crash));
+                cluster.clock.schedule(25_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
+                cluster.clock.schedule(30_000, () -> FaultInjector.crashController(cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 15_000));
+                cluster.clock.schedule(55_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 500));
+                cluster.clock.schedule(62_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
                 cluster.clock.schedule(100_000, () -> cluster.store.dropsResponse = transaction -> false);
                 cluster.expectFaultsUntil(100_000);
                 cluster.clock.runUntil(500_000);
@@ -131,15 +131,15 @@
     }
 
     /** Where the cancellations come in: just before the change of the hand-over is carried out, or at once after, at one step of it. */
-    private enum At { OLD_OWNER, NEW_OWNER, THIRD_CONTROLLER, ALL_CONTROLLERS }
+    private enum CancellationTarget { OLD_OWNER, NEW_OWNER, THIRD_CONTROLLER, ALL_CONTROLLERS }
 
     /**
      * One controller's work changes hands while its jobs are cancelled: before, between and after the commits that move them, at the old
      * controller (as it is back), at the new one, at a third and at all; then the heir ends too, or the work goes back.
      */
     @ParameterizedTest
-    @EnumSource(At.class)
-    void cancellationsDuringReassignmentTakeEffect(At target) {
+    @EnumSource(CancellationTarget.class)
+    void cancellationsDuringReassignmentTakeEffect(CancellationTarget target) {
         for (int step = 0; step < 4; step++) {
             for (int variant = 0; variant < 3; variant++) {
                 cancelAtReassignmentStep(target, step, variant);
@@ -147,16 +147,16 @@
         }
     }
 
-    private static void cancelAtReassignmentStep(At target, int step, int variant) {
+    private static void cancelAtReassignmentStep(CancellationTarget target, int step, int variant) {
         String context = target + ", step " + step + ", besides " + variant;
-        World cluster = clusterWithReadyMachines(60 + step * 3 + variant, 4, 24);
+        SimulatedCluster cluster = clusterWithReadyMachines(60 + step * 3 + variant, 4, 24);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
         cluster.clock.runUntil(9_000);
-        int lostController = (Meetings.leaderIndex(cluster) + 1) % 4;
-        int thirdController = (Meetings.leaderIndex(cluster) + 2) % 4;
+        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
+        int thirdController = (CompoundFaults.leaderIndex(cluster) + 2) % 4;
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 8 : 60);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 8 : 60);
             cluster.clock.schedule(i * 60L, () -> cluster.submit(job, lostController));
         }
         cluster.clock.runUntil(16_000);
@@ -164,7 +164,7 @@
         List<String> movedJobs = new ArrayList<>();
         int[] reassignments = {0};
         cluster.store.arrivalObserver = transaction -> {
-            if (!Commit.REASSIGNMENT.matcher.test(transaction)) {
+            if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
                 return;
             }
             int current = reassignments[0]++;
@@ -177,7 +177,7 @@
             if (current != step) {
                 return;
             }
-            List<Integer> cancellingControllers = target == At.THIRD_CONTROLLER ? List.of(thirdController) : target == At.OLD_OWNER ? List.of(lostController) : target == At.NEW_OWNER
+            List<Integer> cancellingControllers = target == CancellationTarget.THIRD_CONTROLLER ? List.of(thirdController) : target == CancellationTarget.OLD_OWNER ? List.of(lostController) : target == CancellationTarget.NEW_OWNER
                     ? newOwners.stream().map(cluster::indexOfController).toList() : List.of(0, 1, 2, 3);
             for (int i = 1; i <= 18; i++) {
                 String id = String.format("wk-%06d", i);
@@ -187,11 +187,11 @@
                 }
             }
             if (variant == 1) {
-                cluster.clock.schedule(3, () -> newOwners.forEach(newOwner -> Troubles.crashController(cluster, cluster.indexOfController(newOwner), 5_000)));
+                cluster.clock.schedule(3, () -> newOwners.forEach(newOwner -> FaultInjector.crashController(cluster, cluster.indexOfController(newOwner), 5_000)));
             } else if (variant == 2) {
                 // It is back at once, and its heir's work goes to it in turn.
                 cluster.clock.schedule(5, () -> cluster.controllers.get(lostController).start());
-                cluster.clock.schedule(6_000, () -> newOwners.forEach(newOwner -> Troubles.crashController(cluster, cluster.indexOfController(newOwner), 9_000)));
+                cluster.clock.schedule(6_000, () -> newOwners.forEach(newOwner -> FaultInjector.crashController(cluster, cluster.indexOfController(newOwner), 9_000)));
             }
         };
         cluster.users.consistencyProbes = true;
@@ -225,13 +225,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void overtakenReassignmentUndoesNothing(long seed) {
-        World cluster = clusterWithReadyMachines(70 + seed, 4, 24);
+        SimulatedCluster cluster = clusterWithReadyMachines(70 + seed, 4, 24);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
         cluster.clock.runUntil(9_000);
-        int lostController = (Meetings.leaderIndex(cluster) + 1) % 4;
+        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 9 : 60);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 9 : 60);
             cluster.clock.schedule(i * 50L, () -> cluster.submit(job, lostController));
         }
         cluster.clock.runUntil(16_000);
@@ -239,7 +239,7 @@
         cluster.store.maxExtraLatencyMillis = 900;
         int[] overtakenWrites = {0};
         cluster.store.arrivalObserver = transaction -> {
-            if (Commit.REASSIGNMENT.matcher.test(transaction)) {
+            if (CommitKind.REASSIGNMENT.matcher.test(transaction)) {
                 for (JsonNode operation : transaction.path("then")) {
                     JsonNode current = cluster.store.value(operation.path("put").asText());
                     boolean isJobRecord = operation.path("put").asText().startsWith("a/j/");
@@ -250,8 +250,8 @@
         cluster.users.consistencyProbes = true;
         // As the change is sent, its jobs are cancelled at others: of two requests to a slow store either may be carried out first.
         cluster.network.requestObserver = (path, body) -> {
-            ObjectNode transaction = path.equals("/commit") ? Codec.CBOR.decodeMap(body) : null;
-            if (transaction != null && Commit.REASSIGNMENT.matcher.test(transaction)) {
+            ObjectNode transaction = path.equals("/commit") ? WireFormat.CBOR.decodeMap(body) : null;
+            if (transaction != null && CommitKind.REASSIGNMENT.matcher.test(transaction)) {
                 for (JsonNode operation : transaction.path("then")) {
                     String id = operation.path("put").asText().startsWith("a/j/") ? operation.path("put").asText().substring(4) : "";
                     if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
@@ -273,18 +273,18 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void jobsSurviveLossOfHalfTheStoreResponses(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
         cluster.users.consistencyProbes = true;
         cluster.users.cancelAtOnceRate = 0.2;
         cluster.store.responseLossRate = 0.5;
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = Jobs.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[i % 4], 1 + i % 5, 1, 10);
+            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[i % 4], 1 + i % 5, 1, 10);
             cluster.clock.schedule(5_000 + i * 1_500L, () -> cluster.submit(job));
         }
         for (int k = 1; k <= 3; k++) {
-            cluster.clock.schedule(k * 15_000L, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), Troubles.quickRestartDelayMillis(cluster)));
+            cluster.clock.schedule(k * 15_000L, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), FaultInjector.quickRestartDelayMillis(cluster)));
         }
         cluster.clock.schedule(60_000, () -> cluster.store.responseLossRate = 0);
         cluster.expectFaultsUntil(65_000);
--- a/src/test/java/io/quincelead/world/OperatorsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -1,4 +1,4 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,9 +7,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Operators' records through the failure of controllers: what is wanted rules whoever leads, what happened is on record once. */
-class OperatorsTest {
+class OperatorRecordsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
     private static final long PUBLICATION_MILLIS = 220_000;
@@ -37,13 +37,13 @@
     }
 
     private static String timeOfDay(long simulatedMillis) {
-        return Instant.ofEpochMilli(Sim.EPOCH_MILLIS + simulatedMillis).toString().substring(11, 19);
+        return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis).toString().substring(11, 19);
     }
 
-    private static final String DATE = Instant.ofEpochMilli(Sim.EPOCH_MILLIS).toString().substring(0, 10);
+    private static final String DATE = Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
 
     /** Repeats a command, at any controller, until it is answered with something else than "later": as an operator would. */
-    static void commandUntilAnswered(World cluster, String path, ObjectNode body, Map<String, ObjectNode> answers) {
+    static void commandUntilAnswered(SimulatedCluster cluster, String path, ObjectNode body, Map<String, ObjectNode> answers) {
         cluster.sendOperatorCommand(cluster.clock.random.nextInt(cluster.controllers.size()), path, body, (status, response) -> {
             if (status == 0 || status == 503 || status == 409) {
                 cluster.clock.schedule(700, () -> commandUntilAnswered(cluster, path, body, answers));
@@ -63,19 +63,19 @@
      * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s, the window opens at 120 s. Forecasts come
      * from 125 to 190 s.
      */
-    private static World morningCluster(long seed, boolean calendar) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)), 5);
+    private static SimulatedCluster morningCluster(long seed, boolean calendar) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)), 5);
         cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
         int id = 0;
         for (int second = 3; second < 230; second += 2) {
-            JobSpec job = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 10, 1, 12);
+            JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 10, 1, 12);
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         id = 500;
         for (int second = 125; second < 190; second += 5) {
-            JobSpec job = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 4, 1, 8);
+            JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 4, 1, 8);
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         if (calendar) {
@@ -84,7 +84,7 @@
         return cluster;
     }
 
-    private static List<Long> forecastWaitsMillis(World cluster) {
+    private static List<Long> forecastWaitsMillis(SimulatedCluster cluster) {
         List<Long> result = new ArrayList<>();
         for (int id = 501; id <= 513; id++) {
             long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
@@ -93,7 +93,7 @@
         return result;
     }
 
-    private static void assertLedgerRecord(World cluster, String state, int jobCount) {
+    private static void assertLedgerRecord(SimulatedCluster cluster, String state, int jobCount) {
         JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + DATE);
         assertNotNull(ledgerRecord, "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
         assertEquals(state, ledgerRecord.path("st").asText(), "" + ledgerRecord);
@@ -105,7 +105,7 @@
 
     /** Without the calendar, forecasts wait behind all routine work that came before them. */
     @Test void forecastsWaitInOrderWithoutCalendar() {
-        World cluster = morningCluster(1, false);
+        SimulatedCluster cluster = morningCluster(1, false);
         cluster.clock.runUntil(220_000);
         assertTrue(forecastWaitsMillis(cluster).stream().filter(delayMillis -> delayMillis > 25_000).count() >= 7, "waits: " + forecastWaitsMillis(cluster));
     }
@@ -118,13 +118,13 @@
     @CsvSource({"110000, 1, 3000", "119000, 1, 100", "120000, 1, 3000", "121000, 1, 100", "130000, 1, 3000", "210000, 1, 3000", "219000, 1, 100", "220000, 1, 3000",
         "140000, 5, 100", "140000, 5, 5000", "221000, 5, 5000"})
     void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
-        World cluster = morningCluster(atMillis + crashCount, true);
+        SimulatedCluster cluster = morningCluster(atMillis + crashCount, true);
         cluster.clock.schedule(atMillis, () -> {
             if (crashCount == 1) {
-                Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), restartDelayMillis);
+                FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), restartDelayMillis);
             } else {
                 for (int i = 0; i < crashCount; i++) {
-                    Troubles.crashController(cluster, i, restartDelayMillis);
+                    FaultInjector.crashController(cluster, i, restartDelayMillis);
                 }
             }
         });
@@ -140,7 +140,7 @@
     @ParameterizedTest
     @CsvSource({"115000, 10000", "214000, 12000"})
     void storeOutageAtWindowEdgesKeepsTheLedger(long atMillis, long durationMillis) {
-        World cluster = morningCluster(atMillis, true);
+        SimulatedCluster cluster = morningCluster(atMillis, true);
         cluster.clock.schedule(atMillis, () -> cluster.store.setDown(true));
         cluster.clock.schedule(atMillis + durationMillis, () -> cluster.store.setDown(false));
         cluster.clock.runUntil(420_000);
@@ -150,27 +150,27 @@
 
     /** Work that isn't done in time is missed, once, and what was late is seen in the ledger. */
     @Test void lateOccurrenceStaysMissed() {
-        World cluster = morningCluster(3, true);
-        cluster.clock.schedule(200_000, () -> cluster.submit(Jobs.array(600, "blue", JobSpec.Urgency.NORMAL, 2, 1, 120)));
-        cluster.clock.schedule(260_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        SimulatedCluster cluster = morningCluster(3, true);
+        cluster.clock.schedule(200_000, () -> cluster.submit(JobFixtures.array(600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120)));
+        cluster.clock.schedule(260_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
         cluster.clock.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "missed", 14);
-        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("last").asLong() > Sim.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
+        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("last").asLong() > SimulatedClock.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
         assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2, "" + cluster.store.value("z/oe/morning/" + DATE));
     }
 
     /** Moved while its window is open, it stays open and is judged by the new time; skipped, it is in the ledger as skipped. */
     @Test void openOccurrenceCanBeMovedAndSkipped() {
-        World cluster = morningCluster(4, true);
+        SimulatedCluster cluster = morningCluster(4, true);
         cluster.clock.schedule(150_000, () -> commandUntilAnswered(cluster, "/ops/calendar/move", json("{'change':'m1','name':'morning','date':'" + DATE + "','time':'" + timeOfDay(300_000) + "'}"), new HashMap<>()));
         cluster.clock.runUntil(240_000);
         assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
         cluster.clock.runUntil(400_000);
         assertLedgerRecord(cluster, "published", 13);
-        assertEquals(Sim.EPOCH_MILLIS + 300_000, cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(), 1_000);
+        assertEquals(SimulatedClock.EPOCH_MILLIS + 300_000, cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(), 1_000);
 
-        World skipCluster = morningCluster(5, true);
+        SimulatedCluster skipCluster = morningCluster(5, true);
         skipCluster.clock.schedule(150_000, () -> commandUntilAnswered(skipCluster, "/ops/calendar/skip", json("{'change':'s1','name':'morning','date':'" + DATE + "'}"), new HashMap<>()));
         skipCluster.clock.runUntil(300_000);
         assertEquals("skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
@@ -179,20 +179,20 @@
 
     /** Machines are up when the morning starts, by what earlier mornings took, and go back if its work doesn't come. */
     @Test void machinesAreProvisionedBeforeTheWindowOpens() {
-        World cluster = new World(6, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)), 5);
+        SimulatedCluster cluster = new SimulatedCluster(6, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)), 5);
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
         cluster.clock.schedule(8_000, () -> commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("first", 60_000, 40, "{'owner':'blue'}"), new HashMap<>()));
         cluster.clock.schedule(9_000, () -> {
-            ObjectNode memory = Codec.newMap().put("through", 0);
+            ObjectNode memory = WireFormat.newMap().put("through", 0);
             memory.putArray("cpus").add(70).add(80).add(300);
-            ObjectNode transaction = Codec.newMap();
+            ObjectNode transaction = WireFormat.newMap();
             transaction.putArray("guards");
             transaction.putArray("then").addObject().put("put", "a/ok/m/later").set("value", memory);
-            cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
+            cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
             commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("later", 400_000, 150, "{'owner':'blue'}"), new HashMap<>());
         });
-        cluster.clock.schedule(100_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.schedule(100_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
         cluster.clock.runUntil(200_000);
         assertEquals(0, cluster.cloud.machines.size());
         cluster.clock.runUntil(249_000);
@@ -206,10 +206,10 @@
             + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
     /** The orders of waiting jobs as each controller has them, by the generations that they were made of. */
-    private static void compareQueueOrders(World cluster, Map<String, String> knownRanks, int[] compared) {
+    private static void compareQueueOrders(SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
         for (int i = 0; i < cluster.controllers.size(); i++) {
             if (cluster.controllers.get(i).isAlive()) {
-                cluster.sendOperatorCommand(i, "/ops/queue", Codec.newMap(), (status, response) -> {
+                cluster.sendOperatorCommand(i, "/ops/queue", WireFormat.newMap(), (status, response) -> {
                     if (status == 200) {
                         // Ranks by class and calendar, job by job: what these generations say of a job is the same wherever it is asked.
                         response.path("list").forEach(job -> {
@@ -229,19 +229,19 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void classesApplyAcrossFailover(long seed) {
-        World cluster = morningCluster(seed, false);
+        SimulatedCluster cluster = morningCluster(seed, false);
         Map<String, ObjectNode> answers = new HashMap<>();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
         cluster.clock.schedule(100_000, () -> {
-            Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 2_000);
+            FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 2_000);
             commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
         });
         for (long millis = 95_000; millis < 200_000; millis += 900) {
             cluster.clock.schedule(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
         cluster.clock.schedule(135_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(150_000, () -> Troubles.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.schedule(150_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
         cluster.clock.runUntil(160_000);
         assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
         assertEquals(1, cluster.store.value("a/oc/head").path("last").asLong());
@@ -257,18 +257,18 @@
      * again, the same for all, and work goes on.
      */
     @Test void unreadableClassesFallBackToLastGoodRevision() {
-        World cluster = morningCluster(21, false);
+        SimulatedCluster cluster = morningCluster(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
         cluster.clock.schedule(20_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
         cluster.clock.schedule(30_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c2','classes':[{'name':'other','rank':5}]}"), answers));
         cluster.clock.runUntil(40_000);
         assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
-        ObjectNode transaction = Codec.newMap();
+        ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
         transaction.putArray("then").addObject().put("put", "a/oc/p/2/0").putObject("value").put("t", "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}");
-        cluster.network.call("10.0.0.1:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
+        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
         // Only those that start now read it anew.
-        cluster.clock.schedule(1_000, () -> Troubles.crashController(cluster, 3, 100));
+        cluster.clock.schedule(1_000, () -> FaultInjector.crashController(cluster, 3, 100));
         cluster.clock.runUntil(60_000);
         JsonNode head = cluster.store.value("a/oc/head");
         assertEquals(1, head.path("rules").asLong(), "" + head);
@@ -280,18 +280,18 @@
 
     /** A class set on top by mistake slows others; it doesn't starve them. */
     @Test void topRankedClassStarvesNobody() {
-        World cluster = new World(31, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)), 5);
+        SimulatedCluster cluster = new SimulatedCluster(31, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)), 5);
         cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
         cluster.clock.schedule(6_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"), new HashMap<>()));
         int id = 0;
         for (int second = 10; second < 400; second += 2) {
-            JobSpec job = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 8, 1, 10);
+            JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 8, 1, 10);
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         for (int second = 20; second < 160; second += 20) {
-            JobSpec job = Jobs.array(++id, "blue", JobSpec.Urgency.NORMAL, 6, 1, 10);
+            JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 6, 1, 10);
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(401_000);
@@ -303,7 +303,7 @@
 
     /** No record: nothing is written, and rounds order as they did. */
     @Test void nothingIsWrittenWithoutRecords() {
-        World cluster = morningCluster(41, false);
+        SimulatedCluster cluster = morningCluster(41, false);
         cluster.clock.runUntil(400_000);
         assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")), "" + cluster.store.keys());
         assertEquals(Map.of(), cluster.store.ledgerWrites);
@@ -311,7 +311,7 @@
 
     /** Bad input is refused in words and changes nothing; a dry run shows what would change and changes nothing. */
     @Test void refusedCommandsAndDryRunsChangeNothing() {
-        World cluster = morningCluster(51, false);
+        SimulatedCluster cluster = morningCluster(51, false);
         cluster.clock.runUntil(40_000);
         Map<String, Integer> statuses = new HashMap<>();
         Map<String, ObjectNode> responses = new HashMap<>();
@@ -340,15 +340,15 @@
     }
 
     /** Plays a random day; what is wrong with it, in words. */
-    static Seeds.Played playRandomScenario(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
+    static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new SimulatedCloud.MachineType("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
         cluster.network.responseLossRate = 0.003;
         cluster.network.duplicationRate = 0.01;
         cluster.start();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = Jobs.randomJob(i, cluster.clock.random);
+            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
             long atMillis = 3_000 + cluster.clock.random.nextLong(120_000);
             cluster.clock.schedule(atMillis, () -> cluster.submit(job));
             if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
@@ -370,9 +370,9 @@
             boolean quick = cluster.clock.random.nextBoolean();
             cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(170_000), () -> {
                 if (quick) {
-                    Troubles.injectRandomQuickRestart(cluster);
+                    FaultInjector.injectRandomQuickRestart(cluster);
                 } else {
-                    Troubles.injectRandomFault(cluster);
+                    FaultInjector.injectRandomFault(cluster);
                 }
             });
         }
@@ -405,6 +405,6 @@
         if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
             problems.add("classes " + cluster.store.value("a/oc/head"));
         }
-        return new Seeds.Played(cluster, String.join("; ", problems));
+        return new ScenarioRunner.ScenarioResult(cluster, String.join("; ", problems));
     }
 }
--- a/src/test/java/io/quincelead/world/DaysTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -1,13 +1,13 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Days of real controllers in the simulated world. Every rule is checked after every event. */
-class DaysTest {
+class RandomizedScenarioTest {
     /** Submits jobs over the first part of the day, cancels some, and asks for jobs that nobody has. */
-    private static void submitRandomJobs(World cluster, int jobCount, long intervalMillis) {
+    private static void submitRandomJobs(SimulatedCluster cluster, int jobCount, long intervalMillis) {
         for (int i = 1; i <= jobCount; i++) {
-            JobSpec job = Jobs.randomJob(i, cluster.clock.random);
+            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
             long atMillis = 3_000 + cluster.clock.random.nextLong(jobCount * intervalMillis);
             cluster.clock.schedule(atMillis, () -> cluster.submit(job));
             if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
@@ -32,18 +32,18 @@
         }
     }
 
-    private static void assertNoViolations(World cluster) {
+    private static void assertNoViolations(SimulatedCluster cluster) {
         assertEquals(Set.of(), cluster.violations());
     }
 
-    private static void assertAllJobsFinished(World cluster, int jobCount) {
+    private static void assertAllJobsFinished(SimulatedCluster cluster, int jobCount) {
         assertNoViolations(cluster);
         assertEquals(jobCount, cluster.acceptedJobCount());
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     @Test void faultFreeScenarioFinishesAllJobs() {
-        World cluster = new World(1);
+        SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.start();
         submitRandomJobs(cluster, 40, 2_000);
         cluster.clock.runUntil(400_000);
@@ -61,18 +61,18 @@
     // fails everything was never blamed, for what others had seen succeed was forgotten.
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 190, 213, 423, 771, 803})
     void randomFaultsKeepInvariantsAndRecover(long seed) {
-        World cluster = new World(seed);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
         playRandomFaults(cluster);
         assertAllJobsFinished(cluster, 40);
     }
 
-    static void playRandomFaults(World cluster) {
+    static void playRandomFaults(SimulatedCluster cluster) {
         cluster.network.responseLossRate = 0.003;
         cluster.cloud.bootFailureRate = 0.05;
         cluster.start();
         submitRandomJobs(cluster, 40, 3_000);
         for (int i = 0; i < 14; i++) {
-            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> Troubles.injectRandomFault(cluster));
+            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> FaultInjector.injectRandomFault(cluster));
         }
         cluster.clock.schedule(200_000, () -> cluster.network.responseLossRate = 0);
         cluster.expectFaultsUntil(200_000);
@@ -83,22 +83,22 @@
     @ParameterizedTest
     @ValueSource(longs = {7001, 7002, 7003, 7004})
     void quickRestartsAndDuplicatedMessagesKeepInvariants(long seed) {
-        World cluster = new World(seed);
+        SimulatedCluster cluster = new SimulatedCluster(seed);
         playQuickRestarts(cluster);
         assertAllJobsFinished(cluster, 40);
         assertEquals(List.of(), cluster.serviceLevels().starved());
     }
 
-    static void playQuickRestarts(World cluster) {
+    static void playQuickRestarts(SimulatedCluster cluster) {
         cluster.network.responseLossRate = 0.003;
         cluster.network.duplicationRate = 0.02;
         cluster.start();
         submitRandomJobs(cluster, 40, 3_000);
         for (int i = 0; i < 12; i++) {
-            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> Troubles.injectRandomQuickRestart(cluster));
+            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> FaultInjector.injectRandomQuickRestart(cluster));
         }
         for (int i = 0; i < 4; i++) {
-            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> Troubles.injectRandomFault(cluster));
+            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(150_000), () -> FaultInjector.injectRandomFault(cluster));
         }
         cluster.clock.schedule(200_000, () -> {
             cluster.network.responseLossRate = 0;
@@ -116,15 +116,15 @@
     // 55, 59: two gangs each held half of a team's GPU allowance, for ever.
     @ValueSource(longs = {51, 55, 59})
     void overloadWithZonePartitionsKeepsInvariantsAndRecovers(long seed) {
-        World cluster = playOverload(seed);
+        SimulatedCluster cluster = playOverload(seed);
         assertNoViolations(cluster);
         assertEquals(66, cluster.acceptedJobCount());
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    static World playOverload(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 6, List.of("a", "b", "c"), 60),
-                new Cloud.Shape("gpu", 16, 4, 64, 5, 2, 8, List.of("a", "c"), 14)));
+    static SimulatedCluster playOverload(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 6, List.of("a", "b", "c"), 60),
+                new SimulatedCloud.MachineType("gpu", 16, 4, 64, 5, 2, 8, List.of("a", "c"), 14)));
         cluster.workerLeaseMillis = 24_000;
         cluster.teams.put("red", new Settings.Team("red", 150, 260, 16, 32));
         cluster.teams.put("blue", new Settings.Team("blue", 90, 150, 8, 16));
@@ -137,11 +137,11 @@
         for (int i = 1; i <= 66; i++) {
             String team = cluster.clock.random.nextInt(3) == 0 ? "blue" : "red";
             JobSpec job = switch (i % 3) {
-                case 0 -> Jobs.job(i, team, JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, List.of(3, 5, 8).get(cluster.clock.random.nextInt(3)), 1, 0, 0,
+                case 0 -> JobFixtures.job(i, team, JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, List.of(3, 5, 8).get(cluster.clock.random.nextInt(3)), 1, 0, 0,
                         null, null, false, true, false, 0);
-                case 1 -> Jobs.job(i, team, JobSpec.Mode.ENSEMBLE, JobSpec.Urgency.HIGH, List.of(1, 2, 4).get(cluster.clock.random.nextInt(3)), 14, 4,
+                case 1 -> JobFixtures.job(i, team, JobSpec.Mode.ENSEMBLE, JobSpec.Priority.HIGH, List.of(1, 2, 4).get(cluster.clock.random.nextInt(3)), 14, 4,
                         5 + cluster.clock.random.nextInt(30), null, null, true, false, false, cluster.clock.random.nextBoolean() ? 10 : 0);
-                default -> Jobs.array(i, team, JobSpec.Urgency.BEST_EFFORT, 10 + cluster.clock.random.nextInt(240), 1, 5 + cluster.clock.random.nextInt(25));
+                default -> JobFixtures.array(i, team, JobSpec.Priority.BEST_EFFORT, 10 + cluster.clock.random.nextInt(240), 1, 5 + cluster.clock.random.nextInt(25));
             };
             long atMillis = 2_000 + cluster.clock.random.nextLong(i < 25 ? 6_000 : 130_000);
             cluster.clock.schedule(atMillis, () -> cluster.submit(job));
@@ -152,23 +152,23 @@
         for (int i = 0; i < 2; i++) {
             int controller = cluster.clock.random.nextInt(3);
             String zone = List.of("a", "b", "c").get(cluster.clock.random.nextInt(3));
-            cluster.clock.schedule(15_000 + 70_000L * i + cluster.clock.random.nextLong(30_000), () -> Troubles.partitionZone(cluster, zone, controller, 20_000 + cluster.clock.random.nextLong(40_000)));
+            cluster.clock.schedule(15_000 + 70_000L * i + cluster.clock.random.nextLong(30_000), () -> FaultInjector.partitionZone(cluster, zone, controller, 20_000 + cluster.clock.random.nextLong(40_000)));
         }
         for (int i = 0; i < 8; i++) {
-            cluster.clock.schedule(12_000 + cluster.clock.random.nextLong(140_000), () -> Troubles.injectRandomFault(cluster));
+            cluster.clock.schedule(12_000 + cluster.clock.random.nextLong(140_000), () -> FaultInjector.injectRandomFault(cluster));
         }
         cluster.clock.runUntil(900_000);
         return cluster;
     }
 
-    private static World clusterWithService(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 60)));
+    private static SimulatedCluster clusterWithService(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 60)));
         cluster.workerLeaseMillis = 24_000;
         cluster.teams.put("red", new Settings.Team("red", 400, 400, 0, 0));
         cluster.cloud.addRunningMachines("small", "a", 12);
         cluster.cloud.addRunningMachines("small", "b", 12);
         cluster.start();
-        cluster.clock.schedule(8_000, () -> cluster.submit(Jobs.job(1, "red", JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, 60, 1, 0, 0, null, null,
+        cluster.clock.schedule(8_000, () -> cluster.submit(JobFixtures.job(1, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 60, 1, 0, 0, null, null,
                 false, true, false, 0)));
         return cluster;
     }
@@ -177,8 +177,8 @@
     @ParameterizedTest
     @ValueSource(longs = {36, 37, 38})
     void servicesInPartitionedZoneKeepRunning(long seed) {
-        World cluster = clusterWithService(seed);
-        cluster.clock.schedule(20_000, () -> Troubles.partitionZone(cluster, "a", 0, 40_000));
+        SimulatedCluster cluster = clusterWithService(seed);
+        cluster.clock.schedule(20_000, () -> FaultInjector.partitionZone(cluster, "a", 0, 40_000));
         cluster.clock.runUntil(120_000);
         assertNoViolations(cluster);
         assertTrue(cluster.taskStarts.get("wk-000001") <= 63, "starts: " + cluster.taskStarts);
@@ -186,10 +186,10 @@
 
     /** A user was once told "cancelled" at once: behind a cut, with the cloud down, the tasks then ran on past the time. */
     @Test void cancellationIsConfirmedOnlyAfterTasksAreGone() {
-        World cluster = clusterWithService(39);
+        SimulatedCluster cluster = clusterWithService(39);
         cluster.clock.schedule(20_000, () -> {
             cluster.cloud.down = true;
-            Troubles.partitionZone(cluster, "a", 0, 80_000);
+            FaultInjector.partitionZone(cluster, "a", 0, 80_000);
         });
         cluster.clock.schedule(25_000, () -> cluster.cancel("wk-000001"));
         cluster.clock.schedule(110_000, () -> cluster.cloud.down = false);
@@ -201,19 +201,19 @@
     }
 
     @Test void tasksOfDeadMachineRestartElsewhereAfterItsRelease() {
-        World cluster = new World(3);
+        SimulatedCluster cluster = new SimulatedCluster(3);
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 12, 2, 30)));
-        cluster.clock.schedule(25_000, () -> Troubles.onRandomMachine(cluster, Worker::crash));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 30)));
+        cluster.clock.schedule(25_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
         cluster.clock.runUntil(200_000);
         assertAllJobsFinished(cluster, 1);
     }
 
     @Test void resumedMachineNeverRunsTasksStartedElsewhere() {
-        World cluster = new World(4);
+        SimulatedCluster cluster = new SimulatedCluster(4);
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 12, 2, 40)));
-        cluster.clock.schedule(20_000, () -> Troubles.onRandomMachine(cluster, worker -> {
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 40)));
+        cluster.clock.schedule(20_000, () -> FaultInjector.onRandomMachine(cluster, worker -> {
             worker.setHung(true);
             cluster.clock.schedule(9_000, () -> worker.setHung(false));
         }));
@@ -222,10 +222,10 @@
     }
 
     @Test void cancelledJobOnHungMachineEndsInTime() {
-        World cluster = new World(5);
+        SimulatedCluster cluster = new SimulatedCluster(5);
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 8, 2, 300)));
-        cluster.clock.schedule(25_000, () -> Troubles.onRandomMachine(cluster, worker -> worker.setHung(true)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 8, 2, 300)));
+        cluster.clock.schedule(25_000, () -> FaultInjector.onRandomMachine(cluster, worker -> worker.setHung(true)));
         cluster.clock.schedule(26_000, () -> cluster.cancel("wk-000001"));
         cluster.clock.runUntil(200_000);
         assertNoViolations(cluster);
@@ -233,10 +233,10 @@
     }
 
     @Test void higherPriorityPreemptsLowerPriority() {
-        World cluster = new World(6, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+        SimulatedCluster cluster = new SimulatedCluster(6, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.BEST_EFFORT, 12, 2, 300)));
-        cluster.clock.schedule(40_000, () -> cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.HIGH, 6, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 12, 2, 300)));
+        cluster.clock.schedule(40_000, () -> cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 6, 2, 10)));
         cluster.clock.runUntil(90_000);
         assertTrue(cluster.wasToldFinalStatus("wk-000002", "done"));
         cluster.clock.runUntil(1_500_000);
@@ -245,10 +245,10 @@
 
     /** A low job within its team's guarantee and a normal one beyond its own once displaced each other for ever. */
     @Test void quotaGuaranteesDoNotCausePreemptionLoops() {
-        World cluster = new World(10, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+        SimulatedCluster cluster = new SimulatedCluster(10, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 30, 2, 40)));
-        cluster.clock.schedule(30_000, () -> cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.BEST_EFFORT, 4, 2, 40)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 30, 2, 40)));
+        cluster.clock.schedule(30_000, () -> cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 40)));
         cluster.clock.runUntil(500_000);
         assertAllJobsFinished(cluster, 2);
         assertTrue(cluster.taskStarts.get("wk-000001") + cluster.taskStarts.get("wk-000002") < 45, "starts: " + cluster.taskStarts);
@@ -261,22 +261,22 @@
     @ParameterizedTest
     @ValueSource(longs = {61, 62, 63})
     void burstsOfUrgentJobsStarveNoClass(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 3)));
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 3)));
         cluster.teams.put("red", new Settings.Team("red", 12, 40, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 12, 24, 0, 0));
         cluster.start();
-        Map<JobSpec.Urgency, List<String>> submittedIds = new TreeMap<>();
+        Map<JobSpec.Priority, List<String>> submittedIds = new TreeMap<>();
         int id = 0;
         for (int second = 3; second < 240; second++) {
             List<JobSpec> arrivals = new ArrayList<>();
             if (second % 6 == 0) {
-                arrivals.add(Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 6 + cluster.clock.random.nextInt(4), 2, 8 + cluster.clock.random.nextInt(4)));
+                arrivals.add(JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 6 + cluster.clock.random.nextInt(4), 2, 8 + cluster.clock.random.nextInt(4)));
             }
             if (second % 60 < 20 && second % 4 == 0) {
-                arrivals.add(Jobs.array(++id, "red", JobSpec.Urgency.HIGH, 3 + cluster.clock.random.nextInt(3), 2, 5));
+                arrivals.add(JobFixtures.array(++id, "red", JobSpec.Priority.HIGH, 3 + cluster.clock.random.nextInt(3), 2, 5));
             }
             if (second % 20 == 0) {
-                arrivals.add(Jobs.array(++id, "blue", JobSpec.Urgency.BEST_EFFORT, 4, 2, 12));
+                arrivals.add(JobFixtures.array(++id, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 12));
             }
             for (JobSpec job : arrivals) {
                 submittedIds.computeIfAbsent(job.priority(), key -> new ArrayList<>()).add(job.jobId());
@@ -284,7 +284,7 @@
             }
         }
         cluster.clock.runUntil(280_000);
-        Map<JobSpec.Urgency, Double> servedShares = new TreeMap<>();
+        Map<JobSpec.Priority, Double> servedShares = new TreeMap<>();
         submittedIds.forEach((priority, ids) -> servedShares.put(priority, ids.stream().filter(i -> cluster.wasToldFinalStatus(i, "done")).count() / (double) ids.size()));
         assertTrue(servedShares.values().stream().allMatch(share -> share >= 0.5), "served: " + servedShares);
         cluster.clock.runUntil(900_000);
@@ -298,22 +298,22 @@
     @ParameterizedTest
     @ValueSource(longs = {71, 72})
     void largestJobsStartUnderContinuousSmallArrivals(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)));
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)));
         cluster.teams.put("red", new Settings.Team("red", 8, 200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 4, 60, 0, 0));
         cluster.start();
         int id = 0;
         for (int second = 3; second < 420; second += 2) {
-            JobSpec job = Jobs.array(++id, "red", JobSpec.Urgency.NORMAL, 10 + cluster.clock.random.nextInt(6), 1, 10 + cluster.clock.random.nextInt(6));
+            JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 10 + cluster.clock.random.nextInt(6), 1, 10 + cluster.clock.random.nextInt(6));
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         List<String> largeJobIds = new ArrayList<>();
-        for (JobSpec.Urgency priority : JobSpec.Urgency.values()) {
-            JobSpec job = Jobs.array(++id, "blue", priority, 8, 4, 20);
+        for (JobSpec.Priority priority : JobSpec.Priority.values()) {
+            JobSpec job = JobFixtures.array(++id, "blue", priority, 8, 4, 20);
             largeJobIds.add(job.jobId());
             cluster.clock.schedule(60_000, () -> cluster.submit(job));
         }
-        JobSpec gang = Jobs.job(++id, "blue", JobSpec.Mode.ENSEMBLE, JobSpec.Urgency.BEST_EFFORT, 3, 4, 0, 20, null, null, false, false, true, 0);
+        JobSpec gang = JobFixtures.job(++id, "blue", JobSpec.Mode.ENSEMBLE, JobSpec.Priority.BEST_EFFORT, 3, 4, 0, 20, null, null, false, false, true, 0);
         largeJobIds.add(gang.jobId());
         cluster.clock.schedule(60_000, () -> cluster.submit(gang));
         cluster.clock.runUntil(420_000);
@@ -330,7 +330,7 @@
      * the replicas never ran, and everything was gone with that zone.
      */
     @Test void zoneSpreadServicesGetMachinesInSeveralZones() {
-        World cluster = clusterWithThreeZones(81);
+        SimulatedCluster cluster = clusterWithThreeZones(81);
         cluster.clock.runUntil(80_000);
         assertNoViolations(cluster);
         int replicas = 0;
@@ -344,19 +344,19 @@
     }
 
     /** Three zones, 5 controllers, 12 services of 6 replicas, every other one scattered, low work beside. */
-    private static World clusterWithThreeZones(long seed) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b", "c"), 300)), 5);
+    private static SimulatedCluster clusterWithThreeZones(long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b", "c"), 300)), 5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
         cluster.start();
         for (int i = 1; i <= 12; i++) {
-            JobSpec job = Jobs.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 2 == 0, false, 0);
+            JobSpec job = JobFixtures.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 2 == 0, false, 0);
             cluster.clock.schedule(3_000, () -> cluster.submit(job));
         }
         for (int i = 13; i < 60; i++) {
-            JobSpec job = Jobs.array(i, "blue", JobSpec.Urgency.BEST_EFFORT, 20, 1, 30);
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
             cluster.clock.schedule(4_000 + (i - 13) * 3_500L, () -> cluster.submit(job));
         }
         return cluster;
@@ -376,7 +376,7 @@
      * once named the dead process's hold and went with it: the successor held a block, led nobody and was counted as lost for good.
      */
     @Test void delayedMemberAnnouncementDoesNotReplaceSuccessor() {
-        World cluster = new World(91);
+        SimulatedCluster cluster = new SimulatedCluster(91);
         cluster.start();
         submitRandomJobs(cluster, 20, 2_000);
         cluster.clock.runUntil(10_000);
@@ -384,15 +384,15 @@
         cluster.store.dropsTransaction = transaction -> {
             if (delayed[0] == null && puts(transaction, "a/n/worker-1")) {
                 delayed[0] = transaction;
-                cluster.clock.schedule(0, () -> Troubles.crashController(cluster, 1, 100));
+                cluster.clock.schedule(0, () -> FaultInjector.crashController(cluster, 1, 100));
                 return true;
             }
             return false;
         };
-        Troubles.crashController(cluster, 1, 100);
+        FaultInjector.crashController(cluster, 1, 100);
         cluster.clock.runUntil(12_500);
         long successorLeaseId = cluster.store.value("a/n/worker-1").path("g").asLong();
-        cluster.network.call("10.0.0.2:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(delayed[0]), 1_000, (status, body, retryAfterSeconds) -> { });
+        cluster.network.call("10.0.0.2:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(delayed[0]), 1_000, (status, body, retryAfterSeconds) -> { });
         cluster.clock.runUntil(30_000);
         assertEquals(successorLeaseId, cluster.store.value("a/n/worker-1").path("g").asLong());
         cluster.clock.runUntil(300_000);
@@ -401,7 +401,7 @@
 
     /** The record of a rental that was settled long ago was once made again by a copy of its change: its machines came back as ghosts. */
     @Test void duplicatedProvisioningRequestIsNotRecordedAgain() {
-        World cluster = new World(92);
+        SimulatedCluster cluster = new SimulatedCluster(92);
         cluster.start();
         List<ObjectNode> requests = new ArrayList<>();
         cluster.store.arrivalObserver = transaction -> {
@@ -409,12 +409,12 @@
                 requests.add(transaction);
             }
         };
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 12, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
         cluster.clock.runUntil(60_000);
         assertTrue(!requests.isEmpty());
         cluster.store.arrivalObserver = transaction -> { };
         for (ObjectNode transaction : List.copyOf(requests)) {
-            cluster.network.call("10.0.0.2:0", World.STORE_ADDRESS, "POST", "/commit", Codec.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(409, status));
+            cluster.network.call("10.0.0.2:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(409, status));
         }
         cluster.clock.runUntil(61_000);
         assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/r/")), "" + cluster.store.keys());
@@ -424,14 +424,14 @@
 
     /** One controller that is back at once displaces nothing, and five ends in a row make no storm of grants. */
     @Test void quickControllerRestartMovesNoTask() {
-        World cluster = new World(93, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 40)));
+        SimulatedCluster cluster = new SimulatedCluster(93, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 40)));
         cluster.teams.put("red", new Settings.Team("red", 320, 320, 0, 0));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 100, 2, 200)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 100, 2, 200)));
         cluster.clock.runUntil(60_000);
         long initialToken = cluster.store.value("a/term").path("n").asLong();
         for (int i = 0; i < 5; i++) {
-            cluster.clock.schedule(i * 2_000L, () -> Troubles.crashController(cluster, 1, 100));
+            cluster.clock.schedule(i * 2_000L, () -> FaultInjector.crashController(cluster, 1, 100));
         }
         cluster.clock.runUntil(90_000);
         assertEquals(100, cluster.taskStarts.get("wk-000001"));
@@ -442,10 +442,10 @@
 
     /** A poll whose barrier was out while another controller recorded the job's end once got 404. */
     @Test void queriesConcurrentWithCompletionAreAnswered() {
-        World cluster = new World(20);
+        SimulatedCluster cluster = new SimulatedCluster(20);
         cluster.start();
         for (int i = 1; i <= 10; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 2, 1, 2 + i % 5);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2, 1, 2 + i % 5);
             cluster.clock.schedule(3_000, () -> cluster.submit(job));
         }
         for (long atMillis = 4_000; atMillis < 60_000; atMillis += 7) {
@@ -457,24 +457,24 @@
     }
 
     @Test void teamStaysWithinItsLimitWhileControllersFail() {
-        World cluster = new World(7);
+        SimulatedCluster cluster = new SimulatedCluster(7);
         cluster.start();
         for (int i = 1; i <= 12; i++) {
-            JobSpec job = Jobs.array(i, "blue", JobSpec.Urgency.NORMAL, 8, 2, 12);
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 8, 2, 12);
             cluster.clock.schedule(3_000 + i * 700L, () -> cluster.submit(job));
         }
         for (int i = 0; i < 6; i++) {
             int controller = i % 3;
-            cluster.clock.schedule(15_000 + i * 12_000L, () -> Troubles.crashController(cluster, controller, 3_000));
+            cluster.clock.schedule(15_000 + i * 12_000L, () -> FaultInjector.crashController(cluster, controller, 3_000));
         }
         cluster.clock.runUntil(500_000);
         assertAllJobsFinished(cluster, 12);
     }
 
     @Test void largeJobIsSplitOverManyRecords() {
-        World cluster = new World(8);
+        SimulatedCluster cluster = new SimulatedCluster(8);
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 1_500, 1, 2)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1_500, 1, 2)));
         cluster.clock.runUntil(900_000);
         assertAllJobsFinished(cluster, 1);
         cluster.clock.runUntil(920_000);
@@ -488,22 +488,22 @@
      * also a controller left alone holds every machine within the store's limit for a record.
      */
     @Test void largeClusterKeepsInvariantsWhileControllersFail() {
-        World cluster = new World(31, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 260)));
+        SimulatedCluster cluster = new SimulatedCluster(31, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 260)));
         cluster.teams.put("red", new Settings.Team("red", 600, 1_200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 400, 900, 0, 0));
         cluster.start();
         for (int i = 1; i <= 70; i++) {
-            JobSpec job = Jobs.array(i, i % 3 == 0 ? "blue" : "red", JobSpec.Urgency.values()[1 + i % 3], 20 + 7 * (i % 9), 2, 20 + i % 25);
+            JobSpec job = JobFixtures.array(i, i % 3 == 0 ? "blue" : "red", JobSpec.Priority.values()[1 + i % 3], 20 + 7 * (i % 9), 2, 20 + i % 25);
             cluster.clock.schedule(3_000 + i * 1_500L, () -> cluster.submit(job));
         }
         int[] maxMachines = {0};
         for (int second = 10; second < 200; second += 5) {
             cluster.clock.schedule(second * 1000L, () -> maxMachines[0] = Math.max(maxMachines[0], cluster.cloud.machines.size()));
         }
-        cluster.clock.schedule(40_000, () -> Troubles.crashController(cluster, 0, 3_000));
+        cluster.clock.schedule(40_000, () -> FaultInjector.crashController(cluster, 0, 3_000));
         cluster.clock.schedule(60_000, () -> {
-            Troubles.crashController(cluster, 1, 12_000);
-            Troubles.crashController(cluster, 2, 12_000);
+            FaultInjector.crashController(cluster, 1, 12_000);
+            FaultInjector.crashController(cluster, 2, 12_000);
         });
         cluster.clock.schedule(90_000, () -> cluster.store.setDown(true));
         cluster.clock.schedule(100_000, () -> cluster.store.setDown(false));
@@ -515,15 +515,15 @@
 
     /** A busy controller's clock moves on from one look to the next, in a round too; urgent work displaces other work meanwhile. */
     @Test void schedulingCycleToleratesAdvancingClock() {
-        World cluster = new World(34, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 60)));
+        SimulatedCluster cluster = new SimulatedCluster(34, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 60)));
         cluster.clock.computationTakesTime = true;
         cluster.teams.put("red", new Settings.Team("red", 480, 480, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 480, 480, 0, 0));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.BEST_EFFORT, 300, 1, 90)));
-        cluster.clock.schedule(8_000, () -> cluster.submit(Jobs.array(2, "red", JobSpec.Urgency.NORMAL, 180, 1, 120)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 300, 1, 90)));
+        cluster.clock.schedule(8_000, () -> cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 180, 1, 120)));
         for (int i = 3; i < 40; i++) {
-            JobSpec job = Jobs.array(i, "blue", JobSpec.Urgency.HIGH, 10, 1, 15);
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 10, 1, 15);
             cluster.clock.schedule(20_000 + i * 900L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(700_000);
@@ -532,11 +532,11 @@
 
     /** The leader once placed on machines that were granted while booting; their silence then cost them. */
     @Test void bootingMachineGetsNoTasksAndIsNotDeclaredLost() {
-        World cluster = new World(32, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 30, List.of("a"), 30)));
+        SimulatedCluster cluster = new SimulatedCluster(32, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 30, List.of("a"), 30)));
         cluster.teams.put("red", new Settings.Team("red", 100, 240, 0, 0));
         cluster.start();
         for (int i = 1; i <= 6; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 20, 2, 40);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 20, 2, 40);
             cluster.clock.schedule(3_000 + i * 3_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(60_000);
@@ -547,11 +547,11 @@
 
     /** Workers go on reporting to a controller that is cut from the store alone; only the new owner's claim calls them away. */
     @Test void tasksOfControllerPartitionedFromStoreKeepRunning() {
-        World cluster = new World(33, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 12)));
+        SimulatedCluster cluster = new SimulatedCluster(33, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 12)));
         cluster.teams.put("red", new Settings.Team("red", 96, 96, 0, 0));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 40, 2, 120)));
-        cluster.clock.schedule(45_000, () -> Troubles.partition(cluster, cluster.controllers.get(1).ip, List.of("10.2.0.1"), 30_000));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 40, 2, 120)));
+        cluster.clock.schedule(45_000, () -> FaultInjector.partition(cluster, cluster.controllers.get(1).ip, List.of("10.2.0.1"), 30_000));
         cluster.clock.runUntil(100_000);
         assertTrue(cluster.taskStarts.get("wk-000001") <= 48, "starts: " + cluster.taskStarts);
         cluster.clock.runUntil(500_000);
@@ -560,12 +560,12 @@
 
     /** Hundreds of machines are up before the service is: each once cost a record, and nothing ran for a minute. */
     @Test void runningClusterIsRegisteredWithFewRecords() {
-        World cluster = new World(35, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 300)));
+        SimulatedCluster cluster = new SimulatedCluster(35, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 300)));
         cluster.teams.put("red", new Settings.Team("red", 900, 900, 0, 0));
         cluster.cloud.addRunningMachines("small", "a", 80);
         cluster.cloud.addRunningMachines("small", "b", 70);
         cluster.start();
-        cluster.clock.schedule(2_000, () -> cluster.submit(Jobs.job(1, "red", JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, 800, 1, 0, 0, null, null,
+        cluster.clock.schedule(2_000, () -> cluster.submit(JobFixtures.job(1, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 800, 1, 0, 0, null, null,
                 false, true, false, 0)));
         cluster.clock.runUntil(12_000);
         assertNoViolations(cluster);
@@ -576,9 +576,9 @@
 
     /** The one machine that a job may run on failed everything, and since nothing else ran there, the job was blamed for ever. */
     @Test void jobWhoseOnlyMachineFailsTasksGetsAnotherMachine() {
-        World cluster = new World(41, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+        SimulatedCluster cluster = new SimulatedCluster(41, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 1, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 2, 10)));
         for (long atMillis = 4_000; atMillis < 40_000; atMillis += 100) {
             cluster.clock.schedule(atMillis, () -> cluster.cloud.machines.values().forEach(worker -> worker.failsTasks |= worker.host.equals("i-000001")));
         }
@@ -588,11 +588,11 @@
     }
 
     @Test void jobFailingEverywhereDoesNotQuarantineTheFleet() {
-        World cluster = new World(9);
+        SimulatedCluster cluster = new SimulatedCluster(9);
         cluster.start();
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 4, 2, 10)));
-        cluster.clock.schedule(3_000, () -> cluster.submit(Jobs.array(2, "blue", JobSpec.Urgency.NORMAL, 30, 2, 10)));
-        cluster.clock.schedule(12_000, () -> Troubles.onRandomMachine(cluster, worker -> worker.failsTasks = true));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10)));
+        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.NORMAL, 30, 2, 10)));
+        cluster.clock.schedule(12_000, () -> FaultInjector.onRandomMachine(cluster, worker -> worker.failsTasks = true));
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 2);
     }
