--- a/src/test/java/io/quincelead/world/CloseLooksTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -1,14 +1,14 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import static io.quincelead.world.MeetingsTest.anyStartsWith;
-import static io.quincelead.world.MeetingsTest.assertAllJobsFinished;
-import static io.quincelead.world.MeetingsTest.clusterWithReadyMachines;
+import static io.quincelead.simulation.CompoundFaultTest.anyStartsWith;
+import static io.quincelead.simulation.CompoundFaultTest.assertAllJobsFinished;
+import static io.quincelead.simulation.CompoundFaultTest.clusterWithReadyMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
@@ -18,19 +18,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Users who look closely (docs/design/meetings.md): no controller tells anybody anything older than what somebody has been told. */
-class CloseLooksTest {
+class ReadConsistencyTest {
     /** Everybody asks everywhere and submits again, within milliseconds of each piece of news; controllers hear late of changes and answers get lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void answersNeverGoBackwards(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 24);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
         cluster.start();
         cluster.users.consistencyProbes = true;
         cluster.users.cancelAtOnceRate = 0.25;
         cluster.users.cancelAtCompletionRate = 0.25;
         cluster.store.responseLossRate = seed % 2 == 0 ? 0.25 : 0;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = i % 8 == 0 ? Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 250, 0.2, 8) : Jobs.array(i, "red", JobSpec.Urgency.values()[i % 4], 1 + i % 4, 1, 4);
+            JobSpec job = i % 8 == 0 ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 250, 0.2, 8) : JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 4, 1, 4);
             cluster.clock.schedule(4_000 + i * 900L, () -> cluster.submit(job));
         }
         for (int i = 0; i < 16; i++) {
@@ -53,11 +53,11 @@
     @ParameterizedTest
     @ValueSource(ints = {12, 450})
     void staleControllerAnswersFromItsLinearizableRead(int tasks) {
-        World cluster = clusterWithReadyMachines(7, 3, 24);
+        SimulatedCluster cluster = clusterWithReadyMachines(7, 3, 24);
         cluster.start();
         cluster.clock.runUntil(8_000);
-        int staleController = (Meetings.leaderIndex(cluster) + 1) % 3;
-        cluster.submit(Jobs.array(1, "red", JobSpec.Urgency.NORMAL, tasks, tasks > 100 ? 0.2 : 2, 20), (staleController + 1) % 3);
+        int staleController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, tasks, tasks > 100 ? 0.2 : 2, 20), (staleController + 1) % 3);
         cluster.clock.runUntil(16_000);
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
         int[] missedWrites = {0};
@@ -74,7 +74,7 @@
     }
 
     /** What a request can be overtaken by. */
-    private enum Step {
+    private enum CommitStep {
         /** The cancellation is recorded. */
         CANCELLATION(transaction -> anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && transaction.path("then").get(0).path("value").has("x")),
         /** The job moves to its final key. */
@@ -86,17 +86,17 @@
 
         private final Predicate<ObjectNode> matcher;
 
-        Step(Predicate<ObjectNode> matcher) {
+        CommitStep(Predicate<ObjectNode> matcher) {
             this.matcher = matcher;
         }
     }
 
     /** A submission or a cancellation meets the end that it asks about at each step, whose answer gets lost; both are repeated elsewhere. */
     @ParameterizedTest
-    @EnumSource(Step.class)
-    void requestOvertakenByCompletionIsAnsweredWithTheFinalStatus(Step step) {
+    @EnumSource(CommitStep.class)
+    void requestOvertakenByCompletionIsAnsweredWithTheFinalStatus(CommitStep step) {
         for (int seed = 1; seed <= 6; seed++) {
-            World cluster = clusterWithReadyMachines(seed, 3, 12);
+            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
             cluster.start();
             cluster.clock.runUntil(8_000);
             int[] occurrences = {0};
@@ -116,11 +116,11 @@
                 }
                 return true;
             };
-            JobSpec job = Jobs.array(1, "red", seed % 2 == 0 ? JobSpec.Urgency.HIGH : JobSpec.Urgency.NORMAL, 2, 1, 4);
+            JobSpec job = JobFixtures.array(1, "red", seed % 2 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL, 2, 1, 4);
             cluster.submit(job, seed % 3);
             // The last task ends 2 to 6 s after it began.
             int submittingController = seed % 3;
-            cluster.clock.schedule(step == Step.CANCELLATION ? 700 * seed : 60_000, () -> cluster.cancel("wk-000001", submittingController));
+            cluster.clock.schedule(step == CommitStep.CANCELLATION ? 700 * seed : 60_000, () -> cluster.cancel("wk-000001", submittingController));
             cluster.clock.schedule(20_000, () -> cluster.store.dropsResponse = transaction -> false);
             cluster.clock.runUntil(120_000);
             assertTrue(occurrences[0] > 0, "the meeting");
@@ -133,12 +133,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void cancellationAtCompletionHasOneOutcome(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.start();
         cluster.users.consistencyProbes = true;
         cluster.users.cancelAtCompletionRate = 0.7;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.values()[i % 4], 1 + i % 3, 1, 3);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 3, 1, 3);
             cluster.clock.schedule(4_000 + i * 500L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(120_000);
@@ -151,16 +151,16 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void unacceptableRequestsLoseNoJob(long seed) {
-        World cluster = clusterWithReadyMachines(seed, 3, 16);
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
         for (int i = 1; i <= 20; i++) {
-            JobSpec job = Jobs.array(i, "red", JobSpec.Urgency.NORMAL, 1 + i % 3, 1, 10);
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 10);
             cluster.clock.schedule(4_000 + i * 1_500L, () -> cluster.submit(job));
         }
         cluster.clock.schedule(6_000, () -> cluster.users.sendUnusualRequests(100, 60_000));
-        cluster.clock.schedule(15_000, () -> Troubles.crashController(cluster, Math.max(0, Meetings.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(25_000, () -> Meetings.storeOutage(cluster, 10_000));
+        cluster.clock.schedule(15_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
+        cluster.clock.schedule(25_000, () -> CompoundFaults.storeOutage(cluster, 10_000));
         cluster.clock.runUntil(200_000);
         assertTrue(cluster.users.refusedCount > 150 && cluster.users.unusualRequestCount > 30, cluster.users.refusedCount + " refused, " + cluster.users.unusualRequestCount + " odd");
         assertAllJobsFinished(cluster, 20);
@@ -169,10 +169,10 @@
 
     /** A job that is known is told as it is, whatever its repeated submission would get now; an answer that can't be given yet says so. */
     @Test void resubmissionOfKnownJobIsAnsweredWithItsStatus() {
-        World cluster = clusterWithReadyMachines(3, 3, 12);
+        SimulatedCluster cluster = clusterWithReadyMachines(3, 3, 12);
         cluster.start();
         cluster.clock.runUntil(8_000);
-        JobSpec job = Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 2, 1, 30);
+        JobSpec job = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 1, 30);
         cluster.submit(job, 0);
         cluster.clock.runUntil(9_000);
         ObjectNode incomplete = job.encode();
@@ -200,10 +200,10 @@
         assertAllJobsFinished(cluster, 1);
     }
 
-    private static void submitAndAwait(World cluster, int controller, ObjectNode body, int[] status, JsonNode[] response) {
-        cluster.network.call(World.USERS_ADDRESS, cluster.controllers.get(controller).userAddress, "POST", "/v2/runs", io.quincelead.net.Codec.CBOR.encode(body), 5_000, (responseStatus, responseBody, retryAfterSeconds) -> {
+    private static void submitAndAwait(SimulatedCluster cluster, int controller, ObjectNode body, int[] status, JsonNode[] response) {
+        cluster.network.call(SimulatedCluster.USERS_ADDRESS, cluster.controllers.get(controller).userAddress, "POST", "/v2/runs", io.quincelead.transport.WireFormat.CBOR.encode(body), 5_000, (responseStatus, responseBody, retryAfterSeconds) -> {
             status[0] = responseStatus;
-            response[0] = io.quincelead.net.Codec.CBOR.decodeMap(responseBody);
+            response[0] = io.quincelead.transport.WireFormat.CBOR.decodeMap(responseBody);
             assertTrue(responseStatus != 503 || retryAfterSeconds > 0, "no Retry-After");
         });
         cluster.clock.runUntil(cluster.clock.nowMillis() + 2_500);
--- a/src/test/java/io/quincelead/world/Seeds.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,14 +8,14 @@
 import java.util.concurrent.Future;
 
 /**
- * Plays random days of the test world over many seeds: {@code Seeds rough|flood|quick|meetings|first|operators|zones FROM TO [THREADS]}. Not a test.
+ * Plays random days of the test world over many seeds: {@code ScenarioRunner rough|flood|quick|meetings|first|operators|zones FROM TO [THREADS]}. Not a test.
  * Prints kind, seed, number of messages and history digest of each, separated by tabs; what went wrong goes to standard error.
  */
-public final class Seeds {
+public final class ScenarioRunner {
     /** A day that was played, and what is wrong with it, in words; empty if nothing is. */
-    record Played(World cluster, String problems) { }
+    record ScenarioResult(SimulatedCluster cluster, String problems) { }
 
-    private Seeds() { }
+    private ScenarioRunner() { }
 
     public static void main(String[] args) throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(args.length > 3 ? Integer.parseInt(args[3]) : 1);
@@ -35,7 +35,7 @@
     }
 
     private static boolean playAndReport(String scenario, long seed) {
-        Played result = play(scenario, seed);
+        ScenarioResult result = play(scenario, seed);
         System.out.println(scenario + "\t" + seed + "\t" + result.cluster.network.history.finish());
         if (!result.problems.isEmpty()) {
             System.err.println(scenario + " " + seed + ": " + result.problems);
@@ -43,28 +43,28 @@
         return result.problems.isEmpty();
     }
 
-    private static Played play(String scenario, long seed) {
-        World cluster = new World(seed);
+    private static ScenarioResult play(String scenario, long seed) {
+        SimulatedCluster cluster = new SimulatedCluster(seed);
         switch (scenario) {
             case "operators" -> {
-                return OperatorsTest.playRandomScenario(seed);
+                return OperatorRecordsTest.playRandomScenario(seed);
             }
             case "zones" -> {
-                return ZonesTest.playRandomScenario(seed);
+                return ZoneRecoveryTest.playRandomScenario(seed);
             }
-            case "flood" -> cluster = DaysTest.playOverload(seed);
-            case "quick" -> DaysTest.playQuickRestarts(cluster);
-            case "meetings" -> Meetings.playAllKinds(cluster);
-            case "first" -> Meetings.playInitialKinds(cluster);
-            case "rough" -> DaysTest.playRandomFaults(cluster);
+            case "flood" -> cluster = RandomizedScenarioTest.playOverload(seed);
+            case "quick" -> RandomizedScenarioTest.playQuickRestarts(cluster);
+            case "meetings" -> CompoundFaults.playAllKinds(cluster);
+            case "first" -> CompoundFaults.playInitialKinds(cluster);
+            case "rough" -> RandomizedScenarioTest.playRandomFaults(cluster);
             default -> throw new IllegalArgumentException("no such kind of day: " + scenario);
         }
-        List<String> starved = scenario.equals("meetings") || scenario.equals("first") ? Meetings.starved(cluster) : cluster.serviceLevels().starved();
+        List<String> starved = scenario.equals("meetings") || scenario.equals("first") ? CompoundFaults.starved(cluster) : cluster.serviceLevels().starved();
         if (scenario.equals("meetings") && !starved.isEmpty()) {
-            List<String> starvedDespiteCapacity = Meetings.starvedDespiteCapacity(cluster);
+            List<String> starvedDespiteCapacity = CompoundFaults.starvedDespiteCapacity(cluster);
             starved = starved.stream().map(line -> starvedDespiteCapacity.contains(line) ? line : line + " (there was no room for it, or its team was at its limit)").toList();
         }
         boolean passed = cluster.violations().isEmpty() && cluster.unfinishedJobs().isEmpty() && starved.isEmpty();
-        return new Played(cluster, passed ? "" : "broken " + cluster.violations() + " open " + cluster.unfinishedJobs() + " left behind " + starved);
+        return new ScenarioResult(cluster, passed ? "" : "broken " + cluster.violations() + " open " + cluster.unfinishedJobs() + " left behind " + starved);
     }
 }
--- a/src/test/java/io/quincelead/world/Service.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -1,6 +1,6 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -16,17 +16,17 @@
  * largest tenth of each class (by tasks; at least one job), and a first task on a machine within 240 s of the first attempt
  * to submit. Jobs that their users cancelled don't count. A service is served when half of its replicas have run.
  */
-public final class Service {
+public final class ServiceLevelChecker {
     /** ms. The largest jobs too begin within this time. */
     static final long FIRST_START_LIMIT_MILLIS = 240_000;
-    private final World cluster;
+    private final SimulatedCluster cluster;
     private final Map<String, JobSpec> submittedJobs = new LinkedHashMap<>();
     private final Map<String, Long> submittedAtMillis = new HashMap<>();
     private final Map<String, Long> firstStartAtMillis = new HashMap<>();
     private final Map<String, Long> halfStartedAtMillis = new HashMap<>();
     private final Map<String, Set<String>> startedTasks = new HashMap<>();
 
-    Service(World cluster) {
+    ServiceLevelChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
--- a/src/test/java/io/quincelead/world/Sim.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedClock.java
@@ -1,27 +1,27 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.base.Loop;
+import io.quincelead.eventloop.EventLoop;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
 /** Simulated time: one queue of events, run in order. After each event the observer looks at the world. */
-public final class Sim {
-    private record Event(long atMillis, long sequence, Runnable action) implements Comparable<Event> {
-        @Override public int compareTo(Event other) {
+public final class SimulatedClock {
+    private record ScheduledEvent(long atMillis, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
+        @Override public int compareTo(ScheduledEvent other) {
             return atMillis != other.atMillis ? Long.compare(atMillis, other.atMillis) : Long.compare(sequence, other.sequence);
         }
     }
 
     public static final long EPOCH_MILLIS = 1_790_000_000_000L;
     public final SplittableRandom random;
-    private final PriorityQueue<Event> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
     private long nowMillis;
     private long nextSequence;
     private Runnable observer = () -> { };
     /** Time passes while a process computes: its clock moves on from one look to the next. */
     public boolean computationTakesTime;
 
-    public Sim(long seed) {
+    public SimulatedClock(long seed) {
         random = new SplittableRandom(seed);
     }
 
@@ -34,12 +34,12 @@
     }
 
     public void schedule(long delayMillis, Runnable task) {
-        queue.add(new Event(nowMillis + Math.max(0, delayMillis), nextSequence++, task));
+        queue.add(new ScheduledEvent(nowMillis + Math.max(0, delayMillis), nextSequence++, task));
     }
 
     public void runUntil(long untilMillis) {
         while (!queue.isEmpty() && queue.peek().atMillis <= untilMillis) {
-            Event event = queue.poll();
+            ScheduledEvent event = queue.poll();
             nowMillis = event.atMillis;
             event.action.run();
             observer.run();
@@ -48,7 +48,7 @@
     }
 
     /** The loop of one process; its events die with it. */
-    public final class Process implements Loop {
+    public final class SimulatedProcess implements EventLoop {
         private final double clockDrift;
         private final long wallClockOffsetMillis;
         private boolean dead;
@@ -56,7 +56,7 @@
         private long lastReadMillis;
         private int clockReads;
 
-        Process(double clockDrift, long wallClockOffsetMillis) {
+        SimulatedProcess(double clockDrift, long wallClockOffsetMillis) {
             this.clockDrift = clockDrift;
             this.wallClockOffsetMillis = wallClockOffsetMillis;
         }
@@ -72,12 +72,12 @@
         }
 
         @Override public void runAfter(long delayMillis, Runnable task) {
-            Sim.this.schedule(delayMillis, () -> runTurn(task));
+            SimulatedClock.this.schedule(delayMillis, () -> runTurn(task));
         }
 
         private void runTurn(Runnable task) {
             if (paused) {
-                Sim.this.schedule(50, () -> runTurn(task));
+                SimulatedClock.this.schedule(50, () -> runTurn(task));
             } else if (!dead) {
                 clockReads = 0;
                 task.run();
@@ -93,7 +93,7 @@
         }
     }
 
-    public Process newProcess() {
-        return new Process(random.nextDouble() * 0.0005, random.nextLong(-25, 26));
+    public SimulatedProcess newProcess() {
+        return new SimulatedProcess(random.nextDouble() * 0.0005, random.nextLong(-25, 26));
     }
 }
--- a/src/test/java/io/quincelead/world/Cloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -1,10 +1,10 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,20 +12,20 @@
 import java.util.TreeMap;
 
 /** A stand-in for the cloud: rents and returns workers; its list lags. */
-public final class Cloud {
+public final class SimulatedCloud {
     /** A machine type. */
-    public record Shape(String name, double cpus, double gpus, double memoryGb, double price, double spotPrice, double bootSeconds,
+    public record MachineType(String name, double cpus, double gpus, double memoryGb, double price, double spotPrice, double bootSeconds,
             List<String> zones, int capacity) { }
 
-    private record Listed(long takenAtMillis, ArrayNode hosts) { }
+    private record InventorySnapshot(long takenAtMillis, ArrayNode hosts) { }
 
-    private final World cluster;
-    private final Sim clock;
-    private final List<Shape> machineTypes;
+    private final SimulatedCluster cluster;
+    private final SimulatedClock clock;
+    private final List<MachineType> machineTypes;
     private final Map<String, ArrayNode> hostsByRequest = new HashMap<>();
-    private final List<Listed> inventorySnapshots = new ArrayList<>();
+    private final List<InventorySnapshot> inventorySnapshots = new ArrayList<>();
     /** Machines that exist, by name. */
-    public final TreeMap<String, Worker> machines = new TreeMap<>();
+    public final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
     public boolean down;
     /** Share of machines that never come up. */
     public double bootFailureRate;
@@ -38,67 +38,67 @@
         return lastInstanceNumber;
     }
 
-    Cloud(World cluster, List<Shape> machineTypes) {
+    SimulatedCloud(SimulatedCluster cluster, List<MachineType> machineTypes) {
         this.cluster = cluster;
         this.clock = cluster.clock;
         this.machineTypes = machineTypes;
         clock.schedule(500, this::takeInventorySnapshot);
     }
 
-    public Shape machineType(String name) {
+    public MachineType machineType(String name) {
         return machineTypes.stream().filter(type -> type.name().equals(name)).findFirst().orElseThrow();
     }
 
     private void takeInventorySnapshot() {
-        ArrayNode hosts = Codec.newList();
-        for (Worker worker : machines.values()) {
+        ArrayNode hosts = WireFormat.newList();
+        for (SimulatedWorker worker : machines.values()) {
             hosts.addObject().put("nameId", worker.host).put("addr", worker.address).put("shape", worker.machineType.name()).put("site", worker.zone)
                     .put("preemptible", worker.spot).put("status", worker.dead ? "failed" : worker.up ? "running" : "booting")
                     .put("ageS", (clock.nowMillis() - worker.rentedAtMillis) / 1000.0);
         }
-        inventorySnapshots.add(new Listed(clock.nowMillis(), hosts));
+        inventorySnapshots.add(new InventorySnapshot(clock.nowMillis(), hosts));
         clock.schedule(500, this::takeInventorySnapshot);
     }
 
-    public void handle(Request request) {
+    public void handle(IncomingRequest request) {
         if (down) {
             request.respondError(503, "trouble");
             return;
         }
         if (request.path.equals("/catalog")) {
-            ObjectNode response = Codec.newMap();
+            ObjectNode response = WireFormat.newMap();
             ArrayNode types = response.putArray("shapes");
-            for (Shape type : machineTypes) {
+            for (MachineType type : machineTypes) {
                 ObjectNode node = types.addObject().put("label", type.name()).put("vcpus", type.cpus()).put("cards", type.gpus()).put("ramGb", type.memoryGb())
                         .put("localGb", 50).put("pullGbPerS", 1).put("price", type.price()).put("spotPrice", type.spotPrice()).put("bootS", type.bootSeconds());
                 type.zones().forEach(node.putArray("sites")::add);
             }
             request.respond(200, response);
         } else if (request.path.equals("/rentals/release")) {
-            for (JsonNode host : Codec.CBOR.decodeMap(request.body).path("hosts")) {
-                Worker worker = machines.remove(host.asText());
+            for (JsonNode host : WireFormat.CBOR.decodeMap(request.body).path("hosts")) {
+                SimulatedWorker worker = machines.remove(host.asText());
                 if (worker != null) {
                     worker.release();
                 }
             }
-            request.respond(200, Codec.newMap());
+            request.respond(200, WireFormat.newMap());
         } else if (request.method.equals("GET")) {
-            ObjectNode response = Codec.newMap().put("truncated", false);
+            ObjectNode response = WireFormat.newMap().put("truncated", false);
             response.putArray("hosts");
-            for (Listed snapshot : inventorySnapshots) {
+            for (InventorySnapshot snapshot : inventorySnapshots) {
                 if (snapshot.takenAtMillis <= clock.nowMillis() - 8000) {
                     response.set("hosts", snapshot.hosts);
                 }
             }
             request.respond(200, response);
         } else {
-            provision(request, Codec.CBOR.decodeMap(request.body));
+            provision(request, WireFormat.CBOR.decodeMap(request.body));
         }
     }
 
-    private Worker createMachine(Shape type, String zone, boolean spot) {
+    private SimulatedWorker createMachine(MachineType type, String zone, boolean spot) {
         String host = String.format("i-%06d", ++lastInstanceNumber);
-        Worker worker = new Worker(cluster, host, "10.1." + lastInstanceNumber / 250 + "." + lastInstanceNumber % 250 + ":9000", type, zone, spot);
+        SimulatedWorker worker = new SimulatedWorker(cluster, host, "10.1." + lastInstanceNumber / 250 + "." + lastInstanceNumber % 250 + ":9000", type, zone, spot);
         machines.put(host, worker);
         return worker;
     }
@@ -106,25 +106,25 @@
     /** Machines that are there and up before any controller is. */
     public void addRunningMachines(String name, String zone, int count) {
         for (int i = 0; i < count; i++) {
-            Worker worker = createMachine(machineType(name), zone, false);
+            SimulatedWorker worker = createMachine(machineType(name), zone, false);
             clock.schedule(clock.random.nextInt(1_000), worker::boot);
         }
     }
 
-    private void provision(Request request, ObjectNode body) {
+    private void provision(IncomingRequest request, ObjectNode body) {
         String name = body.path("rental").asText();
         ArrayNode hosts = hostsByRequest.get(name);
         if (hosts == null) {
-            Shape type = machineType(body.path("shape").asText());
+            MachineType type = machineType(body.path("shape").asText());
             long used = machines.values().stream().filter(worker -> worker.machineType == type && !worker.dead).count();
             int count = (int) Math.min(body.path("howMany").asInt(), type.capacity() - used);
             if (count <= 0) {
                 request.respondError(503, "no capacity");
                 return;
             }
-            hosts = Codec.newList();
+            hosts = WireFormat.newList();
             for (int i = 0; i < count; i++) {
-                Worker worker = createMachine(type, body.path("site").asText(), body.path("preemptible").asBoolean());
+                SimulatedWorker worker = createMachine(type, body.path("site").asText(), body.path("preemptible").asBoolean());
                 String host = worker.host;
                 if (clock.random.nextDouble() >= bootFailureRate) {
                     clock.schedule(fastBoots ? 200 + clock.random.nextLong(1_800) : (long) (type.bootSeconds() * 1000 * (0.5 + clock.random.nextDouble())), worker::boot);
@@ -133,7 +133,7 @@
             }
             hostsByRequest.put(name, hosts);
         }
-        ObjectNode response = Codec.newMap();
+        ObjectNode response = WireFormat.newMap();
         response.set("hosts", hosts);
         request.respond(200, response);
     }
--- a/src/test/java/io/quincelead/world/World.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -1,11 +1,11 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.app.Controller;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,20 +15,20 @@
 import java.util.Set;
 
 /** Real controllers among stand-ins, in simulated time, with every rule of the protocol checked after each event. */
-public final class World {
+public final class SimulatedCluster {
     public static final String STORE_ADDRESS = "10.2.0.1:2379";
     public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
     public static final String USERS_ADDRESS = "10.3.0.1:0";
 
     /** One controller's place; the process on it may be killed and started again. */
-    public final class Member {
+    public final class SimulatedController {
         public final String name;
         public final String ip;
         final String userAddress;
         final String peerAddress;
-        private Sim.Process process;
+        private SimulatedClock.SimulatedProcess process;
 
-        Member(int index) {
+        SimulatedController(int index) {
             name = "worker-" + index;
             ip = "10.0.0." + (index + 1);
             userAddress = ip + ":8080";
@@ -40,9 +40,9 @@
             Map<String, String> peers = new LinkedHashMap<>();
             controllers.forEach(peer -> peers.put(peer.name, peer.peerAddress));
             Settings settings = new Settings(name, "a", userAddress, peerAddress, peers, CLOUD_ADDRESS, STORE_ADDRESS, controllers.size(), 25, teams, objectives,
-                    new Settings.Workers(heartbeatIntervalMillis / 1000.0, workerLeaseMillis / 1000.0, Worker.GANG_WAIT_MILLIS / 1000.0, 6, cancellationDeadlineSeconds), storeSettings,
-                    new Settings.Cloud(4, 4), new Settings.Limits(1, 256, 500));
-            Sim.Process currentProcess = process;
+                    new Settings.WorkerTimings(heartbeatIntervalMillis / 1000.0, workerLeaseMillis / 1000.0, SimulatedWorker.GANG_WAIT_MILLIS / 1000.0, 6, cancellationDeadlineSeconds), storeSettings,
+                    new Settings.CloudLimits(4, 4), new Settings.ProcessLimits(1, 256, 500));
+            SimulatedClock.SimulatedProcess currentProcess = process;
             Controller controller = new Controller(currentProcess, network.transportFor(ip, currentProcess), settings, operatorSettings);
             network.setHandler(userAddress, controller::handle);
             network.setHandler(peerAddress, controller::handlePeerRequest);
@@ -59,15 +59,15 @@
         }
     }
 
-    public final Sim clock;
-    public final Net network;
-    public final Store store;
-    public final Cloud cloud;
-    public final List<Member> controllers = new ArrayList<>();
+    public final SimulatedClock clock;
+    public final SimulatedNetwork network;
+    public final SimulatedStore store;
+    public final SimulatedCloud cloud;
+    public final List<SimulatedController> controllers = new ArrayList<>();
     public final Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    public final List<Settings.Objective> objectives = new ArrayList<>();
+    public final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
     public long heartbeatIntervalMillis = 1000;
-    public Settings.State storeSettings = new Settings.State(400, 200, 8, 12);
+    public Settings.StoreLimits storeSettings = new Settings.StoreLimits(400, 200, 8, 12);
     public long workerLeaseMillis = 10_000;
     /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
     public double imageFetchGbPerSecond;
@@ -88,7 +88,7 @@
     final Map<String, Long> acceptanceDelayMillis = new HashMap<>();
     /** When a question about a job was last answered, by its submission at first. */
     private final Map<String, Long> lastAnswerAtMillis = new HashMap<>();
-    private final Service serviceLevels = new Service(this);
+    private final ServiceLevelChecker serviceLevels = new ServiceLevelChecker(this);
     /** From then on nothing is made to go wrong any more. */
     private long faultsEndAtMillis;
     private final Set<String> cancellationRequests = new HashSet<>();
@@ -96,8 +96,8 @@
     private final Map<String, Integer> maxReportedDoneTasks = new HashMap<>();
     /** Jobs that can't run or lack a field. */
     final Set<String> unacceptableJobs = new HashSet<>();
-    final Users users = new Users(this);
-    private final Waiting starvation = new Waiting(this);
+    final SimulatedUsers users = new SimulatedUsers(this);
+    private final StarvationChecker starvation = new StarvationChecker(this);
     private final Set<String> violations = new HashSet<>();
     public final Map<String, Integer> taskStarts = new HashMap<>();
     /** Off for measurements of large worlds: the checks look at every task after every event. */
@@ -106,27 +106,27 @@
     long taskStartCount;
     private long lastCheckedTaskStartCount = -1;
 
-    public World(long seed) {
-        this(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
-                new Cloud.Shape("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
+    public SimulatedCluster(long seed) {
+        this(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
+                new SimulatedCloud.MachineType("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
     }
 
-    public World(long seed, List<Cloud.Shape> machineTypes) {
+    public SimulatedCluster(long seed, List<SimulatedCloud.MachineType> machineTypes) {
         this(seed, machineTypes, 3);
     }
 
-    public World(long seed, List<Cloud.Shape> machineTypes, int controllerCount) {
-        clock = new Sim(seed);
-        network = new Net(clock);
-        store = new Store(clock, 12);
-        cloud = new Cloud(this, machineTypes);
+    public SimulatedCluster(long seed, List<SimulatedCloud.MachineType> machineTypes, int controllerCount) {
+        clock = new SimulatedClock(seed);
+        network = new SimulatedNetwork(clock);
+        store = new SimulatedStore(clock, 12);
+        cloud = new SimulatedCloud(this, machineTypes);
         network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.sender()));
         network.setHandler(CLOUD_ADDRESS, cloud::handle);
         teams.put("red", new Settings.Team("red", 16, 40, 2, 4));
         teams.put("blue", new Settings.Team("blue", 16, 24, 2, 8));
-        objectives.add(new Settings.Objective("finished", "slow", 200, 0.9, 1));
+        objectives.add(new Settings.ServiceLevelObjective("finished", "slow", 200, 0.9, 1));
         for (int i = 0; i < controllerCount; i++) {
-            controllers.add(new Member(i));
+            controllers.add(new SimulatedController(i));
         }
         clock.setObserver(this::checkTaskInvariants);
         clock.schedule(1_000, this::checkUnansweredJobs);
@@ -151,12 +151,12 @@
     }
 
     /** How each class, team and size was served, and who was left behind. */
-    public Service serviceLevels() {
+    public ServiceLevelChecker serviceLevels() {
         return serviceLevels;
     }
 
     public void start() {
-        controllers.forEach(Member::start);
+        controllers.forEach(SimulatedController::start);
     }
 
     int indexOfController(String controllerName) {
@@ -183,7 +183,7 @@
     // ---- rules about machines
 
     /** Called at the moment a task has its image and begins. */
-    void onTaskStarted(Worker worker, Worker.Task task, JobSpec job) {
+    void onTaskStarted(SimulatedWorker worker, SimulatedWorker.SimulatedTask task, JobSpec job) {
         taskStarts.merge(job.jobId(), 1, Integer::sum);
         serviceLevels.onTaskStarted(job, task.name);
         taskStartCount++;
@@ -192,8 +192,8 @@
         }
         int inZone = 0;
         boolean otherZone = false;
-        for (Worker otherWorker : cloud.machines.values()) {
-            for (Worker.Task otherTask : otherWorker.tasks.values()) {
+        for (SimulatedWorker otherWorker : cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask otherTask : otherWorker.tasks.values()) {
                 if (!otherTask.occupiesMachine() || otherTask == task) {
                     continue;
                 }
@@ -217,8 +217,8 @@
     }
 
     /** A machine goes on after it hung: what its users have been told is cancelled must not be there any more. */
-    void onWorkerResumed(Worker worker) {
-        for (Worker.Task task : worker.tasks.values()) {
+    void onWorkerResumed(SimulatedWorker worker) {
+        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
             if (task.occupiesMachine() && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
                 recordViolation("ran_cancelled", task.name + " goes on after " + worker.host + " hung");
             }
@@ -232,8 +232,8 @@
         }
         lastCheckedTaskStartCount = taskStartCount;
         Map<String, double[]> usageByTeam = new HashMap<>();
-        for (Worker worker : cloud.machines.values()) {
-            for (Worker.Task task : worker.tasks.values()) {
+        for (SimulatedWorker worker : cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 if (!task.occupiesMachine()) {
                     continue;
                 }
@@ -254,15 +254,15 @@
         });
     }
 
-    void onTaskCompleted(Worker.Task task, JobSpec job) {
+    void onTaskCompleted(SimulatedWorker.SimulatedTask task, JobSpec job) {
         completedTasks.add(task.name);
         users.onTaskCompleted(job);
         if (job.isGang()) {
             for (int i = 0; i < job.taskCount(); i++) {
                 completedTasks.add(job.jobId() + "/" + i);
             }
-            for (Worker worker : cloud.machines.values()) {
-                for (Worker.Task otherTask : new ArrayList<>(worker.tasks.values())) {
+            for (SimulatedWorker worker : cloud.machines.values()) {
+                for (SimulatedWorker.SimulatedTask otherTask : new ArrayList<>(worker.tasks.values())) {
                     if (otherTask != task && jobOfTask(otherTask.name) == job && otherTask.attempt == task.attempt && otherTask.status.equals("running")) {
                         worker.endTask(otherTask, "done");
                     }
@@ -273,15 +273,15 @@
 
     void startGangIfComplete(JobSpec job) {
         Map<Long, List<Object[]>> waiting = new HashMap<>();
-        for (Worker worker : cloud.machines.values()) {
-            for (Worker.Task task : worker.tasks.values()) {
+        for (SimulatedWorker worker : cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 if (jobOfTask(task.name) == job && task.status.equals("waiting")) {
                     waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>()).add(new Object[] {worker, task});
                 }
             }
         }
         waiting.values().stream().filter(members -> members.size() == job.taskCount())
-                .forEach(members -> members.forEach(member -> ((Worker) member[0]).beginRunning((Worker.Task) member[1], job)));
+                .forEach(members -> members.forEach(member -> ((SimulatedWorker) member[0]).beginRunning((SimulatedWorker.SimulatedTask) member[1], job)));
     }
 
     void onGangTaskEnded(JobSpec job, long attempt, String reason) {
@@ -289,8 +289,8 @@
             return;
         }
         clock.schedule(3000, () -> {
-            for (Worker worker : cloud.machines.values()) {
-                for (Worker.Task task : new ArrayList<>(worker.tasks.values())) {
+            for (SimulatedWorker worker : cloud.machines.values()) {
+                for (SimulatedWorker.SimulatedTask task : new ArrayList<>(worker.tasks.values())) {
                     if (jobOfTask(task.name) == job && task.attempt == attempt && task.status.equals("running")) {
                         worker.endTask(task, "peers");
                     }
@@ -303,8 +303,8 @@
 
     /** An operator's command at a controller; {@code then} hears status and answer, 0 for none. */
     public void sendOperatorCommand(int controller, String path, ObjectNode body, java.util.function.BiConsumer<Integer, ObjectNode> onResponse) {
-        network.call(USERS_ADDRESS, controllers.get(controller).peerAddress, "POST", path, Codec.JSON.encode(body), 3000,
-                (status, responseBody, retryAfterSeconds) -> onResponse.accept(status, Codec.JSON.decodeMap(responseBody)));
+        network.call(USERS_ADDRESS, controllers.get(controller).peerAddress, "POST", path, WireFormat.JSON.encode(body), 3000,
+                (status, responseBody, retryAfterSeconds) -> onResponse.accept(status, WireFormat.JSON.decodeMap(responseBody)));
     }
 
     // ---- users and rules about answers
@@ -317,13 +317,13 @@
         return status.equals(finalStatusByJob.get(id));
     }
 
-    private Member randomController() {
+    private SimulatedController randomController() {
         return controllers.get(clock.random.nextInt(controllers.size()));
     }
 
     /** Some users stay with one controller, whatever becomes of it. */
-    private Member controllerAskedAbout(String id) {
-        Member any = randomController();
+    private SimulatedController controllerAskedAbout(String id) {
+        SimulatedController any = randomController();
         int number = id.hashCode() & 0xffff;
         return number % 3 == 0 ? controllers.get(number / 3 % controllers.size()) : any;
     }
@@ -361,7 +361,7 @@
         boolean known = acceptedJobs.contains(job.jobId());
         String previousFinalStatus = finalStatusByJob.get(job.jobId());
         int previouslyDone = maxReportedDoneTasks.getOrDefault(job.jobId(), 0);
-        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs", Codec.CBOR.encode(job.encode()), 5000, (status, body, retryAfterSeconds) -> {
+        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs", WireFormat.CBOR.encode(job.encode()), 5000, (status, body, retryAfterSeconds) -> {
             if (status == 200 || status == 201) {
                 if (acceptedJobs.add(job.jobId())) {
                     lastAnswerAtMillis.put(job.jobId(), clock.nowMillis());
@@ -372,7 +372,7 @@
                 if (status == 201 && known) {
                     recordViolation("forgotten", job.jobId() + " was accepted once more");
                 }
-                checkAnswer(job.jobId(), Codec.CBOR.decodeMap(body), previousFinalStatus, status == 200 ? previouslyDone : 0);
+                checkAnswer(job.jobId(), WireFormat.CBOR.decodeMap(body), previousFinalStatus, status == 200 ? previouslyDone : 0);
             } else if (status == 400 || status == 422) {
                 recordViolation("forgotten", job.jobId() + " got " + status);
             } else if (clock.nowMillis() < untilMillis) {
@@ -404,7 +404,7 @@
                     recordViolation("invented", id);
                 }
                 lastAnswerAtMillis.put(id, clock.nowMillis());
-                checkAnswer(id, Codec.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
+                checkAnswer(id, WireFormat.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
             }
         });
     }
@@ -465,10 +465,10 @@
         String previousFinalStatus = finalStatusByJob.get(id);
         boolean known = acceptedJobs.contains(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
-        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs/" + id + "/cancel", Codec.CBOR.encode(Codec.newMap()), 5000, (status, body, retryAfterSeconds) -> {
+        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs/" + id + "/cancel", WireFormat.CBOR.encode(WireFormat.newMap()), 5000, (status, body, retryAfterSeconds) -> {
             if (status == 200) {
-                String jobStatus = Codec.CBOR.decodeMap(body).path("status").asText();
-                checkAnswer(id, Codec.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
+                String jobStatus = WireFormat.CBOR.decodeMap(body).path("status").asText();
+                checkAnswer(id, WireFormat.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
                 if (!jobStatus.equals("cancelled") && !jobStatus.equals("done")) {
                     recordViolation("went_back", id + " is " + jobStatus + " to whoever cancels it");
                 }
--- a/src/test/java/io/quincelead/world/Net.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -1,8 +1,8 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.net.Transport;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.Transport;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /** The network between hosts: delays messages, loses answers, and cuts pairs of hosts, holding packets or not. */
-public final class Net {
+public final class SimulatedNetwork {
     /** A host answers through a callback, or never. */
     @FunctionalInterface
-    public interface Host {
-        void handle(Request request);
+    public interface RequestHandler {
+        void handle(IncomingRequest request);
     }
 
-    private final Sim clock;
-    private final Map<String, Host> handlersByAddress = new HashMap<>();
+    private final SimulatedClock clock;
+    private final Map<String, RequestHandler> handlersByAddress = new HashMap<>();
     private final Set<String> partitionedPairs = new HashSet<>();
     private final Set<String> bufferedPairs = new HashSet<>();
     private final Map<String, List<Runnable>> bufferedPackets = new HashMap<>();
@@ -40,9 +40,9 @@
     /** How many kept copies arrived, and how many reports were held up and then arrived. */
     public int replayedHeartbeats;
     public int releasedHeartbeats;
-    private record Kept(String from, String path, byte[] body) { }
+    private record RetainedHeartbeat(String from, String path, byte[] body) { }
 
-    private final List<Kept> retainedHeartbeats = new ArrayList<>();
+    private final List<RetainedHeartbeat> retainedHeartbeats = new ArrayList<>();
     private final List<Runnable> heldHeartbeats = new ArrayList<>();
     /** Share of direct commands that are held up for seconds, on their way or with their answer. */
     public double commandHoldRate;
@@ -58,11 +58,11 @@
     /** Who sent what is being handled. */
     private String sender = "";
 
-    public Net(Sim clock) {
+    public SimulatedNetwork(SimulatedClock clock) {
         this.clock = clock;
     }
 
-    public void setHandler(String address, Host handler) {
+    public void setHandler(String address, RequestHandler handler) {
         if (handler == null) {
             handlersByAddress.remove(address);
         } else {
@@ -108,7 +108,7 @@
 
     /** The answer as the caller sees it: status 0 when none came in time. */
     @FunctionalInterface
-    public interface Answer {
+    public interface ResponseHandler {
         void onResponse(int status, byte[] body, int retryAfterS);
     }
 
@@ -116,12 +116,12 @@
     private int openCalls;
     public int maxOpenCalls;
 
-    public void call(String from, String to, String method, String path, byte[] body, long timeoutMillis, Answer onResponse) {
+    public void call(String from, String to, String method, String path, byte[] body, long timeoutMillis, ResponseHandler onResponse) {
         requestObserver.accept(path, body);
         history.call(clock.nowMillis(), from, to, method, path, body);
         boolean[] answered = {false};
         maxOpenCalls = Math.max(maxOpenCalls, ++openCalls);
-        Answer respond = (status, responseBody, retryAfterSeconds) -> {
+        ResponseHandler respond = (status, responseBody, retryAfterSeconds) -> {
             openCalls--;
             history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
             onResponse.onResponse(status, responseBody, retryAfterSeconds);
@@ -137,7 +137,7 @@
             clock.schedule(clock.random.nextInt(2_000, maxStaleHeartbeatDelayMillis), () -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> { }));
         }
         if (heartbeatRetentionRate > 0 && path.equals("/v1/report") && clock.random.nextDouble() < heartbeatRetentionRate && retainedHeartbeats.size() < 400) {
-            retainedHeartbeats.add(new Kept(from, path, body));
+            retainedHeartbeats.add(new RetainedHeartbeat(from, path, body));
         }
         if (heartbeatHoldRate > 0 && path.equals("/v1/report") && clock.random.nextDouble() < heartbeatHoldRate) {
             heldHeartbeats.add(() -> deliver(from, to, method, path, body, (status, responseBody, retryAfterSeconds) -> { }));
@@ -165,7 +165,7 @@
 
     /** Brings a copy of each report that was kept to each of these addresses. */
     void replayRetainedHeartbeats(List<String> addresses) {
-        for (Kept heartbeat : retainedHeartbeats) {
+        for (RetainedHeartbeat heartbeat : retainedHeartbeats) {
             for (String address : addresses) {
                 clock.schedule(clock.random.nextInt(1, 400), () -> {
                     replayedHeartbeats += handlersByAddress.containsKey(address) ? 1 : 0;
@@ -196,8 +196,8 @@
         return sender;
     }
 
-    private void deliver(String from, String to, String method, String path, byte[] body, Answer onResponse) {
-        Host handler = handlersByAddress.get(to);
+    private void deliver(String from, String to, String method, String path, byte[] body, ResponseHandler onResponse) {
+        RequestHandler handler = handlersByAddress.get(to);
         if (handler == null) {
             return;
         }
@@ -209,15 +209,15 @@
                 query.put(parameter.substring(0, parameter.indexOf('=')), parameter.substring(parameter.indexOf('=') + 1));
             }
         }
-        handler.handle(new Request(method, queryStart < 0 ? path : path.substring(0, queryStart), query, body == null ? new byte[0] : body) {
-            @Override protected void sendResponse(int status, Codec codec, byte[] out, int retryAfterS) {
+        handler.handle(new IncomingRequest(method, queryStart < 0 ? path : path.substring(0, queryStart), query, body == null ? new byte[0] : body) {
+            @Override protected void sendResponse(int status, WireFormat codec, byte[] out, int retryAfterS) {
                 onResponse.onResponse(status, out, retryAfterS);
             }
         });
     }
 
     /** The transport of one process. */
-    public Transport transportFor(String ip, Sim.Process process) {
+    public Transport transportFor(String ip, SimulatedClock.SimulatedProcess process) {
         return (address, method, path, codec, body, timeoutMillis, reply) ->
                 call(ip + ":0", address, method, path, body, timeoutMillis, (status, responseBody, retryAfterSeconds) -> {
                     if (!process.isDead()) {
--- a/src/test/java/io/quincelead/world/Store.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -1,10 +1,10 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,19 +12,19 @@
 import java.util.TreeMap;
 
 /** A stand-in for the state service, written from the protocol. */
-public final class Store {
-    private record Entry(JsonNode value, long modRevision, long leaseId) { }
+public final class SimulatedStore {
+    private record VersionedValue(JsonNode value, long modRevision, long leaseId) { }
 
-    private record Change(long revision, String key, JsonNode value) { }
+    private record StoreChange(long revision, String key, JsonNode value) { }
 
-    private record Watch(String prefix, long afterRevision, Request request, String clientIp) { }
+    private record Watch(String prefix, long afterRevision, IncomingRequest request, String clientIp) { }
 
-    private final Sim clock;
+    private final SimulatedClock clock;
     private final int maxOperations;
-    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final TreeMap<String, VersionedValue> entries = new TreeMap<>();
     private final Map<Long, Long> leaseExpiryMillis = new HashMap<>();
     private final Map<Long, Long> leaseDurationMillis = new HashMap<>();
-    private final List<Change> changes = new ArrayList<>();
+    private final List<StoreChange> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private long revision;
     private long lastLeaseId;
@@ -63,14 +63,14 @@
     public int largestValue;
     public int largestTransaction;
 
-    public Store(Sim clock, int maxOperations) {
+    public SimulatedStore(SimulatedClock clock, int maxOperations) {
         this.clock = clock;
         this.maxOperations = maxOperations;
         clock.schedule(50, this::expireLeases);
     }
 
     public JsonNode value(String key) {
-        Entry entry = entries.get(key);
+        VersionedValue entry = entries.get(key);
         return entry == null ? null : entry.value;
     }
 
@@ -110,7 +110,7 @@
         for (String key : new ArrayList<>(entries.keySet())) {
             if (entries.get(key).leaseId == leaseId) {
                 entries.remove(key);
-                changes.add(new Change(revision, key, null));
+                changes.add(new StoreChange(revision, key, null));
             }
         }
         notifyWatchers();
@@ -140,7 +140,7 @@
         return down || refusedClients.contains(clientIp);
     }
 
-    public void handle(Request request, String clientIp) {
+    public void handle(IncomingRequest request, String clientIp) {
         if (maxExtraLatencyMillis > 0) {
             clock.schedule(clock.random.nextLong(maxExtraLatencyMillis), () -> process(request, clientIp));
         } else {
@@ -148,7 +148,7 @@
         }
     }
 
-    private void process(Request request, String clientIp) {
+    private void process(IncomingRequest request, String clientIp) {
         if (request.path.equals("/watch") && !isUnavailableTo(clientIp)) {
             Watch watch = new Watch(request.queryParameters.get("prefix"), Long.parseLong(request.queryParameters.get("after")), request, clientIp);
             watches.add(watch);
@@ -164,22 +164,22 @@
             request.respondError(503, "trouble");
             return;
         }
-        ObjectNode body = request.method.equals("POST") ? Codec.CBOR.decodeMap(request.body) : null;
+        ObjectNode body = request.method.equals("POST") ? WireFormat.CBOR.decodeMap(request.body) : null;
         if (request.path.equals("/holds")) {
             long leaseId = ++lastLeaseId;
             leaseDurationMillis.put(leaseId, body.path("lifeMs").asLong());
             leaseExpiryMillis.put(leaseId, clock.nowMillis() + body.path("lifeMs").asLong());
-            request.respond(200, Codec.newMap().put("grant", leaseId));
+            request.respond(200, WireFormat.newMap().put("grant", leaseId));
         } else if (request.path.startsWith("/holds/")) {
             long leaseId = Long.parseLong(request.path.split("/")[2]);
             if (!leaseExpiryMillis.containsKey(leaseId)) {
-                request.respond(404, Codec.newMap());
+                request.respond(404, WireFormat.newMap());
             } else if (request.method.equals("DELETE")) {
                 endLease(leaseId);
-                request.respond(200, Codec.newMap());
+                request.respond(200, WireFormat.newMap());
             } else {
                 leaseExpiryMillis.put(leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
-                request.respond(200, Codec.newMap());
+                request.respond(200, WireFormat.newMap());
             }
         } else if (request.path.equals("/commit")) {
             if (delayedWriteRate > 0 && !body.path("then").isEmpty() && clock.random.nextDouble() < delayedWriteRate) {
@@ -193,11 +193,11 @@
         } else if (request.path.equals("/store")) {
             list(request);
         } else {
-            Entry entry = entries.get(request.path.substring("/store/".length()));
+            VersionedValue entry = entries.get(request.path.substring("/store/".length()));
             if (entry == null) {
-                request.respond(404, Codec.newMap().put("generation", revision));
+                request.respond(404, WireFormat.newMap().put("generation", revision));
             } else {
-                ObjectNode response = Codec.newMap().put("path", request.path.substring("/store/".length())).put("stamp", entry.modRevision).put("grant", entry.leaseId);
+                ObjectNode response = WireFormat.newMap().put("path", request.path.substring("/store/".length())).put("stamp", entry.modRevision).put("grant", entry.leaseId);
                 response.set("value", entry.value);
                 request.respond(200, response);
             }
@@ -205,7 +205,7 @@
     }
 
     /** Carries a transaction out after so many ms; nobody hears of it. */
-    void commitLater(Request request, ObjectNode body, long delayMillis) {
+    void commitLater(IncomingRequest request, ObjectNode body, long delayMillis) {
         clock.schedule(delayMillis, () -> {
             if (down) {
                 commitLater(request, body, 1_000);
@@ -222,18 +222,18 @@
     }
 
     /** Nobody hears the answer. */
-    static Request requestWithoutResponse() {
-        return new Request("POST", "/commit", Map.of(), new byte[0]) {
-            @Override protected void sendResponse(int status, Codec codec, byte[] out, int retryAfterS) { }
+    static IncomingRequest requestWithoutResponse() {
+        return new IncomingRequest("POST", "/commit", Map.of(), new byte[0]) {
+            @Override protected void sendResponse(int status, WireFormat codec, byte[] out, int retryAfterS) { }
         };
     }
 
-    private void list(Request request) {
-        ArrayNode items = Codec.newList();
+    private void list(IncomingRequest request) {
+        ArrayNode items = WireFormat.newList();
         String prefix = request.queryParameters.get("prefix");
         int limit = Math.min(maxPageSize, Integer.parseInt(request.queryParameters.getOrDefault("limit", "1000")));
         boolean more = false;
-        for (Map.Entry<String, Entry> entry : entries.tailMap(request.queryParameters.getOrDefault("after", prefix), false).entrySet()) {
+        for (Map.Entry<String, VersionedValue> entry : entries.tailMap(request.queryParameters.getOrDefault("after", prefix), false).entrySet()) {
             if (entry.getKey().startsWith(prefix)) {
                 if (items.size() >= limit) {
                     more = true;
@@ -242,12 +242,12 @@
                 items.addObject().put("path", entry.getKey()).put("stamp", entry.getValue().modRevision).set("value", entry.getValue().value);
             }
         }
-        ObjectNode response = Codec.newMap().put("truncated", more).put("generation", revision);
+        ObjectNode response = WireFormat.newMap().put("truncated", more).put("generation", revision);
         response.set("items", items);
         request.respond(200, response);
     }
 
-    private void commit(Request request, ObjectNode body) {
+    private void commit(IncomingRequest request, ObjectNode body) {
         if (dropsTransaction.test(body)) {
             return;
         }
@@ -270,15 +270,15 @@
                 }
             }
         }
-        ArrayNode failedKeys = Codec.newList();
+        ArrayNode failedKeys = WireFormat.newList();
         for (JsonNode precondition : body.path("guards")) {
-            Entry entry = entries.get(precondition.path("path").asText());
+            VersionedValue entry = entries.get(precondition.path("path").asText());
             if ((entry == null ? 0 : entry.modRevision) != precondition.path("stamp").asLong()) {
                 failedKeys.add(precondition.path("path").asText());
             }
         }
         if (!failedKeys.isEmpty()) {
-            ObjectNode response = Codec.newMap().put("generation", revision);
+            ObjectNode response = WireFormat.newMap().put("generation", revision);
             response.set("failed", failedKeys);
             request.respond(409, response);
             return;
@@ -291,13 +291,13 @@
                 ledgerWrites.merge(operation.path("put").asText(), 1, Integer::sum);
             }
             if (operation.has("put")) {
-                entries.put(operation.path("put").asText(), new Entry(operation.path("value"), revision, operation.path("grant").asLong()));
-                changes.add(new Change(revision, operation.path("put").asText(), operation.path("value")));
+                entries.put(operation.path("put").asText(), new VersionedValue(operation.path("value"), revision, operation.path("grant").asLong()));
+                changes.add(new StoreChange(revision, operation.path("put").asText(), operation.path("value")));
             } else if (entries.remove(operation.path("remove").asText()) != null) {
-                changes.add(new Change(revision, operation.path("remove").asText(), null));
+                changes.add(new StoreChange(revision, operation.path("remove").asText(), null));
             }
         }
-        request.respond(200, Codec.newMap().put("generation", revision));
+        request.respond(200, WireFormat.newMap().put("generation", revision));
         notifyWatchers();
         if (!operations.isEmpty()) {
             commitObserver.accept(body);
@@ -314,7 +314,7 @@
             }
             if (changes.size() > retainedChanges && changes.get(changes.size() - retainedChanges).revision > watch.afterRevision) {
                 watches.remove(watch);
-                watch.request.respond(410, Codec.newMap());
+                watch.request.respond(410, WireFormat.newMap());
                 continue;
             }
             ArrayNode events = changesFor(watch);
@@ -326,11 +326,11 @@
     }
 
     private ArrayNode changesFor(Watch watch) {
-        ArrayNode events = Codec.newList();
+        ArrayNode events = WireFormat.newList();
         for (int i = changes.size() - 1; i >= 0 && changes.get(i).revision > watch.afterRevision; i--) {
-            Change change = changes.get(i);
+            StoreChange change = changes.get(i);
             if (change.key.startsWith(watch.prefix)) {
-                ObjectNode node = Codec.newMap().put(change.value == null ? "remove" : "put", change.key).put("stamp", change.revision);
+                ObjectNode node = WireFormat.newMap().put(change.value == null ? "remove" : "put", change.key).put("stamp", change.revision);
                 if (change.value != null) {
                     node.set("value", change.value);
                 }
@@ -341,7 +341,7 @@
     }
 
     private void answerWatch(Watch watch, ArrayNode events) {
-        ObjectNode response = Codec.newMap().put("generation", revision);
+        ObjectNode response = WireFormat.newMap().put("generation", revision);
         response.set("news", events);
         watch.request.respond(200, response);
     }
--- a/src/test/java/io/quincelead/world/Users.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -1,14 +1,14 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What users do besides submitting, asking every few seconds and cancelling now and then. */
-final class Users {
-    private final World cluster;
+final class SimulatedUsers {
+    private final SimulatedCluster cluster;
     /** They ask all controllers, and repeat the submission, within milliseconds of an acceptance, end or cancellation. */
     boolean consistencyProbes;
     /** Share of jobs that are then cancelled at once. */
@@ -26,7 +26,7 @@
     private int lastUnacceptableId;
     private int lastJobNumber = 1_000;
 
-    Users(World cluster) {
+    SimulatedUsers(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
@@ -105,7 +105,7 @@
     void sendUnusualRequest() {
         List<String> accepted = new ArrayList<>(cluster.acceptedJobs());
         String id = String.format("wk-7%05d", ++lastUnacceptableId);
-        ObjectNode job = Jobs.array(1, "red", JobSpec.Urgency.NORMAL, 3, 1, 5).encode().put("nameId", id);
+        ObjectNode job = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 3, 1, 5).encode().put("nameId", id);
         switch (cluster.clock.random.nextInt(7)) {
             case 0 -> accepted.stream().filter(acceptedId -> !cluster.hasFinalStatus(acceptedId)).skip(cluster.clock.random.nextInt(3)).findFirst().ifPresent(acceptedId -> {
                 unusualRequestCount++;
@@ -115,14 +115,14 @@
                 unusualRequestCount++;
                 cluster.cancel(acceptedId);
             });
-            case 2 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("vcpus", 1_000)), 422);
-            case 3 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("owner", "nobody")), 422);
-            case 4 -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("mode", "ensemble").put("members", 5_000)), 422);
+            case 2 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("vcpus", 1_000)), 422);
+            case 3 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("owner", "nobody")), 422);
+            case 4 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("mode", "ensemble").put("members", 5_000)), 422);
             case 5 -> {
                 job.remove(List.of("vcpus", "members", "owner", "mode", "container").get(cluster.clock.random.nextInt(5)));
-                cluster.submitUnacceptable(id, Codec.CBOR.encode(job), 400);
+                cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job), 400);
             }
-            default -> cluster.submitUnacceptable(id, Codec.CBOR.encode(job.put("members", -1)), 400);
+            default -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("members", -1)), 400);
         }
     }
 
@@ -135,7 +135,7 @@
     /** One-task jobs of both teams, so many a second, a quarter of them cancelled within three seconds. */
     void submitSingleTaskJobs(int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
-            JobSpec job = Jobs.array(nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Urgency.values()[1 + i % 3], 1, 1, 2 + i % 6);
+            JobSpec job = JobFixtures.array(nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[1 + i % 3], 1, 1, 2 + i % 6);
             cluster.clock.schedule(i * intervalMillis, () -> cluster.submit(job));
             if (i % 4 == 3) {
                 cluster.clock.schedule(i * intervalMillis + cluster.clock.random.nextLong(3_000), () -> cluster.cancel(job.jobId()));
--- a/src/test/java/io/quincelead/world/Worker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -1,23 +1,23 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
-import io.quincelead.net.Request;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** A stand-in for one machine and its worker, written from the protocol. */
-public final class Worker {
+public final class SimulatedWorker {
     /** A task on the machine, or one that has ended there. */
     /** ms. gang_wait_s of the settings that the world hands over. */
     static final long GANG_WAIT_MILLIS = 45_000;
 
-    public static final class Task {
+    public static final class SimulatedTask {
         final String name;
         final long attempt;
         String status = "fetching";
@@ -25,7 +25,7 @@
         boolean checkpointStored;
         long doneAt;
 
-        Task(String name, long attempt) {
+        SimulatedTask(String name, long attempt) {
             this.name = name;
             this.attempt = attempt;
         }
@@ -40,11 +40,11 @@
         }
     }
 
-    final World cluster;
-    final Sim clock;
+    final SimulatedCluster cluster;
+    final SimulatedClock clock;
     final String host;
     final String address;
-    final Cloud.Shape machineType;
+    final SimulatedCloud.MachineType machineType;
     final String zone;
     final boolean spot;
     final long rentedAtMillis;
@@ -67,12 +67,12 @@
     private boolean heartbeatDue;
     private long lastHeartbeatMillis = -10_000;
     private int heartbeatNumber;
-    final Map<String, Task> tasks = new LinkedHashMap<>();
+    final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
     /** Images, by when they are here. */
     private final Map<String, Long> imageReadyAtMillis = new java.util.HashMap<>();
     private final List<Runnable> suspendedActions = new ArrayList<>();
 
-    Worker(World cluster, String host, String address, Cloud.Shape machineType, String zone, boolean spot) {
+    SimulatedWorker(SimulatedCluster cluster, String host, String address, SimulatedCloud.MachineType machineType, String zone, boolean spot) {
         this.cluster = cluster;
         this.clock = cluster.clock;
         this.host = host;
@@ -161,13 +161,13 @@
     }
 
     private ObjectNode heartbeatBody() {
-        ObjectNode node = Codec.newMap().put("host", host).put("addr", address).put("shape", machineType.name()).put("site", zone)
+        ObjectNode node = WireFormat.newMap().put("host", host).put("addr", address).put("shape", machineType.name()).put("site", zone)
                 .put("preemptible", spot).put("tenure", agentEpoch).put("serial", ++serial).put("epoch", fencingToken);
         if (preemptionWarningSeconds >= 0) {
             node.put("warningS", preemptionWarningSeconds);
         }
         ArrayNode taskNodes = node.putArray("members");
-        for (Task task : tasks.values()) {
+        for (SimulatedTask task : tasks.values()) {
             ObjectNode taskNode = taskNodes.addObject().put("member", task.name).put("try", task.attempt).put("status", task.status);
             if (task.hasEnded()) {
                 taskNode.put("exitReason", task.endReason).put("stored", task.checkpointStored);
@@ -187,8 +187,8 @@
             clock.schedule(500, () -> runUnlessHung(() -> onHeartbeatResponse(number, sentMillis, sentAgentEpoch, 0, null)));
             return;
         }
-        World.Member controller = cluster.controllers.get(targetController);
-        cluster.network.call(address, controller.userAddress, "POST", "/v1/report", Codec.CBOR.encode(heartbeatBody()), 4000, (status, responseBody, retryAfterSeconds) -> runUnlessHung(() -> {
+        SimulatedCluster.SimulatedController controller = cluster.controllers.get(targetController);
+        cluster.network.call(address, controller.userAddress, "POST", "/v1/report", WireFormat.CBOR.encode(heartbeatBody()), 4000, (status, responseBody, retryAfterSeconds) -> runUnlessHung(() -> {
             if (number != heartbeatNumber) {
                 return;
             }
@@ -205,7 +205,7 @@
             return;
         }
         heartbeatInFlight = false;
-        ObjectNode response = Codec.CBOR.decodeMap(responseBody);
+        ObjectNode response = WireFormat.CBOR.decodeMap(responseBody);
         if (status == 200 && response != null) {
             if (clock.nowMillis() - sentMillis > 4000 || sentAgentEpoch != agentEpoch || !response.has("epoch") || response.path("epoch").asLong() < fencingToken) {
                 return;
@@ -233,12 +233,12 @@
         }
     }
 
-    private void handleCommand(Request request) {
+    private void handleCommand(IncomingRequest request) {
         if (unreachableInbound) {
             return;
         }
         endTasksIfLeaseExpired();
-        ObjectNode command = request.path.equals("/orders") ? Codec.CBOR.decodeMap(request.body) : Codec.newMap();
+        ObjectNode command = request.path.equals("/orders") ? WireFormat.CBOR.decodeMap(request.body) : WireFormat.newMap();
         if (request.path.equals("/orders")) {
             if (command.path("epoch").asLong() < fencingToken || command.path("tenure").asLong() != agentEpoch) {
                 request.respond(409, heartbeatBody());
@@ -253,7 +253,7 @@
     private void execute(JsonNode command) {
         String name = command.path("member").asText();
         long attempt = command.path("try").asLong();
-        Task task = tasks.get(taskKey(name, attempt));
+        SimulatedTask task = tasks.get(taskKey(name, attempt));
         switch (command.path("verb").asText()) {
             case "start" -> {
                 if (task == null) {
@@ -287,13 +287,13 @@
     }
 
     private void startTask(String name, long attempt) {
-        Task task = new Task(name, attempt);
+        SimulatedTask task = new SimulatedTask(name, attempt);
         JobSpec job = cluster.jobOfTask(name);
         double usedCpus = 0;
         double usedMemoryGb = 0;
         double usedGpus = 0;
         boolean alreadyHere = false;
-        for (Task otherTask : tasks.values()) {
+        for (SimulatedTask otherTask : tasks.values()) {
             if (!otherTask.hasEnded()) {
                 JobSpec otherJob = cluster.jobOfTask(otherTask.name);
                 usedCpus += otherJob.cpus();
@@ -353,7 +353,7 @@
         return Math.max(50, readyAtMillis - clock.nowMillis());
     }
 
-    void beginRunning(Task task, JobSpec job) {
+    void beginRunning(SimulatedTask task, JobSpec job) {
         task.status = "running";
         if (!job.isService()) {
             double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
@@ -366,7 +366,7 @@
         }
     }
 
-    void endTask(Task task, String reason) {
+    void endTask(SimulatedTask task, String reason) {
         task.status = "ended";
         task.endReason = reason;
         heartbeatDue = true;
--- a/src/test/java/io/quincelead/world/Waiting.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -1,6 +1,6 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * Who waits though there is room, by what is on the machines, never by the service's own books: once troubles are over, no job waits
  * for 90 s while a machine that fits has room and its team is under its limit.
  */
-final class Waiting {
+final class StarvationChecker {
     /** ms. The users' own bound. */
     static final long WAIT_LIMIT_MILLIS = 90_000;
     /**
@@ -18,29 +18,29 @@
      * shows the end, a round, the report that takes the start along). A team at its limit whose tasks follow each other is not under it.
      */
     private static final int HANDOVER_CHECKS = 5;
-    private final World cluster;
+    private final SimulatedCluster cluster;
     /** Since when each job could have gone on. */
     private final Map<String, Long> startableSinceMillis = new HashMap<>();
     /** When each task that has ended or gone was last there; its place may be on its way to another. */
-    private final Map<Worker.Task, Seen> lastSightings = new HashMap<>();
+    private final Map<SimulatedWorker.SimulatedTask, TaskSighting> lastSightings = new HashMap<>();
 
-    private record Seen(Worker worker, JobSpec job, long atMillis) { }
+    private record TaskSighting(SimulatedWorker worker, JobSpec job, long atMillis) { }
 
     /** Seconds for which each job that has not begun could have, were it not for less urgent work of its own team. */
     private final Map<String, Integer> startableSeconds = new HashMap<>();
 
-    Waiting(World cluster) {
+    StarvationChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     /** A machine as it is: what its tasks leave free. */
-    private static final class Free {
-        final Worker worker;
+    private static final class MachineFreeCapacity {
+        final SimulatedWorker worker;
         double cpus;
         double gpus;
         double memoryGb;
 
-        Free(Worker machine) {
+        MachineFreeCapacity(SimulatedWorker machine) {
             worker = machine;
             cpus = machine.machineType.cpus();
             gpus = machine.machineType.gpus();
@@ -71,25 +71,25 @@
 
     /** Looks at everything; called every second. Troubles are over at {@code calmFrom}. */
     void check(long faultsEndAtMillis) {
-        Map<String, Free> freeCapacity = new HashMap<>();
+        Map<String, MachineFreeCapacity> freeCapacity = new HashMap<>();
         Map<String, double[]> usageByTeam = new HashMap<>();
         Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
         Set<String> presentTasks = new HashSet<>();
-        for (Worker worker : cluster.cloud.machines.values()) {
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             if (worker.isHealthy()) {
-                freeCapacity.put(worker.host, new Free(worker));
+                freeCapacity.put(worker.host, new MachineFreeCapacity(worker));
             }
-            for (Worker.Task t : worker.tasks.values()) {
+            for (SimulatedWorker.SimulatedTask t : worker.tasks.values()) {
                 if (!t.hasEnded()) {
                     JobSpec job = cluster.jobOfTask(t.name);
                     presentTasks.add(t.name);
-                    lastSightings.put(t, new Seen(worker, job, cluster.clock.nowMillis()));
+                    lastSightings.put(t, new TaskSighting(worker, job, cluster.clock.nowMillis()));
                     tasksByZone.computeIfAbsent(job.jobId(), key -> new HashMap<>()).merge(worker.zone, 1, Integer::sum);
                 }
             }
         }
         lastSightings.values().removeIf(t -> cluster.clock.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
-        for (Seen t : lastSightings.values()) {
+        for (TaskSighting t : lastSightings.values()) {
             double[] usage = usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]);
             usage[0] += t.job.cpus();
             usage[1] += t.job.gpus();
@@ -101,7 +101,7 @@
             JobSpec job = cluster.jobsById.get(id);
             if (cluster.serviceLevels().firstStartDelayMillis(id) < 0 && !cluster.hasFinalStatus(id)) {
                 double[] usageNotLessUrgent = new double[2];
-                for (Seen t : lastSightings.values()) {
+                for (TaskSighting t : lastSightings.values()) {
                     if (t.job.team().equals(job.team()) && t.job.priority().compareTo(job.priority()) <= 0) {
                         usageNotLessUrgent[0] += t.job.cpus();
                         usageNotLessUrgent[1] += t.job.gpus();
@@ -134,13 +134,13 @@
         return count;
     }
 
-    private boolean canStart(JobSpec job, int waitingTasks, Map<String, Free> freeCapacity, double[] usage, Map<String, Integer> tasksByZone) {
+    private boolean canStart(JobSpec job, int waitingTasks, Map<String, MachineFreeCapacity> freeCapacity, double[] usage, Map<String, Integer> tasksByZone) {
         int requiredTasks = job.isGang() ? job.taskCount() : 1;
         if (waitingTasks < requiredTasks || usage[0] + requiredTasks * job.cpus() > cluster.teams.get(job.team()).maxCpus() || usage[1] + requiredTasks * job.gpus() > cluster.teams.get(job.team()).maxGpus()) {
             return false;
         }
         Map<String, Integer> fittingTasksByZone = new HashMap<>();
-        for (Free capacity : freeCapacity.values()) {
+        for (MachineFreeCapacity capacity : freeCapacity.values()) {
             fittingTasksByZone.merge(capacity.worker.zone, capacity.tasksThatFit(job), Integer::sum);
         }
         int maxPerZone = (job.taskCount() + 1) / 2;
--- a/src/test/java/io/quincelead/world/ZoneDay.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -1,39 +1,39 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneDay dead|cut on|off SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on
+ * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on
  * cheap machines of 8 CPUs beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica, replicas' up-time, time to the last one back, GB fetched,
  * low tasks started again, machines rented.
  */
-public final class ZoneDay {
-    private ZoneDay() { }
+public final class ZoneLossScenario {
+    private ZoneLossScenario() { }
 
     public static void main(String[] args) {
         boolean recoveryEnabled = args[1].equals("on");
-        World cluster = new World(Long.parseLong(args[2]), List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 25, List.of("a", "b", "c"), 400)), 5);
+        SimulatedCluster cluster = new SimulatedCluster(Long.parseLong(args[2]), List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 25, List.of("a", "b", "c"), 400)), 5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.imageFetchGbPerSecond = 4;
         cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
-        cluster.operatorSettings = OperatorSettings.DEFAULTS.withZoneRecovery(new OperatorSettings.Zones(recoveryEnabled, 30, 12, 5));
+        cluster.operatorSettings = OperatorSettings.DEFAULTS.withZoneRecovery(new OperatorSettings.ZoneRecovery(recoveryEnabled, 30, 12, 5));
         cluster.start();
         double[] imageGb = {8, 14, 24, 40, 70, 140};
         for (int i = 1; i <= 12; i++) {
-            JobSpec template = Jobs.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 4 == 0, true, 0);
+            JobSpec template = JobFixtures.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 4 == 0, true, 0);
             JobSpec job = new JobSpec(template.jobId(), "model", template.team(), template.mode(), template.priority(), 6, 3, 0, 6, null, null, false, template.zoneSpread(), true, "w-" + i, imageGb[i % 6], 0, 0, 0, -1);
             cluster.clock.schedule(3_000, () -> cluster.submit(job));
         }
         for (int i = 13; i < 140; i++) {
-            JobSpec job = Jobs.array(i, "blue", JobSpec.Urgency.BEST_EFFORT, 20, 1, 30);
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
             cluster.clock.schedule(4_000 + (i - 13) * 3_500L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(200_000);
@@ -45,9 +45,9 @@
         int rentedBefore = cluster.cloud.rentedMachineCount();
         int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
         if (args[0].equals("dead")) {
-            cluster.cloud.machines.values().stream().filter(m -> m.zone.equals(lostZone)).forEach(Worker::crash);
+            cluster.cloud.machines.values().stream().filter(m -> m.zone.equals(lostZone)).forEach(SimulatedWorker::crash);
         } else {
-            Troubles.partitionZone(cluster, lostZone, List.of(1), 90_000);
+            FaultInjector.partitionZone(cluster, lostZone, List.of(1), 90_000);
         }
         Map<String, Integer> checksWithoutReplica = new HashMap<>();
         double[] replicaChecks = new double[2];
@@ -74,13 +74,13 @@
     }
 
     /** Replicas that run on machines that are there, by model. */
-    private static Map<String, Integer> runningReplicas(World cluster) {
+    private static Map<String, Integer> runningReplicas(SimulatedCluster cluster) {
         Map<String, Integer> result = new TreeMap<>();
         for (int i = 1; i <= 12; i++) {
             result.put(String.format("wk-%06d", i), 0);
         }
-        for (Worker worker : cluster.cloud.machines.values()) {
-            for (Worker.Task task : worker.tasks.values()) {
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 String jobId = task.name.substring(0, task.name.indexOf('/'));
                 if (task.status.equals("running") && !worker.dead) {
                     result.computeIfPresent(jobId, (key, count) -> count + 1);
--- a/src/test/java/io/quincelead/world/ZonesTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -1,14 +1,14 @@
-package io.quincelead.world;
+package io.quincelead.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.OperatorSettings;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.records.JobSpec;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A zone that is lost and comes back, with controllers that fail at every step of it. */
-class ZonesTest {
+class ZoneRecoveryTest {
     private static final int MODELS = 12;
 
     private static String modelId(int model) {
@@ -29,33 +29,33 @@
     }
 
     /** Three zones, 5 controllers, 12 models of 6 replicas, every other one scattered, low work beside. */
-    private static World clusterWithThreeZones(long seed, boolean recoveryEnabled) {
-        World cluster = new World(seed, List.of(new Cloud.Shape("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b", "c"), 300)), 5);
+    private static SimulatedCluster clusterWithThreeZones(long seed, boolean recoveryEnabled) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b", "c"), 300)), 5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
-        cluster.operatorSettings = OperatorSettings.DEFAULTS.withZoneRecovery(new OperatorSettings.Zones(recoveryEnabled, 20, 30, 0.1));
+        cluster.operatorSettings = OperatorSettings.DEFAULTS.withZoneRecovery(new OperatorSettings.ZoneRecovery(recoveryEnabled, 20, 30, 0.1));
         cluster.start();
         for (int i = 1; i <= MODELS; i++) {
-            JobSpec job = Jobs.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Urgency.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 2 == 0, false, 0);
+            JobSpec job = JobFixtures.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 2 == 0, false, 0);
             cluster.clock.schedule(3_000, () -> cluster.submit(job));
         }
         for (int i = MODELS + 1; i < 60; i++) {
-            JobSpec job = Jobs.array(i, "blue", JobSpec.Urgency.BEST_EFFORT, 20, 1, 30);
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
             cluster.clock.schedule(4_000 + (i - MODELS - 1) * 3_500L, () -> cluster.submit(job));
         }
         return cluster;
     }
 
     /** Replicas that run, by model and zone. */
-    private static Map<String, Map<String, Integer>> runningReplicas(World cluster) {
+    private static Map<String, Map<String, Integer>> runningReplicas(SimulatedCluster cluster) {
         Map<String, Map<String, Integer>> result = new TreeMap<>();
         for (int i = 1; i <= MODELS; i++) {
             result.put(modelId(i), new TreeMap<>());
         }
-        for (Worker worker : cluster.cloud.machines.values()) {
-            for (Worker.Task task : worker.tasks.values()) {
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 String jobId = task.name.substring(0, task.name.indexOf('/'));
                 if (task.status.equals("running") && result.containsKey(jobId) && !worker.dead) {
                     result.get(jobId).merge(worker.zone, 1, Integer::sum);
@@ -69,11 +69,11 @@
         return byZone.values().stream().mapToInt(count -> count).sum();
     }
 
-    private static void crashZone(World cluster, String zone) {
-        cluster.cloud.machines.values().stream().filter(worker -> worker.zone.equals(zone)).forEach(Worker::crash);
+    private static void crashZone(SimulatedCluster cluster, String zone) {
+        cluster.cloud.machines.values().stream().filter(worker -> worker.zone.equals(zone)).forEach(SimulatedWorker::crash);
     }
 
-    private static String zoneState(World cluster, String zone) {
+    private static String zoneState(SimulatedCluster cluster, String zone) {
         JsonNode record = cluster.store.value("a/oz/" + zone);
         return record == null ? "up" : record.path("st").asText();
     }
@@ -82,7 +82,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"none", "leader", "two", "all"})
     void zoneLossLeavesEveryModelServing(String crashing) {
-        World cluster = clusterWithThreeZones(81, true);
+        SimulatedCluster cluster = clusterWithThreeZones(81, true);
         cluster.clock.runUntil(85_000);
         runningReplicas(cluster).forEach((model, byZone) -> assertTrue(byZone.size() >= 2 && replicaCount(byZone) == 6, model + " " + byZone));
         cluster.clock.schedule(5_000, () -> crashZone(cluster, "a"));
@@ -91,13 +91,13 @@
             for (int i = 0; i < cluster.controllers.size(); i++) {
                 boolean crashes = crashing.equals("all") || crashing.equals("leader") && i == leader || crashing.equals("two") && (i == leader || i == (leader + 1) % 5);
                 if (crashes) {
-                    Troubles.crashController(cluster, i, crashing.equals("all") ? 100 : 3_000);
+                    FaultInjector.crashController(cluster, i, crashing.equals("all") ? 100 : 3_000);
                 }
             }
         });
         int[] minReplicas = {99};
         for (long atMillis = 6_000; atMillis < 100_000; atMillis += 1_000) {
-            cluster.clock.schedule(atMillis, () -> minReplicas[0] = Math.min(minReplicas[0], runningReplicas(cluster).values().stream().mapToInt(ZonesTest::replicaCount).min().orElse(0)));
+            cluster.clock.schedule(atMillis, () -> minReplicas[0] = Math.min(minReplicas[0], runningReplicas(cluster).values().stream().mapToInt(ZoneRecoveryTest::replicaCount).min().orElse(0)));
         }
         cluster.clock.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
@@ -108,7 +108,7 @@
 
     /** Everything is gone: one replica of every model is back before any model has many. */
     @Test void oneReplicaOfEveryModelComesFirst() {
-        World cluster = clusterWithThreeZones(82, true);
+        SimulatedCluster cluster = clusterWithThreeZones(82, true);
         cluster.clock.runUntil(90_000);
         List.of("a", "b", "c").forEach(z -> crashZone(cluster, z));
         int[] maxReplicas = {0};
@@ -118,7 +118,7 @@
                 Map<String, Map<String, Integer>> replicas = runningReplicas(cluster);
                 allServing[0] |= replicas.values().stream().allMatch(z -> replicaCount(z) > 0);
                 if (!allServing[0]) {
-                    maxReplicas[0] = Math.max(maxReplicas[0], replicas.values().stream().mapToInt(ZonesTest::replicaCount).max().orElse(0));
+                    maxReplicas[0] = Math.max(maxReplicas[0], replicas.values().stream().mapToInt(ZoneRecoveryTest::replicaCount).max().orElse(0));
                 }
             });
         }
@@ -133,11 +133,11 @@
     @ParameterizedTest
     @CsvSource({"none, 40000", "one, 40000", "leader, 40000", "one, 1000", "none, 30000"})
     void partitionedZoneKeepsItsPlacements(String inside, long durationMillis) {
-        World cluster = clusterWithThreeZones(83, true);
+        SimulatedCluster cluster = clusterWithThreeZones(83, true);
         cluster.clock.runUntil(90_000);
         int leader = cluster.indexOfController(cluster.store.value("a/lead").path("m").asText());
         List<Integer> insideControllers = inside.equals("none") ? List.of() : inside.equals("leader") ? List.of(leader) : List.of((leader + 1) % 5);
-        Troubles.partitionZone(cluster, "b", insideControllers, durationMillis);
+        FaultInjector.partitionZone(cluster, "b", insideControllers, durationMillis);
         List<String> states = new ArrayList<>();
         for (long atMillis = 1_000; atMillis < 100_000; atMillis += 1_000) {
             cluster.clock.schedule(atMillis, () -> states.add(zoneState(cluster, "b")));
@@ -156,11 +156,11 @@
 
     /** Operators give a cut zone up: its replicas are back elsewhere, and by the cloud's word it is lost. */
     @Test void releasedZoneIsLost() {
-        World cluster = clusterWithThreeZones(84, true);
+        SimulatedCluster cluster = clusterWithThreeZones(84, true);
         cluster.clock.runUntil(90_000);
-        Troubles.partitionZone(cluster, "b", List.of(1), 120_000);
+        FaultInjector.partitionZone(cluster, "b", List.of(1), 120_000);
         Map<String, ObjectNode> answers = new HashMap<>();
-        cluster.clock.schedule(30_000, () -> OperatorsTest.commandUntilAnswered(cluster, "/ops/zones/release", OperatorsTest.json("{'change':'r1','zone':'b'}"), answers));
+        cluster.clock.schedule(30_000, () -> OperatorRecordsTest.commandUntilAnswered(cluster, "/ops/zones/release", OperatorRecordsTest.json("{'change':'r1','zone':'b'}"), answers));
         cluster.clock.runUntil(175_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(Set.of("lost", "returning", "settled").contains(zoneState(cluster, "b")), zoneState(cluster, "b"));
@@ -171,11 +171,11 @@
 
     /** A class states how long its replicas may be left in a zone that is cut off. */
     @Test void classSetsZonePatience() {
-        World cluster = clusterWithThreeZones(85, true);
-        cluster.clock.schedule(10_000, () -> OperatorsTest.commandUntilAnswered(cluster, "/ops/classes/apply", OperatorsTest.json("{'change':'c1','classes':[{'name':'models','rank':10,"
+        SimulatedCluster cluster = clusterWithThreeZones(85, true);
+        cluster.clock.schedule(10_000, () -> OperatorRecordsTest.commandUntilAnswered(cluster, "/ops/classes/apply", OperatorRecordsTest.json("{'change':'c1','classes':[{'name':'models','rank':10,"
                 + "'match':{'mode':'standing'},'zonePatienceS':25}]}"), new HashMap<>()));
         cluster.clock.runUntil(90_000);
-        Troubles.partitionZone(cluster, "b", List.of(), 120_000);
+        FaultInjector.partitionZone(cluster, "b", List.of(), 120_000);
         cluster.clock.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
         runningReplicas(cluster).forEach((model, byZone) -> assertEquals(6, replicaCount(byZone) - byZone.getOrDefault("b", 0), model + " " + byZone));
@@ -183,14 +183,14 @@
 
     /** Back, it must hold; then spread is restored by moves, one replica of a model away at a time, none while a window is open. */
     @Test void zoneSpreadIsRestoredGradually() {
-        World cluster = clusterWithThreeZones(86, true);
+        SimulatedCluster cluster = clusterWithThreeZones(86, true);
         cluster.clock.runUntil(90_000);
         crashZone(cluster, "a");
         int[] minReplicas = {99};
         cluster.clock.runUntil(140_000);
         int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
         for (long atMillis = 0; atMillis < 300_000; atMillis += 500) {
-            cluster.clock.schedule(atMillis, () -> minReplicas[0] = Math.min(minReplicas[0], runningReplicas(cluster).values().stream().mapToInt(ZonesTest::replicaCount).min().orElse(0)));
+            cluster.clock.schedule(atMillis, () -> minReplicas[0] = Math.min(minReplicas[0], runningReplicas(cluster).values().stream().mapToInt(ZoneRecoveryTest::replicaCount).min().orElse(0)));
         }
         cluster.clock.runUntil(440_000);
         assertEquals(Set.of(), cluster.violations());
@@ -203,12 +203,12 @@
 
     /** What if a zone went now: every replica that it holds has a way back, and nothing is touched by asking. */
     @Test void recoveryPlanIsShownWithoutSideEffects() {
-        World cluster = clusterWithThreeZones(87, true);
+        SimulatedCluster cluster = clusterWithThreeZones(87, true);
         cluster.clock.runUntil(90_000);
         long revision = cluster.store.revision();
         int replicasInZoneA = runningReplicas(cluster).values().stream().mapToInt(byZone -> byZone.getOrDefault("a", 0)).sum();
         ObjectNode[] plan = {null};
-        ObjectNode request = Codec.newMap();
+        ObjectNode request = WireFormat.newMap();
         request.putArray("lost").add("a");
         cluster.sendOperatorCommand(2, "/ops/zones/plan", request, (status, response) -> plan[0] = response);
         cluster.clock.runUntil(90_100);
@@ -224,11 +224,11 @@
     }
 
     /** A random day: zones die, are cut, come back, while leaders end at every step, the cloud and the store have trouble; what is wrong, in words. */
-    static Seeds.Played playRandomScenario(long seed) {
-        World cluster = clusterWithThreeZones(seed, true);
+    static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
+        SimulatedCluster cluster = clusterWithThreeZones(seed, true);
         cluster.network.responseLossRate = 0.002;
         if (cluster.clock.random.nextBoolean()) {
-            cluster.clock.schedule(12_000, () -> OperatorsTest.commandUntilAnswered(cluster, "/ops/classes/apply", OperatorsTest.json("{'change':'c1','classes':[{'name':'models','rank':" + cluster.clock.random.nextInt(1000)
+            cluster.clock.schedule(12_000, () -> OperatorRecordsTest.commandUntilAnswered(cluster, "/ops/classes/apply", OperatorRecordsTest.json("{'change':'c1','classes':[{'name':'models','rank':" + cluster.clock.random.nextInt(1000)
                     + ",'match':{'mode':'standing'},'zonePatienceS':" + (10 + cluster.clock.random.nextInt(60)) + ",'zoneSpare':" + cluster.clock.random.nextInt(2) * 0.5 + "}]}"), new HashMap<>()));
         }
         for (int i = 0; i < 3; i++) {
@@ -241,7 +241,7 @@
                     crashZone(cluster, zone);
                     cluster.expectFaultsUntil(cluster.clock.nowMillis() + 60_000);
                 } else {
-                    Troubles.partitionZone(cluster, zone, insideController < 5 ? List.of(insideController) : List.of(), durationMillis);
+                    FaultInjector.partitionZone(cluster, zone, insideController < 5 ? List.of(insideController) : List.of(), durationMillis);
                 }
             });
         }
@@ -250,10 +250,10 @@
                 JsonNode leaderRecord = cluster.store.value("a/lead");
                 switch (cluster.clock.random.nextInt(6)) {
                     case 0 -> cluster.cloud.down = true;
-                    case 1 -> Troubles.injectRandomFault(cluster);
+                    case 1 -> FaultInjector.injectRandomFault(cluster);
                     default -> {
                         if (leaderRecord != null) {
-                            Troubles.crashController(cluster, cluster.indexOfController(leaderRecord.path("m").asText()), cluster.clock.random.nextBoolean() ? 100 : 4_000);
+                            FaultInjector.crashController(cluster, cluster.indexOfController(leaderRecord.path("m").asText()), cluster.clock.random.nextBoolean() ? 100 : 4_000);
                         }
                     }
                 }
@@ -276,6 +276,6 @@
                 problems.add(model + " has " + byZone);
             }
         });
-        return new Seeds.Played(cluster, String.join("; ", problems));
+        return new ScenarioRunner.ScenarioResult(cluster, String.join("; ", problems));
     }
 }
--- a/src/test/java/io/quincelead/state/TxnTest.java
+++ b/src/test/java/io/quincelead/store/TransactionTest.java
@@ -1,18 +1,18 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import org.junit.jupiter.api.Test;
 
-class TxnTest {
+class TransactionTest {
     /** Merged, the newer guard took the older one's place: an end by evidence landed though its machine had changed hands since. */
     @Test void transactionsRequiringDifferentRevisionsConflict() {
-        Txn older = new Txn().requireRevision("a/b/x", 7).remove("a/j/1");
-        Txn newer = new Txn().requireRevision("a/b/x", 8).remove("a/j/2");
+        Transaction older = new Transaction().requireRevision("a/b/x", 7).remove("a/j/1");
+        Transaction newer = new Transaction().requireRevision("a/b/x", 8).remove("a/j/2");
         assertTrue(older.conflictsWith(newer));
         assertTrue(newer.conflictsWith(older));
-        assertFalse(older.conflictsWith(new Txn().requireRevision("a/b/x", 7).put("a/j/3", Codec.newMap())));
+        assertFalse(older.conflictsWith(new Transaction().requireRevision("a/b/x", 7).put("a/j/3", WireFormat.newMap())));
     }
 }
--- a/src/test/java/io/quincelead/state/MirrorTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -1,18 +1,18 @@
-package io.quincelead.state;
+package io.quincelead.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.base.Settings;
-import io.quincelead.net.Codec;
-import io.quincelead.world.Sim;
+import io.quincelead.config.Settings;
+import io.quincelead.simulation.SimulatedClock;
+import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class MirrorTest {
+class WatchCacheTest {
     private static void addItem(ObjectNode page, String list, String field, String key, long modRevision) {
         page.withArray("/" + list).addObject().put(field, key).put("stamp", modRevision).putObject("value");
     }
@@ -22,11 +22,11 @@
      * old job left behind, and then ignored as known when the watch brought both.
      */
     @Test void changesDuringListingAreAppliedInStoreOrder() {
-        Sim sim = new Sim(1);
-        Sim.Process loop = sim.newProcess();
+        SimulatedClock sim = new SimulatedClock(1);
+        SimulatedClock.SimulatedProcess loop = sim.newProcess();
         int[] requestCount = {0};
         StoreClient store = new StoreClient(loop, (address, method, path, codec, body, timeoutMs, reply) -> {
-            ObjectNode response = Codec.newMap();
+            ObjectNode response = WireFormat.newMap();
             switch (requestCount[0]++) {
                 case 0 -> addItem(response.put("generation", 10).put("truncated", true), "items", "path", "a/j/wk-000001", 5);
                 case 1 -> {
@@ -41,12 +41,12 @@
                     return;
                 }
             }
-            sim.schedule(1, () -> reply.onResponse(200, Codec.CBOR.encode(response)));
+            sim.schedule(1, () -> reply.onResponse(200, WireFormat.CBOR.encode(response)));
         }, new Settings("worker-0", "a", "10.0.0.1:8080", "10.0.0.1:8081", Map.of(), "10.2.0.2:1", "10.2.0.1:1", 1, 25, Map.of(), List.of(),
-                new Settings.Workers(1, 10, 45, 6, 40), new Settings.State(400, 200, 8, 12), new Settings.Cloud(4, 4), new Settings.Limits(1, 256, 500)));
-        Mirror watchCache = new Mirror(loop, store, 400);
+                new Settings.WorkerTimings(1, 10, 45, 6, 40), new Settings.StoreLimits(400, 200, 8, 12), new Settings.CloudLimits(4, 4), new Settings.ProcessLimits(1, 256, 500)));
+        WatchCache watchCache = new WatchCache(loop, store, 400);
         List<String> seenKeys = new ArrayList<>();
-        watchCache.addPrefixListener("a/", new Mirror.View() {
+        watchCache.addPrefixListener("a/", new WatchCache.PrefixListener() {
             @Override public void onPut(String key, JsonNode value, long modRevision) {
                 seenKeys.add(key);
             }
--- a/src/test/java/io/quincelead/net/SocketsTest.java
+++ b/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
@@ -1,9 +1,9 @@
-package io.quincelead.net;
+package io.quincelead.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quincelead.base.Loop;
+import io.quincelead.eventloop.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -26,7 +26,7 @@
 import org.xnio.XnioWorker;
 
 /** Connections are short: a controller left alone once spent all of them on workers, and users and the platform's probe found none. */
-class SocketsTest {
+class ConnectionLimitsTest {
     private XnioWorker worker;
 
     @BeforeEach void start() throws IOException {
@@ -62,7 +62,7 @@
             if (request.path.equals("/v1/report") && request.isNearConnectionLimit()) {
                 request.closeConnectionAfterResponse();
             }
-            request.respond(200, Codec.newMap());
+            request.respond(200, WireFormat.newMap());
         }).start();
         List<Socket> open = new ArrayList<>();
         int closed = 0;
@@ -103,11 +103,11 @@
             boolean silent = i % 3 == 0;
             new HttpServer(worker, "127.0.0.1:" + port, 40, request -> {
                 if (!silent) {
-                    request.respond(200, Codec.newMap());
+                    request.respond(200, WireFormat.newMap());
                 }
             }).start();
         }
-        Loop loop = new Loop() {
+        EventLoop loop = new EventLoop() {
             @Override public long nowMillis() {
                 return System.nanoTime() / 1_000_000;
             }
@@ -128,14 +128,14 @@
             HttpClient client = new HttpClient(loop, worker.getIoThread(), Set.of(store), 5);
             for (int round = 0; round < 4; round++) {
                 for (int port : ports) {
-                    client.call("127.0.0.1:" + port, "GET", "/x", Codec.CBOR, null, 3_000, (status, body) -> {
+                    client.call("127.0.0.1:" + port, "GET", "/x", WireFormat.CBOR, null, 3_000, (status, body) -> {
                         good.addAndGet(status == 200 ? 1 : 0);
                         most.accumulateAndGet(client.sharedConnectionCount(), Math::max);
                         answered.countDown();
                     });
                 }
             }
-            client.call(store, "GET", "/x", Codec.CBOR, null, 1_000, (status, body) -> {
+            client.call(store, "GET", "/x", WireFormat.CBOR, null, 1_000, (status, body) -> {
                 seen.add("store " + status);
                 stored.countDown();
             });
--- a/src/test/java/io/quincelead/workers/ReportTest.java
+++ b/src/test/java/io/quincelead/worker/HeartbeatTest.java
@@ -1,19 +1,19 @@
-package io.quincelead.workers;
+package io.quincelead.worker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.net.Codec;
+import io.quincelead.transport.WireFormat;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 /** A report is evidence: what can't be read whole must not pass for a list without the tasks that were cut off. */
-class ReportTest {
+class HeartbeatTest {
     private static ObjectNode heartbeat() {
-        ObjectNode heartbeat = Codec.newMap().put("host", "i-1").put("tenure", 2).put("serial", 7).put("epoch", 41).put("unknown", 1);
+        ObjectNode heartbeat = WireFormat.newMap().put("host", "i-1").put("tenure", 2).put("serial", 7).put("epoch", 41).put("unknown", 1);
         heartbeat.putObject("more").putArray("x").addObject().put("host", "i-2");
         heartbeat.putArray("members")
                 .add(attempt("wk-1/0", 1, "ended").put("exitReason", "busy"))
@@ -24,36 +24,36 @@
     }
 
     private static ObjectNode attempt(String taskId, long attempt, String status) {
-        return Codec.newMap().put("member", taskId).put("try", attempt).put("status", status);
+        return WireFormat.newMap().put("member", taskId).put("try", attempt).put("status", status);
     }
 
     @Test void attemptsOfATaskAreKeptApartAndARunningOneComesFirst() {
-        Report heartbeat = Report.parse(Codec.CBOR.encode(heartbeat()));
+        Heartbeat heartbeat = Heartbeat.parse(WireFormat.CBOR.encode(heartbeat()));
         assertEquals(2, heartbeat.tasks.size());
-        Report.Shown first = heartbeat.tasks.get("wk-1/0");
+        Heartbeat.ReportedAttempt first = heartbeat.tasks.get("wk-1/0");
         assertEquals(2, first.attempt);
-        assertEquals("busy", Report.Shown.find(first, 1).exitReason);
-        assertEquals("done", Report.Shown.find(first, 3).exitReason);
-        assertNull(Report.Shown.find(first, 4));
+        assertEquals("busy", Heartbeat.ReportedAttempt.find(first, 1).exitReason);
+        assertEquals("done", Heartbeat.ReportedAttempt.find(first, 3).exitReason);
+        assertNull(Heartbeat.ReportedAttempt.find(first, 4));
         assertEquals(-1, heartbeat.reclaimNoticeSeconds);
         assertEquals(41, heartbeat.fencingToken);
     }
 
     @Test void incompleteHeartbeatIsRejected() {
-        byte[] whole = Codec.CBOR.encode(heartbeat());
+        byte[] whole = WireFormat.CBOR.encode(heartbeat());
         for (int length = 0; length < whole.length; length++) {
-            assertNull(Report.parse(Arrays.copyOf(whole, length)), "cut to " + length + " bytes");
+            assertNull(Heartbeat.parse(Arrays.copyOf(whole, length)), "cut to " + length + " bytes");
         }
-        assertNull(Report.parse(Arrays.copyOf(whole, whole.length + 1)), "with a byte behind it");
-        assertNull(Report.parse(Codec.CBOR.encode(heartbeat().put("epoch", 1.5))));
-        assertNull(Report.parse(Codec.CBOR.encode(heartbeat().put("members", "none"))));
-        assertNull(Report.parse(Codec.CBOR.encode((ObjectNode) heartbeat().without("serial"))));
-        assertNotNull(Report.parse(Codec.CBOR.encode(heartbeat().putNull("members"))));
+        assertNull(Heartbeat.parse(Arrays.copyOf(whole, whole.length + 1)), "with a byte behind it");
+        assertNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().put("epoch", 1.5))));
+        assertNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().put("members", "none"))));
+        assertNull(Heartbeat.parse(WireFormat.CBOR.encode((ObjectNode) heartbeat().without("serial"))));
+        assertNotNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().putNull("members"))));
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 5_000; i++) {
             byte[] corrupted = whole.clone();
             corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
-            Report.parse(corrupted);
+            Heartbeat.parse(corrupted);
         }
     }
 }
