--- a/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
+++ b/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
@@ -18,39 +18,63 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One round of the leader over a cluster that is nearly full: what placing costs by machines, waiting jobs and running
- * tasks. The compiler's first tier alone, as controllers run it.
+ * One round of the leader over a cluster that is nearly full: what placing costs by machines,
+ * waiting jobs and running tasks. The compiler's first tier alone, as controllers run it.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
-@Fork(value = 1, jvmArgsAppend = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx1g"})
+@Fork(
+        value = 1,
+        jvmArgsAppend = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx1g"})
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 public class SchedulingCycleBenchmark {
     @Param({"100", "1000", "5000"})
     int machines;
+
     @Param({"10", "300", "3000"})
     int waiting;
+
     @Param({"0", "10000", "50000"})
     int running;
+
     /** Priority classes and entries of the calendar on record; 0: none. */
     @Param({"0", "128"})
     int classes;
+
     private ClusterFixture cluster;
 
-    @Setup(Level.Trial) public void fillCluster() {
+    @Setup(Level.Trial)
+    public void fillCluster() {
         SplittableRandom random = new SplittableRandom(7);
         cluster = new ClusterFixture(machines, random);
         double cpus = cluster.machineTypeByHost.values().stream().mapToDouble(s -> s.cpus()).sum();
         int id = 0;
         for (int remaining = running; remaining > 0; remaining -= 100) {
-            JobSpec.Priority priority = id % 2 == 0 ? JobSpec.Priority.BEST_EFFORT : JobSpec.Priority.NORMAL;
-            cluster.addRunningJob(JobFixtures.array(++id, "red", priority, Math.min(100, remaining), Math.min(4, 0.95 * cpus / running), 60), random);
+            JobSpec.Priority priority =
+                    id % 2 == 0 ? JobSpec.Priority.BEST_EFFORT : JobSpec.Priority.NORMAL;
+            cluster.addRunningJob(
+                    JobFixtures.array(
+                            ++id,
+                            "red",
+                            priority,
+                            Math.min(100, remaining),
+                            Math.min(4, 0.95 * cpus / running),
+                            60),
+                    random);
         }
         for (int i = 0; i < waiting; i++) {
-            JobSpec.Priority priority = JobSpec.Priority.values()[1 + Math.min(2, random.nextInt(5) / 2)];
-            cluster.addWaitingJob(JobFixtures.array(++id, "red", priority, 1 + random.nextInt(60), 1 + random.nextDouble() * 3, 20));
+            JobSpec.Priority priority =
+                    JobSpec.Priority.values()[1 + Math.min(2, random.nextInt(5) / 2)];
+            cluster.addWaitingJob(
+                    JobFixtures.array(
+                            ++id,
+                            "red",
+                            priority,
+                            1 + random.nextInt(60),
+                            1 + random.nextDouble() * 3,
+                            20));
         }
         if (classes > 0) {
             cluster.addOperatorRecords(classes, 1_000, 20);
@@ -58,7 +82,8 @@
     }
 
     /** At most 12 records, as the store takes. */
-    @Benchmark public int runCycle() {
+    @Benchmark
+    public int runCycle() {
         SchedulingPlan plan = cluster.newPlan(12);
         cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
         return plan.edits.size();
--- a/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
+++ b/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
@@ -17,17 +17,18 @@
 import org.xnio.XnioWorker;
 
 /**
- * Starts a controller on loopback against a store that only refuses, and sends it a few requests, so that the classes
- * of a real start are loaded and the build can archive them.
+ * Starts a controller on loopback against a store that only refuses, and sends it a few requests,
+ * so that the classes of a real start are loaded and the build can archive them.
  */
 final class ClassDataArchiveTraining {
-    private ClassDataArchiveTraining() { }
+    private ClassDataArchiveTraining() {}
 
     static void run() throws Exception {
         int userPort = Main.freePort();
         int peerPort = Main.freePort();
         int externalPort = Main.freePort();
-        String toml = """
+        String toml =
+                """
                 member = "r"
                 domain = "z"
                 listen = "127.0.0.1:%d"
@@ -60,21 +61,61 @@
                 rps = 2.0
                 [settings.limits]
                 max_connections = 100
-                """.formatted(userPort, peerPort, externalPort, externalPort);
+                """
+                        .formatted(userPort, peerPort, externalPort, externalPort);
         Settings settings = Settings.read(new TomlMapper().readTree(toml), "rehearsal");
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        new HttpServer(worker, "127.0.0.1:" + externalPort, 10, ClassDataArchiveTraining::respondAsStore).start();
+        XnioWorker worker =
+                Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+        new HttpServer(
+                        worker,
+                        "127.0.0.1:" + externalPort,
+                        10,
+                        ClassDataArchiveTraining::respondAsStore)
+                .start();
         Main.start(settings, OperatorSettings.DEFAULTS);
-        HttpClient client = new HttpClient(new XnioEventLoop(worker.getIoThread()), worker.getIoThread(), Set.of(), 8);
-        byte[] submission = WireFormat.CBOR.encode(WireFormat.newMap().put("nameId", "wk-1").put("vcpus", 1.5));
+        HttpClient client =
+                new HttpClient(
+                        new XnioEventLoop(worker.getIoThread()), worker.getIoThread(), Set.of(), 8);
+        byte[] submission =
+                WireFormat.CBOR.encode(WireFormat.newMap().put("nameId", "wk-1").put("vcpus", 1.5));
         Thread.sleep(1500);
         CountDownLatch responses = new CountDownLatch(4);
-        worker.getIoThread().execute(() -> {
-            client.call("127.0.0.1:" + userPort, "GET", "/ready", WireFormat.CBOR, null, 2000, (status, body) -> responses.countDown());
-            client.call("127.0.0.1:" + userPort, "POST", "/v2/runs", WireFormat.CBOR, submission, 2000, (status, body) -> responses.countDown());
-            client.call("127.0.0.1:" + userPort, "POST", "/v1/report", WireFormat.CBOR, submission, 2000, (status, body) -> responses.countDown());
-            client.call("127.0.0.1:" + peerPort, "POST", "/peer/news", WireFormat.JSON, WireFormat.JSON.encode(WireFormat.newMap().put("from", "x")), 2000, (status, body) -> responses.countDown());
-        });
+        worker.getIoThread()
+                .execute(
+                        () -> {
+                            client.call(
+                                    "127.0.0.1:" + userPort,
+                                    "GET",
+                                    "/ready",
+                                    WireFormat.CBOR,
+                                    null,
+                                    2000,
+                                    (status, body) -> responses.countDown());
+                            client.call(
+                                    "127.0.0.1:" + userPort,
+                                    "POST",
+                                    "/v2/runs",
+                                    WireFormat.CBOR,
+                                    submission,
+                                    2000,
+                                    (status, body) -> responses.countDown());
+                            client.call(
+                                    "127.0.0.1:" + userPort,
+                                    "POST",
+                                    "/v1/report",
+                                    WireFormat.CBOR,
+                                    submission,
+                                    2000,
+                                    (status, body) -> responses.countDown());
+                            client.call(
+                                    "127.0.0.1:" + peerPort,
+                                    "POST",
+                                    "/peer/news",
+                                    WireFormat.JSON,
+                                    WireFormat.JSON.encode(WireFormat.newMap().put("from", "x")),
+                                    2000,
+                                    (status, body) -> responses.countDown());
+                        });
         responses.await(5, TimeUnit.SECONDS);
         Thread.sleep(500);
     }
@@ -86,7 +127,9 @@
         } else if (request.path.equals("/commit")) {
             request.respond(200, WireFormat.newMap().put("generation", 2));
         } else if (request.path.equals("/store")) {
-            request.respond(200, WireFormat.newMap().put("generation", 1).set("items", WireFormat.newList()));
+            request.respond(
+                    200,
+                    WireFormat.newMap().put("generation", 1).set("items", WireFormat.newList()));
         } else if (request.path.equals("/watch")) {
             request.respondError(503, "trouble");
         } else {
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -39,7 +39,10 @@
 import java.util.Collection;
 import java.util.Map;
 
-/** One controller: the slices, wired. It knows no sockets and no clocks but the loop's and the transport's. */
+/**
+ * One controller: the slices, wired. It knows no sockets and no clocks but the loop's and the
+ * transport's.
+ */
 public final class Controller {
     private final Settings settings;
     private final MembershipLease membershipLease;
@@ -52,12 +55,27 @@
     private final SchedulingCycle schedulingCycle;
     private final OperatorApi operatorApi;
 
-    public Controller(EventLoop loop, Transport transport, Settings settings, OperatorSettings operatorSettings) {
+    public Controller(
+            EventLoop loop,
+            Transport transport,
+            Settings settings,
+            OperatorSettings operatorSettings) {
         this.settings = settings;
         StoreClient store = new StoreClient(loop, transport, settings);
-        watchCache = new WatchCache(loop, store, settings.storeLimits().requestsPerSecond() / settings.controllerCount());
-        membershipLease = new MembershipLease(loop, store, settings.memberId(), settings.clusterListenAddress(),
-                MembershipLease.leaseMillis(operatorSettings.shardLeaseSeconds(), settings.workerTimings().leaseSeconds()));
+        watchCache =
+                new WatchCache(
+                        loop,
+                        store,
+                        settings.storeLimits().requestsPerSecond() / settings.controllerCount());
+        membershipLease =
+                new MembershipLease(
+                        loop,
+                        store,
+                        settings.memberId(),
+                        settings.clusterListenAddress(),
+                        MembershipLease.leaseMillis(
+                                operatorSettings.shardLeaseSeconds(),
+                                settings.workerTimings().leaseSeconds()));
         clusterMembership = new ClusterMembership(settings, watchCache);
         jobs = new JobTable(loop, watchCache);
         Policy policy = new Policy(watchCache);
@@ -65,79 +83,221 @@
         ConstrainedDemand constrainedDemand = new ConstrainedDemand(loop, jobs);
         MachineTable machines = new MachineTable(watchCache);
         MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog(watchCache);
-        ImageCaches imageCaches = new ImageCaches(machines, label -> machineTypeCatalog.get(label) == null ? 0 : machineTypeCatalog.get(label).localDiskGb());
+        ImageCaches imageCaches =
+                new ImageCaches(
+                        machines,
+                        label ->
+                                machineTypeCatalog.get(label) == null
+                                        ? 0
+                                        : machineTypeCatalog.get(label).localDiskGb());
         jobs.onPlacementRecorded(p -> imageCaches.recordUse(p.host, p.job.spec));
-        loop.runEvery(AutoscalerConstants.INVENTORY_INTERVAL_MILLIS, imageCaches::pruneUnrecordedMachines);
-        Leader leader = new Leader(loop, settings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, policy);
+        loop.runEvery(
+                AutoscalerConstants.INVENTORY_INTERVAL_MILLIS,
+                imageCaches::pruneUnrecordedMachines);
+        Leader leader =
+                new Leader(
+                        loop,
+                        settings,
+                        membershipLease,
+                        watchCache,
+                        store,
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        policy);
         peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
-        schedulingCycle = new SchedulingCycle(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, imageCaches, constrainedDemand, policy, this::flushWorkerResponses);
-        workerGateway = new WorkerGateway(loop, settings, membershipLease, clusterMembership, jobs, machines, machineTypeCatalog, watchCache, store, transport, policy, zones, new WorkerGateway.Callbacks() {
-            @Override public void onMisroutedWorker(MisroutedWorker stray) {
-                peerMessenger.reportMisroutedWorker(stray);
-            }
+        schedulingCycle =
+                new SchedulingCycle(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        membershipLease,
+                        watchCache,
+                        store,
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        constrainedDemand,
+                        policy,
+                        this::flushWorkerResponses);
+        workerGateway =
+                new WorkerGateway(
+                        loop,
+                        settings,
+                        membershipLease,
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        watchCache,
+                        store,
+                        transport,
+                        policy,
+                        zones,
+                        new WorkerGateway.Callbacks() {
+                            @Override
+                            public void onMisroutedWorker(MisroutedWorker stray) {
+                                peerMessenger.reportMisroutedWorker(stray);
+                            }
 
-            @Override public void requestCycle() {
-                schedulingCycle.requestCycle();
-            }
+                            @Override
+                            public void requestCycle() {
+                                schedulingCycle.requestCycle();
+                            }
 
-            @Override public void onTaskTerminated(Placement p) {
-                recordTaskTermination(p);
-            }
+                            @Override
+                            public void onTaskTerminated(Placement p) {
+                                recordTaskTermination(p);
+                            }
 
-            @Override public boolean isCyclePending() {
-                return schedulingCycle.isCyclePending();
-            }
-        });
+                            @Override
+                            public boolean isCyclePending() {
+                                return schedulingCycle.isCyclePending();
+                            }
+                        });
         schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
         peerMessenger.setWorkerGateway(workerGateway);
-        ZoneRecoveryController.MachineVisibility machineVisibility = new ZoneRecoveryController.MachineVisibility() {
-            @Override public Boolean isBooting(String host) {
-                return clusterMembership.ownerOf(host) == null ? null : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
-            }
+        ZoneRecoveryController.MachineVisibility machineVisibility =
+                new ZoneRecoveryController.MachineVisibility() {
+                    @Override
+                    public Boolean isBooting(String host) {
+                        return clusterMembership.ownerOf(host) == null
+                                ? null
+                                : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
+                    }
 
-            @Override public boolean isReachable(String host) {
-                ShardWorker own = workerGateway.worker(host);
-                return own != null ? own.isSchedulable() : clusterMembership.ownerOf(host) != null && peerMessenger.isReportedSchedulable(clusterMembership.ownerOf(host), host);
-            }
-        };
+                    @Override
+                    public boolean isReachable(String host) {
+                        ShardWorker own = workerGateway.worker(host);
+                        return own != null
+                                ? own.isSchedulable()
+                                : clusterMembership.ownerOf(host) != null
+                                        && peerMessenger.isReportedSchedulable(
+                                                clusterMembership.ownerOf(host), host);
+                    }
+                };
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
-            machines.trackLargeImages(host -> imageCaches.largeImages(host, operatorSettings.zoneRecovery().heavyImageGb()), imageCaches::mergeRecorded);
-            zoneRecoveryController = new ZoneRecoveryController(loop, operatorSettings.zoneRecovery(), settings.workerTimings().leaseSeconds() * 1000 + WorkerConstants.SILENCE_SLACK_MILLIS, watchCache, store, jobs, clusterMembership, machines, machineTypeCatalog, imageCaches, zones,
-                    policy, leader, machineVisibility);
+            machines.trackLargeImages(
+                    host ->
+                            imageCaches.largeImages(
+                                    host, operatorSettings.zoneRecovery().heavyImageGb()),
+                    imageCaches::mergeRecorded);
+            zoneRecoveryController =
+                    new ZoneRecoveryController(
+                            loop,
+                            operatorSettings.zoneRecovery(),
+                            settings.workerTimings().leaseSeconds() * 1000
+                                    + WorkerConstants.SILENCE_SLACK_MILLIS,
+                            watchCache,
+                            store,
+                            jobs,
+                            clusterMembership,
+                            machines,
+                            machineTypeCatalog,
+                            imageCaches,
+                            zones,
+                            policy,
+                            leader,
+                            machineVisibility);
         }
-        Autoscaler autoscaler = new Autoscaler(loop, settings, operatorSettings, membershipLease, watchCache, store, clusterMembership, jobs, machines, machineTypeCatalog, leader, transport,
-                this::isBooting, this::recordTaskTermination, constrainedDemand, policy, zones, zoneRecoveryController == null ? Map::of : zoneRecoveryController::rebalanceDemand);
+        Autoscaler autoscaler =
+                new Autoscaler(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        membershipLease,
+                        watchCache,
+                        store,
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        leader,
+                        transport,
+                        this::isBooting,
+                        this::recordTaskTermination,
+                        constrainedDemand,
+                        policy,
+                        zones,
+                        zoneRecoveryController == null
+                                ? Map::of
+                                : zoneRecoveryController::rebalanceDemand);
         leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
-        userApi = new UserApi(loop, settings, membershipLease, watchCache, store, groupCommitter, clusterMembership, jobs, machineTypeCatalog, policy, schedulingCycle::admit);
-        new PolicyReconciler(loop, settings.memberId(), watchCache, store, jobs, policy, new PolicyReconciler.Leadership() {
-            @Override public boolean isLeader() {
-                return leader.isLeading();
-            }
+        userApi =
+                new UserApi(
+                        loop,
+                        settings,
+                        membershipLease,
+                        watchCache,
+                        store,
+                        groupCommitter,
+                        clusterMembership,
+                        jobs,
+                        machineTypeCatalog,
+                        policy,
+                        schedulingCycle::admit);
+        new PolicyReconciler(
+                loop,
+                settings.memberId(),
+                watchCache,
+                store,
+                jobs,
+                policy,
+                new PolicyReconciler.Leadership() {
+                    @Override
+                    public boolean isLeader() {
+                        return leader.isLeading();
+                    }
 
-            @Override public Transaction newTransaction() {
-                return leader.newTransaction();
-            }
+                    @Override
+                    public Transaction newTransaction() {
+                        return leader.newTransaction();
+                    }
 
-            @Override public long term() {
-                return clusterMembership.leaderRecord() == null ? 0 : clusterMembership.leaderRecord().fencingToken();
-            }
+                    @Override
+                    public long term() {
+                        return clusterMembership.leaderRecord() == null
+                                ? 0
+                                : clusterMembership.leaderRecord().fencingToken();
+                    }
 
-            @Override public Collection<String> activeMemberIds() {
-                return clusterMembership.members().stream().map(ClusterMembership.Member::memberId).toList();
-            }
-        });
+                    @Override
+                    public Collection<String> activeMemberIds() {
+                        return clusterMembership.members().stream()
+                                .map(ClusterMembership.Member::memberId)
+                                .toList();
+                    }
+                });
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), watchCache, jobs, machines, machineTypeCatalog, imageCaches, zones, policy, operatorApi, machineVisibility);
+        new ZoneOperatorApi(
+                operatorSettings.zoneRecovery().enabled(),
+                watchCache,
+                jobs,
+                machines,
+                machineTypeCatalog,
+                imageCaches,
+                zones,
+                policy,
+                operatorApi,
+                machineVisibility);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
-        watchCache.addChangeListener(() -> {
-            ClusterMembership.Member ownNode = clusterMembership.member(settings.memberId());
-            membershipLease.verifyMemberRecord(ownNode == null ? 0 : ownNode.leaseId(), watchCache.storeRevision());
-            schedulingCycle.requestCycleIfNeeded();
-            workerGateway.dispatchPendingCommands();
-        });
-        loop.runEvery(SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS, schedulingCycle::requestCycleIfNeeded);
+        watchCache.addChangeListener(
+                () -> {
+                    ClusterMembership.Member ownNode =
+                            clusterMembership.member(settings.memberId());
+                    membershipLease.verifyMemberRecord(
+                            ownNode == null ? 0 : ownNode.leaseId(), watchCache.storeRevision());
+                    schedulingCycle.requestCycleIfNeeded();
+                    workerGateway.dispatchPendingCommands();
+                });
+        loop.runEvery(
+                SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS,
+                schedulingCycle::requestCycleIfNeeded);
         membershipLease.start();
         watchCache.start();
     }
@@ -192,7 +352,11 @@
         } else if (request.method.equals("POST")) {
             peerMessenger.handle(request);
         } else {
-            request.respond(405, WireFormat.JSON, WireFormat.newMap().put("error", "only POST is allowed here"), 0);
+            request.respond(
+                    405,
+                    WireFormat.JSON,
+                    WireFormat.newMap().put("error", "only POST is allowed here"),
+                    0);
         }
     }
 }
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -25,25 +25,40 @@
 import picocli.CommandLine;
 
 /** The command line. */
-@CommandLine.Command(name = "quincelead", mixinStandardHelpOptions = true, version = "quincelead 0.1.0",
+@CommandLine.Command(
+        name = "quincelead",
+        mixinStandardHelpOptions = true,
+        version = "quincelead 0.1.0",
         description = "Cluster scheduler: rents machines, runs jobs on them and answers users.",
-        footer = {"", "Environment: LOG_LEVEL is error, info (default) or debug; logs go to standard error.",
-            "Commands of operators: classes, calendar, zones, explain (quincelead classes --help).", "Exit: 1 when settings can't be used, 2 for a wrong command line."})
+        footer = {
+            "",
+            "Environment: LOG_LEVEL is error, info (default) or debug; logs go to standard error.",
+            "Commands of operators: classes, calendar, zones, explain (quincelead classes --help).",
+            "Exit: 1 when settings can't be used, 2 for a wrong command line."
+        })
 public final class Main implements Callable<Integer> {
-    @CommandLine.Option(names = "--config", paramLabel = "FILE", description = "The platform's settings (TOML).")
+    @CommandLine.Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description = "The platform's settings (TOML).")
     private File settingsFile;
 
-    @CommandLine.Option(names = "--operator-settings", paramLabel = "FILE", description = "The operators' own settings (JSON).")
+    @CommandLine.Option(
+            names = "--operator-settings",
+            paramLabel = "FILE",
+            description = "The operators' own settings (JSON).")
     private File operatorSettingsFile;
 
     @CommandLine.Option(names = "--check", description = "Check the settings and exit.")
     private boolean checkOnly;
 
-    @CommandLine.Option(names = "--rehearse", hidden = true, description = "Exercise the start for the class-data archive and exit.")
+    @CommandLine.Option(
+            names = "--rehearse",
+            hidden = true,
+            description = "Exercise the start for the class-data archive and exit.")
     private boolean trainClassDataArchive;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     public static void main(String[] args) {
         configureLogging();
@@ -58,8 +73,10 @@
     }
 
     private static final int KEEP_RUNNING = -1;
+
     /** First words of operators' commands, known without loading them. */
-    public static final Set<String> OPERATOR_COMMANDS = Set.of("classes", "calendar", "zones", "explain");
+    public static final Set<String> OPERATOR_COMMANDS =
+            Set.of("classes", "calendar", "zones", "explain");
 
     private static void configureLogging() {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
@@ -73,20 +90,25 @@
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     }
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
         if (trainClassDataArchive) {
             ClassDataArchiveTraining.run();
             return 0;
         }
         if (settingsFile == null) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "Missing required option: '--config=FILE'");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "Missing required option: '--config=FILE'");
         }
         Settings settings;
         OperatorSettings operatorSettings;
         try {
             settings = Settings.load(settingsFile);
-            operatorSettings = operatorSettingsFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.load(operatorSettingsFile);
+            operatorSettings =
+                    operatorSettingsFile == null
+                            ? OperatorSettings.DEFAULTS
+                            : OperatorSettings.load(operatorSettingsFile);
         } catch (Settings.InvalidSettingsException e) {
             err.println("quincelead: " + e.getMessage());
             return 1;
@@ -102,34 +124,82 @@
     /** Starts a controller on real sockets. */
     static void start(Settings settings, OperatorSettings operatorSettings) throws Exception {
         Logger log = LoggerFactory.getLogger(Main.class);
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 0)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.TCP_NODELAY, true)
-                .set(Options.THREAD_DAEMON, false)
-                .getMap());
+        XnioWorker worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 0)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.TCP_NODELAY, true)
+                                        .set(Options.THREAD_DAEMON, false)
+                                        .getMap());
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         int maxConnections = settings.processLimits().maxConnections();
         Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
         criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
-        int maxSharedConnections = Math.max(1, (int) (maxConnections * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION));
-        int maxServerConnections = Math.max(maxConnections / 2, maxConnections - maxSharedConnections - criticalAddresses.size() * TransportConstants.MAX_CONNECTIONS_PER_ADDRESS - TransportConstants.MAX_PEER_CONNECTIONS - TransportConstants.RESERVED_CONNECTIONS);
-        loop.runAfter(0, () -> {
-            Controller controller = new Controller(loop, new HttpClient(loop, worker.getIoThread(), criticalAddresses, maxSharedConnections), settings, operatorSettings);
-            // Servers are started off the loop: binding waits for the accept thread.
-            Thread starter = new Thread(() -> {
-                try {
-                    new HttpServer(worker, settings.listenAddress(), maxServerConnections, controller::handle).start();
-                    new HttpServer(worker, settings.clusterListenAddress(), TransportConstants.MAX_PEER_CONNECTIONS, controller::handlePeerRequest).start();
-                    log.info("{} serves on {} and {}", settings.memberId(), settings.listenAddress(), settings.clusterListenAddress());
-                } catch (RuntimeException e) {
-                    log.error("can't listen on {} or {}: {}", settings.listenAddress(), settings.clusterListenAddress(), e.getMessage());
-                    System.exit(1);
-                }
-            }, "starter");
-            starter.start();
-        });
+        int maxSharedConnections =
+                Math.max(
+                        1,
+                        (int)
+                                (maxConnections
+                                        * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION));
+        int maxServerConnections =
+                Math.max(
+                        maxConnections / 2,
+                        maxConnections
+                                - maxSharedConnections
+                                - criticalAddresses.size()
+                                        * TransportConstants.MAX_CONNECTIONS_PER_ADDRESS
+                                - TransportConstants.MAX_PEER_CONNECTIONS
+                                - TransportConstants.RESERVED_CONNECTIONS);
+        loop.runAfter(
+                0,
+                () -> {
+                    Controller controller =
+                            new Controller(
+                                    loop,
+                                    new HttpClient(
+                                            loop,
+                                            worker.getIoThread(),
+                                            criticalAddresses,
+                                            maxSharedConnections),
+                                    settings,
+                                    operatorSettings);
+                    // Servers are started off the loop: binding waits for the accept thread.
+                    Thread starter =
+                            new Thread(
+                                    () -> {
+                                        try {
+                                            new HttpServer(
+                                                            worker,
+                                                            settings.listenAddress(),
+                                                            maxServerConnections,
+                                                            controller::handle)
+                                                    .start();
+                                            new HttpServer(
+                                                            worker,
+                                                            settings.clusterListenAddress(),
+                                                            TransportConstants.MAX_PEER_CONNECTIONS,
+                                                            controller::handlePeerRequest)
+                                                    .start();
+                                            log.info(
+                                                    "{} serves on {} and {}",
+                                                    settings.memberId(),
+                                                    settings.listenAddress(),
+                                                    settings.clusterListenAddress());
+                                        } catch (RuntimeException e) {
+                                            log.error(
+                                                    "can't listen on {} or {}: {}",
+                                                    settings.listenAddress(),
+                                                    settings.clusterListenAddress(),
+                                                    e.getMessage());
+                                            System.exit(1);
+                                        }
+                                    },
+                                    "starter");
+                    starter.start();
+                });
     }
 
     /** A free port on loopback, for the rehearsal. */
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -29,7 +29,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's part with the cloud: reads the catalog, rents ahead of need, returns what is idle, faulty, silent or unexpected. */
+/**
+ * The leader's part with the cloud: reads the catalog, rents ahead of need, returns what is idle,
+ * faulty, silent or unexpected.
+ */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     private final EventLoop eventLoop;
@@ -47,15 +50,33 @@
     private final ScaleInController scaleInController;
     private final InstanceInventory inventory;
 
-    /** What a machine's owner says of it: whether it has not come up yet; null when that isn't known. */
+    /**
+     * What a machine's owner says of it: whether it has not come up yet; null when that isn't
+     * known.
+     */
     @FunctionalInterface
     public interface BootStatus {
         Boolean isBooting(String ownerId, String host);
     }
 
-    public Autoscaler(EventLoop eventLoop, Settings settings, OperatorSettings operatorSettings, MembershipLease membershipLease, WatchCache watchCache, StoreClient store,
-            ClusterMembership shards, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, Leader leader, Transport transport, BootStatus bootStatus,
-            Consumer<Placement> onTaskTerminated, ConstrainedDemand constrainedDemand, Policy policy, ZoneTable zoneTable,
+    public Autoscaler(
+            EventLoop eventLoop,
+            Settings settings,
+            OperatorSettings operatorSettings,
+            MembershipLease membershipLease,
+            WatchCache watchCache,
+            StoreClient store,
+            ClusterMembership shards,
+            JobTable jobs,
+            MachineTable machines,
+            MachineTypeCatalog catalog,
+            Leader leader,
+            Transport transport,
+            BootStatus bootStatus,
+            Consumer<Placement> onTaskTerminated,
+            ConstrainedDemand constrainedDemand,
+            Policy policy,
+            ZoneTable zoneTable,
             Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
         this.policy = policy;
         this.eventLoop = eventLoop;
@@ -69,10 +90,58 @@
         QueueOrder queueOrder = new QueueOrder(settings, policy);
         this.demandForecast = new DemandForecast(eventLoop, queueOrder, settings);
         this.committer = new SingleFlightCommitter(store, watchCache, leader);
-        this.provisioningRequests = new ProvisioningRequests(eventLoop, membershipLease, watchCache, store, shards, machines, leader, cloudClient, committer);
-        this.scaleOutPlanner = new ScaleOutPlanner(eventLoop, settings, operatorSettings, jobs, machines, catalog, queueOrder, provisioningRequests, constrainedDemand, zoneTable, policy, rebalanceDemand);
-        this.scaleInController = new ScaleInController(eventLoop, operatorSettings, watchCache, store, shards, jobs, machines, catalog, leader, cloudClient, committer, onTaskTerminated, constrainedDemand);
-        this.inventory = new InstanceInventory(eventLoop, settings, watchCache, store, machines, catalog, leader, cloudClient, committer, scaleInController);
+        this.provisioningRequests =
+                new ProvisioningRequests(
+                        eventLoop,
+                        membershipLease,
+                        watchCache,
+                        store,
+                        shards,
+                        machines,
+                        leader,
+                        cloudClient,
+                        committer);
+        this.scaleOutPlanner =
+                new ScaleOutPlanner(
+                        eventLoop,
+                        settings,
+                        operatorSettings,
+                        jobs,
+                        machines,
+                        catalog,
+                        queueOrder,
+                        provisioningRequests,
+                        constrainedDemand,
+                        zoneTable,
+                        policy,
+                        rebalanceDemand);
+        this.scaleInController =
+                new ScaleInController(
+                        eventLoop,
+                        operatorSettings,
+                        watchCache,
+                        store,
+                        shards,
+                        jobs,
+                        machines,
+                        catalog,
+                        leader,
+                        cloudClient,
+                        committer,
+                        onTaskTerminated,
+                        constrainedDemand);
+        this.inventory =
+                new InstanceInventory(
+                        eventLoop,
+                        settings,
+                        watchCache,
+                        store,
+                        machines,
+                        catalog,
+                        leader,
+                        cloudClient,
+                        committer,
+                        scaleInController);
         eventLoop.runEvery(AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS, this::runScalingPass);
     }
 
@@ -96,13 +165,26 @@
         inventory.readInstancesIfDue();
         List<MachineTable.Machine> readyMachines = new ArrayList<>();
         DemandForecast.Capacity capacity = measureCapacity(readyMachines);
-        double bootSeconds = catalog.all().stream().mapToDouble(MachineTypeCatalog.MachineType::bootSeconds).max().orElse(0) * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
-        DemandForecast.CpuDemand demand = demandForecast.estimate(jobs, capacity, eventLoop.wallClockMillis()).withBookedCpus(policy.forecastCpus(jobs.all(), eventLoop.wallClockMillis(), bootSeconds));
+        double bootSeconds =
+                catalog.all().stream()
+                                        .mapToDouble(MachineTypeCatalog.MachineType::bootSeconds)
+                                        .max()
+                                        .orElse(0)
+                                * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR
+                        + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
+        DemandForecast.CpuDemand demand =
+                demandForecast
+                        .estimate(jobs, capacity, eventLoop.wallClockMillis())
+                        .withBookedCpus(
+                                policy.forecastCpus(
+                                        jobs.all(), eventLoop.wallClockMillis(), bootSeconds));
         if (!committer.isBusy()) {
-            scaleInController.returnExcess(readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
+            scaleInController.returnExcess(
+                    readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
         }
         if (!committer.isBusy() && !leader.hasUnregisteredMachines()) {
-            Map<InstanceOffering, Integer> purchases = scaleOutPlanner.planScaleOut(demand, capacity);
+            Map<InstanceOffering, Integer> purchases =
+                    scaleOutPlanner.planScaleOut(demand, capacity);
             if (!purchases.isEmpty()) {
                 LOG.debug("need {} with {} CPUs up or coming", demand, capacity.totalCpus());
                 provisioningRequests.provision(purchases);
@@ -114,10 +196,13 @@
     private DemandForecast.Capacity measureCapacity(List<MachineTable.Machine> readyMachines) {
         Set<String> presentHosts = new HashSet<>();
         DemandForecast.Capacity capacity = new DemandForecast.Capacity();
-        for (ProvisioningRequests.ProvisioningRequest request : provisioningRequests.openRequests()) {
+        for (ProvisioningRequests.ProvisioningRequest request :
+                provisioningRequests.openRequests()) {
             MachineTypeCatalog.MachineType machineType = catalog.get(request.machineType());
             if (machineType != null) {
-                capacity.add(request.machineCount() * machineType.cpus(), machineType.bootSeconds() + machineType.bootSeconds() / 4);
+                capacity.add(
+                        request.machineCount() * machineType.cpus(),
+                        machineType.bootSeconds() + machineType.bootSeconds() / 4);
             }
         }
         for (MachineTable.Machine machine : machines.all()) {
@@ -126,10 +211,16 @@
             if (machine.releasing() || machineType == null) {
                 continue;
             }
-            double ageSeconds = (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
-            Boolean reportedBooting = bootStatus.isBooting(shards.ownerOf(machine.host()), machine.host());
-            if (reportedBooting != null ? reportedBooting : ageSeconds < machineType.bootSeconds() * 1.2) {
-                capacity.add(machineType.cpus(), Math.max(5, machineType.bootSeconds() * 1.2 - ageSeconds));
+            double ageSeconds =
+                    (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+            Boolean reportedBooting =
+                    bootStatus.isBooting(shards.ownerOf(machine.host()), machine.host());
+            if (reportedBooting != null
+                    ? reportedBooting
+                    : ageSeconds < machineType.bootSeconds() * 1.2) {
+                capacity.add(
+                        machineType.cpus(),
+                        Math.max(5, machineType.bootSeconds() * 1.2 - ageSeconds));
                 continue;
             }
             if (!machine.cordoned()) {
--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -22,7 +22,8 @@
         this.eventLoop = eventLoop;
         this.transport = transport;
         this.cloudAddress = settings.cloudAddress();
-        this.rateBudget = new RateLimiter(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
+        this.rateBudget =
+                new RateLimiter(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
     }
 
     /** status 0 also stands for a 200 whose body can't be read. */
@@ -36,16 +37,35 @@
         return pendingCalls.size() > 2;
     }
 
-    void call(String method, String path, ObjectNode body, boolean isUrgent, ResponseHandler responseHandler) {
-        Runnable sendCall = () -> transport.call(cloudAddress, method, path, WireFormat.CBOR, body == null ? null : WireFormat.CBOR.encode(body),
-                AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS, (status, responseBytes) -> {
-                    ObjectNode responseBody = WireFormat.CBOR.decodeMap(responseBytes);
-                    if (status == 429) {
-                        rateBudget.drain();
-                    }
-                    boolean isUnreadable = status == 200 && responseBody == null && !path.endsWith("/release");
-                    responseHandler.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, responseBody);
-                });
+    void call(
+            String method,
+            String path,
+            ObjectNode body,
+            boolean isUrgent,
+            ResponseHandler responseHandler) {
+        Runnable sendCall =
+                () ->
+                        transport.call(
+                                cloudAddress,
+                                method,
+                                path,
+                                WireFormat.CBOR,
+                                body == null ? null : WireFormat.CBOR.encode(body),
+                                AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS,
+                                (status, responseBytes) -> {
+                                    ObjectNode responseBody =
+                                            WireFormat.CBOR.decodeMap(responseBytes);
+                                    if (status == 429) {
+                                        rateBudget.drain();
+                                    }
+                                    boolean isUnreadable =
+                                            status == 200
+                                                    && responseBody == null
+                                                    && !path.endsWith("/release");
+                                    responseHandler.onResponse(
+                                            isUnreadable ? Transport.NO_RESPONSE : status,
+                                            responseBody);
+                                });
         if (isUrgent) {
             pendingCalls.addFirst(sendCall);
         } else {
@@ -60,10 +80,12 @@
                 pendingCalls.pollFirst().run();
             } else {
                 isSendScheduled = true;
-                eventLoop.runAfter(Math.max(1, rateBudget.millisUntilAvailable(1)), () -> {
-                    isSendScheduled = false;
-                    sendPending();
-                });
+                eventLoop.runAfter(
+                        Math.max(1, rateBudget.millisUntilAvailable(1)),
+                        () -> {
+                            isSendScheduled = false;
+                            sendPending();
+                        });
             }
         }
     }
--- a/src/main/java/io/quincelead/autoscaler/InstanceOffering.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceOffering.java
@@ -15,6 +15,9 @@
 
     /** Whether a task of the job may run on such a machine. */
     boolean allows(JobSpec spec) {
-        return MachineTypeCatalog.isAllowed(spec, machineType.name()) && (spec.zone() == null || spec.zone().equals(zone)) && (spec.preemptible() || !spot) && machineType.fits(spec);
+        return MachineTypeCatalog.isAllowed(spec, machineType.name())
+                && (spec.zone() == null || spec.zone().equals(zone))
+                && (spec.preemptible() || !spot)
+                && machineType.fits(spec);
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
+++ b/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
@@ -18,20 +18,25 @@
         this.leader = leader;
     }
 
-    /** Whether another change has to wait: one is on its way, or one without an answer may still land. */
+    /**
+     * Whether another change has to wait: one is on its way, or one without an answer may still
+     * land.
+     */
     boolean isBusy() {
         return isCommitInFlight || !leader.areWritesSettled();
     }
 
     void commit(Transaction transaction, Runnable onCommitted) {
         isCommitInFlight = true;
-        store.commit(transaction, outcome -> {
-            isCommitInFlight = false;
-            leader.onOutcome(transaction, outcome);
-            if (outcome.result() == Transaction.Result.COMMITTED) {
-                watchCache.applyCommitted(transaction, outcome.storeRevision());
-                onCommitted.run();
-            }
-        });
+        store.commit(
+                transaction,
+                outcome -> {
+                    isCommitInFlight = false;
+                    leader.onOutcome(transaction, outcome);
+                    if (outcome.result() == Transaction.Result.COMMITTED) {
+                        watchCache.applyCommitted(transaction, outcome.storeRevision());
+                        onCommitted.run();
+                    }
+                });
     }
 }
--- a/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -7,24 +7,36 @@
 import java.util.Map;
 
 /**
- * What constrained work has asked for lately: work that not every machine may run. The machines it needs are kept for it
- * and left free for it, for more of the same is likely to come.
+ * What constrained work has asked for lately: work that not every machine may run. The machines it
+ * needs are kept for it and left free for it, for more of the same is likely to come.
  */
 public final class ConstrainedDemand {
     /** What a task demands of its machine. */
-    private record Requirements(double cpus, double gpus, double memoryGb, List<String> machineTypes, String zone, boolean preemptible) {
+    private record Requirements(
+            double cpus,
+            double gpus,
+            double memoryGb,
+            List<String> machineTypes,
+            String zone,
+            boolean preemptible) {
         boolean fits(MachineTypeCatalog.MachineType machineType, String inZone, boolean spot) {
-            return cpus <= machineType.cpus() && gpus <= machineType.gpus() && memoryGb <= machineType.memoryGb() && (machineTypes == null || machineTypes.contains(machineType.name()))
-                    && (zone == null || zone.equals(inZone)) && (preemptible || !spot);
+            return cpus <= machineType.cpus()
+                    && gpus <= machineType.gpus()
+                    && memoryGb <= machineType.memoryGb()
+                    && (machineTypes == null || machineTypes.contains(machineType.name()))
+                    && (zone == null || zone.equals(inZone))
+                    && (preemptible || !spot);
         }
     }
 
     private final EventLoop loop;
+
     /** When each kind was last asked for, the oldest first. */
     private final Map<Requirements, Long> lastRequestedAt = new LinkedHashMap<>();
 
     /** CPUs asked for by urgent work, fading with time. */
     private double decayedUrgentCpus;
+
     private long decayedAtMillis;
 
     public ConstrainedDemand(EventLoop loop, JobTable jobs) {
@@ -38,35 +50,62 @@
             return;
         }
         // After a start, old jobs appear all at once: they say nothing of the rate.
-        if (spec.gpus() == 0 && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
-                && loop.wallClockMillis() - job.acceptedAtEpochMillis < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
+        if (spec.gpus() == 0
+                && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
+                && loop.wallClockMillis() - job.acceptedAtEpochMillis
+                        < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
             decay();
             decayedUrgentCpus += spec.taskCount() * spec.cpus();
         }
-        Requirements requirements = new Requirements(spec.cpus(), spec.gpus(), spec.memoryGb(), spec.machineTypes(), spec.zone(), spec.preemptible());
+        Requirements requirements =
+                new Requirements(
+                        spec.cpus(),
+                        spec.gpus(),
+                        spec.memoryGb(),
+                        spec.machineTypes(),
+                        spec.zone(),
+                        spec.preemptible());
         lastRequestedAt.remove(requirements);
         lastRequestedAt.put(requirements, loop.nowMillis());
-        long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
-        while (lastRequestedAt.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS || lastRequestedAt.values().iterator().next() < oldestRemembered) {
+        long oldestRemembered =
+                loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
+        while (lastRequestedAt.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS
+                || lastRequestedAt.values().iterator().next() < oldestRemembered) {
             lastRequestedAt.remove(lastRequestedAt.keySet().iterator().next());
         }
     }
 
     private void decay() {
-        decayedUrgentCpus *= Math.exp(-(loop.nowMillis() - decayedAtMillis) / 1000.0 / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS);
+        decayedUrgentCpus *=
+                Math.exp(
+                        -(loop.nowMillis() - decayedAtMillis)
+                                / 1000.0
+                                / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS);
         decayedAtMillis = loop.nowMillis();
     }
 
-    /** CPUs that urgent constrained work without GPUs would ask for in this time, at the rate of late. */
+    /**
+     * CPUs that urgent constrained work without GPUs would ask for in this time, at the rate of
+     * late.
+     */
     public double expectedUrgentCpus(double withinSeconds) {
         decay();
-        return decayedUrgentCpus / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * withinSeconds;
+        return decayedUrgentCpus
+                / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS
+                * withinSeconds;
     }
 
-    private boolean hasRecentDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot, boolean gpusOnly) {
-        long oldestRemembered = loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
+    private boolean hasRecentDemand(
+            MachineTypeCatalog.MachineType machineType,
+            String zone,
+            boolean spot,
+            boolean gpusOnly) {
+        long oldestRemembered =
+                loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
         for (Map.Entry<Requirements, Long> entry : lastRequestedAt.entrySet()) {
-            if (entry.getValue() >= oldestRemembered && (!gpusOnly || entry.getKey().gpus > 0) && entry.getKey().fits(machineType, zone, spot)) {
+            if (entry.getValue() >= oldestRemembered
+                    && (!gpusOnly || entry.getKey().gpus > 0)
+                    && entry.getKey().fits(machineType, zone, spot)) {
                 return true;
             }
         }
@@ -74,12 +113,14 @@
     }
 
     /** Whether constrained work of late could use such a machine. */
-    public boolean isInDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+    public boolean isInDemand(
+            MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return hasRecentDemand(machineType, zone, spot, false);
     }
 
     /** Whether work of late needs the GPUs of such a machine: other work should leave it alone. */
-    public boolean isGpuInDemand(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+    public boolean isGpuInDemand(
+            MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return machineType.gpus() > 0 && hasRecentDemand(machineType, zone, spot, true);
     }
 }
--- a/src/main/java/io/quincelead/cluster/ImageCaches.java
+++ b/src/main/java/io/quincelead/cluster/ImageCaches.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Which images a machine probably has: those of the tasks last placed there, up to the size of its cache. A guess that
- * only ranks machines; a wrong one costs a fetch.
+ * Which images a machine probably has: those of the tasks last placed there, up to the size of its
+ * cache. A guess that only ranks machines; a wrong one costs a fetch.
  */
 public final class ImageCaches {
     private final MachineTable machines;
@@ -14,18 +14,22 @@
     private final Map<String, LinkedHashMap<String, Double>> imagesByHost = new HashMap<>();
 
     /** {@code cacheGb} tells the cache size of a machine type. */
-    public ImageCaches(MachineTable machines, java.util.function.ToDoubleFunction<String> cacheGbOfType) {
+    public ImageCaches(
+            MachineTable machines, java.util.function.ToDoubleFunction<String> cacheGbOfType) {
         this.machines = machines;
         this.cacheGbOfType = cacheGbOfType;
     }
 
-    /** A task was placed: its image is there or is being fetched, and is the most recently used one. */
+    /**
+     * A task was placed: its image is there or is being fetched, and is the most recently used one.
+     */
     public void recordUse(String host, JobSpec spec) {
         MachineTable.Machine machine = machines.get(host);
         if (machine == null) {
             return;
         }
-        LinkedHashMap<String, Double> images = imagesByHost.computeIfAbsent(host, h -> new LinkedHashMap<>());
+        LinkedHashMap<String, Double> images =
+                imagesByHost.computeIfAbsent(host, h -> new LinkedHashMap<>());
         images.remove(spec.image());
         images.put(spec.image(), spec.imageSizeGb());
         double totalGb = 0;
@@ -46,24 +50,31 @@
 
     /** All images that it probably has. */
     public java.util.Set<String> images(String host) {
-        return new java.util.HashSet<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()).keySet());
+        return new java.util.HashSet<>(
+                imagesByHost.getOrDefault(host, new LinkedHashMap<>()).keySet());
     }
 
     /** Those of at least this size, with their GB. */
     public Map<String, Double> largeImages(String host, double minimumGb) {
-        Map<String, Double> large = new java.util.TreeMap<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()));
+        Map<String, Double> large =
+                new java.util.TreeMap<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()));
         large.values().removeIf(gb -> gb < minimumGb);
         return large;
     }
 
-    /** What a record says that it has: from before this process, which knows more of what it saw placed itself. */
+    /**
+     * What a record says that it has: from before this process, which knows more of what it saw
+     * placed itself.
+     */
     public void mergeRecorded(String host, Map<String, Double> images) {
-        LinkedHashMap<String, Double> known = imagesByHost.computeIfAbsent(host, h -> new LinkedHashMap<>());
+        LinkedHashMap<String, Double> known =
+                imagesByHost.computeIfAbsent(host, h -> new LinkedHashMap<>());
         LinkedHashMap<String, Double> merged = new LinkedHashMap<>(images);
-        known.forEach((image, gb) -> {
-            merged.remove(image);
-            merged.put(image, gb);
-        });
+        known.forEach(
+                (image, gb) -> {
+                    merged.remove(image);
+                    merged.put(image, gb);
+                });
         imagesByHost.put(host, merged);
     }
 
--- a/src/main/java/io/quincelead/cluster/JobSpec.java
+++ b/src/main/java/io/quincelead/cluster/JobSpec.java
@@ -11,19 +11,45 @@
 import java.util.regex.Pattern;
 
 /** What a user asks for, as submitted. */
-public record JobSpec(String jobId, String jobClass, String team, Mode mode, Priority priority, int taskCount, double cpus,
-        double gpus, double memoryGb, List<String> machineTypes, String zone, boolean zoneAffinity, boolean zoneSpread,
-        boolean preemptible, String image, double imageSizeGb, double runtimeSeconds, double checkpointIntervalSeconds, double checkpointSeconds,
+public record JobSpec(
+        String jobId,
+        String jobClass,
+        String team,
+        Mode mode,
+        Priority priority,
+        int taskCount,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        List<String> machineTypes,
+        String zone,
+        boolean zoneAffinity,
+        boolean zoneSpread,
+        boolean preemptible,
+        String image,
+        double imageSizeGb,
+        double runtimeSeconds,
+        double checkpointIntervalSeconds,
+        double checkpointSeconds,
         double deadlineSeconds) {
 
     private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
     private static final double MAX_AMOUNT = 1e9;
 
     /** Kinds of jobs: array, gang and service. */
-    public enum Mode { ARRAY, ENSEMBLE, STANDING }
+    public enum Mode {
+        ARRAY,
+        ENSEMBLE,
+        STANDING
+    }
 
     /** Priorities, most urgent first. */
-    public enum Priority { PRODUCTION, HIGH, NORMAL, BEST_EFFORT }
+    public enum Priority {
+        PRODUCTION,
+        HIGH,
+        NORMAL,
+        BEST_EFFORT
+    }
 
     /** A submission that is not a job. */
     public static final class MalformedJobException extends Exception {
@@ -48,7 +74,12 @@
 
     /** Whether any machine may run it and it is counted in CPUs alone. */
     public boolean isUnconstrained() {
-        return mode == Mode.ARRAY && gpus == 0 && machineTypes == null && zone == null && preemptible && !zoneAffinity;
+        return mode == Mode.ARRAY
+                && gpus == 0
+                && machineTypes == null
+                && zone == null
+                && preemptible
+                && !zoneAffinity;
     }
 
     public static JobSpec decode(ObjectNode node) throws MalformedJobException {
@@ -74,23 +105,46 @@
             }
         }
         JsonNode taskCount = node.get("members");
-        if (taskCount == null || !taskCount.isIntegralNumber() || !taskCount.canConvertToInt() || taskCount.asInt() < 1
+        if (taskCount == null
+                || !taskCount.isIntegralNumber()
+                || !taskCount.canConvertToInt()
+                || taskCount.asInt() < 1
                 || taskCount.asInt() > ApiConstants.MAX_TASKS_PER_JOB) {
-            throw new MalformedJobException("members: must be a whole number from 1 to " + ApiConstants.MAX_TASKS_PER_JOB);
+            throw new MalformedJobException(
+                    "members: must be a whole number from 1 to " + ApiConstants.MAX_TASKS_PER_JOB);
         }
         double cpus = requireAmount(node, "vcpus");
         double gpus = requireAmount(node, "cards");
         double memoryGb = requireAmount(node, "ramGb");
-        return new JobSpec(jobId, requireText(node, "jobClass"), requireText(node, "owner"), requireEnum(node, "mode", Mode.class),
-                requireEnum(node, "urgency", Priority.class), taskCount.asInt(), cpus, gpus, memoryGb, machineTypes, optionalText(node, "site"),
-                requireBoolean(node, "oneZone"), requireBoolean(node, "scatter"), requireBoolean(node, "preemptible"), requireText(node, "container"),
-                requireAmount(node, "sizeGb"), requireAmount(node, "runtimeS"), requireAmount(node, "snapshotEveryS"),
-                requireAmount(node, "snapshotS"), node.hasNonNull("dueS") ? requireAmount(node, "dueS") : -1);
+        return new JobSpec(
+                jobId,
+                requireText(node, "jobClass"),
+                requireText(node, "owner"),
+                requireEnum(node, "mode", Mode.class),
+                requireEnum(node, "urgency", Priority.class),
+                taskCount.asInt(),
+                cpus,
+                gpus,
+                memoryGb,
+                machineTypes,
+                optionalText(node, "site"),
+                requireBoolean(node, "oneZone"),
+                requireBoolean(node, "scatter"),
+                requireBoolean(node, "preemptible"),
+                requireText(node, "container"),
+                requireAmount(node, "sizeGb"),
+                requireAmount(node, "runtimeS"),
+                requireAmount(node, "snapshotEveryS"),
+                requireAmount(node, "snapshotS"),
+                node.hasNonNull("dueS") ? requireAmount(node, "dueS") : -1);
     }
 
     private static String requireText(ObjectNode node, String field) throws MalformedJobException {
         JsonNode value = node.get(field);
-        if (value == null || !value.isTextual() || value.asText().isEmpty() || value.asText().length() > 200) {
+        if (value == null
+                || !value.isTextual()
+                || value.asText().isEmpty()
+                || value.asText().length() > 200) {
             throw new MalformedJobException(field + ": must be a text of 1 to 200 characters");
         }
         return value.asText();
@@ -100,7 +154,8 @@
         return node.hasNonNull(field) ? requireText(node, field) : null;
     }
 
-    private static boolean requireBoolean(ObjectNode node, String field) throws MalformedJobException {
+    private static boolean requireBoolean(ObjectNode node, String field)
+            throws MalformedJobException {
         JsonNode value = node.get(field);
         if (value == null || !value.isBoolean()) {
             throw new MalformedJobException(field + ": must be true or false");
@@ -108,15 +163,22 @@
         return value.asBoolean();
     }
 
-    private static double requireAmount(ObjectNode node, String field) throws MalformedJobException {
+    private static double requireAmount(ObjectNode node, String field)
+            throws MalformedJobException {
         JsonNode value = node.get(field);
-        if (value == null || !value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0 || value.asDouble() > MAX_AMOUNT) {
-            throw new MalformedJobException(field + ": must be a number from 0 to " + (long) MAX_AMOUNT);
+        if (value == null
+                || !value.isNumber()
+                || !Double.isFinite(value.asDouble())
+                || value.asDouble() < 0
+                || value.asDouble() > MAX_AMOUNT) {
+            throw new MalformedJobException(
+                    field + ": must be a number from 0 to " + (long) MAX_AMOUNT);
         }
         return value.asDouble();
     }
 
-    private static <E extends Enum<E>> E requireEnum(ObjectNode node, String field, Class<E> type) throws MalformedJobException {
+    private static <E extends Enum<E>> E requireEnum(ObjectNode node, String field, Class<E> type)
+            throws MalformedJobException {
         String text = requireText(node, field);
         for (E constant : type.getEnumConstants()) {
             if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
@@ -127,9 +189,17 @@
     }
 
     public ObjectNode encode() {
-        ObjectNode node = WireFormat.newMap().put("nameId", jobId).put("jobClass", jobClass).put("owner", team)
-                .put("mode", mode.name().toLowerCase(Locale.ROOT)).put("urgency", priority.name().toLowerCase(Locale.ROOT))
-                .put("members", taskCount).put("vcpus", cpus).put("cards", gpus).put("ramGb", memoryGb);
+        ObjectNode node =
+                WireFormat.newMap()
+                        .put("nameId", jobId)
+                        .put("jobClass", jobClass)
+                        .put("owner", team)
+                        .put("mode", mode.name().toLowerCase(Locale.ROOT))
+                        .put("urgency", priority.name().toLowerCase(Locale.ROOT))
+                        .put("members", taskCount)
+                        .put("vcpus", cpus)
+                        .put("cards", gpus)
+                        .put("ramGb", memoryGb);
         if (machineTypes != null) {
             ArrayNode machineTypesNode = node.putArray("shapes");
             machineTypes.forEach(machineTypesNode::add);
@@ -137,8 +207,14 @@
         if (zone != null) {
             node.put("site", zone);
         }
-        node.put("oneZone", zoneAffinity).put("scatter", zoneSpread).put("preemptible", preemptible);
-        node.put("container", image).put("sizeGb", imageSizeGb).put("runtimeS", runtimeSeconds).put("snapshotEveryS", checkpointIntervalSeconds).put("snapshotS", checkpointSeconds);
+        node.put("oneZone", zoneAffinity)
+                .put("scatter", zoneSpread)
+                .put("preemptible", preemptible);
+        node.put("container", image)
+                .put("sizeGb", imageSizeGb)
+                .put("runtimeS", runtimeSeconds)
+                .put("snapshotEveryS", checkpointIntervalSeconds)
+                .put("snapshotS", checkpointSeconds);
         if (deadlineSeconds >= 0) {
             node.put("dueS", deadlineSeconds);
         }
--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -23,34 +23,44 @@
     private final EventLoop loop;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, MachineLoad> loadByHost = new HashMap<>();
+
     /** The same jobs, the longest accepted first. */
     private final List<Job> jobsOldestFirst = new ArrayList<>();
+
     private final Set<String> orphanPageKeys = new LinkedHashSet<>();
     private long unfinishedTaskCount;
-    private Consumer<Placement> placementListener = p -> { };
-    private Consumer<String> machineListener = h -> { };
-    private Consumer<Job> jobListener = j -> { };
+    private Consumer<Placement> placementListener = p -> {};
+    private Consumer<String> machineListener = h -> {};
+    private Consumer<Job> jobListener = j -> {};
 
     public JobTable(EventLoop loop, WatchCache mirror) {
         this.loop = loop;
-        mirror.addPrefixListener(StoreKeys.JOB_PREFIX, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode value, long stamp) {
-                applyJob(key, value);
-            }
+        mirror.addPrefixListener(
+                StoreKeys.JOB_PREFIX,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode value, long stamp) {
+                        applyJob(key, value);
+                    }
 
-            @Override public void onRemove(String key) {
-                removeJob(key.substring(StoreKeys.JOB_PREFIX.length()));
-            }
-        });
-        mirror.addPrefixListener(StoreKeys.TASK_STATE_PAGE_PREFIX, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode value, long stamp) {
-                applyPage(key, value);
-            }
+                    @Override
+                    public void onRemove(String key) {
+                        removeJob(key.substring(StoreKeys.JOB_PREFIX.length()));
+                    }
+                });
+        mirror.addPrefixListener(
+                StoreKeys.TASK_STATE_PAGE_PREFIX,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode value, long stamp) {
+                        applyPage(key, value);
+                    }
 
-            @Override public void onRemove(String key) {
-                applyPage(key, null);
-            }
-        });
+                    @Override
+                    public void onRemove(String key) {
+                        applyPage(key, null);
+                    }
+                });
     }
 
     /** Called for each start that appears on record. */
@@ -82,7 +92,9 @@
     }
 
     private static int compareByAge(Job left, Job right) {
-        return left.acceptedAtEpochMillis != right.acceptedAtEpochMillis ? Long.compare(left.acceptedAtEpochMillis, right.acceptedAtEpochMillis) : left.spec.jobId().compareTo(right.spec.jobId());
+        return left.acceptedAtEpochMillis != right.acceptedAtEpochMillis
+                ? Long.compare(left.acceptedAtEpochMillis, right.acceptedAtEpochMillis)
+                : left.spec.jobId().compareTo(right.spec.jobId());
     }
 
     public long unfinishedTaskCount() {
@@ -112,7 +124,10 @@
             try {
                 job = new Job(JobSpec.decode((ObjectNode) value.path("s")));
             } catch (JobSpec.MalformedJobException | ClassCastException malformed) {
-                LOG.error("the record {} can't be read ({}); the job is left alone", key, malformed.getMessage());
+                LOG.error(
+                        "the record {} can't be read ({}); the job is left alone",
+                        key,
+                        malformed.getMessage());
                 return;
             }
             jobs.put(jobId, job);
@@ -191,31 +206,47 @@
         TaskStatePage previousPage = job.pages[pageNumber];
         TaskStatePage nextPage;
         try {
-            nextPage = value == null ? null : TaskStatePage.decode(job, pageNumber, value, previousPage, loop.nowMillis());
+            nextPage =
+                    value == null
+                            ? null
+                            : TaskStatePage.decode(
+                                    job, pageNumber, value, previousPage, loop.nowMillis());
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            LOG.error("the places of {} in record {} can't be read; the record is left alone", job.spec.jobId(), pageNumber);
+            LOG.error(
+                    "the places of {} in record {} can't be read; the record is left alone",
+                    job.spec.jobId(),
+                    pageNumber);
             return;
         }
         PlacementTable placementsBefore = previousPage == null ? null : previousPage.placements;
         PlacementTable placementsAfter = nextPage == null ? null : nextPage.placements;
-        PlacementTable.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
-            if (previous != null) {
-                unindex(previous);
-                if (current == null) {
-                    machineListener.accept(previous.host);
-                }
-            }
-        });
+        PlacementTable.forEachChange(
+                placementsBefore,
+                placementsAfter,
+                (previous, current) -> {
+                    if (previous != null) {
+                        unindex(previous);
+                        if (current == null) {
+                            machineListener.accept(previous.host);
+                        }
+                    }
+                });
         job.replacePage(pageNumber, nextPage);
-        PlacementTable.forEachChange(placementsBefore, placementsAfter, (previous, current) -> {
-            if (current != null) {
-                index(previous, current);
-            }
-        });
+        PlacementTable.forEachChange(
+                placementsBefore,
+                placementsAfter,
+                (previous, current) -> {
+                    if (current != null) {
+                        index(previous, current);
+                    }
+                });
     }
 
     private void index(Placement previous, Placement placement) {
-        boolean sameStart = previous != null && previous.isSameStart(placement.taskIndex, placement.host, placement.attempt);
+        boolean sameStart =
+                previous != null
+                        && previous.isSameStart(
+                                placement.taskIndex, placement.host, placement.attempt);
         if (!sameStart) {
             placementListener.accept(placement);
         }
--- a/src/main/java/io/quincelead/cluster/MachineLoad.java
+++ b/src/main/java/io/quincelead/cluster/MachineLoad.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The tasks that may be on one machine, with what they use. The sums are read anew from the tasks only after one of them
- * has changed, so a round over all machines costs what has changed since the last one, and no sum ever drifts.
+ * The tasks that may be on one machine, with what they use. The sums are read anew from the tasks
+ * only after one of them has changed, so a round over all machines costs what has changed since the
+ * last one, and no sum ever drifts.
  */
 public final class MachineLoad {
     private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
@@ -21,9 +22,13 @@
     private double stoppingCpus;
     private double stoppingMemoryGb;
     private double stoppingGpus;
-    private final List<List<Placement>> stoppableByPriority = new ArrayList<>(Collections.nCopies(PRIORITY_COUNT, List.of()));
+    private final List<List<Placement>> stoppableByPriority =
+            new ArrayList<>(Collections.nCopies(PRIORITY_COUNT, List.of()));
 
-    /** Something about one of the tasks has changed: its phase, whether it is to stop, or whether its job is cancelled. */
+    /**
+     * Something about one of the tasks has changed: its phase, whether it is to stop, or whether
+     * its job is cancelled.
+     */
     void invalidate() {
         stale = true;
     }
@@ -93,7 +98,10 @@
         return stoppingGpus;
     }
 
-    /** Tasks of this urgency that could be stopped to make room: not of gangs, and not being stopped yet. */
+    /**
+     * Tasks of this urgency that could be stopped to make room: not of gangs, and not being stopped
+     * yet.
+     */
     public List<Placement> stoppablePlacements(int priority) {
         refresh();
         return stoppableByPriority.get(priority);
--- a/src/main/java/io/quincelead/cluster/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -19,31 +19,75 @@
 import java.util.Set;
 
 /**
- * The machines on record, from the rental until the cloud has confirmed their release. Machines that were rented
- * together share a record, so that a large rental, a wave of losses or a wave of returns costs few changes.
+ * The machines on record, from the rental until the cloud has confirmed their release. Machines
+ * that were rented together share a record, so that a large rental, a wave of losses or a wave of
+ * returns costs few changes.
  */
 public final class MachineTable {
     /**
-     * A machine. {@code addr} is null until the cloud's list has shown it: whoever takes the machine over can then show its
-     * worker the new term at once. {@code returning} is recorded before the release is asked for, so a successor asks again. A
-     * {@code closed} one gets no new tasks.
+     * A machine. {@code addr} is null until the cloud's list has shown it: whoever takes the
+     * machine over can then show its worker the new term at once. {@code returning} is recorded
+     * before the release is asked for, so a successor asks again. A {@code closed} one gets no new
+     * tasks.
      */
-    public record Machine(String host, String groupId, String machineType, String zone, boolean spot, String address, long rentedAtEpochMillis, boolean releasing, boolean cordoned) {
+    public record Machine(
+            String host,
+            String groupId,
+            String machineType,
+            String zone,
+            boolean spot,
+            String address,
+            long rentedAtEpochMillis,
+            boolean releasing,
+            boolean cordoned) {
         /** A machine just rented. */
-        public Machine(String host, String groupId, String machineType, String zone, boolean spot, long rentedAtEpochMillis) {
+        public Machine(
+                String host,
+                String groupId,
+                String machineType,
+                String zone,
+                boolean spot,
+                long rentedAtEpochMillis) {
             this(host, groupId, machineType, zone, spot, null, rentedAtEpochMillis, false, false);
         }
 
         public Machine asReleasing() {
-            return new Machine(host, groupId, machineType, zone, spot, address, rentedAtEpochMillis, true, cordoned);
+            return new Machine(
+                    host,
+                    groupId,
+                    machineType,
+                    zone,
+                    spot,
+                    address,
+                    rentedAtEpochMillis,
+                    true,
+                    cordoned);
         }
 
         public Machine withCordoned(boolean nowCordoned) {
-            return new Machine(host, groupId, machineType, zone, spot, address, rentedAtEpochMillis, releasing, nowCordoned);
+            return new Machine(
+                    host,
+                    groupId,
+                    machineType,
+                    zone,
+                    spot,
+                    address,
+                    rentedAtEpochMillis,
+                    releasing,
+                    nowCordoned);
         }
 
         public Machine withAddress(String newAddress) {
-            return new Machine(host, groupId, machineType, zone, spot, newAddress, rentedAtEpochMillis, releasing, cordoned);
+            return new Machine(
+                    host,
+                    groupId,
+                    machineType,
+                    zone,
+                    spot,
+                    newAddress,
+                    rentedAtEpochMillis,
+                    releasing,
+                    cordoned);
         }
 
         /** The record it shares. */
@@ -57,22 +101,29 @@
     private final Map<String, List<String>> hostsByGroup = new HashMap<>();
     private final Set<String> cordonedHosts = new HashSet<>();
     private long version;
+
     /** Heavy images that machines have, as recorded, with their GB. */
     private final Map<String, Map<String, Double>> largeImagesByHost = new HashMap<>();
+
     private java.util.function.Function<String, Map<String, Double>> currentLargeImages = h -> null;
-    private java.util.function.BiConsumer<String, Map<String, Double>> largeImagesListener = (h, i) -> { };
+    private java.util.function.BiConsumer<String, Map<String, Double>> largeImagesListener =
+            (h, i) -> {};
 
     public MachineTable(WatchCache mirror) {
         this.mirror = mirror;
-        mirror.addPrefixListener(StoreKeys.MACHINE_PREFIX, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode v, long stamp) {
-                applyRecord(key.substring(StoreKeys.MACHINE_PREFIX.length()), v);
-            }
+        mirror.addPrefixListener(
+                StoreKeys.MACHINE_PREFIX,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode v, long stamp) {
+                        applyRecord(key.substring(StoreKeys.MACHINE_PREFIX.length()), v);
+                    }
 
-            @Override public void onRemove(String key) {
-                forgetGroup(key.substring(StoreKeys.MACHINE_PREFIX.length()), Set.of());
-            }
-        });
+                    @Override
+                    public void onRemove(String key) {
+                        forgetGroup(key.substring(StoreKeys.MACHINE_PREFIX.length()), Set.of());
+                    }
+                });
     }
 
     private void applyRecord(String groupId, JsonNode node) {
@@ -83,16 +134,37 @@
         node.path("h").forEach(h -> hosts.add(h.asText()));
         forgetGroup(groupId, new HashSet<>(hosts));
         for (String h : hosts) {
-            machinesByHost.put(h, new Machine(h, groupId, node.path("k").asText(), node.path("s").asText(), node.path("p").asBoolean(),
-                    node.path("a").path(h).isTextual() ? node.path("a").path(h).asText() : null, node.path("r").asLong(), releasing.contains(h), cordoned.contains(h)));
+            machinesByHost.put(
+                    h,
+                    new Machine(
+                            h,
+                            groupId,
+                            node.path("k").asText(),
+                            node.path("s").asText(),
+                            node.path("p").asBoolean(),
+                            node.path("a").path(h).isTextual()
+                                    ? node.path("a").path(h).asText()
+                                    : null,
+                            node.path("r").asLong(),
+                            releasing.contains(h),
+                            cordoned.contains(h)));
         }
         hosts.forEach(largeImagesByHost::remove);
-        node.path("w").fields().forEachRemaining(field -> {
-            Map<String, Double> images = new java.util.TreeMap<>();
-            field.getValue().fields().forEachRemaining(image -> images.put(image.getKey(), image.getValue().asDouble()));
-            largeImagesByHost.put(field.getKey(), images);
-            largeImagesListener.accept(field.getKey(), images);
-        });
+        node.path("w")
+                .fields()
+                .forEachRemaining(
+                        field -> {
+                            Map<String, Double> images = new java.util.TreeMap<>();
+                            field.getValue()
+                                    .fields()
+                                    .forEachRemaining(
+                                            image ->
+                                                    images.put(
+                                                            image.getKey(),
+                                                            image.getValue().asDouble()));
+                            largeImagesByHost.put(field.getKey(), images);
+                            largeImagesListener.accept(field.getKey(), images);
+                        });
         hostsByGroup.put(groupId, hosts);
         cordonedHosts.removeAll(hosts);
         cordonedHosts.addAll(cordoned);
@@ -116,8 +188,13 @@
         return out;
     }
 
-    /** Heavy images are recorded with their machines: {@code now} tells a machine's; {@code recorded} hears of what is on record. */
-    public void trackLargeImages(java.util.function.Function<String, Map<String, Double>> current, java.util.function.BiConsumer<String, Map<String, Double>> listener) {
+    /**
+     * Heavy images are recorded with their machines: {@code now} tells a machine's; {@code
+     * recorded} hears of what is on record.
+     */
+    public void trackLargeImages(
+            java.util.function.Function<String, Map<String, Double>> current,
+            java.util.function.BiConsumer<String, Map<String, Double>> listener) {
         currentLargeImages = current;
         largeImagesListener = listener;
     }
@@ -150,11 +227,17 @@
         return new MachineEdits(transaction);
     }
 
-    /** Keeps a transaction's machine records in step with the changes asked for; each shared record is written once. */
+    /**
+     * Keeps a transaction's machine records in step with the changes asked for; each shared record
+     * is written once.
+     */
     public final class MachineEdits {
         private final Transaction transaction;
         private final Map<String, Map<String, Machine>> machinesByEditedGroup = new HashMap<>();
-        /** Records begun for unexpected machines, by what all machines of one record have in common. */
+
+        /**
+         * Records begun for unexpected machines, by what all machines of one record have in common.
+         */
         private final Map<String, String> openGroupByAttributes = new HashMap<>();
 
         private MachineEdits(Transaction transaction) {
@@ -162,24 +245,46 @@
         }
 
         private Map<String, Machine> machinesOf(String groupId) {
-            return machinesByEditedGroup.computeIfAbsent(groupId, g -> {
-                Map<String, Machine> current = new LinkedHashMap<>();
-                hostsByGroup.getOrDefault(g, List.of()).forEach(host -> current.put(host, machinesByHost.get(host)));
-                return current;
-            });
+            return machinesByEditedGroup.computeIfAbsent(
+                    groupId,
+                    g -> {
+                        Map<String, Machine> current = new LinkedHashMap<>();
+                        hostsByGroup
+                                .getOrDefault(g, List.of())
+                                .forEach(host -> current.put(host, machinesByHost.get(host)));
+                        return current;
+                    });
         }
 
-        /** Takes in a machine that is on no record. Alike ones share one: a whole cluster may be found up at once. */
-        public void addUnexpected(String host, String machineType, String zone, boolean spot, String address, long rentedAtEpochMillis) {
+        /**
+         * Takes in a machine that is on no record. Alike ones share one: a whole cluster may be
+         * found up at once.
+         */
+        public void addUnexpected(
+                String host,
+                String machineType,
+                String zone,
+                boolean spot,
+                String address,
+                long rentedAtEpochMillis) {
             String attributes = machineType + "/" + zone + "/" + spot;
             String groupId = openGroupByAttributes.get(attributes);
-            if (groupId == null || machinesOf(groupId).size() >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
+            if (groupId == null
+                    || machinesOf(groupId).size()
+                            >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
                 groupId = "s-" + host;
                 openGroupByAttributes.put(attributes, groupId);
             }
-            put(new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis).withAddress(address));
-            // The record may be gone again when a copy of this comes: its guard of 0 would then hold, and bring back machines that are gone.
-            transaction.requireRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE, mirror.modRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE)).put(StoreKeys.UNEXPECTED_MACHINE_INTAKE, WireFormat.newMap());
+            put(
+                    new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis)
+                            .withAddress(address));
+            // The record may be gone again when a copy of this comes: its guard of 0 would then
+            // hold, and bring back machines that are gone.
+            transaction
+                    .requireRevision(
+                            StoreKeys.UNEXPECTED_MACHINE_INTAKE,
+                            mirror.modRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE))
+                    .put(StoreKeys.UNEXPECTED_MACHINE_INTAKE, WireFormat.newMap());
         }
 
         public void put(Machine machine) {
@@ -201,7 +306,12 @@
                 return;
             }
             Machine any = groupMachines.values().iterator().next();
-            ObjectNode node = WireFormat.newMap().put("k", any.machineType()).put("s", any.zone()).put("p", any.spot()).put("r", any.rentedAtEpochMillis());
+            ObjectNode node =
+                    WireFormat.newMap()
+                            .put("k", any.machineType())
+                            .put("s", any.zone())
+                            .put("p", any.spot())
+                            .put("r", any.rentedAtEpochMillis());
             ArrayNode hosts = node.putArray("h");
             ArrayNode releasing = WireFormat.newList();
             ArrayNode cordoned = WireFormat.newList();
@@ -237,7 +347,9 @@
                 }
             }
             // Where weights are is worth a record only as far as it fits beside the machines.
-            if (!largeImages.isEmpty() && largeImages.toString().length() + node.toString().length() < RecordConstants.MAX_MACHINE_RECORD_CHARS) {
+            if (!largeImages.isEmpty()
+                    && largeImages.toString().length() + node.toString().length()
+                            < RecordConstants.MAX_MACHINE_RECORD_CHARS) {
                 node.set("w", largeImages);
             }
             transaction.put(key, node);
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -1,14 +1,16 @@
 package io.quincelead.cluster;
 
 /**
- * One task's recorded place: the task may be on that machine until evidence says that it is gone. The record is in
- * the task's chunk; what follows below it is this process's own knowledge and is never stored.
+ * One task's recorded place: the task may be on that machine until evidence says that it is gone.
+ * The record is in the task's chunk; what follows below it is this process's own knowledge and is
+ * never stored.
  */
 public final class Placement {
     public final Job job;
     public final int taskIndex;
     public final String host;
     public final long attempt;
+
     /** Recorded: the task is to be stopped to make room or to drain its machine. */
     public final boolean stopRequested;
 
@@ -28,21 +30,34 @@
 
     private Phase phase = Phase.RECORDED;
     private String taskName;
+
     /** Report (tenure, serial) whose response carried the start. */
     public long startSentAgentEpoch;
+
     public long startSentSerial;
+
     /** Last reported state, for display and choice of victims. */
     public String reportedState = "";
+
     /** Loop time when it was first seen running; 0 before. */
     public long runningSinceMillis;
+
     /** Loop time of the last kill sent; 0 before. */
     public long killSentAtMillis;
+
     /** Loop time at which this process first saw the record. */
     public long recordSeenAtMillis;
+
     /** The machine's load while this record is the one that counts there. */
     MachineLoad machineLoad;
 
-    public Placement(Job job, int taskIndex, String host, long attempt, boolean stopRequested, long recordSeenAtMillis) {
+    public Placement(
+            Job job,
+            int taskIndex,
+            String host,
+            long attempt,
+            boolean stopRequested,
+            long recordSeenAtMillis) {
         this.job = job;
         this.taskIndex = taskIndex;
         this.host = host;
@@ -66,8 +81,9 @@
     }
 
     /**
-     * The machine has changed hands. What we concluded under our term no longer holds: the record entitles the new
-     * owner to start the task there, so only the new owner can show that it is gone.
+     * The machine has changed hands. What we concluded under our term no longer holds: the record
+     * entitles the new owner to start the task there, so only the new owner can show that it is
+     * gone.
      */
     public void resetForNewOwner() {
         job.adjustEvidenceCounts(this, -1);
--- a/src/main/java/io/quincelead/cluster/PlacementTable.java
+++ b/src/main/java/io/quincelead/cluster/PlacementTable.java
@@ -6,8 +6,9 @@
 import java.util.NoSuchElementException;
 
 /**
- * The places of one chunk's tasks, in the order of the tasks. Slots instead of a sorted map: every controller reads every
- * change of a chunk, and looking up, copying and walking 200 tasks is most of what that costs.
+ * The places of one chunk's tasks, in the order of the tasks. Slots instead of a sorted map: every
+ * controller reads every change of a chunk, and looking up, copying and walking 200 tasks is most
+ * of what that costs.
  */
 public final class PlacementTable extends AbstractCollection<Placement> {
     private final int firstTaskIndex;
@@ -36,7 +37,10 @@
         return get(taskIndex) != null;
     }
 
-    /** Sets the place of its task; an index that isn't of this chunk is an {@link IndexOutOfBoundsException}. */
+    /**
+     * Sets the place of its task; an index that isn't of this chunk is an {@link
+     * IndexOutOfBoundsException}.
+     */
     void put(Placement placement) {
         size += slots[placement.taskIndex - firstTaskIndex] == null ? 1 : 0;
         slots[placement.taskIndex - firstTaskIndex] = placement;
@@ -54,7 +58,8 @@
 
     /** Walks over the tasks whose places differ from those before; null: there are none. */
     static void forEachChange(PlacementTable before, PlacementTable after, ChangeVisitor visitor) {
-        int slotCount = before != null ? before.slots.length : after != null ? after.slots.length : 0;
+        int slotCount =
+                before != null ? before.slots.length : after != null ? after.slots.length : 0;
         for (int slot = 0; slot < slotCount; slot++) {
             Placement previous = before == null ? null : before.slots[slot];
             Placement current = after == null ? null : after.slots[slot];
@@ -64,11 +69,13 @@
         }
     }
 
-    @Override public int size() {
+    @Override
+    public int size() {
         return size;
     }
 
-    @Override public Iterator<Placement> iterator() {
+    @Override
+    public Iterator<Placement> iterator() {
         return new Iterator<>() {
             private int at = next(0);
 
@@ -80,11 +87,13 @@
                 return i;
             }
 
-            @Override public boolean hasNext() {
+            @Override
+            public boolean hasNext() {
                 return at < slots.length;
             }
 
-            @Override public Placement next() {
+            @Override
+            public Placement next() {
                 if (at >= slots.length) {
                     throw new NoSuchElementException();
                 }
--- a/src/main/java/io/quincelead/cluster/TaskStatePage.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePage.java
@@ -11,21 +11,35 @@
 import java.util.BitSet;
 import java.util.Collection;
 
-/** The recorded states of up to {@link RecordConstants#TASKS_PER_STATE_PAGE} tasks of a job: done, placed, or else pending. */
+/**
+ * The recorded states of up to {@link RecordConstants#TASKS_PER_STATE_PAGE} tasks of a job: done,
+ * placed, or else pending.
+ */
 public final class TaskStatePage {
     /** After the attempt of a task that is to be stopped. */
     private static final char STOP_MARK = '!';
+
     public final Job job;
     public final int pageNumber;
+
     /** The highest attempt used so far. */
     public final long lastAttempt;
+
     public final BitSet completed;
     public final PlacementTable placements;
     private final String storeKey;
+
     /** The places as they are on record; null where no record was read. */
     private final byte[] recordedPlacements;
 
-    private TaskStatePage(Job job, int pageNumber, String storeKey, long lastAttempt, BitSet completed, PlacementTable placements, byte[] recordedPlacements) {
+    private TaskStatePage(
+            Job job,
+            int pageNumber,
+            String storeKey,
+            long lastAttempt,
+            BitSet completed,
+            PlacementTable placements,
+            byte[] recordedPlacements) {
         this.job = job;
         this.storeKey = storeKey;
         this.pageNumber = pageNumber;
@@ -36,7 +50,16 @@
     }
 
     static TaskStatePage empty(Job job, int pageNumber) {
-        return new TaskStatePage(job, pageNumber, job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber), 0, new BitSet(), new PlacementTable(pageNumber * RecordConstants.TASKS_PER_STATE_PAGE, taskCount(job, pageNumber)), null);
+        return new TaskStatePage(
+                job,
+                pageNumber,
+                job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber),
+                0,
+                new BitSet(),
+                new PlacementTable(
+                        pageNumber * RecordConstants.TASKS_PER_STATE_PAGE,
+                        taskCount(job, pageNumber)),
+                null);
     }
 
     /** The record it is kept in: the job's own, if one chunk is all there is. */
@@ -47,7 +70,11 @@
     /** Four digits, so that a job's chunks are listed in their order. */
     private static String pageKey(String jobId, int pageNumber) {
         String digits = Integer.toString(pageNumber);
-        return StoreKeys.TASK_STATE_PAGE_PREFIX + jobId + "/" + "0".repeat(Math.max(0, 4 - digits.length())) + digits;
+        return StoreKeys.TASK_STATE_PAGE_PREFIX
+                + jobId
+                + "/"
+                + "0".repeat(Math.max(0, 4 - digits.length()))
+                + digits;
     }
 
     public int firstTaskIndex() {
@@ -59,7 +86,9 @@
     }
 
     private static int taskCount(Job job, int pageNumber) {
-        return Math.min(RecordConstants.TASKS_PER_STATE_PAGE, job.spec.taskCount() - pageNumber * RecordConstants.TASKS_PER_STATE_PAGE);
+        return Math.min(
+                RecordConstants.TASKS_PER_STATE_PAGE,
+                job.spec.taskCount() - pageNumber * RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
     public int pendingTaskCount() {
@@ -84,7 +113,13 @@
             for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
                 completed += completedRanges.get(i + 1).asInt() - completedRanges.get(i).asInt();
             }
-            return new TaskCounts(completed, (int) placementsText(node.path("p")).chars().filter(character -> character == ';').count());
+            return new TaskCounts(
+                    completed,
+                    (int)
+                            placementsText(node.path("p"))
+                                    .chars()
+                                    .filter(character -> character == ';')
+                                    .count());
         }
 
         /** Both together. */
@@ -93,7 +128,8 @@
         }
     }
 
-    static TaskStatePage decode(Job job, int pageNumber, JsonNode node, TaskStatePage previousPage, long nowMillis) {
+    static TaskStatePage decode(
+            Job job, int pageNumber, JsonNode node, TaskStatePage previousPage, long nowMillis) {
         BitSet completed = new BitSet();
         JsonNode completedRanges = node.path("d");
         for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
@@ -107,17 +143,19 @@
         if (previousPage == null || previousPage.recordedPlacements == null) {
             placements = new PlacementTable(firstTaskIndex, taskCount(job, pageNumber));
         } else {
-            // Most of a chunk is as before: only the places between what both texts begin and end with are read.
+            // Most of a chunk is as before: only the places between what both texts begin and end
+            // with are read.
             byte[] old = previousPage.recordedPlacements;
             from = commonPrefixLength(old, text);
             int unchangedSuffix = commonSuffixLength(old, text, from);
             to = text.length - unchangedSuffix;
             placements = new PlacementTable(previousPage.placements);
             for (int at = from; at < old.length - unchangedSuffix; at = indexAfter(old, at, ';')) {
-                placements.remove(firstTaskIndex + (int) parseDecimal(old, at, indexAfter(old, at, ' ') - 1));
+                placements.remove(
+                        firstTaskIndex + (int) parseDecimal(old, at, indexAfter(old, at, ' ') - 1));
             }
         }
-        for (int at = from; at < to;) {
+        for (int at = from; at < to; ) {
             int host = indexAfter(text, at, ' ');
             int taskIndex = firstTaskIndex + (int) parseDecimal(text, at, host - 1);
             int attemptAt = indexAfter(text, host, ' ');
@@ -126,19 +164,41 @@
             long attempt = parseDecimal(text, attemptAt, stopRequested ? end - 2 : end - 1);
             at = end;
             Placement old = previousPage == null ? null : previousPage.placements.get(taskIndex);
-            boolean same = old != null && old.attempt == attempt && matches(old.host, text, host, attemptAt - 1);
+            boolean same =
+                    old != null
+                            && old.attempt == attempt
+                            && matches(old.host, text, host, attemptAt - 1);
             if (same && old.stopRequested == stopRequested) {
                 placements.put(old);
                 continue;
             }
-            Placement next = new Placement(job, taskIndex, same ? old.host : new String(text, host, attemptAt - 1 - host, StandardCharsets.ISO_8859_1),
-                    attempt, stopRequested, nowMillis);
+            Placement next =
+                    new Placement(
+                            job,
+                            taskIndex,
+                            same
+                                    ? old.host
+                                    : new String(
+                                            text,
+                                            host,
+                                            attemptAt - 1 - host,
+                                            StandardCharsets.ISO_8859_1),
+                            attempt,
+                            stopRequested,
+                            nowMillis);
             if (same) {
                 next.inheritObservations(old);
             }
             placements.put(next);
         }
-        return new TaskStatePage(job, pageNumber, job.emptyPage(pageNumber).storeKey, node.path("t").asLong(), completed, placements, text);
+        return new TaskStatePage(
+                job,
+                pageNumber,
+                job.emptyPage(pageNumber).storeKey,
+                node.path("t").asLong(),
+                completed,
+                placements,
+                text);
     }
 
     /** Bytes that both texts begin with, up to the end of a place. */
@@ -155,11 +215,14 @@
     private static int commonSuffixLength(byte[] left, byte[] right, int from) {
         int limit = Math.min(left.length, right.length) - from;
         int length = 0;
-        while (length < limit && left[left.length - 1 - length] == right[right.length - 1 - length]) {
+        while (length < limit
+                && left[left.length - 1 - length] == right[right.length - 1 - length]) {
             length++;
         }
         // A place begins behind the end of another one, or where both texts begin to differ.
-        while (length > 0 && !(isPlacementStart(left, left.length - length, from) && isPlacementStart(right, right.length - length, from))) {
+        while (length > 0
+                && !(isPlacementStart(left, left.length - length, from)
+                        && isPlacementStart(right, right.length - length, from))) {
             length--;
         }
         return length;
@@ -181,20 +244,30 @@
         return true;
     }
 
-    /** The recorded places as one text: {@code index host attempt;} a task. Before version 0.2 they were lists of four values. */
+    /**
+     * The recorded places as one text: {@code index host attempt;} a task. Before version 0.2 they
+     * were lists of four values.
+     */
     private static String placementsText(JsonNode recorded) {
         if (!recorded.isArray()) {
             return recorded.asText();
         }
         StringBuilder text = new StringBuilder();
         for (int i = 0; i + 3 < recorded.size(); i += 4) {
-            text.append(recorded.get(i).asInt()).append(' ').append(recorded.get(i + 1).asText()).append(' ').append(recorded.get(i + 2).asLong())
+            text.append(recorded.get(i).asInt())
+                    .append(' ')
+                    .append(recorded.get(i + 1).asText())
+                    .append(' ')
+                    .append(recorded.get(i + 2).asLong())
                     .append(recorded.get(i + 3).asInt() == 1 ? STOP_MARK + ";" : ";");
         }
         return text.toString();
     }
 
-    /** Behind the next such mark; a text that has none any more is an {@link IndexOutOfBoundsException}. */
+    /**
+     * Behind the next such mark; a text that has none any more is an {@link
+     * IndexOutOfBoundsException}.
+     */
     private static int indexAfter(byte[] text, int from, char mark) {
         int offset = from;
         while (text[offset] != mark) {
@@ -243,21 +316,26 @@
         }
 
         public boolean isPending(int taskIndex) {
-            return !placements.hasPlacement(taskIndex) && !completed.get(taskIndex - page.firstTaskIndex());
+            return !placements.hasPlacement(taskIndex)
+                    && !completed.get(taskIndex - page.firstTaskIndex());
         }
 
         /**
-         * Whether the plan may give the task a place: it waited on record, or there is evidence that it is gone, which the same
-         * change puts on record. A gang's next attempt starts only when all of the last one is on record as gone.
+         * Whether the plan may give the task a place: it waited on record, or there is evidence
+         * that it is gone, which the same change puts on record. A gang's next attempt starts only
+         * when all of the last one is on record as gone.
          */
         public boolean isPlaceable(int taskIndex) {
-            return isPending(taskIndex) && (page.isPendingOnRecord(taskIndex) || !page.job.spec.isGang());
+            return isPending(taskIndex)
+                    && (page.isPendingOnRecord(taskIndex) || !page.job.spec.isGang());
         }
 
         /** Tasks that may get a place and have none in the plan. */
         public int placeableTaskCount() {
             int count = 0;
-            for (int taskIndex = page.firstTaskIndex(); taskIndex < page.firstTaskIndex() + page.taskCount(); taskIndex++) {
+            for (int taskIndex = page.firstTaskIndex();
+                    taskIndex < page.firstTaskIndex() + page.taskCount();
+                    taskIndex++) {
                 count += isPlaceable(taskIndex) ? 1 : 0;
             }
             return count;
@@ -296,14 +374,24 @@
             if (placement == null) {
                 return;
             }
-            placements.put(new Placement(placement.job, placement.taskIndex, placement.host, placement.attempt, true, placement.recordSeenAtMillis));
+            placements.put(
+                    new Placement(
+                            placement.job,
+                            placement.taskIndex,
+                            placement.host,
+                            placement.attempt,
+                            true,
+                            placement.recordSeenAtMillis));
             changed = true;
         }
 
         /** The record under the chunk's key with this change made. */
         public ObjectNode encode() {
-            ObjectNode node = TaskStatePage.encode(page.firstTaskIndex(), lastAttempt, completed, placements);
-            return page.job.hasSinglePage() ? page.job.encode(page.job.controllerId, page.job.cancelledAtEpochMillis, node) : node;
+            ObjectNode node =
+                    TaskStatePage.encode(page.firstTaskIndex(), lastAttempt, completed, placements);
+            return page.job.hasSinglePage()
+                    ? page.job.encode(page.job.controllerId, page.job.cancelledAtEpochMillis, node)
+                    : node;
         }
     }
 
@@ -311,18 +399,24 @@
         return encode(firstTaskIndex(), lastAttempt, completed, placements);
     }
 
-    private static ObjectNode encode(int firstTaskIndex, long lastAttempt, BitSet completed, PlacementTable placements) {
+    private static ObjectNode encode(
+            int firstTaskIndex, long lastAttempt, BitSet completed, PlacementTable placements) {
         ObjectNode node = WireFormat.newMap().put("t", lastAttempt);
         ArrayNode completedRanges = node.putArray("d");
-        for (int from = completed.nextSetBit(0); from >= 0;) {
+        for (int from = completed.nextSetBit(0); from >= 0; ) {
             int to = completed.nextClearBit(from);
             completedRanges.add(from).add(to);
             from = completed.nextSetBit(to);
         }
-        // One text instead of four values a task: every controller reads every change, and this is most of what it reads.
+        // One text instead of four values a task: every controller reads every change, and this is
+        // most of what it reads.
         StringBuilder text = new StringBuilder(placements.size() * 16);
         for (Placement placement : placements) {
-            text.append(placement.taskIndex - firstTaskIndex).append(' ').append(placement.host).append(' ').append(placement.attempt);
+            text.append(placement.taskIndex - firstTaskIndex)
+                    .append(' ')
+                    .append(placement.host)
+                    .append(' ')
+                    .append(placement.attempt);
             if (placement.stopRequested) {
                 text.append(STOP_MARK);
             }
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -18,9 +18,15 @@
         UP,
         /** Hardly one is heard. No machine is rented there; nothing is concluded. */
         DOUBTFUL,
-        /** Silent for longer than its workers' lease; its tasks may live on inside. They keep their places and their teams' use. */
+        /**
+         * Silent for longer than its workers' lease; its tasks may live on inside. They keep their
+         * places and their teams' use.
+         */
         CUT,
-        /** Most of its machines are gone, by the cloud's word. What ran there has its next place elsewhere. */
+        /**
+         * Most of its machines are gone, by the cloud's word. What ran there has its next place
+         * elsewhere.
+         */
         LOST,
         /** Machines are heard there again. They get what waits; nothing is moved there. */
         RETURNING,
@@ -29,27 +35,58 @@
     }
 
     /** What operators have ordered for a zone that can't be reached. */
-    public enum OperatorOrder { NONE, HOLD, RELEASE }
+    public enum OperatorOrder {
+        NONE,
+        HOLD,
+        RELEASE
+    }
 
     /**
-     * A zone's record. {@code since}: when it came into the state, in ms since 1970; {@code had}: machines it had when it was first doubted;
-     * {@code losses}: how often it was lost of late; {@code why}: the evidence, in words.
+     * A zone's record. {@code since}: when it came into the state, in ms since 1970; {@code had}:
+     * machines it had when it was first doubted; {@code losses}: how often it was lost of late;
+     * {@code why}: the evidence, in words.
      */
-    public record Zone(String name, State state, long sinceEpochMillis, int machineCountWhenDoubted, int recentLossCount, String reason, OperatorOrder operatorOrder) {
+    public record Zone(
+            String name,
+            State state,
+            long sinceEpochMillis,
+            int machineCountWhenDoubted,
+            int recentLossCount,
+            String reason,
+            OperatorOrder operatorOrder) {
         public static Zone up(String zoneName) {
             return new Zone(zoneName, State.UP, 0, 0, 0, "", OperatorOrder.NONE);
         }
 
         public Zone withState(State next, long nowEpochMillis, String evidence) {
-            return new Zone(name, next, nowEpochMillis, machineCountWhenDoubted, recentLossCount, evidence, operatorOrder);
+            return new Zone(
+                    name,
+                    next,
+                    nowEpochMillis,
+                    machineCountWhenDoubted,
+                    recentLossCount,
+                    evidence,
+                    operatorOrder);
         }
 
         public Zone withOperatorOrder(OperatorOrder newOrder) {
-            return new Zone(name, state, sinceEpochMillis, machineCountWhenDoubted, recentLossCount, reason, newOrder);
+            return new Zone(
+                    name,
+                    state,
+                    sinceEpochMillis,
+                    machineCountWhenDoubted,
+                    recentLossCount,
+                    reason,
+                    newOrder);
         }
 
         public ObjectNode encode() {
-            return WireFormat.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("since", sinceEpochMillis).put("had", machineCountWhenDoubted).put("losses", recentLossCount).put("why", reason)
+            return WireFormat.newMap()
+                    .put("st", state.name().toLowerCase(Locale.ROOT))
+                    .put("since", sinceEpochMillis)
+                    .put("had", machineCountWhenDoubted)
+                    .put("losses", recentLossCount)
+                    .put("why", reason)
                     .put("order", operatorOrder.name().toLowerCase(Locale.ROOT));
         }
     }
@@ -57,22 +94,38 @@
     private final Map<String, Zone> zones = new TreeMap<>();
 
     public ZoneTable(WatchCache mirror) {
-        mirror.addPrefixListener(StoreKeys.ZONE_PREFIX, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode v, long stamp) {
-                String name = key.substring(StoreKeys.ZONE_PREFIX.length());
-                try {
-                    zones.put(name, new Zone(name, State.valueOf(v.path("st").asText().toUpperCase(Locale.ROOT)), v.path("since").asLong(), v.path("had").asInt(),
-                            v.path("losses").asInt(), v.path("why").asText(), OperatorOrder.valueOf(v.path("order").asText("none").toUpperCase(Locale.ROOT))));
-                } catch (IllegalArgumentException e) {
-                    // A state of a later build: as it was, the zone goes on.
-                    zones.putIfAbsent(name, Zone.up(name));
-                }
-            }
+        mirror.addPrefixListener(
+                StoreKeys.ZONE_PREFIX,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode v, long stamp) {
+                        String name = key.substring(StoreKeys.ZONE_PREFIX.length());
+                        try {
+                            zones.put(
+                                    name,
+                                    new Zone(
+                                            name,
+                                            State.valueOf(
+                                                    v.path("st").asText().toUpperCase(Locale.ROOT)),
+                                            v.path("since").asLong(),
+                                            v.path("had").asInt(),
+                                            v.path("losses").asInt(),
+                                            v.path("why").asText(),
+                                            OperatorOrder.valueOf(
+                                                    v.path("order")
+                                                            .asText("none")
+                                                            .toUpperCase(Locale.ROOT))));
+                        } catch (IllegalArgumentException e) {
+                            // A state of a later build: as it was, the zone goes on.
+                            zones.putIfAbsent(name, Zone.up(name));
+                        }
+                    }
 
-            @Override public void onRemove(String key) {
-                zones.remove(key.substring(StoreKeys.ZONE_PREFIX.length()));
-            }
-        });
+                    @Override
+                    public void onRemove(String key) {
+                        zones.remove(key.substring(StoreKeys.ZONE_PREFIX.length()));
+                    }
+                });
     }
 
     public Zone get(String name) {
--- a/src/main/java/io/quincelead/config/OperatorSettings.java
+++ b/src/main/java/io/quincelead/config/OperatorSettings.java
@@ -12,26 +12,44 @@
 import java.util.Map;
 
 /**
- * The operators' own settings (JSON, checked against {@code operator-settings.schema.json}).
- * Every field is optional; the defaults are those the design states.
+ * The operators' own settings (JSON, checked against {@code operator-settings.schema.json}). Every
+ * field is optional; the defaults are those the design states.
  */
-public record OperatorSettings(double parallelFraction, int tebasGroupSize, double shardLeaseSeconds, Map<String, Double> clockSpeedByMachineType,
-        double drainBacklogSeconds, double idleReturnSeconds, double reserveFraction, ZoneRecovery zoneRecovery) {
+public record OperatorSettings(
+        double parallelFraction,
+        int tebasGroupSize,
+        double shardLeaseSeconds,
+        Map<String, Double> clockSpeedByMachineType,
+        double drainBacklogSeconds,
+        double idleReturnSeconds,
+        double reserveFraction,
+        ZoneRecovery zoneRecovery) {
 
     /**
-     * How lost zones are met; off unless stated. {@code settleS}: seconds for which a zone that came back must hold before work is moved
-     * to it; {@code movesPerMinute}: replicas moved at most, of all models together; {@code heavyGb}: images from this size on are recorded
-     * with their machines.
+     * How lost zones are met; off unless stated. {@code settleS}: seconds for which a zone that
+     * came back must hold before work is moved to it; {@code movesPerMinute}: replicas moved at
+     * most, of all models together; {@code heavyGb}: images from this size on are recorded with
+     * their machines.
      */
-    public record ZoneRecovery(boolean enabled, double settleSeconds, double movesPerMinute, double heavyImageGb) {
+    public record ZoneRecovery(
+            boolean enabled, double settleSeconds, double movesPerMinute, double heavyImageGb) {
         public static final ZoneRecovery DISABLED = new ZoneRecovery(false, 60, 6, 5);
     }
 
-    public static final OperatorSettings DEFAULTS = new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, ZoneRecovery.DISABLED);
+    public static final OperatorSettings DEFAULTS =
+            new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, ZoneRecovery.DISABLED);
 
     /** The same with zones met in this way. */
     public OperatorSettings withZoneRecovery(ZoneRecovery zoneRecovery) {
-        return new OperatorSettings(parallelFraction, tebasGroupSize, shardLeaseSeconds, clockSpeedByMachineType, drainBacklogSeconds, idleReturnSeconds, reserveFraction, zoneRecovery);
+        return new OperatorSettings(
+                parallelFraction,
+                tebasGroupSize,
+                shardLeaseSeconds,
+                clockSpeedByMachineType,
+                drainBacklogSeconds,
+                idleReturnSeconds,
+                reserveFraction,
+                zoneRecovery);
     }
 
     public static OperatorSettings load(File file) throws Settings.InvalidSettingsException {
@@ -40,11 +58,16 @@
         try {
             root = mapper.readTree(file);
         } catch (IOException e) {
-            String firstLine = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
-            throw new Settings.InvalidSettingsException(file + ": can't be read as JSON: " + firstLine);
+            String firstLine =
+                    String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
+            throw new Settings.InvalidSettingsException(
+                    file + ": can't be read as JSON: " + firstLine);
         }
-        try (InputStream schemaStream = OperatorSettings.class.getResourceAsStream("/operator-settings.schema.json")) {
-            var schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream);
+        try (InputStream schemaStream =
+                OperatorSettings.class.getResourceAsStream("/operator-settings.schema.json")) {
+            var schema =
+                    JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                            .getSchema(schemaStream);
             for (ValidationMessage violation : schema.validate(root)) {
                 throw new Settings.InvalidSettingsException(file + ": " + violation.getMessage());
             }
@@ -52,17 +75,32 @@
             throw new IllegalStateException("the schema is not in the jar", e);
         }
         Map<String, Double> clockSpeedByMachineType = new HashMap<>();
-        root.path("frequencyByType").fields().forEachRemaining(field -> clockSpeedByMachineType.put(field.getKey(), field.getValue().asDouble()));
+        root.path("frequencyByType")
+                .fields()
+                .forEachRemaining(
+                        field ->
+                                clockSpeedByMachineType.put(
+                                        field.getKey(), field.getValue().asDouble()));
         OperatorSettings defaults = DEFAULTS;
-        return new OperatorSettings(root.path("alpha").asDouble(defaults.parallelFraction), root.path("beta").asInt(defaults.tebasGroupSize),
-                root.path("blockLeaseSeconds").asDouble(defaults.shardLeaseSeconds), clockSpeedByMachineType,
+        return new OperatorSettings(
+                root.path("alpha").asDouble(defaults.parallelFraction),
+                root.path("beta").asInt(defaults.tebasGroupSize),
+                root.path("blockLeaseSeconds").asDouble(defaults.shardLeaseSeconds),
+                clockSpeedByMachineType,
                 root.path("drainBacklogSeconds").asDouble(defaults.drainBacklogSeconds),
-                root.path("idleReturnSeconds").asDouble(defaults.idleReturnSeconds), root.path("headroom").asDouble(defaults.reserveFraction), readZoneRecovery(root.path("zones")));
+                root.path("idleReturnSeconds").asDouble(defaults.idleReturnSeconds),
+                root.path("headroom").asDouble(defaults.reserveFraction),
+                readZoneRecovery(root.path("zones")));
     }
 
     private static ZoneRecovery readZoneRecovery(JsonNode node) {
         ZoneRecovery defaults = ZoneRecovery.DISABLED;
-        return node.isMissingNode() ? defaults : new ZoneRecovery(node.path("on").asBoolean(true), node.path("settleSeconds").asDouble(defaults.settleSeconds),
-                node.path("movesPerMinute").asDouble(defaults.movesPerMinute), node.path("heavyImageGb").asDouble(defaults.heavyImageGb));
+        return node.isMissingNode()
+                ? defaults
+                : new ZoneRecovery(
+                        node.path("on").asBoolean(true),
+                        node.path("settleSeconds").asDouble(defaults.settleSeconds),
+                        node.path("movesPerMinute").asDouble(defaults.movesPerMinute),
+                        node.path("heavyImageGb").asDouble(defaults.heavyImageGb));
     }
 }
--- a/src/main/java/io/quincelead/config/Settings.java
+++ b/src/main/java/io/quincelead/config/Settings.java
@@ -9,28 +9,59 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings file that the platform hands over (TOML), checked once at the start. Unknown fields are ignored. */
-public record Settings(String memberId, String zone, String listenAddress, String clusterListenAddress, Map<String, String> peerAddresses,
-        String cloudAddress, String storeAddress, int controllerCount, double clockErrorMillis, Map<String, Team> teams, List<ServiceLevelObjective> objectives,
-        WorkerTimings workerTimings, StoreLimits storeLimits, CloudLimits cloudLimits, ProcessLimits processLimits) {
+/**
+ * The settings file that the platform hands over (TOML), checked once at the start. Unknown fields
+ * are ignored.
+ */
+public record Settings(
+        String memberId,
+        String zone,
+        String listenAddress,
+        String clusterListenAddress,
+        Map<String, String> peerAddresses,
+        String cloudAddress,
+        String storeAddress,
+        int controllerCount,
+        double clockErrorMillis,
+        Map<String, Team> teams,
+        List<ServiceLevelObjective> objectives,
+        WorkerTimings workerTimings,
+        StoreLimits storeLimits,
+        CloudLimits cloudLimits,
+        ProcessLimits processLimits) {
 
     /** A team's guarantee and limit. */
-    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) { }
+    public record Team(
+            String name,
+            double guaranteedCpus,
+            double maxCpus,
+            double guaranteedGpus,
+            double maxGpus) {}
 
     /** What is expected of a class of jobs. */
-    public record ServiceLevelObjective(String metric, String jobClass, double withinSeconds, double fraction, double factor) { }
+    public record ServiceLevelObjective(
+            String metric, String jobClass, double withinSeconds, double fraction, double factor) {}
 
     /** What the platform says of workers, in seconds. */
-    public record WorkerTimings(double heartbeatSeconds, double leaseSeconds, double gangWaitSeconds, double gangPeerSeconds, double cancelSeconds) { }
+    public record WorkerTimings(
+            double heartbeatSeconds,
+            double leaseSeconds,
+            double gangWaitSeconds,
+            double gangPeerSeconds,
+            double cancelSeconds) {}
 
     /** Limits of the state service. */
-    public record StoreLimits(double requestsPerSecond, double writesPerSecond, double maxValueKb, int maxTransactionOperations) { }
+    public record StoreLimits(
+            double requestsPerSecond,
+            double writesPerSecond,
+            double maxValueKb,
+            int maxTransactionOperations) {}
 
     /** Limits of the cloud. */
-    public record CloudLimits(double requestsPerSecond, double listLagSeconds) { }
+    public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /** What the process may use. */
-    public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) { }
+    public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) {}
 
     /** A settings file that can't be used: the message names file, field and what is allowed. */
     public static final class InvalidSettingsException extends Exception {
@@ -46,7 +77,8 @@
         try {
             root = new TomlMapper().readTree(file);
         } catch (IOException e) {
-            String firstLine = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
+            String firstLine =
+                    String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
             throw new InvalidSettingsException(file + ": can't be read as TOML: " + firstLine);
         }
         return read(root, file.toString());
@@ -63,28 +95,58 @@
         }
         Map<String, Team> teams = new LinkedHashMap<>();
         for (TableReader teamTable : settingsTable.tables("teams", true)) {
-            Team team = new Team(teamTable.text("name"), teamTable.number("cpus", 0, 0), teamTable.number("cpus_max", 0, null),
-                    teamTable.number("gpus", 0, 0), teamTable.number("gpus_max", 0, 0));
+            Team team =
+                    new Team(
+                            teamTable.text("name"),
+                            teamTable.number("cpus", 0, 0),
+                            teamTable.number("cpus_max", 0, null),
+                            teamTable.number("gpus", 0, 0),
+                            teamTable.number("gpus_max", 0, 0));
             teams.put(team.name(), team);
         }
         List<ServiceLevelObjective> objectives = new ArrayList<>();
         for (TableReader objectiveTable : settingsTable.tables("objectives", false)) {
-            objectives.add(new ServiceLevelObjective(objectiveTable.text("kind"), objectiveTable.textOrDefault("class", ""), objectiveTable.number("within_s", 0, 0),
-                    objectiveTable.number("share", 0, 0), objectiveTable.number("times", 0, 1)));
+            objectives.add(
+                    new ServiceLevelObjective(
+                            objectiveTable.text("kind"),
+                            objectiveTable.textOrDefault("class", ""),
+                            objectiveTable.number("within_s", 0, 0),
+                            objectiveTable.number("share", 0, 0),
+                            objectiveTable.number("times", 0, 1)));
         }
         TableReader workersTable = settingsTable.table("workers");
         TableReader stateTable = settingsTable.table("state");
         TableReader cloudTable = settingsTable.table("cloud");
         TableReader limitsTable = settingsTable.table("limits");
-        return new Settings(rootTable.text("member"), rootTable.text("domain"), rootTable.address("listen"), rootTable.address("cluster_listen"), peerAddresses,
-                externalTable.address("cloud"), externalTable.address("state"), (int) settingsTable.number("count", 1, peerAddresses.size() + 1),
-                settingsTable.number("clock_error_ms", 0, 0), teams, objectives,
-                new WorkerTimings(workersTable.number("report_s", 0.01, null), workersTable.number("lease_s", 0.1, null),
-                        workersTable.number("gang_wait_s", 0, 30), workersTable.number("gang_peer_s", 0, 5), workersTable.number("cancel_s", 0.1, null)),
-                new StoreLimits(stateTable.number("rps", 1, null), stateTable.number("write_rps", 1, null), stateTable.number("value_kb", 1, null),
+        return new Settings(
+                rootTable.text("member"),
+                rootTable.text("domain"),
+                rootTable.address("listen"),
+                rootTable.address("cluster_listen"),
+                peerAddresses,
+                externalTable.address("cloud"),
+                externalTable.address("state"),
+                (int) settingsTable.number("count", 1, peerAddresses.size() + 1),
+                settingsTable.number("clock_error_ms", 0, 0),
+                teams,
+                objectives,
+                new WorkerTimings(
+                        workersTable.number("report_s", 0.01, null),
+                        workersTable.number("lease_s", 0.1, null),
+                        workersTable.number("gang_wait_s", 0, 30),
+                        workersTable.number("gang_peer_s", 0, 5),
+                        workersTable.number("cancel_s", 0.1, null)),
+                new StoreLimits(
+                        stateTable.number("rps", 1, null),
+                        stateTable.number("write_rps", 1, null),
+                        stateTable.number("value_kb", 1, null),
                         (int) stateTable.number("txn_ops", 4, null)),
-                new CloudLimits(cloudTable.number("rps", 0.01, null), cloudTable.number("list_lag_s", 0, 5)),
-                new ProcessLimits(limitsTable.number("cpu_share", 0, 1), limitsTable.number("ram_mb", 1, 256),
+                new CloudLimits(
+                        cloudTable.number("rps", 0.01, null),
+                        cloudTable.number("list_lag_s", 0, 5)),
+                new ProcessLimits(
+                        limitsTable.number("cpu_share", 0, 1),
+                        limitsTable.number("ram_mb", 1, 256),
                         (int) limitsTable.number("max_connections", 8, 500)));
     }
 
@@ -115,7 +177,9 @@
                 if (!value.get(index).isObject()) {
                     throw invalid(field + "[" + index + "]", "a table is required");
                 }
-                tables.add(new TableReader(fileName, path + field + "[" + index + "].", value.get(index)));
+                tables.add(
+                        new TableReader(
+                                fileName, path + field + "[" + index + "].", value.get(index)));
             }
             return tables;
         }
@@ -143,15 +207,20 @@
             } catch (NumberFormatException e) {
                 // falls through to the refusal below
             }
-            throw invalid(field, "an address like 10.0.0.1:8080 is required, not \"" + address + "\"");
+            throw invalid(
+                    field, "an address like 10.0.0.1:8080 is required, not \"" + address + "\"");
         }
 
-        double number(String field, double minimum, Number fallback) throws InvalidSettingsException {
+        double number(String field, double minimum, Number fallback)
+                throws InvalidSettingsException {
             JsonNode value = node.get(field);
             if (value == null && fallback != null) {
                 return fallback.doubleValue();
             }
-            if (value == null || !value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < minimum) {
+            if (value == null
+                    || !value.isNumber()
+                    || !Double.isFinite(value.asDouble())
+                    || value.asDouble() < minimum) {
                 throw invalid(field, "a number of at least " + minimum + " is required");
             }
             return value.asDouble();
--- a/src/main/java/io/quincelead/config/constants/ApiConstants.java
+++ b/src/main/java/io/quincelead/config/constants/ApiConstants.java
@@ -26,5 +26,5 @@
     /** s. What a user is told to wait when the service can't take a request. */
     public static final int RETRY_AFTER_SECONDS = 1;
 
-    private ApiConstants() { }
+    private ApiConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
@@ -20,7 +20,10 @@
     /** ms. The longest such pause. */
     public static final long NO_CAPACITY_BACKOFF_MAX_MILLIS = 45_000;
 
-    /** s. A machine is expected to stay about this long: spreads the cost of its start over its work. */
+    /**
+     * s. A machine is expected to stay about this long: spreads the cost of its start over its
+     * work.
+     */
     public static final double EXPECTED_STAY_SECONDS = 300;
 
     /** s. Short average of the arriving work: notices when a load has ended. */
@@ -32,44 +35,74 @@
     /** s. Less time than this says little of a rate. */
     public static final double MIN_LOAD_WINDOW_SECONDS = 40;
 
-    /** Parts of the capacity that must be missing in time before dear machines are rented for it. */
+    /**
+     * Parts of the capacity that must be missing in time before dear machines are rented for it.
+     */
     public static final double COSTLY_MISSING_CAPACITY_FRACTION = 0.08;
 
-    /** Times. The usual load's work is multiplied by this: boots, fetches and gaps between tasks take their part. */
+    /**
+     * Times. The usual load's work is multiplied by this: boots, fetches and gaps between tasks
+     * take their part.
+     */
     public static final double USUAL_LOAD_MARGIN_FACTOR = 1.1;
 
     /** s. A machine rented now helps after about this long. */
     public static final double TYPICAL_BOOT_SECONDS = 25;
 
-    /** s. Work due sooner than this is counted as due then: no machine rented now can help it earlier. */
+    /**
+     * s. Work due sooner than this is counted as due then: no machine rented now can help it
+     * earlier.
+     */
     public static final double SOONEST_HELP_SECONDS = 70;
 
-    /** Parts of the waiting CPUs for which cheap machines are rented at once, whatever the due times. */
+    /**
+     * Parts of the waiting CPUs for which cheap machines are rented at once, whatever the due
+     * times.
+     */
     public static final double SPOT_WAITING_CPUS_FRACTION = 0.6;
 
-    /** s. Within this time work that is late already should be done: hurry doesn't help it any more. */
+    /**
+     * s. Within this time work that is late already should be done: hurry doesn't help it any more.
+     */
     public static final double OVERDUE_DRAIN_SECONDS = 90;
 
-    /** Parts of the waiting CPUs that count as open load: most of a burst waits only until room comes free. */
+    /**
+     * Parts of the waiting CPUs that count as open load: most of a burst waits only until room
+     * comes free.
+     */
     public static final double OPEN_LOAD_WAITING_FRACTION = 1.0;
 
     /** CPUs. With nothing waiting, no machine is rented for a smaller usual load than this. */
     public static final double MIN_SPOT_LOAD_CPUS = 4;
 
-    /** CPUs. Up to this many in use, spare capacity is the operators' headroom of it; beyond, it grows with the root only, as
-     *  the ups and downs of many independent jobs do. */
+    /**
+     * CPUs. Up to this many in use, spare capacity is the operators' headroom of it; beyond, it
+     * grows with the root only, as the ups and downs of many independent jobs do.
+     */
     public static final double LINEAR_RESERVE_MAX_CPUS = 200;
 
-    /** Records of machines closed or opened in one write, if the store's share of the moment allows it. */
+    /**
+     * Records of machines closed or opened in one write, if the store's share of the moment allows
+     * it.
+     */
     public static final int MAX_CORDON_RECORDS_PER_WRITE = 10;
 
-    /** Times its CPUs that must be spare before a machine is closed: keeps it from being opened again at once. */
+    /**
+     * Times its CPUs that must be spare before a machine is closed: keeps it from being opened
+     * again at once.
+     */
     public static final double CORDON_SPARE_FACTOR = 1.3;
 
-    /** CPUs. A dear machine of this size is counted at twice its price, for the time it takes to run empty. */
+    /**
+     * CPUs. A dear machine of this size is counted at twice its price, for the time it takes to run
+     * empty.
+     */
     public static final double SLOW_DRAIN_MACHINE_CPUS = 40;
 
-    /** CPUs. Of a larger machine only this much must be spare: its tasks leave one by one, so its room goes slowly. */
+    /**
+     * CPUs. Of a larger machine only this much must be spare: its tasks leave one by one, so its
+     * room goes slowly.
+     */
     public static final double MAX_CORDON_SPARE_CPUS = 24;
 
     /** s. A machine is not closed before it has been paid for this long. */
@@ -87,7 +120,10 @@
     /** ms. The machine list is read this often, to find unexpected machines. */
     public static final long INVENTORY_INTERVAL_MILLIS = 10_000;
 
-    /** List lags. A leader trusts the list on unexpected machines after this time: what its predecessor returned is gone from it by then. */
+    /**
+     * List lags. A leader trusts the list on unexpected machines after this time: what its
+     * predecessor returned is gone from it by then.
+     */
     public static final double TRUST_UNEXPECTED_AFTER_LIST_LAGS = 4;
 
     /** ms. Current prices are read this often. */
@@ -102,5 +138,5 @@
     /** s before a window opens, beside the longest boot, at which machines for it are rented. */
     public static final double CALENDAR_PROVISIONING_SLACK_SECONDS = 20;
 
-    private AutoscalerConstants() { }
+    private AutoscalerConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/PolicyConstants.java
+++ b/src/main/java/io/quincelead/config/constants/PolicyConstants.java
@@ -8,7 +8,10 @@
     /** The largest rank of a class. */
     public static final int MAX_RANK = 1_000;
 
-    /** Rank of a job that no class matches: in the middle, so that classes can be set before and behind the rest. */
+    /**
+     * Rank of a job that no class matches: in the middle, so that classes can be set before and
+     * behind the rest.
+     */
     public static final int DEFAULT_RANK = 500;
 
     /** s. The users want every job begun within four minutes; a class may say otherwise. */
@@ -20,7 +23,10 @@
     /** Parts of a job's tasks that should have begun by then. */
     public static final double DEFAULT_MIN_BEGUN_FRACTION = 0.5;
 
-    /** Characters of the classes' text in one record; escaped, they still fit the 8 KiB that a value may have. */
+    /**
+     * Characters of the classes' text in one record; escaped, they still fit the 8 KiB that a value
+     * may have.
+     */
     public static final int MAX_CLASSES_PART_CHARS = 3_500;
 
     /** Records of one generation of classes: with the head they fit one change of 12. */
@@ -44,7 +50,10 @@
     /** ms. What an occurrence has counted is recorded this often at most. */
     public static final long MIN_COUNT_RECORD_INTERVAL_MILLIS = 2_000;
 
-    /** ms. Entries are gone through this often for occurrences to plan, and whenever one has changed. */
+    /**
+     * ms. Entries are gone through this often for occurrences to plan, and whenever one has
+     * changed.
+     */
     public static final long OCCURRENCE_PLANNING_INTERVAL_MILLIS = 5_000;
 
     /** Publications shown by one answer. */
@@ -56,10 +65,15 @@
     /** ms. A leader looks back this long for occurrences that passed while nobody led. */
     public static final long LOOK_BACK_MILLIS = 86_400_000;
 
-    /** ms after the publication at which the verdict is given: jobs accepted before it are in every mirror by then, clocks allowed for. */
+    /**
+     * ms after the publication at which the verdict is given: jobs accepted before it are in every
+     * mirror by then, clocks allowed for.
+     */
     public static final long VERDICT_DELAY_MILLIS = 3_000;
 
-    /** ms after the publication at which an occurrence is closed though covered jobs are still open. */
+    /**
+     * ms after the publication at which an occurrence is closed though covered jobs are still open.
+     */
     public static final long OCCURRENCE_CLOSE_DELAY_MILLIS = 3_600_000;
 
     /** Unfinished covered jobs named in an occurrence's record: 400 names take 4 KiB. */
@@ -80,5 +94,5 @@
     /** Records removed by one sweep. */
     public static final int MAX_RECORDS_PER_SWEEP = 4;
 
-    private PolicyConstants() { }
+    private PolicyConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/StoreConstants.java
+++ b/src/main/java/io/quincelead/config/constants/StoreConstants.java
@@ -17,7 +17,10 @@
     /** ms. A watch that says nothing this long after its hold is taken for lost. */
     public static final long WATCH_TIMEOUT_SLACK_MILLIS = 3_000;
 
-    /** Parts of one that the shortage of changes counts for more with each second in which some had to wait. */
+    /**
+     * Parts of one that the shortage of changes counts for more with each second in which some had
+     * to wait.
+     */
     public static final double BACKPRESSURE_RISE_PER_INTERVAL_FRACTION = 0.25;
 
     /** Parts of one by which it falls with each other second. */
@@ -29,7 +32,10 @@
     /** Parts of the store's request limit that the watches of all controllers together may use. */
     public static final double WATCH_REQUESTS_FRACTION = 0.36;
 
-    /** ms. No two looks at the store's news follow each other faster: news come together, and each look costs a turn of the loop. */
+    /**
+     * ms. No two looks at the store's news follow each other faster: news come together, and each
+     * look costs a turn of the loop.
+     */
     public static final long MIN_WATCH_INTERVAL_MILLIS = 80;
 
     /** ms. Pause of what users wait for when the store's limit of the moment is used up. */
@@ -53,5 +59,5 @@
     /** Submissions and cancellations that may wait for the store. */
     public static final int MAX_WAITING_COMMITS = 150;
 
-    private StoreConstants() { }
+    private StoreConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/TransportConstants.java
+++ b/src/main/java/io/quincelead/config/constants/TransportConstants.java
@@ -5,7 +5,10 @@
     /** Bytes. The protocol's limit for a request body and for a response to workers and users. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** Bytes. Room for the worst answers of the store: 512 KiB of items, or an unbounded watch response. */
+    /**
+     * Bytes. Room for the worst answers of the store: 512 KiB of items, or an unbounded watch
+     * response.
+     */
     public static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
     /** ms. Direct orders and peer messages are small and near. */
@@ -17,7 +20,9 @@
     /** ms. A request must have come in whole by then. */
     public static final int REQUEST_PARSE_TIMEOUT_MILLIS = 10_000;
 
-    /** ms. A connection of ours that is idle this long is closed before the other side may do so. */
+    /**
+     * ms. A connection of ours that is idle this long is closed before the other side may do so.
+     */
     public static final long CLIENT_IDLE_TIMEOUT_MILLIS = 60_000;
 
     /** Connections from us to one address. */
@@ -26,21 +31,29 @@
     /** Connections that other controllers may open to us. */
     public static final int MAX_PEER_CONNECTIONS = 32;
 
-    /** ms. An attempt to connect that has taken longer counts for nothing but its socket: another one may be made. */
+    /**
+     * ms. An attempt to connect that has taken longer counts for nothing but its socket: another
+     * one may be made.
+     */
     public static final long CONNECT_TIMEOUT_MILLIS = 1_500;
 
     /** Calls that may wait for a connection to one address. */
     public static final int MAX_WAITING_CALLS_PER_ADDRESS = 200;
 
-    /** Connections of the limit that are left to probes, files and whatever else a process opens. */
+    /**
+     * Connections of the limit that are left to probes, files and whatever else a process opens.
+     */
     public static final int RESERVED_CONNECTIONS = 24;
 
     /** Parts of the connection limit for connections to workers that are told something at once. */
     public static final double WORKER_CALLS_CONNECTION_FRACTION = 0.1;
 
-    /** Parts of the connections that users and workers may have; beyond, workers' are closed after each answer, so that a controller
-     *  left alone with more workers than connections still has some for users and for the platform's probe. */
+    /**
+     * Parts of the connections that users and workers may have; beyond, workers' are closed after
+     * each answer, so that a controller left alone with more workers than connections still has
+     * some for users and for the platform's probe.
+     */
     public static final double CROWDED_CONNECTION_FRACTION = 0.75;
 
-    private TransportConstants() { }
+    private TransportConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/ZoneConstants.java
+++ b/src/main/java/io/quincelead/config/constants/ZoneConstants.java
@@ -23,11 +23,14 @@
     /** ms. The longest that a zone which keeps being lost must hold before work is moved to it. */
     public static final double MAX_SETTLE_MILLIS = 600_000;
 
-    /** ms. So long after it got its place, beside the fetch, a replica counts as serving, and the next one of its model may move. */
+    /**
+     * ms. So long after it got its place, beside the fetch, a replica counts as serving, and the
+     * next one of its model may move.
+     */
     public static final long REPLICA_STEADY_AFTER_MILLIS = 12_000;
 
     /** ms. Heavy images are recorded this often at most, a record of machines at a time. */
     public static final long IMAGE_RECORD_INTERVAL_MILLIS = 5_000;
 
-    private ZoneConstants() { }
+    private ZoneConstants() {}
 }
--- a/src/main/java/io/quincelead/eventloop/EventLoop.java
+++ b/src/main/java/io/quincelead/eventloop/EventLoop.java
@@ -1,6 +1,9 @@
 package io.quincelead.eventloop;
 
-/** The one event loop that owns all state of a controller. Time and turns come from here, so tests can inject both. */
+/**
+ * The one event loop that owns all state of a controller. Time and turns come from here, so tests
+ * can inject both.
+ */
 public interface EventLoop {
     /** Steady time in ms. */
     long nowMillis();
@@ -13,12 +16,14 @@
 
     /** Repeats a task on the loop; the next run is due {@code ms} after the last has ended. */
     default void runEvery(long intervalMillis, Runnable task) {
-        runAfter(intervalMillis, () -> {
-            try {
-                task.run();
-            } finally {
-                runEvery(intervalMillis, task);
-            }
-        });
+        runAfter(
+                intervalMillis,
+                () -> {
+                    try {
+                        task.run();
+                    } finally {
+                        runEvery(intervalMillis, task);
+                    }
+                });
     }
 }
--- a/src/main/java/io/quincelead/peer/PeerMessenger.java
+++ b/src/main/java/io/quincelead/peer/PeerMessenger.java
@@ -21,8 +21,9 @@
 import java.util.Set;
 
 /**
- * What controllers tell each other, in JSON: the leader hears of machines that report to the wrong place and of those
- * that should get no work. All of it is advice; nothing that a rule depends on travels here.
+ * What controllers tell each other, in JSON: the leader hears of machines that report to the wrong
+ * place and of those that should get no work. All of it is advice; nothing that a rule depends on
+ * travels here.
  */
 public final class PeerMessenger {
     private final EventLoop eventLoop;
@@ -35,10 +36,23 @@
     private long lastSentSequence;
     private long acknowledgedAtMillis = Long.MIN_VALUE / 2;
 
-    /** Machines that may get work: named one by one, for a machine granted since isn't known to be up. */
-    private record PeerStatus(long receivedAtMillis, long leaseId, long sequence, Set<String> schedulableHosts, Set<String> bootingHosts) { }
+    /**
+     * Machines that may get work: named one by one, for a machine granted since isn't known to be
+     * up.
+     */
+    private record PeerStatus(
+            long receivedAtMillis,
+            long leaseId,
+            long sequence,
+            Set<String> schedulableHosts,
+            Set<String> bootingHosts) {}
 
-    public PeerMessenger(EventLoop eventLoop, Settings settings, ClusterMembership shards, Transport transport, Leader leader) {
+    public PeerMessenger(
+            EventLoop eventLoop,
+            Settings settings,
+            ClusterMembership shards,
+            Transport transport,
+            Leader leader) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.shards = shards;
@@ -54,28 +68,54 @@
     public void handle(IncomingRequest request) {
         ObjectNode body = WireFormat.JSON.decodeMap(request.body);
         if (body == null || !body.path("from").isTextual()) {
-            request.respond(400, WireFormat.JSON, WireFormat.newMap().put("error", "not a message"), 0);
+            request.respond(
+                    400, WireFormat.JSON, WireFormat.newMap().put("error", "not a message"), 0);
             return;
         }
         switch (request.path) {
             case "/peer/stray" -> {
-                leader.onMisroutedWorker(new MisroutedWorker(body.path("host").asText(), body.path("addr").asText(), body.path("shape").asText(),
-                        body.path("site").asText(), body.path("preemptible").asBoolean(), body.path("from").asText(), body.path("stuck").asBoolean(), body.path("term").asLong()));
+                leader.onMisroutedWorker(
+                        new MisroutedWorker(
+                                body.path("host").asText(),
+                                body.path("addr").asText(),
+                                body.path("shape").asText(),
+                                body.path("site").asText(),
+                                body.path("preemptible").asBoolean(),
+                                body.path("from").asText(),
+                                body.path("stuck").asBoolean(),
+                                body.path("term").asLong()));
                 request.respond(200, WireFormat.JSON, WireFormat.newMap(), 0);
             }
             case "/peer/news" -> {
-                acceptIfNewer(body.path("from").asText(), new PeerStatus(eventLoop.nowMillis(), body.path("hold").asLong(), body.path("seq").asLong(),
-                        textSet(body.path("fit")), textSet(body.path("booting"))));
+                acceptIfNewer(
+                        body.path("from").asText(),
+                        new PeerStatus(
+                                eventLoop.nowMillis(),
+                                body.path("hold").asLong(),
+                                body.path("seq").asLong(),
+                                textSet(body.path("fit")),
+                                textSet(body.path("booting"))));
                 request.respond(200, WireFormat.JSON, WireFormat.newMap(), 0);
             }
-            default -> request.respond(404, WireFormat.JSON, WireFormat.newMap().put("error", "no such message"), 0);
+            default ->
+                    request.respond(
+                            404,
+                            WireFormat.JSON,
+                            WireFormat.newMap().put("error", "no such message"),
+                            0);
         }
     }
 
-    /** What was told before, by the same process or by its predecessor, may arrive after what is told now. */
+    /**
+     * What was told before, by the same process or by its predecessor, may arrive after what is
+     * told now.
+     */
     private void acceptIfNewer(String senderId, PeerStatus status) {
         PeerStatus previous = statusByMember.get(senderId);
-        if (previous == null || status.leaseId == 0 || status.leaseId > previous.leaseId || status.leaseId == previous.leaseId && status.sequence > previous.sequence) {
+        if (previous == null
+                || status.leaseId == 0
+                || status.leaseId > previous.leaseId
+                || status.leaseId == previous.leaseId && status.sequence > previous.sequence) {
             statusByMember.put(senderId, status);
         }
     }
@@ -88,13 +128,22 @@
     /** Whether the owner said of late that the machine may get work. */
     public boolean isReportedSchedulable(String owner, String host) {
         PeerStatus status = statusByMember.get(owner);
-        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < PeerConstants.STATUS_VALID_MILLIS && status.schedulableHosts.contains(host);
+        return status != null
+                && eventLoop.nowMillis() - status.receivedAtMillis
+                        < PeerConstants.STATUS_VALID_MILLIS
+                && status.schedulableHosts.contains(host);
     }
 
-    /** Whether the owner said of late that the machine has not come up yet; null without its word. */
+    /**
+     * Whether the owner said of late that the machine has not come up yet; null without its word.
+     */
     public Boolean reportedBooting(String owner, String host) {
         PeerStatus status = owner == null ? null : statusByMember.get(owner);
-        return status != null && eventLoop.nowMillis() - status.receivedAtMillis < PeerConstants.STATUS_VALID_MILLIS ? status.bootingHosts.contains(host) : null;
+        return status != null
+                        && eventLoop.nowMillis() - status.receivedAtMillis
+                                < PeerConstants.STATUS_VALID_MILLIS
+                ? status.bootingHosts.contains(host)
+                : null;
     }
 
     private static Set<String> textSet(JsonNode array) {
@@ -108,16 +157,33 @@
             leader.onMisroutedWorker(worker);
             return;
         }
-        sendToLeader("/peer/stray", WireFormat.newMap().put("from", settings.memberId()).put("host", worker.host()).put("addr", worker.address())
-                .put("shape", worker.machineType()).put("site", worker.zone()).put("preemptible", worker.spot()).put("stuck", worker.ownedElsewhere()).put("term", worker.fencingToken()), () -> { });
+        sendToLeader(
+                "/peer/stray",
+                WireFormat.newMap()
+                        .put("from", settings.memberId())
+                        .put("host", worker.host())
+                        .put("addr", worker.address())
+                        .put("shape", worker.machineType())
+                        .put("site", worker.zone())
+                        .put("preemptible", worker.spot())
+                        .put("stuck", worker.ownedElsewhere())
+                        .put("term", worker.fencingToken()),
+                () -> {});
     }
 
     private void sendStatusToLeader() {
         if (shards.localShard() == null || settings.memberId().equals(shards.leaderId())) {
             return;
         }
-        ObjectNode body = WireFormat.newMap().put("from", settings.memberId()).put("hold", shards.member(settings.memberId()) == null ? 0 : shards.member(settings.memberId()).leaseId())
-                .put("seq", ++lastSentSequence);
+        ObjectNode body =
+                WireFormat.newMap()
+                        .put("from", settings.memberId())
+                        .put(
+                                "hold",
+                                shards.member(settings.memberId()) == null
+                                        ? 0
+                                        : shards.member(settings.memberId()).leaseId())
+                        .put("seq", ++lastSentSequence);
         ArrayNode schedulableHosts = body.putArray("fit");
         ArrayNode bootingHosts = body.putArray("booting");
         for (ShardWorker worker : workerGateway.workers()) {
@@ -132,13 +198,21 @@
     }
 
     private void sendToLeader(String path, ObjectNode body, Runnable onAccepted) {
-        ClusterMembership.Member leaderMember = shards.leaderId() == null ? null : shards.member(shards.leaderId());
+        ClusterMembership.Member leaderMember =
+                shards.leaderId() == null ? null : shards.member(shards.leaderId());
         if (leaderMember != null) {
-            transport.call(leaderMember.address(), "POST", path, WireFormat.JSON, WireFormat.JSON.encode(body), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
-                if (status == 200) {
-                    onAccepted.run();
-                }
-            });
+            transport.call(
+                    leaderMember.address(),
+                    "POST",
+                    path,
+                    WireFormat.JSON,
+                    WireFormat.JSON.encode(body),
+                    TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
+                    (status, bytes) -> {
+                        if (status == 200) {
+                            onAccepted.run();
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/io/quincelead/policy/JobSelector.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -12,12 +12,16 @@
 import java.util.Set;
 
 /** Which jobs an operators' rule is about: all that agree in each stated field; null: any. */
-public record JobSelector(String jobClass, String team, JobSpec.Priority priority, JobSpec.Mode mode) {
+public record JobSelector(
+        String jobClass, String team, JobSpec.Priority priority, JobSpec.Mode mode) {
     private static final Set<String> FIELDS = Set.of("jobClass", "owner", "urgency", "mode");
 
     static JobSelector decode(JsonNode node, String path) throws InvalidRecordException {
         RecordFieldReader fields = new RecordFieldReader(node, path, FIELDS);
-        return new JobSelector(fields.readText("jobClass", false), fields.readText("owner", false), fields.readEnum("urgency", JobSpec.Priority.class, null),
+        return new JobSelector(
+                fields.readText("jobClass", false),
+                fields.readText("owner", false),
+                fields.readEnum("urgency", JobSpec.Priority.class, null),
                 fields.readEnum("mode", JobSpec.Mode.class, null));
     }
 
@@ -42,14 +46,22 @@
         return matchesValues(spec.jobClass(), spec.team(), spec.priority(), spec.mode());
     }
 
-    private boolean matchesValues(String candidateClass, String candidateTeam, JobSpec.Priority candidatePriority, JobSpec.Mode candidateMode) {
-        return (jobClass == null || jobClass.equals(candidateClass)) && (team == null || team.equals(candidateTeam))
-                && (priority == null || priority == candidatePriority) && (mode == null || mode == candidateMode);
+    private boolean matchesValues(
+            String candidateClass,
+            String candidateTeam,
+            JobSpec.Priority candidatePriority,
+            JobSpec.Mode candidateMode) {
+        return (jobClass == null || jobClass.equals(candidateClass))
+                && (team == null || team.equals(candidateTeam))
+                && (priority == null || priority == candidatePriority)
+                && (mode == null || mode == candidateMode);
     }
 
     private boolean subsumes(JobSelector other) {
-        return (jobClass == null || jobClass.equals(other.jobClass)) && (team == null || team.equals(other.team))
-                && (priority == null || priority == other.priority) && (mode == null || mode == other.mode);
+        return (jobClass == null || jobClass.equals(other.jobClass))
+                && (team == null || team.equals(other.team))
+                && (priority == null || priority == other.priority)
+                && (mode == null || mode == other.mode);
     }
 
     /** Whether no job is left that this one matches and none of the earlier ones does. */
@@ -57,16 +69,28 @@
         if (earlier.stream().anyMatch(e -> e.subsumes(this))) {
             return true;
         }
-        // Several earlier ones may share it out among them: every value that they name is tried, and one that they don't.
-        List<String> classes = candidateValues(jobClass, earlier.stream().map(JobSelector::jobClass).toList());
-        List<String> teams = candidateValues(team, earlier.stream().map(JobSelector::team).toList());
-        List<JobSpec.Priority> priorities = priority != null ? List.of(priority) : Arrays.asList(JobSpec.Priority.values());
-        List<JobSpec.Mode> modes = mode != null ? List.of(mode) : Arrays.asList(JobSpec.Mode.values());
+        // Several earlier ones may share it out among them: every value that they name is tried,
+        // and one that they don't.
+        List<String> classes =
+                candidateValues(jobClass, earlier.stream().map(JobSelector::jobClass).toList());
+        List<String> teams =
+                candidateValues(team, earlier.stream().map(JobSelector::team).toList());
+        List<JobSpec.Priority> priorities =
+                priority != null ? List.of(priority) : Arrays.asList(JobSpec.Priority.values());
+        List<JobSpec.Mode> modes =
+                mode != null ? List.of(mode) : Arrays.asList(JobSpec.Mode.values());
         for (String candidateClass : classes) {
             for (String candidateTeam : teams) {
                 for (JobSpec.Priority candidatePriority : priorities) {
                     for (JobSpec.Mode candidateMode : modes) {
-                        if (earlier.stream().noneMatch(e -> e.matchesValues(candidateClass, candidateTeam, candidatePriority, candidateMode))) {
+                        if (earlier.stream()
+                                .noneMatch(
+                                        e ->
+                                                e.matchesValues(
+                                                        candidateClass,
+                                                        candidateTeam,
+                                                        candidatePriority,
+                                                        candidateMode))) {
                             return false;
                         }
                     }
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -22,16 +22,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' records as this controller has them from the mirror: the ruling generation of the priority classes, the calendar and its
- * occurrences. All it says is a function of the records alone, so every controller says the same at equal generations.
+ * The operators' records as this controller has them from the mirror: the ruling generation of the
+ * priority classes, the calendar and its occurrences. All it says is a function of the records
+ * alone, so every controller says the same at equal generations.
  */
 public final class Policy {
     private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-    private static final EffectivePriority DEFAULT_PRIORITY = new EffectivePriority(null, PolicyConstants.DEFAULT_RANK, null, 0);
+    private static final EffectivePriority DEFAULT_PRIORITY =
+            new EffectivePriority(null, PolicyConstants.DEFAULT_RANK, null, 0);
 
-    /** The head of the classes. {@code rules}: the generation in force; {@code was}: the one before it that all could read; {@code next}:
-     *  proposed; {@code last}: the highest number ever given. */
-    record ClassesHead(long activeGeneration, long previousGeneration, long proposedGeneration, long highestGeneration, Map<String, Long> generationByChangeId, long rejectedGeneration, String rejectionReason) { }
+    /**
+     * The head of the classes. {@code rules}: the generation in force; {@code was}: the one before
+     * it that all could read; {@code next}: proposed; {@code last}: the highest number ever given.
+     */
+    record ClassesHead(
+            long activeGeneration,
+            long previousGeneration,
+            long proposedGeneration,
+            long highestGeneration,
+            Map<String, Long> generationByChangeId,
+            long rejectedGeneration,
+            String rejectionReason) {}
 
     static final ClassesHead EMPTY_CLASSES_HEAD = new ClassesHead(0, 0, 0, 0, Map.of(), 0, "");
 
@@ -41,7 +52,16 @@
         ObjectNode encodeNext(String changeId) {
             ObjectNode node = WireFormat.newMap().put("g", generation + 1);
             ArrayNode changeIdNodes = node.putArray("changes");
-            recentChangeIds.stream().skip(changeId == null ? 0 : Math.max(0, recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1)).forEach(changeIdNodes::add);
+            recentChangeIds.stream()
+                    .skip(
+                            changeId == null
+                                    ? 0
+                                    : Math.max(
+                                            0,
+                                            recentChangeIds.size()
+                                                    - PolicyConstants.MAX_REMEMBERED_CHANGES
+                                                    + 1))
+                    .forEach(changeIdNodes::add);
             if (changeId != null) {
                 changeIdNodes.add(changeId);
             }
@@ -51,8 +71,11 @@
 
     static final CalendarHead EMPTY_CALENDAR_HEAD = new CalendarHead(0, List.of());
 
-    /** What is remembered of an entry: up to when its occurrences are closed, and the peaks of the last ones in CPUs. */
-    record EntryHistory(long closedThroughMillis, List<Double> peakCpus) { }
+    /**
+     * What is remembered of an entry: up to when its occurrences are closed, and the peaks of the
+     * last ones in CPUs.
+     */
+    record EntryHistory(long closedThroughMillis, List<Double> peakCpus) {}
 
     private final WatchCache watchCache;
     private ClassesHead classesHead = EMPTY_CLASSES_HEAD;
@@ -61,34 +84,58 @@
     private final Map<String, Long> unreadableGenerationByMember = new TreeMap<>();
     private final Map<String, CalendarEntry> entries = new TreeMap<>();
     private final Map<String, ScheduledOccurrence> occurrences = new TreeMap<>();
+
     /** Those whose window is open. */
     private final List<ScheduledOccurrence> priorityOccurrences = new ArrayList<>();
+
     private final Map<String, EntryHistory> historyByEntry = new HashMap<>();
     private final Map<String, JsonNode> uncountedCompletions = new TreeMap<>();
     private PriorityClasses classes = PriorityClasses.NONE;
+
     /** Generation of the classes that can't be read here; 0: none. */
     private long unreadableGeneration;
+
     private long version;
     private final Map<Job, EffectivePriority> priorityByJob = new java.util.IdentityHashMap<>();
 
     public Policy(WatchCache watchCache) {
         this.watchCache = watchCache;
-        subscribe(StoreKeys.CLASSES_HEAD, (rest, v) -> classesHead = v == null ? EMPTY_CLASSES_HEAD : decodeClassesHead(v));
+        subscribe(
+                StoreKeys.CLASSES_HEAD,
+                (rest, v) -> classesHead = v == null ? EMPTY_CLASSES_HEAD : decodeClassesHead(v));
         subscribe(StoreKeys.CLASSES_PART_PREFIX, this::onClassesPart);
-        subscribe(StoreKeys.CLASSES_OBJECTION_PREFIX, (member, v) -> putOrRemove(unreadableGenerationByMember, member, v == null ? null : v.path("g").asLong()));
+        subscribe(
+                StoreKeys.CLASSES_OBJECTION_PREFIX,
+                (member, v) ->
+                        putOrRemove(
+                                unreadableGenerationByMember,
+                                member,
+                                v == null ? null : v.path("g").asLong()));
         subscribe(StoreKeys.CALENDAR_ENTRY_PREFIX, this::onEntry);
-        watchCache.addPrefixListener(StoreKeys.OCCURRENCE_PREFIX, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode value, long stamp) {
-                onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), value);
-            }
+        watchCache.addPrefixListener(
+                StoreKeys.OCCURRENCE_PREFIX,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode value, long stamp) {
+                        onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), value);
+                    }
 
-            @Override public void onRemove(String key) {
-                onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), null);
-            }
-        });
-        subscribe(StoreKeys.ENTRY_HISTORY_PREFIX, (name, v) -> putOrRemove(historyByEntry, name, v == null ? null : decodeHistory(v)));
-        subscribe(StoreKeys.UNCOUNTED_COMPLETION_PREFIX, (id, v) -> putOrRemove(uncountedCompletions, id, v));
-        subscribe(StoreKeys.CALENDAR_HEAD, (rest, v) -> calendarHead = v == null ? EMPTY_CALENDAR_HEAD : decodeCalendarHead(v));
+                    @Override
+                    public void onRemove(String key) {
+                        onOccurrence(key.substring(StoreKeys.OCCURRENCE_PREFIX.length()), null);
+                    }
+                });
+        subscribe(
+                StoreKeys.ENTRY_HISTORY_PREFIX,
+                (name, v) ->
+                        putOrRemove(historyByEntry, name, v == null ? null : decodeHistory(v)));
+        subscribe(
+                StoreKeys.UNCOUNTED_COMPLETION_PREFIX,
+                (id, v) -> putOrRemove(uncountedCompletions, id, v));
+        subscribe(
+                StoreKeys.CALENDAR_HEAD,
+                (rest, v) ->
+                        calendarHead = v == null ? EMPTY_CALENDAR_HEAD : decodeCalendarHead(v));
         // Only when a whole batch is in: a generation's head and its parts come together.
         watchCache.addChangeListener(this::refreshClasses);
     }
@@ -98,15 +145,19 @@
     }
 
     private void subscribe(String prefix, RecordConsumer consumer) {
-        watchCache.addPrefixListener(prefix, new WatchCache.PrefixListener() {
-            @Override public void onPut(String key, JsonNode value, long stamp) {
-                applyChange(() -> consumer.accept(key.substring(prefix.length()), value));
-            }
+        watchCache.addPrefixListener(
+                prefix,
+                new WatchCache.PrefixListener() {
+                    @Override
+                    public void onPut(String key, JsonNode value, long stamp) {
+                        applyChange(() -> consumer.accept(key.substring(prefix.length()), value));
+                    }
 
-            @Override public void onRemove(String key) {
-                applyChange(() -> consumer.accept(key.substring(prefix.length()), null));
-            }
-        });
+                    @Override
+                    public void onRemove(String key) {
+                        applyChange(() -> consumer.accept(key.substring(prefix.length()), null));
+                    }
+                });
     }
 
     private void applyChange(Runnable change) {
@@ -125,9 +176,16 @@
 
     private static ClassesHead decodeClassesHead(JsonNode node) {
         Map<String, Long> generationByChangeId = new java.util.LinkedHashMap<>();
-        node.path("changes").forEach(c -> generationByChangeId.put(c.path(0).asText(), c.path(1).asLong()));
-        return new ClassesHead(node.path("rules").asLong(), node.path("was").asLong(), node.path("next").asLong(), node.path("last").asLong(), generationByChangeId,
-                node.path("refused").asLong(), node.path("why").asText());
+        node.path("changes")
+                .forEach(c -> generationByChangeId.put(c.path(0).asText(), c.path(1).asLong()));
+        return new ClassesHead(
+                node.path("rules").asLong(),
+                node.path("was").asLong(),
+                node.path("next").asLong(),
+                node.path("last").asLong(),
+                generationByChangeId,
+                node.path("refused").asLong(),
+                node.path("why").asText());
     }
 
     private static CalendarHead decodeCalendarHead(JsonNode node) {
@@ -141,7 +199,8 @@
         try {
             long generation = Long.parseLong(keySuffix.substring(0, slash));
             int index = Integer.parseInt(keySuffix.substring(slash + 1));
-            TreeMap<Integer, String> partTexts = classesParts.computeIfAbsent(generation, k -> new TreeMap<>());
+            TreeMap<Integer, String> partTexts =
+                    classesParts.computeIfAbsent(generation, k -> new TreeMap<>());
             if (node == null) {
                 partTexts.remove(index);
             } else {
@@ -151,7 +210,10 @@
                 classesParts.remove(generation);
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            LOG.error("the record {}{} does not belong to any classes; it is left alone", StoreKeys.CLASSES_PART_PREFIX, keySuffix);
+            LOG.error(
+                    "the record {}{} does not belong to any classes; it is left alone",
+                    StoreKeys.CLASSES_PART_PREFIX,
+                    keySuffix);
         }
     }
 
@@ -160,7 +222,10 @@
             putOrRemove(entries, name, node == null ? null : CalendarEntry.decode(node, name));
         } catch (InvalidRecordException e) {
             // The entry as it was goes on ruling; occurrences under way hold what they cover.
-            LOG.error("the calendar's entry {} can't be read ({}); as it was it stays in force", name, e.getMessage());
+            LOG.error(
+                    "the calendar's entry {} can't be read ({}); as it was it stays in force",
+                    name,
+                    e.getMessage());
         }
     }
 
@@ -171,17 +236,35 @@
         }
         ScheduledOccurrence before = occurrences.get(keySuffix);
         try {
-            putOrRemove(occurrences, keySuffix, node == null ? null : ScheduledOccurrence.decode(keySuffix.substring(0, slash), keySuffix.substring(slash + 1), node));
+            putOrRemove(
+                    occurrences,
+                    keySuffix,
+                    node == null
+                            ? null
+                            : ScheduledOccurrence.decode(
+                                    keySuffix.substring(0, slash),
+                                    keySuffix.substring(slash + 1),
+                                    node));
         } catch (InvalidRecordException e) {
-            LOG.error("the occurrence {} can't be read ({}); as it was it stays in force", keySuffix, e.getMessage());
+            LOG.error(
+                    "the occurrence {} can't be read ({}); as it was it stays in force",
+                    keySuffix,
+                    e.getMessage());
         }
         ScheduledOccurrence now = occurrences.get(keySuffix);
         // Counts are written often and change nobody's standing.
-        boolean samePriority = before != null && now != null && before.state() == now.state() && before.publicationMillis == now.publicationMillis && before.selectors.equals(now.selectors);
+        boolean samePriority =
+                before != null
+                        && now != null
+                        && before.state() == now.state()
+                        && before.publicationMillis == now.publicationMillis
+                        && before.selectors.equals(now.selectors);
         priorityOccurrences.clear();
-        occurrences.values().stream().filter(ScheduledOccurrence::raisesPriority).forEach(priorityOccurrences::add);
+        occurrences.values().stream()
+                .filter(ScheduledOccurrence::raisesPriority)
+                .forEach(priorityOccurrences::add);
         if (!samePriority) {
-            applyChange(() -> { });
+            applyChange(() -> {});
         }
     }
 
@@ -191,7 +274,10 @@
         return new EntryHistory(node.path("through").asLong(), peakCpus);
     }
 
-    /** Reads the ruling generation, once its parts are here. Until then nothing is placed by another one. */
+    /**
+     * Reads the ruling generation, once its parts are here. Until then nothing is placed by another
+     * one.
+     */
     private void refreshClasses() {
         PriorityClasses before = classes;
         loadActiveClasses();
@@ -217,7 +303,11 @@
             unreadableGeneration = 0;
         } catch (InvalidRecordException e) {
             if (unreadableGeneration != classesHead.activeGeneration) {
-                LOG.error("generation {} of the priority classes can't be read here ({}); nothing is placed until one can be read", classesHead.activeGeneration, e.getMessage());
+                LOG.error(
+                        "generation {} of the priority classes can't be read here ({}); nothing is"
+                                + " placed until one can be read",
+                        classesHead.activeGeneration,
+                        e.getMessage());
                 unreadableGeneration = classesHead.activeGeneration;
             }
         }
@@ -231,7 +321,8 @@
         try {
             root = new ObjectMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new InvalidRecordException("generation " + generation, "its " + partTexts.size() + " parts are no JSON");
+            throw new InvalidRecordException(
+                    "generation " + generation, "its " + partTexts.size() + " parts are no JSON");
         }
         return PriorityClasses.decode(root, generation, "generation " + generation);
     }
@@ -241,7 +332,9 @@
     }
 
     Collection<String> partKeys(long generation) {
-        return classesParts.getOrDefault(generation, new TreeMap<>()).keySet().stream().map(i -> StoreKeys.CLASSES_PART_PREFIX + generation + "/" + i).toList();
+        return classesParts.getOrDefault(generation, new TreeMap<>()).keySet().stream()
+                .map(i -> StoreKeys.CLASSES_PART_PREFIX + generation + "/" + i)
+                .toList();
     }
 
     ClassesHead classesHead() {
@@ -301,9 +394,14 @@
         return version;
     }
 
-    /** The change then fails if it was decided by another generation of classes or calendar than rules when it is carried out. */
+    /**
+     * The change then fails if it was decided by another generation of classes or calendar than
+     * rules when it is carried out.
+     */
     public void requireCurrentPolicy(Transaction txn) {
-        txn.requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD)).requireRevision(StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD));
+        txn.requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD))
+                .requireRevision(
+                        StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD));
     }
 
     /** Of two open windows that cover a job, the one that is published first counts. */
@@ -316,11 +414,21 @@
             JobClass jobClass = classes.classOf(job.spec);
             ScheduledOccurrence first = null;
             for (ScheduledOccurrence occurrence : priorityOccurrences) {
-                if ((first == null || occurrence.publicationMillis < first.publicationMillis) && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                if ((first == null || occurrence.publicationMillis < first.publicationMillis)
+                        && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
                     first = occurrence;
                 }
             }
-            priority = jobClass == null && first == null ? DEFAULT_PRIORITY : new EffectivePriority(jobClass, jobClass == null ? PolicyConstants.DEFAULT_RANK : jobClass.rank(), first, first == null ? 0 : first.publicationMillis);
+            priority =
+                    jobClass == null && first == null
+                            ? DEFAULT_PRIORITY
+                            : new EffectivePriority(
+                                    jobClass,
+                                    jobClass == null
+                                            ? PolicyConstants.DEFAULT_RANK
+                                            : jobClass.rank(),
+                                    first,
+                                    first == null ? 0 : first.publicationMillis);
             if (priorityByJob.size() >= ApiConstants.MAX_OPEN_JOBS) {
                 priorityByJob.clear();
             }
@@ -329,25 +437,35 @@
         return priority;
     }
 
-    /** How many of the job's tasks must have begun by now, so that nobody is left behind by the bounds of its class. */
+    /**
+     * How many of the job's tasks must have begun by now, so that nobody is left behind by the
+     * bounds of its class.
+     */
     public int requiredStartedTaskCount(Job job, long wallClockMillis) {
         EffectivePriority priority = priorityOf(job);
-        return job.requiredStartedTaskCount(wallClockMillis, priority.startWithinSeconds(), priority.minStartedShare());
+        return job.requiredStartedTaskCount(
+                wallClockMillis, priority.startWithinSeconds(), priority.minStartedShare());
     }
 
     /**
-     * A covered job's end: its final record says when, and what no occurrence's record names yet is recorded beside it in the same
-     * change, so that every covered job is counted though no leader ever saw it.
+     * A covered job's end: its final record says when, and what no occurrence's record names yet is
+     * recorded beside it in the same change, so that every covered job is counted though no leader
+     * ever saw it.
      */
-    public void recordCompletion(Job job, ObjectNode finalRecord, Transaction txn, long wallClockMillis) {
+    public void recordCompletion(
+            Job job, ObjectNode finalRecord, Transaction txn, long wallClockMillis) {
         List<ScheduledOccurrence> covering = occurrencesCovering(job);
         if (covering.isEmpty()) {
             return;
         }
         finalRecord.put("t", wallClockMillis);
-        List<ScheduledOccurrence> missing = covering.stream().filter(o -> !o.openJobIds.contains(job.spec.jobId())).toList();
+        List<ScheduledOccurrence> missing =
+                covering.stream().filter(o -> !o.openJobIds.contains(job.spec.jobId())).toList();
         if (!missing.isEmpty()) {
-            ObjectNode uncountedCompletion = WireFormat.newMap().put("s", finalRecord.path("s").asText()).put("t", wallClockMillis);
+            ObjectNode uncountedCompletion =
+                    WireFormat.newMap()
+                            .put("s", finalRecord.path("s").asText())
+                            .put("t", wallClockMillis);
             ArrayNode occurrenceNodes = uncountedCompletion.putArray("occ");
             missing.forEach(o -> occurrenceNodes.add(o.entryName + "/" + o.date));
             txn.put(StoreKeys.UNCOUNTED_COMPLETION_PREFIX + job.spec.jobId(), uncountedCompletion);
@@ -356,24 +474,48 @@
 
     /** Whether any window is open. */
     public boolean isAnyWindowOpen() {
-        return priorityOccurrences.stream().anyMatch(o -> o.state() == ScheduledOccurrence.State.OPEN);
+        return priorityOccurrences.stream()
+                .anyMatch(o -> o.state() == ScheduledOccurrence.State.OPEN);
     }
 
-    /** How many of a service's replicas may be in one zone, by the job and by the part that its class wants left when any zone is lost. */
+    /**
+     * How many of a service's replicas may be in one zone, by the job and by the part that its
+     * class wants left when any zone is lost.
+     */
     public int maxTasksPerZone(Job job) {
         int taskCount = job.spec.taskCount();
         int maxTasks = job.spec.zoneSpread() ? (taskCount + 1) / 2 : taskCount;
         JobClass jobClass = priorityOf(job).jobClass();
-        if (jobClass != null && jobClass.minShareAfterZoneLoss() > 0 && job.spec.isService() && !job.spec.zoneAffinity() && job.spec.zone() == null) {
-            maxTasks = Math.min(maxTasks, Math.max(1, (int) Math.floor(taskCount * (1 - jobClass.minShareAfterZoneLoss()) + 1e-9)));
+        if (jobClass != null
+                && jobClass.minShareAfterZoneLoss() > 0
+                && job.spec.isService()
+                && !job.spec.zoneAffinity()
+                && job.spec.zone() == null) {
+            maxTasks =
+                    Math.min(
+                            maxTasks,
+                            Math.max(
+                                    1,
+                                    (int)
+                                            Math.floor(
+                                                    taskCount
+                                                                    * (1
+                                                                            - jobClass
+                                                                                    .minShareAfterZoneLoss())
+                                                            + 1e-9)));
         }
         return maxTasks;
     }
 
-    /** ms for which the silence of a machine with this job's tasks is borne in a zone that is cut off; negative: as without operators' word. */
+    /**
+     * ms for which the silence of a machine with this job's tasks is borne in a zone that is cut
+     * off; negative: as without operators' word.
+     */
     public double unreachableZonePatienceMillis(Job job) {
         JobClass jobClass = priorityOf(job).jobClass();
-        return jobClass == null || jobClass.unreachableZonePatienceSeconds() < 0 ? -1 : jobClass.unreachableZonePatienceSeconds() * 1000;
+        return jobClass == null || jobClass.unreachableZonePatienceSeconds() < 0
+                ? -1
+                : jobClass.unreachableZonePatienceSeconds() * 1000;
     }
 
     /** The occurrences whose window is open and that cover the job. */
@@ -388,23 +530,41 @@
     }
 
     /**
-     * CPUs that windows which open soon or have just opened will need, by what earlier ones took: the middle of their peaks, less what
-     * their covered work uses already. {@code aheadS}: how long before the opening a machine must be rented to be up.
+     * CPUs that windows which open soon or have just opened will need, by what earlier ones took:
+     * the middle of their peaks, less what their covered work uses already. {@code aheadS}: how
+     * long before the opening a machine must be rented to be up.
      */
-    public double forecastCpus(Collection<Job> jobs, long wallClockMillis, double provisioningSeconds) {
+    public double forecastCpus(
+            Collection<Job> jobs, long wallClockMillis, double provisioningSeconds) {
         double totalCpus = 0;
         for (ScheduledOccurrence occurrence : occurrences.values()) {
-            boolean opensSoon = occurrence.state() == ScheduledOccurrence.State.PLANNED && wallClockMillis >= occurrence.opensAtMillis - provisioningSeconds * 1000 && wallClockMillis < occurrence.publicationMillis;
-            boolean justOpened = occurrence.state() == ScheduledOccurrence.State.OPEN && wallClockMillis < occurrence.opensAtMillis + PolicyConstants.CALENDAR_RESERVE_SECONDS * 1000 && wallClockMillis < occurrence.publicationMillis;
+            boolean opensSoon =
+                    occurrence.state() == ScheduledOccurrence.State.PLANNED
+                            && wallClockMillis
+                                    >= occurrence.opensAtMillis - provisioningSeconds * 1000
+                            && wallClockMillis < occurrence.publicationMillis;
+            boolean justOpened =
+                    occurrence.state() == ScheduledOccurrence.State.OPEN
+                            && wallClockMillis
+                                    < occurrence.opensAtMillis
+                                            + PolicyConstants.CALENDAR_RESERVE_SECONDS * 1000
+                            && wallClockMillis < occurrence.publicationMillis;
             List<Double> peakCpus = historyOf(occurrence.entryName).peakCpus;
             if ((opensSoon || justOpened) && !peakCpus.isEmpty()) {
                 double usedCpus = 0;
                 for (Job job : jobs) {
-                    if (occurrence.covers(job.spec, job.acceptedAtEpochMillis) && !job.isCancelled()) {
-                        usedCpus += (job.possiblyRunningTaskCount() + job.waitingTaskCount()) * job.spec.cpus();
+                    if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)
+                            && !job.isCancelled()) {
+                        usedCpus +=
+                                (job.possiblyRunningTaskCount() + job.waitingTaskCount())
+                                        * job.spec.cpus();
                     }
                 }
-                totalCpus += Math.max(0, peakCpus.stream().sorted().toList().get(peakCpus.size() / 2) - usedCpus);
+                totalCpus +=
+                        Math.max(
+                                0,
+                                peakCpus.stream().sorted().toList().get(peakCpus.size() / 2)
+                                        - usedCpus);
             }
         }
         return totalCpus;
