--- a/src/main/java/io/quincelead/policy/PriorityClasses.java
+++ b/src/main/java/io/quincelead/policy/PriorityClasses.java
@@ -11,10 +11,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** One generation of the priority classes, in their stated order; the first that matches a job is its class. */
+/**
+ * One generation of the priority classes, in their stated order; the first that matches a job is
+ * its class.
+ */
 public final class PriorityClasses {
     /** No record: every job is ranked as the protocol and the settings say. */
     public static final PriorityClasses NONE = new PriorityClasses(0, List.of());
+
     private final long generation;
     private final List<JobClass> all;
 
@@ -42,11 +46,17 @@
     }
 
     /** Reads {@code {"classes":[...]}}; {@code file} is named in errors. */
-    public static PriorityClasses decode(JsonNode root, long generation, String source) throws InvalidRecordException {
-        RecordFieldReader fields = new RecordFieldReader(root, source, Set.of("classes", "$schema"));
+    public static PriorityClasses decode(JsonNode root, long generation, String source)
+            throws InvalidRecordException {
+        RecordFieldReader fields =
+                new RecordFieldReader(root, source, Set.of("classes", "$schema"));
         JsonNode classNodes = fields.get("classes");
-        if (classNodes == null || !classNodes.isArray() || classNodes.size() > PolicyConstants.MAX_CLASSES) {
-            throw fields.invalid("classes", "must be a list of at most " + PolicyConstants.MAX_CLASSES + " classes");
+        if (classNodes == null
+                || !classNodes.isArray()
+                || classNodes.size() > PolicyConstants.MAX_CLASSES) {
+            throw fields.invalid(
+                    "classes",
+                    "must be a list of at most " + PolicyConstants.MAX_CLASSES + " classes");
         }
         List<JobClass> classes = new ArrayList<>();
         List<JobSelector> earlierSelectors = new ArrayList<>();
@@ -55,10 +65,15 @@
             String path = fields.pathOf("classes[" + i + "]");
             JobClass jobClass = JobClass.decode(classNodes.get(i), path);
             if (!names.add(jobClass.name())) {
-                throw new InvalidRecordException(path + ".name", "\"" + jobClass.name() + "\" stands twice");
+                throw new InvalidRecordException(
+                        path + ".name", "\"" + jobClass.name() + "\" stands twice");
             }
             if (jobClass.selector().isShadowedBy(earlierSelectors)) {
-                throw new InvalidRecordException(path + ".match", "never matches: every such job (" + jobClass.selector().describe() + ") is matched by a class before it");
+                throw new InvalidRecordException(
+                        path + ".match",
+                        "never matches: every such job ("
+                                + jobClass.selector().describe()
+                                + ") is matched by a class before it");
             }
             earlierSelectors.add(jobClass.selector());
             classes.add(jobClass);
@@ -78,7 +93,10 @@
         String text = encode().toString();
         List<String> parts = new ArrayList<>();
         for (int i = 0; i < text.length(); i += PolicyConstants.MAX_CLASSES_PART_CHARS) {
-            parts.add(text.substring(i, Math.min(text.length(), i + PolicyConstants.MAX_CLASSES_PART_CHARS)));
+            parts.add(
+                    text.substring(
+                            i,
+                            Math.min(text.length(), i + PolicyConstants.MAX_CLASSES_PART_CHARS)));
         }
         return parts;
     }
--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -9,23 +9,27 @@
 import java.util.Set;
 
 /**
- * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this build doesn't know are refused: a rule
- * half understood would be enforced otherwise here than elsewhere.
+ * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this
+ * build doesn't know are refused: a rule half understood would be enforced otherwise here than
+ * elsewhere.
  */
 final class RecordFieldReader {
     private final JsonNode node;
     private final String path;
 
-    RecordFieldReader(JsonNode node, String path, Set<String> knownFields) throws InvalidRecordException {
+    RecordFieldReader(JsonNode node, String path, Set<String> knownFields)
+            throws InvalidRecordException {
         if (node == null || !node.isObject()) {
             throw new InvalidRecordException(path, "must be a map");
         }
         this.node = node;
         this.path = path;
-        for (Iterator<String> fieldNames = node.fieldNames(); fieldNames.hasNext();) {
+        for (Iterator<String> fieldNames = node.fieldNames(); fieldNames.hasNext(); ) {
             String name = fieldNames.next();
             if (!knownFields.contains(name)) {
-                throw invalid(name, "is not known here; known are " + knownFields.stream().sorted().toList());
+                throw invalid(
+                        name,
+                        "is not known here; known are " + knownFields.stream().sorted().toList());
             }
         }
     }
@@ -65,18 +69,27 @@
     String readName(String field) throws InvalidRecordException {
         String value = readText(field, true);
         if (!value.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,39}")) {
-            throw invalid(field, "must be 1 to 40 letters, digits, dots, dashes or underscores, and begin with a letter or digit");
+            throw invalid(
+                    field,
+                    "must be 1 to 40 letters, digits, dots, dashes or underscores, and begin with a"
+                            + " letter or digit");
         }
         return value;
     }
 
-    double readNumber(String field, double min, double max, double defaultValue) throws InvalidRecordException {
+    double readNumber(String field, double min, double max, double defaultValue)
+            throws InvalidRecordException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             return defaultValue;
         }
-        if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min || value.asDouble() > max) {
-            throw invalid(field, "must be a number from " + formatNumber(min) + " to " + formatNumber(max));
+        if (!value.isNumber()
+                || !Double.isFinite(value.asDouble())
+                || value.asDouble() < min
+                || value.asDouble() > max) {
+            throw invalid(
+                    field,
+                    "must be a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
         return value.asDouble();
     }
@@ -89,7 +102,8 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
-    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue) throws InvalidRecordException {
+    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue)
+            throws InvalidRecordException {
         String text = readText(field, false);
         if (text == null) {
             return defaultValue;
@@ -99,7 +113,12 @@
                 return constant;
             }
         }
-        throw invalid(field, "must be one of " + Arrays.stream(type.getEnumConstants()).map(constant -> constant.name().toLowerCase(Locale.ROOT)).toList());
+        throw invalid(
+                field,
+                "must be one of "
+                        + Arrays.stream(type.getEnumConstants())
+                                .map(constant -> constant.name().toLowerCase(Locale.ROOT))
+                                .toList());
     }
 
     List<String> readTexts(String field) throws InvalidRecordException {
@@ -121,6 +140,8 @@
     }
 
     private static String formatNumber(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number) : Double.toString(number);
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? Long.toString((long) number)
+                : Double.toString(number);
     }
 }
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * One publication of an entry as it stands on record, from before its window opens until it is closed; then the ledger has it. The record
- * holds what it covers, so that a change of the entry never changes what an occurrence under way is about.
+ * One publication of an entry as it stands on record, from before its window opens until it is
+ * closed; then the ledger has it. The record holds what it covers, so that a change of the entry
+ * never changes what an occurrence under way is about.
  */
 public final class ScheduledOccurrence {
     /** States; {@link PolicyReconciler} alone changes them, by {@link #transitionTo}. */
@@ -40,19 +41,31 @@
     long opensAtMillis;
     final double graceSeconds;
     final List<JobSelector> selectors;
+
     /** Covered jobs that have been counted and aren't known to be over. */
     final Set<String> openJobIds = new LinkedHashSet<>();
+
     int jobCount;
     int doneCount;
     int cancelledCount;
+
     /** When the last covered job was done, in ms since 1970; 0: none yet. */
     long lastDoneMillis;
+
     /** CPUs that covered work used at its peak. */
     double peakCpus;
+
     /** Terms of the leaders that have written it. */
     final Set<Long> leaderTerms = new LinkedHashSet<>();
 
-    ScheduledOccurrence(String entryName, String date, State state, long publicationMillis, long opensAtMillis, double graceSeconds, List<JobSelector> selectors) {
+    ScheduledOccurrence(
+            String entryName,
+            String date,
+            State state,
+            long publicationMillis,
+            long opensAtMillis,
+            double graceSeconds,
+            List<JobSelector> selectors) {
         this.entryName = entryName;
         this.date = date;
         this.state = state;
@@ -63,24 +76,38 @@
     }
 
     static ScheduledOccurrence planned(CalendarEntry entry, CalendarEntry.Publication publication) {
-        return new ScheduledOccurrence(entry.name(), publication.date().toString(), State.PLANNED, publication.epochMillis(), publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
-                entry.graceSeconds(), entry.selectors());
+        return new ScheduledOccurrence(
+                entry.name(),
+                publication.date().toString(),
+                State.PLANNED,
+                publication.epochMillis(),
+                publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
+                entry.graceSeconds(),
+                entry.selectors());
     }
 
     public State state() {
         return state;
     }
 
-    /** Verdicts are absorbing: what is published is never missed afterwards, nor the other way round. */
+    /**
+     * Verdicts are absorbing: what is published is never missed afterwards, nor the other way
+     * round.
+     */
     void transitionTo(State next) {
-        boolean allowed = switch (state) {
-            case PLANNED -> next == State.OPEN || next == State.SKIPPED;
-            case OPEN -> next == State.PUBLISHED || next == State.MISSED || next == State.SKIPPED;
-            case PUBLISHED, MISSED, SKIPPED -> next == State.CLOSED;
-            case CLOSED -> false;
-        };
+        boolean allowed =
+                switch (state) {
+                    case PLANNED -> next == State.OPEN || next == State.SKIPPED;
+                    case OPEN ->
+                            next == State.PUBLISHED
+                                    || next == State.MISSED
+                                    || next == State.SKIPPED;
+                    case PUBLISHED, MISSED, SKIPPED -> next == State.CLOSED;
+                    case CLOSED -> false;
+                };
         if (!allowed) {
-            throw new IllegalStateException(entryName + " of " + date + " can't go from " + state + " to " + next);
+            throw new IllegalStateException(
+                    entryName + " of " + date + " can't go from " + state + " to " + next);
         }
         state = next;
     }
@@ -103,7 +130,8 @@
 
     /** Whether a job of such a kind, accepted then, is covered while the window is open. */
     public boolean covers(JobSpec spec, long acceptedAtMillis) {
-        return acceptedAtMillis <= publicationMillis && selectors.stream().anyMatch(m -> m.matches(spec));
+        return acceptedAtMillis <= publicationMillis
+                && selectors.stream().anyMatch(m -> m.matches(spec));
     }
 
     /** Whether covered work ranks ahead now: from the opening until everything is closed. */
@@ -111,7 +139,8 @@
         return state == State.OPEN || state == State.PUBLISHED || state == State.MISSED;
     }
 
-    static ScheduledOccurrence decode(String entryName, String date, JsonNode node) throws InvalidRecordException {
+    static ScheduledOccurrence decode(String entryName, String date, JsonNode node)
+            throws InvalidRecordException {
         State state;
         try {
             state = State.valueOf(node.path("st").asText().toUpperCase(Locale.ROOT));
@@ -122,7 +151,15 @@
         for (JsonNode selectorNode : node.path("cov")) {
             selectors.add(JobSelector.decode(selectorNode, "cov"));
         }
-        ScheduledOccurrence occurrence = new ScheduledOccurrence(entryName, date, state, node.path("pub").asLong(), node.path("open").asLong(), node.path("grace").asDouble(), selectors);
+        ScheduledOccurrence occurrence =
+                new ScheduledOccurrence(
+                        entryName,
+                        date,
+                        state,
+                        node.path("pub").asLong(),
+                        node.path("open").asLong(),
+                        node.path("grace").asDouble(),
+                        selectors);
         node.path("ids").forEach(id -> occurrence.openJobIds.add(id.asText()));
         occurrence.jobCount = node.path("n").asInt();
         occurrence.doneCount = node.path("done").asInt();
@@ -134,7 +171,15 @@
     }
 
     ScheduledOccurrence copy() {
-        ScheduledOccurrence occurrence = new ScheduledOccurrence(entryName, date, state, publicationMillis, opensAtMillis, graceSeconds, selectors);
+        ScheduledOccurrence occurrence =
+                new ScheduledOccurrence(
+                        entryName,
+                        date,
+                        state,
+                        publicationMillis,
+                        opensAtMillis,
+                        graceSeconds,
+                        selectors);
         occurrence.openJobIds.addAll(openJobIds);
         occurrence.jobCount = jobCount;
         occurrence.doneCount = doneCount;
@@ -156,8 +201,17 @@
 
     /** What the ledger keeps. */
     ObjectNode encodeSummary() {
-        ObjectNode node = WireFormat.newMap().put("st", state.name().toLowerCase(Locale.ROOT)).put("pub", publicationMillis).put("open", opensAtMillis).put("grace", graceSeconds)
-                .put("n", jobCount).put("done", doneCount).put("cancelled", cancelledCount).put("last", lastDoneMillis).put("peak", peakCpus);
+        ObjectNode node =
+                WireFormat.newMap()
+                        .put("st", state.name().toLowerCase(Locale.ROOT))
+                        .put("pub", publicationMillis)
+                        .put("open", opensAtMillis)
+                        .put("grace", graceSeconds)
+                        .put("n", jobCount)
+                        .put("done", doneCount)
+                        .put("cancelled", cancelledCount)
+                        .put("last", lastDoneMillis)
+                        .put("peak", peakCpus);
         ArrayNode termNodes = node.putArray("leaders");
         leaderTerms.forEach(termNodes::add);
         return node;
--- a/src/main/java/io/quincelead/scheduler/FreeCapacity.java
+++ b/src/main/java/io/quincelead/scheduler/FreeCapacity.java
@@ -14,10 +14,16 @@
         final MachineTypeCatalog.MachineType machineType;
         final String zone;
         final boolean spot;
+
         /** Whether other work needs their GPUs. */
         boolean gpusInDemand;
-        /** Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the leader is placing some. */
+
+        /**
+         * Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the
+         * leader is placing some.
+         */
         int maxTier = Integer.MAX_VALUE;
+
         final List<FreeCapacity> machines = new ArrayList<>();
 
         MachinePool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
@@ -26,9 +32,14 @@
             this.spot = spot;
         }
 
-        /** Whether the job should go there: it may, nobody who comes first is about to, and it takes no GPUs from those who seek them. */
+        /**
+         * Whether the job should go there: it may, nobody who comes first is about to, and it takes
+         * no GPUs from those who seek them.
+         */
         boolean suits(JobSpec spec, int tier) {
-            return allows(spec) && maxTier >= tier && !(gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null);
+            return allows(spec)
+                    && maxTier >= tier
+                    && !(gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null);
         }
 
         /** Whether the job's own demands let it go there. */
@@ -38,27 +49,43 @@
 
         /** Tasks of the job that an empty one holds. */
         int tasksPerEmptyMachine(JobSpec spec) {
-            return Tebas.taskCapacity(machineType.cpus(), machineType.memoryGb(), machineType.gpus(), spec.cpus(), spec.memoryGb(), spec.gpus());
+            return Tebas.taskCapacity(
+                    machineType.cpus(),
+                    machineType.memoryGb(),
+                    machineType.gpus(),
+                    spec.cpus(),
+                    spec.memoryGb(),
+                    spec.gpus());
         }
 
         /** Whether it is one of the machines that the job names. */
         boolean matchesConstraints(JobSpec spec) {
-            return MachineTypeCatalog.isAllowed(spec, machineType.name()) && (spec.zone() == null || spec.zone().equals(zone)) && (spec.preemptible() || !spot);
+            return MachineTypeCatalog.isAllowed(spec, machineType.name())
+                    && (spec.zone() == null || spec.zone().equals(zone))
+                    && (spec.preemptible() || !spot);
         }
     }
 
     final String host;
     final MachinePool pool;
     final boolean inOwnShard;
-    /** It runs empty for a task of this tier that needs more of it than is free: only work of a smaller one may take from it. */
+
+    /**
+     * It runs empty for a task of this tier that needs more of it than is free: only work of a
+     * smaller one may take from it.
+     */
     int reservedForTier = Integer.MAX_VALUE;
+
     /** Seconds until its worker can be told of a start. */
     double reachSeconds;
+
     private double freeCpus;
     private double freeMemoryGb;
     private double freeGpus;
+
     /** Room that tasks being stopped will leave, less what has been promised of it. */
     private double upcomingCpus;
+
     private double upcomingMemoryGb;
     private double upcomingGpus;
 
@@ -109,7 +136,8 @@
     }
 
     int taskCapacity(JobSpec spec) {
-        return Tebas.taskCapacity(freeCpus, freeMemoryGb, freeGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
+        return Tebas.taskCapacity(
+                freeCpus, freeMemoryGb, freeGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 
     /** The same if these left, too. */
@@ -126,6 +154,12 @@
     }
 
     int upcomingTaskCapacity(JobSpec spec) {
-        return Tebas.taskCapacity(upcomingCpus, upcomingMemoryGb, upcomingGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
+        return Tebas.taskCapacity(
+                upcomingCpus,
+                upcomingMemoryGb,
+                upcomingGpus,
+                spec.cpus(),
+                spec.memoryGb(),
+                spec.gpus());
     }
 }
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -27,24 +27,44 @@
     private final Policy policy;
     private final boolean spreadsServices;
     private boolean lastResort;
+
     /** Machines that may still be left to run empty. */
     private int remainingReservations;
+
     private int tier;
-    /** Demands that no machine had any room for: on those that suit, and as a last resort on all that are allowed. */
+
+    /**
+     * Demands that no machine had any room for: on those that suit, and as a last resort on all
+     * that are allowed.
+     */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
+
     private final UnsatisfiableDemands unsatisfiableAnywhere = new UnsatisfiableDemands();
 
-    Placer(OperatorSettings operatorSettings, MachineTable machines, ImageCaches imageCaches, Policy policy, SchedulingPlan plan) {
+    Placer(
+            OperatorSettings operatorSettings,
+            MachineTable machines,
+            ImageCaches imageCaches,
+            Policy policy,
+            SchedulingPlan plan) {
         this.policy = policy;
         this.spreadsServices = operatorSettings.zoneRecovery().enabled();
         this.operatorSettings = operatorSettings;
         this.machines = machines;
         this.imageCaches = imageCaches;
         this.plan = plan;
-        this.remainingReservations = Math.max(SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES, (int) (plan.machines.size() * SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION));
+        this.remainingReservations =
+                Math.max(
+                        SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES,
+                        (int)
+                                (plan.machines.size()
+                                        * SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION));
     }
 
-    /** Places what fits, as a last resort also on machines that should be left to others; returns how many tasks found no place. */
+    /**
+     * Places what fits, as a last resort also on machines that should be left to others; returns
+     * how many tasks found no place.
+     */
     int place(QueueOrder.RankedJob ranked, boolean anywhere) {
         Job job = ranked.job();
         lastResort = anywhere;
@@ -53,10 +73,23 @@
         int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
         int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
         if (spec.priority() == JobSpec.Priority.BEST_EFFORT && spec.isUnconstrained()) {
-            // What urgent work will need before long is left free: displacing low work costs it its run, and the store changes.
-            tasks = Math.min(tasks, Tebas.taskCapacity((anywhere ? plan.freeCpus(true) : plan.freeCpus()) - plan.reservedCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0));
+            // What urgent work will need before long is left free: displacing low work costs it its
+            // run, and the store changes.
+            tasks =
+                    Math.min(
+                            tasks,
+                            Tebas.taskCapacity(
+                                    (anywhere ? plan.freeCpus(true) : plan.freeCpus())
+                                            - plan.reservedCpus,
+                                    Double.MAX_VALUE,
+                                    0,
+                                    spec.cpus(),
+                                    0,
+                                    0));
         }
-        if (tasks <= 0 || spec.isGang() && tasks < wanted || (anywhere ? unsatisfiableAnywhere : unsatisfiable).covers(spec)) {
+        if (tasks <= 0
+                || spec.isGang() && tasks < wanted
+                || (anywhere ? unsatisfiableAnywhere : unsatisfiable).covers(spec)) {
             return wanted;
         }
         if (spec.isGang() && job.pages.length > plan.writeBudget - plan.edits.size()) {
@@ -79,26 +112,43 @@
     }
 
     /**
-     * Leaves the machines that will soonest have room for so many tasks to run empty: on a full cluster, smaller tasks would take each
-     * part of them as it comes free, for ever. For a gang, whose tasks start together, also those that have some room now.
+     * Leaves the machines that will soonest have room for so many tasks to run empty: on a full
+     * cluster, smaller tasks would take each part of them as it comes free, for ever. For a gang,
+     * whose tasks start together, also those that have some room now.
      */
     void reserveMachines(JobSpec spec, int tasks) {
-        int maxMachines = spec.isGang() ? Math.max(SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES, (int) (plan.machines.size() * SchedulerConstants.GANG_DRAIN_RESERVE_MACHINES_FRACTION)) : Math.min(tasks, remainingReservations);
+        int maxMachines =
+                spec.isGang()
+                        ? Math.max(
+                                SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES,
+                                (int)
+                                        (plan.machines.size()
+                                                * SchedulerConstants
+                                                        .GANG_DRAIN_RESERVE_MACHINES_FRACTION))
+                        : Math.min(tasks, remainingReservations);
         if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
             return;
         }
         Map<String, List<FreeCapacity>> machinesByZone = new LinkedHashMap<>();
         for (FreeCapacity.MachinePool pool : plan.pools.values()) {
-            for (FreeCapacity machine : pool.suits(spec, tier) ? pool.machines : List.<FreeCapacity>of()) {
-                if (machine.reservedForTier == Integer.MAX_VALUE && (machine.inOwnShard || plan.leading) && (spec.isGang() || machine.taskCapacity(spec) == 0)) {
-                    machinesByZone.computeIfAbsent(spec.zoneAffinity() ? pool.zone : "", z -> new ArrayList<>()).add(machine);
+            for (FreeCapacity machine :
+                    pool.suits(spec, tier) ? pool.machines : List.<FreeCapacity>of()) {
+                if (machine.reservedForTier == Integer.MAX_VALUE
+                        && (machine.inOwnShard || plan.leading)
+                        && (spec.isGang() || machine.taskCapacity(spec) == 0)) {
+                    machinesByZone
+                            .computeIfAbsent(
+                                    spec.zoneAffinity() ? pool.zone : "", z -> new ArrayList<>())
+                            .add(machine);
                 }
             }
         }
         List<FreeCapacity> bestMachines = List.of();
         double bestFreeCpus = -1;
         for (List<FreeCapacity> zoneMachines : machinesByZone.values()) {
-            zoneMachines.sort(Comparator.comparingDouble((FreeCapacity machine) -> -machine.freeCpus()).thenComparing(machine -> machine.host));
+            zoneMachines.sort(
+                    Comparator.comparingDouble((FreeCapacity machine) -> -machine.freeCpus())
+                            .thenComparing(machine -> machine.host));
             int uncovered = tasks;
             int count = 0;
             double freeCpus = 0;
@@ -118,15 +168,23 @@
         }
     }
 
-    /** Runs the pass over the block's machines (or, for the leader, all machines) within the job's zone rules. */
+    /**
+     * Runs the pass over the block's machines (or, for the leader, all machines) within the job's
+     * zone rules.
+     */
     private int assign(Job job, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
         JobSpec spec = job.spec;
-        Map<String, List<Tebas.CandidateMachine>> candidatesByZone = candidatesByZone(spec, ownShardOnly, tasksByHost);
-        if (candidatesByZone.isEmpty() && tasksByHost.isEmpty() && (!ownShardOnly || !plan.leading)) {
+        Map<String, List<Tebas.CandidateMachine>> candidatesByZone =
+                candidatesByZone(spec, ownShardOnly, tasksByHost);
+        if (candidatesByZone.isEmpty()
+                && tasksByHost.isEmpty()
+                && (!ownShardOnly || !plan.leading)) {
             (lastResort ? unsatisfiableAnywhere : unsatisfiable).add(spec);
         }
         int maxPerZone = policy.maxTasksPerZone(job);
-        if (spec.isService() && !spec.zoneAffinity() && (spreadsServices || maxPerZone < spec.taskCount() && !spec.zoneSpread())) {
+        if (spec.isService()
+                && !spec.zoneAffinity()
+                && (spreadsServices || maxPerZone < spec.taskCount() && !spec.zoneSpread())) {
             return assignEvenly(job, tasks, candidatesByZone, tasksByHost, maxPerZone);
         }
         if (!spec.zoneAffinity() && !spec.zoneSpread()) {
@@ -137,20 +195,36 @@
             return unplaced;
         }
         Map<String, Integer> tasksByZone = tasksByZone(job);
-        tasksByHost.forEach((host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        tasksByHost.forEach(
+                (host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
         List<String> zones = new ArrayList<>(candidatesByZone.keySet());
-        zones.sort(Comparator.comparingInt((String zone) -> -candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum()).thenComparing(zone -> zone));
+        zones.sort(
+                Comparator.comparingInt(
+                                (String zone) ->
+                                        -candidatesByZone.get(zone).stream()
+                                                .mapToInt(x -> x.remainingCapacity)
+                                                .sum())
+                        .thenComparing(zone -> zone));
         int unplaced = tasks;
         for (String zone : zones) {
             if (spec.zoneAffinity() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone)) {
                 continue;
             }
-            int maxTasks = spec.zoneSpread() ? Math.min(unplaced, maxPerZone - tasksByZone.getOrDefault(zone, 0)) : unplaced;
-            int zoneCapacity = candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum();
+            int maxTasks =
+                    spec.zoneSpread()
+                            ? Math.min(unplaced, maxPerZone - tasksByZone.getOrDefault(zone, 0))
+                            : unplaced;
+            int zoneCapacity =
+                    candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum();
             if (maxTasks <= 0 || spec.zoneAffinity() && spec.isGang() && zoneCapacity < unplaced) {
                 continue;
             }
-            unplaced -= maxTasks - Tebas.assign(candidatesByZone.get(zone), maxTasks, operatorSettings.tebasGroupSize());
+            unplaced -=
+                    maxTasks
+                            - Tebas.assign(
+                                    candidatesByZone.get(zone),
+                                    maxTasks,
+                                    operatorSettings.tebasGroupSize());
             candidatesByZone.get(zone).forEach(candidate -> tally(tasksByHost, candidate));
             tasksByZone.merge(zone, 0, Integer::sum);
             if (unplaced == 0) {
@@ -160,19 +234,37 @@
         return unplaced;
     }
 
-    /** A service's replicas go where the fewest are, one by one, within what one zone may have; within a zone the pass places them. */
-    private int assignEvenly(Job job, int tasks, Map<String, List<Tebas.CandidateMachine>> candidatesByZone, Map<String, Integer> tasksByHost, int maxPerZone) {
+    /**
+     * A service's replicas go where the fewest are, one by one, within what one zone may have;
+     * within a zone the pass places them.
+     */
+    private int assignEvenly(
+            Job job,
+            int tasks,
+            Map<String, List<Tebas.CandidateMachine>> candidatesByZone,
+            Map<String, Integer> tasksByHost,
+            int maxPerZone) {
         Map<String, Integer> tasksByZone = tasksByZone(job);
-        tasksByHost.forEach((host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        tasksByHost.forEach(
+                (host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
         Map<String, Integer> capacityByZone = new TreeMap<>();
-        candidatesByZone.forEach((zone, candidates) -> capacityByZone.put(zone, candidates.stream().mapToInt(x -> x.remainingCapacity).sum()));
+        candidatesByZone.forEach(
+                (zone, candidates) ->
+                        capacityByZone.put(
+                                zone,
+                                candidates.stream().mapToInt(x -> x.remainingCapacity).sum()));
         Map<String, Integer> newTasksByZone = new TreeMap<>();
         int undistributed = tasks;
         while (undistributed > 0) {
             String emptiestZone = null;
             for (String zone : capacityByZone.keySet()) {
-                boolean eligible = capacityByZone.get(zone) > newTasksByZone.getOrDefault(zone, 0) && tasksByZone.getOrDefault(zone, 0) < maxPerZone;
-                if (eligible && (emptiestZone == null || tasksByZone.getOrDefault(zone, 0) < tasksByZone.getOrDefault(emptiestZone, 0))) {
+                boolean eligible =
+                        capacityByZone.get(zone) > newTasksByZone.getOrDefault(zone, 0)
+                                && tasksByZone.getOrDefault(zone, 0) < maxPerZone;
+                if (eligible
+                        && (emptiestZone == null
+                                || tasksByZone.getOrDefault(zone, 0)
+                                        < tasksByZone.getOrDefault(emptiestZone, 0))) {
                     emptiestZone = zone;
                 }
             }
@@ -185,33 +277,75 @@
         }
         int unplaced = undistributed;
         for (Map.Entry<String, Integer> entry : newTasksByZone.entrySet()) {
-            unplaced += Tebas.assign(candidatesByZone.get(entry.getKey()), entry.getValue(), operatorSettings.tebasGroupSize());
-            candidatesByZone.get(entry.getKey()).forEach(candidate -> tally(tasksByHost, candidate));
+            unplaced +=
+                    Tebas.assign(
+                            candidatesByZone.get(entry.getKey()),
+                            entry.getValue(),
+                            operatorSettings.tebasGroupSize());
+            candidatesByZone
+                    .get(entry.getKey())
+                    .forEach(candidate -> tally(tasksByHost, candidate));
         }
         return unplaced;
     }
 
     /** The machines with room for a task of the job, by zone. */
-    private Map<String, List<Tebas.CandidateMachine>> candidatesByZone(JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+    private Map<String, List<Tebas.CandidateMachine>> candidatesByZone(
+            JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
         Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
         for (FreeCapacity.MachinePool pool : plan.pools.values()) {
             if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
                 continue;
             }
             List<Tebas.CandidateMachine> candidates = null;
-            double clockFactor = operatorSettings.clockSpeedByMachineType().getOrDefault(pool.machineType.name(), 1.0);
-            // Where the time to reach a worker doesn't count, a kind's machines differ by the image alone.
+            double clockFactor =
+                    operatorSettings
+                            .clockSpeedByMachineType()
+                            .getOrDefault(pool.machineType.name(), 1.0);
+            // Where the time to reach a worker doesn't count, a kind's machines differ by the image
+            // alone.
             boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
-            double fitnessWithImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, true, 0));
-            double fitnessWithoutImage = Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, false, 0));
+            double fitnessWithImage =
+                    Tebas.fitness(
+                            operatorSettings.parallelFraction(),
+                            spec.cpus(),
+                            effectiveFrequency(spec, pool, clockFactor, true, 0));
+            double fitnessWithoutImage =
+                    Tebas.fitness(
+                            operatorSettings.parallelFraction(),
+                            spec.cpus(),
+                            effectiveFrequency(spec, pool, clockFactor, false, 0));
             for (FreeCapacity machine : pool.machines) {
-                int capacity = ownShardOnly && !machine.inOwnShard || !machine.hasFreeCapacity() || tier >= machine.reservedForTier ? 0 : machine.taskCapacity(spec) - (tasksByHost.isEmpty() ? 0 : tasksByHost.getOrDefault(machine.host, 0));
+                int capacity =
+                        ownShardOnly && !machine.inOwnShard
+                                        || !machine.hasFreeCapacity()
+                                        || tier >= machine.reservedForTier
+                                ? 0
+                                : machine.taskCapacity(spec)
+                                        - (tasksByHost.isEmpty()
+                                                ? 0
+                                                : tasksByHost.getOrDefault(machine.host, 0));
                 if (capacity > 0) {
                     boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
-                    double fitness = !urgent || machine.reachSeconds <= 0 ? hasImage ? fitnessWithImage : fitnessWithoutImage
-                            : Tebas.fitness(operatorSettings.parallelFraction(), spec.cpus(), effectiveFrequency(spec, pool, clockFactor, hasImage, machine.reachSeconds));
-                    candidates = candidates == null ? candidatesByZone.computeIfAbsent(pool.zone, z -> new ArrayList<>()) : candidates;
-                    candidates.add(new Tebas.CandidateMachine(machine.host, fitness, capacity, capacity));
+                    double fitness =
+                            !urgent || machine.reachSeconds <= 0
+                                    ? hasImage ? fitnessWithImage : fitnessWithoutImage
+                                    : Tebas.fitness(
+                                            operatorSettings.parallelFraction(),
+                                            spec.cpus(),
+                                            effectiveFrequency(
+                                                    spec,
+                                                    pool,
+                                                    clockFactor,
+                                                    hasImage,
+                                                    machine.reachSeconds));
+                    candidates =
+                            candidates == null
+                                    ? candidatesByZone.computeIfAbsent(
+                                            pool.zone, z -> new ArrayList<>())
+                                    : candidates;
+                    candidates.add(
+                            new Tebas.CandidateMachine(machine.host, fitness, capacity, capacity));
                 }
             }
         }
@@ -219,13 +353,27 @@
     }
 
     /**
-     * The machine's frequency as this task gets to feel it: while its image is fetched, nothing runs. Where fetches take
-     * as long as the tasks themselves, the paper's gain of a machine is mostly a matter of who has the image.
+     * The machine's frequency as this task gets to feel it: while its image is fetched, nothing
+     * runs. Where fetches take as long as the tasks themselves, the paper's gain of a machine is
+     * mostly a matter of who has the image.
      */
-    private static double effectiveFrequency(JobSpec spec, FreeCapacity.MachinePool pool, double clockFactor, boolean hasImage, double waitSeconds) {
-        double fetchSeconds = hasImage ? 0 : spec.imageSizeGb() / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
-        double runSeconds = spec.isService() ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS : Math.max(spec.runtimeSeconds(), 1);
-        // Where workers report seldom, whose answer is still open matters as well to work that should start at once.
+    private static double effectiveFrequency(
+            JobSpec spec,
+            FreeCapacity.MachinePool pool,
+            double clockFactor,
+            boolean hasImage,
+            double waitSeconds) {
+        double fetchSeconds =
+                hasImage
+                        ? 0
+                        : spec.imageSizeGb()
+                                / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
+        double runSeconds =
+                spec.isService()
+                        ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS
+                        : Math.max(spec.runtimeSeconds(), 1);
+        // Where workers report seldom, whose answer is still open matters as well to work that
+        // should start at once.
         return clockFactor * runSeconds / (runSeconds + fetchSeconds + waitSeconds);
     }
 
@@ -235,7 +383,10 @@
         }
     }
 
-    /** The zones where the job may have more tasks than it has: room made elsewhere would be of no use to it. */
+    /**
+     * The zones where the job may have more tasks than it has: room made elsewhere would be of no
+     * use to it.
+     */
     Predicate<String> allowedZones(Job job) {
         JobSpec spec = job.spec;
         int maxPerZone = policy.maxTasksPerZone(job);
@@ -243,7 +394,10 @@
             return zone -> true;
         }
         Map<String, Integer> tasksByZone = tasksByZone(job);
-        return zone -> spec.zoneAffinity() ? tasksByZone.isEmpty() || tasksByZone.containsKey(zone) : tasksByZone.getOrDefault(zone, 0) < maxPerZone;
+        return zone ->
+                spec.zoneAffinity()
+                        ? tasksByZone.isEmpty() || tasksByZone.containsKey(zone)
+                        : tasksByZone.getOrDefault(zone, 0) < maxPerZone;
     }
 
     /** Where the job's tasks may be now, by zone, evidence of this round included. */
@@ -265,24 +419,31 @@
         return tasksByZone;
     }
 
-    private void tally(Map<String, Integer> tasksByZone, java.util.stream.Stream<Placement> placements) {
-        placements.map(p -> machines.get(p.host)).filter(java.util.Objects::nonNull).forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
+    private void tally(
+            Map<String, Integer> tasksByZone, java.util.stream.Stream<Placement> placements) {
+        placements
+                .map(p -> machines.get(p.host))
+                .filter(java.util.Objects::nonNull)
+                .forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
     }
 
     /** Writes the spread into the chunks; returns how many tasks got a place. */
     private int recordPlacements(Job job, Map<String, Integer> tasksByHost) {
         List<String> hosts = new ArrayList<>();
-        tasksByHost.forEach((host, tasks) -> {
-            for (int i = 0; i < tasks; i++) {
-                hosts.add(host);
-            }
-        });
+        tasksByHost.forEach(
+                (host, tasks) -> {
+                    for (int i = 0; i < tasks; i++) {
+                        hosts.add(host);
+                    }
+                });
         int placed = 0;
         long lastGangAttempt = 0;
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
             lastGangAttempt = Math.max(lastGangAttempt, job.page(pageIndex).lastAttempt);
         }
-        for (int pageIndex = 0; pageIndex < job.pages.length && placed < hosts.size(); pageIndex++) {
+        for (int pageIndex = 0;
+                pageIndex < job.pages.length && placed < hosts.size();
+                pageIndex++) {
             if (plan.unplacedTasks(job, pageIndex) == 0) {
                 continue;
             }
@@ -291,7 +452,10 @@
                 break;
             }
             long attempt = (job.spec.isGang() ? lastGangAttempt : edit.page().lastAttempt) + 1;
-            for (int i = edit.page().firstTaskIndex(); i < edit.page().firstTaskIndex() + edit.page().taskCount() && placed < hosts.size(); i++) {
+            for (int i = edit.page().firstTaskIndex();
+                    i < edit.page().firstTaskIndex() + edit.page().taskCount()
+                            && placed < hosts.size();
+                    i++) {
                 if (edit.isPlaceable(i)) {
                     FreeCapacity machine = plan.machines.get(hosts.get(placed));
                     edit.place(i, machine.host, attempt);
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -24,21 +24,40 @@
 
 /** Stops work that the protocol lets a job displace, as little and as cheap as will do. */
 final class Preemption {
-    /** One time for the whole round: time passes while it is planned, and a sort must see one order. */
+    /**
+     * One time for the whole round: time passes while it is planned, and a sort must see one order.
+     */
     private final long nowMillis;
+
     private final Settings settings;
     private final JobTable jobs;
     private final SchedulingPlan plan;
     private final Policy policy;
+
     /** Whether victims should share records, for the store's changes are short. */
     private final boolean shareRecords;
-    /** What could be stopped, cheapest first, for those in a hurry and for others, by whom it is for. Made when needed. */
+
+    /**
+     * What could be stopped, cheapest first, for those in a hurry and for others, by whom it is
+     * for. Made when needed.
+     */
     private final Map<List<Object>, PreemptionCandidates> candidates = new HashMap<>();
-    /** Demands for which everything that may be stopped is being stopped, without and within a guarantee (by team). */
+
+    /**
+     * Demands for which everything that may be stopped is being stopped, without and within a
+     * guarantee (by team).
+     */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
+
     private final Map<String, UnsatisfiableDemands> unsatisfiableWithinGuarantee = new HashMap<>();
 
-    Preemption(EventLoop loop, Settings settings, JobTable jobs, SchedulingPlan plan, boolean shareRecords, Policy policy) {
+    Preemption(
+            EventLoop loop,
+            Settings settings,
+            JobTable jobs,
+            SchedulingPlan plan,
+            boolean shareRecords,
+            Policy policy) {
         this.policy = policy;
         this.nowMillis = loop.nowMillis();
         this.settings = settings;
@@ -47,7 +66,10 @@
         this.shareRecords = shareRecords;
     }
 
-    /** Returns how many tasks will find no room all the same. {@code zoneLets}: zones where the job may have more tasks. */
+    /**
+     * Returns how many tasks will find no room all the same. {@code zoneLets}: zones where the job
+     * may have more tasks.
+     */
     int makeRoom(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
         Job job = ranked.job();
         JobSpec spec = job.spec;
@@ -57,7 +79,10 @@
         if (needed <= 0 || spec.priority() == JobSpec.Priority.BEST_EFFORT && !withinGuarantee) {
             return needed;
         }
-        if (withinGuarantee ? unsatisfiableWithinGuarantee.containsKey(spec.team()) && unsatisfiableWithinGuarantee.get(spec.team()).covers(spec) : unsatisfiable.covers(spec)) {
+        if (withinGuarantee
+                ? unsatisfiableWithinGuarantee.containsKey(spec.team())
+                        && unsatisfiableWithinGuarantee.get(spec.team()).covers(spec)
+                : unsatisfiable.covers(spec)) {
             return needed;
         }
         for (FreeCapacity.MachinePool pool : plan.pools.values()) {
@@ -72,7 +97,8 @@
                 }
             }
         }
-        PreemptionCandidates cheapestFirst = needed <= 0 ? null : candidatesFor(job, withinGuarantee);
+        PreemptionCandidates cheapestFirst =
+                needed <= 0 ? null : candidatesFor(job, withinGuarantee);
         Set<FreeCapacity> exhaustedMachines = new HashSet<>();
         for (int i = 0; needed > 0; i++) {
             PreemptionCandidates.Candidate candidate = cheapestFirst.get(i);
@@ -80,18 +106,25 @@
                 // What is stopped for one within its guarantee is more than another may stop.
                 unsatisfiable.add(spec);
                 if (withinGuarantee) {
-                    unsatisfiableWithinGuarantee.computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands()).add(spec);
+                    unsatisfiableWithinGuarantee
+                            .computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands())
+                            .add(spec);
                 }
                 break;
             }
             Placement placement = candidate.placement();
             FreeCapacity machine = candidate.machine();
-            if (exhaustedMachines.contains(machine) || !mayPreempt(job, placement, withinGuarantee) || !machine.pool.suits(spec, tier) || !zoneAllowed.test(machine.pool.zone) || !isRunning(placement)) {
+            if (exhaustedMachines.contains(machine)
+                    || !mayPreempt(job, placement, withinGuarantee)
+                    || !machine.pool.suits(spec, tier)
+                    || !zoneAllowed.test(machine.pool.zone)
+                    || !isRunning(placement)) {
                 continue;
             }
             List<Placement> toStop = fewestToStop(job, placement, machine, withinGuarantee);
             if (toStop.isEmpty()) {
-                // All that may be stopped there isn't enough, whichever goes first: nothing is stopped for nothing.
+                // All that may be stopped there isn't enough, whichever goes first: nothing is
+                // stopped for nothing.
                 exhaustedMachines.add(machine);
                 continue;
             }
@@ -109,24 +142,35 @@
     }
 
     /**
-     * The task and as many others of its machine, the cheapest first, as must go before one of the job fits there; empty if all of them aren't
-     * enough. Taken one by one over all machines, many would be stopped and each leave room too small for anybody but its like.
+     * The task and as many others of its machine, the cheapest first, as must go before one of the
+     * job fits there; empty if all of them aren't enough. Taken one by one over all machines, many
+     * would be stopped and each leave room too small for anybody but its like.
      */
-    private List<Placement> fewestToStop(Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
+    private List<Placement> fewestToStop(
+            Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
         List<Placement> chosen = new ArrayList<>(List.of(first));
         if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
             return chosen;
         }
         MachineLoad load = jobs.loadOf(machine.host);
         List<Placement> others = new ArrayList<>();
-        for (int priority = JobSpec.Priority.values().length - 1; load != null && priority >= 0; priority--) {
+        for (int priority = JobSpec.Priority.values().length - 1;
+                load != null && priority >= 0;
+                priority--) {
             for (Placement placement : load.stoppablePlacements(priority)) {
-                if (placement != first && mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement) && isRunning(placement)) {
+                if (placement != first
+                        && mayPreempt(job, placement, withinGuarantee)
+                        && !isNearlyDone(placement)
+                        && isRunning(placement)) {
                     others.add(placement);
                 }
             }
         }
-        others.sort(Comparator.comparing((Placement placement) -> placement.job.spec.priority()).reversed().thenComparingDouble(this::lostCpuSeconds).thenComparing(Placement::taskName));
+        others.sort(
+                Comparator.comparing((Placement placement) -> placement.job.spec.priority())
+                        .reversed()
+                        .thenComparingDouble(this::lostCpuSeconds)
+                        .thenComparing(Placement::taskName));
         for (Placement placement : others) {
             chosen.add(placement);
             if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
@@ -138,7 +182,10 @@
 
     /** Whether the task is neither stopped nor over in this plan. */
     private boolean isRunning(Placement placement) {
-        TaskStatePage.Edit edit = plan.edits.get(placement.job.page(placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
+        TaskStatePage.Edit edit =
+                plan.edits.get(
+                        placement.job.page(
+                                placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
         return edit == null || edit.isRunning(placement.taskIndex);
     }
 
@@ -161,29 +208,57 @@
         JobSpec spec = job.spec;
         boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
         int highestPriority = spec.priority().ordinal() + (withinGuarantee ? 0 : 1);
-        List<Object> key = Arrays.asList(urgent, highestPriority, withinGuarantee ? spec.team() : null, spec.machineTypes(), spec.zone(), spec.preemptible());
-        return candidates.computeIfAbsent(key, k -> {
-            List<PreemptionCandidates.Candidate> found = new ArrayList<>();
-            for (FreeCapacity.MachinePool pool : plan.pools.values()) {
-                for (FreeCapacity machine : pool.matchesConstraints(spec) ? pool.machines : List.<FreeCapacity>of()) {
-                    MachineLoad load = jobs.loadOf(machine.host);
-                    for (int priority = highestPriority; load != null && priority < JobSpec.Priority.values().length; priority++) {
-                        for (Placement placement : load.stoppablePlacements(priority)) {
-                            if (mayPreempt(job, placement, withinGuarantee) && !isNearlyDone(placement)) {
-                                found.add(new PreemptionCandidates.Candidate(placement, machine, lostCpuSeconds(placement), plan.entitledTasksOfStarving.containsKey(placement.job), found.size()));
+        List<Object> key =
+                Arrays.asList(
+                        urgent,
+                        highestPriority,
+                        withinGuarantee ? spec.team() : null,
+                        spec.machineTypes(),
+                        spec.zone(),
+                        spec.preemptible());
+        return candidates.computeIfAbsent(
+                key,
+                k -> {
+                    List<PreemptionCandidates.Candidate> found = new ArrayList<>();
+                    for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+                        for (FreeCapacity machine :
+                                pool.matchesConstraints(spec)
+                                        ? pool.machines
+                                        : List.<FreeCapacity>of()) {
+                            MachineLoad load = jobs.loadOf(machine.host);
+                            for (int priority = highestPriority;
+                                    load != null && priority < JobSpec.Priority.values().length;
+                                    priority++) {
+                                for (Placement placement : load.stoppablePlacements(priority)) {
+                                    if (mayPreempt(job, placement, withinGuarantee)
+                                            && !isNearlyDone(placement)) {
+                                        found.add(
+                                                new PreemptionCandidates.Candidate(
+                                                        placement,
+                                                        machine,
+                                                        lostCpuSeconds(placement),
+                                                        plan.entitledTasksOfStarving.containsKey(
+                                                                placement.job),
+                                                        found.size()));
+                                    }
+                                }
                             }
                         }
                     }
-                }
-            }
-            return new PreemptionCandidates(found, urgent, shareRecords);
-        });
+                    return new PreemptionCandidates(found, urgent, shareRecords);
+                });
     }
 
     private boolean isNearlyDone(Placement placement) {
         JobSpec spec = placement.job.spec;
-        double ranSeconds = placement.runningSinceMillis == 0 ? 0 : (nowMillis - placement.runningSinceMillis) / 1000.0;
-        return spec.runtimeSeconds() > 0 && ranSeconds > 0 && spec.runtimeSeconds() - ranSeconds < SchedulerConstants.NEARLY_DONE_SECONDS && ranSeconds < 2 * spec.runtimeSeconds();
+        double ranSeconds =
+                placement.runningSinceMillis == 0
+                        ? 0
+                        : (nowMillis - placement.runningSinceMillis) / 1000.0;
+        return spec.runtimeSeconds() > 0
+                && ranSeconds > 0
+                && spec.runtimeSeconds() - ranSeconds < SchedulerConstants.NEARLY_DONE_SECONDS
+                && ranSeconds < 2 * spec.runtimeSeconds();
     }
 
     private boolean mayPreempt(Job forJob, Placement placement, boolean withinGuarantee) {
@@ -194,33 +269,63 @@
         if (policy.isInForce() && !policyAllows(forJob, placement, withinGuarantee)) {
             return false;
         }
-        if (plan.entitledTasksOfStarving.containsKey(placement.job) && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false) >= QueueOrder.TIER_FIRST_START) {
-            // What a job would be left behind by is stopped for urgent work alone: a guarantee takes other surplus, or the two would take turns.
+        if (plan.entitledTasksOfStarving.containsKey(placement.job)
+                && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false)
+                        >= QueueOrder.TIER_FIRST_START) {
+            // What a job would be left behind by is stopped for urgent work alone: a guarantee
+            // takes other surplus, or the two would take turns.
             return false;
         }
         if (victim.priority().ordinal() > forJob.spec.priority().ordinal()) {
-            return plan.tier(placement.job) > QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false);
+            return plan.tier(placement.job)
+                    > QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false);
         }
-        // For a guarantee the protocol lets us stop work of any urgency. We stop only work that comes after this job in the
-        // queue: more urgent work would take the room back at once, and the two would displace each other without end. For
-        // the same reason a job within its own team's guarantee is left alone, though that team runs more than that besides.
+        // For a guarantee the protocol lets us stop work of any urgency. We stop only work that
+        // comes after this job in the
+        // queue: more urgent work would take the room back at once, and the two would displace each
+        // other without end. For
+        // the same reason a job within its own team's guarantee is left alone, though that team
+        // runs more than that besides.
         Settings.Team team = settings.teams().get(victim.team());
         double[] usage = plan.totalUsage.getOrDefault(victim.team(), new double[2]);
-        return withinGuarantee && victim.priority() == forJob.spec.priority() && !plan.jobsWithinGuarantee.contains(placement.job) && !victim.team().equals(forJob.spec.team()) && team != null
-                && (usage[0] - victim.cpus() >= team.guaranteedCpus() || victim.gpus() > 0 && usage[1] - victim.gpus() >= team.guaranteedGpus());
+        return withinGuarantee
+                && victim.priority() == forJob.spec.priority()
+                && !plan.jobsWithinGuarantee.contains(placement.job)
+                && !victim.team().equals(forJob.spec.team())
+                && team != null
+                && (usage[0] - victim.cpus() >= team.guaranteedCpus()
+                        || victim.gpus() > 0 && usage[1] - victim.gpus() >= team.guaranteedGpus());
     }
 
     /** Operators' records only narrow what may be stopped. */
     private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
-        JobClass.PreemptionProtection keep = policy.priorityOf(placement.job).preemptionProtection();
-        if (keep == JobClass.PreemptionProtection.NEVER || keep == JobClass.PreemptionProtection.URGENT && forJob.spec.priority().ordinal() > JobSpec.Priority.HIGH.ordinal()) {
+        JobClass.PreemptionProtection keep =
+                policy.priorityOf(placement.job).preemptionProtection();
+        if (keep == JobClass.PreemptionProtection.NEVER
+                || keep == JobClass.PreemptionProtection.URGENT
+                        && forJob.spec.priority().ordinal() > JobSpec.Priority.HIGH.ordinal()) {
             return false;
         }
-        return !QueueOrder.precedes(rankOf(placement.job, plan.jobsWithinGuarantee.contains(placement.job), plan.entitledTasksOfStarving.containsKey(placement.job)), rankOf(forJob, withinGuarantee, false));
+        return !QueueOrder.precedes(
+                rankOf(
+                        placement.job,
+                        plan.jobsWithinGuarantee.contains(placement.job),
+                        plan.entitledTasksOfStarving.containsKey(placement.job)),
+                rankOf(forJob, withinGuarantee, false));
     }
 
     private QueueOrder.RankedJob rankOf(Job job, boolean withinGuarantee, boolean starving) {
-        return new QueueOrder.RankedJob(job, job.spec.priority().ordinal(), withinGuarantee, false, 0, starving, false, 0, policy.priorityOf(job), 1);
+        return new QueueOrder.RankedJob(
+                job,
+                job.spec.priority().ordinal(),
+                withinGuarantee,
+                false,
+                0,
+                starving,
+                false,
+                0,
+                policy.priorityOf(job),
+                1);
     }
 
     /** CPU seconds of work that stopping the task would lose. */
@@ -229,6 +334,9 @@
             return 0;
         }
         double ranSeconds = (nowMillis - placement.runningSinceMillis) / 1000.0;
-        return (placement.job.spec.checkpointIntervalSeconds() > 0 ? placement.job.spec.checkpointSeconds() : ranSeconds) * placement.job.spec.cpus();
+        return (placement.job.spec.checkpointIntervalSeconds() > 0
+                        ? placement.job.spec.checkpointSeconds()
+                        : ranSeconds)
+                * placement.job.spec.cpus();
     }
 }
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Says why a job is where it is in the queue, by the same order that rounds use, over the waiting jobs of all controllers. */
+/**
+ * Says why a job is where it is in the queue, by the same order that rounds use, over the waiting
+ * jobs of all controllers.
+ */
 public final class QueueExplainer {
     private final EventLoop loop;
     private final Settings settings;
@@ -27,7 +30,13 @@
     private final Policy policy;
     private final QueueOrder queueOrder;
 
-    public QueueExplainer(EventLoop loop, Settings settings, ClusterMembership shards, JobTable jobs, Policy policy, OperatorApi operatorApi) {
+    public QueueExplainer(
+            EventLoop loop,
+            Settings settings,
+            ClusterMembership shards,
+            JobTable jobs,
+            Policy policy,
+            OperatorApi operatorApi) {
         this.loop = loop;
         this.settings = settings;
         this.shards = shards;
@@ -61,8 +70,12 @@
                 break;
             }
             JobClass jobClass = ranked.effectivePriority().jobClass();
-            list.addObject().put("job", ranked.job().spec.jobId()).put("tier", ranked.orderingTier()).put("rank", ranked.effectivePriority().rank())
-                    .put("class", jobClass == null ? "" : jobClass.name()).put("covered", ranked.effectivePriority().isCovered());
+            list.addObject()
+                    .put("job", ranked.job().spec.jobId())
+                    .put("tier", ranked.orderingTier())
+                    .put("rank", ranked.effectivePriority().rank())
+                    .put("class", jobClass == null ? "" : jobClass.name())
+                    .put("covered", ranked.effectivePriority().isCovered());
         }
         reply.respondOk(out);
     }
@@ -76,21 +89,56 @@
         }
         List<QueueOrder.RankedJob> queue = rankWaitingJobs();
         long wallMillis = loop.wallClockMillis();
-        boolean withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
+        boolean withinGuarantee =
+                queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
         QueueOrder.RankedJob ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
         EffectivePriority effectivePriority = ownRank.effectivePriority();
         JobClass jobClass = effectivePriority.jobClass();
-        ObjectNode out = WireFormat.newMap().put("job", jobId).put("status", job.encodeStatus().path("status").asText()).put("done", job.completedTaskCount())
-                .put("running", job.possiblyRunningTaskCount()).put("waiting", job.waitingTaskCount());
-        out.put("class", jobClass == null ? "" : jobClass.name()).put("classFrom", jobClass == null ? "no class matches" : "generation " + policy.activeClasses().generation());
-        out.put("rank", effectivePriority.rank()).put("rankFrom", jobClass == null ? "the middle, for no class matches" : "its class");
+        ObjectNode out =
+                WireFormat.newMap()
+                        .put("job", jobId)
+                        .put("status", job.encodeStatus().path("status").asText())
+                        .put("done", job.completedTaskCount())
+                        .put("running", job.possiblyRunningTaskCount())
+                        .put("waiting", job.waitingTaskCount());
+        out.put("class", jobClass == null ? "" : jobClass.name())
+                .put(
+                        "classFrom",
+                        jobClass == null
+                                ? "no class matches"
+                                : "generation " + policy.activeClasses().generation());
+        out.put("rank", effectivePriority.rank())
+                .put(
+                        "rankFrom",
+                        jobClass == null ? "the middle, for no class matches" : "its class");
         out.put("tier", tierName(ownRank));
         double ageSeconds = (wallMillis - job.acceptedAtEpochMillis) / 1000.0;
-        String dueFrom = effectivePriority.isCovered() && Math.abs(ownRank.slackSeconds() + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR - (effectivePriority.publicationMillis() - wallMillis) / 1000.0) < 1
-                ? "the publication of " + effectivePriority.occurrence().entryName + " on " + effectivePriority.occurrence().date : job.spec.deadlineSeconds() >= 0 ? "its own deadline" : "its class's objective, or twice its estimate";
-        double secondsLeft = ownRank.slackSeconds() + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
-        out.put("due", Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)).toString()).put("dueFrom", dueFrom);
-        out.put("ageS", Math.round(ageSeconds)).put("shouldBeginWithinS", effectivePriority.startWithinSeconds()).put("entitledTasks", policy.requiredStartedTaskCount(job, wallMillis));
+        String dueFrom =
+                effectivePriority.isCovered()
+                                && Math.abs(
+                                                ownRank.slackSeconds()
+                                                        + job.spec.runtimeSeconds()
+                                                                * SchedulerConstants
+                                                                        .ESTIMATE_MARGIN_FACTOR
+                                                        - (effectivePriority.publicationMillis()
+                                                                        - wallMillis)
+                                                                / 1000.0)
+                                        < 1
+                        ? "the publication of "
+                                + effectivePriority.occurrence().entryName
+                                + " on "
+                                + effectivePriority.occurrence().date
+                        : job.spec.deadlineSeconds() >= 0
+                                ? "its own deadline"
+                                : "its class's objective, or twice its estimate";
+        double secondsLeft =
+                ownRank.slackSeconds()
+                        + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
+        out.put("due", Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)).toString())
+                .put("dueFrom", dueFrom);
+        out.put("ageS", Math.round(ageSeconds))
+                .put("shouldBeginWithinS", effectivePriority.startWithinSeconds())
+                .put("entitledTasks", policy.requiredStartedTaskCount(job, wallMillis));
         out.put("controller", job.controllerId);
         out.put("waitsFor", waitingReason(job));
         ArrayNode ahead = out.putArray("ahead");
@@ -101,7 +149,11 @@
             }
             jobsAhead++;
             if (ahead.size() < SchedulerConstants.MAX_EXPLAINED_AHEAD_JOBS) {
-                ahead.addObject().put("job", ranked.job().spec.jobId()).put("tier", tierName(ranked)).put("rank", ranked.effectivePriority().rank()).put("waiting", ranked.job().waitingTaskCount());
+                ahead.addObject()
+                        .put("job", ranked.job().spec.jobId())
+                        .put("tier", tierName(ranked))
+                        .put("rank", ranked.effectivePriority().rank())
+                        .put("waiting", ranked.job().waitingTaskCount());
             }
         }
         out.put("jobsAhead", job.waitingTaskCount() > 0 ? jobsAhead : 0);
@@ -110,8 +162,20 @@
 
     private static String tierName(QueueOrder.RankedJob ranked) {
         int tier = ranked.orderingTier();
-        String covered = ranked.effectivePriority().isCovered() ? ", covered by " + ranked.effectivePriority().occurrence().entryName : "";
-        return (tier == 0 ? "production" : tier == 1 ? "high" : tier == QueueOrder.TIER_GUARANTEED ? "its team's guarantee" : tier == QueueOrder.TIER_STARVING ? "late to begin" : "surplus") + covered;
+        String covered =
+                ranked.effectivePriority().isCovered()
+                        ? ", covered by " + ranked.effectivePriority().occurrence().entryName
+                        : "";
+        return (tier == 0
+                        ? "production"
+                        : tier == 1
+                                ? "high"
+                                : tier == QueueOrder.TIER_GUARANTEED
+                                        ? "its team's guarantee"
+                                        : tier == QueueOrder.TIER_STARVING
+                                                ? "late to begin"
+                                                : "surplus")
+                + covered;
     }
 
     private String waitingReason(Job job) {
@@ -130,8 +194,13 @@
         }
         double usedCpus = 0;
         for (Job other : jobs.all()) {
-            usedCpus += other.spec.team().equals(job.spec.team()) ? other.possiblyRunningTaskCount() * other.spec.cpus() : 0;
+            usedCpus +=
+                    other.spec.team().equals(job.spec.team())
+                            ? other.possiblyRunningTaskCount() * other.spec.cpus()
+                            : 0;
         }
-        return team != null && usedCpus + job.spec.cpus() > team.maxCpus() ? "its team's limit of " + team.maxCpus() + " CPUs" : "room";
+        return team != null && usedCpus + job.spec.cpus() > team.maxCpus()
+                ? "its team's limit of " + team.maxCpus() + " CPUs"
+                : "room";
     }
 }
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -37,8 +37,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rounds: each gathers the evidence of ends, places waiting tasks and commits all of it as one durable write, guarded
- * by this controller's block, by each job and by each chunk it touches. No start leaves before that is confirmed.
+ * Rounds: each gathers the evidence of ends, places waiting tasks and commits all of it as one
+ * durable write, guarded by this controller's block, by each job and by each chunk it touches. No
+ * start leaves before that is confirmed.
  */
 public final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
@@ -49,7 +50,9 @@
         IDLE,
         /** It runs after the gap. */
         SCHEDULED,
-        /** It was due and could not be made; it is tried again after a pause that nobody shortens. */
+        /**
+         * It was due and could not be made; it is tried again after a pause that nobody shortens.
+         */
         BACKING_OFF,
         /** Its change is on its way to the store. */
         COMMITTING
@@ -70,25 +73,54 @@
     private PeerMessenger peers;
     private Phase phase = Phase.IDLE;
     private boolean cycleRequestedMeanwhile;
+
     /** Whether the last plan had more to write than one change holds. */
     private boolean lastPlanTruncated;
+
     private long lastCycleMillis;
-    /** When the round that is due runs; far off if none is. A timer that finds another time here is out of date. */
+
+    /**
+     * When the round that is due runs; far off if none is. A timer that finds another time here is
+     * out of date.
+     */
     private long scheduledAtMillis = Long.MAX_VALUE;
+
     private final QueuePass queuePass;
-    /** Two rounds that know nothing of each other may use up the same allowance, or choose two zones for one job. */
+
+    /**
+     * Two rounds that know nothing of each other may use up the same allowance, or choose two zones
+     * for one job.
+     */
     private final IndeterminateWriteFence fence;
+
     /** Chunks with ends that aren't on record, and when they should be. */
     private final Map<PageRef, Long> unrecordedTerminations = new LinkedHashMap<>();
-    private record PageRef(Job job, int pageIndex) { }
 
-    /** Urgent jobs that are being submitted: recorded by the next round, with their first places if there are any. */
-    private final ArrayDeque<EnteringJob> enteringJobs = new ArrayDeque<>();
+    private record PageRef(Job job, int pageIndex) {}
 
-    private record EnteringJob(Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) { }
+    /**
+     * Urgent jobs that are being submitted: recorded by the next round, with their first places if
+     * there are any.
+     */
+    private final ArrayDeque<EnteringJob> enteringJobs = new ArrayDeque<>();
 
-    public SchedulingCycle(EventLoop loop, Settings settings, OperatorSettings operatorSettings, MembershipLease membership, WatchCache watchCache, StoreClient store,
-            ClusterMembership shards, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, ImageCaches imageCaches, ConstrainedDemand constrainedDemand, Policy policy,
+    private record EnteringJob(
+            Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) {}
+
+    public SchedulingCycle(
+            EventLoop loop,
+            Settings settings,
+            OperatorSettings operatorSettings,
+            MembershipLease membership,
+            WatchCache watchCache,
+            StoreClient store,
+            ClusterMembership shards,
+            JobTable jobs,
+            MachineTable machines,
+            MachineTypeCatalog catalog,
+            ImageCaches imageCaches,
+            ConstrainedDemand constrainedDemand,
+            Policy policy,
             Runnable onCycleSettled) {
         this.policy = policy;
         this.loop = loop;
@@ -100,19 +132,54 @@
         this.jobs = jobs;
         this.machines = machines;
         this.onCycleSettled = onCycleSettled;
-        this.fence = new IndeterminateWriteFence(loop, store, watchCache, StoreKeys.SHARD_PREFIX + settings.memberId(), () -> shards.localShard() == null ? null
-                : new Transaction().requireRevision(shards.localShard().storeKey(), watchCache.modRevision(shards.localShard().storeKey())).put(shards.localShard().storeKey(), shards.localShard().encode(), membership.leaseId()));
-        this.queuePass = new QueuePass(loop, settings, operatorSettings, store, shards, jobs, machines, catalog, imageCaches, constrainedDemand, policy, new QueuePass.MachineStatus() {
-            @Override public boolean isAcceptingTasks(String owner, String host) {
-                ShardWorker own = workerGateway.worker(host);
-                return owner.equals(settings.memberId()) ? own != null && own.isSchedulable() : peers.isReportedSchedulable(owner, host);
-            }
-
-            @Override public double secondsToReach(String host) {
-                ShardWorker own = workerGateway.worker(host);
-                return own != null ? own.startDelaySeconds() : settings.workerTimings().heartbeatSeconds() / 2;
-            }
-        });
+        this.fence =
+                new IndeterminateWriteFence(
+                        loop,
+                        store,
+                        watchCache,
+                        StoreKeys.SHARD_PREFIX + settings.memberId(),
+                        () ->
+                                shards.localShard() == null
+                                        ? null
+                                        : new Transaction()
+                                                .requireRevision(
+                                                        shards.localShard().storeKey(),
+                                                        watchCache.modRevision(
+                                                                shards.localShard().storeKey()))
+                                                .put(
+                                                        shards.localShard().storeKey(),
+                                                        shards.localShard().encode(),
+                                                        membership.leaseId()));
+        this.queuePass =
+                new QueuePass(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        store,
+                        shards,
+                        jobs,
+                        machines,
+                        catalog,
+                        imageCaches,
+                        constrainedDemand,
+                        policy,
+                        new QueuePass.MachineStatus() {
+                            @Override
+                            public boolean isAcceptingTasks(String owner, String host) {
+                                ShardWorker own = workerGateway.worker(host);
+                                return owner.equals(settings.memberId())
+                                        ? own != null && own.isSchedulable()
+                                        : peers.isReportedSchedulable(owner, host);
+                            }
+
+                            @Override
+                            public double secondsToReach(String host) {
+                                ShardWorker own = workerGateway.worker(host);
+                                return own != null
+                                        ? own.startDelaySeconds()
+                                        : settings.workerTimings().heartbeatSeconds() / 2;
+                            }
+                        });
     }
 
     public void setCollaborators(WorkerGateway gateway, Leader newLeader, PeerMessenger messenger) {
@@ -126,13 +193,19 @@
     }
 
     /**
-     * Takes in an urgent job that is being submitted. One change then records both that it is accepted and where its tasks
-     * go, and its first start can leave as soon as its user is answered.
+     * Takes in an urgent job that is being submitted. One change then records both that it is
+     * accepted and where its tasks go, and its first start can leave as soon as its user is
+     * answered.
      */
     public boolean admit(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome) {
         boolean urgent = job.spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
-        if (!urgent || !job.hasSinglePage() || !membership.isValid() || shards.localShard() == null || enteringJobs.size() >= StoreConstants.MAX_WAITING_COMMITS
-                || enteringJobs.stream().anyMatch(n -> n.job.spec.jobId().equals(job.spec.jobId()))) {
+        if (!urgent
+                || !job.hasSinglePage()
+                || !membership.isValid()
+                || shards.localShard() == null
+                || enteringJobs.size() >= StoreConstants.MAX_WAITING_COMMITS
+                || enteringJobs.stream()
+                        .anyMatch(n -> n.job.spec.jobId().equals(job.spec.jobId()))) {
             return false;
         }
         enteringJobs.addLast(new EnteringJob(job, loop.nowMillis() + patienceMillis, onOutcome));
@@ -141,17 +214,29 @@
     }
 
     private void expireEnteringJobs() {
-        while (!enteringJobs.isEmpty() && enteringJobs.peekFirst().deadlineMillis < loop.nowMillis()) {
-            enteringJobs.pollFirst().onOutcome.onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
+        while (!enteringJobs.isEmpty()
+                && enteringJobs.peekFirst().deadlineMillis < loop.nowMillis()) {
+            enteringJobs
+                    .pollFirst()
+                    .onOutcome
+                    .onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
         }
     }
 
-    /** Tells what became of the round to those who entered with it; who isn't concerned by a conflict tries again. */
+    /**
+     * Tells what became of the round to those who entered with it; who isn't concerned by a
+     * conflict tries again.
+     */
     private void answerEnteringJobs(List<EnteringJob> entering, Transaction.Outcome outcome) {
         for (int i = entering.size() - 1; i >= 0; i--) {
             EnteringJob entry = entering.get(i);
-            boolean concernsThisJob = outcome.failedKeys().contains(entry.job.storeKey()) || outcome.failedKeys().contains(StoreKeys.FINAL_STATE_PREFIX + entry.job.spec.jobId());
-            if (outcome.result() == Transaction.Result.THROTTLED || outcome.result() == Transaction.Result.CONFLICT && !concernsThisJob) {
+            boolean concernsThisJob =
+                    outcome.failedKeys().contains(entry.job.storeKey())
+                            || outcome.failedKeys()
+                                    .contains(
+                                            StoreKeys.FINAL_STATE_PREFIX + entry.job.spec.jobId());
+            if (outcome.result() == Transaction.Result.THROTTLED
+                    || outcome.result() == Transaction.Result.CONFLICT && !concernsThisJob) {
                 enteringJobs.addFirst(entry);
             } else {
                 entry.onOutcome.onOutcome(outcome);
@@ -165,9 +250,15 @@
 
     /** Something changed: a round follows, together with whatever else comes within the gap. */
     public void requestCycle() {
-        // Who is being submitted isn't kept waiting, nor what a full change had no room for; all else gathers longer while
+        // Who is being submitted isn't kept waiting, nor what a full change had no room for; all
+        // else gathers longer while
         // changes are short, and shares records.
-        requestCycleAfterGap(lastPlanTruncated || !enteringJobs.isEmpty() ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS : store.throttledDelayMillis(SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS, SchedulerConstants.THROTTLED_CYCLE_INTERVAL_MILLIS));
+        requestCycleAfterGap(
+                lastPlanTruncated || !enteringJobs.isEmpty()
+                        ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS
+                        : store.throttledDelayMillis(
+                                SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS,
+                                SchedulerConstants.THROTTLED_CYCLE_INTERVAL_MILLIS));
     }
 
     private void requestCycleAfterGap(long gapMillis) {
@@ -177,7 +268,8 @@
         if (phase == Phase.SCHEDULED) {
             scheduleAt(lastCycleMillis + gapMillis);
         } else if (phase == Phase.COMMITTING) {
-            // What came after the plan was made isn't in it: evidence would otherwise wait for the next event.
+            // What came after the plan was made isn't in it: evidence would otherwise wait for the
+            // next event.
             cycleRequestedMeanwhile = true;
         }
     }
@@ -188,11 +280,13 @@
             return;
         }
         scheduledAtMillis = atMillis;
-        loop.runAfter(Math.max(1, atMillis - loop.nowMillis()), () -> {
-            if (scheduledAtMillis == atMillis) {
-                runCycle();
-            }
-        });
+        loop.runAfter(
+                Math.max(1, atMillis - loop.nowMillis()),
+                () -> {
+                    if (scheduledAtMillis == atMillis) {
+                        runCycle();
+                    }
+                });
     }
 
     private void backOff(long delayMillis) {
@@ -201,20 +295,41 @@
     }
 
     /**
-     * There is evidence of an end. It counts here at once; on record it may come later, gathered with others of its
-     * chunk, unless somebody else waits to hear of it: the task's next start, another controller, or the leader for room.
+     * There is evidence of an end. It counts here at once; on record it may come later, gathered
+     * with others of its chunk, unless somebody else waits to hear of it: the task's next start,
+     * another controller, or the leader for room.
      */
     public void onTaskTerminated(Placement placement) {
         boolean ownJob = placement.job.controllerId.equals(settings.memberId());
         boolean gone = placement.phase() == Placement.Phase.GONE;
-        // Low work that was displaced can wait for its next place while changes are short; others want theirs at once.
-        boolean canWait = gone && placement.job.spec.priority() == JobSpec.Priority.BEST_EFFORT && store.backpressure() > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
-        boolean urgent = gone && !canWait || placement.job.spec.isGang() || placement.job.isCancelled();
+        // Low work that was displaced can wait for its next place while changes are short; others
+        // want theirs at once.
+        boolean canWait =
+                gone
+                        && placement.job.spec.priority() == JobSpec.Priority.BEST_EFFORT
+                        && store.backpressure()
+                                > SchedulerConstants.BACKPRESSURE_THRESHOLD_FRACTION;
+        boolean urgent =
+                gone && !canWait || placement.job.spec.isGang() || placement.job.isCancelled();
         int pageIndex = placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE;
-        boolean awaitedElsewhere = queuePass.canLeaderUse(placement.host) || !ownJob && placement.job.page(pageIndex).placements.stream().allMatch(Placement::isTerminated);
-        long delayMillis = urgent ? 0 : awaitedElsewhere ? SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS
-                : store.throttledDelayMillis(ownJob ? SchedulerConstants.COMPLETION_BATCH_MILLIS : SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS, SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
-        unrecordedTerminations.merge(new PageRef(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
+        boolean awaitedElsewhere =
+                queuePass.canLeaderUse(placement.host)
+                        || !ownJob
+                                && placement.job.page(pageIndex).placements.stream()
+                                        .allMatch(Placement::isTerminated);
+        long delayMillis =
+                urgent
+                        ? 0
+                        : awaitedElsewhere
+                                ? SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS
+                                : store.throttledDelayMillis(
+                                        ownJob
+                                                ? SchedulerConstants.COMPLETION_BATCH_MILLIS
+                                                : SchedulerConstants
+                                                        .AWAITED_COMPLETION_BATCH_MILLIS,
+                                        SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
+        unrecordedTerminations.merge(
+                new PageRef(placement.job, pageIndex), loop.nowMillis() + delayMillis, Math::min);
         if (urgent || queuePass.hasWorkWaiting()) {
             requestCycle();
         }
@@ -222,7 +337,10 @@
 
     /** Wakes a round if work waits or an end should be on record by now. */
     public void requestCycleIfNeeded() {
-        boolean terminationDue = shards.localShard() != null && unrecordedTerminations.values().stream().anyMatch(t -> t <= loop.nowMillis());
+        boolean terminationDue =
+                shards.localShard() != null
+                        && unrecordedTerminations.values().stream()
+                                .anyMatch(t -> t <= loop.nowMillis());
         if (terminationDue || hasWaitingWork()) {
             requestCycle();
         }
@@ -233,7 +351,10 @@
             return false;
         }
         for (Job job : jobs.all()) {
-            if (!job.isCancelled() && job.pendingTaskCount() > 0 && job.controllerId.equals(settings.memberId()) || job.spec.isGang()) {
+            if (!job.isCancelled()
+                            && job.pendingTaskCount() > 0
+                            && job.controllerId.equals(settings.memberId())
+                    || job.spec.isGang()) {
                 return true;
             }
         }
@@ -256,91 +377,135 @@
         int writeBudget = Math.min(store.affordableWrites(), store.maxTransactionOperations());
         boolean admitting = !enteringJobs.isEmpty() && store.canAffordUrgentWrite();
         if (admitting) {
-            writeBudget = Math.max(writeBudget, Math.min(enteringJobs.size(), store.maxTransactionOperations()));
-        } else if (writeBudget < Math.min(Math.max(SchedulerConstants.MIN_CHANGES_PER_CYCLE, queuePass.largestGangPages()), store.maxTransactionOperations())) {
-            // Over our share of the store's limit: a plan made now would be out of date when it may be written.
+            writeBudget =
+                    Math.max(
+                            writeBudget,
+                            Math.min(enteringJobs.size(), store.maxTransactionOperations()));
+        } else if (writeBudget
+                < Math.min(
+                        Math.max(
+                                SchedulerConstants.MIN_CHANGES_PER_CYCLE,
+                                queuePass.largestGangPages()),
+                        store.maxTransactionOperations())) {
+            // Over our share of the store's limit: a plan made now would be out of date when it may
+            // be written.
             backOff(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS);
             return;
         }
         List<EnteringJob> admitted = new ArrayList<>();
-        while (admitting && !enteringJobs.isEmpty() && admitted.size() < SchedulingPlan.maxRecords(writeBudget, shards.shards().size(), store.maxTransactionOperations())) {
+        while (admitting
+                && !enteringJobs.isEmpty()
+                && admitted.size()
+                        < SchedulingPlan.maxRecords(
+                                writeBudget,
+                                shards.shards().size(),
+                                store.maxTransactionOperations())) {
             EnteringJob entry = enteringJobs.pollFirst();
             if (jobs.get(entry.job.spec.jobId()) == null) {
                 admitted.add(entry);
             } else {
-                // Recorded since it was taken in, by another submission of the same job: it must not be told as new, nor be planned twice.
-                entry.onOutcome.onOutcome(new Transaction.Outcome(Transaction.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
+                // Recorded since it was taken in, by another submission of the same job: it must
+                // not be told as new, nor be planned twice.
+                entry.onOutcome.onOutcome(
+                        new Transaction.Outcome(
+                                Transaction.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
             }
         }
         SchedulingPlan plan;
         try {
             plan = makePlan(writeBudget, admitted.stream().map(EnteringJob::job).toList());
         } catch (RuntimeException failure) {
-            // A defect must not end all rounds: this one is given up, and what waits for it is looked at again.
+            // A defect must not end all rounds: this one is given up, and what waits for it is
+            // looked at again.
             transitionTo(Phase.IDLE);
-            answerEnteringJobs(admitted, new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
+            answerEnteringJobs(
+                    admitted, new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
             throw failure;
         }
-        // Where the store's budget is what limits a change, another one right after it would be no fuller.
+        // Where the store's budget is what limits a change, another one right after it would be no
+        // fuller.
         lastPlanTruncated = plan.truncated && writeBudget >= store.maxTransactionOperations();
         if (plan.transaction.isEmpty()) {
             transitionTo(Phase.IDLE);
             onCycleSettled.run();
             return;
         }
-        boolean moreToDo = plan.truncated || !plan.jobsToEscalate.isEmpty() || !enteringJobs.isEmpty();
+        boolean moreToDo =
+                plan.truncated || !plan.jobsToEscalate.isEmpty() || !enteringJobs.isEmpty();
         transitionTo(Phase.COMMITTING);
         cycleRequestedMeanwhile = false;
-        store.commit(plan.transaction, outcome -> {
-            transitionTo(Phase.IDLE);
-            fence.onOutcome(plan.transaction, outcome);
-            if (outcome.result() == Transaction.Result.COMMITTED) {
-                watchCache.applyCommitted(plan.transaction, outcome.storeRevision());
-            }
-            answerEnteringJobs(admitted, outcome);
-            switch (outcome.result()) {
-                case COMMITTED -> {
-                    if (moreToDo || cycleRequestedMeanwhile) {
-                        requestCycle();
+        store.commit(
+                plan.transaction,
+                outcome -> {
+                    transitionTo(Phase.IDLE);
+                    fence.onOutcome(plan.transaction, outcome);
+                    if (outcome.result() == Transaction.Result.COMMITTED) {
+                        watchCache.applyCommitted(plan.transaction, outcome.storeRevision());
                     }
-                }
-                case CONFLICT -> {
-                    LOG.debug("round: conflict on {}", outcome.failedKeys());
-                    loop.runAfter(SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS, this::requestCycle);
-                }
-                // Refused: nothing happened, the plan is made anew. Unknown: the same, once the fence has settled it.
-                default -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::requestCycle);
-            }
-            onCycleSettled.run();
-        });
+                    answerEnteringJobs(admitted, outcome);
+                    switch (outcome.result()) {
+                        case COMMITTED -> {
+                            if (moreToDo || cycleRequestedMeanwhile) {
+                                requestCycle();
+                            }
+                        }
+                        case CONFLICT -> {
+                            LOG.debug("round: conflict on {}", outcome.failedKeys());
+                            loop.runAfter(
+                                    SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS,
+                                    this::requestCycle);
+                        }
+                        // Refused: nothing happened, the plan is made anew. Unknown: the same, once
+                        // the fence has settled it.
+                        default ->
+                                loop.runAfter(
+                                        StoreConstants.RETRY_DELAY_MILLIS, this::requestCycle);
+                    }
+                    onCycleSettled.run();
+                });
     }
 
     private SchedulingPlan makePlan(int writeBudget, List<Job> admitted) {
-        SchedulingPlan plan = new SchedulingPlan(shards.localShard(), leader.isLeading(), shards.shards().size(), writeBudget, store.maxTransactionOperations());
+        SchedulingPlan plan =
+                new SchedulingPlan(
+                        shards.localShard(),
+                        leader.isLeading(),
+                        shards.shards().size(),
+                        writeBudget,
+                        store.maxTransactionOperations());
         plan.enteringJobs.addAll(admitted);
         admitted.forEach(j -> plan.edit(j, 0));
         stopBrokenGangs(plan);
         drainMachines(plan);
-        queuePass.placeWaitingJobs(plan, peers.isAcknowledgedByLeader() ? shards.leaderId() : null, new QueuePass.TerminationRecorder() {
-            @Override public void recordDue(SchedulingPlan p) {
-                recordDueTerminations(p);
-            }
+        queuePass.placeWaitingJobs(
+                plan,
+                peers.isAcknowledgedByLeader() ? shards.leaderId() : null,
+                new QueuePass.TerminationRecorder() {
+                    @Override
+                    public void recordDue(SchedulingPlan p) {
+                        recordDueTerminations(p);
+                    }
 
-            @Override public void recordForQuota(SchedulingPlan p, JobSpec s, int tasks) {
-                recordTerminationsForQuota(p, s, tasks);
-            }
-        });
+                    @Override
+                    public void recordForQuota(SchedulingPlan p, JobSpec s, int tasks) {
+                        recordTerminationsForQuota(p, s, tasks);
+                    }
+                });
         encodePlan(plan);
         escalateToLeader(plan);
         return plan;
     }
 
-    /** Puts the ends on record that are due; a chunk that is written anyway takes all its ends along. */
+    /**
+     * Puts the ends on record that are due; a chunk that is written anyway takes all its ends
+     * along.
+     */
     private void recordDueTerminations(SchedulingPlan plan) {
         long nowMillis = loop.nowMillis();
         for (Map.Entry<PageRef, Long> entry : new ArrayList<>(unrecordedTerminations.entrySet())) {
             PageRef ref = entry.getKey();
-            TaskStatePage page = jobs.get(ref.job.spec.jobId()) == ref.job ? ref.job.pages[ref.pageIndex] : null;
+            TaskStatePage page =
+                    jobs.get(ref.job.spec.jobId()) == ref.job ? ref.job.pages[ref.pageIndex] : null;
             if (page == null || page.placements.stream().noneMatch(Placement::isTerminated)) {
                 unrecordedTerminations.remove(ref);
             } else if (entry.getValue() <= nowMillis) {
@@ -348,7 +513,9 @@
                 if (edit == null) {
                     return;
                 }
-                if (ref.job.spec.isGang() && page.placements.stream().anyMatch(p -> p.phase() == Placement.Phase.COMPLETED)) {
+                if (ref.job.spec.isGang()
+                        && page.placements.stream()
+                                .anyMatch(p -> p.phase() == Placement.Phase.COMPLETED)) {
                     completeGang(plan, ref.job);
                 }
             }
@@ -361,7 +528,9 @@
                 return;
             }
             Job job = ref.job;
-            if (job.spec.team().equals(spec.team()) && job.controllerId.equals(settings.memberId()) && jobs.get(job.spec.jobId()) == job) {
+            if (job.spec.team().equals(spec.team())
+                    && job.controllerId.equals(settings.memberId())
+                    && jobs.get(job.spec.jobId()) == job) {
                 plan.edit(job, ref.pageIndex);
             }
         }
@@ -377,13 +546,17 @@
         }
     }
 
-    /** A gang that lost a task can't go on: the rest is stopped, and the next attempt starts when all are gone. */
+    /**
+     * A gang that lost a task can't go on: the rest is stopped, and the next attempt starts when
+     * all are gone.
+     */
     private void stopBrokenGangs(SchedulingPlan plan) {
         for (Job job : jobs.all()) {
             if (!job.spec.isGang() || job.placedTaskCount() == 0 || job.isCancelled()) {
                 continue;
             }
-            boolean broken = job.placedTaskCount() + job.completedTaskCount() < job.spec.taskCount();
+            boolean broken =
+                    job.placedTaskCount() + job.completedTaskCount() < job.spec.taskCount();
             for (TaskStatePage page : job.pages) {
                 for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
                     broken |= placement.stopRequested || placement.phase() == Placement.Phase.GONE;
@@ -413,8 +586,9 @@
     }
 
     /**
-     * A machine with a spot notice is drained of what can save or has not begun; the rest may still finish in time.
-     * From a closed machine, only what saves and has run for a while is moved, so that it can be returned sooner.
+     * A machine with a spot notice is drained of what can save or has not begun; the rest may still
+     * finish in time. From a closed machine, only what saves and has run for a while is moved, so
+     * that it can be returned sooner.
      */
     private void drainMachines(SchedulingPlan plan) {
         for (ShardWorker worker : workerGateway.workers()) {
@@ -425,8 +599,14 @@
             for (Placement placement : jobs.placementsOn(worker.host).values()) {
                 JobSpec spec = placement.job.spec;
                 boolean checkpoints = spec.checkpointIntervalSeconds() > 0 || spec.isService();
-                boolean evict = worker.isBeingReclaimed() ? checkpoints || placement.runningSinceMillis == 0
-                        : checkpoints && !spec.isGang() && placement.runningSinceMillis > 0 && loop.nowMillis() - placement.runningSinceMillis > SchedulerConstants.MIN_RUN_BEFORE_MOVE_MILLIS;
+                boolean evict =
+                        worker.isBeingReclaimed()
+                                ? checkpoints || placement.runningSinceMillis == 0
+                                : checkpoints
+                                        && !spec.isGang()
+                                        && placement.runningSinceMillis > 0
+                                        && loop.nowMillis() - placement.runningSinceMillis
+                                                > SchedulerConstants.MIN_RUN_BEFORE_MOVE_MILLIS;
                 if (evict && !placement.job.isCancelled()) {
                     stopTask(plan, placement);
                 }
@@ -443,8 +623,17 @@
             Job job = edit.page().job;
             if (plan.enteringJobs.contains(job)) {
                 String leaderId = shards.leaderId();
-                boolean assignedToLeader = !edit.isChanged() && plan.jobsToEscalate.contains(job) && leaderId != null && shards.shardOf(leaderId) != null;
-                plan.transaction.requireRevision(job.storeKey(), 0).requireRevision(StoreKeys.FINAL_STATE_PREFIX + job.spec.jobId(), 0).put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
+                boolean assignedToLeader =
+                        !edit.isChanged()
+                                && plan.jobsToEscalate.contains(job)
+                                && leaderId != null
+                                && shards.shardOf(leaderId) != null;
+                plan.transaction
+                        .requireRevision(job.storeKey(), 0)
+                        .requireRevision(StoreKeys.FINAL_STATE_PREFIX + job.spec.jobId(), 0)
+                        .put(
+                                job.storeKey(),
+                                assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
                 anyChange |= edit.isChanged();
                 continue;
             }
@@ -453,29 +642,38 @@
             }
             anyChange = true;
             plan.transaction.put(edit.page().storeKey(), edit.encode());
-            plan.transaction.requireRevision(edit.page().storeKey(), watchCache.modRevision(edit.page().storeKey()));
-            plan.transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()));
+            plan.transaction.requireRevision(
+                    edit.page().storeKey(), watchCache.modRevision(edit.page().storeKey()));
+            plan.transaction.requireRevision(
+                    job.storeKey(), watchCache.modRevision(job.storeKey()));
         }
         if (!anyChange) {
             return;
         }
-        plan.transaction.requireRevision(plan.shard.storeKey(), watchCache.modRevision(plan.shard.storeKey()));
+        plan.transaction.requireRevision(
+                plan.shard.storeKey(), watchCache.modRevision(plan.shard.storeKey()));
         policy.requireCurrentPolicy(plan.transaction);
         if (plan.leading) {
-            plan.transaction.requireRevision(StoreKeys.LEADER, watchCache.modRevision(StoreKeys.LEADER));
+            plan.transaction.requireRevision(
+                    StoreKeys.LEADER, watchCache.modRevision(StoreKeys.LEADER));
             for (ClusterMembership.Shard shard : shards.shards()) {
-                plan.transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
+                plan.transaction.requireRevision(
+                        shard.storeKey(), watchCache.modRevision(shard.storeKey()));
             }
         }
     }
 
     /**
-     * Hands jobs that don't fit this block to the leader. What their tasks use moves with them, out of this block's
-     * allowances and in the same change, so the sum of all allowances and uses can't pass a team's limit.
+     * Hands jobs that don't fit this block to the leader. What their tasks use moves with them, out
+     * of this block's allowances and in the same change, so the sum of all allowances and uses
+     * can't pass a team's limit.
      */
     private void escalateToLeader(SchedulingPlan plan) {
         String leaderId = shards.leaderId();
-        if (plan.jobsToEscalate.isEmpty() || leaderId == null || leaderId.equals(settings.memberId()) || shards.shardOf(leaderId) == null) {
+        if (plan.jobsToEscalate.isEmpty()
+                || leaderId == null
+                || leaderId.equals(settings.memberId())
+                || shards.shardOf(leaderId) == null) {
             return;
         }
         ClusterMembership.Shard shard = plan.shard.copy();
@@ -490,15 +688,22 @@
                 continue;
             }
             anyEscalated = true;
-            plan.transaction.requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey())).put(job.storeKey(), job.encode(leaderId, 0));
+            plan.transaction
+                    .requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()))
+                    .put(job.storeKey(), job.encode(leaderId, 0));
             if (job.placedTaskCount() > 0) {
                 ClusterMembership.QuotaShare quotaShare = shard.quotaShare(job.spec.team());
-                shard.quotaShares().put(job.spec.team(), quotaShare.minusTasks(job.placedTaskCount(), job.spec.cpus(), job.spec.gpus()));
+                shard.quotaShares()
+                        .put(
+                                job.spec.team(),
+                                quotaShare.minusTasks(
+                                        job.placedTaskCount(), job.spec.cpus(), job.spec.gpus()));
                 shardRewritten = true;
             }
         }
         if (anyEscalated) {
-            plan.transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
+            plan.transaction.requireRevision(
+                    shard.storeKey(), watchCache.modRevision(shard.storeKey()));
         }
         if (shardRewritten) {
             plan.transaction.put(shard.storeKey(), shard.encode(), membership.leaseId());
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -17,40 +17,65 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One round's plan: the changes of chunks it would write, and what room and use there is under them. */
+/**
+ * One round's plan: the changes of chunks it would write, and what room and use there is under
+ * them.
+ */
 final class SchedulingPlan {
     final Transaction transaction = new Transaction();
     final Map<TaskStatePage, TaskStatePage.Edit> edits = new LinkedHashMap<>();
     final Map<String, FreeCapacity> machines = new LinkedHashMap<>();
+
     /** The same rooms by what every job sees alike in them. */
     final Map<List<Object>, FreeCapacity.MachinePool> pools = new LinkedHashMap<>();
+
     /**
-     * What tasks of this controller's jobs use by team: those on record, less the ends that this very change puts on record.
-     * An end that is only known here doesn't count: were the machine to change hands before it is on record, the record
-     * would entitle the new owner to start the task again, beside what took its place.
+     * What tasks of this controller's jobs use by team: those on record, less the ends that this
+     * very change puts on record. An end that is only known here doesn't count: were the machine to
+     * change hands before it is on record, the record would entitle the new owner to start the task
+     * again, beside what took its place.
      */
     final Map<String, double[]> ownUsage = new HashMap<>();
-    /** What tasks of all jobs use by team, ends by evidence left out: for the choice of whom to displace. */
+
+    /**
+     * What tasks of all jobs use by team, ends by evidence left out: for the choice of whom to
+     * displace.
+     */
     final Map<String, double[]> totalUsage = new HashMap<>();
+
     final List<Job> jobsToEscalate = new ArrayList<>();
+
     /** Jobs that this round would record for the first time. */
     final Set<Job> enteringJobs = new LinkedHashSet<>();
+
     /** Jobs within their team's guarantee. */
     Set<Job> jobsWithinGuarantee = Set.of();
-    /** Jobs of which no more has begun than they would else be left behind by, with how many tasks that is. */
+
+    /**
+     * Jobs of which no more has begun than they would else be left behind by, with how many tasks
+     * that is.
+     */
     final Map<Job, Integer> entitledTasksOfStarving = new HashMap<>();
+
     final ClusterMembership.Shard shard;
     final boolean leading;
     final int shardCount;
     final int writeBudget;
     final int maxTransactionOps;
     boolean truncated;
+
     /** CPUs free in rooms whose GPUs nobody seeks; NaN when they have to be summed up anew. */
     private double cachedFreeCpus = Double.NaN;
+
     /** CPUs of the rooms that low work leaves free. */
     double reservedCpus;
 
-    SchedulingPlan(ClusterMembership.Shard shard, boolean leading, int shardCount, int writeBudget, int maxTransactionOps) {
+    SchedulingPlan(
+            ClusterMembership.Shard shard,
+            boolean leading,
+            int shardCount,
+            int writeBudget,
+            int maxTransactionOps) {
         this.shard = shard;
         this.leading = leading;
         this.shardCount = shardCount;
@@ -58,9 +83,17 @@
         this.maxTransactionOps = maxTransactionOps;
     }
 
-    /** How many records one change may hold: each needs two guards, beside those of the leadership, the operators' records and the blocks. */
+    /**
+     * How many records one change may hold: each needs two guards, beside those of the leadership,
+     * the operators' records and the blocks.
+     */
     static int maxRecords(int writeBudget, int shardCount, int maxTransactionOps) {
-        return Math.min(writeBudget, (maxTransactionOps * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION - 6 - shardCount) / 2);
+        return Math.min(
+                writeBudget,
+                (maxTransactionOps * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION
+                                - 6
+                                - shardCount)
+                        / 2);
     }
 
     /** Whether no further record fits into the change. */
@@ -70,12 +103,16 @@
 
     /** Whether it only fits as long as so many others are kept. */
     boolean isFull(int reservedRecords) {
-        return edits.size() >= maxRecords(writeBudget, shardCount, maxTransactionOps) - reservedRecords;
+        return edits.size()
+                >= maxRecords(writeBudget, shardCount, maxTransactionOps) - reservedRecords;
     }
 
     /** The job's tier in the queue. */
     int tier(Job job) {
-        return QueueOrder.tier(job.spec.priority().ordinal(), jobsWithinGuarantee.contains(job), entitledTasksOfStarving.containsKey(job));
+        return QueueOrder.tier(
+                job.spec.priority().ordinal(),
+                jobsWithinGuarantee.contains(job),
+                entitledTasksOfStarving.containsKey(job));
     }
 
     /** Whether a record of the job is in the change already. */
@@ -88,8 +125,11 @@
         return false;
     }
 
-    FreeCapacity.MachinePool pool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
-        return pools.computeIfAbsent(List.of(machineType.name(), zone, spot), k -> new FreeCapacity.MachinePool(machineType, zone, spot));
+    FreeCapacity.MachinePool pool(
+            MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+        return pools.computeIfAbsent(
+                List.of(machineType.name(), zone, spot),
+                k -> new FreeCapacity.MachinePool(machineType, zone, spot));
     }
 
     void addMachine(FreeCapacity machine) {
@@ -104,7 +144,10 @@
         cachedFreeCpus = Double.NaN;
     }
 
-    /** The edit of a chunk, with the ends known by evidence; null when the transaction has no room for one more. */
+    /**
+     * The edit of a chunk, with the ends known by evidence; null when the transaction has no room
+     * for one more.
+     */
     TaskStatePage.Edit edit(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
         TaskStatePage.Edit edit = edits.get(page);
@@ -172,7 +215,10 @@
     double freeCpus(boolean anywhere) {
         double free = 0;
         for (FreeCapacity machine : machines.values()) {
-            free += machine.hasFreeCapacity() && (anywhere || !machine.pool.gpusInDemand) ? machine.freeCpus() : 0;
+            free +=
+                    machine.hasFreeCapacity() && (anywhere || !machine.pool.gpusInDemand)
+                            ? machine.freeCpus()
+                            : 0;
         }
         return free;
     }
@@ -192,9 +238,16 @@
         return tasksWithinQuotaShare(shard, ownUsage, spec);
     }
 
-    static int tasksWithinQuotaShare(ClusterMembership.Shard shard, Map<String, double[]> usageByTeam, JobSpec spec) {
+    static int tasksWithinQuotaShare(
+            ClusterMembership.Shard shard, Map<String, double[]> usageByTeam, JobSpec spec) {
         ClusterMembership.QuotaShare quotaShare = shard.quotaShare(spec.team());
         double[] usage = usageByTeam.getOrDefault(spec.team(), new double[2]);
-        return Tebas.taskCapacity(quotaShare.cpus() - usage[0], Double.MAX_VALUE, quotaShare.gpus() - usage[1], spec.cpus(), 0, spec.gpus());
+        return Tebas.taskCapacity(
+                quotaShare.cpus() - usage[0],
+                Double.MAX_VALUE,
+                quotaShare.gpus() - usage[1],
+                spec.cpus(),
+                0,
+                spec.gpus());
     }
 }
--- a/src/main/java/io/quincelead/scheduler/Tebas.java
+++ b/src/main/java/io/quincelead/scheduler/Tebas.java
@@ -5,23 +5,26 @@
 import java.util.PriorityQueue;
 
 /**
- * The TEBAS pass (Liu et al., "TEBAS: A Time-Efficient Balance-Aware Scheduling Strategy for Batch Processing Jobs",
- * Algorithm 1): spreads a job's tasks over machines by looking at one task only.
+ * The TEBAS pass (Liu et al., "TEBAS: A Time-Efficient Balance-Aware Scheduling Strategy for Batch
+ * Processing Jobs", Algorithm 1): spreads a job's tasks over machines by looking at one task only.
  */
 public final class Tebas {
-    private Tebas() { }
+    private Tebas() {}
 
     /** A machine as the pass sees it. */
     public static final class CandidateMachine {
         public final String host;
         final double fitness;
         final double initialCapacity;
+
         /** Tasks of the job that still fit. */
         public int remainingCapacity;
+
         /** Tasks the pass has assigned. */
         public int assigned;
 
-        public CandidateMachine(String host, double fitness, double initialCapacity, int remainingCapacity) {
+        public CandidateMachine(
+                String host, double fitness, double initialCapacity, int remainingCapacity) {
             this.host = host;
             this.fitness = fitness;
             this.initialCapacity = initialCapacity;
@@ -29,14 +32,23 @@
         }
     }
 
-    /** Fitness = 1 / ((1 - alpha) + alpha / k), k being the task's CPU demand times the machine's frequency. */
+    /**
+     * Fitness = 1 / ((1 - alpha) + alpha / k), k being the task's CPU demand times the machine's
+     * frequency.
+     */
     public static double fitness(double alpha, double cpus, double frequency) {
         double k = Math.max(cpus * frequency, 1e-6);
         return 1 / ((1 - alpha) + alpha / k);
     }
 
     /** The smaller of free CPU, memory and GPUs, each over the task's demand. */
-    public static int taskCapacity(double freeCpus, double freeMemoryGb, double freeGpus, double cpus, double memoryGb, double gpus) {
+    public static int taskCapacity(
+            double freeCpus,
+            double freeMemoryGb,
+            double freeGpus,
+            double cpus,
+            double memoryGb,
+            double gpus) {
         double capacity = Integer.MAX_VALUE;
         capacity = cpus > 0 ? Math.min(capacity, (freeCpus + 1e-9) / cpus) : capacity;
         capacity = memoryGb > 0 ? Math.min(capacity, (freeMemoryGb + 1e-9) / memoryGb) : capacity;
@@ -50,7 +62,8 @@
         if (machineCount == 0 || tasks <= 0) {
             return tasks;
         }
-        // Each member with room takes a task at least, so the first sweep of a small job ends within the first machines.
+        // Each member with room takes a task at least, so the first sweep of a small job ends
+        // within the first machines.
         List<CandidateMachine> sorted = fittestFirst(machines, tasks);
         int groupCount = Math.max(1, machineCount / beta);
         int groupSize = machineCount / groupCount;
@@ -62,10 +75,17 @@
             for (int i = 0; i < sorted.size() && unassigned > 0; i++) {
                 int group = Math.min(i / groupSize, groupCount - 1);
                 if (i == group * groupSize) {
-                    average = unassigned / (group < groupCount - 1 ? groupSize : machineCount - groupSize * (groupCount - 1));
+                    average =
+                            unassigned
+                                    / (group < groupCount - 1
+                                            ? groupSize
+                                            : machineCount - groupSize * (groupCount - 1));
                 }
                 CandidateMachine machine = sorted.get(i);
-                int take = Math.min(unassigned, Math.min(Math.max(average, 1), machine.remainingCapacity));
+                int take =
+                        Math.min(
+                                unassigned,
+                                Math.min(Math.max(average, 1), machine.remainingCapacity));
                 if (take > 0) {
                     machine.assigned += take;
                     machine.remainingCapacity -= take;
@@ -79,11 +99,15 @@
 
     private static int compare(CandidateMachine a, CandidateMachine b) {
         int byFitness = Double.compare(b.fitness, a.fitness);
-        int byCapacity = byFitness != 0 ? byFitness : Double.compare(b.initialCapacity, a.initialCapacity);
+        int byCapacity =
+                byFitness != 0 ? byFitness : Double.compare(b.initialCapacity, a.initialCapacity);
         return byCapacity != 0 ? byCapacity : a.host.compareTo(b.host);
     }
 
-    /** The machines by descending Fitness; of many, only as many as the job has tasks: the pass gets no further. */
+    /**
+     * The machines by descending Fitness; of many, only as many as the job has tasks: the pass gets
+     * no further.
+     */
     private static List<CandidateMachine> fittestFirst(List<CandidateMachine> machines, int tasks) {
         boolean all = tasks >= machines.size() / 2;
         for (int i = 0; !all && i < machines.size(); i++) {
@@ -94,7 +118,8 @@
             sorted.sort(Tebas::compare);
             return sorted;
         }
-        PriorityQueue<CandidateMachine> best = new PriorityQueue<>(tasks + 1, (a, b) -> compare(b, a));
+        PriorityQueue<CandidateMachine> best =
+                new PriorityQueue<>(tasks + 1, (a, b) -> compare(b, a));
         for (CandidateMachine machine : machines) {
             if (best.size() < tasks) {
                 best.add(machine);
--- a/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
+++ b/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Demands for which a round found nothing. Room only shrinks while a round is planned, so a job that asks for as much or
- * more, and may go to no other machines, finds nothing either and need not be tried. Most waiting jobs are alike.
+ * Demands for which a round found nothing. Room only shrinks while a round is planned, so a job
+ * that asks for as much or more, and may go to no other machines, finds nothing either and need not
+ * be tried. Most waiting jobs are alike.
  */
 final class UnsatisfiableDemands {
     private final List<JobSpec> minimalDemands = new ArrayList<>();
@@ -30,13 +31,28 @@
         minimalDemands.clear();
     }
 
-    /** Whether every machine that would do for a task of {@code b} would do for one of {@code a}. */
+    /**
+     * Whether every machine that would do for a task of {@code b} would do for one of {@code a}.
+     */
     static boolean isAtLeastAsDemanding(JobSpec demand, JobSpec reference) {
-        boolean asksNoLess = demand.cpus() >= reference.cpus() && demand.memoryGb() >= reference.memoryGb() && demand.gpus() >= reference.gpus() && demand.priority().ordinal() >= reference.priority().ordinal();
-        boolean allowsNoMoreMachines = (reference.preemptible() || !demand.preemptible()) && (reference.zone() == null || reference.zone().equals(demand.zone()))
-                && (reference.machineTypes() == null || demand.machineTypes() != null && reference.machineTypes().containsAll(demand.machineTypes()));
+        boolean asksNoLess =
+                demand.cpus() >= reference.cpus()
+                        && demand.memoryGb() >= reference.memoryGb()
+                        && demand.gpus() >= reference.gpus()
+                        && demand.priority().ordinal() >= reference.priority().ordinal();
+        boolean allowsNoMoreMachines =
+                (reference.preemptible() || !demand.preemptible())
+                        && (reference.zone() == null || reference.zone().equals(demand.zone()))
+                        && (reference.machineTypes() == null
+                                || demand.machineTypes() != null
+                                        && reference
+                                                .machineTypes()
+                                                .containsAll(demand.machineTypes()));
         // Work without GPUs that may run anywhere doesn't see the machines whose GPUs are sought.
-        boolean seesGpus = reference.gpus() > 0 || reference.machineTypes() != null || demand.gpus() == 0 && demand.machineTypes() == null;
+        boolean seesGpus =
+                reference.gpus() > 0
+                        || reference.machineTypes() != null
+                        || demand.gpus() == 0 && demand.machineTypes() == null;
         return asksNoLess && allowsNoMoreMachines && seesGpus;
     }
 }
--- a/src/main/java/io/quincelead/store/GroupCommitter.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Group commit for small independent changes (submissions, cancellations, finals): those that wait together share a
- * transaction. When a shared one fails on a guard, each is tried alone, so that one conflict doesn't fail the others.
+ * Group commit for small independent changes (submissions, cancellations, finals): those that wait
+ * together share a transaction. When a shared one fails on a guard, each is tried alone, so that
+ * one conflict doesn't fail the others.
  */
 public final class GroupCommitter {
     private final EventLoop loop;
@@ -17,7 +18,11 @@
     private final ArrayDeque<PendingTransaction> pending = new ArrayDeque<>();
     private boolean busy;
 
-    private record PendingTransaction(Transaction transaction, Transaction.OutcomeHandler handler, long deadlineMillis, boolean commitAlone) { }
+    private record PendingTransaction(
+            Transaction transaction,
+            Transaction.OutcomeHandler handler,
+            long deadlineMillis,
+            boolean commitAlone) {}
 
     public GroupCommitter(EventLoop loop, StoreClient store, WatchCache watchCache) {
         this.loop = loop;
@@ -29,24 +34,36 @@
         return pending.size() >= StoreConstants.MAX_WAITING_COMMITS;
     }
 
-    /** Commits within the given time or refuses; a confirmed change is in the mirror before {@code done} hears of it. */
-    public void submit(Transaction transaction, long timeoutMillis, Transaction.OutcomeHandler handler) {
-        pending.addLast(new PendingTransaction(transaction, handler, loop.nowMillis() + timeoutMillis, false));
+    /**
+     * Commits within the given time or refuses; a confirmed change is in the mirror before {@code
+     * done} hears of it.
+     */
+    public void submit(
+            Transaction transaction, long timeoutMillis, Transaction.OutcomeHandler handler) {
+        pending.addLast(
+                new PendingTransaction(
+                        transaction, handler, loop.nowMillis() + timeoutMillis, false));
         loop.runAfter(0, this::commitNextBatch);
     }
 
     private void resumeAfterDelay() {
         busy = true;
-        loop.runAfter(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS, () -> {
-            busy = false;
-            commitNextBatch();
-        });
+        loop.runAfter(
+                StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS,
+                () -> {
+                    busy = false;
+                    commitNextBatch();
+                });
     }
 
     private void commitNextBatch() {
         long nowMillis = loop.nowMillis();
         while (!pending.isEmpty() && pending.peekFirst().deadlineMillis < nowMillis) {
-            pending.pollFirst().handler.onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, java.util.Set.of()));
+            pending.pollFirst()
+                    .handler
+                    .onOutcome(
+                            new Transaction.Outcome(
+                                    Transaction.Result.REJECTED, 0, java.util.Set.of()));
         }
         if (busy || pending.isEmpty()) {
             return;
@@ -59,8 +76,16 @@
         List<PendingTransaction> batch = new ArrayList<>();
         while (!pending.isEmpty()) {
             PendingTransaction entry = pending.peekFirst();
-            boolean fitsBatch = batch.isEmpty() || !entry.commitAlone && !batch.get(0).commitAlone && !transaction.conflictsWith(entry.transaction) && !entry.transaction.conflictsWith(transaction)
-                    && transaction.fits(entry.transaction.operationCount(), entry.transaction.preconditionCount(), store.maxTransactionOperations());
+            boolean fitsBatch =
+                    batch.isEmpty()
+                            || !entry.commitAlone
+                                    && !batch.get(0).commitAlone
+                                    && !transaction.conflictsWith(entry.transaction)
+                                    && !entry.transaction.conflictsWith(transaction)
+                                    && transaction.fits(
+                                            entry.transaction.operationCount(),
+                                            entry.transaction.preconditionCount(),
+                                            store.maxTransactionOperations());
             if (!fitsBatch) {
                 break;
             }
@@ -68,26 +93,36 @@
             batch.add(pending.pollFirst());
         }
         busy = true;
-        store.commit(transaction, outcome -> {
-            busy = false;
-            if (outcome.result() == Transaction.Result.COMMITTED) {
-                watchCache.applyCommitted(transaction, outcome.storeRevision());
-            }
-            if (outcome.result() == Transaction.Result.THROTTLED || outcome.result() == Transaction.Result.CONFLICT && batch.size() > 1) {
-                boolean retryAlone = outcome.result() == Transaction.Result.CONFLICT;
-                for (int i = batch.size() - 1; i >= 0; i--) {
-                    PendingTransaction entry = batch.get(i);
-                    pending.addFirst(new PendingTransaction(entry.transaction, entry.handler, entry.deadlineMillis, retryAlone));
-                }
-                if (!retryAlone) {
-                    // Nothing happened; whoever waits is told so at the end of its patience.
-                    resumeAfterDelay();
-                    return;
-                }
-            } else {
-                batch.forEach(entry -> entry.handler.onOutcome(outcome));
-            }
-            commitNextBatch();
-        });
+        store.commit(
+                transaction,
+                outcome -> {
+                    busy = false;
+                    if (outcome.result() == Transaction.Result.COMMITTED) {
+                        watchCache.applyCommitted(transaction, outcome.storeRevision());
+                    }
+                    if (outcome.result() == Transaction.Result.THROTTLED
+                            || outcome.result() == Transaction.Result.CONFLICT
+                                    && batch.size() > 1) {
+                        boolean retryAlone = outcome.result() == Transaction.Result.CONFLICT;
+                        for (int i = batch.size() - 1; i >= 0; i--) {
+                            PendingTransaction entry = batch.get(i);
+                            pending.addFirst(
+                                    new PendingTransaction(
+                                            entry.transaction,
+                                            entry.handler,
+                                            entry.deadlineMillis,
+                                            retryAlone));
+                        }
+                        if (!retryAlone) {
+                            // Nothing happened; whoever waits is told so at the end of its
+                            // patience.
+                            resumeAfterDelay();
+                            return;
+                        }
+                    } else {
+                        batch.forEach(entry -> entry.handler.onOutcome(outcome));
+                    }
+                    commitNextBatch();
+                });
     }
 }
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's membership: a hold in the store that it renews, and its node key attached to it. Its blocks and
- * its leadership hang on the same hold, so all of it lapses together.
+ * This controller's membership: a hold in the store that it renews, and its node key attached to
+ * it. Its blocks and its leadership hang on the same hold, so all of it lapses together.
  */
 public final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
@@ -33,10 +33,12 @@
     private Phase phase = Phase.NOT_MEMBER;
     private long leaseId;
     private long validUntilMillis;
+
     /** Generation of our announcement. */
     private long announcedRevision;
 
-    public MembershipLease(EventLoop loop, StoreClient store, String memberId, String address, long leaseMillis) {
+    public MembershipLease(
+            EventLoop loop, StoreClient store, String memberId, String address, long leaseMillis) {
         this.loop = loop;
         this.store = store;
         this.memberId = memberId;
@@ -44,9 +46,16 @@
         this.leaseMillis = leaseMillis;
     }
 
-    /** How long a controller's lease lasts on this deployment: the design's 20 s, or less where workers give up sooner. */
+    /**
+     * How long a controller's lease lasts on this deployment: the design's 20 s, or less where
+     * workers give up sooner.
+     */
     public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
-        return (long) (Math.min(shardLeaseSeconds, workerLeaseSeconds * LeaseConstants.CONTROLLER_LEASE_FRACTION) * 1000);
+        return (long)
+                (Math.min(
+                                shardLeaseSeconds,
+                                workerLeaseSeconds * LeaseConstants.CONTROLLER_LEASE_FRACTION)
+                        * 1000);
     }
 
     private void transitionTo(Phase next) {
@@ -63,14 +72,18 @@
         return phase == Phase.MEMBER;
     }
 
-    /** Whether our keys surely still stand: counted from the sending of the last renewal, with a margin for drift. */
+    /**
+     * Whether our keys surely still stand: counted from the sending of the last renewal, with a
+     * margin for drift.
+     */
     public boolean isValid() {
         return phase == Phase.MEMBER && loop.nowMillis() < validUntilMillis;
     }
 
     /**
-     * Tells this membership from every other of the same controller. The store never gives a hold's number twice, while two
-     * processes that follow each other within a fraction of a second may see the same time of day.
+     * Tells this membership from every other of the same controller. The store never gives a hold's
+     * number twice, while two processes that follow each other within a fraction of a second may
+     * see the same time of day.
      */
     public long incarnation() {
         return leaseId;
@@ -83,64 +96,100 @@
     private void join() {
         transitionTo(Phase.NOT_MEMBER);
         long sentAtMillis = loop.nowMillis();
-        store.createLease(leaseMillis, (status, body) -> {
-            if (status != 200 || !body.path("grant").isNumber()) {
-                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::join);
-                return;
-            }
-            leaseId = body.path("grant").asLong();
-            validUntilMillis = expiryMillis(sentAtMillis);
-            transitionTo(Phase.JOINING);
-            revokePredecessorLease();
-        });
+        store.createLease(
+                leaseMillis,
+                (status, body) -> {
+                    if (status != 200 || !body.path("grant").isNumber()) {
+                        loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::join);
+                        return;
+                    }
+                    leaseId = body.path("grant").asLong();
+                    validUntilMillis = expiryMillis(sentAtMillis);
+                    transitionTo(Phase.JOINING);
+                    revokePredecessorLease();
+                });
     }
 
-    /** The platform runs one process a member, so whatever holds our node key is dead: its lease need not run out. */
+    /**
+     * The platform runs one process a member, so whatever holds our node key is dead: its lease
+     * need not run out.
+     */
     private void revokePredecessorLease() {
-        store.get(StoreKeys.MEMBER_PREFIX + memberId, (status, body) -> {
-            if (status == 404) {
-                announce(0);
-            } else if (status == 200 && body.path("grant").isNumber() && body.path("grant").asLong() != leaseId) {
-                store.revokeLease(body.path("grant").asLong(), (s, b) -> loop.runAfter(s == 200 || s == 404 ? 0 : StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease));
-            } else if (status == 200) {
-                announce(body.path("stamp").asLong());
-            } else {
-                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
-            }
-        });
+        store.get(
+                StoreKeys.MEMBER_PREFIX + memberId,
+                (status, body) -> {
+                    if (status == 404) {
+                        announce(0);
+                    } else if (status == 200
+                            && body.path("grant").isNumber()
+                            && body.path("grant").asLong() != leaseId) {
+                        store.revokeLease(
+                                body.path("grant").asLong(),
+                                (s, b) ->
+                                        loop.runAfter(
+                                                s == 200 || s == 404
+                                                        ? 0
+                                                        : StoreConstants.RETRY_DELAY_MILLIS,
+                                                this::revokePredecessorLease));
+                    } else if (status == 200) {
+                        announce(body.path("stamp").asLong());
+                    } else {
+                        loop.runAfter(
+                                StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
+                    }
+                });
     }
 
     /**
-     * Guarded by what was read, {@code stamp}: an announcement of a predecessor that is still on its way when its successor is in
-     * must not take the successor's place.
+     * Guarded by what was read, {@code stamp}: an announcement of a predecessor that is still on
+     * its way when its successor is in must not take the successor's place.
      */
     private void announce(long modRevision) {
-        ObjectNode memberRecord = WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+        ObjectNode memberRecord =
+                WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
         long announcedLeaseId = leaseId;
-        store.commit(new Transaction().requireRevision(StoreKeys.MEMBER_PREFIX + memberId, modRevision).put(StoreKeys.MEMBER_PREFIX + memberId, memberRecord, announcedLeaseId), outcome -> {
-            if (announcedLeaseId != leaseId || phase != Phase.JOINING) {
-                return;
-            }
-            switch (outcome.result()) {
-                case COMMITTED -> {
-                    announcedRevision = outcome.storeRevision();
-                    transitionTo(Phase.MEMBER);
-                }
-                case REJECTED -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, loop.nowMillis() < validUntilMillis ? this::revokePredecessorLease : this::join);
-                default -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
-            }
-        });
+        store.commit(
+                new Transaction()
+                        .requireRevision(StoreKeys.MEMBER_PREFIX + memberId, modRevision)
+                        .put(StoreKeys.MEMBER_PREFIX + memberId, memberRecord, announcedLeaseId),
+                outcome -> {
+                    if (announcedLeaseId != leaseId || phase != Phase.JOINING) {
+                        return;
+                    }
+                    switch (outcome.result()) {
+                        case COMMITTED -> {
+                            announcedRevision = outcome.storeRevision();
+                            transitionTo(Phase.MEMBER);
+                        }
+                        case REJECTED ->
+                                loop.runAfter(
+                                        StoreConstants.RETRY_DELAY_MILLIS,
+                                        loop.nowMillis() < validUntilMillis
+                                                ? this::revokePredecessorLease
+                                                : this::join);
+                        default ->
+                                loop.runAfter(
+                                        StoreConstants.RETRY_DELAY_MILLIS,
+                                        this::revokePredecessorLease);
+                    }
+                });
     }
 
     /**
-     * Compares the record of this member, as of that generation, with what this process announced. {@code nodeGrant}: the
-     * hold that the record names; 0 if there is none. A member whose record is another's is counted as lost by all others
-     * though its hold stands, so it joins anew.
+     * Compares the record of this member, as of that generation, with what this process announced.
+     * {@code nodeGrant}: the hold that the record names; 0 if there is none. A member whose record
+     * is another's is counted as lost by all others though its hold stands, so it joins anew.
      */
     public void verifyMemberRecord(long recordedLeaseId, long storeRevision) {
-        if (phase == Phase.MEMBER && storeRevision >= announcedRevision && recordedLeaseId != leaseId) {
-            LOG.info("the record of {} names hold {} instead of {}", memberId, recordedLeaseId, leaseId);
-            store.revokeLease(leaseId, (status, body) -> { });
+        if (phase == Phase.MEMBER
+                && storeRevision >= announcedRevision
+                && recordedLeaseId != leaseId) {
+            LOG.info(
+                    "the record of {} names hold {} instead of {}",
+                    memberId,
+                    recordedLeaseId,
+                    leaseId);
+            store.revokeLease(leaseId, (status, body) -> {});
             join();
         }
     }
@@ -151,20 +200,24 @@
         }
         long sentAtMillis = loop.nowMillis();
         long renewedLeaseId = leaseId;
-        store.renewLease(renewedLeaseId, (status, body) -> {
-            if (renewedLeaseId != leaseId) {
-                return;
-            }
-            if (status == 200) {
-                validUntilMillis = Math.max(validUntilMillis, expiryMillis(sentAtMillis));
-            } else if (status == 404 && phase != Phase.NOT_MEMBER) {
-                LOG.info("the hold {} has lapsed", renewedLeaseId);
-                join();
-            }
-        });
+        store.renewLease(
+                renewedLeaseId,
+                (status, body) -> {
+                    if (renewedLeaseId != leaseId) {
+                        return;
+                    }
+                    if (status == 200) {
+                        validUntilMillis = Math.max(validUntilMillis, expiryMillis(sentAtMillis));
+                    } else if (status == 404 && phase != Phase.NOT_MEMBER) {
+                        LOG.info("the hold {} has lapsed", renewedLeaseId);
+                        join();
+                    }
+                });
     }
 
     private long expiryMillis(long sentAtMillis) {
-        return sentAtMillis + (long) (leaseMillis * (1 - LeaseConstants.CLOCK_DRIFT_FRACTION)) - LeaseConstants.EXPIRY_MARGIN_MILLIS;
+        return sentAtMillis
+                + (long) (leaseMillis * (1 - LeaseConstants.CLOCK_DRIFT_FRACTION))
+                - LeaseConstants.EXPIRY_MARGIN_MILLIS;
     }
 }
--- a/src/main/java/io/quincelead/store/Transaction.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -53,7 +53,9 @@
 
     /** Whether this many more changes and guards fit the store's limits. */
     public boolean fits(int moreOperations, int morePreconditions, int maxOperations) {
-        return operations.size() + moreOperations <= maxOperations && preconditions.size() + morePreconditions <= maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION;
+        return operations.size() + moreOperations <= maxOperations
+                && preconditions.size() + morePreconditions
+                        <= maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION;
     }
 
     /** Adds another change to this one; both then happen or neither. */
@@ -62,10 +64,17 @@
         operations.putAll(other.operations);
     }
 
-    /** Whether the two speak of a common key, so that they can't be merged without thought: each keeps what it was decided from. */
+    /**
+     * Whether the two speak of a common key, so that they can't be merged without thought: each
+     * keeps what it was decided from.
+     */
     public boolean conflictsWith(Transaction other) {
         for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
-            if (!precondition.getValue().equals(preconditions.getOrDefault(precondition.getKey(), precondition.getValue()))) {
+            if (!precondition
+                    .getValue()
+                    .equals(
+                            preconditions.getOrDefault(
+                                    precondition.getKey(), precondition.getValue()))) {
                 return true;
             }
         }
@@ -78,11 +87,17 @@
     }
 
     /**
-     * Whether this can't be carried out any more and all that it may have done is in the mirror: a guard has failed for good, and
-     * the watch has been past what made it fail. A guard of 0 proves nothing, for it holds again once its key is gone.
+     * Whether this can't be carried out any more and all that it may have done is in the mirror: a
+     * guard has failed for good, and the watch has been past what made it fail. A guard of 0 proves
+     * nothing, for it holds again once its key is gone.
      */
     boolean isSettled(WatchCache watchCache) {
-        return preconditions.entrySet().stream().anyMatch(precondition -> precondition.getValue() != 0 && watchCache.isSuperseded(precondition.getKey(), precondition.getValue()));
+        return preconditions.entrySet().stream()
+                .anyMatch(
+                        precondition ->
+                                precondition.getValue() != 0
+                                        && watchCache.isSuperseded(
+                                                precondition.getKey(), precondition.getValue()));
     }
 
     /** Whether it can land only on a certain version of the key. */
@@ -101,7 +116,9 @@
     public ObjectNode encode() {
         ObjectNode body = WireFormat.newMap();
         ArrayNode preconditionNodes = body.putArray("guards");
-        preconditions.forEach((key, modRevision) -> preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
+        preconditions.forEach(
+                (key, modRevision) ->
+                        preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
         ArrayNode operationNodes = body.putArray("then");
         operations.values().forEach(operationNodes::add);
         return body;
@@ -122,7 +139,7 @@
     }
 
     /** The store's answer. */
-    public record Outcome(Result result, long storeRevision, java.util.Set<String> failedKeys) { }
+    public record Outcome(Result result, long storeRevision, java.util.Set<String> failedKeys) {}
 
     /** Takes the outcome on the loop. */
     @FunctionalInterface
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the live part of the store in memory by one watch, so that changes arrive in the store's own order, and
- * hands each key to the slice it belongs to. Own commits are applied as soon as they are confirmed; a key's older
- * change that the watch brings afterwards is ignored by its stamp.
+ * Keeps the live part of the store in memory by one watch, so that changes arrive in the store's
+ * own order, and hands each key to the slice it belongs to. Own commits are applied as soon as they
+ * are confirmed; a key's older change that the watch brings afterwards is ignored by its stamp.
  */
 public final class WatchCache {
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
@@ -31,14 +31,23 @@
     }
 
     /** States of the mirror; {@link #transitionTo} is the one function that changes them. */
-    private enum Phase { EMPTY, LISTING, WATCHING }
+    private enum Phase {
+        EMPTY,
+        LISTING,
+        WATCHING
+    }
 
     private final EventLoop loop;
     private final StoreClient store;
     private final Map<String, PrefixListener> prefixListeners = new LinkedHashMap<>();
     private final List<Runnable> changeListeners = new ArrayList<>();
-    /** Stamps of the keys that exist, and of the last removals that the watch has not yet passed; 0: none. */
+
+    /**
+     * Stamps of the keys that exist, and of the last removals that the watch has not yet passed; 0:
+     * none.
+     */
     private final Object2LongHashMap<String> modRevisions = new Object2LongHashMap<>(0);
+
     private final Object2LongHashMap<String> tombstones = new Object2LongHashMap<>(0);
     private final long minWatchIntervalMillis;
     private Phase phase = Phase.EMPTY;
@@ -48,7 +57,13 @@
     public WatchCache(EventLoop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
         this.store = store;
-        this.minWatchIntervalMillis = (long) Math.max(StoreConstants.MIN_WATCH_INTERVAL_MILLIS, 1000 / (requestsPerSecond * StoreConstants.WATCH_REQUESTS_FRACTION));
+        this.minWatchIntervalMillis =
+                (long)
+                        Math.max(
+                                StoreConstants.MIN_WATCH_INTERVAL_MILLIS,
+                                1000
+                                        / (requestsPerSecond
+                                                * StoreConstants.WATCH_REQUESTS_FRACTION));
     }
 
     public void addPrefixListener(String prefix, PrefixListener listener) {
@@ -74,10 +89,14 @@
         return modRevisions.getValue(key);
     }
 
-    /** Whether the key surely has this stamp no longer, and all that happened up to its next change has been applied. */
+    /**
+     * Whether the key surely has this stamp no longer, and all that happened up to its next change
+     * has been applied.
+     */
     boolean isSuperseded(String key, long modRevision) {
         long currentRevision = modRevision(key);
-        return currentRevision != modRevision && Math.max(currentRevision, tombstones.getValue(key)) <= storeRevision;
+        return currentRevision != modRevision
+                && Math.max(currentRevision, tombstones.getValue(key)) <= storeRevision;
     }
 
     private void transitionTo(Phase next) {
@@ -97,73 +116,93 @@
     }
 
     private void readPage(String afterKey, long firstPageRevision, Set<String> seenKeys) {
-        store.list(StoreKeys.LIVE_PREFIX, afterKey, (status, body) -> {
-            if (status != 200 || !body.path("items").isArray()) {
-                loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::relist);
-                return;
-            }
-            long snapshotRevision = firstPageRevision < 0 ? body.path("generation").asLong() : firstPageRevision;
-            String lastKey = afterKey;
-            for (JsonNode item : body.path("items")) {
-                lastKey = item.path("path").asText();
-                seenKeys.add(lastKey);
-                // What is newer than the first page comes by the watch, in the store's order: a job's chunk must not come before the job.
-                if (item.path("stamp").asLong() <= snapshotRevision) {
-                    applyPut(lastKey, item.path("value"), item.path("stamp").asLong());
-                }
-            }
-            if (body.path("truncated").asBoolean() && lastKey != null) {
-                readPage(lastKey, snapshotRevision, seenKeys);
-                return;
-            }
-            for (String key : new ArrayList<>(modRevisions.keySet())) {
-                if (!seenKeys.contains(key) && modRevision(key) <= snapshotRevision) {
-                    applyRemove(key, snapshotRevision);
-                }
-            }
-            storeRevision = Math.max(storeRevision, snapshotRevision);
-            synced = true;
-            transitionTo(Phase.WATCHING);
-            notifyChangeListeners();
-            watch();
-        });
+        store.list(
+                StoreKeys.LIVE_PREFIX,
+                afterKey,
+                (status, body) -> {
+                    if (status != 200 || !body.path("items").isArray()) {
+                        loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::relist);
+                        return;
+                    }
+                    long snapshotRevision =
+                            firstPageRevision < 0
+                                    ? body.path("generation").asLong()
+                                    : firstPageRevision;
+                    String lastKey = afterKey;
+                    for (JsonNode item : body.path("items")) {
+                        lastKey = item.path("path").asText();
+                        seenKeys.add(lastKey);
+                        // What is newer than the first page comes by the watch, in the store's
+                        // order: a job's chunk must not come before the job.
+                        if (item.path("stamp").asLong() <= snapshotRevision) {
+                            applyPut(lastKey, item.path("value"), item.path("stamp").asLong());
+                        }
+                    }
+                    if (body.path("truncated").asBoolean() && lastKey != null) {
+                        readPage(lastKey, snapshotRevision, seenKeys);
+                        return;
+                    }
+                    for (String key : new ArrayList<>(modRevisions.keySet())) {
+                        if (!seenKeys.contains(key) && modRevision(key) <= snapshotRevision) {
+                            applyRemove(key, snapshotRevision);
+                        }
+                    }
+                    storeRevision = Math.max(storeRevision, snapshotRevision);
+                    synced = true;
+                    transitionTo(Phase.WATCHING);
+                    notifyChangeListeners();
+                    watch();
+                });
     }
 
     private void watch() {
         long sentAtMillis = loop.nowMillis();
-        store.watch(StoreKeys.LIVE_PREFIX, storeRevision, (status, body) -> {
-            if (status == 410) {
-                relist();
-                return;
-            }
-            if (status != 200) {
-                loop.runAfter(status == Transport.NO_RESPONSE ? 0 : StoreConstants.RETRY_DELAY_MILLIS, this::watch);
-                return;
-            }
-            JsonNode changes = body.path("news");
-            for (JsonNode change : changes) {
-                long modRevision = change.path("stamp").asLong();
-                if (change.has("put")) {
-                    applyPut(change.path("put").asText(), change.path("value"), modRevision);
-                } else if (change.has("remove")) {
-                    applyRemove(change.path("remove").asText(), modRevision);
-                }
-            }
-            storeRevision = Math.max(storeRevision, body.path("generation").asLong());
-            if (!tombstones.isEmpty()) {
-                tombstones.entrySet().removeIf(tombstone -> tombstone.getValue() <= storeRevision);
-            }
-            if (!changes.isEmpty()) {
-                notifyChangeListeners();
-            }
-            loop.runAfter(Math.max(0, minWatchIntervalMillis - (loop.nowMillis() - sentAtMillis)), this::watch);
-        });
+        store.watch(
+                StoreKeys.LIVE_PREFIX,
+                storeRevision,
+                (status, body) -> {
+                    if (status == 410) {
+                        relist();
+                        return;
+                    }
+                    if (status != 200) {
+                        loop.runAfter(
+                                status == Transport.NO_RESPONSE
+                                        ? 0
+                                        : StoreConstants.RETRY_DELAY_MILLIS,
+                                this::watch);
+                        return;
+                    }
+                    JsonNode changes = body.path("news");
+                    for (JsonNode change : changes) {
+                        long modRevision = change.path("stamp").asLong();
+                        if (change.has("put")) {
+                            applyPut(
+                                    change.path("put").asText(), change.path("value"), modRevision);
+                        } else if (change.has("remove")) {
+                            applyRemove(change.path("remove").asText(), modRevision);
+                        }
+                    }
+                    storeRevision = Math.max(storeRevision, body.path("generation").asLong());
+                    if (!tombstones.isEmpty()) {
+                        tombstones
+                                .entrySet()
+                                .removeIf(tombstone -> tombstone.getValue() <= storeRevision);
+                    }
+                    if (!changes.isEmpty()) {
+                        notifyChangeListeners();
+                    }
+                    loop.runAfter(
+                            Math.max(0, minWatchIntervalMillis - (loop.nowMillis() - sentAtMillis)),
+                            this::watch);
+                });
     }
 
     /** Applies a transaction of our own that the store has confirmed. */
     public void applyCommitted(Transaction transaction, long modRevision) {
         if (modRevision <= storeRevision) {
-            // The confirmation was slow and the watch has been past it: what it wrote may be changed or removed by now.
+            // The confirmation was slow and the watch has been past it: what it wrote may be
+            // changed or removed by now.
             notifyChangeListeners();
             return;
         }
--- a/src/main/java/io/quincelead/transport/BodyReader.java
+++ b/src/main/java/io/quincelead/transport/BodyReader.java
@@ -17,21 +17,32 @@
     private final ByteArrayOutputStream body;
 
     /**
-     * @param buffer takes what one reading brings until it is copied, in the same turn of the loop: one serves all bodies
+     * @param buffer takes what one reading brings until it is copied, in the same turn of the loop:
+     *     one serves all bodies
      * @param length bytes stated by the sender, a hint; negative: none
      * @param most bytes; a larger body fails
      */
-    BodyReader(ByteBuffer buffer, long expectedBytes, int maxBytes, Consumer<byte[]> onComplete, Consumer<IOException> onFailure) {
+    BodyReader(
+            ByteBuffer buffer,
+            long expectedBytes,
+            int maxBytes,
+            Consumer<byte[]> onComplete,
+            Consumer<IOException> onFailure) {
         this.buffer = buffer;
         this.maxBytes = maxBytes;
         this.onComplete = onComplete;
         this.onFailure = onFailure;
-        this.body = new ByteArrayOutputStream(expectedBytes < 0 ? 512 : (int) Math.min(expectedBytes, TransportConstants.MAX_BODY_BYTES));
+        this.body =
+                new ByteArrayOutputStream(
+                        expectedBytes < 0
+                                ? 512
+                                : (int) Math.min(expectedBytes, TransportConstants.MAX_BODY_BYTES));
     }
 
-    @Override public void handleEvent(StreamSourceChannel channel) {
+    @Override
+    public void handleEvent(StreamSourceChannel channel) {
         try {
-            for (;;) {
+            for (; ; ) {
                 buffer.clear();
                 int bytesRead = channel.read(buffer);
                 if (bytesRead < 0) {
--- a/src/main/java/io/quincelead/transport/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -32,7 +32,10 @@
 import org.xnio.XnioIoThread;
 import org.xnio.channels.StreamSinkChannel;
 
-/** HTTP calls on Undertow's client: kept connections, a bounded number a target, one call at a time on each. */
+/**
+ * HTTP calls on Undertow's client: kept connections, a bounded number a target, one call at a time
+ * on each.
+ */
 public final class HttpClient implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
     private final EventLoop loop;
@@ -41,16 +44,29 @@
     private final Map<String, Target> targets = new HashMap<>();
     private final Set<String> criticalAddresses;
     private final int maxSharedConnections;
+
     /** Connections to all targets that aren't core, attempts among them. */
     private int sharedConnections;
-    /** Kept connections of all targets, the longest unused first; those in use again are skipped. */
+
+    /**
+     * Kept connections of all targets, the longest unused first; those in use again are skipped.
+     */
     private final ArrayDeque<IdleConnection> idleByAge = new ArrayDeque<>();
+
     /** Targets whose calls wait because all connections are in use. */
     private final LinkedHashSet<String> stalledAddresses = new LinkedHashSet<>();
+
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
-    /** {@code core}: addresses that are always called; {@code most}: connections to all others together. */
-    public HttpClient(EventLoop loop, XnioIoThread thread, Set<String> criticalAddresses, int maxSharedConnections) {
+    /**
+     * {@code core}: addresses that are always called; {@code most}: connections to all others
+     * together.
+     */
+    public HttpClient(
+            EventLoop loop,
+            XnioIoThread thread,
+            Set<String> criticalAddresses,
+            int maxSharedConnections) {
         this.criticalAddresses = criticalAddresses;
         this.maxSharedConnections = maxSharedConnections;
         this.loop = loop;
@@ -59,18 +75,35 @@
     }
 
     /** States of a call; {@link Call#transitionTo} is the one function that changes them. */
-    private enum CallState { WAITING, SENT, COMPLETED }
+    private enum CallState {
+        WAITING,
+        SENT,
+        COMPLETED
+    }
 
-    /** Whom we call. Connections are made for the target, not for a call: one that comes late serves whatever waits then. */
+    /**
+     * Whom we call. Connections are made for the target, not for a call: one that comes late serves
+     * whatever waits then.
+     */
     private static final class Target {
         final String address;
-        /** Whether it is one that the service can't do without: others never take its connections away. */
+
+        /**
+         * Whether it is one that the service can't do without: others never take its connections
+         * away.
+         */
         final boolean critical;
+
         final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
         final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
+
         /** Connections that stand. */
         int openConnections;
-        /** When attempts began that have neither come about nor failed; to a silent machine that takes minutes. */
+
+        /**
+         * When attempts began that have neither come about nor failed; to a silent machine that
+         * takes minutes.
+         */
         final ArrayDeque<Long> connectAttemptsSinceMillis = new ArrayDeque<>();
 
         Target(String address, boolean critical) {
@@ -104,7 +137,13 @@
         ClientConnection connection;
         XnioExecutor.Key timeoutKey;
 
-        Call(String address, String method, String path, WireFormat codec, byte[] body, ResponseHandler responseHandler) {
+        Call(
+                String address,
+                String method,
+                String path,
+                WireFormat codec,
+                byte[] body,
+                ResponseHandler responseHandler) {
             this.address = address;
             this.method = method;
             this.path = path;
@@ -194,24 +233,52 @@
         }
     }
 
-    @Override public void call(String address, String method, String path, WireFormat codec, byte[] body, long timeoutMillis, ResponseHandler responseHandler) {
-        Target target = targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
+    @Override
+    public void call(
+            String address,
+            String method,
+            String path,
+            WireFormat codec,
+            byte[] body,
+            long timeoutMillis,
+            ResponseHandler responseHandler) {
+        Target target =
+                targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
         Call call = new Call(address, method, path, codec, body, responseHandler);
         if (target.waitingCalls.size() >= TransportConstants.MAX_WAITING_CALLS_PER_ADDRESS) {
             loop.runAfter(0, () -> responseHandler.onResponse(NO_RESPONSE, null));
             return;
         }
         target.waitingCalls.addLast(call);
-        call.timeoutKey = thread.executeAfter(() -> call.complete(NO_RESPONSE, null, false), timeoutMillis, TimeUnit.MILLISECONDS);
+        call.timeoutKey =
+                thread.executeAfter(
+                        () -> call.complete(NO_RESPONSE, null, false),
+                        timeoutMillis,
+                        TimeUnit.MILLISECONDS);
         dispatchCalls(target);
     }
 
-    /** Whether one more attempt should be made: each waiting call has one of its own, but of a silent target few are tried at one time. */
+    /**
+     * Whether one more attempt should be made: each waiting call has one of its own, but of a
+     * silent target few are tried at one time.
+     */
     private boolean shouldConnect(Target target) {
         long nowMillis = loop.nowMillis();
-        long recentAttempts = target.connectAttemptsSinceMillis.stream().filter(startedAtMillis -> nowMillis - startedAtMillis < TransportConstants.CONNECT_TIMEOUT_MILLIS).count();
-        int maxConnections = target.critical ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS : target.openConnections > 0 ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS : 1;
-        return recentAttempts < target.waitingCalls.size() && target.openConnections + recentAttempts < maxConnections;
+        long recentAttempts =
+                target.connectAttemptsSinceMillis.stream()
+                        .filter(
+                                startedAtMillis ->
+                                        nowMillis - startedAtMillis
+                                                < TransportConstants.CONNECT_TIMEOUT_MILLIS)
+                        .count();
+        int maxConnections =
+                target.critical
+                        ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS
+                        : target.openConnections > 0
+                                ? TransportConstants.MAX_CONNECTIONS_PER_ADDRESS
+                                : 1;
+        return recentAttempts < target.waitingCalls.size()
+                && target.openConnections + recentAttempts < maxConnections;
     }
 
     private void dispatchCalls(Target target) {
@@ -241,92 +308,133 @@
         long startedAtMillis = loop.nowMillis();
         target.connectAttemptsSinceMillis.addLast(startedAtMillis);
         sharedConnections += target.critical ? 0 : 1;
-        UndertowClient.getInstance().connect(new ClientCallback<>() {
-            @Override public void completed(ClientConnection connection) {
-                target.connectAttemptsSinceMillis.remove(startedAtMillis);
-                target.openConnections++;
-                addIdle(new IdleConnection(target, connection, loop.nowMillis()));
-                dispatchCalls(target);
-            }
+        UndertowClient.getInstance()
+                .connect(
+                        new ClientCallback<>() {
+                            @Override
+                            public void completed(ClientConnection connection) {
+                                target.connectAttemptsSinceMillis.remove(startedAtMillis);
+                                target.openConnections++;
+                                addIdle(new IdleConnection(target, connection, loop.nowMillis()));
+                                dispatchCalls(target);
+                            }
 
-            @Override public void failed(IOException e) {
-                target.connectAttemptsSinceMillis.remove(startedAtMillis);
-                sharedConnections -= target.critical ? 0 : 1;
-                Call first = target.waitingCalls.peekFirst();
-                if (first != null) {
-                    first.complete(NO_RESPONSE, null, false);
-                } else {
-                    dispatchStalledCalls();
-                }
-            }
-        }, URI.create("http://" + target.address), thread, bufferPool, OptionMap.create(Options.TCP_NODELAY, true));
+                            @Override
+                            public void failed(IOException e) {
+                                target.connectAttemptsSinceMillis.remove(startedAtMillis);
+                                sharedConnections -= target.critical ? 0 : 1;
+                                Call first = target.waitingCalls.peekFirst();
+                                if (first != null) {
+                                    first.complete(NO_RESPONSE, null, false);
+                                } else {
+                                    dispatchStalledCalls();
+                                }
+                            }
+                        },
+                        URI.create("http://" + target.address),
+                        thread,
+                        bufferPool,
+                        OptionMap.create(Options.TCP_NODELAY, true));
     }
 
     private void send(Call call) {
         call.transitionTo(CallState.SENT);
-        ClientRequest request = new ClientRequest().setMethod(new HttpString(call.method)).setPath(call.path);
+        ClientRequest request =
+                new ClientRequest().setMethod(new HttpString(call.method)).setPath(call.path);
         request.getRequestHeaders().put(Headers.HOST, call.address);
         if (call.body != null) {
             request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.codec.contentType());
-            request.getRequestHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(call.body.length));
+            request.getRequestHeaders()
+                    .put(Headers.CONTENT_LENGTH, Integer.toString(call.body.length));
         }
-        call.connection.sendRequest(request, new ClientCallback<>() {
-            @Override public void completed(ClientExchange exchange) {
-                exchange.setResponseListener(new ClientCallback<>() {
-                    @Override public void completed(ClientExchange ready) {
-                        readResponse(call, ready);
+        call.connection.sendRequest(
+                request,
+                new ClientCallback<>() {
+                    @Override
+                    public void completed(ClientExchange exchange) {
+                        exchange.setResponseListener(
+                                new ClientCallback<>() {
+                                    @Override
+                                    public void completed(ClientExchange ready) {
+                                        readResponse(call, ready);
+                                    }
+
+                                    @Override
+                                    public void failed(IOException e) {
+                                        call.complete(NO_RESPONSE, null, false);
+                                    }
+                                });
+                        writeBody(call, exchange.getRequestChannel());
                     }
 
-                    @Override public void failed(IOException e) {
+                    @Override
+                    public void failed(IOException e) {
                         call.complete(NO_RESPONSE, null, false);
                     }
                 });
-                writeBody(call, exchange.getRequestChannel());
-            }
-
-            @Override public void failed(IOException e) {
-                call.complete(NO_RESPONSE, null, false);
-            }
-        });
     }
 
     private void writeBody(Call call, StreamSinkChannel channel) {
         ByteBuffer remaining = ByteBuffer.wrap(call.body == null ? new byte[0] : call.body);
-        ChannelListener<StreamSinkChannel> writer = new ChannelListener<>() {
-            @Override public void handleEvent(StreamSinkChannel ch) {
-                try {
-                    while (remaining.hasRemaining()) {
-                        if (ch.write(remaining) == 0) {
-                            ch.getWriteSetter().set(this);
-                            ch.resumeWrites();
-                            return;
+        ChannelListener<StreamSinkChannel> writer =
+                new ChannelListener<>() {
+                    @Override
+                    public void handleEvent(StreamSinkChannel ch) {
+                        try {
+                            while (remaining.hasRemaining()) {
+                                if (ch.write(remaining) == 0) {
+                                    ch.getWriteSetter().set(this);
+                                    ch.resumeWrites();
+                                    return;
+                                }
+                            }
+                            ch.shutdownWrites();
+                            if (!ch.flush()) {
+                                ch.getWriteSetter().set(this);
+                                ch.resumeWrites();
+                            } else {
+                                ch.suspendWrites();
+                            }
+                        } catch (IOException e) {
+                            LOG.debug(
+                                    "{} {}{}: {}",
+                                    call.method,
+                                    call.address,
+                                    call.path,
+                                    e.toString());
+                            call.complete(NO_RESPONSE, null, false);
                         }
                     }
-                    ch.shutdownWrites();
-                    if (!ch.flush()) {
-                        ch.getWriteSetter().set(this);
-                        ch.resumeWrites();
-                    } else {
-                        ch.suspendWrites();
-                    }
-                } catch (IOException e) {
-                    LOG.debug("{} {}{}: {}", call.method, call.address, call.path, e.toString());
-                    call.complete(NO_RESPONSE, null, false);
-                }
-            }
-        };
+                };
         writer.handleEvent(channel);
     }
 
     private void readResponse(Call call, ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
-        boolean closing = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-        new BodyReader(readBuffer, parseLength(exchange.getResponse().getResponseHeaders().getFirst(Headers.CONTENT_LENGTH)), TransportConstants.MAX_RESPONSE_BYTES,
-                body -> call.complete(status, body, !closing),
-                failure -> {
-                    LOG.debug("{} {}{}: {}", call.method, call.address, call.path, failure.toString());
-                    call.complete(NO_RESPONSE, null, false);
-                }).handleEvent(exchange.getResponseChannel());
+        boolean closing =
+                "close"
+                        .equalsIgnoreCase(
+                                exchange.getResponse()
+                                        .getResponseHeaders()
+                                        .getFirst(Headers.CONNECTION));
+        new BodyReader(
+                        readBuffer,
+                        parseLength(
+                                exchange.getResponse()
+                                        .getResponseHeaders()
+                                        .getFirst(Headers.CONTENT_LENGTH)),
+                        TransportConstants.MAX_RESPONSE_BYTES,
+                        body -> call.complete(status, body, !closing),
+                        failure -> {
+                            LOG.debug(
+                                    "{} {}{}: {}",
+                                    call.method,
+                                    call.address,
+                                    call.path,
+                                    failure.toString());
+                            call.complete(NO_RESPONSE, null, false);
+                        })
+                .handleEvent(exchange.getResponseChannel());
     }
 
     private static long parseLength(String header) {
@@ -340,14 +448,20 @@
     private void closeExpiredConnections() {
         long idleBeforeMillis = loop.nowMillis() - TransportConstants.CLIENT_IDLE_TIMEOUT_MILLIS;
         idleByAge.removeIf(idle -> idle.removed);
-        targets.values().removeIf(target -> {
-            while (!target.idleConnections.isEmpty() && target.idleConnections.peekFirst().idleSinceMillis < idleBeforeMillis) {
-                IdleConnection idle = target.idleConnections.pollFirst();
-                idle.removed = true;
-                IoUtils.safeClose(idle.connection);
-                onConnectionClosed(target);
-            }
-            return target.openConnections == 0 && target.connectAttemptsSinceMillis.isEmpty() && target.waitingCalls.isEmpty();
-        });
+        targets.values()
+                .removeIf(
+                        target -> {
+                            while (!target.idleConnections.isEmpty()
+                                    && target.idleConnections.peekFirst().idleSinceMillis
+                                            < idleBeforeMillis) {
+                                IdleConnection idle = target.idleConnections.pollFirst();
+                                idle.removed = true;
+                                IoUtils.safeClose(idle.connection);
+                                onConnectionClosed(target);
+                            }
+                            return target.openConnections == 0
+                                    && target.connectAttemptsSinceMillis.isEmpty()
+                                    && target.waitingCalls.isEmpty();
+                        });
     }
 }
--- a/src/main/java/io/quincelead/transport/HttpServer.java
+++ b/src/main/java/io/quincelead/transport/HttpServer.java
@@ -15,34 +15,52 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** The HTTP server of one address, on Undertow. Handlers run on the I/O thread, which is the loop. */
+/**
+ * The HTTP server of one address, on Undertow. Handlers run on the I/O thread, which is the loop.
+ */
 public final class HttpServer {
     private static final AttachmentKey<Boolean> TRACKED = AttachmentKey.create(Boolean.class);
     private final Undertow undertow;
+
     /** Connections on which a request has come and that are open. */
     private int openConnections;
+
     private final int nearLimitThreshold;
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
-    public HttpServer(XnioWorker worker, String address, int maxConnections, IncomingRequest.Handler handler) {
-        nearLimitThreshold = (int) (maxConnections * TransportConstants.CROWDED_CONNECTION_FRACTION);
+    public HttpServer(
+            XnioWorker worker,
+            String address,
+            int maxConnections,
+            IncomingRequest.Handler handler) {
+        nearLimitThreshold =
+                (int) (maxConnections * TransportConstants.CROWDED_CONNECTION_FRACTION);
         int colon = address.lastIndexOf(':');
-        undertow = Undertow.builder()
-                .setWorker(worker)
-                .setBufferSize(8 * 1024)
-                .setDirectBuffers(false)
-                .setServerOption(UndertowOptions.IDLE_TIMEOUT, TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, TransportConstants.REQUEST_PARSE_TIMEOUT_MILLIS)
-                .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
-                .setSocketOption(Options.BACKLOG, 64)
-                .setSocketOption(Options.TCP_NODELAY, true)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
-                .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections)
-                .addHttpListener(Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon),
-                        exchange -> accept(exchange, handler))
-                .build();
+        undertow =
+                Undertow.builder()
+                        .setWorker(worker)
+                        .setBufferSize(8 * 1024)
+                        .setDirectBuffers(false)
+                        .setServerOption(
+                                UndertowOptions.IDLE_TIMEOUT,
+                                TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
+                        .setServerOption(
+                                UndertowOptions.NO_REQUEST_TIMEOUT,
+                                TransportConstants.SERVER_IDLE_TIMEOUT_MILLIS)
+                        .setServerOption(
+                                UndertowOptions.REQUEST_PARSE_TIMEOUT,
+                                TransportConstants.REQUEST_PARSE_TIMEOUT_MILLIS)
+                        .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+                        .setServerOption(UndertowOptions.ENABLE_STATISTICS, false)
+                        .setSocketOption(Options.BACKLOG, 64)
+                        .setSocketOption(Options.TCP_NODELAY, true)
+                        .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
+                        .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections)
+                        .addHttpListener(
+                                Integer.parseInt(address.substring(colon + 1)),
+                                address.substring(0, colon),
+                                exchange -> accept(exchange, handler))
+                        .build();
     }
 
     public void start() {
@@ -54,22 +72,33 @@
         String contentLength = exchange.getRequestHeaders().getFirst(Headers.CONTENT_LENGTH);
         if (exchange.getRequestContentLength() > TransportConstants.MAX_BODY_BYTES) {
             exchange.setPersistent(false);
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new UndertowRequest(exchange, null)));
+            exchange.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () -> handler.handle(new UndertowRequest(exchange, null)));
             return;
         }
-        if (contentLength == null && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
-            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handler.handle(new UndertowRequest(exchange, new byte[0])));
+        if (contentLength == null
+                && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING)) {
+            exchange.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () -> handler.handle(new UndertowRequest(exchange, new byte[0])));
             return;
         }
         exchange.setMaxEntitySize(TransportConstants.MAX_BODY_BYTES);
-        BodyReader reader = new BodyReader(readBuffer, exchange.getRequestContentLength(), TransportConstants.MAX_BODY_BYTES,
-                bytes -> handler.handle(new UndertowRequest(exchange, bytes)),
-                failure -> {
-                    // Larger than allowed, or its sender is gone.
-                    exchange.setPersistent(false);
-                    handler.handle(new UndertowRequest(exchange, null));
-                });
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> reader.handleEvent(exchange.getRequestChannel()));
+        BodyReader reader =
+                new BodyReader(
+                        readBuffer,
+                        exchange.getRequestContentLength(),
+                        TransportConstants.MAX_BODY_BYTES,
+                        bytes -> handler.handle(new UndertowRequest(exchange, bytes)),
+                        failure -> {
+                            // Larger than allowed, or its sender is gone.
+                            exchange.setPersistent(false);
+                            handler.handle(new UndertowRequest(exchange, null));
+                        });
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE,
+                () -> reader.handleEvent(exchange.getRequestChannel()));
     }
 
     private void trackConnection(ServerConnection connection) {
@@ -84,15 +113,21 @@
         private final HttpServerExchange exchange;
 
         UndertowRequest(HttpServerExchange exchange, byte[] body) {
-            super(exchange.getRequestMethod().toString(), exchange.getRequestPath(), parseQuery(exchange), body);
+            super(
+                    exchange.getRequestMethod().toString(),
+                    exchange.getRequestPath(),
+                    parseQuery(exchange),
+                    body);
             this.exchange = exchange;
         }
 
-        @Override public boolean isNearConnectionLimit() {
+        @Override
+        public boolean isNearConnectionLimit() {
             return openConnections > nearLimitThreshold;
         }
 
-        @Override public void closeConnectionAfterResponse() {
+        @Override
+        public void closeConnectionAfterResponse() {
             exchange.setPersistent(false);
         }
 
@@ -101,17 +136,21 @@
                 return Map.of();
             }
             Map<String, String> parameters = new HashMap<>();
-            for (Map.Entry<String, Deque<String>> parameter : exchange.getQueryParameters().entrySet()) {
+            for (Map.Entry<String, Deque<String>> parameter :
+                    exchange.getQueryParameters().entrySet()) {
                 parameters.put(parameter.getKey(), parameter.getValue().getFirst());
             }
             return parameters;
         }
 
-        @Override protected void sendResponse(int status, WireFormat codec, byte[] body, int retryAfterSeconds) {
+        @Override
+        protected void sendResponse(
+                int status, WireFormat codec, byte[] body, int retryAfterSeconds) {
             exchange.setStatusCode(status);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, codec.contentType());
             if (retryAfterSeconds > 0) {
-                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(retryAfterSeconds));
+                exchange.getResponseHeaders()
+                        .put(Headers.RETRY_AFTER, Integer.toString(retryAfterSeconds));
             }
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
--- a/src/main/java/io/quincelead/transport/IncomingRequest.java
+++ b/src/main/java/io/quincelead/transport/IncomingRequest.java
@@ -9,18 +9,22 @@
     public final String method;
     public final String path;
     public final Map<String, String> queryParameters;
+
     /** The body; null if it was larger than allowed or could not be read. */
     public final byte[] body;
+
     private boolean responded;
 
-    protected IncomingRequest(String method, String path, Map<String, String> queryParameters, byte[] body) {
+    protected IncomingRequest(
+            String method, String path, Map<String, String> queryParameters, byte[] body) {
         this.method = method;
         this.path = path;
         this.queryParameters = queryParameters;
         this.body = body;
     }
 
-    protected abstract void sendResponse(int status, WireFormat codec, byte[] body, int retryAfterSeconds);
+    protected abstract void sendResponse(
+            int status, WireFormat codec, byte[] body, int retryAfterSeconds);
 
     public final boolean isResponded() {
         return responded;
@@ -32,13 +36,21 @@
     }
 
     /** Has the connection closed after the answer. */
-    public void closeConnectionAfterResponse() { }
+    public void closeConnectionAfterResponse() {}
 
-    /** Sends the answer; a second one is ignored, so a patience timer and a late result can't collide. */
-    public final void respond(int status, WireFormat codec, ObjectNode body, int retryAfterSeconds) {
+    /**
+     * Sends the answer; a second one is ignored, so a patience timer and a late result can't
+     * collide.
+     */
+    public final void respond(
+            int status, WireFormat codec, ObjectNode body, int retryAfterSeconds) {
         if (!responded) {
             responded = true;
-            sendResponse(status, codec, body == null ? new byte[0] : codec.encode(body), retryAfterSeconds);
+            sendResponse(
+                    status,
+                    codec,
+                    body == null ? new byte[0] : codec.encode(body),
+                    retryAfterSeconds);
         }
     }
 
@@ -52,7 +64,11 @@
 
     /** "Not now": tells the sender when to come back. */
     public final void respondRetryLater(int status, String reason) {
-        respond(status, WireFormat.CBOR, WireFormat.newMap().put("error", reason), ApiConstants.RETRY_AFTER_SECONDS);
+        respond(
+                status,
+                WireFormat.CBOR,
+                WireFormat.newMap().put("error", reason),
+                ApiConstants.RETRY_AFTER_SECONDS);
     }
 
     /** What serves requests. */
--- a/src/main/java/io/quincelead/transport/RateLimiter.java
+++ b/src/main/java/io/quincelead/transport/RateLimiter.java
@@ -2,7 +2,10 @@
 
 import io.quincelead.eventloop.EventLoop;
 
-/** A token bucket with a burst of one second's worth, kept a little below what the other side allows. */
+/**
+ * A token bucket with a burst of one second's worth, kept a little below what the other side
+ * allows.
+ */
 public final class RateLimiter {
     private final EventLoop loop;
     private double ratePerSecond;
@@ -32,12 +35,15 @@
     /** Changes the rate by this factor, within its bounds. */
     public void scaleRate(double factor) {
         refill();
-        ratePerSecond = Math.max(minRatePerSecond, Math.min(maxRatePerSecond, ratePerSecond * factor));
+        ratePerSecond =
+                Math.max(minRatePerSecond, Math.min(maxRatePerSecond, ratePerSecond * factor));
     }
 
     private void refill() {
         long nowMillis = loop.nowMillis();
-        tokens = Math.min(capacity, tokens + (nowMillis - refilledAtMillis) / 1000.0 * ratePerSecond);
+        tokens =
+                Math.min(
+                        capacity, tokens + (nowMillis - refilledAtMillis) / 1000.0 * ratePerSecond);
         refilledAtMillis = nowMillis;
     }
 
--- a/src/main/java/io/quincelead/transport/WireFormat.java
+++ b/src/main/java/io/quincelead/transport/WireFormat.java
@@ -36,7 +36,10 @@
         }
     }
 
-    /** The map in a body, or null if the body is anything else: malformed input is never an exception. */
+    /**
+     * The map in a body, or null if the body is anything else: malformed input is never an
+     * exception.
+     */
     public ObjectNode decodeMap(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
--- a/src/main/java/io/quincelead/transport/XnioEventLoop.java
+++ b/src/main/java/io/quincelead/transport/XnioEventLoop.java
@@ -15,22 +15,26 @@
         this.thread = thread;
     }
 
-    @Override public long nowMillis() {
+    @Override
+    public long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
-    @Override public long wallClockMillis() {
+    @Override
+    public long wallClockMillis() {
         return System.currentTimeMillis();
     }
 
-    @Override public void runAfter(long delayMillis, Runnable task) {
-        Runnable loggedTask = () -> {
-            try {
-                task.run();
-            } catch (RuntimeException e) {
-                LOG.error("a task of the event loop failed", e);
-            }
-        };
+    @Override
+    public void runAfter(long delayMillis, Runnable task) {
+        Runnable loggedTask =
+                () -> {
+                    try {
+                        task.run();
+                    } catch (RuntimeException e) {
+                        LOG.error("a task of the event loop failed", e);
+                    }
+                };
         if (delayMillis <= 0) {
             thread.execute(loggedTask);
         } else {
