--- a/src/main/java/io/quincelead/worker/Heartbeat.java
+++ b/src/main/java/io/quincelead/worker/Heartbeat.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * A worker's report (protocol, "Workers"). Read from the stream: reports are most of what a controller receives, each lists
- * every task of its machine, and a tree of it would be thrown away at once.
+ * A worker's report (protocol, "Workers"). Read from the stream: reports are most of what a
+ * controller receives, each lists every task of its machine, and a tree of it would be thrown away
+ * at once.
  */
 final class Heartbeat {
     String host;
@@ -17,16 +18,23 @@
     String machineType = "";
     String zone = "";
     boolean spot;
+
     /** -1 where it is missing. */
     long agentEpoch = -1;
+
     long serial = -1;
     long fencingToken = -1;
+
     /** Seconds until the cloud takes the machine away; -1: no notice. */
     double reclaimNoticeSeconds = -1;
+
     /** What is on the machine, by task. */
     Map<String, ReportedAttempt> tasks = Map.of();
 
-    /** An attempt as a worker's list shows it, and the next one of the same task; those that are not over come first. */
+    /**
+     * An attempt as a worker's list shows it, and the next one of the same task; those that are not
+     * over come first.
+     */
     static final class ReportedAttempt {
         String taskId = "";
         long attempt;
@@ -63,11 +71,15 @@
         }
     }
 
-    private Heartbeat() { }
+    private Heartbeat() {}
 
-    /** Whether a message of a worker is newer than another one, by tenure and serial (protocol, "Workers"). */
+    /**
+     * Whether a message of a worker is newer than another one, by tenure and serial (protocol,
+     * "Workers").
+     */
     static boolean isNewer(long agentEpoch, long serial, long otherAgentEpoch, long otherSerial) {
-        return agentEpoch > otherAgentEpoch || agentEpoch == otherAgentEpoch && serial > otherSerial;
+        return agentEpoch > otherAgentEpoch
+                || agentEpoch == otherAgentEpoch && serial > otherSerial;
     }
 
     /** The report in a body; null if it is none: malformed input is never an exception. */
@@ -77,8 +89,17 @@
         }
         try (JsonParser parser = WireFormat.CBOR.createParser(body)) {
             Heartbeat heartbeat = new Heartbeat();
-            boolean complete = parser.nextToken() == JsonToken.START_OBJECT && heartbeat.readFields(parser) && parser.nextToken() == null;
-            return complete && heartbeat.host != null && heartbeat.agentEpoch >= 0 && heartbeat.serial >= 0 && heartbeat.fencingToken >= 0 ? heartbeat : null;
+            boolean complete =
+                    parser.nextToken() == JsonToken.START_OBJECT
+                            && heartbeat.readFields(parser)
+                            && parser.nextToken() == null;
+            return complete
+                            && heartbeat.host != null
+                            && heartbeat.agentEpoch >= 0
+                            && heartbeat.serial >= 0
+                            && heartbeat.fencingToken >= 0
+                    ? heartbeat
+                    : null;
         } catch (IOException | RuntimeException e) {
             return null;
         }
@@ -96,7 +117,8 @@
                 case "tenure" -> agentEpoch = readInteger(parser, token);
                 case "serial" -> serial = readInteger(parser, token);
                 case "epoch" -> fencingToken = readInteger(parser, token);
-                case "warningS" -> reclaimNoticeSeconds = token.isNumeric() ? parser.getDoubleValue() : -1;
+                case "warningS" ->
+                        reclaimNoticeSeconds = token.isNumeric() ? parser.getDoubleValue() : -1;
                 case "members" -> {
                     if (token != JsonToken.START_ARRAY && token != JsonToken.VALUE_NULL) {
                         return false;
@@ -113,13 +135,17 @@
 
     private void readTasks(JsonParser parser) throws IOException {
         tasks = new HashMap<>();
-        for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+        for (JsonToken token = parser.nextToken();
+                token != JsonToken.END_ARRAY;
+                token = parser.nextToken()) {
             if (token != JsonToken.START_OBJECT) {
                 parser.skipChildren();
                 continue;
             }
             ReportedAttempt reported = new ReportedAttempt();
-            for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
+            for (String name = parser.nextFieldName();
+                    name != null;
+                    name = parser.nextFieldName()) {
                 JsonToken value = parser.nextToken();
                 switch (name) {
                     case "member" -> reported.taskId = readText(parser, value, "");
@@ -136,7 +162,8 @@
         }
     }
 
-    private static String readText(JsonParser parser, JsonToken token, String fallback) throws IOException {
+    private static String readText(JsonParser parser, JsonToken token, String fallback)
+            throws IOException {
         if (token == JsonToken.VALUE_STRING) {
             return parser.getText();
         }
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -17,10 +17,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Workers that report here and belong to another controller, or to none: sent on, told of, or kept alive behind a cut. */
+/**
+ * Workers that report here and belong to another controller, or to none: sent on, told of, or kept
+ * alive behind a cut.
+ */
 final class MisroutedWorkers {
-    /** Since when a machine has been reporting here though it is granted elsewhere under this term. */
-    private record Sighting(long fencingToken, long sinceMillis) { }
+    /**
+     * Since when a machine has been reporting here though it is granted elsewhere under this term.
+     */
+    private record Sighting(long fencingToken, long sinceMillis) {}
 
     private final EventLoop loop;
     private final Settings settings;
@@ -30,10 +35,18 @@
     private final Transport transport;
     private final Consumer<MisroutedWorker> leaderNotifier;
     private final Map<String, Sighting> misrouted = new HashMap<>();
+
     /** Workers of others that are answered here while the store can't be reached. */
     private final Map<String, Sighting> keptAlive = new HashMap<>();
 
-    MisroutedWorkers(EventLoop loop, Settings settings, MembershipLease membershipLease, WatchCache watchCache, ClusterMembership shards, Transport transport, Consumer<MisroutedWorker> leaderNotifier) {
+    MisroutedWorkers(
+            EventLoop loop,
+            Settings settings,
+            MembershipLease membershipLease,
+            WatchCache watchCache,
+            ClusterMembership shards,
+            Transport transport,
+            Consumer<MisroutedWorker> leaderNotifier) {
         this.loop = loop;
         this.settings = settings;
         this.membershipLease = membershipLease;
@@ -43,8 +56,12 @@
         this.leaderNotifier = leaderNotifier;
     }
 
-    /** The newest report of each machine that came here, as tenure and serial: an older one is a copy, or was held up on its way. */
+    /**
+     * The newest report of each machine that came here, as tenure and serial: an older one is a
+     * copy, or was held up on its way.
+     */
     private final Map<String, long[]> newestHeartbeats = new HashMap<>();
+
     private final Set<String> hostsBeingProbed = new HashSet<>();
 
     /** The machine is ours no longer; these were the tenure and serial of its last report here. */
@@ -55,7 +72,8 @@
     /** Whether a newer report has been here; else this is the newest now. */
     private boolean isStale(Heartbeat heartbeat) {
         long[] last = newestHeartbeats.get(heartbeat.host);
-        if (last != null && !Heartbeat.isNewer(heartbeat.agentEpoch, heartbeat.serial, last[0], last[1])) {
+        if (last != null
+                && !Heartbeat.isNewer(heartbeat.agentEpoch, heartbeat.serial, last[0], last[1])) {
             return true;
         }
         newestHeartbeats.put(heartbeat.host, new long[] {heartbeat.agentEpoch, heartbeat.serial});
@@ -68,7 +86,12 @@
     }
 
     void expireEntries() {
-        misrouted.values().removeIf(sighting -> loop.nowMillis() - sighting.sinceMillis > 20 * WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS);
+        misrouted
+                .values()
+                .removeIf(
+                        sighting ->
+                                loop.nowMillis() - sighting.sinceMillis
+                                        > 20 * WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS);
         newestHeartbeats.keySet().removeIf(host -> shards.ownerOf(host) == null);
         if (membershipLease.isValid()) {
             keptAlive.clear();
@@ -88,20 +111,44 @@
         }
         long now = loop.nowMillis();
         String owner = shards.ownerOf(host);
-        if (!membershipLease.isValid() && owner != null && keepAliveForOwner(request, host, heartbeat, shards.shardOf(owner).fencingTokensByHost().get(host))) {
+        if (!membershipLease.isValid()
+                && owner != null
+                && keepAliveForOwner(
+                        request,
+                        host,
+                        heartbeat,
+                        shards.shardOf(owner).fencingTokensByHost().get(host))) {
             return;
         }
-        Long grantedToken = owner == null ? null : shards.shardOf(owner).fencingTokensByHost().get(host);
+        Long grantedToken =
+                owner == null ? null : shards.shardOf(owner).fencingTokensByHost().get(host);
         long fencingToken = grantedToken == null ? 0 : grantedToken;
-        // Counted anew for each grant: a worker on its way to a new owner would else be moved back before it gets there, and
+        // Counted anew for each grant: a worker on its way to a new owner would else be moved back
+        // before it gets there, and
         // two controllers could pass a machine to each other for ever.
-        Sighting sighting = misrouted.merge(host, new Sighting(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
-        MisroutedWorker worker = new MisroutedWorker(host, heartbeat.address == null ? "" : heartbeat.address, heartbeat.machineType, heartbeat.zone, heartbeat.spot, settings.memberId(), owner != null, fencingToken);
+        Sighting sighting =
+                misrouted.merge(
+                        host,
+                        new Sighting(fencingToken, now),
+                        (previous, current) ->
+                                previous.fencingToken == fencingToken ? previous : current);
+        MisroutedWorker worker =
+                new MisroutedWorker(
+                        host,
+                        heartbeat.address == null ? "" : heartbeat.address,
+                        heartbeat.machineType,
+                        heartbeat.zone,
+                        heartbeat.spot,
+                        settings.memberId(),
+                        owner != null,
+                        fencingToken);
         if (owner == null) {
             leaderNotifier.accept(worker);
             if (settings.memberId().equals(shards.leaderId())) {
                 // The grant is a few ms away: the worker then hears at once where to go.
-                loop.runAfter(WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS, () -> redirectToOwner(request, host));
+                loop.runAfter(
+                        WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS,
+                        () -> redirectToOwner(request, host));
                 return;
             }
         } else if (now - sighting.sinceMillis > WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS) {
@@ -111,37 +158,62 @@
     }
 
     /**
-     * Says that the worker is stuck here if it hears us and is where that report says it is. One that hears nobody tries all
-     * controllers in turn, and would be passed around for ever; a report that was held up speaks of long ago.
+     * Says that the worker is stuck here if it hears us and is where that report says it is. One
+     * that hears nobody tries all controllers in turn, and would be passed around for ever; a
+     * report that was held up speaks of long ago.
      */
     private void probeWorker(MisroutedWorker worker, Heartbeat heartbeat) {
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
             return;
         }
-        transport.call(worker.address(), "GET", "/show", WireFormat.CBOR, null, TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
-            hostsBeingProbed.remove(worker.host());
-            Heartbeat current = Heartbeat.parse(bytes);
-            if (status == 200 && current != null && current.agentEpoch == heartbeat.agentEpoch && current.serial <= heartbeat.serial + WorkerConstants.MAX_MISROUTED_SERIAL_ADVANCE_HEARTBEATS) {
-                leaderNotifier.accept(worker);
-            }
-        });
+        transport.call(
+                worker.address(),
+                "GET",
+                "/show",
+                WireFormat.CBOR,
+                null,
+                TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
+                (status, bytes) -> {
+                    hostsBeingProbed.remove(worker.host());
+                    Heartbeat current = Heartbeat.parse(bytes);
+                    if (status == 200
+                            && current != null
+                            && current.agentEpoch == heartbeat.agentEpoch
+                            && current.serial
+                                    <= heartbeat.serial
+                                            + WorkerConstants
+                                                    .MAX_MISROUTED_SERIAL_ADVANCE_HEARTBEATS) {
+                        leaderNotifier.accept(worker);
+                    }
+                });
     }
 
     /**
-     * Cut off from the store, perhaps with a whole zone: a worker that can't reach its owner either is answered under the owner's
-     * term, without any order, so that its tasks live on. Every now and then it is sent to look for its owner again.
+     * Cut off from the store, perhaps with a whole zone: a worker that can't reach its owner either
+     * is answered under the owner's term, without any order, so that its tasks live on. Every now
+     * and then it is sent to look for its owner again.
      */
-    private boolean keepAliveForOwner(IncomingRequest request, String host, Heartbeat heartbeat, long fencingToken) {
+    private boolean keepAliveForOwner(
+            IncomingRequest request, String host, Heartbeat heartbeat, long fencingToken) {
         long now = loop.nowMillis();
         double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
         // Sent on, a worker may try all others in vain; its lease must outlast that.
-        if (leaseMillis < WorkerConstants.CONTROLLER_RETRY_INTERVAL_MILLIS * (settings.controllerCount() - 1) * WorkerConstants.MIN_CONTROLLER_SWEEPS_PER_LEASE) {
+        if (leaseMillis
+                < WorkerConstants.CONTROLLER_RETRY_INTERVAL_MILLIS
+                        * (settings.controllerCount() - 1)
+                        * WorkerConstants.MIN_CONTROLLER_SWEEPS_PER_LEASE) {
             return false;
         }
         // Not among the strays: on record again, it has its time to find its owner from then on.
         misrouted.remove(host);
-        Sighting sighting = keptAlive.merge(host, new Sighting(fencingToken, now), (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
-        if (now - sighting.sinceMillis > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
+        Sighting sighting =
+                keptAlive.merge(
+                        host,
+                        new Sighting(fencingToken, now),
+                        (previous, current) ->
+                                previous.fencingToken == fencingToken ? previous : current);
+        if (now - sighting.sinceMillis
+                > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
             keptAlive.remove(host);
             return false;
         }
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -12,9 +12,15 @@
 
 /** A machine of our block and what we know of it under the current term. */
 public final class ShardWorker {
-    /** States of a machine of our block; {@link #transitionTo} is the one function that changes them. */
+    /**
+     * States of a machine of our block; {@link #transitionTo} is the one function that changes
+     * them.
+     */
     public enum Phase {
-        /** Granted; no message bearing our term has come from it. Nothing may be concluded or started. */
+        /**
+         * Granted; no message bearing our term has come from it. Nothing may be concluded or
+         * started.
+         */
         CLAIMING,
         /** It has shown our term: its reports are evidence. */
         FENCED,
@@ -29,27 +35,46 @@
     private final long silenceTimeoutMillis;
     public final String host;
     public final long fencingToken;
-    /** Generation of the grant: until the watch has passed it, records of what was there before may be out of date. */
+
+    /**
+     * Generation of the grant: until the watch has passed it, records of what was there before may
+     * be out of date.
+     */
     final long grantRevision;
+
     private Phase phase = Phase.CLAIMING;
     String address;
     long agentEpoch = -1;
     long serial = -1;
     long heartbeatAgentEpoch = -1;
     long heartbeatSerial = -1;
-    /** When it last reported or, before that, first answered: a machine that only answers gets no start and reaches nobody. */
+
+    /**
+     * When it last reported or, before that, first answered: a machine that only answers gets no
+     * start and reaches nobody.
+     */
     long lastHeardAtMillis;
+
     long lastHeartbeatAtMillis;
+
     /** Whether anything came from it under this term: before, it may still be booting. */
     boolean everHeard;
+
     long lastClaimAtMillis;
     double reclaimNoticeSeconds = -1;
     long reclaimNoticeAtMillis;
-    /** Reports in a row that didn't show what the answer to an earlier one had started; when the first of them came. */
+
+    /**
+     * Reports in a row that didn't show what the answer to an earlier one had started; when the
+     * first of them came.
+     */
     int missedStarts;
+
     long missedSinceMillis;
+
     /** When its first report came; a machine that boots is granted long before. */
     private long firstHeartbeatAtMillis = -1;
+
     int consecutiveFailures;
     final Set<String> failedJobIds = new HashSet<>();
     long fullUntilMillis;
@@ -59,7 +84,14 @@
     boolean heldForFutureStart;
 
     /** {@code silentMs}: how long its silence is borne. */
-    ShardWorker(EventLoop loop, JobTable jobs, double heartbeatIntervalSeconds, long silenceTimeoutMillis, String host, long fencingToken, long grantRevision) {
+    ShardWorker(
+            EventLoop loop,
+            JobTable jobs,
+            double heartbeatIntervalSeconds,
+            long silenceTimeoutMillis,
+            String host,
+            long fencingToken,
+            long grantRevision) {
         this.loop = loop;
         this.jobs = jobs;
         this.heartbeatIntervalSeconds = heartbeatIntervalSeconds;
@@ -83,12 +115,14 @@
 
     /** Whether this very report, or one that the worker sent after it, came before. */
     boolean isStale(Heartbeat heartbeat) {
-        return !Heartbeat.isNewer(heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
+        return !Heartbeat.isNewer(
+                heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
     }
 
     /**
-     * Whether it reports but shows again and again that our answers don't reach it. What we start there never begins, and what it
-     * runs ends with its lease, though it seems as well as any other.
+     * Whether it reports but shows again and again that our answers don't reach it. What we start
+     * there never begins, and what it runs ends with its lease, though it seems as well as any
+     * other.
      */
     boolean isUnreachableInbound() {
         return missedStarts >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
@@ -96,17 +130,26 @@
 
     /** Whether it has reported for so long, ms, without showing that it hears us. */
     boolean isUnreachableInboundFor(long millis) {
-        return isUnreachableInbound() ? loop.nowMillis() - missedSinceMillis > millis : phase == Phase.CLAIMING && firstHeartbeatAtMillis >= 0 && loop.nowMillis() - firstHeartbeatAtMillis > millis;
+        return isUnreachableInbound()
+                ? loop.nowMillis() - missedSinceMillis > millis
+                : phase == Phase.CLAIMING
+                        && firstHeartbeatAtMillis >= 0
+                        && loop.nowMillis() - firstHeartbeatAtMillis > millis;
     }
 
     void recordHeartbeat() {
         lastHeartbeatAtMillis = loop.nowMillis();
-        firstHeartbeatAtMillis = firstHeartbeatAtMillis < 0 ? lastHeartbeatAtMillis : firstHeartbeatAtMillis;
+        firstHeartbeatAtMillis =
+                firstHeartbeatAtMillis < 0 ? lastHeartbeatAtMillis : firstHeartbeatAtMillis;
     }
 
-    /** Whether it hasn't reported for so long that it may reach nobody: no start can leave for it, but it may answer when it is asked. */
+    /**
+     * Whether it hasn't reported for so long that it may reach nobody: no start can leave for it,
+     * but it may answer when it is asked.
+     */
     boolean isHeartbeatOverdue() {
-        return phase == Phase.FENCED && loop.nowMillis() - lastHeardAtMillis > silenceTimeoutMillis / 2;
+        return phase == Phase.FENCED
+                && loop.nowMillis() - lastHeardAtMillis > silenceTimeoutMillis / 2;
     }
 
     /** It has answered a direct command. */
@@ -114,7 +157,10 @@
         missedStarts = 0;
     }
 
-    /** A report has been judged: {@code lacking}, a start of ours did not arrive; {@code shown}, one did. */
+    /**
+     * A report has been judged: {@code lacking}, a start of ours did not arrive; {@code shown}, one
+     * did.
+     */
     void recordStartDelivery(boolean anyArrived, boolean anyMissing) {
         if (anyArrived) {
             missedStarts = 0;
@@ -126,13 +172,24 @@
 
     /** Whether new tasks may go there. */
     public boolean isSchedulable() {
-        return phase == Phase.FENCED && !isUnreachableInbound() && reclaimNoticeSeconds < 0 && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES && loop.nowMillis() >= fullUntilMillis
+        return phase == Phase.FENCED
+                && !isUnreachableInbound()
+                && reclaimNoticeSeconds < 0
+                && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES
+                && loop.nowMillis() >= fullUntilMillis
                 && loop.nowMillis() - lastHeardAtMillis < silenceTimeoutMillis / 2;
     }
 
     /** Seconds until a start can leave for it: an open answer takes one along at once. */
     public double startDelaySeconds() {
-        return deferredRequest != null ? 0 : Math.max(0, Math.min(heartbeatIntervalSeconds, heartbeatIntervalSeconds - (loop.nowMillis() - lastHeartbeatAtMillis) / 1000.0));
+        return deferredRequest != null
+                ? 0
+                : Math.max(
+                        0,
+                        Math.min(
+                                heartbeatIntervalSeconds,
+                                heartbeatIntervalSeconds
+                                        - (loop.nowMillis() - lastHeartbeatAtMillis) / 1000.0));
     }
 
     public boolean isBeingReclaimed() {
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -8,7 +8,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What workers' lists prove: which tasks are there, which are over, and whose fault a failure is. Nothing follows from time alone. */
+/**
+ * What workers' lists prove: which tasks are there, which are over, and whose fault a failure is.
+ * Nothing follows from time alone.
+ */
 final class TaskStatusReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
     private final EventLoop loop;
@@ -22,8 +25,9 @@
     }
 
     /**
-     * Takes a worker's list as evidence, if it is newer than all before and bears our term. A body of {@code /orders}
-     * may overtake the answer to a report, so it never proves that a start of ours did not arrive.
+     * Takes a worker's list as evidence, if it is newer than all before and bears our term. A body
+     * of {@code /orders} may overtake the answer to a report, so it never proves that a start of
+     * ours did not arrive.
      */
     boolean reconcile(ShardWorker worker, Heartbeat heartbeat, boolean isHeartbeatRequest) {
         long agentEpoch = heartbeat.agentEpoch;
@@ -38,11 +42,17 @@
             worker.heartbeatAgentEpoch = agentEpoch;
             worker.heartbeatSerial = serial;
         }
-        worker.lastHeardAtMillis = isHeartbeatRequest || !worker.everHeard ? loop.nowMillis() : worker.lastHeardAtMillis;
+        worker.lastHeardAtMillis =
+                isHeartbeatRequest || !worker.everHeard
+                        ? loop.nowMillis()
+                        : worker.lastHeardAtMillis;
         worker.everHeard = true;
         if (heartbeat.reclaimNoticeSeconds >= 0) {
             if (worker.reclaimNoticeSeconds < 0) {
-                LOG.info("machine {} will be taken back in {} s", worker.host, heartbeat.reclaimNoticeSeconds);
+                LOG.info(
+                        "machine {} will be taken back in {} s",
+                        worker.host,
+                        heartbeat.reclaimNoticeSeconds);
                 callbacks.requestCycle();
             }
             worker.reclaimNoticeSeconds = heartbeat.reclaimNoticeSeconds;
@@ -60,18 +70,29 @@
             checkStartDelivery(worker);
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            reconcileTask(worker, placement, Heartbeat.ReportedAttempt.find(worker.reportedTasks.get(placement.taskName()), placement.attempt));
+            reconcileTask(
+                    worker,
+                    placement,
+                    Heartbeat.ReportedAttempt.find(
+                            worker.reportedTasks.get(placement.taskName()), placement.attempt));
         }
         return true;
     }
 
-    /** Looks whether the starts that were sent and not yet seen have arrived: only those, for every report passes here. */
+    /**
+     * Looks whether the starts that were sent and not yet seen have arrived: only those, for every
+     * report passes here.
+     */
     private void checkStartDelivery(ShardWorker worker) {
         boolean anyArrived = false;
         boolean anyMissing = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.phase() == Placement.Phase.START_SENT) {
-                boolean arrived = Heartbeat.ReportedAttempt.find(worker.reportedTasks.get(placement.taskName()), placement.attempt) != null;
+                boolean arrived =
+                        Heartbeat.ReportedAttempt.find(
+                                        worker.reportedTasks.get(placement.taskName()),
+                                        placement.attempt)
+                                != null;
                 anyArrived |= arrived;
                 anyMissing |= !arrived && hasReportedSinceStart(worker, placement);
             }
@@ -79,21 +100,36 @@
         worker.recordStartDelivery(anyArrived, anyMissing);
     }
 
-    /** Whether the machine has reported again since the answer that carried the start, or has begun another session, which drops that answer. */
+    /**
+     * Whether the machine has reported again since the answer that carried the start, or has begun
+     * another session, which drops that answer.
+     */
     static boolean hasReportedSinceStart(ShardWorker worker, Placement placement) {
-        return placement.phase() == Placement.Phase.START_SENT && (Heartbeat.isNewer(worker.heartbeatAgentEpoch, worker.heartbeatSerial, placement.startSentAgentEpoch, placement.startSentSerial) || worker.agentEpoch > placement.startSentAgentEpoch);
+        return placement.phase() == Placement.Phase.START_SENT
+                && (Heartbeat.isNewer(
+                                worker.heartbeatAgentEpoch,
+                                worker.heartbeatSerial,
+                                placement.startSentAgentEpoch,
+                                placement.startSentSerial)
+                        || worker.agentEpoch > placement.startSentAgentEpoch);
     }
 
-    private void reconcileTask(ShardWorker worker, Placement placement, Heartbeat.ReportedAttempt reported) {
+    private void reconcileTask(
+            ShardWorker worker, Placement placement, Heartbeat.ReportedAttempt reported) {
         if (placement.isTerminated()) {
             return;
         }
         if (reported == null) {
             if (placement.phase() == Placement.Phase.OBSERVED) {
                 terminate(worker, placement, "no longer on");
-            } else if (hasReportedSinceStart(worker, placement) || placement.phase() == Placement.Phase.RECORDED) {
-                // It never arrived there. The record stands, so its start may be sent (again), unless it is unwanted or nothing arrives.
-                if (placement.stopRequested || placement.job.isCancelled() || worker.isUnreachableInbound() || worker.isHeartbeatOverdue()) {
+            } else if (hasReportedSinceStart(worker, placement)
+                    || placement.phase() == Placement.Phase.RECORDED) {
+                // It never arrived there. The record stands, so its start may be sent (again),
+                // unless it is unwanted or nothing arrives.
+                if (placement.stopRequested
+                        || placement.job.isCancelled()
+                        || worker.isUnreachableInbound()
+                        || worker.isHeartbeatOverdue()) {
                     terminate(worker, placement, "never reached");
                 }
             }
@@ -122,11 +158,13 @@
                 terminate(worker, placement, "failed on");
             }
             case "full" -> {
-                worker.fullUntilMillis = loop.nowMillis() + WorkerConstants.REFUSED_START_PAUSE_MILLIS;
+                worker.fullUntilMillis =
+                        loop.nowMillis() + WorkerConstants.REFUSED_START_PAUSE_MILLIS;
                 terminate(worker, placement, "refused (full) by");
             }
             case "busy" -> {
-                // Another attempt of the task is there: only its end makes the task free to go elsewhere.
+                // Another attempt of the task is there: only its end makes the task free to go
+                // elsewhere.
                 Heartbeat.ReportedAttempt first = worker.reportedTasks.get(placement.taskName());
                 if (first != null && first.isTerminated()) {
                     terminate(worker, placement, "refused (busy) by");
@@ -141,26 +179,50 @@
     }
 
     private void terminate(ShardWorker worker, Placement placement, String reason) {
-        LOG.debug("task {} try {} {} {}", placement.taskName(), placement.attempt, reason, worker.host);
+        LOG.debug(
+                "task {} try {} {} {}",
+                placement.taskName(),
+                placement.attempt,
+                reason,
+                worker.host);
         placement.transitionTo(Placement.Phase.GONE);
         callbacks.onTaskTerminated(placement);
     }
 
-    /** Blames the machine if other jobs fail there too or the job does well elsewhere; else the job, which pauses. */
+    /**
+     * Blames the machine if other jobs fail there too or the job does well elsewhere; else the job,
+     * which pauses.
+     */
     private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
         job.consecutiveFailures++;
         job.failedHosts.add(worker.host);
         // What others saw end well counts too: this process may be new.
-        if (job.successCount == 0 && job.completedTaskCount() == 0 && job.consecutiveFailures >= 2 && worker.failedJobIds.size() == 1) {
-            // Where it has failed often and on no other machine, nothing will ever show whose fault it is: once, the machine goes.
-            boolean failsOnlyHere = job.failedHosts.size() == 1 && job.consecutiveFailures >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
-            worker.consecutiveFailures = failsOnlyHere ? WorkerConstants.SUSPECT_AFTER_FAILURES : Math.min(worker.consecutiveFailures, WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
+        if (job.successCount == 0
+                && job.completedTaskCount() == 0
+                && job.consecutiveFailures >= 2
+                && worker.failedJobIds.size() == 1) {
+            // Where it has failed often and on no other machine, nothing will ever show whose fault
+            // it is: once, the machine goes.
+            boolean failsOnlyHere =
+                    job.failedHosts.size() == 1
+                            && job.consecutiveFailures
+                                    >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
+            worker.consecutiveFailures =
+                    failsOnlyHere
+                            ? WorkerConstants.SUSPECT_AFTER_FAILURES
+                            : Math.min(
+                                    worker.consecutiveFailures,
+                                    WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
         }
         if (job.consecutiveFailures >= 2) {
-            long pauseMillis = WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS << Math.min(job.consecutiveFailures - 2, 10);
-            job.notBeforeMillis = loop.nowMillis() + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS);
+            long pauseMillis =
+                    WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS
+                            << Math.min(job.consecutiveFailures - 2, 10);
+            job.notBeforeMillis =
+                    loop.nowMillis()
+                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS);
         }
     }
 }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -12,7 +12,10 @@
 import io.quincelead.transport.WireFormat;
 import java.util.Map;
 
-/** What a worker is told: starts, only in answers to reports; kills, at once; clears, only of ends that are on record. */
+/**
+ * What a worker is told: starts, only in answers to reports; kills, at once; clears, only of ends
+ * that are on record.
+ */
 final class WorkerCommands {
     private final EventLoop loop;
     private final MembershipLease membershipLease;
@@ -20,7 +23,12 @@
     private final ClusterMembership shards;
     private final JobTable jobs;
 
-    WorkerCommands(EventLoop loop, MembershipLease membershipLease, WatchCache watchCache, ClusterMembership shards, JobTable jobs) {
+    WorkerCommands(
+            EventLoop loop,
+            MembershipLease membershipLease,
+            WatchCache watchCache,
+            ClusterMembership shards,
+            JobTable jobs) {
         this.loop = loop;
         this.membershipLease = membershipLease;
         this.watchCache = watchCache;
@@ -38,8 +46,12 @@
             }
             if (membershipLease.isValid() && shards.localShard() != null) {
                 for (Placement placement : jobs.placementsOn(worker.host).values()) {
-                    if (isStartDue(worker, placement) && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
-                        commands.addObject().put("verb", "start").put("member", placement.taskName()).put("try", placement.attempt);
+                    if (isStartDue(worker, placement)
+                            && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
+                        commands.addObject()
+                                .put("verb", "start")
+                                .put("member", placement.taskName())
+                                .put("try", placement.attempt);
                         placement.transitionTo(Placement.Phase.START_SENT);
                         placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
                         placement.startSentSerial = worker.heartbeatSerial;
@@ -51,19 +63,28 @@
     }
 
     /**
-     * Kills to be sent at once; null if there are none. A kill of what we have sent no start of changes nothing on the machine, but its
-     * answer shows at once that the task isn't there.
+     * Kills to be sent at once; null if there are none. A kill of what we have sent no start of
+     * changes nothing on the machine, but its answer shows at once that the task isn't there.
      */
     ArrayNode collectDueKills(ShardWorker worker) {
         long now = loop.nowMillis();
         ArrayNode kills = null;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            boolean stoppable = placement.phase() == Placement.Phase.OBSERVED && !placement.reportedState.equals("saving");
-            if (!isWanted(placement) && (stoppable || placement.phase() == Placement.Phase.RECORDED)
-                    && (placement.killSentAtMillis == 0 || now - placement.killSentAtMillis > WorkerConstants.KILL_RETRY_MILLIS)) {
+            boolean stoppable =
+                    placement.phase() == Placement.Phase.OBSERVED
+                            && !placement.reportedState.equals("saving");
+            if (!isWanted(placement)
+                    && (stoppable || placement.phase() == Placement.Phase.RECORDED)
+                    && (placement.killSentAtMillis == 0
+                            || now - placement.killSentAtMillis
+                                    > WorkerConstants.KILL_RETRY_MILLIS)) {
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
-                    addKill(kills, placement.taskName(), placement.attempt, graceSeconds(placement));
+                    addKill(
+                            kills,
+                            placement.taskName(),
+                            placement.attempt,
+                            graceSeconds(placement));
                     placement.killSentAtMillis = now;
                 }
             }
@@ -76,12 +97,17 @@
     }
 
     private boolean isStartDue(ShardWorker worker, Placement placement) {
-        if (placement.isTerminated() || !isWanted(placement) || worker.phase() != ShardWorker.Phase.FENCED || watchCache.storeRevision() < worker.grantRevision) {
-            // A leader applies its own grant before the watch brings what its predecessors on that machine recorded:
+        if (placement.isTerminated()
+                || !isWanted(placement)
+                || worker.phase() != ShardWorker.Phase.FENCED
+                || watchCache.storeRevision() < worker.grantRevision) {
+            // A leader applies its own grant before the watch brings what its predecessors on that
+            // machine recorded:
             // a start by such a record could be of a task that has been placed elsewhere since.
             return false;
         }
-        return placement.phase() == Placement.Phase.RECORDED || TaskStatusReconciler.hasReportedSinceStart(worker, placement);
+        return placement.phase() == Placement.Phase.RECORDED
+                || TaskStatusReconciler.hasReportedSinceStart(worker, placement);
     }
 
     /** Whether there is something to tell the worker. */
@@ -103,11 +129,16 @@
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
         for (Heartbeat.ReportedAttempt first : worker.reportedTasks.values()) {
             Placement placement = recorded.get(first.taskId);
-            for (Heartbeat.ReportedAttempt reported = first; reported != null; reported = reported.next()) {
+            for (Heartbeat.ReportedAttempt reported = first;
+                    reported != null;
+                    reported = reported.next()) {
                 boolean isRecorded = placement != null && placement.attempt == reported.attempt;
                 if (reported.isTerminated()) {
                     if (!isRecorded) {
-                        commands.addObject().put("verb", "clear").put("member", reported.taskId).put("try", reported.attempt);
+                        commands.addObject()
+                                .put("verb", "clear")
+                                .put("member", reported.taskId)
+                                .put("try", reported.attempt);
                     }
                 } else if (!isRecorded) {
                     addKill(commands, reported.taskId, reported.attempt, 0);
@@ -121,11 +152,18 @@
         return commands;
     }
 
-    private static void addKill(ArrayNode commands, String taskId, long attempt, double graceSeconds) {
-        commands.addObject().put("verb", "kill").put("member", taskId).put("try", attempt).put("drainS", graceSeconds);
+    private static void addKill(
+            ArrayNode commands, String taskId, long attempt, double graceSeconds) {
+        commands.addObject()
+                .put("verb", "kill")
+                .put("member", taskId)
+                .put("try", attempt)
+                .put("drainS", graceSeconds);
     }
 
     private static double graceSeconds(Placement placement) {
-        return placement.job.isCancelled() || placement.job.spec.checkpointIntervalSeconds() <= 0 ? 0 : Math.ceil(placement.job.spec.checkpointSeconds()) + 1;
+        return placement.job.isCancelled() || placement.job.spec.checkpointIntervalSeconds() <= 0
+                ? 0
+                : Math.ceil(placement.job.spec.checkpointSeconds()) + 1;
     }
 }
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -28,10 +28,18 @@
     private final long silenceTimeoutMillis;
     private final Policy policy;
     private final ZoneTable zones;
+
     /** When each zone was last cut off from here. */
     private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
-    WorkerFailureDetector(EventLoop loop, Settings settings, JobTable jobs, MachineTable machines, MachineTypeCatalog catalog, Policy policy, ZoneTable zones) {
+    WorkerFailureDetector(
+            EventLoop loop,
+            Settings settings,
+            JobTable jobs,
+            MachineTable machines,
+            MachineTypeCatalog catalog,
+            Policy policy,
+            ZoneTable zones) {
         this.policy = policy;
         this.zones = zones;
         this.loop = loop;
@@ -42,9 +50,16 @@
         this.silenceTimeoutMillis = silenceTimeoutMillis(settings);
     }
 
-    /** ms. A worker's lease, with what clocks may differ and the way of a report: longer silence is a dead or hung machine's. */
+    /**
+     * ms. A worker's lease, with what clocks may differ and the way of a report: longer silence is
+     * a dead or hung machine's.
+     */
     static long silenceTimeoutMillis(Settings settings) {
-        return (long) (settings.workerTimings().leaseSeconds() * 1000 * (1 + LeaseConstants.CLOCK_DRIFT_FRACTION)) + WorkerConstants.SILENCE_SLACK_MILLIS;
+        return (long)
+                        (settings.workerTimings().leaseSeconds()
+                                * 1000
+                                * (1 + LeaseConstants.CLOCK_DRIFT_FRACTION))
+                + WorkerConstants.SILENCE_SLACK_MILLIS;
     }
 
     /** The machines to be given up, each with the reason. */
@@ -59,17 +74,33 @@
             }
             boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
             // When a zone can be reached again, each of its machines has its time anew.
-            long silenceMillis = now - (zoneUnreachable ? worker.lastHeardAtMillis : Math.max(worker.lastHeardAtMillis, zoneUnreachableAtMillis.getOrDefault(zoneOf(worker), Long.MIN_VALUE)));
+            long silenceMillis =
+                    now
+                            - (zoneUnreachable
+                                    ? worker.lastHeardAtMillis
+                                    : Math.max(
+                                            worker.lastHeardAtMillis,
+                                            zoneUnreachableAtMillis.getOrDefault(
+                                                    zoneOf(worker), Long.MIN_VALUE)));
             if (worker.isBooting()) {
-                if (isBootOverdue(worker.host) && silenceMillis > silenceTimeoutMillis && !zoneUnreachable) {
+                if (isBootOverdue(worker.host)
+                        && silenceMillis > silenceTimeoutMillis
+                        && !zoneUnreachable) {
                     lost.put(worker, "never came up");
                 }
                 continue;
             }
             boolean reclaimed = worker.isBeingReclaimed() && worker.reclaimSecondsLeft() < -1;
-            if (silenceMillis > (reclaimed ? WorkerConstants.SILENCE_SLACK_MILLIS + (long) (settings.workerTimings().heartbeatSeconds() * 1500) : silencePatienceMillis(worker, zoneUnreachable))) {
+            if (silenceMillis
+                    > (reclaimed
+                            ? WorkerConstants.SILENCE_SLACK_MILLIS
+                                    + (long) (settings.workerTimings().heartbeatSeconds() * 1500)
+                            : silencePatienceMillis(worker, zoneUnreachable))) {
                 lost.put(worker, "silent");
-            } else if (worker.isUnreachableInboundFor(zoneUnreachable ? unreachableZonePatienceMillis(worker) : silenceTimeoutMillis)) {
+            } else if (worker.isUnreachableInboundFor(
+                    zoneUnreachable
+                            ? unreachableZonePatienceMillis(worker)
+                            : silenceTimeoutMillis)) {
                 lost.put(worker, "doesn't hear us");
             } else if (worker.consecutiveFailures >= WorkerConstants.SUSPECT_AFTER_FAILURES) {
                 lost.put(worker, "fails what runs elsewhere");
@@ -85,37 +116,57 @@
         return machine == null ? "" : machine.zone();
     }
 
-    /** Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault but the way to them. */
+    /**
+     * Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault
+     * but the way to them.
+     */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
-        long heardSinceMillis = loop.nowMillis() - (long) (settings.workerTimings().heartbeatSeconds() * 1000 * WorkerConstants.HEARD_WITHIN_HEARTBEATS);
+        long heardSinceMillis =
+                loop.nowMillis()
+                        - (long)
+                                (settings.workerTimings().heartbeatSeconds()
+                                        * 1000
+                                        * WorkerConstants.HEARD_WITHIN_HEARTBEATS);
         Map<String, int[]> countsByZone = new HashMap<>();
         for (ShardWorker worker : workers) {
             if (!worker.isBooting() || worker.address != null) {
                 int[] counts = countsByZone.computeIfAbsent(zoneOf(worker), zone -> new int[2]);
                 counts[0]++;
-                counts[1] += worker.everHeard && worker.lastHeardAtMillis >= heardSinceMillis && !worker.isUnreachableInboundFor(loop.nowMillis() - heardSinceMillis) ? 1 : 0;
+                counts[1] +=
+                        worker.everHeard
+                                        && worker.lastHeardAtMillis >= heardSinceMillis
+                                        && !worker.isUnreachableInboundFor(
+                                                loop.nowMillis() - heardSinceMillis)
+                                ? 1
+                                : 0;
             }
         }
         Set<String> unreachable = new HashSet<>();
-        countsByZone.forEach((zone, counts) -> {
-            if (counts[0] >= ZoneConstants.MIN_EVALUATED_MACHINES && counts[1] < counts[0] * ZoneConstants.MIN_HEARD_FRACTION) {
-                unreachable.add(zone);
-            }
-        });
+        countsByZone.forEach(
+                (zone, counts) -> {
+                    if (counts[0] >= ZoneConstants.MIN_EVALUATED_MACHINES
+                            && counts[1] < counts[0] * ZoneConstants.MIN_HEARD_FRACTION) {
+                        unreachable.add(zone);
+                    }
+                });
         return unreachable;
     }
 
     /**
-     * How long a machine's silence is borne. In a zone that is cut off, its tasks go on, kept by a controller inside; giving them up
-     * would only lose them. Elsewhere a silent machine hangs or is dead; what should run all the time is not left there for long.
+     * How long a machine's silence is borne. In a zone that is cut off, its tasks go on, kept by a
+     * controller inside; giving them up would only lose them. Elsewhere a silent machine hangs or
+     * is dead; what should run all the time is not left there for long.
      */
     private long silencePatienceMillis(ShardWorker worker, boolean zoneUnreachable) {
         ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
-        if (order == ZoneTable.OperatorOrder.HOLD && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
+        if (order == ZoneTable.OperatorOrder.HOLD
+                && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
             return Long.MAX_VALUE;
         }
         if (zoneUnreachable) {
-            return order == ZoneTable.OperatorOrder.RELEASE ? 0 : unreachableZonePatienceMillis(worker);
+            return order == ZoneTable.OperatorOrder.RELEASE
+                    ? 0
+                    : unreachableZonePatienceMillis(worker);
         }
         boolean hasService = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -124,26 +175,46 @@
         return hasService ? silenceTimeoutMillis / 2 : silenceTimeoutMillis;
     }
 
-    /** The shortest that the classes of its services state, but no shorter than silence means anything; else some leases. */
+    /**
+     * The shortest that the classes of its services state, but no shorter than silence means
+     * anything; else some leases.
+     */
     private long unreachableZonePatienceMillis(ShardWorker worker) {
         double leastMillis = Double.MAX_VALUE;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            double patienceMillis = placement.isTerminated() ? -1 : policy.unreachableZonePatienceMillis(placement.job);
+            double patienceMillis =
+                    placement.isTerminated()
+                            ? -1
+                            : policy.unreachableZonePatienceMillis(placement.job);
             leastMillis = patienceMillis < 0 ? leastMillis : Math.min(leastMillis, patienceMillis);
         }
-        return (long) Math.min(Math.max(leastMillis, silenceTimeoutMillis), settings.workerTimings().leaseSeconds() * 1000 * ZoneConstants.CUT_OFF_PATIENCE_LEASES);
+        return (long)
+                Math.min(
+                        Math.max(leastMillis, silenceTimeoutMillis),
+                        settings.workerTimings().leaseSeconds()
+                                * 1000
+                                * ZoneConstants.CUT_OFF_PATIENCE_LEASES);
     }
 
     private boolean isBootOverdue(String host) {
         MachineTable.Machine machine = machines.get(host);
-        MachineTypeCatalog.MachineType machineType = machine == null ? null : catalog.get(machine.machineType());
-        return machineType != null && loop.wallClockMillis() - machine.rentedAtEpochMillis() > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR + WorkerConstants.BOOT_TIMEOUT_SLACK_MILLIS;
+        MachineTypeCatalog.MachineType machineType =
+                machine == null ? null : catalog.get(machine.machineType());
+        return machineType != null
+                && loop.wallClockMillis() - machine.rentedAtEpochMillis()
+                        > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR
+                                + WorkerConstants.BOOT_TIMEOUT_SLACK_MILLIS;
     }
 
     private boolean hasOverdueCancellation(ShardWorker worker) {
-        double limitMillis = settings.workerTimings().cancelSeconds() * 1000 * WorkerConstants.CANCEL_RELEASE_FRACTION;
+        double limitMillis =
+                settings.workerTimings().cancelSeconds()
+                        * 1000
+                        * WorkerConstants.CANCEL_RELEASE_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            if (placement.job.isCancelled() && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis && !placement.isTerminated()) {
+            if (placement.job.isCancelled()
+                    && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis
+                    && !placement.isTerminated()) {
                 return true;
             }
         }
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -32,8 +32,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Speaks with the workers of this controller's block: takes their reports as evidence, answers with what the records
- * say, and sends kills at once. It never decides where a task runs, and it never concludes anything from time alone.
+ * Speaks with the workers of this controller's block: takes their reports as evidence, answers with
+ * what the records say, and sends kills at once. It never decides where a task runs, and it never
+ * concludes anything from time alone.
  */
 public final class WorkerGateway {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerGateway.class);
@@ -68,15 +69,30 @@
     private final WorkerCommands workerCommands;
     private final WorkerFailureDetector failureDetector;
     private final Map<String, ShardWorker> workers = new LinkedHashMap<>();
+
     /** Machines whose records changed since the last look. */
     private final Set<String> changedHosts = new HashSet<>();
+
     /** Machines whose report's answer waits for the round that is due. */
     private final Set<ShardWorker> awaitingCycle = new LinkedHashSet<>();
+
     /** Reports whose answers wait, by the loop time in ms at which that is over. */
     private final Map<Long, List<DeferredResponse>> deferredResponses = new HashMap<>();
 
-    public WorkerGateway(EventLoop loop, Settings settings, MembershipLease membershipLease, ClusterMembership shards, JobTable jobs, MachineTable machines,
-            MachineTypeCatalog catalog, WatchCache watchCache, StoreClient store, Transport transport, Policy policy, ZoneTable zones, Callbacks callbacks) {
+    public WorkerGateway(
+            EventLoop loop,
+            Settings settings,
+            MembershipLease membershipLease,
+            ClusterMembership shards,
+            JobTable jobs,
+            MachineTable machines,
+            MachineTypeCatalog catalog,
+            WatchCache watchCache,
+            StoreClient store,
+            Transport transport,
+            Policy policy,
+            ZoneTable zones,
+            Callbacks callbacks) {
         this.loop = loop;
         this.settings = settings;
         this.membershipLease = membershipLease;
@@ -87,10 +103,19 @@
         this.store = store;
         this.transport = transport;
         this.callbacks = callbacks;
-        this.misroutedWorkers = new MisroutedWorkers(loop, settings, membershipLease, watchCache, shards, transport, callbacks::onMisroutedWorker);
+        this.misroutedWorkers =
+                new MisroutedWorkers(
+                        loop,
+                        settings,
+                        membershipLease,
+                        watchCache,
+                        shards,
+                        transport,
+                        callbacks::onMisroutedWorker);
         this.statusReconciler = new TaskStatusReconciler(loop, jobs, callbacks);
         this.workerCommands = new WorkerCommands(loop, membershipLease, watchCache, shards, jobs);
-        this.failureDetector = new WorkerFailureDetector(loop, settings, jobs, machines, catalog, policy, zones);
+        this.failureDetector =
+                new WorkerFailureDetector(loop, settings, jobs, machines, catalog, policy, zones);
         shards.onShardChange(this::onShardChanged);
         jobs.onMachineChanged(changedHosts::add);
         loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
@@ -104,25 +129,43 @@
         return workers.values();
     }
 
-    /** Takes over the machines that our block now names, each under its term; a new term starts from nothing. */
+    /**
+     * Takes over the machines that our block now names, each under its term; a new term starts from
+     * nothing.
+     */
     private void onShardChanged() {
         ClusterMembership.Shard shard = shards.localShard();
         Map<String, Long> fencingTokens = shard == null ? Map.of() : shard.fencingTokensByHost();
         if (shard != null) {
-            workers.values().removeIf(worker -> {
-                boolean revoked = !fencingTokens.containsKey(worker.host) || fencingTokens.get(worker.host) != worker.fencingToken;
-                if (revoked) {
-                    releaseWorker(worker);
-                }
-                return revoked;
-            });
+            workers.values()
+                    .removeIf(
+                            worker -> {
+                                boolean revoked =
+                                        !fencingTokens.containsKey(worker.host)
+                                                || fencingTokens.get(worker.host)
+                                                        != worker.fencingToken;
+                                if (revoked) {
+                                    releaseWorker(worker);
+                                }
+                                return revoked;
+                            });
         }
-        // Without a block we keep answering under the old terms: until a higher one shows up, that keeps work alive.
+        // Without a block we keep answering under the old terms: until a higher one shows up, that
+        // keeps work alive.
         for (Map.Entry<String, Long> grant : fencingTokens.entrySet()) {
             if (!workers.containsKey(grant.getKey())) {
-                ShardWorker worker = new ShardWorker(loop, jobs, settings.workerTimings().heartbeatSeconds(), WorkerFailureDetector.silenceTimeoutMillis(settings), grant.getKey(), grant.getValue(), watchCache.modRevision(shard.storeKey()));
+                ShardWorker worker =
+                        new ShardWorker(
+                                loop,
+                                jobs,
+                                settings.workerTimings().heartbeatSeconds(),
+                                WorkerFailureDetector.silenceTimeoutMillis(settings),
+                                grant.getKey(),
+                                grant.getValue(),
+                                watchCache.modRevision(shard.storeKey()));
                 MachineTable.Machine machine = machines.get(worker.host);
-                // A worker may be held by a controller that is cut off from the store alone: only a claim calls it away.
+                // A worker may be held by a controller that is cut off from the store alone: only a
+                // claim calls it away.
                 worker.address = machine == null ? null : machine.address();
                 jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
                 workers.put(worker.host, worker);
@@ -133,18 +176,26 @@
 
     private void releaseWorker(ShardWorker worker) {
         jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
-        misroutedWorkers.onWorkerReleased(worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
+        misroutedWorkers.onWorkerReleased(
+                worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
         if (worker.deferredRequest != null) {
             misroutedWorkers.redirectToOwner(worker.deferredRequest, worker.host);
             worker.deferredRequest = null;
         }
     }
 
-    /** Shows the worker our term at once, or whether it hears us, so that nothing from before can run there, and learns what it holds. */
+    /**
+     * Shows the worker our term at once, or whether it hears us, so that nothing from before can
+     * run there, and learns what it holds.
+     */
     private void sendClaim(ShardWorker worker) {
-        if (workers.get(worker.host) == worker && worker.phase() != ShardWorker.Phase.LEAVING && worker.address != null && membershipLease.isValid()) {
+        if (workers.get(worker.host) == worker
+                && worker.phase() != ShardWorker.Phase.LEAVING
+                && worker.address != null
+                && membershipLease.isValid()) {
             worker.lastClaimAtMillis = loop.nowMillis();
-            sendCommands(worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, WireFormat.newList());
+            sendCommands(
+                    worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, WireFormat.newList());
         }
     }
 
@@ -163,13 +214,15 @@
             return;
         }
         if (heartbeat.fencingToken > worker.fencingToken) {
-            // Somebody newer commands this worker; an answer of ours would be dropped and hold it here.
+            // Somebody newer commands this worker; an answer of ours would be dropped and hold it
+            // here.
             misroutedWorkers.redirectToOwner(request, host);
             return;
         }
         misroutedWorkers.onWorkerAtOwner(host);
         if (worker.isStale(heartbeat)) {
-            // A copy, or what a cut held back: nobody waits for the answer, and the starts in it would count as sent.
+            // A copy, or what a cut held back: nobody waits for the answer, and the starts in it
+            // would count as sent.
             ObjectNode response = WireFormat.newMap().put("epoch", worker.fencingToken);
             response.putArray("orders");
             request.respond(200, response);
@@ -183,14 +236,24 @@
         worker.deferredRequest = request;
         long now = loop.nowMillis();
         if (request.isNearConnectionLimit()) {
-            // Connections are short: this one is given back, and the worker makes a new one for its next report.
+            // Connections are short: this one is given back, and the worker makes a new one for its
+            // next report.
             request.closeConnectionAfterResponse();
         }
-        boolean holdOpen = fresh && worker.isSchedulable() && membershipLease.isValid() && !request.isNearConnectionLimit();
+        boolean holdOpen =
+                fresh
+                        && worker.isSchedulable()
+                        && membershipLease.isValid()
+                        && !request.isNearConnectionLimit();
         worker.heldForFutureStart = holdOpen;
-        worker.deferredUntilMillis = now + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit() ? WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS : 0);
+        worker.deferredUntilMillis =
+                now
+                        + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit()
+                                ? WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS
+                                : 0);
         if (holdOpen) {
-            worker.deferredUntilMillis = Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
+            worker.deferredUntilMillis =
+                    Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
         }
         if (worker.deferredUntilMillis <= now || workerCommands.hasCommands(worker)) {
             sendDeferredResponse(worker);
@@ -202,34 +265,52 @@
         }
     }
 
-    private record DeferredResponse(ShardWorker worker, IncomingRequest request) { }
+    private record DeferredResponse(ShardWorker worker, IncomingRequest request) {}
 
-    /** Answers the report when its time is up, unless that has happened; hundreds of reports share few turns of the loop. */
+    /**
+     * Answers the report when its time is up, unless that has happened; hundreds of reports share
+     * few turns of the loop.
+     */
     private void scheduleDeferredResponse(ShardWorker worker, IncomingRequest request) {
-        long respondAtMillis = (worker.deferredUntilMillis + WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS - 1) / WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS * WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
+        long respondAtMillis =
+                (worker.deferredUntilMillis + WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS - 1)
+                        / WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS
+                        * WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
         List<DeferredResponse> batch = deferredResponses.get(respondAtMillis);
         if (batch == null) {
             batch = new ArrayList<>();
             deferredResponses.put(respondAtMillis, batch);
-            loop.runAfter(respondAtMillis - loop.nowMillis(), () -> {
-                for (DeferredResponse deferred : deferredResponses.remove(respondAtMillis)) {
-                    if (deferred.worker.deferredRequest == deferred.request) {
-                        sendDeferredResponse(deferred.worker);
-                    }
-                }
-            });
+            loop.runAfter(
+                    respondAtMillis - loop.nowMillis(),
+                    () -> {
+                        for (DeferredResponse deferred :
+                                deferredResponses.remove(respondAtMillis)) {
+                            if (deferred.worker.deferredRequest == deferred.request) {
+                                sendDeferredResponse(deferred.worker);
+                            }
+                        }
+                    });
         }
         batch.add(new DeferredResponse(worker, request));
     }
 
-    /** How long an answer may wait for a start: starts travel only in answers, so a parked one makes them instant. */
+    /**
+     * How long an answer may wait for a start: starts travel only in answers, so a parked one makes
+     * them instant.
+     */
     private long maxDeferralMillis(ShardWorker worker) {
         boolean hasFiniteTasks = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             hasFiniteTasks |= !placement.job.spec.isService();
         }
-        double share = hasFiniteTasks ? WorkerConstants.DEFER_BUSY_HEARTBEAT_FRACTION : WorkerConstants.DEFER_IDLE_HEARTBEAT_FRACTION;
-        return (long) Math.min(settings.workerTimings().heartbeatSeconds() * 1000 * share, WorkerConstants.MAX_DEFERRED_RESPONSE_MILLIS);
+        double share =
+                hasFiniteTasks
+                        ? WorkerConstants.DEFER_BUSY_HEARTBEAT_FRACTION
+                        : WorkerConstants.DEFER_IDLE_HEARTBEAT_FRACTION;
+        return (long)
+                Math.min(
+                        settings.workerTimings().heartbeatSeconds() * 1000 * share,
+                        WorkerConstants.MAX_DEFERRED_RESPONSE_MILLIS);
     }
 
     private void sendDeferredResponse(ShardWorker worker) {
@@ -240,7 +321,10 @@
         }
     }
 
-    /** Called when records changed or a round ended: answers what need not wait longer and sends kills at once. */
+    /**
+     * Called when records changed or a round ended: answers what need not wait longer and sends
+     * kills at once.
+     */
     public void dispatchPendingCommands() {
         for (String host : changedHosts) {
             ShardWorker worker = workers.get(host);
@@ -253,13 +337,17 @@
         }
         changedHosts.clear();
         if (!callbacks.isCyclePending()) {
-            awaitingCycle.stream().filter(worker -> worker.deferredRequest != null && !worker.heldForFutureStart).forEach(this::sendDeferredResponse);
+            awaitingCycle.stream()
+                    .filter(worker -> worker.deferredRequest != null && !worker.heldForFutureStart)
+                    .forEach(this::sendDeferredResponse);
             awaitingCycle.clear();
         }
     }
 
     private void sendDueKills(ShardWorker worker) {
-        if (worker.phase() == ShardWorker.Phase.CLAIMING || worker.address == null || !membershipLease.isMember()) {
+        if (worker.phase() == ShardWorker.Phase.CLAIMING
+                || worker.address == null
+                || !membershipLease.isMember()) {
             return;
         }
         ArrayNode kills = workerCommands.collectDueKills(worker);
@@ -269,24 +357,37 @@
     }
 
     private void sendCommands(ShardWorker worker, long agentEpoch, ArrayNode commands) {
-        ObjectNode message = WireFormat.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
+        ObjectNode message =
+                WireFormat.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
         message.set("orders", commands);
-        transport.call(worker.address, "POST", "/orders", WireFormat.CBOR, WireFormat.CBOR.encode(message), TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS, (status, bytes) -> {
-            Heartbeat response = Heartbeat.parse(bytes);
-            if (workers.get(worker.host) != worker || response == null || status != 200 && status != 409) {
-                return;
-            }
-            // Also a refusal is the worker's word: of a new session that knows our term, it proves what the old one ran to be over.
-            statusReconciler.reconcile(worker, response, false);
-            if (status == 200) {
-                worker.recordCommandAccepted();
-            } else if (response.agentEpoch > agentEpoch && worker.phase() == ShardWorker.Phase.CLAIMING) {
-                // Nothing was executed; a newer session of the worker is claimed under its number.
-                sendClaim(worker);
-            }
-            changedHosts.add(worker.host);
-            dispatchPendingCommands();
-        });
+        transport.call(
+                worker.address,
+                "POST",
+                "/orders",
+                WireFormat.CBOR,
+                WireFormat.CBOR.encode(message),
+                TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
+                (status, bytes) -> {
+                    Heartbeat response = Heartbeat.parse(bytes);
+                    if (workers.get(worker.host) != worker
+                            || response == null
+                            || status != 200 && status != 409) {
+                        return;
+                    }
+                    // Also a refusal is the worker's word: of a new session that knows our term, it
+                    // proves what the old one ran to be over.
+                    statusReconciler.reconcile(worker, response, false);
+                    if (status == 200) {
+                        worker.recordCommandAccepted();
+                    } else if (response.agentEpoch > agentEpoch
+                            && worker.phase() == ShardWorker.Phase.CLAIMING) {
+                        // Nothing was executed; a newer session of the worker is claimed under its
+                        // number.
+                        sendClaim(worker);
+                    }
+                    changedHosts.add(worker.host);
+                    dispatchPendingCommands();
+                });
     }
 
     // ---- health
@@ -297,8 +398,14 @@
             return;
         }
         for (ShardWorker worker : workers.values()) {
-            boolean mustAnswer = worker.phase() == ShardWorker.Phase.CLAIMING || worker.isUnreachableInbound();
-            if (loop.nowMillis() - worker.lastClaimAtMillis > (mustAnswer ? TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS : worker.isHeartbeatOverdue() ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS : Long.MAX_VALUE)) {
+            boolean mustAnswer =
+                    worker.phase() == ShardWorker.Phase.CLAIMING || worker.isUnreachableInbound();
+            if (loop.nowMillis() - worker.lastClaimAtMillis
+                    > (mustAnswer
+                            ? TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS
+                            : worker.isHeartbeatOverdue()
+                                    ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS
+                                    : Long.MAX_VALUE)) {
                 sendClaim(worker);
             }
         }
@@ -307,16 +414,24 @@
         dispatchPendingCommands();
     }
 
-    /** Records that machines are to be returned and drops them from our block, in one change; the leader returns them. */
+    /**
+     * Records that machines are to be returned and drops them from our block, in one change; the
+     * leader returns them.
+     */
     private void declareLost(Map<ShardWorker, String> lost) {
         ClusterMembership.Shard shard = shards.localShard().copy();
-        Transaction transaction = new Transaction().requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
+        Transaction transaction =
+                new Transaction()
+                        .requireRevision(
+                                shard.storeKey(), watchCache.modRevision(shard.storeKey()));
         MachineTable.MachineEdits edits = machines.beginEdits(transaction);
         List<ShardWorker> leaving = new ArrayList<>();
         for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
             ShardWorker worker = candidate.getKey();
             MachineTable.Machine machine = machines.get(worker.host);
-            if (machine == null || machine.releasing() || !transaction.fits(2, 2, store.maxTransactionOperations())) {
+            if (machine == null
+                    || machine.releasing()
+                    || !transaction.fits(2, 2, store.maxTransactionOperations())) {
                 continue;
             }
             LOG.info("machine {} is given up: {}", worker.host, candidate.getValue());
@@ -329,12 +444,16 @@
             return;
         }
         transaction.put(shard.storeKey(), shard.encode(), membershipLease.leaseId());
-        store.commit(transaction, outcome -> {
-            if (outcome.result() == Transaction.Result.COMMITTED) {
-                watchCache.applyCommitted(transaction, outcome.storeRevision());
-                return;
-            }
-            leaving.stream().filter(worker -> workers.get(worker.host) == worker).forEach(worker -> worker.transitionTo(ShardWorker.Phase.CLAIMING));
-        });
+        store.commit(
+                transaction,
+                outcome -> {
+                    if (outcome.result() == Transaction.Result.COMMITTED) {
+                        watchCache.applyCommitted(transaction, outcome.storeRevision());
+                        return;
+                    }
+                    leaving.stream()
+                            .filter(worker -> workers.get(worker.host) == worker)
+                            .forEach(worker -> worker.transitionTo(ShardWorker.Phase.CLAIMING));
+                });
     }
 }
--- a/src/test/java/io/quincelead/api/UserApiTest.java
+++ b/src/test/java/io/quincelead/api/UserApiTest.java
@@ -18,17 +18,25 @@
     private int retryAfter;
     private ObjectNode answer;
 
-    @BeforeEach void start() {
+    @BeforeEach
+    void start() {
         cluster.start();
         cluster.clock.runUntil(8_000);
     }
 
     private int call(String method, String path, byte[] body) {
-        cluster.network.call(SimulatedCluster.USERS_ADDRESS, "10.0.0.1:8080", method, path, body, 5_000, (responseStatus, responseBody, responseRetryAfter) -> {
-            status = responseStatus;
-            answer = WireFormat.CBOR.decodeMap(responseBody);
-            retryAfter = responseRetryAfter;
-        });
+        cluster.network.call(
+                SimulatedCluster.USERS_ADDRESS,
+                "10.0.0.1:8080",
+                method,
+                path,
+                body,
+                5_000,
+                (responseStatus, responseBody, responseRetryAfter) -> {
+                    status = responseStatus;
+                    answer = WireFormat.CBOR.decodeMap(responseBody);
+                    retryAfter = responseRetryAfter;
+                });
         cluster.clock.runUntil(cluster.clock.nowMillis() + 3_000);
         return status;
     }
@@ -43,7 +51,8 @@
         return call("POST", "/v2/runs", WireFormat.CBOR.encode(job));
     }
 
-    @Test void acceptsOnceAndKnowsARetry() {
+    @Test
+    void acceptsOnceAndKnowsARetry() {
         assertEquals(201, submit(validJob(1)));
         assertEquals("pending", answer.path("status").asText());
         assertEquals(200, submit(validJob(1)));
@@ -54,10 +63,23 @@
         assertEquals(2, answer.path("done").asInt());
     }
 
-    @Test void malformedIs400WithAReason() {
+    @Test
+    void malformedIs400WithAReason() {
         assertEquals(400, call("POST", "/v2/runs", new byte[] {1, 2, 3}));
         assertEquals(400, call("POST", "/v2/runs", WireFormat.CBOR.encode(WireFormat.newList())));
-        for (String field : new String[] {"nameId", "jobClass", "owner", "mode", "urgency", "members", "vcpus", "ramGb", "preemptible", "runtimeS"}) {
+        for (String field :
+                new String[] {
+                    "nameId",
+                    "jobClass",
+                    "owner",
+                    "mode",
+                    "urgency",
+                    "members",
+                    "vcpus",
+                    "ramGb",
+                    "preemptible",
+                    "runtimeS"
+                }) {
             ObjectNode missing = validJob(2);
             missing.remove(field);
             assertEquals(400, submit(missing), field);
@@ -74,13 +96,15 @@
         assertEquals(400, submit(validJob(2).put("shapes", "gull")));
     }
 
-    @Test void whatCanNeverRunIs422() {
+    @Test
+    void whatCanNeverRunIs422() {
         assertEquals(422, submit(validJob(3).put("owner", "green")));
         assertEquals(422, submit(validJob(3).put("vcpus", 17)));
         assertEquals(422, submit(validJob(3).put("site", "nowhere")));
         assertEquals(422, submit(validJob(3).put("mode", "ensemble").put("members", 41)));
         assertTrue(answer.path("error").asText().contains("members"));
-        ObjectNode apart = validJob(3).put("mode", "ensemble").put("oneZone", true).put("scatter", true);
+        ObjectNode apart =
+                validJob(3).put("mode", "ensemble").put("oneZone", true).put("scatter", true);
         assertEquals(422, submit(apart));
         assertTrue(answer.path("error").asText().contains("scatter"));
         ObjectNode shape = validJob(3);
@@ -88,27 +112,50 @@
         assertEquals(422, submit(shape.put("cards", 1)));
     }
 
-    @Test void unknownJobsPathsAndMethods() {
+    @Test
+    void unknownJobsPathsAndMethods() {
         assertEquals(404, call("GET", "/v2/runs/wk-123", null));
         assertEquals(404, call("GET", "/v2/runs/nonsense", null));
-        assertEquals(404, call("POST", "/v2/runs/wk-123/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
+        assertEquals(
+                404,
+                call(
+                        "POST",
+                        "/v2/runs/wk-123/cancel",
+                        WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals(404, call("GET", "/nothing", null));
         assertEquals(405, call("DELETE", "/v2/runs", null));
         assertEquals(405, call("POST", "/ready", null));
         assertEquals(200, call("GET", "/ready", null));
-        assertEquals(400, call("POST", "/v1/report", WireFormat.CBOR.encode(WireFormat.newMap().put("host", 7))));
+        assertEquals(
+                400,
+                call(
+                        "POST",
+                        "/v1/report",
+                        WireFormat.CBOR.encode(WireFormat.newMap().put("host", 7))));
     }
 
-    @Test void cancelIsKept() {
+    @Test
+    void cancelIsKept() {
         assertEquals(201, submit(validJob(4)));
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
+        assertEquals(
+                200,
+                call(
+                        "POST",
+                        "/v2/runs/wk-000004/cancel",
+                        WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals("cancelled", answer.path("status").asText());
-        assertEquals(200, call("POST", "/v2/runs/wk-000004/cancel", WireFormat.CBOR.encode(WireFormat.newMap())));
+        assertEquals(
+                200,
+                call(
+                        "POST",
+                        "/v2/runs/wk-000004/cancel",
+                        WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals(200, call("GET", "/v2/runs/wk-000004", null));
         assertEquals("cancelled", answer.path("status").asText());
     }
 
-    @Test void whileTheStoreIsDownUsersAreToldToComeBackAtOnce() {
+    @Test
+    void whileTheStoreIsDownUsersAreToldToComeBackAtOnce() {
         cluster.store.setDown(true);
         cluster.clock.runUntil(cluster.clock.nowMillis() + 10_000);
         long before = cluster.clock.nowMillis();
--- a/src/test/java/io/quincelead/cli/OperatorCliTest.java
+++ b/src/test/java/io/quincelead/cli/OperatorCliTest.java
@@ -25,10 +25,12 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The commands against a stand-in controller on loopback: what is asked, what is printed, and the exit codes. */
+/**
+ * The commands against a stand-in controller on loopback: what is asked, what is printed, and the
+ * exit codes.
+ */
 class OperatorCliTest {
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private XnioWorker worker;
     private String controllerAddress;
     private int status = 200;
@@ -44,17 +46,30 @@
         }
     }
 
-    @BeforeEach void start() throws Exception {
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, true).getMap());
+    @BeforeEach
+    void start() throws Exception {
+        worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.THREAD_DAEMON, true)
+                                        .getMap());
         controllerAddress = "127.0.0.1:" + freePort();
-        new HttpServer(worker, controllerAddress, 20, request -> {
-            requests.add(request.path + " " + new String(request.body));
-            request.respond(status, WireFormat.JSON, response, 0);
-        }).start();
+        new HttpServer(
+                        worker,
+                        controllerAddress,
+                        20,
+                        request -> {
+                            requests.add(request.path + " " + new String(request.body));
+                            request.respond(status, WireFormat.JSON, response, 0);
+                        })
+                .start();
     }
 
-    @AfterEach void stop() {
+    @AfterEach
+    void stop() {
         worker.shutdownNow();
     }
 
@@ -66,22 +81,60 @@
         return Files.writeString(dir.resolve("f.json"), text).toString();
     }
 
-    @Test void appliesTheRepositorysExampleFiles() {
-        assertEquals(0, run("classes", "apply", "deploy/classes.example.json", "--at", controllerAddress, "--change", "c1"));
-        assertEquals(0, run("calendar", "add", "deploy/calendar.example.json", "--at", controllerAddress, "--dry-run"));
-        assertTrue(requests.get(0).startsWith("/ops/classes/apply ") && requests.get(0).contains("\"change\":\"c1\"") && requests.get(0).contains("morning-ice"), "" + requests);
-        assertTrue(requests.get(1).startsWith("/ops/calendar/add ") && requests.get(1).contains("\"dryRun\":true"), "" + requests);
+    @Test
+    void appliesTheRepositorysExampleFiles() {
+        assertEquals(
+                0,
+                run(
+                        "classes",
+                        "apply",
+                        "deploy/classes.example.json",
+                        "--at",
+                        controllerAddress,
+                        "--change",
+                        "c1"));
+        assertEquals(
+                0,
+                run(
+                        "calendar",
+                        "add",
+                        "deploy/calendar.example.json",
+                        "--at",
+                        controllerAddress,
+                        "--dry-run"));
+        assertTrue(
+                requests.get(0).startsWith("/ops/classes/apply ")
+                        && requests.get(0).contains("\"change\":\"c1\"")
+                        && requests.get(0).contains("morning-ice"),
+                "" + requests);
+        assertTrue(
+                requests.get(1).startsWith("/ops/calendar/add ")
+                        && requests.get(1).contains("\"dryRun\":true"),
+                "" + requests);
     }
 
-    @Test void invalidFilesAreReportedWithFieldAndConstraint() throws Exception {
-        assertEquals(1, run("classes", "apply", file("{\"classes\":[{\"name\":\"a\",\"rank\":2000}]}"), "--at", controllerAddress));
-        assertTrue(err.toString().contains("f.json") && err.toString().contains("classes[0].rank") && err.toString().contains("1000"), err.toString());
+    @Test
+    void invalidFilesAreReportedWithFieldAndConstraint() throws Exception {
+        assertEquals(
+                1,
+                run(
+                        "classes",
+                        "apply",
+                        file("{\"classes\":[{\"name\":\"a\",\"rank\":2000}]}"),
+                        "--at",
+                        controllerAddress));
+        assertTrue(
+                err.toString().contains("f.json")
+                        && err.toString().contains("classes[0].rank")
+                        && err.toString().contains("1000"),
+                err.toString());
         assertEquals(1, run("classes", "apply", file("{"), "--at", controllerAddress));
         assertEquals(1, run("zones", "list"));
         assertEquals(List.of(), requests);
     }
 
-    @Test void exitCodesDistinguishUnknownRefusedAndUnreachable() {
+    @Test
+    void exitCodesDistinguishUnknownRefusedAndUnreachable() {
         status = 409;
         response.put("error", "there is an entry already");
         assertEquals(4, run("calendar", "skip", "e", "2026-12-24", "--at", controllerAddress));
@@ -93,16 +146,39 @@
         assertEquals(2, run("classes", "appply"));
     }
 
-    @Test void mainKnowsAllOperatorCommands() {
+    @Test
+    void mainKnowsAllOperatorCommands() {
         Main.OPERATOR_COMMANDS.forEach(c -> assertEquals(0, run(c, "--help"), c));
         assertEquals(2, run("jobs"));
     }
 
-    @Test void listsArePrintedAsTables() {
-        response.putArray("list").addObject().put("zone", "a").put("state", "cut").put("since", 1_790_000_000_000L);
+    @Test
+    void listsArePrintedAsTables() {
+        response.putArray("list")
+                .addObject()
+                .put("zone", "a")
+                .put("state", "cut")
+                .put("since", 1_790_000_000_000L);
         assertEquals(0, run("zones", "list", "--at", controllerAddress));
-        assertTrue(out.toString().contains("zone  state") && out.toString().contains("2026-09-21T14:13:20Z"), out.toString());
-        assertEquals(0, run("zones", "plan", "--lost", "a", "--lost", "b", "--json", "--at", controllerAddress));
-        assertTrue(requests.get(1).contains("[\"a\",\"b\"]") && out.toString().contains("\"by\":\"w-0\""), requests + out.toString());
+        assertTrue(
+                out.toString().contains("zone  state")
+                        && out.toString().contains("2026-09-21T14:13:20Z"),
+                out.toString());
+        assertEquals(
+                0,
+                run(
+                        "zones",
+                        "plan",
+                        "--lost",
+                        "a",
+                        "--lost",
+                        "b",
+                        "--json",
+                        "--at",
+                        controllerAddress));
+        assertTrue(
+                requests.get(1).contains("[\"a\",\"b\"]")
+                        && out.toString().contains("\"by\":\"w-0\""),
+                requests + out.toString());
     }
 }
--- a/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
+++ b/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
@@ -14,17 +14,32 @@
 
 class TaskStatePageTest {
     private static List<String> describePlacements(TaskStatePage page) {
-        return page.placements.stream().map(placement -> placement.taskIndex + " " + placement.host + " " + placement.attempt + " " + placement.stopRequested).toList();
+        return page.placements.stream()
+                .map(
+                        placement ->
+                                placement.taskIndex
+                                        + " "
+                                        + placement.host
+                                        + " "
+                                        + placement.attempt
+                                        + " "
+                                        + placement.stopRequested)
+                .toList();
     }
 
-    /** Only what has changed of a record is read; what comes of it must be what reading all of it gives. */
+    /**
+     * Only what has changed of a record is read; what comes of it must be what reading all of it
+     * gives.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void decodingOnlyTheChangeEqualsDecodingTheWholeRecord(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
         for (int pageNumber = 0; pageNumber < 3; pageNumber++) {
-            TaskStatePage current = TaskStatePage.decode(job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
+            TaskStatePage current =
+                    TaskStatePage.decode(
+                            job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
             for (int change = 0; change < 400; change++) {
                 TaskStatePage.Edit edit = current.edit();
                 for (int remaining = random.nextInt(8); remaining >= 0; remaining--) {
@@ -33,7 +48,11 @@
                         case 0 -> edit.markGone(taskIndex);
                         case 1 -> edit.requestStop(taskIndex);
                         case 2 -> edit.markCompleted(taskIndex);
-                        default -> edit.place(taskIndex, "i-00000" + random.nextInt(120), 1 + random.nextInt(12));
+                        default ->
+                                edit.place(
+                                        taskIndex,
+                                        "i-00000" + random.nextInt(120),
+                                        1 + random.nextInt(12));
                     }
                 }
                 ObjectNode record = edit.encode();
@@ -43,8 +62,14 @@
                 assertEquals(whole.placements.size(), next.placements.size());
                 for (Placement placement : next.placements) {
                     Placement before = current.placements.get(placement.taskIndex);
-                    if (before != null && before.isSameStart(placement.taskIndex, placement.host, placement.attempt) && before.stopRequested == placement.stopRequested) {
-                        assertSame(before, placement, "a place that hasn't changed stays what is known of it");
+                    if (before != null
+                            && before.isSameStart(
+                                    placement.taskIndex, placement.host, placement.attempt)
+                            && before.stopRequested == placement.stopRequested) {
+                        assertSame(
+                                before,
+                                placement,
+                                "a place that hasn't changed stays what is known of it");
                     }
                 }
                 current = next;
@@ -53,13 +78,38 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"0 i-1 1", "0 i-1;", "x i-1 1;", "0 i-1 y;", "200 i-1 1;", "-1 i-1 1;", "0  1;0", ";"})
+    @ValueSource(
+            strings = {
+                "0 i-1 1",
+                "0 i-1;",
+                "x i-1 1;",
+                "0 i-1 y;",
+                "200 i-1 1;",
+                "-1 i-1 1;",
+                "0  1;0",
+                ";"
+            })
     void unreadablePlacementsAreRejected(String places) {
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
-        TaskStatePage before = TaskStatePage.decode(job, 0, WireFormat.newMap().put("p", "0 i-1 1;3 i-2 1;"), null, 0);
+        TaskStatePage before =
+                TaskStatePage.decode(
+                        job, 0, WireFormat.newMap().put("p", "0 i-1 1;3 i-2 1;"), null, 0);
         for (TaskStatePage previous : new TaskStatePage[] {null, before}) {
-            RuntimeException thrown = assertThrows(RuntimeException.class, () -> TaskStatePage.decode(job, 0, WireFormat.newMap().put("p", places), previous, 0));
-            assertEquals(true, thrown instanceof IndexOutOfBoundsException || thrown instanceof NumberFormatException, thrown.toString());
+            RuntimeException thrown =
+                    assertThrows(
+                            RuntimeException.class,
+                            () ->
+                                    TaskStatePage.decode(
+                                            job,
+                                            0,
+                                            WireFormat.newMap().put("p", places),
+                                            previous,
+                                            0));
+            assertEquals(
+                    true,
+                    thrown instanceof IndexOutOfBoundsException
+                            || thrown instanceof NumberFormatException,
+                    thrown.toString());
         }
     }
 }
--- a/src/test/java/io/quincelead/config/SettingsTest.java
+++ b/src/test/java/io/quincelead/config/SettingsTest.java
@@ -19,7 +19,8 @@
 class SettingsTest {
     @TempDir Path dir;
 
-    private static final String VALID_SETTINGS = """
+    private static final String VALID_SETTINGS =
+            """
             member = "worker-0"
             domain = "a"
             listen = "10.0.0.1:8080"
@@ -66,12 +67,17 @@
 
     private String errorFor(String text) throws IOException {
         File settingsFile = writeFile("wrong.toml", text);
-        String message = assertThrows(Settings.InvalidSettingsException.class, () -> Settings.load(settingsFile)).getMessage();
+        String message =
+                assertThrows(
+                                Settings.InvalidSettingsException.class,
+                                () -> Settings.load(settingsFile))
+                        .getMessage();
         assertTrue(message.contains("wrong.toml") && message.lines().count() == 1, message);
         return message;
     }
 
-    @Test void readsPlatformSettings() throws Exception {
+    @Test
+    void readsPlatformSettings() throws Exception {
         Settings settings = Settings.load(writeFile("good.toml", VALID_SETTINGS));
         assertEquals("worker-0", settings.memberId());
         assertEquals("10.0.0.2:8081", settings.peerAddresses().get("worker-1"));
@@ -80,38 +86,75 @@
         assertEquals(12, settings.storeLimits().maxTransactionOperations());
     }
 
-    @Test void errorNamesFileFieldAndAllowedValues() throws Exception {
-        assertTrue(errorFor(VALID_SETTINGS.replace("lease_s = 10.0", "lease_s = -1")).contains("settings.workers.lease_s: a number of at least 0.1"));
-        assertTrue(errorFor(VALID_SETTINGS.replace("listen = \"10.0.0.1:8080\"", "listen = \"nowhere\"")).contains("listen: an address"));
-        assertTrue(errorFor(VALID_SETTINGS.replace("cpus_max = 7.0", "")).contains("settings.teams[0].cpus_max"));
-        assertTrue(errorFor(VALID_SETTINGS.replace("[external]", "[other]")).contains("external: a table is required"));
+    @Test
+    void errorNamesFileFieldAndAllowedValues() throws Exception {
+        assertTrue(
+                errorFor(VALID_SETTINGS.replace("lease_s = 10.0", "lease_s = -1"))
+                        .contains("settings.workers.lease_s: a number of at least 0.1"));
+        assertTrue(
+                errorFor(
+                                VALID_SETTINGS.replace(
+                                        "listen = \"10.0.0.1:8080\"", "listen = \"nowhere\""))
+                        .contains("listen: an address"));
+        assertTrue(
+                errorFor(VALID_SETTINGS.replace("cpus_max = 7.0", ""))
+                        .contains("settings.teams[0].cpus_max"));
+        assertTrue(
+                errorFor(VALID_SETTINGS.replace("[external]", "[other]"))
+                        .contains("external: a table is required"));
         assertTrue(errorFor("this is = = not TOML").contains("can't be read as TOML"));
-        assertTrue(assertThrows(Settings.InvalidSettingsException.class, () -> Settings.load(new File(dir.toFile(), "missing"))).getMessage().contains("missing"));
+        assertTrue(
+                assertThrows(
+                                Settings.InvalidSettingsException.class,
+                                () -> Settings.load(new File(dir.toFile(), "missing")))
+                        .getMessage()
+                        .contains("missing"));
     }
 
-    @Test void operatorSettingsAreCheckedAgainstTheirSchema() throws Exception {
-        OperatorSettings operatorSettings = OperatorSettings.load(writeFile("o.json", "{\"alpha\":0.5,\"frequencyByType\":{\"gull\":1.2}}"));
+    @Test
+    void operatorSettingsAreCheckedAgainstTheirSchema() throws Exception {
+        OperatorSettings operatorSettings =
+                OperatorSettings.load(
+                        writeFile("o.json", "{\"alpha\":0.5,\"frequencyByType\":{\"gull\":1.2}}"));
         assertEquals(0.5, operatorSettings.parallelFraction());
         assertEquals(3, operatorSettings.tebasGroupSize());
         assertEquals(1.2, operatorSettings.clockSpeedByMachineType().get("gull"));
-        for (String bad : new String[] {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"}) {
+        for (String bad :
+                new String[] {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"}) {
             File settingsFile = writeFile("bad.json", bad);
-            assertTrue(assertThrows(Settings.InvalidSettingsException.class, () -> OperatorSettings.load(settingsFile)).getMessage().contains("bad.json"), bad);
+            assertTrue(
+                    assertThrows(
+                                    Settings.InvalidSettingsException.class,
+                                    () -> OperatorSettings.load(settingsFile))
+                            .getMessage()
+                            .contains("bad.json"),
+                    bad);
         }
     }
 
     private int run(StringWriter err, String... args) {
-        return new CommandLine(new Main()).setErr(new PrintWriter(err)).setOut(new PrintWriter(err)).execute(args);
+        return new CommandLine(new Main())
+                .setErr(new PrintWriter(err))
+                .setOut(new PrintWriter(err))
+                .execute(args);
     }
 
-    @Test void commandLineExitCodes() throws Exception {
+    @Test
+    void commandLineExitCodes() throws Exception {
         StringWriter err = new StringWriter();
         assertEquals(2, run(err));
         assertEquals(2, run(err, "--nonsense"));
         assertTrue(err.toString().contains("Usage:"));
         StringWriter one = new StringWriter();
-        assertEquals(1, run(one, "--config", writeFile("w.toml", VALID_SETTINGS.replace("count = 2", "count = \"two\"")).toString()));
+        assertEquals(
+                1,
+                run(
+                        one,
+                        "--config",
+                        writeFile("w.toml", VALID_SETTINGS.replace("count = 2", "count = \"two\""))
+                                .toString()));
         assertEquals(1, one.toString().lines().count(), one.toString());
-        assertEquals(0, run(err, "--check", "--config", writeFile("g.toml", VALID_SETTINGS).toString()));
+        assertEquals(
+                0, run(err, "--check", "--config", writeFile("g.toml", VALID_SETTINGS).toString()));
     }
 }
--- a/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
@@ -16,38 +16,59 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All interleavings, to a stated depth, of a small service: two controllers (the first leads), a team limited to two CPUs,
- * four tasks of one CPU in three jobs, two machines. Rounds and splits are prepared and take effect later or never;
- * workers start, lose and are heard; machines change hands; a job is handed over. The arithmetic is the product's own.
+ * All interleavings, to a stated depth, of a small service: two controllers (the first leads), a
+ * team limited to two CPUs, four tasks of one CPU in three jobs, two machines. Rounds and splits
+ * are prepared and take effect later or never; workers start, lose and are heard; machines change
+ * hands; a job is handed over. The arithmetic is the product's own.
  */
 class QuotaShareModelTest {
     /** What the protocol relies on; the model can leave one out, to see that it is needed. */
-    private enum Safeguard { USE_BY_RECORD, USE_MOVES_WITH_JOB, GROWTH_WAITS_FOR_FREE_QUOTA, SHARD_REVISION, JOB_REVISION }
+    private enum Safeguard {
+        USE_BY_RECORD,
+        USE_MOVES_WITH_JOB,
+        GROWTH_WAITS_FOR_FREE_QUOTA,
+        SHARD_REVISION,
+        JOB_REVISION
+    }
 
     private static final double LIMIT = 2;
     private static final int[] JOB_OF = {0, 1, 1, 2};
     private static final int TASKS = JOB_OF.length;
+
     /** By job; the first is less urgent, so that the others' wants go ahead of it. */
     private static final int[] PRIORITY = {1, 0, 0};
 
     /** What a machine's owner knows of a task recorded there. */
-    private enum Evidence { NOTHING, RUNNING, TERMINATED }
+    private enum Evidence {
+        NOTHING,
+        RUNNING,
+        TERMINATED
+    }
 
-    /** A round that was sent and may take effect: where it places a task, and whether its guards still hold. */
-    private record CycleCommit(int task, int machine, boolean shardUnchanged, boolean jobUnchanged) { }
+    /**
+     * A round that was sent and may take effect: where it places a task, and whether its guards
+     * still hold.
+     */
+    private record CycleCommit(
+            int task, int machine, boolean shardUnchanged, boolean jobUnchanged) {}
 
     /** A split that was sent and may take effect. */
-    private record Split(double first, double second, boolean shardsUnchanged) { }
+    private record Split(double first, double second, boolean shardsUnchanged) {}
 
     private static final class State {
         double[] quotaShare = {1, 1};
         int[] controller = {0, 1, 1};
         int[] owner = {0, 1};
+
         /** By task: the machine on record; -1 for none. */
         int[] machineOnRecord = {-1, -1, -1, -1};
+
         /** By task and machine: whether it runs there. */
         boolean[][] runsOn = new boolean[TASKS][2];
-        Evidence[] evidence = {Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING};
+
+        Evidence[] evidence = {
+            Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING, Evidence.NOTHING
+        };
         CycleCommit[] pendingCycle = new CycleCommit[2];
         Split pendingSplit;
 
@@ -65,8 +86,14 @@
         }
 
         String key() {
-            return Arrays.toString(quotaShare) + Arrays.toString(controller) + Arrays.toString(owner) + Arrays.toString(machineOnRecord) + Arrays.deepToString(runsOn)
-                    + Arrays.toString(evidence) + Arrays.toString(pendingCycle) + pendingSplit;
+            return Arrays.toString(quotaShare)
+                    + Arrays.toString(controller)
+                    + Arrays.toString(owner)
+                    + Arrays.toString(machineOnRecord)
+                    + Arrays.deepToString(runsOn)
+                    + Arrays.toString(evidence)
+                    + Arrays.toString(pendingCycle)
+                    + pendingSplit;
         }
 
         boolean violatesSafety() {
@@ -82,27 +109,46 @@
         double used(int controllerId, boolean byRecord) {
             double total = 0;
             for (int task = 0; task < TASKS; task++) {
-                boolean knownTerminated = !byRecord && evidence[task] == Evidence.TERMINATED && machineOnRecord[task] >= 0 && owner[machineOnRecord[task]] == controllerId;
-                total += controller[JOB_OF[task]] == controllerId && machineOnRecord[task] >= 0 && !knownTerminated ? 1 : 0;
+                boolean knownTerminated =
+                        !byRecord
+                                && evidence[task] == Evidence.TERMINATED
+                                && machineOnRecord[task] >= 0
+                                && owner[machineOnRecord[task]] == controllerId;
+                total +=
+                        controller[JOB_OF[task]] == controllerId
+                                        && machineOnRecord[task] >= 0
+                                        && !knownTerminated
+                                ? 1
+                                : 0;
             }
             return total;
         }
 
         void onShardChanged(int controllerId) {
             CycleCommit cycle = pendingCycle[controllerId];
-            pendingCycle[controllerId] = cycle == null ? null : new CycleCommit(cycle.task, cycle.machine, false, cycle.jobUnchanged);
-            pendingSplit = pendingSplit == null ? null : new Split(pendingSplit.first, pendingSplit.second, false);
+            pendingCycle[controllerId] =
+                    cycle == null
+                            ? null
+                            : new CycleCommit(cycle.task, cycle.machine, false, cycle.jobUnchanged);
+            pendingSplit =
+                    pendingSplit == null
+                            ? null
+                            : new Split(pendingSplit.first, pendingSplit.second, false);
         }
 
         void onJobChanged(int job) {
             for (int controllerId = 0; controllerId < 2; controllerId++) {
                 CycleCommit cycle = pendingCycle[controllerId];
-                pendingCycle[controllerId] = cycle == null || JOB_OF[cycle.task] != job ? cycle : new CycleCommit(cycle.task, cycle.machine, cycle.shardUnchanged, false);
+                pendingCycle[controllerId] =
+                        cycle == null || JOB_OF[cycle.task] != job
+                                ? cycle
+                                : new CycleCommit(
+                                        cycle.task, cycle.machine, cycle.shardUnchanged, false);
             }
         }
     }
 
-    private record Step(String name, State to) { }
+    private record Step(String name, State to) {}
 
     private static final class Model {
         final Safeguard omitted;
@@ -137,7 +183,10 @@
                 successor.owner[machine] = 1 - successor.owner[machine];
                 for (int task = 0; task < TASKS; task++) {
                     // What the former owner concluded ends with its ownership.
-                    successor.evidence[task] = successor.machineOnRecord[task] == machine ? Evidence.NOTHING : successor.evidence[task];
+                    successor.evidence[task] =
+                            successor.machineOnRecord[task] == machine
+                                    ? Evidence.NOTHING
+                                    : successor.evidence[task];
                 }
                 successor.onShardChanged(0);
                 successor.onShardChanged(1);
@@ -148,11 +197,19 @@
 
         private void planCycle(State state, int controllerId) {
             for (int task = 0; task < TASKS; task++) {
-                boolean withinShare = state.quotaShare[controllerId] - state.used(controllerId, omitted != Safeguard.USE_BY_RECORD) >= 1 - 1e-9;
+                boolean withinShare =
+                        state.quotaShare[controllerId]
+                                        - state.used(
+                                                controllerId, omitted != Safeguard.USE_BY_RECORD)
+                                >= 1 - 1e-9;
                 for (int machine = 0; machine < 2; machine++) {
-                    if (withinShare && state.controller[JOB_OF[task]] == controllerId && state.machineOnRecord[task] < 0 && state.owner[machine] == controllerId) {
+                    if (withinShare
+                            && state.controller[JOB_OF[task]] == controllerId
+                            && state.machineOnRecord[task] < 0
+                            && state.owner[machine] == controllerId) {
                         State successor = state.copy();
-                        successor.pendingCycle[controllerId] = new CycleCommit(task, machine, true, true);
+                        successor.pendingCycle[controllerId] =
+                                new CycleCommit(task, machine, true, true);
                         addSuccessor(controllerId + " plans " + task + " on " + machine, successor);
                     }
                 }
@@ -164,13 +221,21 @@
             State lost = state.copy();
             lost.pendingCycle[controllerId] = null;
             addSuccessor("round of " + controllerId + " has no effect", lost);
-            if ((cycle.shardUnchanged || omitted == Safeguard.SHARD_REVISION) && (cycle.jobUnchanged || omitted == Safeguard.JOB_REVISION)) {
+            if ((cycle.shardUnchanged || omitted == Safeguard.SHARD_REVISION)
+                    && (cycle.jobUnchanged || omitted == Safeguard.JOB_REVISION)) {
                 State successor = state.copy();
                 successor.pendingCycle[controllerId] = null;
                 successor.machineOnRecord[cycle.task] = cycle.machine;
                 successor.evidence[cycle.task] = Evidence.NOTHING;
                 successor.onJobChanged(JOB_OF[cycle.task]);
-                addSuccessor("round of " + controllerId + " places " + cycle.task + " on " + cycle.machine, successor);
+                addSuccessor(
+                        "round of "
+                                + controllerId
+                                + " places "
+                                + cycle.task
+                                + " on "
+                                + cycle.machine,
+                        successor);
             }
         }
 
@@ -180,7 +245,11 @@
                 State successor = state.copy();
                 successor.runsOn[task][machine] = true;
                 successor.evidence[task] = Evidence.RUNNING;
-                addSuccessor(task + (state.runsOn[task][machine] ? " is seen on " : " starts on ") + machine, successor);
+                addSuccessor(
+                        task
+                                + (state.runsOn[task][machine] ? " is seen on " : " starts on ")
+                                + machine,
+                        successor);
             } else if (state.evidence[task] == Evidence.RUNNING && !state.runsOn[task][machine]) {
                 State successor = state.copy();
                 successor.evidence[task] = Evidence.TERMINATED;
@@ -206,7 +275,8 @@
                 addSuccessor("split has no effect", lost);
                 if (state.pendingSplit.shardsUnchanged || omitted == Safeguard.SHARD_REVISION) {
                     State successor = state.copy();
-                    successor.quotaShare = new double[] {state.pendingSplit.first, state.pendingSplit.second};
+                    successor.quotaShare =
+                            new double[] {state.pendingSplit.first, state.pendingSplit.second};
                     successor.pendingSplit = null;
                     successor.onShardChanged(0);
                     successor.onShardChanged(1);
@@ -216,11 +286,14 @@
                 double[] used = {state.used(0, true), state.used(1, true)};
                 double[][] wanted = new double[2][2];
                 for (int task = 0; task < TASKS; task++) {
-                    wanted[state.controller[JOB_OF[task]]][PRIORITY[JOB_OF[task]]] += state.machineOnRecord[task] < 0 ? 1 : 0;
+                    wanted[state.controller[JOB_OF[task]]][PRIORITY[JOB_OF[task]]] +=
+                            state.machineOnRecord[task] < 0 ? 1 : 0;
                 }
                 // As if what others may still use were free already: each gets its target at once.
-                double[] currentShares = omitted == Safeguard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
-                double[] newShares = QuotaShares.split(LIMIT, 0, currentShares, used, wanted, false);
+                double[] currentShares =
+                        omitted == Safeguard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
+                double[] newShares =
+                        QuotaShares.split(LIMIT, 0, currentShares, used, wanted, false);
                 if (!Arrays.equals(newShares, state.quotaShare)) {
                     State successor = state.copy();
                     successor.pendingSplit = new Split(newShares[0], newShares[1], true);
@@ -230,9 +303,14 @@
             if (state.controller[1] == 1) {
                 State successor = state.copy();
                 successor.controller[1] = 0;
-                int placed = (state.machineOnRecord[1] >= 0 ? 1 : 0) + (state.machineOnRecord[2] >= 0 ? 1 : 0);
+                int placed =
+                        (state.machineOnRecord[1] >= 0 ? 1 : 0)
+                                + (state.machineOnRecord[2] >= 0 ? 1 : 0);
                 if (placed > 0 && omitted != Safeguard.USE_MOVES_WITH_JOB) {
-                    successor.quotaShare[1] = new ClusterMembership.QuotaShare(state.quotaShare[1], 0).minusTasks(placed, 1, 0).cpus();
+                    successor.quotaShare[1] =
+                            new ClusterMembership.QuotaShare(state.quotaShare[1], 0)
+                                    .minusTasks(placed, 1, 0)
+                                    .cpus();
                     successor.onShardChanged(1);
                 }
                 successor.onJobChanged(1);
@@ -240,9 +318,12 @@
             }
         }
 
-        /** The shortest way past the limit, or to a task that runs twice; null if there is none within the depth. */
+        /**
+         * The shortest way past the limit, or to a task that runs twice; null if there is none
+         * within the depth.
+         */
         List<String> search(int maxDepth, int maxStates) {
-            record Node(State state, Node from, String step, int depth) { }
+            record Node(State state, Node from, String step, int depth) {}
             ArrayDeque<Node> queue = new ArrayDeque<>();
             Set<String> seen = new HashSet<>();
             queue.add(new Node(new State(), null, "", 0));
@@ -268,7 +349,8 @@
         }
     }
 
-    @Test void noInterleavingPassesTheLimit() {
+    @Test
+    void noInterleavingPassesTheLimit() {
         Model model = new Model(null);
         assertNull(model.search(100, 400_000));
         System.out.println("allowance model: " + model.states + " states, depth " + model.depth);
@@ -281,7 +363,15 @@
     void eachSafeguardIsNeeded(Safeguard safeguard) {
         Model model = new Model(safeguard);
         List<String> trace = model.search(100, 400_000);
-        System.out.println("without " + safeguard + " (" + model.states + " states, depth " + model.depth + "): " + trace);
+        System.out.println(
+                "without "
+                        + safeguard
+                        + " ("
+                        + model.states
+                        + " states, depth "
+                        + model.depth
+                        + "): "
+                        + trace);
         assertNotNull(trace);
     }
 }
--- a/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
@@ -8,7 +8,10 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.Size;
 
-/** Properties of the split of a team's limit, over random allowances, uses and wants of four controllers. */
+/**
+ * Properties of the split of a team's limit, over random allowances, uses and wants of four
+ * controllers.
+ */
 class QuotaSharesTest {
     private static final double LIMIT = 100;
 
@@ -32,28 +35,58 @@
         return wanted;
     }
 
-    /** What could be in use after a split passes neither the limit nor, beyond it, what could be in use before. */
+    /**
+     * What could be in use after a split passes neither the limit nor, beyond it, what could be in
+     * use before.
+     */
     @Property(tries = 2000, seed = "11")
-    void neverMoreThanTheLimit(@ForAll @Size(4) List<@DoubleRange(max = 60) Double> shares, @ForAll @Size(4) List<@DoubleRange(max = 60) Double> used,
-            @ForAll @Size(4) List<@DoubleRange(max = 200) Double> high, @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low,
-            @ForAll @DoubleRange(max = 40) double orphanedUse, @ForAll boolean hasNewMember) {
-        double[] nextShares = QuotaShares.split(LIMIT, orphanedUse, array(shares), array(used), byPriority(array(high), array(low)), hasNewMember);
-        assertTrue(committed(nextShares, array(used), orphanedUse) <= Math.max(LIMIT, committed(array(shares), array(used), orphanedUse)) + 1e-6);
+    void neverMoreThanTheLimit(
+            @ForAll @Size(4) List<@DoubleRange(max = 60) Double> shares,
+            @ForAll @Size(4) List<@DoubleRange(max = 60) Double> used,
+            @ForAll @Size(4) List<@DoubleRange(max = 200) Double> high,
+            @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low,
+            @ForAll @DoubleRange(max = 40) double orphanedUse,
+            @ForAll boolean hasNewMember) {
+        double[] nextShares =
+                QuotaShares.split(
+                        LIMIT,
+                        orphanedUse,
+                        array(shares),
+                        array(used),
+                        byPriority(array(high), array(low)),
+                        hasNewMember);
+        assertTrue(
+                committed(nextShares, array(used), orphanedUse)
+                        <= Math.max(LIMIT, committed(array(shares), array(used), orphanedUse))
+                                + 1e-6);
     }
 
     /**
-     * Repeated, splits bring a gang's whole want to the one controller where it is, if nothing more urgent wants it and
-     * what is free would do: so a gang at the leader is not kept waiting by others' unused allowances. (It once got all but
-     * the last quarter of a CPU, for changes below that were left out.)
+     * Repeated, splits bring a gang's whole want to the one controller where it is, if nothing more
+     * urgent wants it and what is free would do: so a gang at the leader is not kept waiting by
+     * others' unused allowances. (It once got all but the last quarter of a CPU, for changes below
+     * that were left out.)
      */
     @Property(tries = 2000, seed = "12")
-    void aWantThatFitsIsServedWithinFewSplits(@ForAll @Size(4) List<@DoubleRange(max = 60) Double> start, @ForAll @Size(4) List<@DoubleRange(max = 20) Double> used,
-            @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low, @ForAll @DoubleRange(min = 1, max = 20) double gang) {
+    void aWantThatFitsIsServedWithinFewSplits(
+            @ForAll @Size(4) List<@DoubleRange(max = 60) Double> start,
+            @ForAll @Size(4) List<@DoubleRange(max = 20) Double> used,
+            @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low,
+            @ForAll @DoubleRange(min = 1, max = 20) double gang) {
         double[] usedArray = array(used);
         double[] shares = committed(array(start), usedArray, 0) > LIMIT ? usedArray : array(start);
         for (int round = 0; round < 8; round++) {
-            shares = QuotaShares.split(LIMIT, 0, shares, usedArray, byPriority(new double[] {gang, 0, 0, 0}, array(low)), false);
+            shares =
+                    QuotaShares.split(
+                            LIMIT,
+                            0,
+                            shares,
+                            usedArray,
+                            byPriority(new double[] {gang, 0, 0, 0}, array(low)),
+                            false);
         }
-        assertTrue(shares[0] - usedArray[0] >= gang - 1e-9, "got " + (shares[0] - usedArray[0]) + " of " + gang);
+        assertTrue(
+                shares[0] - usedArray[0] >= gang - 1e-9,
+                "got " + (shares[0] - usedArray[0]) + " of " + gang);
     }
 }
--- a/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
@@ -25,72 +25,152 @@
     }
 
     private static String refusal(String classes) {
-        return assertThrows(InvalidRecordException.class, () -> PriorityClasses.decode(json("{'classes':[" + classes + "]}"), 1, "f.json")).getMessage();
+        return assertThrows(
+                        InvalidRecordException.class,
+                        () ->
+                                PriorityClasses.decode(
+                                        json("{'classes':[" + classes + "]}"), 1, "f.json"))
+                .getMessage();
     }
 
     private static CalendarEntry entry(String rest) throws InvalidRecordException {
-        return CalendarEntry.decode(json("{'name':'e','zone':'America/Toronto','covers':[{}]," + rest + "}"), "entry");
+        return CalendarEntry.decode(
+                json("{'name':'e','zone':'America/Toronto','covers':[{}]," + rest + "}"), "entry");
     }
 
     private static List<String> published(CalendarEntry e, String from, String to) {
-        return e.publicationsBetween(Instant.parse(from).toEpochMilli(), Instant.parse(to).toEpochMilli()).stream()
-                .map(w -> w.date() + " " + Instant.ofEpochMilli(w.epochMillis())).toList();
+        return e
+                .publicationsBetween(
+                        Instant.parse(from).toEpochMilli(), Instant.parse(to).toEpochMilli())
+                .stream()
+                .map(w -> w.date() + " " + Instant.ofEpochMilli(w.epochMillis()))
+                .toList();
     }
 
-    @Test void errorsNameFileFieldAndConstraint() {
-        assertEquals("f.json.classes[0].rank: a whole number from 0 to 1000 is required", refusal("{'name':'a'}"));
-        assertEquals("f.json.classes[0].rank: must be a whole number from 0 to 1000", refusal("{'name':'a','rank':1.5}"));
-        assertEquals("f.json.classes[0].keep: must be one of [protocol, urgent, never]", refusal("{'name':'a','rank':1,'keep':'always'}"));
-        assertTrue(refusal("{'name':'a','rank':1,'color':'red'}").startsWith("f.json.classes[0].color: is not known here"));
-        assertEquals("f.json.classes[1].name: \"a\" stands twice", refusal("{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'a','rank':2}"));
+    @Test
+    void errorsNameFileFieldAndConstraint() {
+        assertEquals(
+                "f.json.classes[0].rank: a whole number from 0 to 1000 is required",
+                refusal("{'name':'a'}"));
+        assertEquals(
+                "f.json.classes[0].rank: must be a whole number from 0 to 1000",
+                refusal("{'name':'a','rank':1.5}"));
+        assertEquals(
+                "f.json.classes[0].keep: must be one of [protocol, urgent, never]",
+                refusal("{'name':'a','rank':1,'keep':'always'}"));
+        assertTrue(
+                refusal("{'name':'a','rank':1,'color':'red'}")
+                        .startsWith("f.json.classes[0].color: is not known here"));
+        assertEquals(
+                "f.json.classes[1].name: \"a\" stands twice",
+                refusal("{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'a','rank':2}"));
     }
 
-    @Test void classThatNeverMatchesIsRejected() throws InvalidRecordException {
-        assertTrue(refusal("{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2,'match':{'owner':'x','mode':'array'}}").contains("never matches"));
+    @Test
+    void classThatNeverMatchesIsRejected() throws InvalidRecordException {
+        assertTrue(
+                refusal(
+                                "{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2,'match':{'owner':'x','mode':'array'}}")
+                        .contains("never matches"));
         // Three modes that share all jobs of a team out among them.
-        assertTrue(refusal("{'name':'a','rank':1,'match':{'mode':'array'}},{'name':'b','rank':1,'match':{'mode':'ensemble'}},"
-                + "{'name':'c','rank':1,'match':{'mode':'standing'}},{'name':'d','rank':2,'match':{'owner':'x'}}").contains("classes[3].match"));
-        assertEquals(2, PriorityClasses.decode(json("{'classes':[{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2}]}"), 1, "f").all().size());
+        assertTrue(
+                refusal(
+                                "{'name':'a','rank':1,'match':{'mode':'array'}},{'name':'b','rank':1,'match':{'mode':'ensemble'}},"
+                                    + "{'name':'c','rank':1,'match':{'mode':'standing'}},{'name':'d','rank':2,'match':{'owner':'x'}}")
+                        .contains("classes[3].match"));
+        assertEquals(
+                2,
+                PriorityClasses.decode(
+                                json(
+                                        "{'classes':[{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2}]}"),
+                                1,
+                                "f")
+                        .all()
+                        .size());
     }
 
-    @Test void encodedRecordsDecodeToEqualValues() throws InvalidRecordException {
-        PriorityClasses c = PriorityClasses.decode(json("{'classes':[{'name':'a','rank':1,'match':{'owner':'x','urgency':'high'},'keep':'urgent','passes':'normal','beginWithinS':60,"
-                + "'leastShare':0.25,'zonePatienceS':30,'zoneSpare':0.5}]}"), 1, "f");
+    @Test
+    void encodedRecordsDecodeToEqualValues() throws InvalidRecordException {
+        PriorityClasses c =
+                PriorityClasses.decode(
+                        json(
+                                "{'classes':[{'name':'a','rank':1,'match':{'owner':'x','urgency':'high'},'keep':'urgent','passes':'normal','beginWithinS':60,"
+                                    + "'leastShare':0.25,'zonePatienceS':30,'zoneSpare':0.5}]}"),
+                        1,
+                        "f");
         assertEquals(c.all(), PriorityClasses.decode(c.encode(), 1, "f").all());
-        CalendarEntry e = entry("'time':'06:30','days':['mon','fri'],'leadS':600,'graceS':60").withSkippedDate(LocalDate.parse("2026-12-04")).withMovedTime(LocalDate.parse("2026-12-07"), LocalTime.parse("07:00"));
+        CalendarEntry e =
+                entry("'time':'06:30','days':['mon','fri'],'leadS':600,'graceS':60")
+                        .withSkippedDate(LocalDate.parse("2026-12-04"))
+                        .withMovedTime(LocalDate.parse("2026-12-07"), LocalTime.parse("07:00"));
         assertEquals(e, CalendarEntry.decode(e.encode(), "e"));
     }
 
     /** On 14 March 2027 clocks go from 02:00 to 03:00, on 7 November from 02:00 back to 01:00. */
-    @Test void publicationTimesFollowClockChanges() throws InvalidRecordException {
+    @Test
+    void publicationTimesFollowClockChanges() throws InvalidRecordException {
         CalendarEntry gap = entry("'time':'02:30','days':['sat','sun','mon']");
-        assertEquals(List.of("2027-03-13 2027-03-13T07:30:00Z", "2027-03-14 2027-03-14T07:30:00Z", "2027-03-15 2027-03-15T06:30:00Z"),
+        assertEquals(
+                List.of(
+                        "2027-03-13 2027-03-13T07:30:00Z",
+                        "2027-03-14 2027-03-14T07:30:00Z",
+                        "2027-03-15 2027-03-15T06:30:00Z"),
                 published(gap, "2027-03-13T00:00:00Z", "2027-03-16T00:00:00Z"));
         CalendarEntry twice = entry("'time':'01:30','days':['sun']");
-        assertEquals(List.of("2027-11-07 2027-11-07T05:30:00Z"), published(twice, "2027-11-06T12:00:00Z", "2027-11-08T00:00:00Z"));
+        assertEquals(
+                List.of("2027-11-07 2027-11-07T05:30:00Z"),
+                published(twice, "2027-11-06T12:00:00Z", "2027-11-08T00:00:00Z"));
     }
 
-    @Test void leapDayOccursInLeapYearsOnly() throws InvalidRecordException {
+    @Test
+    void leapDayOccursInLeapYearsOnly() throws InvalidRecordException {
         CalendarEntry e = entry("'time':'12:00','dates':['--02-29']");
-        assertEquals(List.of("2028-02-29 2028-02-29T17:00:00Z"), published(e, "2026-01-01T00:00:00Z", "2031-01-01T00:00:00Z"));
+        assertEquals(
+                List.of("2028-02-29 2028-02-29T17:00:00Z"),
+                published(e, "2026-01-01T00:00:00Z", "2031-01-01T00:00:00Z"));
     }
 
-    @Test void skippedAndMovedDatesChangePublications() throws InvalidRecordException {
-        CalendarEntry e = entry("'time':'06:00','days':['mon','tue','wed']").withSkippedDate(LocalDate.parse("2026-12-08")).withMovedTime(LocalDate.parse("2026-12-09"), LocalTime.parse("08:15"));
-        assertEquals(List.of("2026-12-07 2026-12-07T11:00:00Z", "2026-12-09 2026-12-09T13:15:00Z"), published(e, "2026-12-07T00:00:00Z", "2026-12-10T23:00:00Z"));
+    @Test
+    void skippedAndMovedDatesChangePublications() throws InvalidRecordException {
+        CalendarEntry e =
+                entry("'time':'06:00','days':['mon','tue','wed']")
+                        .withSkippedDate(LocalDate.parse("2026-12-08"))
+                        .withMovedTime(LocalDate.parse("2026-12-09"), LocalTime.parse("08:15"));
+        assertEquals(
+                List.of("2026-12-07 2026-12-07T11:00:00Z", "2026-12-09 2026-12-09T13:15:00Z"),
+                published(e, "2026-12-07T00:00:00Z", "2026-12-10T23:00:00Z"));
         assertThrows(InvalidRecordException.class, () -> entry("'time':'25:00','days':['mon']"));
-        assertThrows(InvalidRecordException.class, () -> entry("'time':'05:00','days':['mon'],'dates':['2026-01-01']"));
-        assertThrows(InvalidRecordException.class, () -> CalendarEntry.decode(json("{'name':'e','time':'05:00','zone':'Lake/Huron','days':['mon'],'covers':[{}]}"), "entry"));
+        assertThrows(
+                InvalidRecordException.class,
+                () -> entry("'time':'05:00','days':['mon'],'dates':['2026-01-01']"));
+        assertThrows(
+                InvalidRecordException.class,
+                () ->
+                        CalendarEntry.decode(
+                                json(
+                                        "{'name':'e','time':'05:00','zone':'Lake/Huron','days':['mon'],'covers':[{}]}"),
+                                "entry"));
     }
 
-    @Test void verdictsAreFinal() throws InvalidRecordException {
-        ScheduledOccurrence o = ScheduledOccurrence.planned(entry("'time':'06:00','days':['mon']"), new CalendarEntry.Publication(LocalDate.parse("2026-12-07"), 1_000_000));
-        assertThrows(IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
+    @Test
+    void verdictsAreFinal() throws InvalidRecordException {
+        ScheduledOccurrence o =
+                ScheduledOccurrence.planned(
+                        entry("'time':'06:00','days':['mon']"),
+                        new CalendarEntry.Publication(LocalDate.parse("2026-12-07"), 1_000_000));
+        assertThrows(
+                IllegalStateException.class,
+                () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
         o.transitionTo(ScheduledOccurrence.State.OPEN);
         o.transitionTo(ScheduledOccurrence.State.MISSED);
-        assertThrows(IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
-        assertThrows(IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.SKIPPED));
+        assertThrows(
+                IllegalStateException.class,
+                () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
+        assertThrows(
+                IllegalStateException.class,
+                () -> o.transitionTo(ScheduledOccurrence.State.SKIPPED));
         o.transitionTo(ScheduledOccurrence.State.CLOSED);
-        assertThrows(IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.OPEN));
+        assertThrows(
+                IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.OPEN));
     }
 }
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -25,28 +25,55 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Machines, jobs and the leader's pass over them, made of records alone: for tests and measurements of one round. */
+/**
+ * Machines, jobs and the leader's pass over them, made of records alone: for tests and measurements
+ * of one round.
+ */
 final class ClusterFixture {
     static final String MEMBER_ID = "w";
-    private static final List<MachineTypeCatalog.MachineType> MACHINE_TYPES = List.of(new MachineTypeCatalog.MachineType("small", 8, 0, 64, 70, 0.2, 0.46, 0.17, 25, List.of("a")),
-            new MachineTypeCatalog.MachineType("middle", 16, 0, 64, 50, 0.8, 0.83, 0.36, 15, List.of("a")),
-            new MachineTypeCatalog.MachineType("big", 64, 0, 512, 60, 0.8, 3.81, 1.7, 20, List.of("a")));
+    private static final List<MachineTypeCatalog.MachineType> MACHINE_TYPES =
+            List.of(
+                    new MachineTypeCatalog.MachineType(
+                            "small", 8, 0, 64, 70, 0.2, 0.46, 0.17, 25, List.of("a")),
+                    new MachineTypeCatalog.MachineType(
+                            "middle", 16, 0, 64, 50, 0.8, 0.83, 0.36, 15, List.of("a")),
+                    new MachineTypeCatalog.MachineType(
+                            "big", 64, 0, 512, 60, 0.8, 3.81, 1.7, 20, List.of("a")));
 
-    private final EventLoop loop = new EventLoop() {
-        @Override public long nowMillis() {
-            return 100_000;
-        }
+    private final EventLoop loop =
+            new EventLoop() {
+                @Override
+                public long nowMillis() {
+                    return 100_000;
+                }
 
-        @Override public long wallClockMillis() {
-            return 1_000_000;
-        }
+                @Override
+                public long wallClockMillis() {
+                    return 1_000_000;
+                }
 
-        @Override public void runAfter(long ms, Runnable task) { }
-    };
-    final Settings settings = new Settings(MEMBER_ID, "a", "10.0.0.1:1", "10.0.0.1:2", Map.of(), "10.2.0.2:1", "10.2.0.1:1", 1, 25,
-            Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)), List.of(), new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
-            new Settings.StoreLimits(600, 250, 8, 12), new Settings.CloudLimits(2, 4), new Settings.ProcessLimits(1, 256, 100));
-    private final StoreClient store = new StoreClient(loop, (address, method, path, codec, body, ms, reply) -> { }, settings);
+                @Override
+                public void runAfter(long ms, Runnable task) {}
+            };
+    final Settings settings =
+            new Settings(
+                    MEMBER_ID,
+                    "a",
+                    "10.0.0.1:1",
+                    "10.0.0.1:2",
+                    Map.of(),
+                    "10.2.0.2:1",
+                    "10.2.0.1:1",
+                    1,
+                    25,
+                    Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)),
+                    List.of(),
+                    new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
+                    new Settings.StoreLimits(600, 250, 8, 12),
+                    new Settings.CloudLimits(2, 4),
+                    new Settings.ProcessLimits(1, 256, 100));
+    private final StoreClient store =
+            new StoreClient(loop, (address, method, path, codec, body, ms, reply) -> {}, settings);
     private final WatchCache watchCache = new WatchCache(loop, store, 100);
     private final ClusterMembership shards = new ClusterMembership(settings, watchCache);
     final JobTable jobs = new JobTable(loop, watchCache);
@@ -54,16 +81,30 @@
     private final MachineTypeCatalog catalog = new MachineTypeCatalog(watchCache);
     final Policy policy = new Policy(watchCache);
     private final QueueOrder queueOrder = new QueueOrder(settings, policy);
-    final QueuePass queuePass = new QueuePass(loop, settings, OperatorSettings.DEFAULTS, store, shards, jobs, machines, catalog,
-            new ImageCaches(machines, label -> 50), new ConstrainedDemand(loop, jobs), policy, new QueuePass.MachineStatus() {
-                @Override public boolean isAcceptingTasks(String owner, String host) {
-                    return true;
-                }
+    final QueuePass queuePass =
+            new QueuePass(
+                    loop,
+                    settings,
+                    OperatorSettings.DEFAULTS,
+                    store,
+                    shards,
+                    jobs,
+                    machines,
+                    catalog,
+                    new ImageCaches(machines, label -> 50),
+                    new ConstrainedDemand(loop, jobs),
+                    policy,
+                    new QueuePass.MachineStatus() {
+                        @Override
+                        public boolean isAcceptingTasks(String owner, String host) {
+                            return true;
+                        }
 
-                @Override public double secondsToReach(String host) {
-                    return 0;
-                }
-            });
+                        @Override
+                        public double secondsToReach(String host) {
+                            return 0;
+                        }
+                    });
     final Map<String, MachineTypeCatalog.MachineType> machineTypeByHost = new LinkedHashMap<>();
     private final Map<String, double[]> freeByHost = new LinkedHashMap<>();
     private final List<String> hostNames;
@@ -71,48 +112,76 @@
     private long revision;
 
     /** Puts no end on record. */
-    final QueuePass.TerminationRecorder recordsNoTerminations = new QueuePass.TerminationRecorder() {
-        @Override public void recordDue(SchedulingPlan plan) { }
+    final QueuePass.TerminationRecorder recordsNoTerminations =
+            new QueuePass.TerminationRecorder() {
+                @Override
+                public void recordDue(SchedulingPlan plan) {}
 
-        @Override public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) { }
-    };
+                @Override
+                public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {}
+            };
 
     /** Puts every end on record that is asked for. */
-    final QueuePass.TerminationRecorder recordsAllTerminations = new QueuePass.TerminationRecorder() {
-        @Override public void recordDue(SchedulingPlan plan) { }
-
-        @Override public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {
-            for (Job j : jobs.all()) {
-                for (int k = 0; k < j.pages.length; k++) {
-                    if (j.pages[k] != null && j.possiblyRunningTaskCount() < j.placedTaskCount()) {
-                        plan.edit(j, k);
+    final QueuePass.TerminationRecorder recordsAllTerminations =
+            new QueuePass.TerminationRecorder() {
+                @Override
+                public void recordDue(SchedulingPlan plan) {}
+
+                @Override
+                public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {
+                    for (Job j : jobs.all()) {
+                        for (int k = 0; k < j.pages.length; k++) {
+                            if (j.pages[k] != null
+                                    && j.possiblyRunningTaskCount() < j.placedTaskCount()) {
+                                plan.edit(j, k);
+                            }
+                        }
                     }
                 }
-            }
-        }
-    };
+            };
 
     ClusterFixture(int size, SplittableRandom random) {
         for (MachineTypeCatalog.MachineType machineType : MACHINE_TYPES) {
-            ObjectNode typeRecord = WireFormat.newMap().put("label", machineType.name()).put("vcpus", machineType.cpus()).put("cards", 0).put("ramGb", machineType.memoryGb()).put("localGb", machineType.localDiskGb())
-                    .put("pullGbPerS", machineType.imagePullGbPerSecond()).put("price", machineType.onDemandPricePerHour()).put("spotPrice", machineType.spotPricePerHour()).put("bootS", machineType.bootSeconds());
+            ObjectNode typeRecord =
+                    WireFormat.newMap()
+                            .put("label", machineType.name())
+                            .put("vcpus", machineType.cpus())
+                            .put("cards", 0)
+                            .put("ramGb", machineType.memoryGb())
+                            .put("localGb", machineType.localDiskGb())
+                            .put("pullGbPerS", machineType.imagePullGbPerSecond())
+                            .put("price", machineType.onDemandPricePerHour())
+                            .put("spotPrice", machineType.spotPricePerHour())
+                            .put("bootS", machineType.bootSeconds());
             typeRecord.putArray("sites").add("a");
             putRecord("a/c/" + machineType.name(), typeRecord);
         }
         Map<String, ArrayNode> hostsByType = new LinkedHashMap<>();
-        MACHINE_TYPES.forEach(machineType -> hostsByType.put(machineType.name(), WireFormat.newList()));
+        MACHINE_TYPES.forEach(
+                machineType -> hostsByType.put(machineType.name(), WireFormat.newList()));
         ObjectNode shard = WireFormat.newMap().put("p", "");
         ArrayNode shardMachines = shard.putObject("ms").putArray("1");
         shard.putObject("al").putArray("red").add(1e9).add(0);
         for (int i = 0; i < size; i++) {
-            MachineTypeCatalog.MachineType machineType = MACHINE_TYPES.get(Math.max(0, random.nextInt(10) - 7));
+            MachineTypeCatalog.MachineType machineType =
+                    MACHINE_TYPES.get(Math.max(0, random.nextInt(10) - 7));
             String host = String.format("i-%06d", i);
             machineTypeByHost.put(host, machineType);
             freeByHost.put(host, new double[] {machineType.cpus(), machineType.memoryGb()});
             hostsByType.get(machineType.name()).add(host);
             shardMachines.add(host);
         }
-        hostsByType.forEach((label, list) -> putRecord("a/m/r-" + label, (ObjectNode) WireFormat.newMap().put("k", label).put("s", "a").put("p", false).put("r", 0).set("h", list)));
+        hostsByType.forEach(
+                (label, list) ->
+                        putRecord(
+                                "a/m/r-" + label,
+                                (ObjectNode)
+                                        WireFormat.newMap()
+                                                .put("k", label)
+                                                .put("s", "a")
+                                                .put("p", false)
+                                                .put("r", 0)
+                                                .set("h", list)));
         putRecord("a/b/" + MEMBER_ID, shard);
         hostNames = new ArrayList<>(machineTypeByHost.keySet());
     }
@@ -132,7 +201,10 @@
         return spec;
     }
 
-    /** Records the job's tasks on machines that have room for them; those that find none stay out, as if done. */
+    /**
+     * Records the job's tasks on machines that have room for them; those that find none stay out,
+     * as if done.
+     */
     JobSpec addRunningJob(JobSpec spec, SplittableRandom random) {
         ObjectNode tasks = WireFormat.newMap().put("t", 1);
         ArrayNode done = tasks.putArray("d");
@@ -165,11 +237,23 @@
     }
 
     SchedulingPlan newPlan(int writeBudget) {
-        return new SchedulingPlan(new ClusterMembership.Shard(MEMBER_ID, shards.localShard().fencingTokensByHost(), Map.of("red", new ClusterMembership.QuotaShare(quotaShareCpus, 0))), true, 1, writeBudget, writeBudget);
+        return new SchedulingPlan(
+                new ClusterMembership.Shard(
+                        MEMBER_ID,
+                        shards.localShard().fencingTokensByHost(),
+                        Map.of("red", new ClusterMembership.QuotaShare(quotaShareCpus, 0))),
+                true,
+                1,
+                writeBudget,
+                writeBudget);
     }
 
     List<JobSpec> inQueueOrder(List<JobSpec> waiting) {
-        return waiting.stream().map(s -> queueOrder.rank(jobs.get(s.jobId()), false, loop.wallClockMillis())).sorted(QueueOrder.BY_QUEUE_ORDER).map(r -> r.job().spec).toList();
+        return waiting.stream()
+                .map(s -> queueOrder.rank(jobs.get(s.jobId()), false, loop.wallClockMillis()))
+                .sorted(QueueOrder.BY_QUEUE_ORDER)
+                .map(r -> r.job().spec)
+                .toList();
     }
 
     /** Machines of all chunks with a place. */
@@ -177,28 +261,54 @@
         Map<String, Integer> tasksByMachine = new LinkedHashMap<>();
         for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
             if (entry.getKey().job.spec.jobId().equals(spec.jobId())) {
-                entry.getValue().placements().forEach(p -> tasksByMachine.merge(p.host, 1, Integer::sum));
+                entry.getValue()
+                        .placements()
+                        .forEach(p -> tasksByMachine.merge(p.host, 1, Integer::sum));
             }
         }
         return tasksByMachine;
     }
 
-    /** So many priority classes, entries of the calendar, and windows that are open; few of them match any job. */
+    /**
+     * So many priority classes, entries of the calendar, and windows that are open; few of them
+     * match any job.
+     */
     void addOperatorRecords(int classes, int entries, int openWindows) {
         Transaction transaction = new Transaction();
         StringBuilder text = new StringBuilder("{\"classes\":[");
         for (int i = 0; i < classes; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"c").append(i).append("\",\"rank\":").append(i).append(",\"match\":{\"jobClass\":\"k").append(i).append("\"}}");
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"c")
+                    .append(i)
+                    .append("\",\"rank\":")
+                    .append(i)
+                    .append(",\"match\":{\"jobClass\":\"k")
+                    .append(i)
+                    .append("\"}}");
         }
-        transaction.put("a/oc/p/1/0", WireFormat.newMap().put("t", text.append("]}").toString())).put("a/oc/head", WireFormat.newMap().put("rules", 1).put("last", 1));
+        transaction
+                .put("a/oc/p/1/0", WireFormat.newMap().put("t", text.append("]}").toString()))
+                .put("a/oc/head", WireFormat.newMap().put("rules", 1).put("last", 1));
         for (int i = 0; i < entries; i++) {
-            ObjectNode entry = WireFormat.newMap().put("name", "e" + i).put("time", "06:00").put("zone", "UTC");
+            ObjectNode entry =
+                    WireFormat.newMap()
+                            .put("name", "e" + i)
+                            .put("time", "06:00")
+                            .put("zone", "UTC");
             entry.putArray("days").add("mon");
             entry.putArray("covers").addObject().put("jobClass", "k" + i);
             transaction.put("a/ok/e/e" + i, entry);
             if (i < openWindows) {
-                ObjectNode occurrence = WireFormat.newMap().put("st", "open").put("pub", loop.wallClockMillis() + 60_000).put("open", 1);
-                occurrence.putArray("cov").addObject().put("jobClass", i == 0 ? "quick" : "k" + i).put("owner", i == 0 ? "blue" : "red");
+                ObjectNode occurrence =
+                        WireFormat.newMap()
+                                .put("st", "open")
+                                .put("pub", loop.wallClockMillis() + 60_000)
+                                .put("open", 1);
+                occurrence
+                        .putArray("cov")
+                        .addObject()
+                        .put("jobClass", i == 0 ? "quick" : "k" + i)
+                        .put("owner", i == 0 ? "blue" : "red");
                 transaction.put("a/ok/o/e" + i + "/2026-12-07", occurrence);
             }
         }
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -28,23 +28,45 @@
     private static final class BusyLoop implements EventLoop {
         private long nowMillis = 100_000;
 
-        @Override public long nowMillis() {
+        @Override
+        public long nowMillis() {
             return nowMillis++;
         }
 
-        @Override public long wallClockMillis() {
+        @Override
+        public long wallClockMillis() {
             return nowMillis;
         }
 
-        @Override public void runAfter(long ms, Runnable task) { }
+        @Override
+        public void runAfter(long ms, Runnable task) {}
     }
 
     private final EventLoop loop = new BusyLoop();
     private final Settings.Team team = new Settings.Team("red", 1_000, 1_000, 0, 0);
-    private final Settings settings = new Settings("w", "a", "10.0.0.1:1", "10.0.0.1:2", Map.of(), "10.2.0.2:1", "10.2.0.1:1", 1, 25,
-            Map.of("red", team), List.of(), new Settings.WorkerTimings(1, 10, 45, 6, 40), new Settings.StoreLimits(100, 100, 8, 12),
-            new Settings.CloudLimits(2, 4), new Settings.ProcessLimits(1, 256, 100));
-    private final WatchCache watchCache = new WatchCache(loop, new StoreClient(loop, (address, method, path, codec, body, ms, reply) -> { }, settings), 100);
+    private final Settings settings =
+            new Settings(
+                    "w",
+                    "a",
+                    "10.0.0.1:1",
+                    "10.0.0.1:2",
+                    Map.of(),
+                    "10.2.0.2:1",
+                    "10.2.0.1:1",
+                    1,
+                    25,
+                    Map.of("red", team),
+                    List.of(),
+                    new Settings.WorkerTimings(1, 10, 45, 6, 40),
+                    new Settings.StoreLimits(100, 100, 8, 12),
+                    new Settings.CloudLimits(2, 4),
+                    new Settings.ProcessLimits(1, 256, 100));
+    private final WatchCache watchCache =
+            new WatchCache(
+                    loop,
+                    new StoreClient(
+                            loop, (address, method, path, codec, body, ms, reply) -> {}, settings),
+                    100);
     private final JobTable jobs = new JobTable(loop, watchCache);
     private final Policy policy = new Policy(watchCache);
 
@@ -60,11 +82,19 @@
                 placed.append(i).append(' ').append(host).append(" 1;");
             }
             page.put("p", placed.toString());
-            watchCache.applyCommitted(new Transaction().put("a/t/" + spec.jobId() + "/" + String.format("%04d", pageIndex), page), 1);
+            watchCache.applyCommitted(
+                    new Transaction()
+                            .put(
+                                    "a/t/" + spec.jobId() + "/" + String.format("%04d", pageIndex),
+                                    page),
+                    1);
         }
     }
 
-    /** Victims were once sorted by a loss read from the clock at each comparison: the sort failed and ended all rounds. */
+    /**
+     * Victims were once sorted by a loss read from the clock at each comparison: the sort failed
+     * and ended all rounds.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void candidatesAreFoundThoughTimePassesWhileTheyAreSorted(long seed) {
@@ -74,14 +104,51 @@
         for (Placement placement : jobs.placementsOn("i-1").values()) {
             placement.runningSinceMillis = 50_000 + random.nextInt(4);
         }
-        SchedulingPlan plan = new SchedulingPlan(new ClusterMembership.Shard("w", new HashMap<>(), Map.of("red", new ClusterMembership.QuotaShare(1_000, 0))), true, 1, 12, 12);
-        plan.addMachine(new FreeCapacity("i-1", plan.pool(new MachineTypeCatalog.MachineType("big", 600, 0, 2_000, 50, 1, 1, 1, 10, List.of("a")), "a", false), true, jobs.loadOf("i-1")));
+        SchedulingPlan plan =
+                new SchedulingPlan(
+                        new ClusterMembership.Shard(
+                                "w",
+                                new HashMap<>(),
+                                Map.of("red", new ClusterMembership.QuotaShare(1_000, 0))),
+                        true,
+                        1,
+                        12,
+                        12);
+        plan.addMachine(
+                new FreeCapacity(
+                        "i-1",
+                        plan.pool(
+                                new MachineTypeCatalog.MachineType(
+                                        "big", 600, 0, 2_000, 50, 1, 1, 1, 10, List.of("a")),
+                                "a",
+                                false),
+                        true,
+                        jobs.loadOf("i-1")));
         new Preemption(loop, settings, jobs, plan, false, policy)
-                .makeRoom(new QueueOrder.RankedJob(jobs.get("wk-000002"), JobSpec.Priority.HIGH.ordinal(), false, false, 0, false, false, Integer.MAX_VALUE, policy.priorityOf(jobs.get("wk-000002")), 1), 100, z -> true);
+                .makeRoom(
+                        new QueueOrder.RankedJob(
+                                jobs.get("wk-000002"),
+                                JobSpec.Priority.HIGH.ordinal(),
+                                false,
+                                false,
+                                0,
+                                false,
+                                false,
+                                Integer.MAX_VALUE,
+                                policy.priorityOf(jobs.get("wk-000002")),
+                                1),
+                        100,
+                        z -> true);
         long stopped = 0;
         for (int pageIndex = 0; pageIndex < 3; pageIndex++) {
             for (int taskIndex = pageIndex * 200; taskIndex < pageIndex * 200 + 200; taskIndex++) {
-                stopped += plan.edits.containsKey(jobs.get("wk-000001").page(pageIndex)) && !plan.edits.get(jobs.get("wk-000001").page(pageIndex)).isRunning(taskIndex) ? 1 : 0;
+                stopped +=
+                        plan.edits.containsKey(jobs.get("wk-000001").page(pageIndex))
+                                        && !plan.edits
+                                                .get(jobs.get("wk-000001").page(pageIndex))
+                                                .isRunning(taskIndex)
+                                ? 1
+                                : 0;
             }
         }
         assertEquals(100, stopped);
--- a/src/test/java/io/quincelead/scheduler/QueuePassTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueuePassTest.java
@@ -18,28 +18,52 @@
 
 class QueuePassTest {
     /**
-     * The plain way: each job in the order of the queue filters all machines, sorts them, runs the pass over them with nothing
-     * left out, and takes the room. What the pass with kept loads and remembered failures assigns must be the same.
+     * The plain way: each job in the order of the queue filters all machines, sorts them, runs the
+     * pass over them with nothing left out, and takes the room. What the pass with kept loads and
+     * remembered failures assigns must be the same.
      */
-    private static Map<String, Map<String, Integer>> assignNaively(ClusterFixture cluster, List<JobSpec> queue) {
+    private static Map<String, Map<String, Integer>> assignNaively(
+            ClusterFixture cluster, List<JobSpec> queue) {
         Map<String, double[]> freeByHost = new TreeMap<>();
-        cluster.machineTypeByHost.forEach((host, shape) -> {
-            double[] f = {shape.cpus(), shape.memoryGb()};
-            for (Placement placement : cluster.jobs.placementsOn(host).values()) {
-                f[0] -= placement.isTerminated() ? 0 : placement.job.spec.cpus();
-                f[1] -= placement.isTerminated() ? 0 : placement.job.spec.memoryGb();
-            }
-            freeByHost.put(host, f);
-        });
+        cluster.machineTypeByHost.forEach(
+                (host, shape) -> {
+                    double[] f = {shape.cpus(), shape.memoryGb()};
+                    for (Placement placement : cluster.jobs.placementsOn(host).values()) {
+                        f[0] -= placement.isTerminated() ? 0 : placement.job.spec.cpus();
+                        f[1] -= placement.isTerminated() ? 0 : placement.job.spec.memoryGb();
+                    }
+                    freeByHost.put(host, f);
+                });
         Map<String, Map<String, Integer>> tasksByJob = new TreeMap<>();
         for (JobSpec spec : queue) {
             List<Tebas.CandidateMachine> candidates = new ArrayList<>();
             for (Map.Entry<String, double[]> f : freeByHost.entrySet()) {
-                boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(cluster.machineTypeByHost.get(f.getKey()).name());
-                int capacity = Tebas.taskCapacity(f.getValue()[0], f.getValue()[1], 0, spec.cpus(), spec.memoryGb(), 0);
+                boolean allowed =
+                        spec.machineTypes() == null
+                                || spec.machineTypes()
+                                        .contains(cluster.machineTypeByHost.get(f.getKey()).name());
+                int capacity =
+                        Tebas.taskCapacity(
+                                f.getValue()[0],
+                                f.getValue()[1],
+                                0,
+                                spec.cpus(),
+                                spec.memoryGb(),
+                                0);
                 if (allowed && capacity > 0) {
-                    double effectiveFrequency = spec.runtimeSeconds() / (spec.runtimeSeconds() + spec.imageSizeGb() / cluster.machineTypeByHost.get(f.getKey()).imagePullGbPerSecond());
-                    candidates.add(new Tebas.CandidateMachine(f.getKey(), Tebas.fitness(0.9, spec.cpus(), effectiveFrequency), capacity, capacity));
+                    double effectiveFrequency =
+                            spec.runtimeSeconds()
+                                    / (spec.runtimeSeconds()
+                                            + spec.imageSizeGb()
+                                                    / cluster.machineTypeByHost
+                                                            .get(f.getKey())
+                                                            .imagePullGbPerSecond());
+                    candidates.add(
+                            new Tebas.CandidateMachine(
+                                    f.getKey(),
+                                    Tebas.fitness(0.9, spec.cpus(), effectiveFrequency),
+                                    capacity,
+                                    capacity));
                 }
             }
             assignFullySorted(candidates, spec.taskCount());
@@ -58,19 +82,30 @@
 
     /** Algorithm 1 over all machines, fully sorted. */
     private static void assignFullySorted(List<Tebas.CandidateMachine> machines, int tasks) {
-        machines.sort(Comparator.comparingDouble((Tebas.CandidateMachine s) -> -s.fitness).thenComparingDouble(s -> -s.initialCapacity).thenComparing(s -> s.host));
+        machines.sort(
+                Comparator.comparingDouble((Tebas.CandidateMachine s) -> -s.fitness)
+                        .thenComparingDouble(s -> -s.initialCapacity)
+                        .thenComparing(s -> s.host));
         int machineCount = machines.size();
         int groupCount = Math.max(1, machineCount / 3);
         int unassigned = tasks;
-        for (int previous = -1; machineCount > 0 && unassigned > 0 && unassigned != previous;) {
+        for (int previous = -1; machineCount > 0 && unassigned > 0 && unassigned != previous; ) {
             previous = unassigned;
             int average = 0;
             for (int i = 0; i < machineCount && unassigned > 0; i++) {
                 int group = Math.min(i / (machineCount / groupCount), groupCount - 1);
                 if (i == group * (machineCount / groupCount)) {
-                    average = unassigned / (group < groupCount - 1 ? machineCount / groupCount : machineCount - machineCount / groupCount * (groupCount - 1));
+                    average =
+                            unassigned
+                                    / (group < groupCount - 1
+                                            ? machineCount / groupCount
+                                            : machineCount
+                                                    - machineCount / groupCount * (groupCount - 1));
                 }
-                int take = Math.min(unassigned, Math.min(Math.max(average, 1), machines.get(i).remainingCapacity));
+                int take =
+                        Math.min(
+                                unassigned,
+                                Math.min(Math.max(average, 1), machines.get(i).remainingCapacity));
                 machines.get(i).assigned += take;
                 machines.get(i).remainingCapacity -= take;
                 unassigned -= take;
@@ -86,18 +121,46 @@
             ClusterFixture cluster = new ClusterFixture(3 + random.nextInt(60), random);
             int id = 0;
             for (int i = random.nextInt(40); i > 0; i--) {
-                cluster.addRunningJob(JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 1 + random.nextInt(4), 0.5 + random.nextInt(8) / 2.0, 60), random);
+                cluster.addRunningJob(
+                        JobFixtures.array(
+                                ++id,
+                                "red",
+                                JobSpec.Priority.NORMAL,
+                                1 + random.nextInt(4),
+                                0.5 + random.nextInt(8) / 2.0,
+                                60),
+                        random);
             }
             // Ends that are known but not on record leave room at once.
-            cluster.jobs.all().forEach(j -> j.pages[0].placements.forEach(p -> {
-                if (random.nextInt(6) == 0) {
-                    p.transitionTo(Placement.Phase.COMPLETED);
-                }
-            }));
+            cluster.jobs
+                    .all()
+                    .forEach(
+                            j ->
+                                    j.pages[0].placements.forEach(
+                                            p -> {
+                                                if (random.nextInt(6) == 0) {
+                                                    p.transitionTo(Placement.Phase.COMPLETED);
+                                                }
+                                            }));
             List<JobSpec> waiting = new ArrayList<>();
             for (int i = 1 + random.nextInt(60); i > 0; i--) {
-                waiting.add(cluster.addWaitingJob(JobFixtures.job(++id, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 1 + random.nextInt(12), 0.5 + random.nextInt(20) / 2.0, 0,
-                        10 + random.nextInt(50), random.nextInt(4) == 0 ? List.of("big") : null, null, false, false, true, 0)));
+                waiting.add(
+                        cluster.addWaitingJob(
+                                JobFixtures.job(
+                                        ++id,
+                                        "red",
+                                        JobSpec.Mode.ARRAY,
+                                        JobSpec.Priority.NORMAL,
+                                        1 + random.nextInt(12),
+                                        0.5 + random.nextInt(20) / 2.0,
+                                        0,
+                                        10 + random.nextInt(50),
+                                        random.nextInt(4) == 0 ? List.of("big") : null,
+                                        null,
+                                        false,
+                                        false,
+                                        true,
+                                        0)));
             }
             SchedulingPlan plan = cluster.newPlan(10_000);
             cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
@@ -108,31 +171,48 @@
     }
 
     /**
-     * Rough day 14: ends known by evidence once freed allowance before they were on record. The machine then changed hands, the
-     * record entitled its new owner to start the ended tasks again, and the team ran past its limit.
+     * Rough day 14: ends known by evidence once freed allowance before they were on record. The
+     * machine then changed hands, the record entitled its new owner to start the ended tasks again,
+     * and the team ran past its limit.
      */
-    @Test void terminationFreesQuotaShareOnlyInTheTransactionThatRecordsIt() {
+    @Test
+    void terminationFreesQuotaShareOnlyInTheTransactionThatRecordsIt() {
         SplittableRandom random = new SplittableRandom(1);
         ClusterFixture cluster = new ClusterFixture(6, random);
-        JobSpec ended = cluster.addRunningJob(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 4, 60), random);
-        JobSpec next = cluster.addWaitingJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 2, 4, 60));
+        JobSpec ended =
+                cluster.addRunningJob(
+                        JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 4, 60), random);
+        JobSpec next =
+                cluster.addWaitingJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 2, 4, 60));
         cluster.quotaShareCpus = 8;
-        cluster.jobs.get(ended.jobId()).pages[0].placements.forEach(p -> p.transitionTo(Placement.Phase.GONE));
+        cluster.jobs
+                .get(ended.jobId())
+                .pages[0]
+                .placements
+                .forEach(p -> p.transitionTo(Placement.Phase.GONE));
         SchedulingPlan without = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(without, null, cluster.recordsNoTerminations);
         assertEquals(Map.of(), ClusterFixture.tasksByMachine(without, next));
         SchedulingPlan with = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(with, null, cluster.recordsAllTerminations);
-        assertEquals(2, ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
+        assertEquals(
+                2,
+                ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
         assertTrue(with.edits.containsKey(cluster.jobs.get(ended.jobId()).pages[0]));
     }
 
-    /** A change that was full of jobs entering with it once placed none of them: each waited for a second change. */
-    @Test void jobsEnteringWithAFullTransactionArePlacedByIt() {
+    /**
+     * A change that was full of jobs entering with it once placed none of them: each waited for a
+     * second change.
+     */
+    @Test
+    void jobsEnteringWithAFullTransactionArePlacedByIt() {
         ClusterFixture cluster = new ClusterFixture(20, new SplittableRandom(3));
         List<JobSpec> specs = new ArrayList<>();
         for (int i = 1; i <= 12; i++) {
-            specs.add(cluster.addWaitingJob(JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 1, 1, 10)));
+            specs.add(
+                    cluster.addWaitingJob(
+                            JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 1, 1, 10)));
         }
         SchedulingPlan plan = cluster.newPlan(12);
         specs.forEach(s -> plan.edit(cluster.jobs.get(s.jobId()), 0));
