--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -17,12 +17,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it came about. */
+/**
+ * Troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it
+ * came about.
+ */
 class CompoundFaultTest {
     static final long LONG_LEASE_MILLIS = 22_000;
 
-    static SimulatedCluster clusterWithReadyMachines(long seed, int controllerCount, int machineCount) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), machineCount)), controllerCount);
+    static SimulatedCluster clusterWithReadyMachines(
+            long seed, int controllerCount, int machineCount) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small",
+                                        8,
+                                        0,
+                                        32,
+                                        0.4,
+                                        0.15,
+                                        5,
+                                        List.of("a", "b"),
+                                        machineCount)),
+                        controllerCount);
         cluster.teams.put("red", new Settings.Team("red", 300, 400, 0, 0));
         cluster.cloud.addRunningMachines("small", "a", machineCount / 2);
         cluster.cloud.addRunningMachines("small", "b", machineCount / 2);
@@ -48,17 +66,32 @@
     static Set<String> machinesOf(SimulatedCluster cluster, String controllerName) {
         JsonNode shard = cluster.store.value("a/b/" + controllerName);
         Set<String> result = new HashSet<>();
-        shard.path("ms").forEach(group -> group.forEach(host -> result.add(shard.path("p").asText() + host.asText())));
+        shard.path("ms")
+                .forEach(
+                        group ->
+                                group.forEach(
+                                        host ->
+                                                result.add(
+                                                        shard.path("p").asText() + host.asText())));
         return result;
     }
 
-    private static void commitDirectly(SimulatedCluster cluster, ObjectNode transaction, int[] status) {
-        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (responseStatus, body, retryAfterSeconds) -> status[0] = responseStatus);
+    private static void commitDirectly(
+            SimulatedCluster cluster, ObjectNode transaction, int[] status) {
+        cluster.network.call(
+                "10.0.0.1:0",
+                SimulatedCluster.STORE_ADDRESS,
+                "POST",
+                "/commit",
+                WireFormat.CBOR.encode(transaction),
+                1_000,
+                (responseStatus, body, retryAfterSeconds) -> status[0] = responseStatus);
     }
 
     /**
-     * The store refuses the leader alone, the other controllers confirm cancellations, then the store is down for all for longer than
-     * {@code cancel_s}, and all the while the workers report to the old leader. Seeds vary how far apart the two are.
+     * The store refuses the leader alone, the other controllers confirm cancellations, then the
+     * store is down for all for longer than {@code cancel_s}, and all the while the workers report
+     * to the old leader. Seeds vary how far apart the two are.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
@@ -67,8 +100,13 @@
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 60; i++) {
-            // Of every four one belongs to a team at its limit, and most of those have no place yet.
-            JobSpec job = i % 4 == 0 ? JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 12, 2, 100) : JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 200);
+            // Of every four one belongs to a team at its limit, and most of those have no place
+            // yet.
+            JobSpec job =
+                    i % 4 == 0
+                            ? JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 12, 2, 100)
+                            : JobFixtures.array(
+                                    i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 200);
             cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(40_000);
@@ -81,28 +119,55 @@
         for (int i = 1; i <= 40; i++) {
             String id = String.format("wk-%06d", i);
             JsonNode record = cluster.store.value("a/j/" + id);
-            boolean runsOnLeader = leaderHosts.stream().anyMatch(host -> record.path("k").path("p").asText().contains(host));
+            boolean runsOnLeader =
+                    leaderHosts.stream()
+                            .anyMatch(host -> record.path("k").path("p").asText().contains(host));
             if (record.path("c").asText().equals(leaderName) && !runsOnLeader) {
                 jobsElsewhere.add(id);
             }
-            cluster.clock.schedule(cluster.clock.random.nextLong(Math.min(gapMillis, 1_000)), () -> cluster.cancel(id));
+            cluster.clock.schedule(
+                    cluster.clock.random.nextLong(Math.min(gapMillis, 1_000)),
+                    () -> cluster.cancel(id));
         }
         cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 64_000));
         cluster.clock.runUntil(40_000 + gapMillis + 64_000);
-        long confirmedInGap = cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 40_000 && cluster.cancellationConfirmedAtMillis(id) <= 40_000 + gapMillis + 10).count();
+        long confirmedInGap =
+                cluster.jobsById.keySet().stream()
+                        .filter(
+                                id ->
+                                        cluster.cancellationConfirmedAtMillis(id) >= 40_000
+                                                && cluster.cancellationConfirmedAtMillis(id)
+                                                        <= 40_000 + gapMillis + 10)
+                        .count();
         assertTrue(confirmedInGap > 0, "nobody was told in the gap");
-        // Also of jobs that the refused leader controls, if their tasks were on others' machines: they were once ended by nobody.
+        // Also of jobs that the refused leader controls, if their tasks were on others' machines:
+        // they were once ended by nobody.
         assertNotEquals(List.of(), jobsElsewhere);
         if (gapMillis > 5_000) {
-            jobsElsewhere.forEach(id -> assertTrue(cluster.cancellationConfirmedAtMillis(id) >= 0 && cluster.cancellationConfirmedAtMillis(id) <= 40_000 + gapMillis, id + " told at " + cluster.cancellationConfirmedAtMillis(id)));
+            jobsElsewhere.forEach(
+                    id ->
+                            assertTrue(
+                                    cluster.cancellationConfirmedAtMillis(id) >= 0
+                                            && cluster.cancellationConfirmedAtMillis(id)
+                                                    <= 40_000 + gapMillis,
+                                    id + " told at " + cluster.cancellationConfirmedAtMillis(id)));
         }
         cluster.clock.runUntil(900_000);
         assertAllJobsFinished(cluster, 60);
-        assertEquals(40, cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0).count());
+        assertEquals(
+                40,
+                cluster.jobsById.keySet().stream()
+                        .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
+                        .count());
     }
 
     /** What else happens in the gap. */
-    private enum AdditionalFault { SECOND_CONTROLLER_REFUSED, CONFIRMING_CONTROLLER_CRASH, OLD_LEADER_RESTARTS_WITH_STORE, SECOND_REFUSAL_AND_OUTAGE }
+    private enum AdditionalFault {
+        SECOND_CONTROLLER_REFUSED,
+        CONFIRMING_CONTROLLER_CRASH,
+        OLD_LEADER_RESTARTS_WITH_STORE,
+        SECOND_REFUSAL_AND_OUTAGE
+    }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
@@ -112,7 +177,8 @@
             cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
             cluster.start();
             for (int i = 1; i <= 30; i++) {
-                JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
+                JobSpec job =
+                        JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
                 cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
             }
             cluster.clock.runUntil(30_000);
@@ -121,71 +187,139 @@
             CompoundFaults.refuseByStore(cluster, oldLeader, 14_000);
             for (int i = 1; i <= 20; i++) {
                 String id = String.format("wk-%06d", i);
-                cluster.clock.schedule(cluster.clock.random.nextLong(1_500), () -> cluster.cancel(id));
+                cluster.clock.schedule(
+                        cluster.clock.random.nextLong(1_500), () -> cluster.cancel(id));
             }
             cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 60_000));
             switch (fault) {
-                case SECOND_CONTROLLER_REFUSED -> cluster.clock.schedule(gapMillis / 2, () -> CompoundFaults.refuseByStore(cluster, (oldLeader + 1) % 3, 12_000));
-                case CONFIRMING_CONTROLLER_CRASH -> cluster.clock.schedule(gapMillis - 100, () -> FaultInjector.crashController(cluster, (oldLeader + 1) % 3, 300));
-                case OLD_LEADER_RESTARTS_WITH_STORE -> cluster.clock.schedule(gapMillis + 59_800, () -> FaultInjector.crashController(cluster, oldLeader, 250));
-                default -> cluster.clock.schedule(gapMillis + 75_000, () -> {
-                    CompoundFaults.refuseByStore(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 14_000);
-                    cluster.cancel("wk-000021");
-                    cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 60_000));
-                });
+                case SECOND_CONTROLLER_REFUSED ->
+                        cluster.clock.schedule(
+                                gapMillis / 2,
+                                () ->
+                                        CompoundFaults.refuseByStore(
+                                                cluster, (oldLeader + 1) % 3, 12_000));
+                case CONFIRMING_CONTROLLER_CRASH ->
+                        cluster.clock.schedule(
+                                gapMillis - 100,
+                                () ->
+                                        FaultInjector.crashController(
+                                                cluster, (oldLeader + 1) % 3, 300));
+                case OLD_LEADER_RESTARTS_WITH_STORE ->
+                        cluster.clock.schedule(
+                                gapMillis + 59_800,
+                                () -> FaultInjector.crashController(cluster, oldLeader, 250));
+                default ->
+                        cluster.clock.schedule(
+                                gapMillis + 75_000,
+                                () -> {
+                                    CompoundFaults.refuseByStore(
+                                            cluster,
+                                            Math.max(0, CompoundFaults.leaderIndex(cluster)),
+                                            14_000);
+                                    cluster.cancel("wk-000021");
+                                    cluster.clock.schedule(
+                                            gapMillis,
+                                            () -> CompoundFaults.storeOutage(cluster, 60_000));
+                                });
             }
             cluster.clock.runUntil(30_000 + gapMillis + 10);
-            assertTrue(cluster.jobsById.keySet().stream().anyMatch(id -> cluster.cancellationConfirmedAtMillis(id) >= 30_000), fault + ": nobody was told in the gap");
+            assertTrue(
+                    cluster.jobsById.keySet().stream()
+                            .anyMatch(id -> cluster.cancellationConfirmedAtMillis(id) >= 30_000),
+                    fault + ": nobody was told in the gap");
             cluster.clock.runUntil(500_000);
             assertAllJobsFinished(cluster, 30);
-            assertTrue(cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0).count() >= 20, fault + ": not all were told");
+            assertTrue(
+                    cluster.jobsById.keySet().stream()
+                                    .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
+                                    .count()
+                            >= 20,
+                    fault + ": not all were told");
         }
     }
 
     /**
-     * A round that got no answer lands seconds later, after a newer one that gave its team's room to somebody else. Its guards spoke
-     * of its own job and of the block alone, which no later round had changed: a team once passed its limit.
+     * A round that got no answer lands seconds later, after a newer one that gave its team's room
+     * to somebody else. Its guards spoke of its own job and of the block alone, which no later
+     * round had changed: a team once passed its limit.
      */
-    @Test void delayedSchedulingCommitDoesNotExceedTeamLimit() {
+    @Test
+    void delayedSchedulingCommitDoesNotExceedTeamLimit() {
         SimulatedCluster cluster = clusterWithReadyMachines(1, 1, 12);
         cluster.start();
         cluster.clock.runUntil(8_000);
         ObjectNode[] delayed = {null};
         int[] status = {0};
-        cluster.store.dropsTransaction = transaction -> {
-            if (delayed[0] == null && anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && anyStartsWith(transaction.path("guards"), "path", "a/b/")) {
-                delayed[0] = transaction;
-                cluster.clock.schedule(900, () -> cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 2, 30)));
-                cluster.clock.schedule(6_000, () -> commitDirectly(cluster, transaction, status));
-                return true;
-            }
-            return false;
-        };
+        cluster.store.dropsTransaction =
+                transaction -> {
+                    if (delayed[0] == null
+                            && anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
+                            && anyStartsWith(transaction.path("guards"), "path", "a/b/")) {
+                        delayed[0] = transaction;
+                        cluster.clock.schedule(
+                                900,
+                                () ->
+                                        cluster.submit(
+                                                JobFixtures.array(
+                                                        2,
+                                                        "blue",
+                                                        JobSpec.Priority.HIGH,
+                                                        12,
+                                                        2,
+                                                        30)));
+                        cluster.clock.schedule(
+                                6_000, () -> commitDirectly(cluster, transaction, status));
+                        return true;
+                    }
+                    return false;
+                };
         cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 30));
         cluster.clock.runUntil(20_000);
-        assertTrue(delayed[0] != null && cluster.taskStarts.getOrDefault("wk-000002", 0) == 12, "the meeting: " + cluster.taskStarts);
+        assertTrue(
+                delayed[0] != null && cluster.taskStarts.getOrDefault("wk-000002", 0) == 12,
+                "the meeting: " + cluster.taskStarts);
         assertEquals(409, status[0]);
         cluster.clock.runUntil(200_000);
         assertAllJobsFinished(cluster, 2);
     }
 
-    /** The return of an idle machine got no answer and was carried out when work ran there again, of which its guards knew nothing. */
-    @Test void delayedScaleInCommitDoesNotReleaseMachineInUse() {
-        SimulatedCluster cluster = new SimulatedCluster(3, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)), 1);
+    /**
+     * The return of an idle machine got no answer and was carried out when work ran there again, of
+     * which its guards knew nothing.
+     */
+    @Test
+    void delayedScaleInCommitDoesNotReleaseMachineInUse() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        3,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)),
+                        1);
         cluster.start();
         int[] status = {0};
-        cluster.store.dropsTransaction = transaction -> {
-            for (JsonNode operation : transaction.path("then")) {
-                if (status[0] == 0 && operation.path("put").asText().startsWith("a/m/") && operation.path("value").has("x")) {
-                    status[0] = 1;
-                    cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 12, 2, 30));
-                    cluster.clock.schedule(5_000, () -> commitDirectly(cluster, transaction, status));
-                    return true;
-                }
-            }
-            return false;
-        };
-        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
+        cluster.store.dropsTransaction =
+                transaction -> {
+                    for (JsonNode operation : transaction.path("then")) {
+                        if (status[0] == 0
+                                && operation.path("put").asText().startsWith("a/m/")
+                                && operation.path("value").has("x")) {
+                            status[0] = 1;
+                            cluster.submit(
+                                    JobFixtures.array(
+                                            2, "red", JobSpec.Priority.NORMAL, 12, 2, 30));
+                            cluster.clock.schedule(
+                                    5_000, () -> commitDirectly(cluster, transaction, status));
+                            return true;
+                        }
+                    }
+                    return false;
+                };
+        cluster.clock.schedule(
+                3_000,
+                () ->
+                        cluster.submit(
+                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
         cluster.clock.runUntil(250_000);
         assertEquals(409, status[0]);
         assertEquals(12, cluster.taskStarts.get("wk-000002"));
@@ -193,32 +327,52 @@
     }
 
     /**
-     * A lost controller's job, given to one whose watch is late: that one used its allowance once more beside what it had inherited, and the
-     * leader's next split counted only the one or the other. A team passed its limit.
+     * A lost controller's job, given to one whose watch is late: that one used its allowance once
+     * more beside what it had inherited, and the leader's next split counted only the one or the
+     * other. A team passed its limit.
      */
-    @Test void reassignedJobKeepsItsQuotaUse() {
+    @Test
+    void reassignedJobKeepsItsQuotaUse() {
         SimulatedCluster cluster = clusterWithReadyMachines(4, 3, 18);
         cluster.start();
         cluster.clock.runUntil(8_000);
         int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
-        cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 1, 300), lostController);
+        cluster.submit(
+                JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 1, 300), lostController);
         cluster.clock.runUntil(16_000);
         assertEquals(12, cluster.taskStarts.get("wk-000001"));
         int leader = CompoundFaults.leaderIndex(cluster);
         int[] newOwner = {-1};
-        cluster.store.arrivalObserver = transaction -> {
-            for (JsonNode operation : transaction.path("then")) {
-                if (newOwner[0] < 0 && operation.path("put").asText().equals("a/j/wk-000001") && cluster.indexOfController(operation.path("value").path("c").asText()) != lostController) {
-                    newOwner[0] = cluster.indexOfController(operation.path("value").path("c").asText());
-                    for (int controller : new int[] {leader, newOwner[0]}) {
-                        cluster.store.setWatchDelayed(cluster.controllers.get(controller).ip, true);
-                        cluster.clock.schedule(2_500, () -> cluster.store.setWatchDelayed(cluster.controllers.get(controller).ip, false));
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    for (JsonNode operation : transaction.path("then")) {
+                        if (newOwner[0] < 0
+                                && operation.path("put").asText().equals("a/j/wk-000001")
+                                && cluster.indexOfController(
+                                                operation.path("value").path("c").asText())
+                                        != lostController) {
+                            newOwner[0] =
+                                    cluster.indexOfController(
+                                            operation.path("value").path("c").asText());
+                            for (int controller : new int[] {leader, newOwner[0]}) {
+                                cluster.store.setWatchDelayed(
+                                        cluster.controllers.get(controller).ip, true);
+                                cluster.clock.schedule(
+                                        2_500,
+                                        () ->
+                                                cluster.store.setWatchDelayed(
+                                                        cluster.controllers.get(controller).ip,
+                                                        false));
+                            }
+                            cluster.submit(
+                                    JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 1, 60),
+                                    newOwner[0]);
+                            cluster.submit(
+                                    JobFixtures.array(3, "blue", JobSpec.Priority.HIGH, 12, 1, 60),
+                                    leader);
+                        }
                     }
-                    cluster.submit(JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 1, 60), newOwner[0]);
-                    cluster.submit(JobFixtures.array(3, "blue", JobSpec.Priority.HIGH, 12, 1, 60), leader);
-                }
-            }
-        };
+                };
         cluster.expectFaultsUntil(110_000);
         cluster.controllers.get(lostController).kill();
         cluster.clock.runUntil(100_000);
@@ -228,21 +382,37 @@
         assertAllJobsFinished(cluster, 3);
     }
 
-    /** A copy of a rental's settling came when its machines had long gone: the record they shared, of which there was none again, came back. */
-    @Test void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
-        SimulatedCluster cluster = new SimulatedCluster(2, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+    /**
+     * A copy of a rental's settling came when its machines had long gone: the record they shared,
+     * of which there was none again, came back.
+     */
+    @Test
+    void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        2,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
         cluster.start();
         List<ObjectNode> settlements = new ArrayList<>();
-        cluster.store.arrivalObserver = transaction -> {
-            if (anyStartsWith(transaction.path("then"), "remove", "a/r/") && anyStartsWith(transaction.path("then"), "put", "a/m/")) {
-                settlements.add(transaction);
-            }
-        };
-        cluster.clock.schedule(3_000, () -> cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    if (anyStartsWith(transaction.path("then"), "remove", "a/r/")
+                            && anyStartsWith(transaction.path("then"), "put", "a/m/")) {
+                        settlements.add(transaction);
+                    }
+                };
+        cluster.clock.schedule(
+                3_000,
+                () ->
+                        cluster.submit(
+                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
         cluster.clock.runUntil(60_000);
         assertTrue(!settlements.isEmpty());
         long untilMillis = 60_000;
-        while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/")) && untilMillis < 400_000) {
+        while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/"))
+                && untilMillis < 400_000) {
             cluster.clock.runUntil(untilMillis += 1_000);
         }
         assertTrue(untilMillis < 400_000, "machines stayed: " + cluster.store.keys());
@@ -254,20 +424,28 @@
     }
 
     /** The same of a taking-in of machines that nobody had rented. */
-    @Test void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
-        SimulatedCluster cluster = new SimulatedCluster(2, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+    @Test
+    void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        2,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
         cluster.cloud.addRunningMachines("small", "a", 6);
         List<ObjectNode> registrations = new ArrayList<>();
-        cluster.store.arrivalObserver = transaction -> {
-            if (anyStartsWith(transaction.path("then"), "put", "a/m/s-")) {
-                registrations.add(transaction);
-            }
-        };
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    if (anyStartsWith(transaction.path("then"), "put", "a/m/s-")) {
+                        registrations.add(transaction);
+                    }
+                };
         cluster.start();
         cluster.clock.runUntil(60_000);
         assertTrue(!registrations.isEmpty());
         long untilMillis = 60_000;
-        while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/")) && untilMillis < 400_000) {
+        while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/"))
+                && untilMillis < 400_000) {
             cluster.clock.runUntil(untilMillis += 1_000);
         }
         assertTrue(untilMillis < 400_000, "machines stayed: " + cluster.store.keys());
@@ -278,8 +456,9 @@
     }
 
     /**
-     * Controllers read the store anew, page by page, while large jobs come and begin: a chunk on a late page was seen before its job,
-     * taken for what an old job left behind, and later ignored as known; its tasks were placed twice.
+     * Controllers read the store anew, page by page, while large jobs come and begin: a chunk on a
+     * late page was seen before its job, taken for what an old job left behind, and later ignored
+     * as known; its tasks were placed twice.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -295,10 +474,12 @@
         int[] restarts = {0};
         for (int i = 0; i < 6; i++) {
             int controller = i % 3;
-            cluster.clock.schedule(1_000 + i * 3_500L, () -> {
-                restarts[0]++;
-                FaultInjector.crashController(cluster, controller, 100);
-            });
+            cluster.clock.schedule(
+                    1_000 + i * 3_500L,
+                    () -> {
+                        restarts[0]++;
+                        FaultInjector.crashController(cluster, controller, 100);
+                    });
         }
         cluster.store.maxExtraLatencyMillis = 60;
         cluster.clock.runUntil(40_000);
@@ -309,7 +490,10 @@
         assertAllJobsFinished(cluster, 12);
     }
 
-    /** The leader keeps its workers and users, and nothing else: cancellations and submissions go through its successor. */
+    /**
+     * The leader keeps its workers and users, and nothing else: cancellations and submissions go
+     * through its successor.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void partitionedLeaderGivesNoStaleAnswers(long seed) {
@@ -338,13 +522,17 @@
         assertNotEquals(oldLeader, CompoundFaults.leaderIndex(cluster));
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
-        // What ran on the old leader's machines ran on: its successor called the workers away by the addresses on record.
+        // What ran on the old leader's machines ran on: its successor called the workers away by
+        // the addresses on record.
         for (int i = 11; i < 20; i++) {
             assertEquals(3, cluster.taskStarts.get(String.format("wk-%06d", i)));
         }
     }
 
-    /** The store is slow, refuses the leader, then everybody for longer than {@code cancel_s}, while users cancel and ask. */
+    /**
+     * The store is slow, refuses the leader, then everybody for longer than {@code cancel_s}, while
+     * users cancel and ask.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void slowRefusingAndFailingStoreKeepsInvariants(long seed) {
@@ -356,7 +544,11 @@
             cluster.clock.schedule(2_000 + i * 900L, () -> cluster.submit(job));
         }
         cluster.clock.schedule(30_000, () -> cluster.store.maxExtraLatencyMillis = 1_900);
-        cluster.clock.schedule(40_000, () -> CompoundFaults.refuseByStore(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
+        cluster.clock.schedule(
+                40_000,
+                () ->
+                        CompoundFaults.refuseByStore(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
         cluster.clock.schedule(47_000, () -> CompoundFaults.storeOutage(cluster, 55_000));
         cluster.clock.schedule(110_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(110_000);
@@ -365,15 +557,19 @@
             cluster.clock.schedule(31_000 + i * 2_000L, () -> cluster.cancel(id));
         }
         cluster.clock.runUntil(47_000);
-        long confirmedWhileSlow = cluster.jobsById.keySet().stream().filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0).count();
+        long confirmedWhileSlow =
+                cluster.jobsById.keySet().stream()
+                        .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
+                        .count();
         assertTrue(confirmedWhileSlow > 0, "nobody was told while the store was slow");
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
     }
 
     /**
-     * The leader ends while machines with long tasks hear nobody, though their reports arrive. They once counted as well: they got work
-     * that never began, a new owner waited for ever to be heard, and they were handed from one controller to the next.
+     * The leader ends while machines with long tasks hear nobody, though their reports arrive. They
+     * once counted as well: they got work that never began, a new owner waited for ever to be
+     * heard, and they were handed from one controller to the next.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -382,23 +578,36 @@
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 14; i++) {
-            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, i < 7 ? 80 : 15);
+            JobSpec job =
+                    JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, i < 7 ? 80 : 15);
             cluster.clock.schedule(i < 7 ? 2_000 : 25_000 + i * 2_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(20_000);
-        List<SimulatedWorker> unreachable = cluster.cloud.machines.values().stream().filter(worker -> worker.up && Integer.parseInt(worker.host.substring(2)) % 4 == 0).toList();
-        unreachable.forEach(worker -> CompoundFaults.makeUnreachableInbound(cluster, worker, 400_000));
+        List<SimulatedWorker> unreachable =
+                cluster.cloud.machines.values().stream()
+                        .filter(
+                                worker ->
+                                        worker.up
+                                                && Integer.parseInt(worker.host.substring(2)) % 4
+                                                        == 0)
+                        .toList();
+        unreachable.forEach(
+                worker -> CompoundFaults.makeUnreachableInbound(cluster, worker, 400_000));
         int oldLeader = CompoundFaults.leaderIndex(cluster);
         FaultInjector.crashController(cluster, oldLeader, 15_000);
         cluster.clock.runUntil(20_000 + 150_000);
         assertNotEquals(0, unreachable.size());
-        unreachable.forEach(worker -> assertTrue(worker.released, worker.host + " hears nobody and is kept"));
+        unreachable.forEach(
+                worker -> assertTrue(worker.released, worker.host + " hears nobody and is kept"));
         cluster.clock.runUntil(300_000);
         assertAllJobsFinished(cluster, 14);
         assertEquals(List.of(), cluster.serviceLevels().starved());
     }
 
-    /** The same with machines that can't be reached at all, for longer than their lease and for less. */
+    /**
+     * The same with machines that can't be reached at all, for longer than their lease and for
+     * less.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void machinesPartitionedAtLeaderFailoverRunNoTaskTwice(long seed) {
@@ -417,7 +626,11 @@
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             if (Integer.parseInt(worker.host.substring(2)) % 3 == 0 && !worker.tasks.isEmpty()) {
                 partitionedHosts.add(worker.host);
-                FaultInjector.partition(cluster, worker.address.substring(0, worker.address.indexOf(':')), controllerIps, durationMillis);
+                FaultInjector.partition(
+                        cluster,
+                        worker.address.substring(0, worker.address.indexOf(':')),
+                        controllerIps,
+                        durationMillis);
             }
         }
         assertNotEquals(Set.of(), partitionedHosts);
@@ -427,7 +640,10 @@
         assertAllJobsFinished(cluster, 10);
     }
 
-    /** Copies of old reports reach controllers that have handed the machine on: they once moved machines that were well where they were. */
+    /**
+     * Copies of old reports reach controllers that have handed the machine on: they once moved
+     * machines that were well where they were.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void staleHeartbeatsMoveNoMachine(long seed) {
@@ -444,45 +660,81 @@
         cluster.network.maxStaleHeartbeatDelayMillis = seed == 1 ? 45_000 : 9_000;
         cluster.expectFaultsUntil(130_000);
         // Machines change hands, by loss and by balance, so that copies reach those who had them.
-        FaultInjector.crashController(cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 1_000);
+        FaultInjector.crashController(
+                cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 1_000);
         cluster.clock.runUntil(25_000);
         long fencingToken = cluster.store.value("a/term").path("n").asLong();
         int[] stuckReports = {0};
-        cluster.network.requestObserver = (path, body) -> stuckReports[0] += path.equals("/peer/stray") && WireFormat.JSON.decodeMap(body).path("stuck").asBoolean() ? 1 : 0;
+        cluster.network.requestObserver =
+                (path, body) ->
+                        stuckReports[0] +=
+                                path.equals("/peer/stray")
+                                                && WireFormat.JSON
+                                                        .decodeMap(body)
+                                                        .path("stuck")
+                                                        .asBoolean()
+                                        ? 1
+                                        : 0;
         cluster.clock.runUntil(85_000);
-        assertTrue(cluster.network.staleHeartbeatsSent > 100, "copies: " + cluster.network.staleHeartbeatsSent);
-        assertTrue(cluster.store.value("a/term").path("n").asLong() > fencingToken, "no machine changed hands");
+        assertTrue(
+                cluster.network.staleHeartbeatsSent > 100,
+                "copies: " + cluster.network.staleHeartbeatsSent);
+        assertTrue(
+                cluster.store.value("a/term").path("n").asLong() > fencingToken,
+                "no machine changed hands");
         assertEquals(0, stuckReports[0], "machines were called stuck");
         cluster.network.staleHeartbeatRate = 0;
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 8);
     }
 
-    /** Kills, claims and their answers arrive seconds late, after the next attempt, session or holder. */
+    /**
+     * Kills, claims and their answers arrive seconds late, after the next attempt, session or
+     * holder.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void delayedCommandsKeepInvariants(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 8);
         cluster.start();
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", i % 4 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT, 4, 2, 15);
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            i % 4 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT,
+                            4,
+                            2,
+                            15);
             cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
             if (i % 3 == 0) {
                 cluster.clock.schedule(6_000 + i * 1_500L, () -> cluster.cancel(job.jobId()));
             }
         }
         cluster.network.commandHoldRate = 0.6;
-        cluster.clock.schedule(15_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(30_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 8_000));
+        cluster.clock.schedule(
+                15_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
+        cluster.clock.schedule(
+                30_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 8_000));
         cluster.clock.schedule(80_000, () -> cluster.network.commandHoldRate = 0);
         cluster.expectFaultsUntil(95_000);
         cluster.clock.runUntil(80_000);
-        assertTrue(cluster.network.heldCommandCount > 20, "held: " + cluster.network.heldCommandCount);
+        assertTrue(
+                cluster.network.heldCommandCount > 20, "held: " + cluster.network.heldCommandCount);
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 24);
     }
 
-    /** The answer to a kill comes after the report that shows what has begun on the machine since: it proves nothing of that. */
+    /**
+     * The answer to a kill comes after the report that shows what has begun on the machine since:
+     * it proves nothing of that.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void overtakenKillResponseIsNoEvidence(long seed) {
@@ -492,50 +744,80 @@
         cluster.network.minCommandResponseDelayMillis = 1_000 + (int) seed * 100;
         for (int i = 1; i <= 40; i++) {
             boolean high = i % 2 == 0;
-            JobSpec job = JobFixtures.array(i, high ? "blue" : "red", high ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT, high ? 8 : 24, 1, high ? 4 : 20);
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            high ? "blue" : "red",
+                            high ? JobSpec.Priority.HIGH : JobSpec.Priority.BEST_EFFORT,
+                            high ? 8 : 24,
+                            1,
+                            high ? 4 : 20);
             cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(60_000);
-        assertTrue(cluster.network.heldCommandCount > 30, "held: " + cluster.network.heldCommandCount);
+        assertTrue(
+                cluster.network.heldCommandCount > 30, "held: " + cluster.network.heldCommandCount);
         cluster.network.commandHoldRate = 0;
         cluster.clock.runUntil(600_000);
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Controllers hand over and back, all end and one returns at once, the same one twice, with their writes still to land. */
+    /**
+     * Controllers hand over and back, all end and one returns at once, the same one twice, with
+     * their writes still to land.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void repeatedFailoverWithDelayedWritesKeepsInvariants(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
         cluster.start();
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 5, 1, 20);
+            JobSpec job =
+                    JobFixtures.array(
+                            i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 5, 1, 20);
             cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
         }
         cluster.store.delayedWriteRate = 0.2;
         Set<Integer> leaders = new HashSet<>();
         for (int k = 0; k < 5; k++) {
-            cluster.clock.schedule(10_000 + k * 9_000L, () -> {
-                leaders.add(CompoundFaults.leaderIndex(cluster));
-                FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), FaultInjector.quickRestartDelayMillis(cluster) + 3_000);
-            });
+            cluster.clock.schedule(
+                    10_000 + k * 9_000L,
+                    () -> {
+                        leaders.add(CompoundFaults.leaderIndex(cluster));
+                        FaultInjector.crashController(
+                                cluster,
+                                Math.max(0, CompoundFaults.leaderIndex(cluster)),
+                                FaultInjector.quickRestartDelayMillis(cluster) + 3_000);
+                    });
         }
-        cluster.clock.schedule(56_000, () -> {
-            for (int i = 0; i < 3; i++) {
-                FaultInjector.crashController(cluster, i, i == seed % 3 ? 200 : 6_000);
-            }
-        });
-        cluster.clock.schedule(57_500, () -> FaultInjector.crashController(cluster, (int) (seed % 3), 200));
+        cluster.clock.schedule(
+                56_000,
+                () -> {
+                    for (int i = 0; i < 3; i++) {
+                        FaultInjector.crashController(cluster, i, i == seed % 3 ? 200 : 6_000);
+                    }
+                });
+        cluster.clock.schedule(
+                57_500, () -> FaultInjector.crashController(cluster, (int) (seed % 3), 200));
         cluster.clock.schedule(70_000, () -> cluster.store.delayedWriteRate = 0);
         cluster.expectFaultsUntil(90_000);
         cluster.clock.runUntil(100_000);
         assertTrue(leaders.size() > 1, "leaders: " + leaders);
-        assertTrue(cluster.store.delayedWritesApplied > 0 && cluster.store.delayedWritesRejected > 0, "late: " + cluster.store.delayedWritesApplied + " landed, " + cluster.store.delayedWritesRejected + " failed");
+        assertTrue(
+                cluster.store.delayedWritesApplied > 0 && cluster.store.delayedWritesRejected > 0,
+                "late: "
+                        + cluster.store.delayedWritesApplied
+                        + " landed, "
+                        + cluster.store.delayedWritesRejected
+                        + " failed");
         cluster.clock.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
     }
 
-    /** Jobs of two or three tasks that end far apart, with the leader and the job's controller ending in between. */
+    /**
+     * Jobs of two or three tasks that end far apart, with the leader and the job's controller
+     * ending in between.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void completedTaskOfSmallJobSurvivesFailover(long seed) {
@@ -547,52 +829,94 @@
         }
         int[] partlyCompletedJobs = {0};
         for (int second = 30; second < 80; second += 7) {
-            cluster.clock.schedule(second * 1000L, () -> {
-                for (int i = 1; i <= 20; i++) {
-                    String id = String.format("wk-%06d", i);
-                    long completedTasks = cluster.completedTasks.stream().filter(task -> task.startsWith(id + "/")).count();
-                    partlyCompletedJobs[0] += completedTasks > 0 && completedTasks < 2 + i % 2 ? 1 : 0;
-                }
-                FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), cluster.clock.random.nextBoolean() ? 200 : 5_000);
-            });
+            cluster.clock.schedule(
+                    second * 1000L,
+                    () -> {
+                        for (int i = 1; i <= 20; i++) {
+                            String id = String.format("wk-%06d", i);
+                            long completedTasks =
+                                    cluster.completedTasks.stream()
+                                            .filter(task -> task.startsWith(id + "/"))
+                                            .count();
+                            partlyCompletedJobs[0] +=
+                                    completedTasks > 0 && completedTasks < 2 + i % 2 ? 1 : 0;
+                        }
+                        FaultInjector.crashController(
+                                cluster,
+                                Math.max(0, CompoundFaults.leaderIndex(cluster)),
+                                cluster.clock.random.nextBoolean() ? 200 : 5_000);
+                    });
         }
         cluster.clock.runUntil(400_000);
         assertTrue(partlyCompletedJobs[0] > 5, "jobs in between: " + partlyCompletedJobs[0]);
         assertAllJobsFinished(cluster, 20);
         for (int i = 1; i <= 20; i++) {
-            assertEquals(2 + i % 2, cluster.taskStarts.get(String.format("wk-%06d", i)), "starts of job " + i);
+            assertEquals(
+                    2 + i % 2,
+                    cluster.taskStarts.get(String.format("wk-%06d", i)),
+                    "starts of job " + i);
         }
     }
 
-    /** The controller that is asked to cancel hasn't heard yet that the job's first tasks have places: it must not call it cancelled. */
-    @Test void controllerUnawareOfFirstPlacementsDoesNotConfirmCancellation() {
+    /**
+     * The controller that is asked to cancel hasn't heard yet that the job's first tasks have
+     * places: it must not call it cancelled.
+     */
+    @Test
+    void controllerUnawareOfFirstPlacementsDoesNotConfirmCancellation() {
         SimulatedCluster cluster = clusterWithReadyMachines(6, 3, 18);
         cluster.start();
         cluster.clock.runUntil(8_000);
         int askedController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
         int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
         boolean[] met = {false, false};
-        cluster.store.arrivalObserver = t -> {
-            if (!met[0] && anyStartsWith(t.path("then"), "put", "a/t/wk-000001/")) {
-                met[0] = true;
-                cluster.store.setWatchDelayed(cluster.controllers.get(askedController).ip, true);
-                cluster.cancel("wk-000001", askedController);
-                cluster.clock.schedule(4_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(askedController).ip, false));
-            }
-        };
-        cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 250, 0.2, 100), otherController);
+        cluster.store.arrivalObserver =
+                t -> {
+                    if (!met[0] && anyStartsWith(t.path("then"), "put", "a/t/wk-000001/")) {
+                        met[0] = true;
+                        cluster.store.setWatchDelayed(
+                                cluster.controllers.get(askedController).ip, true);
+                        cluster.cancel("wk-000001", askedController);
+                        cluster.clock.schedule(
+                                4_000,
+                                () ->
+                                        cluster.store.setWatchDelayed(
+                                                cluster.controllers.get(askedController).ip,
+                                                false));
+                    }
+                };
+        cluster.submit(
+                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 250, 0.2, 100),
+                otherController);
         for (int t = 8_000; t < 30_000; t += 10) {
-            cluster.clock.schedule(t - 8_000, () -> met[1] |= cluster.cancellationConfirmedAtMillis("wk-000001") >= 0
-                    && cluster.cloud.machines.values().stream().anyMatch(worker -> worker.tasks.values().stream().anyMatch(SimulatedWorker.SimulatedTask::occupiesMachine)));
+            cluster.clock.schedule(
+                    t - 8_000,
+                    () ->
+                            met[1] |=
+                                    cluster.cancellationConfirmedAtMillis("wk-000001") >= 0
+                                            && cluster.cloud.machines.values().stream()
+                                                    .anyMatch(
+                                                            worker ->
+                                                                    worker.tasks.values().stream()
+                                                                            .anyMatch(
+                                                                                    SimulatedWorker
+                                                                                                    .SimulatedTask
+                                                                                            ::occupiesMachine)));
         }
         cluster.clock.runUntil(60_000);
-        assertTrue(met[0] && cluster.taskStarts.get("wk-000001") > 0, "the meeting: " + cluster.taskStarts);
+        assertTrue(
+                met[0] && cluster.taskStarts.get("wk-000001") > 0,
+                "the meeting: " + cluster.taskStarts);
         assertTrue(!met[1], "told while tasks were on machines");
         assertAllJobsFinished(cluster, 1);
     }
 
-    /** Half of the jobs are cancelled as soon as their places are on record: who had no start yet once waited for its machine's next report. */
-    @Test void cancellationOfJobWithoutStartsIsConfirmedAtOnce() {
+    /**
+     * Half of the jobs are cancelled as soon as their places are on record: who had no start yet
+     * once waited for its machine's next report.
+     */
+    @Test
+    void cancellationOfJobWithoutStartsIsConfirmedAtOnce() {
         SimulatedCluster cluster = clusterWithReadyMachines(5, 1, 12);
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
@@ -603,23 +927,32 @@
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 30);
             int jobNumber = i;
             cluster.clock.schedule(i * 1_000L, () -> cluster.submit(job));
-            cluster.clock.schedule(i * 1_000L + 250, () -> {
-                confirmationDelaysMillis[jobNumber] = -cluster.clock.nowMillis();
-                cluster.cancel(job.jobId());
-            });
+            cluster.clock.schedule(
+                    i * 1_000L + 250,
+                    () -> {
+                        confirmationDelaysMillis[jobNumber] = -cluster.clock.nowMillis();
+                        cluster.cancel(job.jobId());
+                    });
         }
         cluster.clock.runUntil(100_000);
         for (int i = 1; i <= 40; i++) {
-            confirmationDelaysMillis[i] += cluster.cancellationConfirmedAtMillis(String.format("wk-%06d", i));
+            confirmationDelaysMillis[i] +=
+                    cluster.cancellationConfirmedAtMillis(String.format("wk-%06d", i));
         }
         java.util.Arrays.sort(confirmationDelaysMillis);
-        assertTrue(confirmationDelaysMillis[1] > 0 && confirmationDelaysMillis[36] < 1_500, "ms until told: " + java.util.Arrays.toString(confirmationDelaysMillis));
+        assertTrue(
+                confirmationDelaysMillis[1] > 0 && confirmationDelaysMillis[36] < 1_500,
+                "ms until told: " + java.util.Arrays.toString(confirmationDelaysMillis));
         assertEquals(Set.of(), cluster.violations());
     }
 
     /** Two or three of all troubles, 0 to 10 s apart, three times a day. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+    @ValueSource(
+            longs = {
+                1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23,
+                24
+            })
     void randomCompoundFaultsOfAllKindsKeepInvariants(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(300_000 + seed);
         CompoundFaults.playAllKinds(cluster);
@@ -630,9 +963,14 @@
 
     /** Two or three of the first kinds, 0 to 10 s apart, three times a day. */
     @ParameterizedTest
-    // 20559: while the store was slow, a controller inherited a lost one's job; a round of its own that knew nothing of the job's use landed
+    // 20559: while the store was slow, a controller inherited a lost one's job; a round of its own
+    // that knew nothing of the job's use landed
     // after it, within the allowance, and the leader's next split counted only one of the two.
-    @ValueSource(longs = {20559, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+    @ValueSource(
+            longs = {
+                20559, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21,
+                22, 23, 24
+            })
     void randomCompoundFaultsOfInitialKindsKeepInvariants(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(80_000 + seed);
         CompoundFaults.playInitialKinds(cluster);
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -8,7 +8,7 @@
 
 /** What goes wrong on the days of the test world. */
 final class FaultInjector {
-    private FaultInjector() { }
+    private FaultInjector() {}
 
     /** One of many, at random. */
     static void injectRandomFault(SimulatedCluster cluster) {
@@ -16,7 +16,11 @@
         long durationMillis = 2_000 + cluster.clock.random.nextLong(25_000);
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         switch (cluster.clock.random.nextInt(9)) {
-            case 0 -> crashController(cluster, cluster.clock.random.nextInt(controllerCount), 2_000 + cluster.clock.random.nextLong(6_000));
+            case 0 ->
+                    crashController(
+                            cluster,
+                            cluster.clock.random.nextInt(controllerCount),
+                            2_000 + cluster.clock.random.nextLong(6_000));
             case 1 -> {
                 for (int i = 0; i < controllerCount; i++) {
                     crashController(cluster, i, 3_000);
@@ -26,23 +30,51 @@
                 cluster.store.setDown(true);
                 cluster.clock.schedule(durationMillis, () -> cluster.store.setDown(false));
             }
-            case 3 -> partition(cluster, cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip, List.of("10.2.0.1"), durationMillis);
+            case 3 ->
+                    partition(
+                            cluster,
+                            cluster.controllers.get(cluster.clock.random.nextInt(controllerCount))
+                                    .ip,
+                            List.of("10.2.0.1"),
+                            durationMillis);
             case 4 -> {
-                String ip = cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
-                List<String> otherIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
-                cluster.cloud.machines.values().forEach(worker -> otherIps.add(worker.address.substring(0, worker.address.indexOf(':'))));
+                String ip =
+                        cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
+                List<String> otherIps =
+                        new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
+                cluster.cloud
+                        .machines
+                        .values()
+                        .forEach(
+                                worker ->
+                                        otherIps.add(
+                                                worker.address.substring(
+                                                        0, worker.address.indexOf(':'))));
                 cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
                 otherIps.remove(ip);
                 partition(cluster, ip, otherIps, durationMillis);
             }
             case 5 -> {
-                String ip = cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
-                partition(cluster, ip, cluster.cloud.machines.values().stream().map(worker -> worker.address.substring(0, worker.address.indexOf(':'))).toList(), durationMillis);
+                String ip =
+                        cluster.controllers.get(cluster.clock.random.nextInt(controllerCount)).ip;
+                partition(
+                        cluster,
+                        ip,
+                        cluster.cloud.machines.values().stream()
+                                .map(
+                                        worker ->
+                                                worker.address.substring(
+                                                        0, worker.address.indexOf(':')))
+                                .toList(),
+                        durationMillis);
             }
-            case 6 -> onRandomMachine(cluster, worker -> {
-                worker.setHung(true);
-                cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
-            });
+            case 6 ->
+                    onRandomMachine(
+                            cluster,
+                            worker -> {
+                                worker.setHung(true);
+                                cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
+                            });
             case 7 -> onRandomMachine(cluster, SimulatedWorker::crash);
             default -> onRandomMachine(cluster, worker -> worker.failsTasks = true);
         }
@@ -56,44 +88,78 @@
         }
     }
 
-    static void partition(SimulatedCluster cluster, String ip, List<String> otherIps, long durationMillis) {
+    static void partition(
+            SimulatedCluster cluster, String ip, List<String> otherIps, long durationMillis) {
         boolean buffer = cluster.clock.random.nextBoolean();
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
         otherIps.forEach(otherIp -> cluster.network.partition(ip, otherIp, buffer));
-        cluster.clock.schedule(durationMillis, () -> otherIps.forEach(otherIp -> cluster.network.heal(ip, otherIp)));
+        cluster.clock.schedule(
+                durationMillis,
+                () -> otherIps.forEach(otherIp -> cluster.network.heal(ip, otherIp)));
     }
 
     /** Cuts a zone's machines, with one controller among them, off from everything else. */
-    static void partitionZone(SimulatedCluster cluster, String zone, int controller, long durationMillis) {
+    static void partitionZone(
+            SimulatedCluster cluster, String zone, int controller, long durationMillis) {
         partitionZone(cluster, zone, List.of(controller), durationMillis);
     }
 
     /** The same with these controllers inside, perhaps none. */
-    static void partitionZone(SimulatedCluster cluster, String zone, List<Integer> controllers, long durationMillis) {
+    static void partitionZone(
+            SimulatedCluster cluster, String zone, List<Integer> controllers, long durationMillis) {
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + durationMillis);
-        List<String> insideIps = new ArrayList<>(controllers.stream().map(controller -> cluster.controllers.get(controller).ip).toList());
+        List<String> insideIps =
+                new ArrayList<>(
+                        controllers.stream()
+                                .map(controller -> cluster.controllers.get(controller).ip)
+                                .toList());
         List<String> outsideIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
         cluster.controllers.forEach(controller -> outsideIps.add(controller.ip));
         outsideIps.removeAll(insideIps);
-        cluster.cloud.machines.values().forEach(worker -> (worker.zone.equals(zone) ? insideIps : outsideIps).add(worker.address.substring(0, worker.address.indexOf(':'))));
-        insideIps.forEach(insideIp -> outsideIps.forEach(outsideIp -> cluster.network.partition(insideIp, outsideIp, false)));
-        cluster.clock.schedule(durationMillis, () -> insideIps.forEach(insideIp -> outsideIps.forEach(outsideIp -> cluster.network.heal(insideIp, outsideIp))));
+        cluster.cloud
+                .machines
+                .values()
+                .forEach(
+                        worker ->
+                                (worker.zone.equals(zone) ? insideIps : outsideIps)
+                                        .add(
+                                                worker.address.substring(
+                                                        0, worker.address.indexOf(':'))));
+        insideIps.forEach(
+                insideIp ->
+                        outsideIps.forEach(
+                                outsideIp ->
+                                        cluster.network.partition(insideIp, outsideIp, false)));
+        cluster.clock.schedule(
+                durationMillis,
+                () ->
+                        insideIps.forEach(
+                                insideIp ->
+                                        outsideIps.forEach(
+                                                outsideIp ->
+                                                        cluster.network.heal(
+                                                                insideIp, outsideIp))));
     }
 
     static void onRandomMachine(SimulatedCluster cluster, Consumer<SimulatedWorker> action) {
-        List<SimulatedWorker> runningWorkers = cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead).toList();
+        List<SimulatedWorker> runningWorkers =
+                cluster.cloud.machines.values().stream()
+                        .filter(worker -> worker.up && !worker.dead)
+                        .toList();
         if (!runningWorkers.isEmpty()) {
             action.accept(runningWorkers.get(cluster.clock.random.nextInt(runningWorkers.size())));
         }
     }
 
-
     /** ms. A process may be back within a fraction of a second. */
     static long quickRestartDelayMillis(SimulatedCluster cluster) {
         return 50 + cluster.clock.random.nextLong(450);
     }
 
-    /** Processes that end and are back at once: one, all, one again and again, and leaders as they come to lead. */
+    /**
+     * Processes that end and are back at once: one, all, one again and again, and leaders as they
+     * come to lead.
+     */
     static void injectRandomQuickRestart(SimulatedCluster cluster) {
         int controllerCount = cluster.controllers.size();
         int controller = cluster.clock.random.nextInt(controllerCount);
@@ -115,7 +181,9 @@
     private static void crashRepeatedly(SimulatedCluster cluster, int controller, int count) {
         if (count > 0) {
             crashController(cluster, controller, quickRestartDelayMillis(cluster));
-            cluster.clock.schedule(700 + cluster.clock.random.nextLong(2_500), () -> crashRepeatedly(cluster, controller, count - 1));
+            cluster.clock.schedule(
+                    700 + cluster.clock.random.nextLong(2_500),
+                    () -> crashRepeatedly(cluster, controller, count - 1));
         }
     }
 
@@ -136,20 +204,39 @@
             return;
         }
         Consumer<ObjectNode> previousObserver = cluster.store.arrivalObserver;
-        cluster.store.arrivalObserver = transaction -> {
-            previousObserver.accept(transaction);
-            for (JsonNode operation : transaction.path("then")) {
-                boolean candidacy = operation.path("put").asText().equals("a/lead");
-                boolean grant = operation.path("put").asText().startsWith("a/b/") && cluster.store.value("a/lead") != null;
-                if (phase == ElectionPhase.FIRST_GRANT ? grant : candidacy) {
-                    int next = cluster.indexOfController(phase == ElectionPhase.FIRST_GRANT ? cluster.store.value("a/lead").path("m").asText() : operation.path("value").path("m").asText());
-                    cluster.store.arrivalObserver = previousObserver;
-                    cluster.clock.schedule(phase == ElectionPhase.ELECTED ? 15 : 0, () -> crashController(cluster, next, quickRestartDelayMillis(cluster)));
-                    return;
-                }
-            }
-        };
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    previousObserver.accept(transaction);
+                    for (JsonNode operation : transaction.path("then")) {
+                        boolean candidacy = operation.path("put").asText().equals("a/lead");
+                        boolean grant =
+                                operation.path("put").asText().startsWith("a/b/")
+                                        && cluster.store.value("a/lead") != null;
+                        if (phase == ElectionPhase.FIRST_GRANT ? grant : candidacy) {
+                            int next =
+                                    cluster.indexOfController(
+                                            phase == ElectionPhase.FIRST_GRANT
+                                                    ? cluster.store
+                                                            .value("a/lead")
+                                                            .path("m")
+                                                            .asText()
+                                                    : operation.path("value").path("m").asText());
+                            cluster.store.arrivalObserver = previousObserver;
+                            cluster.clock.schedule(
+                                    phase == ElectionPhase.ELECTED ? 15 : 0,
+                                    () ->
+                                            crashController(
+                                                    cluster,
+                                                    next,
+                                                    quickRestartDelayMillis(cluster)));
+                            return;
+                        }
+                    }
+                };
         cluster.expectFaultsUntil(cluster.clock.nowMillis() + 30_000);
-        crashController(cluster, cluster.indexOfController(leaderRecord.path("m").asText()), quickRestartDelayMillis(cluster));
+        crashController(
+                cluster,
+                cluster.indexOfController(leaderRecord.path("m").asText()),
+                quickRestartDelayMillis(cluster));
     }
 }
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -10,24 +10,46 @@
 import java.util.TreeMap;
 
 /**
- * Days as large as the users' fleets and larger, with their mix of classes and their troubles, judged by what they accept:
- * {@code FleetScenario counter|lakes restart|loss|calm TIMES SEED [JOB|records]}. Not a test: it prints, by class and by its largest tenth, the times to the first
+ * Days as large as the users' fleets and larger, with their mix of classes and their troubles,
+ * judged by what they accept: {@code FleetScenario counter|lakes restart|loss|calm TIMES SEED
+ * [JOB|records]}. Not a test: it prints, by class and by its largest tenth, the times to the first
  * start, to the start of half, and the share served, and whoever was left behind.
  */
 public final class FleetScenario {
-    private FleetScenario() { }
+    private FleetScenario() {}
 
-    /** A class of jobs: a minute's arrivals, jobs at the start, tasks (median, 95%, most), CPUs, memory, run time (median, 95%, most), image. */
-    private record JobProfile(String name, JobSpec.Priority priority, double arrivalsPerMinute, int initialJobs, double[] taskCountQuantiles, double cpus, double memoryGb, double[] runtimeSecondsQuantiles,
-            double imageGb, double deadlineFactor, double checkpointIntervalSeconds, List<String> teams) { }
+    /**
+     * A class of jobs: a minute's arrivals, jobs at the start, tasks (median, 95%, most), CPUs,
+     * memory, run time (median, 95%, most), image.
+     */
+    private record JobProfile(
+            String name,
+            JobSpec.Priority priority,
+            double arrivalsPerMinute,
+            int initialJobs,
+            double[] taskCountQuantiles,
+            double cpus,
+            double memoryGb,
+            double[] runtimeSecondsQuantiles,
+            double imageGb,
+            double deadlineFactor,
+            double checkpointIntervalSeconds,
+            List<String> teams) {}
 
     public static void main(String[] args) {
-        SimulatedCluster cluster = args[0].equals("counter") ? counterCluster(Double.parseDouble(args[2]), Long.parseLong(args[3]))
-                : lakesCluster(Double.parseDouble(args[2]), Long.parseLong(args[3]));
+        SimulatedCluster cluster =
+                args[0].equals("counter")
+                        ? counterCluster(Double.parseDouble(args[2]), Long.parseLong(args[3]))
+                        : lakesCluster(Double.parseDouble(args[2]), Long.parseLong(args[3]));
         cluster.invariantChecksEnabled = false;
         cluster.start();
         List<JobProfile> profiles = args[0].equals("counter") ? COUNTER : LAKES;
-        Map<String, String> jobClassById = scheduleArrivals(cluster, profiles, Double.parseDouble(args[2]), args[1].equals("calm") ? 1 : 3);
+        Map<String, String> jobClassById =
+                scheduleArrivals(
+                        cluster,
+                        profiles,
+                        Double.parseDouble(args[2]),
+                        args[1].equals("calm") ? 1 : 3);
         if (args[1].equals("restart")) {
             scheduleRestarts(cluster);
         } else if (args[1].equals("loss")) {
@@ -42,51 +64,195 @@
         printReport(cluster, profiles, jobClassById);
     }
 
-    private static final List<JobProfile> COUNTER = List.of(
-            new JobProfile("seats", JobSpec.Priority.NORMAL, 17, 19, new double[] {30, 90, 200}, 2, 3.1, new double[] {60, 150, 240}, 1.5, 3, 0, List.of("t1", "t2", "t3", "t5")),
-            new JobProfile("night", JobSpec.Priority.BEST_EFFORT, 5.1, 5, new double[] {25, 80, 150}, 4, 3.6, new double[] {80, 180, 300}, 1, 0, 30, List.of("t1", "t2", "t3", "t4", "t5")),
-            new JobProfile("passes", JobSpec.Priority.HIGH, 5.2, 5, new double[] {30, 80, 150}, 2, 2.2, new double[] {25, 60, 90}, 0.6, 3, 0, List.of("t1", "t2", "t3", "t5")));
-    private static final List<JobProfile> LAKES = List.of(
-            new JobProfile("reruns", JobSpec.Priority.NORMAL, 7.5, 12, new double[] {70, 250, 500}, 2, 3.6, new double[] {60, 180, 300}, 0.7, 3, 0, List.of("t1", "t2", "t3", "t4")),
-            new JobProfile("regrid", JobSpec.Priority.BEST_EFFORT, 12, 15, new double[] {25, 60, 120}, 4, 7.5, new double[] {90, 200, 350}, 2.5, 0, 30, List.of("t1", "t2", "t3", "t4")),
-            new JobProfile("ice", JobSpec.Priority.HIGH, 54, 41, new double[] {12, 40, 60}, 1, 3.7, new double[] {35, 80, 120}, 0.5, 0, 0, List.of("t4")),
-            new JobProfile("wind", JobSpec.Priority.NORMAL, 70, 44, new double[] {90, 400, 900}, 1, 2.7, new double[] {12, 40, 60}, 1, 0, 0, List.of("t2", "t3")));
+    private static final List<JobProfile> COUNTER =
+            List.of(
+                    new JobProfile(
+                            "seats",
+                            JobSpec.Priority.NORMAL,
+                            17,
+                            19,
+                            new double[] {30, 90, 200},
+                            2,
+                            3.1,
+                            new double[] {60, 150, 240},
+                            1.5,
+                            3,
+                            0,
+                            List.of("t1", "t2", "t3", "t5")),
+                    new JobProfile(
+                            "night",
+                            JobSpec.Priority.BEST_EFFORT,
+                            5.1,
+                            5,
+                            new double[] {25, 80, 150},
+                            4,
+                            3.6,
+                            new double[] {80, 180, 300},
+                            1,
+                            0,
+                            30,
+                            List.of("t1", "t2", "t3", "t4", "t5")),
+                    new JobProfile(
+                            "passes",
+                            JobSpec.Priority.HIGH,
+                            5.2,
+                            5,
+                            new double[] {30, 80, 150},
+                            2,
+                            2.2,
+                            new double[] {25, 60, 90},
+                            0.6,
+                            3,
+                            0,
+                            List.of("t1", "t2", "t3", "t5")));
+    private static final List<JobProfile> LAKES =
+            List.of(
+                    new JobProfile(
+                            "reruns",
+                            JobSpec.Priority.NORMAL,
+                            7.5,
+                            12,
+                            new double[] {70, 250, 500},
+                            2,
+                            3.6,
+                            new double[] {60, 180, 300},
+                            0.7,
+                            3,
+                            0,
+                            List.of("t1", "t2", "t3", "t4")),
+                    new JobProfile(
+                            "regrid",
+                            JobSpec.Priority.BEST_EFFORT,
+                            12,
+                            15,
+                            new double[] {25, 60, 120},
+                            4,
+                            7.5,
+                            new double[] {90, 200, 350},
+                            2.5,
+                            0,
+                            30,
+                            List.of("t1", "t2", "t3", "t4")),
+                    new JobProfile(
+                            "ice",
+                            JobSpec.Priority.HIGH,
+                            54,
+                            41,
+                            new double[] {12, 40, 60},
+                            1,
+                            3.7,
+                            new double[] {35, 80, 120},
+                            0.5,
+                            0,
+                            0,
+                            List.of("t4")),
+                    new JobProfile(
+                            "wind",
+                            JobSpec.Priority.NORMAL,
+                            70,
+                            44,
+                            new double[] {90, 400, 900},
+                            1,
+                            2.7,
+                            new double[] {12, 40, 60},
+                            1,
+                            0,
+                            0,
+                            List.of("t2", "t3")));
 
     private static SimulatedCluster counterCluster(double scale, long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 4, 0, 8, 0.16, 0.05, 35, List.of("a"), (int) (994 * scale))), 3);
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small",
+                                        4,
+                                        0,
+                                        8,
+                                        0.16,
+                                        0.05,
+                                        35,
+                                        List.of("a"),
+                                        (int) (994 * scale))),
+                        3);
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = 22_000;
         cluster.storeSettings = new Settings.StoreLimits(150, 35, 8, 12);
-        setTeams(cluster, scale, new double[][] {{350, 1200}, {700, 2000}, {700, 1200}, {350, 700}, {600, 1800}});
+        setTeams(
+                cluster,
+                scale,
+                new double[][] {{350, 1200}, {700, 2000}, {700, 1200}, {350, 700}, {600, 1800}});
         return cluster;
     }
 
     private static SimulatedCluster lakesCluster(double scale, long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("gull", 8, 0, 64, 0.46, 0.17, 25, List.of("a", "b"), (int) (530 * scale)),
-                new SimulatedCloud.MachineType("heron", 16, 0, 64, 0.83, 0.36, 15, List.of("a", "b"), (int) (178 * scale)),
-                new SimulatedCloud.MachineType("osprey", 64, 0, 512, 3.81, 1.7, 20, List.of("a", "b"), (int) (32 * scale))), 5);
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "gull",
+                                        8,
+                                        0,
+                                        64,
+                                        0.46,
+                                        0.17,
+                                        25,
+                                        List.of("a", "b"),
+                                        (int) (530 * scale)),
+                                new SimulatedCloud.MachineType(
+                                        "heron",
+                                        16,
+                                        0,
+                                        64,
+                                        0.83,
+                                        0.36,
+                                        15,
+                                        List.of("a", "b"),
+                                        (int) (178 * scale)),
+                                new SimulatedCloud.MachineType(
+                                        "osprey",
+                                        64,
+                                        0,
+                                        512,
+                                        3.81,
+                                        1.7,
+                                        20,
+                                        List.of("a", "b"),
+                                        (int) (32 * scale))),
+                        5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.storeSettings = new Settings.StoreLimits(600, 250, 8, 12);
-        setTeams(cluster, scale, new double[][] {{2500, 8000}, {1500, 4000}, {2500, 8000}, {1200, 2500}});
+        setTeams(
+                cluster,
+                scale,
+                new double[][] {{2500, 8000}, {1500, 4000}, {2500, 8000}, {1200, 2500}});
         return cluster;
     }
 
     private static void setTeams(SimulatedCluster cluster, double scale, double[][] cpuLimits) {
         cluster.teams.clear();
         for (int i = 0; i < cpuLimits.length; i++) {
-            cluster.teams.put("t" + (i + 1), new Settings.Team("t" + (i + 1), cpuLimits[i][0] * scale, cpuLimits[i][1] * scale, 0, 0));
+            cluster.teams.put(
+                    "t" + (i + 1),
+                    new Settings.Team(
+                            "t" + (i + 1), cpuLimits[i][0] * scale, cpuLimits[i][1] * scale, 0, 0));
         }
     }
 
     private static double drawLognormal(SplittableRandom random, double[] quantiles) {
         double sigma = Math.log(quantiles[1] / quantiles[0]) / 1.645;
-        double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
+        double normal =
+                Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
+                        * Math.cos(2 * Math.PI * random.nextDouble());
         return Math.min(quantiles[2], quantiles[0] * Math.exp(sigma * normal));
     }
 
     /** Arrivals over 500 s; the first class comes {@code burst} times as often for a minute. */
-    private static Map<String, String> scheduleArrivals(SimulatedCluster cluster, List<JobProfile> profiles, double scale, double burst) {
+    private static Map<String, String> scheduleArrivals(
+            SimulatedCluster cluster, List<JobProfile> profiles, double scale, double burst) {
         SplittableRandom random = new SplittableRandom(cluster.clock.random.nextLong());
         Map<String, String> jobClassById = new TreeMap<>();
         int id = 0;
@@ -95,17 +261,45 @@
             for (int i = 0; i < profile.initialJobs * scale; i++) {
                 arrivalSeconds.add(3 + 2 * random.nextDouble());
             }
-            for (double second = 3; second < 500;) {
-                double rate = profile.arrivalsPerMinute / 60 * scale * (profile == profiles.get(0) && second > 110 && second < 170 ? burst : 1);
+            for (double second = 3; second < 500; ) {
+                double rate =
+                        profile.arrivalsPerMinute
+                                / 60
+                                * scale
+                                * (profile == profiles.get(0) && second > 110 && second < 170
+                                        ? burst
+                                        : 1);
                 second += -Math.log(1 - random.nextDouble()) / rate;
                 arrivalSeconds.add(second);
             }
             for (double second : arrivalSeconds) {
                 double runtimeSeconds = drawLognormal(random, profile.runtimeSecondsQuantiles);
-                int taskCount = (int) Math.max(1, drawLognormal(random, profile.taskCountQuantiles));
-                JobSpec job = new JobSpec(String.format("wk-%06d", ++id), profile.name, profile.teams.get(random.nextInt(profile.teams.size())), JobSpec.Mode.ARRAY, profile.priority, taskCount,
-                        Math.min(4, profile.cpus * (0.85 + 0.3 * random.nextDouble())), 0, profile.memoryGb, null, null, false, false, true, profile.name + random.nextInt(8), profile.imageGb, runtimeSeconds * (0.7 + 0.6 * random.nextDouble()),
-                        profile.checkpointIntervalSeconds, profile.checkpointIntervalSeconds > 0 ? 3 : 0, profile.deadlineFactor > 0 ? runtimeSeconds * profile.deadlineFactor + 10 : -1);
+                int taskCount =
+                        (int) Math.max(1, drawLognormal(random, profile.taskCountQuantiles));
+                JobSpec job =
+                        new JobSpec(
+                                String.format("wk-%06d", ++id),
+                                profile.name,
+                                profile.teams.get(random.nextInt(profile.teams.size())),
+                                JobSpec.Mode.ARRAY,
+                                profile.priority,
+                                taskCount,
+                                Math.min(4, profile.cpus * (0.85 + 0.3 * random.nextDouble())),
+                                0,
+                                profile.memoryGb,
+                                null,
+                                null,
+                                false,
+                                false,
+                                true,
+                                profile.name + random.nextInt(8),
+                                profile.imageGb,
+                                runtimeSeconds * (0.7 + 0.6 * random.nextDouble()),
+                                profile.checkpointIntervalSeconds,
+                                profile.checkpointIntervalSeconds > 0 ? 3 : 0,
+                                profile.deadlineFactor > 0
+                                        ? runtimeSeconds * profile.deadlineFactor + 10
+                                        : -1);
                 jobClassById.put(job.jobId(), profile.name);
                 cluster.clock.schedule((long) (second * 1000), () -> cluster.submit(job));
             }
@@ -118,78 +312,177 @@
         cluster.clock.schedule(180_000, () -> cluster.store.setDown(false));
         for (int i = 0; i < cluster.controllers.size(); i++) {
             int controller = i;
-            cluster.clock.schedule(187_000, () -> FaultInjector.crashController(cluster, controller, 300));
-            cluster.clock.schedule(222_000 + controller * 25_000L, () -> FaultInjector.crashController(cluster, controller, 300));
-            cluster.clock.schedule(371_000, () -> FaultInjector.crashController(cluster, controller, 300));
+            cluster.clock.schedule(
+                    187_000, () -> FaultInjector.crashController(cluster, controller, 300));
+            cluster.clock.schedule(
+                    222_000 + controller * 25_000L,
+                    () -> FaultInjector.crashController(cluster, controller, 300));
+            cluster.clock.schedule(
+                    371_000, () -> FaultInjector.crashController(cluster, controller, 300));
         }
     }
 
     private static void scheduleMachineLoss(SimulatedCluster cluster) {
-        cluster.clock.schedule(159_000, () -> FaultInjector.partition(cluster, cluster.controllers.get(1).ip, List.of("10.2.0.1"), 25_000));
-        cluster.clock.schedule(251_000, () -> {
-            for (int i = 0; i < 50; i++) {
-                FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash);
-            }
-        });
-        cluster.clock.schedule(266_000, () -> {
-            for (int i = 0; i < cluster.controllers.size() - 1; i++) {
-                FaultInjector.crashController(cluster, i, 300);
-            }
-        });
-        cluster.clock.schedule(300_000, () -> {
-            for (int i = 0; i < 21; i++) {
-                FaultInjector.onRandomMachine(cluster, worker -> {
-                    worker.setHung(true);
-                    cluster.clock.schedule(40_000, () -> worker.setHung(false));
+        cluster.clock.schedule(
+                159_000,
+                () ->
+                        FaultInjector.partition(
+                                cluster,
+                                cluster.controllers.get(1).ip,
+                                List.of("10.2.0.1"),
+                                25_000));
+        cluster.clock.schedule(
+                251_000,
+                () -> {
+                    for (int i = 0; i < 50; i++) {
+                        FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash);
+                    }
+                });
+        cluster.clock.schedule(
+                266_000,
+                () -> {
+                    for (int i = 0; i < cluster.controllers.size() - 1; i++) {
+                        FaultInjector.crashController(cluster, i, 300);
+                    }
+                });
+        cluster.clock.schedule(
+                300_000,
+                () -> {
+                    for (int i = 0; i < 21; i++) {
+                        FaultInjector.onRandomMachine(
+                                cluster,
+                                worker -> {
+                                    worker.setHung(true);
+                                    cluster.clock.schedule(40_000, () -> worker.setHung(false));
+                                });
+                    }
                 });
-            }
-        });
     }
 
     /**
-     * Operators' records: a class for each kind, the last arrivals of the first kind published at 420 s with a window of 150 s, in which the
-     * leader ends twice.
+     * Operators' records: a class for each kind, the last arrivals of the first kind published at
+     * 420 s with a window of 150 s, in which the leader ends twice.
      */
-    private static void scheduleOperatorRecords(SimulatedCluster cluster, List<JobProfile> profiles) {
+    private static void scheduleOperatorRecords(
+            SimulatedCluster cluster, List<JobProfile> profiles) {
         StringBuilder classes = new StringBuilder();
-        profiles.forEach(profile -> classes.append(classes.length() == 0 ? "" : ",").append("{'name':'").append(profile.name).append("','rank':").append(100 + profiles.indexOf(profile) * 100)
-                .append(",'match':{'jobClass':'").append(profile.name).append("'}}"));
-        cluster.clock.schedule(20_000, () -> OperatorRecordsTest.commandUntilAnswered(cluster, "/ops/classes/apply", OperatorRecordsTest.json("{'change':'c','classes':[" + classes + "]}"), new java.util.HashMap<>()));
-        cluster.clock.schedule(21_000, () -> OperatorRecordsTest.commandUntilAnswered(cluster, "/ops/calendar/add", OperatorRecordsTest.calendarEntry("morning", 420_000, 150, "{'jobClass':'" + profiles.get(0).name + "'}"), new java.util.HashMap<>()));
+        profiles.forEach(
+                profile ->
+                        classes.append(classes.length() == 0 ? "" : ",")
+                                .append("{'name':'")
+                                .append(profile.name)
+                                .append("','rank':")
+                                .append(100 + profiles.indexOf(profile) * 100)
+                                .append(",'match':{'jobClass':'")
+                                .append(profile.name)
+                                .append("'}}"));
+        cluster.clock.schedule(
+                20_000,
+                () ->
+                        OperatorRecordsTest.commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                OperatorRecordsTest.json(
+                                        "{'change':'c','classes':[" + classes + "]}"),
+                                new java.util.HashMap<>()));
+        cluster.clock.schedule(
+                21_000,
+                () ->
+                        OperatorRecordsTest.commandUntilAnswered(
+                                cluster,
+                                "/ops/calendar/add",
+                                OperatorRecordsTest.calendarEntry(
+                                        "morning",
+                                        420_000,
+                                        150,
+                                        "{'jobClass':'" + profiles.get(0).name + "'}"),
+                                new java.util.HashMap<>()));
         for (long atMillis : new long[] {300_000, 400_000}) {
-            cluster.clock.schedule(atMillis, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 300));
+            cluster.clock.schedule(
+                    atMillis,
+                    () ->
+                            FaultInjector.crashController(
+                                    cluster,
+                                    cluster.indexOfController(
+                                            cluster.store.value("a/lead").path("m").asText()),
+                                    300));
         }
-        cluster.clock.schedule(999_000, () -> System.out.println("ledger " + cluster.store.ledgerWrites + " " + cluster.store.value(cluster.store.ledgerWrites.keySet().stream().findFirst().orElse(""))));
+        cluster.clock.schedule(
+                999_000,
+                () ->
+                        System.out.println(
+                                "ledger "
+                                        + cluster.store.ledgerWrites
+                                        + " "
+                                        + cluster.store.value(
+                                                cluster.store.ledgerWrites.keySet().stream()
+                                                        .findFirst()
+                                                        .orElse(""))));
     }
 
     /** Prints now and then how a job and its team fare. */
     private static void traceJob(SimulatedCluster cluster, String id) {
         for (long atMillis = 20_000; atMillis < 560_000; atMillis += 20_000) {
-            cluster.clock.schedule(atMillis, () -> {
-                JobSpec job = cluster.jobsById.get(id);
-                if (job == null || cluster.store.value("a/j/" + id) == null) {
-                    return;
-                }
-                Map<String, Double> cpusInUse = new TreeMap<>();
-                double freeCpus = 0;
-                int machinesWithRoom = 0;
-                for (SimulatedWorker worker : cluster.cloud.machines.values()) {
-                    double usedCpus = 0;
-                    for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                        if (!task.hasEnded()) {
-                            JobSpec other = cluster.jobsById.get(task.name.substring(0, task.name.indexOf('/')));
-                            usedCpus += other.cpus();
-                            cpusInUse.merge(other.team() + " " + other.jobClass(), other.cpus(), Double::sum);
+            cluster.clock.schedule(
+                    atMillis,
+                    () -> {
+                        JobSpec job = cluster.jobsById.get(id);
+                        if (job == null || cluster.store.value("a/j/" + id) == null) {
+                            return;
                         }
-                    }
-                    freeCpus += worker.up ? worker.machineType.cpus() - usedCpus : 0;
-                    machinesWithRoom += worker.up && worker.machineType.cpus() - usedCpus >= job.cpus() ? 1 : 0;
-                }
-                Object controllerNode = cluster.store.value("a/j/" + id).get("c");
-                cpusInUse.replaceAll((key, value) -> (double) Math.round(value));
-                System.out.println(cluster.clock.nowMillis() / 1000 + " s: " + job.team() + " " + job.cpus() + " at " + controllerNode + " free " + Math.round(freeCpus) + ", rooms " + machinesWithRoom + ", use "
-                        + cpusInUse + " allowances " + cluster.controllers.stream().map(controller -> cluster.store.value("a/b/" + controller.name)).map(shard -> shard == null ? null : shard.path("al").path(job.team())).toList());
-            });
+                        Map<String, Double> cpusInUse = new TreeMap<>();
+                        double freeCpus = 0;
+                        int machinesWithRoom = 0;
+                        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+                            double usedCpus = 0;
+                            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+                                if (!task.hasEnded()) {
+                                    JobSpec other =
+                                            cluster.jobsById.get(
+                                                    task.name.substring(0, task.name.indexOf('/')));
+                                    usedCpus += other.cpus();
+                                    cpusInUse.merge(
+                                            other.team() + " " + other.jobClass(),
+                                            other.cpus(),
+                                            Double::sum);
+                                }
+                            }
+                            freeCpus += worker.up ? worker.machineType.cpus() - usedCpus : 0;
+                            machinesWithRoom +=
+                                    worker.up && worker.machineType.cpus() - usedCpus >= job.cpus()
+                                            ? 1
+                                            : 0;
+                        }
+                        Object controllerNode = cluster.store.value("a/j/" + id).get("c");
+                        cpusInUse.replaceAll((key, value) -> (double) Math.round(value));
+                        System.out.println(
+                                cluster.clock.nowMillis() / 1000
+                                        + " s: "
+                                        + job.team()
+                                        + " "
+                                        + job.cpus()
+                                        + " at "
+                                        + controllerNode
+                                        + " free "
+                                        + Math.round(freeCpus)
+                                        + ", rooms "
+                                        + machinesWithRoom
+                                        + ", use "
+                                        + cpusInUse
+                                        + " allowances "
+                                        + cluster.controllers.stream()
+                                                .map(
+                                                        controller ->
+                                                                cluster.store.value(
+                                                                        "a/b/" + controller.name))
+                                                .map(
+                                                        shard ->
+                                                                shard == null
+                                                                        ? null
+                                                                        : shard.path("al")
+                                                                                .path(job.team()))
+                                                .toList());
+                    });
         }
     }
 
@@ -198,22 +491,68 @@
             return "none of " + total;
         }
         long[] sorted = delaysMillis.stream().mapToLong(value -> value).sorted().toArray();
-        return String.format("%d of %d, p50 %.0f p90 %.0f max %.0f s", sorted.length, total, sorted[sorted.length / 2] / 1e3, sorted[(int) (sorted.length * 0.9)] / 1e3, sorted[sorted.length - 1] / 1e3);
+        return String.format(
+                "%d of %d, p50 %.0f p90 %.0f max %.0f s",
+                sorted.length,
+                total,
+                sorted[sorted.length / 2] / 1e3,
+                sorted[(int) (sorted.length * 0.9)] / 1e3,
+                sorted[sorted.length - 1] / 1e3);
     }
 
-    private static void printReport(SimulatedCluster cluster, List<JobProfile> profiles, Map<String, String> jobClassById) {
+    private static void printReport(
+            SimulatedCluster cluster, List<JobProfile> profiles, Map<String, String> jobClassById) {
         for (JobProfile profile : profiles) {
-            List<JobSpec> jobs = new ArrayList<>(jobClassById.keySet().stream().filter(id -> jobClassById.get(id).equals(profile.name)).map(cluster.jobsById::get).filter(job -> job != null).toList());
+            List<JobSpec> jobs =
+                    new ArrayList<>(
+                            jobClassById.keySet().stream()
+                                    .filter(id -> jobClassById.get(id).equals(profile.name))
+                                    .map(cluster.jobsById::get)
+                                    .filter(job -> job != null)
+                                    .toList());
             jobs.sort((left, right) -> right.taskCount() - left.taskCount());
-            for (List<JobSpec> group : Arrays.asList(jobs, jobs.subList(0, Math.max(1, jobs.size() / 10)))) {
-                List<Long> firstStartDelays = group.stream().map(job -> cluster.serviceLevels().firstStartDelayMillis(job.jobId())).filter(delayMillis -> delayMillis >= 0).toList();
-                List<Long> halfStartDelays = group.stream().map(job -> cluster.serviceLevels().halfStartedDelayMillis(job.jobId())).filter(delayMillis -> delayMillis >= 0).toList();
-                System.out.printf("%s%s: first start %s; half %s; starts %d%n", profile.name, group == jobs ? "" : ", largest tenth", quantiles(firstStartDelays, group.size()), quantiles(halfStartDelays, group.size()),
-                        group.stream().mapToInt(job -> cluster.taskStarts.getOrDefault(job.jobId(), 0)).sum());
+            for (List<JobSpec> group :
+                    Arrays.asList(jobs, jobs.subList(0, Math.max(1, jobs.size() / 10)))) {
+                List<Long> firstStartDelays =
+                        group.stream()
+                                .map(
+                                        job ->
+                                                cluster.serviceLevels()
+                                                        .firstStartDelayMillis(job.jobId()))
+                                .filter(delayMillis -> delayMillis >= 0)
+                                .toList();
+                List<Long> halfStartDelays =
+                        group.stream()
+                                .map(
+                                        job ->
+                                                cluster.serviceLevels()
+                                                        .halfStartedDelayMillis(job.jobId()))
+                                .filter(delayMillis -> delayMillis >= 0)
+                                .toList();
+                System.out.printf(
+                        "%s%s: first start %s; half %s; starts %d%n",
+                        profile.name,
+                        group == jobs ? "" : ", largest tenth",
+                        quantiles(firstStartDelays, group.size()),
+                        quantiles(halfStartDelays, group.size()),
+                        group.stream()
+                                .mapToInt(job -> cluster.taskStarts.getOrDefault(job.jobId(), 0))
+                                .sum());
             }
         }
         System.out.println("served " + cluster.serviceLevels().servedShares());
-        System.out.println("left behind " + cluster.serviceLevels().starved().size() + " " + cluster.serviceLevels().starved().stream().limit(5).toList() + " open " + cluster.unfinishedJobs()
-                + " broken " + cluster.violations() + " machines " + cluster.cloud.rentedMachineCount() + " largest record " + cluster.store.largestValue);
+        System.out.println(
+                "left behind "
+                        + cluster.serviceLevels().starved().size()
+                        + " "
+                        + cluster.serviceLevels().starved().stream().limit(5).toList()
+                        + " open "
+                        + cluster.unfinishedJobs()
+                        + " broken "
+                        + cluster.violations()
+                        + " machines "
+                        + cluster.cloud.rentedMachineCount()
+                        + " largest record "
+                        + cluster.store.largestValue);
     }
 }
--- a/src/test/java/io/quincelead/simulation/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -5,7 +5,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 over all calls and answers of one simulation, in the order of simulated events: equal digests mean equal behaviour, byte for byte. */
+/**
+ * SHA-256 over all calls and answers of one simulation, in the order of simulated events: equal
+ * digests mean equal behaviour, byte for byte.
+ */
 final class HistoryDigest {
     private final MessageDigest sha256;
     private long messages;
--- a/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -16,37 +16,50 @@
 
     private SimulatedWorker addMachine(String zone, boolean spot) {
         machineCount++;
-        SimulatedWorker worker = new SimulatedWorker(cluster, "i-" + machineCount, "10.1.0." + machineCount + ":9000", cluster.cloud.machineType("small"), zone, spot);
+        SimulatedWorker worker =
+                new SimulatedWorker(
+                        cluster,
+                        "i-" + machineCount,
+                        "10.1.0." + machineCount + ":9000",
+                        cluster.cloud.machineType("small"),
+                        zone,
+                        spot);
         cluster.cloud.machines.put(worker.host, worker);
         return worker;
     }
 
-    private SimulatedWorker.SimulatedTask runTask(SimulatedWorker worker, JobSpec job, int index, long attempt) {
+    private SimulatedWorker.SimulatedTask runTask(
+            SimulatedWorker worker, JobSpec job, int index, long attempt) {
         cluster.jobsById.put(job.jobId(), job);
-        SimulatedWorker.SimulatedTask task = new SimulatedWorker.SimulatedTask(job.jobId() + "/" + index, attempt);
+        SimulatedWorker.SimulatedTask task =
+                new SimulatedWorker.SimulatedTask(job.jobId() + "/" + index, attempt);
         worker.tasks.put(task.name + "#" + attempt, task);
         cluster.onTaskStarted(worker, task, job);
         task.status = "running";
-        cluster.clock.schedule(1, () -> { });
+        cluster.clock.schedule(1, () -> {});
         cluster.clock.runUntil(cluster.clock.nowMillis() + 2);
         return task;
     }
 
     private void assertTripped(String rule) {
-        assertTrue(cluster.violations().stream().anyMatch(violation -> violation.startsWith(rule)), rule + " in " + cluster.violations());
+        assertTrue(
+                cluster.violations().stream().anyMatch(violation -> violation.startsWith(rule)),
+                rule + " in " + cluster.violations());
     }
 
     private static JobSpec plainJob() {
         return JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10);
     }
 
-    @Test void taskRunningTwiceIsDetected() {
+    @Test
+    void taskRunningTwiceIsDetected() {
         runTask(addMachine("a", true), plainJob(), 0, 1);
         runTask(addMachine("b", true), plainJob(), 0, 2);
         assertTripped("ran_twice");
     }
 
-    @Test void exceededQuotaIsDetected() {
+    @Test
+    void exceededQuotaIsDetected() {
         JobSpec job = JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 40, 8, 10);
         for (int i = 0; i < 4; i++) {
             runTask(addMachine("a", true), job, i, 1);
@@ -54,40 +67,104 @@
         assertTripped("quota");
     }
 
-    @Test void wrongMachineTypeIsDetected() {
-        runTask(addMachine("a", true), JobFixtures.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 2, 1, 0, 5, List.of("big"), null, false, false, true, 0), 0, 1);
+    @Test
+    void wrongMachineTypeIsDetected() {
+        runTask(
+                addMachine("a", true),
+                JobFixtures.job(
+                        1,
+                        "red",
+                        JobSpec.Mode.ARRAY,
+                        JobSpec.Priority.NORMAL,
+                        2,
+                        1,
+                        0,
+                        5,
+                        List.of("big"),
+                        null,
+                        false,
+                        false,
+                        true,
+                        0),
+                0,
+                1);
         assertTripped("wrong_place");
     }
 
-    @Test void violatedZoneAffinityIsDetected() {
-        JobSpec job = JobFixtures.job(1, "red", JobSpec.Mode.ARRAY, JobSpec.Priority.NORMAL, 2, 1, 0, 5, null, null, true, false, true, 0);
+    @Test
+    void violatedZoneAffinityIsDetected() {
+        JobSpec job =
+                JobFixtures.job(
+                        1,
+                        "red",
+                        JobSpec.Mode.ARRAY,
+                        JobSpec.Priority.NORMAL,
+                        2,
+                        1,
+                        0,
+                        5,
+                        null,
+                        null,
+                        true,
+                        false,
+                        true,
+                        0);
         runTask(addMachine("a", true), job, 0, 1);
         runTask(addMachine("b", true), job, 1, 1);
         assertTripped("wrong_place");
     }
 
-    @Test void taskRunningAfterCancellationIsDetected() {
+    @Test
+    void taskRunningAfterCancellationIsDetected() {
         JobSpec job = plainJob();
         runTask(addMachine("a", true), job, 0, 1);
-        cluster.network.setHandler("10.0.0.1:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
-        cluster.network.setHandler("10.0.0.2:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
-        cluster.network.setHandler("10.0.0.3:8080", request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled")));
+        cluster.network.setHandler(
+                "10.0.0.1:8080",
+                request ->
+                        request.respond(
+                                200,
+                                WireFormat.newMap()
+                                        .put("nameId", job.jobId())
+                                        .put("status", "cancelled")));
+        cluster.network.setHandler(
+                "10.0.0.2:8080",
+                request ->
+                        request.respond(
+                                200,
+                                WireFormat.newMap()
+                                        .put("nameId", job.jobId())
+                                        .put("status", "cancelled")));
+        cluster.network.setHandler(
+                "10.0.0.3:8080",
+                request ->
+                        request.respond(
+                                200,
+                                WireFormat.newMap()
+                                        .put("nameId", job.jobId())
+                                        .put("status", "cancelled")));
         cluster.cancel(job.jobId());
         cluster.clock.runUntil(60_000);
         assertTripped("ran_cancelled");
     }
 
     private void answerEverywhere(int status, String answer) {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
-            if (request.method.equals("POST")) {
-                request.respond(201, WireFormat.newMap().put("status", "pending"));
-            } else {
-                request.respond(status, WireFormat.newMap().put("status", answer));
-            }
-        }));
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request -> {
+                                    if (request.method.equals("POST")) {
+                                        request.respond(
+                                                201, WireFormat.newMap().put("status", "pending"));
+                                    } else {
+                                        request.respond(
+                                                status, WireFormat.newMap().put("status", answer));
+                                    }
+                                }));
     }
 
-    @Test void forgottenJobIsDetected() {
+    @Test
+    void forgottenJobIsDetected() {
         answerEverywhere(404, "");
         cluster.submit(plainJob());
         cluster.clock.runUntil(20_000);
@@ -95,16 +172,23 @@
     }
 
     /** A poll that is never answered, whatever others are told. */
-    @Test void unansweredJobIsDetected() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
-            if (request.method.equals("POST")) {
-                request.respond(201, WireFormat.newMap().put("status", "pending"));
-            } else if (request.path.endsWith("2")) {
-                request.respond(200, WireFormat.newMap().put("status", "pending"));
-            } else {
-                request.respondRetryLater(503, "not ready");
-            }
-        }));
+    @Test
+    void unansweredJobIsDetected() {
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request -> {
+                                    if (request.method.equals("POST")) {
+                                        request.respond(
+                                                201, WireFormat.newMap().put("status", "pending"));
+                                    } else if (request.path.endsWith("2")) {
+                                        request.respond(
+                                                200, WireFormat.newMap().put("status", "pending"));
+                                    } else {
+                                        request.respondRetryLater(503, "not ready");
+                                    }
+                                }));
         cluster.expectFaultsUntil(40_000);
         cluster.submit(plainJob());
         cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 4, 2, 10));
@@ -115,10 +199,18 @@
     }
 
     /** By class, by team, by size, and by the time of the first start. */
-    @Test void starvedJobsAreDetected() {
+    @Test
+    void starvedJobsAreDetected() {
         answerEverywhere(200, "pending");
         for (int i = 1; i <= 11; i++) {
-            cluster.submit(JobFixtures.array(i, i == 11 ? "blue" : "red", JobSpec.Priority.NORMAL, i == 10 ? 40 : 4, 2, 10));
+            cluster.submit(
+                    JobFixtures.array(
+                            i,
+                            i == 11 ? "blue" : "red",
+                            JobSpec.Priority.NORMAL,
+                            i == 10 ? 40 : 4,
+                            2,
+                            10));
         }
         cluster.clock.runUntil(20_000);
         for (int i = 1; i <= 9; i++) {
@@ -130,41 +222,63 @@
             cluster.checkAnswer(id, "done", null);
         }
         cluster.clock.runUntil(239_000);
-        assertEquals(List.of("largest of class quick: 0.0 served", "team blue: 0.0 served"), cluster.serviceLevels().starved());
+        assertEquals(
+                List.of("largest of class quick: 0.0 served", "team blue: 0.0 served"),
+                cluster.serviceLevels().starved());
         runTask(addMachine("a", true), cluster.jobsById.get("wk-000011"), 0, 1);
         cluster.clock.runUntil(241_000);
-        assertTrue(cluster.serviceLevels().starved().contains("wk-000010 (40 tasks, NORMAL) began after 241 s"), "" + cluster.serviceLevels().starved());
-        assertTrue(cluster.serviceLevels().starved().stream().noneMatch(line -> line.startsWith("wk-000011")), "" + cluster.serviceLevels().starved());
+        assertTrue(
+                cluster.serviceLevels()
+                        .starved()
+                        .contains("wk-000010 (40 tasks, NORMAL) began after 241 s"),
+                "" + cluster.serviceLevels().starved());
+        assertTrue(
+                cluster.serviceLevels().starved().stream()
+                        .noneMatch(line -> line.startsWith("wk-000011")),
+                "" + cluster.serviceLevels().starved());
     }
 
     /** What was carried out arrives again. */
-    @Test void duplicatedRequestsArrive() {
+    @Test
+    void duplicatedRequestsArrive() {
         int[] requests = {0};
         cluster.network.duplicationRate = 1;
-        cluster.network.setHandler("10.9.0.1:1", request -> {
-            requests[0]++;
-            request.respond(200, WireFormat.newMap());
-        });
-        cluster.network.call(SimulatedCluster.USERS_ADDRESS, "10.9.0.1:1", "POST", "/x", null, 1_000, (status, body, retryAfterSeconds) -> { });
+        cluster.network.setHandler(
+                "10.9.0.1:1",
+                request -> {
+                    requests[0]++;
+                    request.respond(200, WireFormat.newMap());
+                });
+        cluster.network.call(
+                SimulatedCluster.USERS_ADDRESS,
+                "10.9.0.1:1",
+                "POST",
+                "/x",
+                null,
+                1_000,
+                (status, body, retryAfterSeconds) -> {});
         cluster.clock.runUntil(200_000);
         assertEquals(2, requests[0]);
     }
 
-    @Test void inventedJobIsDetected() {
+    @Test
+    void inventedJobIsDetected() {
         answerEverywhere(200, "running");
         cluster.query("wk-77");
         cluster.clock.runUntil(20_000);
         assertTripped("invented");
     }
 
-    @Test void unfinishedJobReportedDoneIsDetected() {
+    @Test
+    void unfinishedJobReportedDoneIsDetected() {
         answerEverywhere(200, "done");
         cluster.submit(plainJob());
         cluster.clock.runUntil(20_000);
         assertTripped("not_done");
     }
 
-    @Test void revokedFinalStatusIsDetected() {
+    @Test
+    void revokedFinalStatusIsDetected() {
         answerEverywhere(200, "cancelled");
         cluster.submit(plainJob());
         cluster.clock.runUntil(20_000);
@@ -173,21 +287,32 @@
 
     private void confirmCancellation(JobSpec job) {
         cluster.jobsById.put(job.jobId(), job);
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("nameId", job.jobId()).put("status", "cancelled"))));
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request ->
+                                        request.respond(
+                                                200,
+                                                WireFormat.newMap()
+                                                        .put("nameId", job.jobId())
+                                                        .put("status", "cancelled"))));
         cluster.cancel(job.jobId());
         cluster.clock.runUntil(cluster.clock.nowMillis() + 1_000);
         assertTrue(cluster.cancellationConfirmedAtMillis(job.jobId()) >= 0);
     }
 
     /** At once, not only after {@code cancel_s}. */
-    @Test void startAfterConfirmedCancellationIsDetected() {
+    @Test
+    void startAfterConfirmedCancellationIsDetected() {
         confirmCancellation(plainJob());
         assertEquals(Set.of(), cluster.violations());
         runTask(addMachine("a", true), plainJob(), 0, 1);
         assertTripped("ran_cancelled: wk-000001/0 starts");
     }
 
-    @Test void cancelledTaskResumingOnHungMachineIsDetected() {
+    @Test
+    void cancelledTaskResumingOnHungMachineIsDetected() {
         JobSpec job = plainJob();
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
@@ -199,63 +324,118 @@
         assertTripped("ran_cancelled: wk-000001/0 goes on after i-1 hung");
     }
 
-    /** Fewer tasks are done than anybody had been told before the question was sent; not: before its answer came. */
-    @Test void staleAnswerIsDetected() {
+    /**
+     * Fewer tasks are done than anybody had been told before the question was sent; not: before its
+     * answer came.
+     */
+    @Test
+    void staleAnswerIsDetected() {
         int[] done = {3};
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("status", "running").put("done", done[0]))));
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request ->
+                                        request.respond(
+                                                200,
+                                                WireFormat.newMap()
+                                                        .put("status", "running")
+                                                        .put("done", done[0]))));
         cluster.submit(plainJob());
         cluster.clock.runUntil(1_000);
         cluster.query("wk-000001", 0);
         done[0] = 2;
-        cluster.checkAnswer("wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
+        cluster.checkAnswer(
+                "wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.query("wk-000001", 1);
         cluster.clock.runUntil(1_100);
         assertTripped("older: wk-000001: 2 tasks are done, there were 3");
     }
 
-    @Test void overtakenAnswerIsNotStale() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(200, WireFormat.newMap().put("status", "running").put("done", 2))));
+    @Test
+    void overtakenAnswerIsNotStale() {
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request ->
+                                        request.respond(
+                                                200,
+                                                WireFormat.newMap()
+                                                        .put("status", "running")
+                                                        .put("done", 2))));
         cluster.submit(plainJob());
         cluster.query("wk-000001", 0);
-        cluster.checkAnswer("wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
+        cluster.checkAnswer(
+                "wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.clock.runUntil(500);
         assertEquals(Set.of(), cluster.violations());
     }
 
-    @Test void acceptedUnrunnableJobIsDetected() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respond(201, WireFormat.newMap().put("status", "pending"))));
-        cluster.submitUnacceptable("wk-700001", WireFormat.CBOR.encode(plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)), 422);
+    @Test
+    void acceptedUnrunnableJobIsDetected() {
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request ->
+                                        request.respond(
+                                                201,
+                                                WireFormat.newMap().put("status", "pending"))));
+        cluster.submitUnacceptable(
+                "wk-700001",
+                WireFormat.CBOR.encode(
+                        plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)),
+                422);
         cluster.clock.runUntil(500);
         assertTripped("accepted: wk-700001 can't run");
     }
 
-    @Test void refusalWithWrongStatusIsDetected() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> request.respondError(422, "")));
+    @Test
+    void refusalWithWrongStatusIsDetected() {
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress, request -> request.respondError(422, "")));
         cluster.submitUnacceptable("wk-700001", new byte[] {1}, 400);
         cluster.clock.runUntil(500);
         assertTripped("accepted: wk-700001 got 422 instead of 400");
         assertEquals(0, cluster.users.refusedCount);
     }
 
-    @Test void doubleAcceptanceAndUnknownCancellationAreDetected() {
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
-            if (request.path.endsWith("/cancel")) {
-                request.respondError(404, "");
-            } else {
-                request.respond(201, WireFormat.newMap().put("status", "pending"));
-            }
-        }));
+    @Test
+    void doubleAcceptanceAndUnknownCancellationAreDetected() {
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request -> {
+                                    if (request.path.endsWith("/cancel")) {
+                                        request.respondError(404, "");
+                                    } else {
+                                        request.respond(
+                                                201, WireFormat.newMap().put("status", "pending"));
+                                    }
+                                }));
         cluster.submit(plainJob());
         cluster.clock.runUntil(500);
         assertEquals(Set.of(), cluster.violations());
         cluster.submit(plainJob());
         cluster.cancel("wk-000001");
         cluster.clock.runUntil(900);
-        assertEquals(Set.of("forgotten: wk-000001 was accepted once more", "forgotten: wk-000001 can't be cancelled"), cluster.violations());
+        assertEquals(
+                Set.of(
+                        "forgotten: wk-000001 was accepted once more",
+                        "forgotten: wk-000001 can't be cancelled"),
+                cluster.violations());
     }
 
-    /** By real room: a machine that fits, a team under its limit, and nothing for 90 s; not where either is missing or just being passed on. */
-    @Test void waitingDespiteFreeCapacityIsDetected() {
+    /**
+     * By real room: a machine that fits, a team under its limit, and nothing for 90 s; not where
+     * either is missing or just being passed on.
+     */
+    @Test
+    void waitingDespiteFreeCapacityIsDetected() {
         answerEverywhere(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
@@ -269,7 +449,10 @@
         JobSpec filling = JobFixtures.array(4, "blue", JobSpec.Priority.NORMAL, 24, 1, 10);
         cluster.submit(filling);
         for (int i = 0; i < 24; i++) {
-            SimulatedWorker otherWorker = i % 8 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
+            SimulatedWorker otherWorker =
+                    i % 8 == 0
+                            ? addMachine("b", true)
+                            : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
         cluster.clock.runUntil(99_000);
@@ -278,7 +461,8 @@
         assertEquals(Set.of("waiting: wk-000001 could go on since 11 s"), cluster.violations());
     }
 
-    @Test void placeBeingHandedOverIsNotFree() {
+    @Test
+    void placeBeingHandedOverIsNotFree() {
         answerEverywhere(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
@@ -296,8 +480,12 @@
         assertEquals(Set.of(), cluster.violations());
     }
 
-    /** Who could not have begun, for its team was at its limit with work as urgent, is not left behind; who could have is. */
-    @Test void jobsBehindMoreUrgentWorkAreNotStarved() {
+    /**
+     * Who could not have begun, for its team was at its limit with work as urgent, is not left
+     * behind; who could have is.
+     */
+    @Test
+    void jobsBehindMoreUrgentWorkAreNotStarved() {
         answerEverywhere(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
@@ -308,56 +496,97 @@
         cluster.submit(low);
         cluster.submit(filling);
         for (int i = 0; i < 12; i++) {
-            SimulatedWorker otherWorker = i % 4 == 0 ? addMachine("b", true) : cluster.cloud.machines.get("i-" + machineCount);
+            SimulatedWorker otherWorker =
+                    i % 4 == 0
+                            ? addMachine("b", true)
+                            : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
         cluster.clock.runUntil(250_000);
-        assertTrue(cluster.startableSeconds(high.jobId()) > 200, "high: " + cluster.startableSeconds(high.jobId()));
+        assertTrue(
+                cluster.startableSeconds(high.jobId()) > 200,
+                "high: " + cluster.startableSeconds(high.jobId()));
         assertEquals(0, cluster.startableSeconds(low.jobId()));
-        assertTrue(CompoundFaults.starvedDespiteCapacity(cluster).stream().anyMatch(line -> line.startsWith(high.jobId())));
-        assertTrue(CompoundFaults.starvedDespiteCapacity(cluster).stream().noneMatch(line -> line.startsWith(low.jobId())));
+        assertTrue(
+                CompoundFaults.starvedDespiteCapacity(cluster).stream()
+                        .anyMatch(line -> line.startsWith(high.jobId())));
+        assertTrue(
+                CompoundFaults.starvedDespiteCapacity(cluster).stream()
+                        .noneMatch(line -> line.startsWith(low.jobId())));
     }
 
     /** Carried out, and nobody hears of it. */
-    @Test void storeResponseIsLostAfterCommit() {
+    @Test
+    void storeResponseIsLostAfterCommit() {
         int[] status = {-1};
         cluster.store.responseLossRate = 1;
-        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(WireFormat.JSON.decodeMap(
-                "{\"guards\":[],\"then\":[{\"put\":\"a/x\",\"value\":{}}]}".getBytes(java.nio.charset.StandardCharsets.UTF_8))), 1_000, (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
+        cluster.network.call(
+                "10.0.0.1:0",
+                SimulatedCluster.STORE_ADDRESS,
+                "POST",
+                "/commit",
+                WireFormat.CBOR.encode(
+                        WireFormat.JSON.decodeMap(
+                                "{\"guards\":[],\"then\":[{\"put\":\"a/x\",\"value\":{}}]}"
+                                        .getBytes(java.nio.charset.StandardCharsets.UTF_8))),
+                1_000,
+                (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
         cluster.clock.runUntil(2_000);
         assertEquals(0, status[0]);
         assertEquals(1, cluster.store.lostResponses);
         assertTrue(cluster.store.value("a/x") != null);
     }
 
-    /** Reports are kept for the next leader, or held up until it acts; who reaches nobody answers direct commands. */
-    @Test void heartbeatsAreRetainedAndHeld() {
+    /**
+     * Reports are kept for the next leader, or held up until it acts; who reaches nobody answers
+     * direct commands.
+     */
+    @Test
+    void heartbeatsAreRetainedAndHeld() {
         int[] requests = {0};
-        cluster.controllers.forEach(controller -> cluster.network.setHandler(controller.userAddress, request -> {
-            requests[0]++;
-            request.respond(200, WireFormat.newMap().put("epoch", 1));
-        }));
+        cluster.controllers.forEach(
+                controller ->
+                        cluster.network.setHandler(
+                                controller.userAddress,
+                                request -> {
+                                    requests[0]++;
+                                    request.respond(200, WireFormat.newMap().put("epoch", 1));
+                                }));
         SimulatedWorker worker = addMachine("a", true);
         cluster.network.heartbeatRetentionRate = 1;
         worker.boot();
         cluster.clock.runUntil(4_500);
         int sent = requests[0];
         cluster.network.heartbeatRetentionRate = 0;
-        cluster.network.replayRetainedHeartbeats(cluster.controllers.stream().map(controller -> controller.userAddress).toList());
+        cluster.network.replayRetainedHeartbeats(
+                cluster.controllers.stream().map(controller -> controller.userAddress).toList());
         cluster.clock.runUntil(4_990);
-        assertTrue(sent > 3 && cluster.network.replayedHeartbeats >= 3 * sent && cluster.network.replayedHeartbeats % 3 == 0, sent + " sent, " + cluster.network.replayedHeartbeats + " arrived");
+        assertTrue(
+                sent > 3
+                        && cluster.network.replayedHeartbeats >= 3 * sent
+                        && cluster.network.replayedHeartbeats % 3 == 0,
+                sent + " sent, " + cluster.network.replayedHeartbeats + " arrived");
         cluster.network.heartbeatHoldRate = 1;
         cluster.clock.runUntil(9_000);
         int requestsBefore = requests[0];
         cluster.network.heartbeatHoldRate = 0;
         cluster.network.releaseHeldHeartbeats();
         cluster.clock.runUntil(9_450);
-        assertTrue(cluster.network.releasedHeartbeats > 0 && requests[0] >= requestsBefore + cluster.network.releasedHeartbeats);
+        assertTrue(
+                cluster.network.releasedHeartbeats > 0
+                        && requests[0] >= requestsBefore + cluster.network.releasedHeartbeats);
         worker.unreachableOutbound = true;
         cluster.clock.runUntil(15_000);
         int requestsWhileUnreachable = requests[0];
         int[] status = {0};
-        cluster.network.call("10.0.0.1:0", worker.address, "GET", "/show", null, 1_000, (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
+        cluster.network.call(
+                "10.0.0.1:0",
+                worker.address,
+                "GET",
+                "/show",
+                null,
+                1_000,
+                (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
         cluster.clock.runUntil(22_000);
         assertEquals(requestsWhileUnreachable, requests[0]);
         assertEquals(200, status[0]);
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A change is carried out at once and only its answer is lost, while others read what it wrote and act on it (docs/design/meetings.md);
- * and cancellations at each step of a hand-over, which is made of such changes.
+ * A change is carried out at once and only its answer is lost, while others read what it wrote and
+ * act on it (docs/design/meetings.md); and cancellations at each step of a hand-over, which is made
+ * of such changes.
  */
 class LostResponseTest {
     private static boolean removes(ObjectNode transaction, String prefix) {
@@ -38,7 +39,8 @@
 
     private static boolean putsValueWithField(ObjectNode transaction, String prefix, String field) {
         for (JsonNode operation : transaction.path("then")) {
-            if (operation.path("put").asText().startsWith(prefix) && operation.path("value").has(field)) {
+            if (operation.path("put").asText().startsWith(prefix)
+                    && operation.path("value").has(field)) {
                 return true;
             }
         }
@@ -47,19 +49,60 @@
 
     /** Every kind of commit, by what it writes and what it is guarded by. */
     private enum CommitKind {
-        SCHEDULING_CYCLE(transaction -> (puts(transaction, "a/j/") || puts(transaction, "a/t/")) && hasPrecondition(transaction, "a/b/") && !hasPrecondition(transaction, "z/") && !puts(transaction, "a/b/")),
-        ADMITTING_SCHEDULING_CYCLE(transaction -> puts(transaction, "a/j/") && hasPrecondition(transaction, "z/") && hasPrecondition(transaction, "a/b/")),
-        SUBMISSION(transaction -> puts(transaction, "a/j/") && hasPrecondition(transaction, "z/") && !hasPrecondition(transaction, "a/b/")),
-        CANCELLATION(transaction -> transaction.path("then").size() == 1 && putsValueWithField(transaction, "a/j/", "x") && !hasPrecondition(transaction, "a/b/") && !hasPrecondition(transaction, "a/lead")),
+        SCHEDULING_CYCLE(
+                transaction ->
+                        (puts(transaction, "a/j/") || puts(transaction, "a/t/"))
+                                && hasPrecondition(transaction, "a/b/")
+                                && !hasPrecondition(transaction, "z/")
+                                && !puts(transaction, "a/b/")),
+        ADMITTING_SCHEDULING_CYCLE(
+                transaction ->
+                        puts(transaction, "a/j/")
+                                && hasPrecondition(transaction, "z/")
+                                && hasPrecondition(transaction, "a/b/")),
+        SUBMISSION(
+                transaction ->
+                        puts(transaction, "a/j/")
+                                && hasPrecondition(transaction, "z/")
+                                && !hasPrecondition(transaction, "a/b/")),
+        CANCELLATION(
+                transaction ->
+                        transaction.path("then").size() == 1
+                                && putsValueWithField(transaction, "a/j/", "x")
+                                && !hasPrecondition(transaction, "a/b/")
+                                && !hasPrecondition(transaction, "a/lead")),
         COMPLETION(transaction -> puts(transaction, "z/wk-")),
-        SHARD_GRANT(transaction -> puts(transaction, "a/b/") && hasPrecondition(transaction, "a/lead") && puts(transaction, "a/term")),
-        QUOTA_SHARES(transaction -> puts(transaction, "a/b/") && hasPrecondition(transaction, "a/lead") && !puts(transaction, "a/term") && !puts(transaction, "a/j/") && !puts(transaction, "a/m/")),
-        REASSIGNMENT(transaction -> puts(transaction, "a/j/") && hasPrecondition(transaction, "a/lead") && transaction.path("then").size() <= 12 && !hasPrecondition(transaction, "a/oc/")),
+        SHARD_GRANT(
+                transaction ->
+                        puts(transaction, "a/b/")
+                                && hasPrecondition(transaction, "a/lead")
+                                && puts(transaction, "a/term")),
+        QUOTA_SHARES(
+                transaction ->
+                        puts(transaction, "a/b/")
+                                && hasPrecondition(transaction, "a/lead")
+                                && !puts(transaction, "a/term")
+                                && !puts(transaction, "a/j/")
+                                && !puts(transaction, "a/m/")),
+        REASSIGNMENT(
+                transaction ->
+                        puts(transaction, "a/j/")
+                                && hasPrecondition(transaction, "a/lead")
+                                && transaction.path("then").size() <= 12
+                                && !hasPrecondition(transaction, "a/oc/")),
         CANDIDACY(transaction -> puts(transaction, "a/lead") && puts(transaction, "a/term")),
-        MACHINE_LOSS(transaction -> puts(transaction, "a/m/") && puts(transaction, "a/b/") && !hasPrecondition(transaction, "a/lead")),
+        MACHINE_LOSS(
+                transaction ->
+                        puts(transaction, "a/m/")
+                                && puts(transaction, "a/b/")
+                                && !hasPrecondition(transaction, "a/lead")),
         PROVISIONING_REQUEST(transaction -> puts(transaction, "a/r/")),
         PROVISIONING_SETTLEMENT(transaction -> removes(transaction, "a/r/")),
-        MACHINE_RECORDS(transaction -> (puts(transaction, "a/m/") || removes(transaction, "a/m/")) && hasPrecondition(transaction, "a/lead") && !removes(transaction, "a/r/")),
+        MACHINE_RECORDS(
+                transaction ->
+                        (puts(transaction, "a/m/") || removes(transaction, "a/m/"))
+                                && hasPrecondition(transaction, "a/lead")
+                                && !removes(transaction, "a/r/")),
         CATALOG(transaction -> puts(transaction, "a/c/")),
         MEMBER_ANNOUNCEMENT(transaction -> puts(transaction, "a/n/"));
 
@@ -71,11 +114,15 @@
     }
 
     /** What its writer does then. */
-    private enum WriterFate { CONTINUES, CRASHES }
+    private enum WriterFate {
+        CONTINUES,
+        CRASHES
+    }
 
     /**
-     * A day on which all of these happen: jobs of all kinds, cancellations, machines that come, go, hang and die, and controllers that end.
-     * The first answers of one kind are lost, and so is every second one after that; the writer goes on or ends.
+     * A day on which all of these happen: jobs of all kinds, cancellations, machines that come, go,
+     * hang and die, and controllers that end. The first answers of one kind are lost, and so is
+     * every second one after that; the writer goes on or ends.
      */
     @ParameterizedTest
     @EnumSource(CommitKind.class)
@@ -86,56 +133,115 @@
                 cluster.submissionRetryMillis = 200_000;
                 int[] occurrences = {0};
                 int[] laterWrites = {0};
-                cluster.store.dropsResponse = transaction -> {
-                    if (!kind.matcher.test(transaction)) {
-                        return false;
-                    }
-                    occurrences[0]++;
-                    if (occurrences[0] > 4 && occurrences[0] % 2 == 0) {
-                        return false;
-                    }
-                    long revision = cluster.store.revision();
-                    cluster.clock.schedule(60, () -> laterWrites[0] += cluster.store.revision() > revision + 1 ? 1 : 0);
-                    if (writerFate == WriterFate.CRASHES && occurrences[0] % 3 == 1 && occurrences[0] < 10) {
-                        // The member that wrote it: whoever of them the records name; the leader where nobody is named.
-                        String name = transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
-                        int writer = name.startsWith("worker-") && name.length() == 8 ? cluster.indexOfController(name) : Math.max(0, CompoundFaults.leaderIndex(cluster));
-                        cluster.clock.schedule(2, () -> FaultInjector.crashController(cluster, writer, 400));
-                    }
-                    return true;
-                };
+                cluster.store.dropsResponse =
+                        transaction -> {
+                            if (!kind.matcher.test(transaction)) {
+                                return false;
+                            }
+                            occurrences[0]++;
+                            if (occurrences[0] > 4 && occurrences[0] % 2 == 0) {
+                                return false;
+                            }
+                            long revision = cluster.store.revision();
+                            cluster.clock.schedule(
+                                    60,
+                                    () ->
+                                            laterWrites[0] +=
+                                                    cluster.store.revision() > revision + 1
+                                                            ? 1
+                                                            : 0);
+                            if (writerFate == WriterFate.CRASHES
+                                    && occurrences[0] % 3 == 1
+                                    && occurrences[0] < 10) {
+                                // The member that wrote it: whoever of them the records name; the
+                                // leader where nobody is named.
+                                String name =
+                                        transaction
+                                                .toString()
+                                                .replaceAll("(?s).*(worker-\\d).*", "$1");
+                                int writer =
+                                        name.startsWith("worker-") && name.length() == 8
+                                                ? cluster.indexOfController(name)
+                                                : Math.max(0, CompoundFaults.leaderIndex(cluster));
+                                cluster.clock.schedule(
+                                        2,
+                                        () -> FaultInjector.crashController(cluster, writer, 400));
+                            }
+                            return true;
+                        };
                 cluster.start();
                 cluster.users.consistencyProbes = true;
                 for (int i = 1; i <= 30; i++) {
-                    JobSpec job = i == 5 ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5) : JobFixtures.randomJob(i, cluster.clock.random);
+                    JobSpec job =
+                            i == 5
+                                    ? JobFixtures.array(
+                                            i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
+                                    : JobFixtures.randomJob(i, cluster.clock.random);
                     cluster.clock.schedule(4_000 + i * 2_000L, () -> cluster.submit(job));
                     if (job.isService() || i % 5 == 0) {
-                        cluster.clock.schedule(7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), () -> cluster.cancel(job.jobId()));
+                        cluster.clock.schedule(
+                                7_000 + i * 2_000L + (job.isService() ? 30_000 : 0),
+                                () -> cluster.cancel(job.jobId()));
                     }
                 }
-                cluster.clock.schedule(25_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-                cluster.clock.schedule(30_000, () -> FaultInjector.crashController(cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 15_000));
-                cluster.clock.schedule(55_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 500));
-                cluster.clock.schedule(62_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-                cluster.clock.schedule(100_000, () -> cluster.store.dropsResponse = transaction -> false);
+                cluster.clock.schedule(
+                        25_000,
+                        () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
+                cluster.clock.schedule(
+                        30_000,
+                        () ->
+                                FaultInjector.crashController(
+                                        cluster,
+                                        (CompoundFaults.leaderIndex(cluster) + 1) % 3,
+                                        15_000));
+                cluster.clock.schedule(
+                        55_000,
+                        () ->
+                                FaultInjector.crashController(
+                                        cluster,
+                                        Math.max(0, CompoundFaults.leaderIndex(cluster)),
+                                        500));
+                cluster.clock.schedule(
+                        62_000,
+                        () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
+                cluster.clock.schedule(
+                        100_000, () -> cluster.store.dropsResponse = transaction -> false);
                 cluster.expectFaultsUntil(100_000);
                 cluster.clock.runUntil(500_000);
                 assertTrue(occurrences[0] > 0, kind + ": none came");
-                assertEquals(Set.of(), cluster.violations(), kind + ", " + writerFate + ", seed " + seed);
-                assertEquals(List.of(), cluster.unfinishedJobs(), kind + ", " + writerFate + ", seed " + seed);
+                assertEquals(
+                        Set.of(),
+                        cluster.violations(),
+                        kind + ", " + writerFate + ", seed " + seed);
+                assertEquals(
+                        List.of(),
+                        cluster.unfinishedJobs(),
+                        kind + ", " + writerFate + ", seed " + seed);
                 assertEquals(30, cluster.acceptedJobCount());
-                long busyMachines = cluster.cloud.machines.values().stream().filter(worker -> !worker.released && !worker.tasks.isEmpty()).count();
+                long busyMachines =
+                        cluster.cloud.machines.values().stream()
+                                .filter(worker -> !worker.released && !worker.tasks.isEmpty())
+                                .count();
                 assertEquals(0, busyMachines, "machines with tasks at the end");
             }
         }
     }
 
-    /** Where the cancellations come in: just before the change of the hand-over is carried out, or at once after, at one step of it. */
-    private enum CancellationTarget { OLD_OWNER, NEW_OWNER, THIRD_CONTROLLER, ALL_CONTROLLERS }
+    /**
+     * Where the cancellations come in: just before the change of the hand-over is carried out, or
+     * at once after, at one step of it.
+     */
+    private enum CancellationTarget {
+        OLD_OWNER,
+        NEW_OWNER,
+        THIRD_CONTROLLER,
+        ALL_CONTROLLERS
+    }
 
     /**
-     * One controller's work changes hands while its jobs are cancelled: before, between and after the commits that move them, at the old
-     * controller (as it is back), at the new one, at a third and at all; then the heir ends too, or the work goes back.
+     * One controller's work changes hands while its jobs are cancelled: before, between and after
+     * the commits that move them, at the old controller (as it is back), at the new one, at a third
+     * and at all; then the heir ends too, or the work goes back.
      */
     @ParameterizedTest
     @EnumSource(CancellationTarget.class)
@@ -156,54 +262,93 @@
         int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
         int thirdController = (CompoundFaults.leaderIndex(cluster) + 2) % 4;
         for (int i = 1; i <= 30; i++) {
-            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 8 : 60);
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.NORMAL,
+                            1 + i % 3,
+                            1,
+                            i % 3 == 0 ? 8 : 60);
             cluster.clock.schedule(i * 60L, () -> cluster.submit(job, lostController));
         }
         cluster.clock.runUntil(16_000);
         Set<String> newOwners = new TreeSet<>();
         List<String> movedJobs = new ArrayList<>();
         int[] reassignments = {0};
-        cluster.store.arrivalObserver = transaction -> {
-            if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                return;
-            }
-            int current = reassignments[0]++;
-            for (JsonNode operation : transaction.path("then")) {
-                if (operation.path("put").asText().startsWith("a/j/")) {
-                    newOwners.add(operation.path("value").path("c").asText());
-                    movedJobs.add(operation.path("put").asText().substring(4));
-                }
-            }
-            if (current != step) {
-                return;
-            }
-            List<Integer> cancellingControllers = target == CancellationTarget.THIRD_CONTROLLER ? List.of(thirdController) : target == CancellationTarget.OLD_OWNER ? List.of(lostController) : target == CancellationTarget.NEW_OWNER
-                    ? newOwners.stream().map(cluster::indexOfController).toList() : List.of(0, 1, 2, 3);
-            for (int i = 1; i <= 18; i++) {
-                String id = String.format("wk-%06d", i);
-                for (int controller : cancellingControllers) {
-                    // Some arrive before the change that is on its way here, some with it, some after.
-                    cluster.clock.schedule(i % 3 * 4L, () -> cluster.cancel(id, controller));
-                }
-            }
-            if (variant == 1) {
-                cluster.clock.schedule(3, () -> newOwners.forEach(newOwner -> FaultInjector.crashController(cluster, cluster.indexOfController(newOwner), 5_000)));
-            } else if (variant == 2) {
-                // It is back at once, and its heir's work goes to it in turn.
-                cluster.clock.schedule(5, () -> cluster.controllers.get(lostController).start());
-                cluster.clock.schedule(6_000, () -> newOwners.forEach(newOwner -> FaultInjector.crashController(cluster, cluster.indexOfController(newOwner), 9_000)));
-            }
-        };
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+                        return;
+                    }
+                    int current = reassignments[0]++;
+                    for (JsonNode operation : transaction.path("then")) {
+                        if (operation.path("put").asText().startsWith("a/j/")) {
+                            newOwners.add(operation.path("value").path("c").asText());
+                            movedJobs.add(operation.path("put").asText().substring(4));
+                        }
+                    }
+                    if (current != step) {
+                        return;
+                    }
+                    List<Integer> cancellingControllers =
+                            target == CancellationTarget.THIRD_CONTROLLER
+                                    ? List.of(thirdController)
+                                    : target == CancellationTarget.OLD_OWNER
+                                            ? List.of(lostController)
+                                            : target == CancellationTarget.NEW_OWNER
+                                                    ? newOwners.stream()
+                                                            .map(cluster::indexOfController)
+                                                            .toList()
+                                                    : List.of(0, 1, 2, 3);
+                    for (int i = 1; i <= 18; i++) {
+                        String id = String.format("wk-%06d", i);
+                        for (int controller : cancellingControllers) {
+                            // Some arrive before the change that is on its way here, some with it,
+                            // some after.
+                            cluster.clock.schedule(
+                                    i % 3 * 4L, () -> cluster.cancel(id, controller));
+                        }
+                    }
+                    if (variant == 1) {
+                        cluster.clock.schedule(
+                                3,
+                                () ->
+                                        newOwners.forEach(
+                                                newOwner ->
+                                                        FaultInjector.crashController(
+                                                                cluster,
+                                                                cluster.indexOfController(newOwner),
+                                                                5_000)));
+                    } else if (variant == 2) {
+                        // It is back at once, and its heir's work goes to it in turn.
+                        cluster.clock.schedule(
+                                5, () -> cluster.controllers.get(lostController).start());
+                        cluster.clock.schedule(
+                                6_000,
+                                () ->
+                                        newOwners.forEach(
+                                                newOwner ->
+                                                        FaultInjector.crashController(
+                                                                cluster,
+                                                                cluster.indexOfController(newOwner),
+                                                                9_000)));
+                    }
+                };
         cluster.users.consistencyProbes = true;
         cluster.expectFaultsUntil(80_000);
         cluster.controllers.get(lostController).kill();
-        cluster.clock.schedule(45_000, () -> {
-            if (!cluster.controllers.get(lostController).isAlive()) {
-                cluster.controllers.get(lostController).start();
-            }
-        });
+        cluster.clock.schedule(
+                45_000,
+                () -> {
+                    if (!cluster.controllers.get(lostController).isAlive()) {
+                        cluster.controllers.get(lostController).start();
+                    }
+                });
         cluster.clock.runUntil(60_000);
-        assertTrue(reassignments[0] > 0 && !movedJobs.isEmpty(), context + ": nothing was handed over");
+        assertTrue(
+                reassignments[0] > 0 && !movedJobs.isEmpty(),
+                context + ": nothing was handed over");
         if (reassignments[0] <= step) {
             // Fewer changes sufficed: the cancellations then come after the last of them.
             for (int i = 1; i <= 18; i++) {
@@ -219,8 +364,9 @@
     }
 
     /**
-     * The store takes its time: cancellations and ends are recorded between a hand-over's plan and its landing, which must not undo them,
-     * as it rewrites the jobs' records as its writer knew them.
+     * The store takes its time: cancellations and ends are recorded between a hand-over's plan and
+     * its landing, which must not undo them, as it rewrites the jobs' records as its writer knew
+     * them.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -231,35 +377,66 @@
         cluster.clock.runUntil(9_000);
         int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 1 + i % 3, 1, i % 3 == 0 ? 9 : 60);
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.NORMAL,
+                            1 + i % 3,
+                            1,
+                            i % 3 == 0 ? 9 : 60);
             cluster.clock.schedule(i * 50L, () -> cluster.submit(job, lostController));
         }
         cluster.clock.runUntil(16_000);
         cluster.controllers.get(lostController).kill();
         cluster.store.maxExtraLatencyMillis = 900;
         int[] overtakenWrites = {0};
-        cluster.store.arrivalObserver = transaction -> {
-            if (CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                for (JsonNode operation : transaction.path("then")) {
-                    JsonNode current = cluster.store.value(operation.path("put").asText());
-                    boolean isJobRecord = operation.path("put").asText().startsWith("a/j/");
-                    overtakenWrites[0] += isJobRecord && (current == null || current.has("x") && !operation.path("value").has("x")) ? 1 : 0;
-                }
-            }
-        };
+        cluster.store.arrivalObserver =
+                transaction -> {
+                    if (CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+                        for (JsonNode operation : transaction.path("then")) {
+                            JsonNode current = cluster.store.value(operation.path("put").asText());
+                            boolean isJobRecord = operation.path("put").asText().startsWith("a/j/");
+                            overtakenWrites[0] +=
+                                    isJobRecord
+                                                    && (current == null
+                                                            || current.has("x")
+                                                                    && !operation
+                                                                            .path("value")
+                                                                            .has("x"))
+                                            ? 1
+                                            : 0;
+                        }
+                    }
+                };
         cluster.users.consistencyProbes = true;
-        // As the change is sent, its jobs are cancelled at others: of two requests to a slow store either may be carried out first.
-        cluster.network.requestObserver = (path, body) -> {
-            ObjectNode transaction = path.equals("/commit") ? WireFormat.CBOR.decodeMap(body) : null;
-            if (transaction != null && CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                for (JsonNode operation : transaction.path("then")) {
-                    String id = operation.path("put").asText().startsWith("a/j/") ? operation.path("put").asText().substring(4) : "";
-                    if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
-                        cluster.clock.schedule(1, () -> cluster.cancel(id, (lostController + 2 + cluster.clock.random.nextInt(2)) % 4));
+        // As the change is sent, its jobs are cancelled at others: of two requests to a slow store
+        // either may be carried out first.
+        cluster.network.requestObserver =
+                (path, body) -> {
+                    ObjectNode transaction =
+                            path.equals("/commit") ? WireFormat.CBOR.decodeMap(body) : null;
+                    if (transaction != null && CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+                        for (JsonNode operation : transaction.path("then")) {
+                            String id =
+                                    operation.path("put").asText().startsWith("a/j/")
+                                            ? operation.path("put").asText().substring(4)
+                                            : "";
+                            if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
+                                cluster.clock.schedule(
+                                        1,
+                                        () ->
+                                                cluster.cancel(
+                                                        id,
+                                                        (lostController
+                                                                        + 2
+                                                                        + cluster.clock.random
+                                                                                .nextInt(2))
+                                                                % 4));
+                            }
+                        }
                     }
-                }
-            }
-        };
+                };
         cluster.clock.schedule(25_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         cluster.clock.schedule(30_000, cluster.controllers.get(lostController)::start);
         cluster.expectFaultsUntil(50_000);
@@ -269,7 +446,10 @@
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Answers get lost while everybody reads and submits again, and leaders end: nothing is accepted twice or forgotten. */
+    /**
+     * Answers get lost while everybody reads and submits again, and leaders end: nothing is
+     * accepted twice or forgotten.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void jobsSurviveLossOfHalfTheStoreResponses(long seed) {
@@ -280,11 +460,24 @@
         cluster.users.cancelAtOnceRate = 0.2;
         cluster.store.responseLossRate = 0.5;
         for (int i = 1; i <= 24; i++) {
-            JobSpec job = JobFixtures.array(i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[i % 4], 1 + i % 5, 1, 10);
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.values()[i % 4],
+                            1 + i % 5,
+                            1,
+                            10);
             cluster.clock.schedule(5_000 + i * 1_500L, () -> cluster.submit(job));
         }
         for (int k = 1; k <= 3; k++) {
-            cluster.clock.schedule(k * 15_000L, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), FaultInjector.quickRestartDelayMillis(cluster)));
+            cluster.clock.schedule(
+                    k * 15_000L,
+                    () ->
+                            FaultInjector.crashController(
+                                    cluster,
+                                    Math.max(0, CompoundFaults.leaderIndex(cluster)),
+                                    FaultInjector.quickRestartDelayMillis(cluster)));
         }
         cluster.clock.schedule(60_000, () -> cluster.store.responseLossRate = 0);
         cluster.expectFaultsUntil(65_000);
