--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -21,11 +21,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Operators' records through the failure of controllers: what is wanted rules whoever leads, what happened is on record once. */
+/**
+ * Operators' records through the failure of controllers: what is wanted rules whoever leads, what
+ * happened is on record once.
+ */
 class OperatorRecordsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
     private static final long PUBLICATION_MILLIS = 220_000;
+
     private static final long WINDOW_OPENS_MILLIS = 120_000;
 
     static ObjectNode json(String text) {
@@ -37,34 +42,67 @@
     }
 
     private static String timeOfDay(long simulatedMillis) {
-        return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis).toString().substring(11, 19);
+        return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis)
+                .toString()
+                .substring(11, 19);
     }
 
-    private static final String DATE = Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
+    private static final String DATE =
+            Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
 
-    /** Repeats a command, at any controller, until it is answered with something else than "later": as an operator would. */
-    static void commandUntilAnswered(SimulatedCluster cluster, String path, ObjectNode body, Map<String, ObjectNode> answers) {
-        cluster.sendOperatorCommand(cluster.clock.random.nextInt(cluster.controllers.size()), path, body, (status, response) -> {
-            if (status == 0 || status == 503 || status == 409) {
-                cluster.clock.schedule(700, () -> commandUntilAnswered(cluster, path, body, answers));
-            } else {
-                answers.put(path, response);
-                assertEquals(200, status, "" + response);
-            }
-        });
+    /**
+     * Repeats a command, at any controller, until it is answered with something else than "later":
+     * as an operator would.
+     */
+    static void commandUntilAnswered(
+            SimulatedCluster cluster,
+            String path,
+            ObjectNode body,
+            Map<String, ObjectNode> answers) {
+        cluster.sendOperatorCommand(
+                cluster.clock.random.nextInt(cluster.controllers.size()),
+                path,
+                body,
+                (status, response) -> {
+                    if (status == 0 || status == 503 || status == 409) {
+                        cluster.clock.schedule(
+                                700, () -> commandUntilAnswered(cluster, path, body, answers));
+                    } else {
+                        answers.put(path, response);
+                        assertEquals(200, status, "" + response);
+                    }
+                });
     }
 
-    static ObjectNode calendarEntry(String name, long publicationMillis, double leadSeconds, String covers) {
-        return json("{'change':'add-" + name + "','entry':{'name':'" + name + "','time':'" + timeOfDay(publicationMillis) + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
-                + "'covers':[" + covers + "],'leadS':" + leadSeconds + ",'graceS':20}}");
+    static ObjectNode calendarEntry(
+            String name, long publicationMillis, double leadSeconds, String covers) {
+        return json(
+                "{'change':'add-"
+                        + name
+                        + "','entry':{'name':'"
+                        + name
+                        + "','time':'"
+                        + timeOfDay(publicationMillis)
+                        + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
+                        + "'covers':["
+                        + covers
+                        + "],'leadS':"
+                        + leadSeconds
+                        + ",'graceS':20}}");
     }
 
     /**
-     * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s, the window opens at 120 s. Forecasts come
-     * from 125 to 190 s.
+     * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s,
+     * the window opens at 120 s. Forecasts come from 125 to 190 s.
      */
     private static SimulatedCluster morningCluster(long seed, boolean calendar) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)), 5);
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)),
+                        5);
         cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
@@ -79,7 +117,15 @@
             cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
         }
         if (calendar) {
-            cluster.clock.schedule(8_000, () -> commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("morning", PUBLICATION_MILLIS, 100, "{'owner':'blue'}"), new HashMap<>()));
+            cluster.clock.schedule(
+                    8_000,
+                    () ->
+                            commandUntilAnswered(
+                                    cluster,
+                                    "/ops/calendar/add",
+                                    calendarEntry(
+                                            "morning", PUBLICATION_MILLIS, 100, "{'owner':'blue'}"),
+                                    new HashMap<>()));
         }
         return cluster;
     }
@@ -87,7 +133,8 @@
     private static List<Long> forecastWaitsMillis(SimulatedCluster cluster) {
         List<Long> result = new ArrayList<>();
         for (int id = 501; id <= 513; id++) {
-            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
+            long startDelayMillis =
+                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
             result.add(startDelayMillis < 0 ? Long.MAX_VALUE : startDelayMillis);
         }
         return result;
@@ -95,44 +142,79 @@
 
     private static void assertLedgerRecord(SimulatedCluster cluster, String state, int jobCount) {
         JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + DATE);
-        assertNotNull(ledgerRecord, "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
+        assertNotNull(
+                ledgerRecord,
+                "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
         assertEquals(state, ledgerRecord.path("st").asText(), "" + ledgerRecord);
         assertEquals(jobCount, ledgerRecord.path("n").asInt(), "" + ledgerRecord);
-        assertEquals(jobCount, ledgerRecord.path("done").asInt() + ledgerRecord.path("cancelled").asInt(), "" + ledgerRecord);
-        assertTrue(cluster.store.ledgerWrites.values().stream().allMatch(count -> count == 1), "written: " + cluster.store.ledgerWrites);
-        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/ok/s/")), "" + cluster.store.keys());
+        assertEquals(
+                jobCount,
+                ledgerRecord.path("done").asInt() + ledgerRecord.path("cancelled").asInt(),
+                "" + ledgerRecord);
+        assertTrue(
+                cluster.store.ledgerWrites.values().stream().allMatch(count -> count == 1),
+                "written: " + cluster.store.ledgerWrites);
+        assertTrue(
+                cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/ok/s/")),
+                "" + cluster.store.keys());
     }
 
     /** Without the calendar, forecasts wait behind all routine work that came before them. */
-    @Test void forecastsWaitInOrderWithoutCalendar() {
+    @Test
+    void forecastsWaitInOrderWithoutCalendar() {
         SimulatedCluster cluster = morningCluster(1, false);
         cluster.clock.runUntil(220_000);
-        assertTrue(forecastWaitsMillis(cluster).stream().filter(delayMillis -> delayMillis > 25_000).count() >= 7, "waits: " + forecastWaitsMillis(cluster));
+        assertTrue(
+                forecastWaitsMillis(cluster).stream()
+                                .filter(delayMillis -> delayMillis > 25_000)
+                                .count()
+                        >= 7,
+                "waits: " + forecastWaitsMillis(cluster));
     }
 
     /**
-     * The leader ends 10 s, 1 s and 0 s before and after the window opens, and before the publication; then all controllers do, back after
-     * 0.1 s and after 5 s. Forecasts go on ranking ahead, but for the take-over itself, and the ledger has one whole record.
+     * The leader ends 10 s, 1 s and 0 s before and after the window opens, and before the
+     * publication; then all controllers do, back after 0.1 s and after 5 s. Forecasts go on ranking
+     * ahead, but for the take-over itself, and the ledger has one whole record.
      */
     @ParameterizedTest
-    @CsvSource({"110000, 1, 3000", "119000, 1, 100", "120000, 1, 3000", "121000, 1, 100", "130000, 1, 3000", "210000, 1, 3000", "219000, 1, 100", "220000, 1, 3000",
-        "140000, 5, 100", "140000, 5, 5000", "221000, 5, 5000"})
+    @CsvSource({
+        "110000, 1, 3000",
+        "119000, 1, 100",
+        "120000, 1, 3000",
+        "121000, 1, 100",
+        "130000, 1, 3000",
+        "210000, 1, 3000",
+        "219000, 1, 100",
+        "220000, 1, 3000",
+        "140000, 5, 100",
+        "140000, 5, 5000",
+        "221000, 5, 5000"
+    })
     void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
         SimulatedCluster cluster = morningCluster(atMillis + crashCount, true);
-        cluster.clock.schedule(atMillis, () -> {
-            if (crashCount == 1) {
-                FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), restartDelayMillis);
-            } else {
-                for (int i = 0; i < crashCount; i++) {
-                    FaultInjector.crashController(cluster, i, restartDelayMillis);
-                }
-            }
-        });
+        cluster.clock.schedule(
+                atMillis,
+                () -> {
+                    if (crashCount == 1) {
+                        FaultInjector.crashController(
+                                cluster,
+                                cluster.indexOfController(
+                                        cluster.store.value("a/lead").path("m").asText()),
+                                restartDelayMillis);
+                    } else {
+                        for (int i = 0; i < crashCount; i++) {
+                            FaultInjector.crashController(cluster, i, restartDelayMillis);
+                        }
+                    }
+                });
         cluster.clock.runUntil(420_000);
         assertEquals(Set.of(), cluster.violations());
         List<Long> waitsMillis = forecastWaitsMillis(cluster);
         long limitMillis = 14_000 + (crashCount > 1 ? restartDelayMillis + 6_000 : 6_000);
-        assertTrue(waitsMillis.stream().allMatch(delayMillis -> delayMillis < limitMillis), "waits: " + waitsMillis);
+        assertTrue(
+                waitsMillis.stream().allMatch(delayMillis -> delayMillis < limitMillis),
+                "waits: " + waitsMillis);
         assertLedgerRecord(cluster, "published", 13);
     }
 
@@ -149,83 +231,203 @@
     }
 
     /** Work that isn't done in time is missed, once, and what was late is seen in the ledger. */
-    @Test void lateOccurrenceStaysMissed() {
+    @Test
+    void lateOccurrenceStaysMissed() {
         SimulatedCluster cluster = morningCluster(3, true);
-        cluster.clock.schedule(200_000, () -> cluster.submit(JobFixtures.array(600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120)));
-        cluster.clock.schedule(260_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.schedule(
+                200_000,
+                () ->
+                        cluster.submit(
+                                JobFixtures.array(
+                                        600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120)));
+        cluster.clock.schedule(
+                260_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster,
+                                cluster.indexOfController(
+                                        cluster.store.value("a/lead").path("m").asText()),
+                                100));
         cluster.clock.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "missed", 14);
-        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("last").asLong() > SimulatedClock.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
-        assertTrue(cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2, "" + cluster.store.value("z/oe/morning/" + DATE));
+        assertTrue(
+                cluster.store.value("z/oe/morning/" + DATE).path("last").asLong()
+                        > SimulatedClock.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
+        assertTrue(
+                cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2,
+                "" + cluster.store.value("z/oe/morning/" + DATE));
     }
 
-    /** Moved while its window is open, it stays open and is judged by the new time; skipped, it is in the ledger as skipped. */
-    @Test void openOccurrenceCanBeMovedAndSkipped() {
+    /**
+     * Moved while its window is open, it stays open and is judged by the new time; skipped, it is
+     * in the ledger as skipped.
+     */
+    @Test
+    void openOccurrenceCanBeMovedAndSkipped() {
         SimulatedCluster cluster = morningCluster(4, true);
-        cluster.clock.schedule(150_000, () -> commandUntilAnswered(cluster, "/ops/calendar/move", json("{'change':'m1','name':'morning','date':'" + DATE + "','time':'" + timeOfDay(300_000) + "'}"), new HashMap<>()));
+        cluster.clock.schedule(
+                150_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster,
+                                "/ops/calendar/move",
+                                json(
+                                        "{'change':'m1','name':'morning','date':'"
+                                                + DATE
+                                                + "','time':'"
+                                                + timeOfDay(300_000)
+                                                + "'}"),
+                                new HashMap<>()));
         cluster.clock.runUntil(240_000);
         assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
         cluster.clock.runUntil(400_000);
         assertLedgerRecord(cluster, "published", 13);
-        assertEquals(SimulatedClock.EPOCH_MILLIS + 300_000, cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(), 1_000);
+        assertEquals(
+                SimulatedClock.EPOCH_MILLIS + 300_000,
+                cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(),
+                1_000);
 
         SimulatedCluster skipCluster = morningCluster(5, true);
-        skipCluster.clock.schedule(150_000, () -> commandUntilAnswered(skipCluster, "/ops/calendar/skip", json("{'change':'s1','name':'morning','date':'" + DATE + "'}"), new HashMap<>()));
+        skipCluster.clock.schedule(
+                150_000,
+                () ->
+                        commandUntilAnswered(
+                                skipCluster,
+                                "/ops/calendar/skip",
+                                json("{'change':'s1','name':'morning','date':'" + DATE + "'}"),
+                                new HashMap<>()));
         skipCluster.clock.runUntil(300_000);
-        assertEquals("skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
+        assertEquals(
+                "skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
         assertEquals(Map.of("z/oe/morning/" + DATE, 1), skipCluster.store.ledgerWrites);
     }
 
-    /** Machines are up when the morning starts, by what earlier mornings took, and go back if its work doesn't come. */
-    @Test void machinesAreProvisionedBeforeTheWindowOpens() {
-        SimulatedCluster cluster = new SimulatedCluster(6, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)), 5);
+    /**
+     * Machines are up when the morning starts, by what earlier mornings took, and go back if its
+     * work doesn't come.
+     */
+    @Test
+    void machinesAreProvisionedBeforeTheWindowOpens() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        6,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)),
+                        5);
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
-        cluster.clock.schedule(8_000, () -> commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("first", 60_000, 40, "{'owner':'blue'}"), new HashMap<>()));
-        cluster.clock.schedule(9_000, () -> {
-            ObjectNode memory = WireFormat.newMap().put("through", 0);
-            memory.putArray("cpus").add(70).add(80).add(300);
-            ObjectNode transaction = WireFormat.newMap();
-            transaction.putArray("guards");
-            transaction.putArray("then").addObject().put("put", "a/ok/m/later").set("value", memory);
-            cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
-            commandUntilAnswered(cluster, "/ops/calendar/add", calendarEntry("later", 400_000, 150, "{'owner':'blue'}"), new HashMap<>());
-        });
-        cluster.clock.schedule(100_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.schedule(
+                8_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster,
+                                "/ops/calendar/add",
+                                calendarEntry("first", 60_000, 40, "{'owner':'blue'}"),
+                                new HashMap<>()));
+        cluster.clock.schedule(
+                9_000,
+                () -> {
+                    ObjectNode memory = WireFormat.newMap().put("through", 0);
+                    memory.putArray("cpus").add(70).add(80).add(300);
+                    ObjectNode transaction = WireFormat.newMap();
+                    transaction.putArray("guards");
+                    transaction
+                            .putArray("then")
+                            .addObject()
+                            .put("put", "a/ok/m/later")
+                            .set("value", memory);
+                    cluster.network.call(
+                            "10.0.0.1:0",
+                            SimulatedCluster.STORE_ADDRESS,
+                            "POST",
+                            "/commit",
+                            WireFormat.CBOR.encode(transaction),
+                            1_000,
+                            (status, body, retryAfterSeconds) -> assertEquals(200, status));
+                    commandUntilAnswered(
+                            cluster,
+                            "/ops/calendar/add",
+                            calendarEntry("later", 400_000, 150, "{'owner':'blue'}"),
+                            new HashMap<>());
+                });
+        cluster.clock.schedule(
+                100_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster,
+                                cluster.indexOfController(
+                                        cluster.store.value("a/lead").path("m").asText()),
+                                100));
         cluster.clock.runUntil(200_000);
         assertEquals(0, cluster.cloud.machines.size());
         cluster.clock.runUntil(249_000);
-        assertTrue(cluster.cloud.machines.values().stream().filter(worker -> worker.up).count() >= 10, "up: " + cluster.cloud.machines.size());
+        assertTrue(
+                cluster.cloud.machines.values().stream().filter(worker -> worker.up).count() >= 10,
+                "up: " + cluster.cloud.machines.size());
         assertTrue(cluster.cloud.machines.size() <= 13, "up: " + cluster.cloud.machines.size());
         cluster.clock.runUntil(480_000);
         assertEquals(0, cluster.cloud.machines.size());
     }
 
-    private static final String CLASSES_COMMAND = "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
-            + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
+    private static final String CLASSES_COMMAND =
+            "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
+                + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
-    /** The orders of waiting jobs as each controller has them, by the generations that they were made of. */
-    private static void compareQueueOrders(SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
+    /**
+     * The orders of waiting jobs as each controller has them, by the generations that they were
+     * made of.
+     */
+    private static void compareQueueOrders(
+            SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
         for (int i = 0; i < cluster.controllers.size(); i++) {
             if (cluster.controllers.get(i).isAlive()) {
-                cluster.sendOperatorCommand(i, "/ops/queue", WireFormat.newMap(), (status, response) -> {
-                    if (status == 200) {
-                        // Ranks by class and calendar, job by job: what these generations say of a job is the same wherever it is asked.
-                        response.path("list").forEach(job -> {
-                            String key = response.path("classes") + "/" + response.path("calendar") + "/" + job.path("job").asText();
-                            String ranks = job.path("rank") + " " + job.path("class") + " " + job.path("covered");
-                            String previousRanks = knownRanks.putIfAbsent(key, ranks);
-                            assertTrue(previousRanks == null || previousRanks.equals(ranks), key + ": " + previousRanks + " and " + ranks);
-                            compared[0] += previousRanks == null ? 0 : 1;
+                cluster.sendOperatorCommand(
+                        i,
+                        "/ops/queue",
+                        WireFormat.newMap(),
+                        (status, response) -> {
+                            if (status == 200) {
+                                // Ranks by class and calendar, job by job: what these generations
+                                // say of a job is the same wherever it is asked.
+                                response.path("list")
+                                        .forEach(
+                                                job -> {
+                                                    String key =
+                                                            response.path("classes")
+                                                                    + "/"
+                                                                    + response.path("calendar")
+                                                                    + "/"
+                                                                    + job.path("job").asText();
+                                                    String ranks =
+                                                            job.path("rank")
+                                                                    + " "
+                                                                    + job.path("class")
+                                                                    + " "
+                                                                    + job.path("covered");
+                                                    String previousRanks =
+                                                            knownRanks.putIfAbsent(key, ranks);
+                                                    assertTrue(
+                                                            previousRanks == null
+                                                                    || previousRanks.equals(ranks),
+                                                            key
+                                                                    + ": "
+                                                                    + previousRanks
+                                                                    + " and "
+                                                                    + ranks);
+                                                    compared[0] += previousRanks == null ? 0 : 1;
+                                                });
+                            }
                         });
-                    }
-                });
             }
         }
     }
 
-    /** Classes are proposed while the leader is lost; whoever leads next puts them in force, and a repeat takes effect once. */
+    /**
+     * Classes are proposed while the leader is lost; whoever leads next puts them in force, and a
+     * repeat takes effect once.
+     */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void classesApplyAcrossFailover(long seed) {
@@ -233,40 +435,84 @@
         Map<String, ObjectNode> answers = new HashMap<>();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
-        cluster.clock.schedule(100_000, () -> {
-            FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 2_000);
-            commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
-        });
+        cluster.clock.schedule(
+                100_000,
+                () -> {
+                    FaultInjector.crashController(
+                            cluster,
+                            cluster.indexOfController(
+                                    cluster.store.value("a/lead").path("m").asText()),
+                            2_000);
+                    commandUntilAnswered(
+                            cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
+                });
         for (long millis = 95_000; millis < 200_000; millis += 900) {
             cluster.clock.schedule(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        cluster.clock.schedule(135_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(150_000, () -> FaultInjector.crashController(cluster, cluster.indexOfController(cluster.store.value("a/lead").path("m").asText()), 100));
+        cluster.clock.schedule(
+                135_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+        cluster.clock.schedule(
+                150_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster,
+                                cluster.indexOfController(
+                                        cluster.store.value("a/lead").path("m").asText()),
+                                100));
         cluster.clock.runUntil(160_000);
         assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
         assertEquals(1, cluster.store.value("a/oc/head").path("last").asLong());
         cluster.clock.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
-        assertTrue(forecastWaitsMillis(cluster).stream().allMatch(millis -> millis < 25_000), "waits: " + forecastWaitsMillis(cluster));
+        assertTrue(
+                forecastWaitsMillis(cluster).stream().allMatch(millis -> millis < 25_000),
+                "waits: " + forecastWaitsMillis(cluster));
         assertTrue(compared[0] > 500, "compared: " + compared[0]);
         assertEquals(List.of(), cluster.serviceLevels().starved());
     }
 
     /**
-     * A ruling generation is spoilt under the controllers' hands: nothing is placed by half of it; on record, the last good one rules
-     * again, the same for all, and work goes on.
+     * A ruling generation is spoilt under the controllers' hands: nothing is placed by half of it;
+     * on record, the last good one rules again, the same for all, and work goes on.
      */
-    @Test void unreadableClassesFallBackToLastGoodRevision() {
+    @Test
+    void unreadableClassesFallBackToLastGoodRevision() {
         SimulatedCluster cluster = morningCluster(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
-        cluster.clock.schedule(20_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(30_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c2','classes':[{'name':'other','rank':5}]}"), answers));
+        cluster.clock.schedule(
+                20_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+        cluster.clock.schedule(
+                30_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                json("{'change':'c2','classes':[{'name':'other','rank':5}]}"),
+                                answers));
         cluster.clock.runUntil(40_000);
         assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
         ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
-        transaction.putArray("then").addObject().put("put", "a/oc/p/2/0").putObject("value").put("t", "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}");
-        cluster.network.call("10.0.0.1:0", SimulatedCluster.STORE_ADDRESS, "POST", "/commit", WireFormat.CBOR.encode(transaction), 1_000, (status, body, retryAfterSeconds) -> assertEquals(200, status));
+        transaction
+                .putArray("then")
+                .addObject()
+                .put("put", "a/oc/p/2/0")
+                .putObject("value")
+                .put("t", "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}");
+        cluster.network.call(
+                "10.0.0.1:0",
+                SimulatedCluster.STORE_ADDRESS,
+                "POST",
+                "/commit",
+                WireFormat.CBOR.encode(transaction),
+                1_000,
+                (status, body, retryAfterSeconds) -> assertEquals(200, status));
         // Only those that start now read it anew.
         cluster.clock.schedule(1_000, () -> FaultInjector.crashController(cluster, 3, 100));
         cluster.clock.runUntil(60_000);
@@ -279,12 +525,27 @@
     }
 
     /** A class set on top by mistake slows others; it doesn't starve them. */
-    @Test void topRankedClassStarvesNobody() {
-        SimulatedCluster cluster = new SimulatedCluster(31, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)), 5);
+    @Test
+    void topRankedClassStarvesNobody() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        31,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)),
+                        5);
         cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
         cluster.start();
-        cluster.clock.schedule(6_000, () -> commandUntilAnswered(cluster, "/ops/classes/apply", json("{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"), new HashMap<>()));
+        cluster.clock.schedule(
+                6_000,
+                () ->
+                        commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                json(
+                                        "{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"),
+                                new HashMap<>()));
         int id = 0;
         for (int second = 10; second < 400; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 8, 1, 10);
@@ -296,44 +557,94 @@
         }
         cluster.clock.runUntil(401_000);
         for (int i = id; i > id - 7; i--) {
-            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", i));
-            assertTrue(startDelayMillis >= 0 && startDelayMillis < 240_000, i + " began after " + startDelayMillis);
+            long startDelayMillis =
+                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", i));
+            assertTrue(
+                    startDelayMillis >= 0 && startDelayMillis < 240_000,
+                    i + " began after " + startDelayMillis);
         }
     }
 
     /** No record: nothing is written, and rounds order as they did. */
-    @Test void nothingIsWrittenWithoutRecords() {
+    @Test
+    void nothingIsWrittenWithoutRecords() {
         SimulatedCluster cluster = morningCluster(41, false);
         cluster.clock.runUntil(400_000);
-        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")), "" + cluster.store.keys());
+        assertTrue(
+                cluster.store.keys().stream()
+                        .noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")),
+                "" + cluster.store.keys());
         assertEquals(Map.of(), cluster.store.ledgerWrites);
     }
 
-    /** Bad input is refused in words and changes nothing; a dry run shows what would change and changes nothing. */
-    @Test void refusedCommandsAndDryRunsChangeNothing() {
+    /**
+     * Bad input is refused in words and changes nothing; a dry run shows what would change and
+     * changes nothing.
+     */
+    @Test
+    void refusedCommandsAndDryRunsChangeNothing() {
         SimulatedCluster cluster = morningCluster(51, false);
         cluster.clock.runUntil(40_000);
         Map<String, Integer> statuses = new HashMap<>();
         Map<String, ObjectNode> responses = new HashMap<>();
-        Map<String, String> commands = Map.of("/ops/classes/apply", "{'change':'x','classes':[{'name':'a','rank':-1}]}", "/ops/calendar/add", "{'change':'x','entry':{'name':'e'}}",
-                "/ops/calendar/move", "{'change':'x','name':'nobody','date':'2026-01-01','time':'06:00'}", "/ops/classes/rollback", "{'change':'x','to':77}",
-                "/ops/explain", "{'job':'wk-1'}");
-        commands.forEach((path, body) -> cluster.sendOperatorCommand(1, path, json(body), (responseStatus, response) -> {
-            statuses.put(path, responseStatus);
-            responses.put(path, response);
-        }));
+        Map<String, String> commands =
+                Map.of(
+                        "/ops/classes/apply",
+                        "{'change':'x','classes':[{'name':'a','rank':-1}]}",
+                        "/ops/calendar/add",
+                        "{'change':'x','entry':{'name':'e'}}",
+                        "/ops/calendar/move",
+                        "{'change':'x','name':'nobody','date':'2026-01-01','time':'06:00'}",
+                        "/ops/classes/rollback",
+                        "{'change':'x','to':77}",
+                        "/ops/explain",
+                        "{'job':'wk-1'}");
+        commands.forEach(
+                (path, body) ->
+                        cluster.sendOperatorCommand(
+                                1,
+                                path,
+                                json(body),
+                                (responseStatus, response) -> {
+                                    statuses.put(path, responseStatus);
+                                    responses.put(path, response);
+                                }));
         ObjectNode dryRun = json(CLASSES_COMMAND).put("dryRun", true);
-        cluster.sendOperatorCommand(2, "/ops/classes/apply", dryRun, (responseStatus, response) -> responses.put("dry", response));
+        cluster.sendOperatorCommand(
+                2,
+                "/ops/classes/apply",
+                dryRun,
+                (responseStatus, response) -> responses.put("dry", response));
         cluster.clock.runUntil(41_000);
-        assertEquals(Map.of("/ops/classes/apply", 400, "/ops/calendar/add", 400, "/ops/calendar/move", 404, "/ops/classes/rollback", 404, "/ops/explain", 404), statuses);
-        assertTrue(responses.get("dry").path("waiting").has("none -> routine (800)"), "" + responses.get("dry"));
+        assertEquals(
+                Map.of(
+                        "/ops/classes/apply",
+                        400,
+                        "/ops/calendar/add",
+                        400,
+                        "/ops/calendar/move",
+                        404,
+                        "/ops/classes/rollback",
+                        404,
+                        "/ops/explain",
+                        404),
+                statuses);
+        assertTrue(
+                responses.get("dry").path("waiting").has("none -> routine (800)"),
+                "" + responses.get("dry"));
         assertEquals("worker-2", responses.get("dry").path("by").asText());
-        assertTrue(cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o")), "" + cluster.store.keys());
+        assertTrue(
+                cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/o")),
+                "" + cluster.store.keys());
     }
 
-    /** Everything at once: classes that change, a calendar, and all troubles of a rough or a quick day. */
+    /**
+     * Everything at once: classes that change, a calendar, and all troubles of a rough or a quick
+     * day.
+     */
     @ParameterizedTest
-    // 103: a late gang saved up its team's allowance for ever, for services held what it needed; the rest of the team stood still.
+    // 103: a late gang saved up its team's allowance for ever, for services held what it needed;
+    // the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
         assertEquals("", playRandomScenario(seed).problems());
@@ -341,7 +652,23 @@
 
     /** Plays a random day; what is wrong with it, in words. */
     static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b", "c"), 12), new SimulatedCloud.MachineType("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)), 5);
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small",
+                                        8,
+                                        0,
+                                        32,
+                                        0.4,
+                                        0.15,
+                                        5,
+                                        List.of("a", "b", "c"),
+                                        12),
+                                new SimulatedCloud.MachineType(
+                                        "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)),
+                        5);
         cluster.network.responseLossRate = 0.003;
         cluster.network.duplicationRate = 0.01;
         cluster.start();
@@ -352,53 +679,104 @@
             long atMillis = 3_000 + cluster.clock.random.nextLong(120_000);
             cluster.clock.schedule(atMillis, () -> cluster.submit(job));
             if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
-                cluster.clock.schedule(atMillis + (job.isService() ? 40_000 : cluster.clock.random.nextLong(30_000)), () -> cluster.cancel(job.jobId()));
+                cluster.clock.schedule(
+                        atMillis
+                                + (job.isService()
+                                        ? 40_000
+                                        : cluster.clock.random.nextLong(30_000)),
+                        () -> cluster.cancel(job.jobId()));
             }
         }
         int entryCount = 3;
         for (int i = 0; i < entryCount; i++) {
             String name = "e" + i;
-            ObjectNode addCommand = calendarEntry(name, 70_000 + cluster.clock.random.nextLong(120_000), 20 + cluster.clock.random.nextInt(60), cluster.clock.random.nextBoolean() ? "{'owner':'red'}" : "{'urgency':'normal'},{'mode':'ensemble'}");
-            cluster.clock.schedule(5_000 + cluster.clock.random.nextLong(15_000), () -> commandUntilAnswered(cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
+            ObjectNode addCommand =
+                    calendarEntry(
+                            name,
+                            70_000 + cluster.clock.random.nextLong(120_000),
+                            20 + cluster.clock.random.nextInt(60),
+                            cluster.clock.random.nextBoolean()
+                                    ? "{'owner':'red'}"
+                                    : "{'urgency':'normal'},{'mode':'ensemble'}");
+            cluster.clock.schedule(
+                    5_000 + cluster.clock.random.nextLong(15_000),
+                    () ->
+                            commandUntilAnswered(
+                                    cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
         }
         for (int i = 0; i < 4; i++) {
-            ObjectNode applyCommand = json("{'change':'c" + i + "','classes':[{'name':'one','rank':" + cluster.clock.random.nextInt(1000) + ",'match':{'owner':'" + (cluster.clock.random.nextBoolean() ? "red" : "blue") + "'}},"
-                    + "{'name':'two','rank':" + cluster.clock.random.nextInt(1000) + ",'match':{'urgency':'" + (cluster.clock.random.nextBoolean() ? "normal" : "best_effort") + "'},'keep':'" + List.of("protocol", "urgent", "never").get(cluster.clock.random.nextInt(3)) + "'}]}");
-            cluster.clock.schedule(10_000 + cluster.clock.random.nextLong(150_000), () -> commandUntilAnswered(cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
+            ObjectNode applyCommand =
+                    json(
+                            "{'change':'c"
+                                    + i
+                                    + "','classes':[{'name':'one','rank':"
+                                    + cluster.clock.random.nextInt(1000)
+                                    + ",'match':{'owner':'"
+                                    + (cluster.clock.random.nextBoolean() ? "red" : "blue")
+                                    + "'}},"
+                                    + "{'name':'two','rank':"
+                                    + cluster.clock.random.nextInt(1000)
+                                    + ",'match':{'urgency':'"
+                                    + (cluster.clock.random.nextBoolean()
+                                            ? "normal"
+                                            : "best_effort")
+                                    + "'},'keep':'"
+                                    + List.of("protocol", "urgent", "never")
+                                            .get(cluster.clock.random.nextInt(3))
+                                    + "'}]}");
+            cluster.clock.schedule(
+                    10_000 + cluster.clock.random.nextLong(150_000),
+                    () ->
+                            commandUntilAnswered(
+                                    cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
         }
         for (int i = 0; i < 8; i++) {
             boolean quick = cluster.clock.random.nextBoolean();
-            cluster.clock.schedule(8_000 + cluster.clock.random.nextLong(170_000), () -> {
-                if (quick) {
-                    FaultInjector.injectRandomQuickRestart(cluster);
-                } else {
-                    FaultInjector.injectRandomFault(cluster);
-                }
-            });
+            cluster.clock.schedule(
+                    8_000 + cluster.clock.random.nextLong(170_000),
+                    () -> {
+                        if (quick) {
+                            FaultInjector.injectRandomQuickRestart(cluster);
+                        } else {
+                            FaultInjector.injectRandomFault(cluster);
+                        }
+                    });
         }
         for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
-            cluster.clock.schedule(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
+            cluster.clock.schedule(
+                    checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        cluster.clock.schedule(200_000, () -> {
-            cluster.network.responseLossRate = 0;
-            cluster.network.duplicationRate = 0;
-        });
+        cluster.clock.schedule(
+                200_000,
+                () -> {
+                    cluster.network.responseLossRate = 0;
+                    cluster.network.duplicationRate = 0;
+                });
         cluster.expectFaultsUntil(385_000);
         cluster.clock.runUntil(600_000);
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind the team's production and high work.
+        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
+        // the team's production and high work.
         problems.addAll(cluster.serviceLevels().starved(300_000));
-        cluster.store.ledgerWrites.forEach((key, count) -> {
-            if (count != 1) {
-                problems.add(key + " written " + count + " times");
-            }
-        });
+        cluster.store.ledgerWrites.forEach(
+                (key, count) -> {
+                    if (count != 1) {
+                        problems.add(key + " written " + count + " times");
+                    }
+                });
         for (int i = 0; i < entryCount; i++) {
             JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + DATE);
             if (ledgerRecord == null) {
-                problems.add("e" + i + " is not in the ledger: " + cluster.store.value("a/ok/o/e" + i + "/" + DATE));
-            } else if (ledgerRecord.path("n").asInt() != ledgerRecord.path("done").asInt() + ledgerRecord.path("cancelled").asInt() + ledgerRecord.path("unfinished").asInt()) {
+                problems.add(
+                        "e"
+                                + i
+                                + " is not in the ledger: "
+                                + cluster.store.value("a/ok/o/e" + i + "/" + DATE));
+            } else if (ledgerRecord.path("n").asInt()
+                    != ledgerRecord.path("done").asInt()
+                            + ledgerRecord.path("cancelled").asInt()
+                            + ledgerRecord.path("unfinished").asInt()) {
                 problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
             }
         }
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -17,9 +17,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Users who look closely (docs/design/meetings.md): no controller tells anybody anything older than what somebody has been told. */
+/**
+ * Users who look closely (docs/design/meetings.md): no controller tells anybody anything older than
+ * what somebody has been told.
+ */
 class ReadConsistencyTest {
-    /** Everybody asks everywhere and submits again, within milliseconds of each piece of news; controllers hear late of changes and answers get lost. */
+    /**
+     * Everybody asks everywhere and submits again, within milliseconds of each piece of news;
+     * controllers hear late of changes and answers get lost.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void answersNeverGoBackwards(long seed) {
@@ -30,25 +36,42 @@
         cluster.users.cancelAtCompletionRate = 0.25;
         cluster.store.responseLossRate = seed % 2 == 0 ? 0.25 : 0;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = i % 8 == 0 ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 250, 0.2, 8) : JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 4, 1, 4);
+            JobSpec job =
+                    i % 8 == 0
+                            ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 250, 0.2, 8)
+                            : JobFixtures.array(
+                                    i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 4, 1, 4);
             cluster.clock.schedule(4_000 + i * 900L, () -> cluster.submit(job));
         }
         for (int i = 0; i < 16; i++) {
             String ip = cluster.controllers.get(i % 3).ip;
-            cluster.clock.schedule(4_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, true));
-            cluster.clock.schedule(6_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, false));
+            cluster.clock.schedule(
+                    4_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, true));
+            cluster.clock.schedule(
+                    6_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, false));
         }
         cluster.clock.runUntil(60_000);
         cluster.store.responseLossRate = 0;
-        assertTrue(cluster.users.probeCount > 60 && cluster.users.cancelledAtOnceCount > 3 && cluster.users.cancelledAtCompletionCount > 3, cluster.users.probeCount + " looks, " + cluster.users.cancelledAtOnceCount + ", " + cluster.users.cancelledAtCompletionCount);
-        assertTrue(seed % 2 != 0 || cluster.store.lostResponses > 20, "answers lost: " + cluster.store.lostResponses);
+        assertTrue(
+                cluster.users.probeCount > 60
+                        && cluster.users.cancelledAtOnceCount > 3
+                        && cluster.users.cancelledAtCompletionCount > 3,
+                cluster.users.probeCount
+                        + " looks, "
+                        + cluster.users.cancelledAtOnceCount
+                        + ", "
+                        + cluster.users.cancelledAtCompletionCount);
+        assertTrue(
+                seed % 2 != 0 || cluster.store.lostResponses > 20,
+                "answers lost: " + cluster.store.lostResponses);
         cluster.clock.runUntil(300_000);
         assertAllJobsFinished(cluster, 40);
     }
 
     /**
-     * A controller whose copy is behind finds that out, reads the store and once answered from the copy all the same; and of larger jobs it
-     * compared the job's own record alone, while their tasks are in others.
+     * A controller whose copy is behind finds that out, reads the store and once answered from the
+     * copy all the same; and of larger jobs it compared the job's own record alone, while their
+     * tasks are in others.
      */
     @ParameterizedTest
     @ValueSource(ints = {12, 450})
@@ -57,11 +80,21 @@
         cluster.start();
         cluster.clock.runUntil(8_000);
         int staleController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
-        cluster.submit(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, tasks, tasks > 100 ? 0.2 : 2, 20), (staleController + 1) % 3);
+        cluster.submit(
+                JobFixtures.array(
+                        1, "red", JobSpec.Priority.NORMAL, tasks, tasks > 100 ? 0.2 : 2, 20),
+                (staleController + 1) % 3);
         cluster.clock.runUntil(16_000);
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
         int[] missedWrites = {0};
-        cluster.store.commitObserver = t -> missedWrites[0] += anyStartsWith(t.path("then"), "put", "a/j/wk-000001") || anyStartsWith(t.path("then"), "put", "a/t/wk-000001/") ? 1 : 0;
+        cluster.store.commitObserver =
+                t ->
+                        missedWrites[0] +=
+                                anyStartsWith(t.path("then"), "put", "a/j/wk-000001")
+                                                || anyStartsWith(
+                                                        t.path("then"), "put", "a/t/wk-000001/")
+                                        ? 1
+                                        : 0;
         for (int t = 0; t < 40_000; t += 100) {
             int controller = t / 100 % 3;
             cluster.clock.schedule(t, () -> cluster.query("wk-000001", controller));
@@ -76,13 +109,23 @@
     /** What a request can be overtaken by. */
     private enum CommitStep {
         /** The cancellation is recorded. */
-        CANCELLATION(transaction -> anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && transaction.path("then").get(0).path("value").has("x")),
+        CANCELLATION(
+                transaction ->
+                        anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
+                                && transaction.path("then").get(0).path("value").has("x")),
         /** The job moves to its final key. */
         COMPLETION(transaction -> anyStartsWith(transaction.path("then"), "put", "z/wk-000001")),
         /** It is accepted. */
-        ACCEPTANCE(transaction -> anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && anyStartsWith(transaction.path("guards"), "path", "z/wk-000001")),
+        ACCEPTANCE(
+                transaction ->
+                        anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
+                                && anyStartsWith(
+                                        transaction.path("guards"), "path", "z/wk-000001")),
         /** Its last task gets a place, or its end is recorded. */
-        SCHEDULING_CYCLE(transaction -> anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001") && anyStartsWith(transaction.path("guards"), "path", "a/b/"));
+        SCHEDULING_CYCLE(
+                transaction ->
+                        anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
+                                && anyStartsWith(transaction.path("guards"), "path", "a/b/"));
 
         private final Predicate<ObjectNode> matcher;
 
@@ -91,7 +134,10 @@
         }
     }
 
-    /** A submission or a cancellation meets the end that it asks about at each step, whose answer gets lost; both are repeated elsewhere. */
+    /**
+     * A submission or a cancellation meets the end that it asks about at each step, whose answer
+     * gets lost; both are repeated elsewhere.
+     */
     @ParameterizedTest
     @EnumSource(CommitStep.class)
     void requestOvertakenByCompletionIsAnsweredWithTheFinalStatus(CommitStep step) {
@@ -100,28 +146,48 @@
             cluster.start();
             cluster.clock.runUntil(8_000);
             int[] occurrences = {0};
-            cluster.store.dropsResponse = transaction -> {
-                if (!step.matcher.test(transaction)) {
-                    return false;
-                }
-                if (occurrences[0]++ == 0) {
-                    for (int controller = 0; controller < 3; controller++) {
-                        int askedController = controller;
-                        for (int delayMillis : new int[] {0, 3, 20, 150}) {
-                            cluster.clock.schedule(delayMillis, () -> cluster.query("wk-000001", askedController));
-                            cluster.clock.schedule(delayMillis, () -> cluster.submit(cluster.jobsById.get("wk-000001"), askedController));
+            cluster.store.dropsResponse =
+                    transaction -> {
+                        if (!step.matcher.test(transaction)) {
+                            return false;
+                        }
+                        if (occurrences[0]++ == 0) {
+                            for (int controller = 0; controller < 3; controller++) {
+                                int askedController = controller;
+                                for (int delayMillis : new int[] {0, 3, 20, 150}) {
+                                    cluster.clock.schedule(
+                                            delayMillis,
+                                            () -> cluster.query("wk-000001", askedController));
+                                    cluster.clock.schedule(
+                                            delayMillis,
+                                            () ->
+                                                    cluster.submit(
+                                                            cluster.jobsById.get("wk-000001"),
+                                                            askedController));
+                                }
+                                cluster.clock.schedule(
+                                        5 + controller * 40L,
+                                        () -> cluster.cancel("wk-000001", askedController));
+                            }
                         }
-                        cluster.clock.schedule(5 + controller * 40L, () -> cluster.cancel("wk-000001", askedController));
-                    }
-                }
-                return true;
-            };
-            JobSpec job = JobFixtures.array(1, "red", seed % 2 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL, 2, 1, 4);
+                        return true;
+                    };
+            JobSpec job =
+                    JobFixtures.array(
+                            1,
+                            "red",
+                            seed % 2 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL,
+                            2,
+                            1,
+                            4);
             cluster.submit(job, seed % 3);
             // The last task ends 2 to 6 s after it began.
             int submittingController = seed % 3;
-            cluster.clock.schedule(step == CommitStep.CANCELLATION ? 700 * seed : 60_000, () -> cluster.cancel("wk-000001", submittingController));
-            cluster.clock.schedule(20_000, () -> cluster.store.dropsResponse = transaction -> false);
+            cluster.clock.schedule(
+                    step == CommitStep.CANCELLATION ? 700 * seed : 60_000,
+                    () -> cluster.cancel("wk-000001", submittingController));
+            cluster.clock.schedule(
+                    20_000, () -> cluster.store.dropsResponse = transaction -> false);
             cluster.clock.runUntil(120_000);
             assertTrue(occurrences[0] > 0, "the meeting");
             assertAllJobsFinished(cluster, 1);
@@ -129,7 +195,10 @@
         }
     }
 
-    /** A cancellation, a question and a repeated submission at the very end of the last task, and nothing else. */
+    /**
+     * A cancellation, a question and a repeated submission at the very end of the last task, and
+     * nothing else.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void cancellationAtCompletionHasOneOutcome(long seed) {
@@ -138,16 +207,26 @@
         cluster.users.consistencyProbes = true;
         cluster.users.cancelAtCompletionRate = 0.7;
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 3, 1, 3);
+            JobSpec job =
+                    JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 3, 1, 3);
             cluster.clock.schedule(4_000 + i * 500L, () -> cluster.submit(job));
         }
         cluster.clock.runUntil(120_000);
-        assertTrue(cluster.users.cancelledAtCompletionCount > 15, "at the end: " + cluster.users.cancelledAtCompletionCount);
+        assertTrue(
+                cluster.users.cancelledAtCompletionCount > 15,
+                "at the end: " + cluster.users.cancelledAtCompletionCount);
         assertAllJobsFinished(cluster, 40);
-        assertTrue(cluster.jobsById.keySet().stream().anyMatch(id -> cluster.wasToldFinalStatus(id, "done")) && cluster.jobsById.keySet().stream().anyMatch(id -> cluster.wasToldFinalStatus(id, "cancelled")));
+        assertTrue(
+                cluster.jobsById.keySet().stream()
+                                .anyMatch(id -> cluster.wasToldFinalStatus(id, "done"))
+                        && cluster.jobsById.keySet().stream()
+                                .anyMatch(id -> cluster.wasToldFinalStatus(id, "cancelled")));
     }
 
-    /** Submissions of unfinished jobs, cancellations of finished ones, jobs that fit nothing or lack a field: nothing is lost by any of them. */
+    /**
+     * Submissions of unfinished jobs, cancellations of finished ones, jobs that fit nothing or lack
+     * a field: nothing is lost by any of them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void unacceptableRequestsLoseNoJob(long seed) {
@@ -159,16 +238,30 @@
             cluster.clock.schedule(4_000 + i * 1_500L, () -> cluster.submit(job));
         }
         cluster.clock.schedule(6_000, () -> cluster.users.sendUnusualRequests(100, 60_000));
-        cluster.clock.schedule(15_000, () -> FaultInjector.crashController(cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
+        cluster.clock.schedule(
+                15_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
         cluster.clock.schedule(25_000, () -> CompoundFaults.storeOutage(cluster, 10_000));
         cluster.clock.runUntil(200_000);
-        assertTrue(cluster.users.refusedCount > 150 && cluster.users.unusualRequestCount > 30, cluster.users.refusedCount + " refused, " + cluster.users.unusualRequestCount + " odd");
+        assertTrue(
+                cluster.users.refusedCount > 150 && cluster.users.unusualRequestCount > 30,
+                cluster.users.refusedCount
+                        + " refused, "
+                        + cluster.users.unusualRequestCount
+                        + " odd");
         assertAllJobsFinished(cluster, 20);
-        cluster.unacceptableJobs.forEach(id -> assertEquals(null, cluster.store.value("a/j/" + id)));
+        cluster.unacceptableJobs.forEach(
+                id -> assertEquals(null, cluster.store.value("a/j/" + id)));
     }
 
-    /** A job that is known is told as it is, whatever its repeated submission would get now; an answer that can't be given yet says so. */
-    @Test void resubmissionOfKnownJobIsAnsweredWithItsStatus() {
+    /**
+     * A job that is known is told as it is, whatever its repeated submission would get now; an
+     * answer that can't be given yet says so.
+     */
+    @Test
+    void resubmissionOfKnownJobIsAnsweredWithItsStatus() {
         SimulatedCluster cluster = clusterWithReadyMachines(3, 3, 12);
         cluster.start();
         cluster.clock.runUntil(8_000);
@@ -177,7 +270,11 @@
         cluster.clock.runUntil(9_000);
         ObjectNode incomplete = job.encode();
         incomplete.remove("vcpus");
-        List<ObjectNode> bodies = List.of(incomplete, job.encode().put("vcpus", 1_000), job.encode().put("owner", "nobody"));
+        List<ObjectNode> bodies =
+                List.of(
+                        incomplete,
+                        job.encode().put("vcpus", 1_000),
+                        job.encode().put("owner", "nobody"));
         for (int controller = 0; controller < 3; controller++) {
             for (ObjectNode body : bodies) {
                 int[] status = new int[1];
@@ -185,9 +282,17 @@
                 submitAndAwait(cluster, controller, body, status, response);
                 assertEquals(200, status[0], () -> body + ": " + response[0]);
                 assertEquals("wk-000001", response[0].path("nameId").asText());
-                submitAndAwait(cluster, controller, body.deepCopy().put("nameId", "wk-000002"), status, response);
+                submitAndAwait(
+                        cluster,
+                        controller,
+                        body.deepCopy().put("nameId", "wk-000002"),
+                        status,
+                        response);
                 assertTrue(status[0] == 400 || status[0] == 422, "an unknown one: " + status[0]);
-                assertTrue(Set.of("vcpus", "owner", "no allowed machine type").stream().anyMatch(response[0].path("error").asText()::contains), response[0] + "");
+                assertTrue(
+                        Set.of("vcpus", "owner", "no allowed machine type").stream()
+                                .anyMatch(response[0].path("error").asText()::contains),
+                        response[0] + "");
             }
         }
         cluster.store.setDown(true);
@@ -200,12 +305,24 @@
         assertAllJobsFinished(cluster, 1);
     }
 
-    private static void submitAndAwait(SimulatedCluster cluster, int controller, ObjectNode body, int[] status, JsonNode[] response) {
-        cluster.network.call(SimulatedCluster.USERS_ADDRESS, cluster.controllers.get(controller).userAddress, "POST", "/v2/runs", io.quincelead.transport.WireFormat.CBOR.encode(body), 5_000, (responseStatus, responseBody, retryAfterSeconds) -> {
-            status[0] = responseStatus;
-            response[0] = io.quincelead.transport.WireFormat.CBOR.decodeMap(responseBody);
-            assertTrue(responseStatus != 503 || retryAfterSeconds > 0, "no Retry-After");
-        });
+    private static void submitAndAwait(
+            SimulatedCluster cluster,
+            int controller,
+            ObjectNode body,
+            int[] status,
+            JsonNode[] response) {
+        cluster.network.call(
+                SimulatedCluster.USERS_ADDRESS,
+                cluster.controllers.get(controller).userAddress,
+                "POST",
+                "/v2/runs",
+                io.quincelead.transport.WireFormat.CBOR.encode(body),
+                5_000,
+                (responseStatus, responseBody, retryAfterSeconds) -> {
+                    status[0] = responseStatus;
+                    response[0] = io.quincelead.transport.WireFormat.CBOR.decodeMap(responseBody);
+                    assertTrue(responseStatus != 503 || retryAfterSeconds > 0, "no Retry-After");
+                });
         cluster.clock.runUntil(cluster.clock.nowMillis() + 2_500);
     }
 }
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -8,17 +8,20 @@
 import java.util.concurrent.Future;
 
 /**
- * Plays random days of the test world over many seeds: {@code ScenarioRunner rough|flood|quick|meetings|first|operators|zones FROM TO [THREADS]}. Not a test.
- * Prints kind, seed, number of messages and history digest of each, separated by tabs; what went wrong goes to standard error.
+ * Plays random days of the test world over many seeds: {@code ScenarioRunner
+ * rough|flood|quick|meetings|first|operators|zones FROM TO [THREADS]}. Not a test. Prints kind,
+ * seed, number of messages and history digest of each, separated by tabs; what went wrong goes to
+ * standard error.
  */
 public final class ScenarioRunner {
     /** A day that was played, and what is wrong with it, in words; empty if nothing is. */
-    record ScenarioResult(SimulatedCluster cluster, String problems) { }
+    record ScenarioResult(SimulatedCluster cluster, String problems) {}
 
-    private ScenarioRunner() { }
+    private ScenarioRunner() {}
 
     public static void main(String[] args) throws InterruptedException, ExecutionException {
-        ExecutorService pool = Executors.newFixedThreadPool(args.length > 3 ? Integer.parseInt(args[3]) : 1);
+        ExecutorService pool =
+                Executors.newFixedThreadPool(args.length > 3 ? Integer.parseInt(args[3]) : 1);
         List<Future<Boolean>> scenarios = new ArrayList<>();
         long firstSeed = Long.parseLong(args[1]);
         for (long seed = firstSeed; seed <= Long.parseLong(args[2]); seed++) {
@@ -30,7 +33,11 @@
             failures += result.get() ? 0 : 1;
         }
         pool.shutdown();
-        System.err.println(scenarios.size() + " days, " + failures + " with a broken rule, an open job or somebody left behind");
+        System.err.println(
+                scenarios.size()
+                        + " days, "
+                        + failures
+                        + " with a broken rule, an open job or somebody left behind");
         System.exit(failures == 0 ? 0 : 1);
     }
 
@@ -59,12 +66,36 @@
             case "rough" -> RandomizedScenarioTest.playRandomFaults(cluster);
             default -> throw new IllegalArgumentException("no such kind of day: " + scenario);
         }
-        List<String> starved = scenario.equals("meetings") || scenario.equals("first") ? CompoundFaults.starved(cluster) : cluster.serviceLevels().starved();
+        List<String> starved =
+                scenario.equals("meetings") || scenario.equals("first")
+                        ? CompoundFaults.starved(cluster)
+                        : cluster.serviceLevels().starved();
         if (scenario.equals("meetings") && !starved.isEmpty()) {
             List<String> starvedDespiteCapacity = CompoundFaults.starvedDespiteCapacity(cluster);
-            starved = starved.stream().map(line -> starvedDespiteCapacity.contains(line) ? line : line + " (there was no room for it, or its team was at its limit)").toList();
+            starved =
+                    starved.stream()
+                            .map(
+                                    line ->
+                                            starvedDespiteCapacity.contains(line)
+                                                    ? line
+                                                    : line
+                                                            + " (there was no room for it, or its"
+                                                            + " team was at its limit)")
+                            .toList();
         }
-        boolean passed = cluster.violations().isEmpty() && cluster.unfinishedJobs().isEmpty() && starved.isEmpty();
-        return new ScenarioResult(cluster, passed ? "" : "broken " + cluster.violations() + " open " + cluster.unfinishedJobs() + " left behind " + starved);
+        boolean passed =
+                cluster.violations().isEmpty()
+                        && cluster.unfinishedJobs().isEmpty()
+                        && starved.isEmpty();
+        return new ScenarioResult(
+                cluster,
+                passed
+                        ? ""
+                        : "broken "
+                                + cluster.violations()
+                                + " open "
+                                + cluster.unfinishedJobs()
+                                + " left behind "
+                                + starved);
     }
 }
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -12,13 +12,15 @@
 import java.util.TreeMap;
 
 /**
- * How a day served its users, by the strictest reading of what they ask: half or more of each class, of each team and of the
- * largest tenth of each class (by tasks; at least one job), and a first task on a machine within 240 s of the first attempt
- * to submit. Jobs that their users cancelled don't count. A service is served when half of its replicas have run.
+ * How a day served its users, by the strictest reading of what they ask: half or more of each
+ * class, of each team and of the largest tenth of each class (by tasks; at least one job), and a
+ * first task on a machine within 240 s of the first attempt to submit. Jobs that their users
+ * cancelled don't count. A service is served when half of its replicas have run.
  */
 public final class ServiceLevelChecker {
     /** ms. The largest jobs too begin within this time. */
     static final long FIRST_START_LIMIT_MILLIS = 240_000;
+
     private final SimulatedCluster cluster;
     private final Map<String, JobSpec> submittedJobs = new LinkedHashMap<>();
     private final Map<String, Long> submittedAtMillis = new HashMap<>();
@@ -49,16 +51,22 @@
 
     /** ms from the first attempt to submit to the first start; -1: none yet. */
     public long firstStartDelayMillis(String id) {
-        return firstStartAtMillis.containsKey(id) ? firstStartAtMillis.get(id) - submittedAtMillis.get(id) : -1;
+        return firstStartAtMillis.containsKey(id)
+                ? firstStartAtMillis.get(id) - submittedAtMillis.get(id)
+                : -1;
     }
 
     /** ms from the first attempt to submit until half of the tasks had begun; -1: not yet. */
     public long halfStartedDelayMillis(String id) {
-        return halfStartedAtMillis.containsKey(id) ? halfStartedAtMillis.get(id) - submittedAtMillis.get(id) : -1;
+        return halfStartedAtMillis.containsKey(id)
+                ? halfStartedAtMillis.get(id) - submittedAtMillis.get(id)
+                : -1;
     }
 
     private boolean isServed(JobSpec job) {
-        return job.isService() ? halfStartedAtMillis.containsKey(job.jobId()) : cluster.wasToldFinalStatus(job.jobId(), "done");
+        return job.isService()
+                ? halfStartedAtMillis.containsKey(job.jobId())
+                : cluster.wasToldFinalStatus(job.jobId(), "done");
     }
 
     /** Jobs by everything whose service is judged: class, team, the largest tenth of a class. */
@@ -66,15 +74,19 @@
         Map<String, List<JobSpec>> result = new TreeMap<>();
         for (JobSpec job : submittedJobs.values()) {
             if (!cluster.isCancellationRequested(job.jobId())) {
-                result.computeIfAbsent("class " + job.jobClass(), key -> new ArrayList<>()).add(job);
+                result.computeIfAbsent("class " + job.jobClass(), key -> new ArrayList<>())
+                        .add(job);
                 result.computeIfAbsent("team " + job.team(), key -> new ArrayList<>()).add(job);
             }
         }
         for (String name : new ArrayList<>(result.keySet())) {
             if (name.startsWith("class ")) {
                 List<JobSpec> bySize = new ArrayList<>(result.get(name));
-                bySize.sort(Comparator.comparingInt((JobSpec job) -> -job.taskCount()).thenComparing(JobSpec::jobId));
-                result.put("largest of " + name, bySize.subList(0, Math.max(1, bySize.size() / 10)));
+                bySize.sort(
+                        Comparator.comparingInt((JobSpec job) -> -job.taskCount())
+                                .thenComparing(JobSpec::jobId));
+                result.put(
+                        "largest of " + name, bySize.subList(0, Math.max(1, bySize.size() / 10)));
             }
         }
         return result;
@@ -83,7 +95,13 @@
     /** Share served of each. */
     public Map<String, Double> servedShares() {
         Map<String, Double> result = new TreeMap<>();
-        jobGroups().forEach((name, jobs) -> result.put(name, jobs.stream().filter(this::isServed).count() / (double) jobs.size()));
+        jobGroups()
+                .forEach(
+                        (name, jobs) ->
+                                result.put(
+                                        name,
+                                        jobs.stream().filter(this::isServed).count()
+                                                / (double) jobs.size()));
         return result;
     }
 
@@ -95,15 +113,28 @@
     /** The same by another bound for the first start. */
     public List<String> starved(long firstStartLimitMillis) {
         List<String> result = new ArrayList<>();
-        servedShares().forEach((name, share) -> {
-            if (share < 0.5) {
-                result.add(name + ": " + share + " served");
-            }
-        });
+        servedShares()
+                .forEach(
+                        (name, share) -> {
+                            if (share < 0.5) {
+                                result.add(name + ": " + share + " served");
+                            }
+                        });
         for (JobSpec job : submittedJobs.values()) {
-            long startDelayMillis = firstStartAtMillis.getOrDefault(job.jobId(), cluster.clock.nowMillis()) - submittedAtMillis.get(job.jobId());
-            if (!cluster.isCancellationRequested(job.jobId()) && startDelayMillis > firstStartLimitMillis) {
-                result.add(job.jobId() + " (" + job.taskCount() + " tasks, " + job.priority() + ") began after " + startDelayMillis / 1000 + " s");
+            long startDelayMillis =
+                    firstStartAtMillis.getOrDefault(job.jobId(), cluster.clock.nowMillis())
+                            - submittedAtMillis.get(job.jobId());
+            if (!cluster.isCancellationRequested(job.jobId())
+                    && startDelayMillis > firstStartLimitMillis) {
+                result.add(
+                        job.jobId()
+                                + " ("
+                                + job.taskCount()
+                                + " tasks, "
+                                + job.priority()
+                                + ") began after "
+                                + startDelayMillis / 1000
+                                + " s");
             }
         }
         return result;
--- a/src/test/java/io/quincelead/simulation/SimulatedClock.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedClock.java
@@ -4,11 +4,18 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Simulated time: one queue of events, run in order. After each event the observer looks at the world. */
+/**
+ * Simulated time: one queue of events, run in order. After each event the observer looks at the
+ * world.
+ */
 public final class SimulatedClock {
-    private record ScheduledEvent(long atMillis, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
-        @Override public int compareTo(ScheduledEvent other) {
-            return atMillis != other.atMillis ? Long.compare(atMillis, other.atMillis) : Long.compare(sequence, other.sequence);
+    private record ScheduledEvent(long atMillis, long sequence, Runnable action)
+            implements Comparable<ScheduledEvent> {
+        @Override
+        public int compareTo(ScheduledEvent other) {
+            return atMillis != other.atMillis
+                    ? Long.compare(atMillis, other.atMillis)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -17,7 +24,8 @@
     private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
     private long nowMillis;
     private long nextSequence;
-    private Runnable observer = () -> { };
+    private Runnable observer = () -> {};
+
     /** Time passes while a process computes: its clock moves on from one look to the next. */
     public boolean computationTakesTime;
 
@@ -61,17 +69,25 @@
             this.wallClockOffsetMillis = wallClockOffsetMillis;
         }
 
-        @Override public long nowMillis() {
+        @Override
+        public long nowMillis() {
             long atMillis = (long) (nowMillis * (1 + clockDrift)) + 1_000;
-            lastReadMillis = Math.max(lastReadMillis, computationTakesTime ? atMillis + Math.min(clockReads++, 400) : atMillis);
+            lastReadMillis =
+                    Math.max(
+                            lastReadMillis,
+                            computationTakesTime
+                                    ? atMillis + Math.min(clockReads++, 400)
+                                    : atMillis);
             return lastReadMillis;
         }
 
-        @Override public long wallClockMillis() {
+        @Override
+        public long wallClockMillis() {
             return EPOCH_MILLIS + nowMillis + wallClockOffsetMillis;
         }
 
-        @Override public void runAfter(long delayMillis, Runnable task) {
+        @Override
+        public void runAfter(long delayMillis, Runnable task) {
             SimulatedClock.this.schedule(delayMillis, () -> runTurn(task));
         }
 
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -14,23 +14,36 @@
 /** A stand-in for the cloud: rents and returns workers; its list lags. */
 public final class SimulatedCloud {
     /** A machine type. */
-    public record MachineType(String name, double cpus, double gpus, double memoryGb, double price, double spotPrice, double bootSeconds,
-            List<String> zones, int capacity) { }
+    public record MachineType(
+            String name,
+            double cpus,
+            double gpus,
+            double memoryGb,
+            double price,
+            double spotPrice,
+            double bootSeconds,
+            List<String> zones,
+            int capacity) {}
 
-    private record InventorySnapshot(long takenAtMillis, ArrayNode hosts) { }
+    private record InventorySnapshot(long takenAtMillis, ArrayNode hosts) {}
 
     private final SimulatedCluster cluster;
     private final SimulatedClock clock;
     private final List<MachineType> machineTypes;
     private final Map<String, ArrayNode> hostsByRequest = new HashMap<>();
     private final List<InventorySnapshot> inventorySnapshots = new ArrayList<>();
+
     /** Machines that exist, by name. */
     public final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
+
     public boolean down;
+
     /** Share of machines that never come up. */
     public double bootFailureRate;
+
     /** Machines are up within two seconds. */
     public boolean fastBoots;
+
     private int lastInstanceNumber;
 
     /** Machines ever rented. */
@@ -46,14 +59,22 @@
     }
 
     public MachineType machineType(String name) {
-        return machineTypes.stream().filter(type -> type.name().equals(name)).findFirst().orElseThrow();
+        return machineTypes.stream()
+                .filter(type -> type.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     private void takeInventorySnapshot() {
         ArrayNode hosts = WireFormat.newList();
         for (SimulatedWorker worker : machines.values()) {
-            hosts.addObject().put("nameId", worker.host).put("addr", worker.address).put("shape", worker.machineType.name()).put("site", worker.zone)
-                    .put("preemptible", worker.spot).put("status", worker.dead ? "failed" : worker.up ? "running" : "booting")
+            hosts.addObject()
+                    .put("nameId", worker.host)
+                    .put("addr", worker.address)
+                    .put("shape", worker.machineType.name())
+                    .put("site", worker.zone)
+                    .put("preemptible", worker.spot)
+                    .put("status", worker.dead ? "failed" : worker.up ? "running" : "booting")
                     .put("ageS", (clock.nowMillis() - worker.rentedAtMillis) / 1000.0);
         }
         inventorySnapshots.add(new InventorySnapshot(clock.nowMillis(), hosts));
@@ -69,8 +90,17 @@
             ObjectNode response = WireFormat.newMap();
             ArrayNode types = response.putArray("shapes");
             for (MachineType type : machineTypes) {
-                ObjectNode node = types.addObject().put("label", type.name()).put("vcpus", type.cpus()).put("cards", type.gpus()).put("ramGb", type.memoryGb())
-                        .put("localGb", 50).put("pullGbPerS", 1).put("price", type.price()).put("spotPrice", type.spotPrice()).put("bootS", type.bootSeconds());
+                ObjectNode node =
+                        types.addObject()
+                                .put("label", type.name())
+                                .put("vcpus", type.cpus())
+                                .put("cards", type.gpus())
+                                .put("ramGb", type.memoryGb())
+                                .put("localGb", 50)
+                                .put("pullGbPerS", 1)
+                                .put("price", type.price())
+                                .put("spotPrice", type.spotPrice())
+                                .put("bootS", type.bootSeconds());
                 type.zones().forEach(node.putArray("sites")::add);
             }
             request.respond(200, response);
@@ -98,7 +128,18 @@
 
     private SimulatedWorker createMachine(MachineType type, String zone, boolean spot) {
         String host = String.format("i-%06d", ++lastInstanceNumber);
-        SimulatedWorker worker = new SimulatedWorker(cluster, host, "10.1." + lastInstanceNumber / 250 + "." + lastInstanceNumber % 250 + ":9000", type, zone, spot);
+        SimulatedWorker worker =
+                new SimulatedWorker(
+                        cluster,
+                        host,
+                        "10.1."
+                                + lastInstanceNumber / 250
+                                + "."
+                                + lastInstanceNumber % 250
+                                + ":9000",
+                        type,
+                        zone,
+                        spot);
         machines.put(host, worker);
         return worker;
     }
@@ -116,7 +157,10 @@
         ArrayNode hosts = hostsByRequest.get(name);
         if (hosts == null) {
             MachineType type = machineType(body.path("shape").asText());
-            long used = machines.values().stream().filter(worker -> worker.machineType == type && !worker.dead).count();
+            long used =
+                    machines.values().stream()
+                            .filter(worker -> worker.machineType == type && !worker.dead)
+                            .count();
             int count = (int) Math.min(body.path("howMany").asInt(), type.capacity() - used);
             if (count <= 0) {
                 request.respondError(503, "no capacity");
@@ -124,10 +168,21 @@
             }
             hosts = WireFormat.newList();
             for (int i = 0; i < count; i++) {
-                SimulatedWorker worker = createMachine(type, body.path("site").asText(), body.path("preemptible").asBoolean());
+                SimulatedWorker worker =
+                        createMachine(
+                                type,
+                                body.path("site").asText(),
+                                body.path("preemptible").asBoolean());
                 String host = worker.host;
                 if (clock.random.nextDouble() >= bootFailureRate) {
-                    clock.schedule(fastBoots ? 200 + clock.random.nextLong(1_800) : (long) (type.bootSeconds() * 1000 * (0.5 + clock.random.nextDouble())), worker::boot);
+                    clock.schedule(
+                            fastBoots
+                                    ? 200 + clock.random.nextLong(1_800)
+                                    : (long)
+                                            (type.bootSeconds()
+                                                    * 1000
+                                                    * (0.5 + clock.random.nextDouble())),
+                            worker::boot);
                 }
                 hosts.add(host);
             }
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Real controllers among stand-ins, in simulated time, with every rule of the protocol checked after each event. */
+/**
+ * Real controllers among stand-ins, in simulated time, with every rule of the protocol checked
+ * after each event.
+ */
 public final class SimulatedCluster {
     public static final String STORE_ADDRESS = "10.2.0.1:2379";
     public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
@@ -39,11 +42,35 @@
             process = clock.newProcess();
             Map<String, String> peers = new LinkedHashMap<>();
             controllers.forEach(peer -> peers.put(peer.name, peer.peerAddress));
-            Settings settings = new Settings(name, "a", userAddress, peerAddress, peers, CLOUD_ADDRESS, STORE_ADDRESS, controllers.size(), 25, teams, objectives,
-                    new Settings.WorkerTimings(heartbeatIntervalMillis / 1000.0, workerLeaseMillis / 1000.0, SimulatedWorker.GANG_WAIT_MILLIS / 1000.0, 6, cancellationDeadlineSeconds), storeSettings,
-                    new Settings.CloudLimits(4, 4), new Settings.ProcessLimits(1, 256, 500));
+            Settings settings =
+                    new Settings(
+                            name,
+                            "a",
+                            userAddress,
+                            peerAddress,
+                            peers,
+                            CLOUD_ADDRESS,
+                            STORE_ADDRESS,
+                            controllers.size(),
+                            25,
+                            teams,
+                            objectives,
+                            new Settings.WorkerTimings(
+                                    heartbeatIntervalMillis / 1000.0,
+                                    workerLeaseMillis / 1000.0,
+                                    SimulatedWorker.GANG_WAIT_MILLIS / 1000.0,
+                                    6,
+                                    cancellationDeadlineSeconds),
+                            storeSettings,
+                            new Settings.CloudLimits(4, 4),
+                            new Settings.ProcessLimits(1, 256, 500));
             SimulatedClock.SimulatedProcess currentProcess = process;
-            Controller controller = new Controller(currentProcess, network.transportFor(ip, currentProcess), settings, operatorSettings);
+            Controller controller =
+                    new Controller(
+                            currentProcess,
+                            network.transportFor(ip, currentProcess),
+                            settings,
+                            operatorSettings);
             network.setHandler(userAddress, controller::handle);
             network.setHandler(peerAddress, controller::handlePeerRequest);
         }
@@ -69,53 +96,76 @@
     public long heartbeatIntervalMillis = 1000;
     public Settings.StoreLimits storeSettings = new Settings.StoreLimits(400, 200, 8, 12);
     public long workerLeaseMillis = 10_000;
+
     /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
     public double imageFetchGbPerSecond;
+
     /** GB that machines have fetched. */
     public double fetchedImageGb;
+
     public OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
     public final double cancellationDeadlineSeconds = 40;
+
     /** ms for which a user repeats a submission. */
     public long submissionRetryMillis = 60_000;
+
     /** ms. The users' own bound: after this time without an answer a job counts as forgotten. */
     static final long UNANSWERED_LIMIT_MILLIS = 75_000;
+
     final Map<String, JobSpec> jobsById = new HashMap<>();
     final Set<String> completedTasks = new HashSet<>();
     private final Set<String> acceptedJobs = new HashSet<>();
     private final Map<String, String> finalStatusByJob = new HashMap<>();
     private final Map<String, Long> cancellationConfirmedAtMillis = new HashMap<>();
+
     /** ms from the first attempt to submit until somebody was told that the job is accepted. */
     final Map<String, Long> acceptanceDelayMillis = new HashMap<>();
+
     /** When a question about a job was last answered, by its submission at first. */
     private final Map<String, Long> lastAnswerAtMillis = new HashMap<>();
+
     private final ServiceLevelChecker serviceLevels = new ServiceLevelChecker(this);
+
     /** From then on nothing is made to go wrong any more. */
     private long faultsEndAtMillis;
+
     private final Set<String> cancellationRequests = new HashSet<>();
+
     /** Most tasks that anybody was told are done. */
     private final Map<String, Integer> maxReportedDoneTasks = new HashMap<>();
+
     /** Jobs that can't run or lack a field. */
     final Set<String> unacceptableJobs = new HashSet<>();
+
     final SimulatedUsers users = new SimulatedUsers(this);
     private final StarvationChecker starvation = new StarvationChecker(this);
     private final Set<String> violations = new HashSet<>();
     public final Map<String, Integer> taskStarts = new HashMap<>();
+
     /** Off for measurements of large worlds: the checks look at every task after every event. */
     public boolean invariantChecksEnabled = true;
+
     /** Tasks that began: only a beginning can take a team past its limit. */
     long taskStartCount;
+
     private long lastCheckedTaskStartCount = -1;
 
     public SimulatedCluster(long seed) {
-        this(seed, List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
-                new SimulatedCloud.MachineType("big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
+        this(
+                seed,
+                List.of(
+                        new SimulatedCloud.MachineType(
+                                "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
+                        new SimulatedCloud.MachineType(
+                                "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
     }
 
     public SimulatedCluster(long seed, List<SimulatedCloud.MachineType> machineTypes) {
         this(seed, machineTypes, 3);
     }
 
-    public SimulatedCluster(long seed, List<SimulatedCloud.MachineType> machineTypes, int controllerCount) {
+    public SimulatedCluster(
+            long seed, List<SimulatedCloud.MachineType> machineTypes, int controllerCount) {
         clock = new SimulatedClock(seed);
         network = new SimulatedNetwork(clock);
         store = new SimulatedStore(clock, 12);
@@ -140,7 +190,10 @@
         clock.schedule(1_000, this::checkStarvation);
     }
 
-    /** Seconds for which a job that began late could have begun, by what was on the machines and what its team may use. */
+    /**
+     * Seconds for which a job that began late could have begun, by what was on the machines and
+     * what its team may use.
+     */
     int startableSeconds(String id) {
         return starvation.startableSeconds(id);
     }
@@ -198,15 +251,22 @@
                     continue;
                 }
                 if (otherTask.name.equals(task.name)) {
-                    recordViolation("ran_twice", task.name + " on " + otherWorker.host + " and " + worker.host);
+                    recordViolation(
+                            "ran_twice",
+                            task.name + " on " + otherWorker.host + " and " + worker.host);
                 } else if (jobOfTask(otherTask.name) == job) {
                     otherZone |= !otherWorker.zone.equals(worker.zone);
                     inZone += otherWorker.zone.equals(worker.zone) ? 1 : 0;
                 }
             }
         }
-        boolean misplaced = job.machineTypes() != null && !job.machineTypes().contains(worker.machineType.name()) || job.zone() != null && !job.zone().equals(worker.zone)
-                || worker.spot && !job.preemptible() || job.zoneAffinity() && otherZone || job.zoneSpread() && inZone + 1 > (job.taskCount() + 1) / 2;
+        boolean misplaced =
+                job.machineTypes() != null
+                                && !job.machineTypes().contains(worker.machineType.name())
+                        || job.zone() != null && !job.zone().equals(worker.zone)
+                        || worker.spot && !job.preemptible()
+                        || job.zoneAffinity() && otherZone
+                        || job.zoneSpread() && inZone + 1 > (job.taskCount() + 1) / 2;
         if (misplaced) {
             recordViolation("wrong_place", task.name + " on " + worker.host);
         }
@@ -216,18 +276,28 @@
         }
     }
 
-    /** A machine goes on after it hung: what its users have been told is cancelled must not be there any more. */
+    /**
+     * A machine goes on after it hung: what its users have been told is cancelled must not be there
+     * any more.
+     */
     void onWorkerResumed(SimulatedWorker worker) {
         for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-            if (task.occupiesMachine() && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
-                recordViolation("ran_cancelled", task.name + " goes on after " + worker.host + " hung");
+            if (task.occupiesMachine()
+                    && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
+                recordViolation(
+                        "ran_cancelled", task.name + " goes on after " + worker.host + " hung");
             }
         }
     }
 
-    /** Called after each event. Where nothing has begun since the last look, no limit can have been passed. */
+    /**
+     * Called after each event. Where nothing has begun since the last look, no limit can have been
+     * passed.
+     */
     private void checkTaskInvariants() {
-        if (!invariantChecksEnabled || taskStartCount == lastCheckedTaskStartCount && cancellationConfirmedAtMillis.isEmpty()) {
+        if (!invariantChecksEnabled
+                || taskStartCount == lastCheckedTaskStartCount
+                        && cancellationConfirmedAtMillis.isEmpty()) {
             return;
         }
         lastCheckedTaskStartCount = taskStartCount;
@@ -242,16 +312,20 @@
                 usage[0] += job.cpus();
                 usage[1] += job.gpus();
                 Long confirmedAtMillis = cancellationConfirmedAtMillis.get(job.jobId());
-                if (confirmedAtMillis != null && clock.nowMillis() - confirmedAtMillis > cancellationDeadlineSeconds * 1000) {
+                if (confirmedAtMillis != null
+                        && clock.nowMillis() - confirmedAtMillis
+                                > cancellationDeadlineSeconds * 1000) {
                     recordViolation("ran_cancelled", task.name + " on " + worker.host);
                 }
             }
         }
-        usageByTeam.forEach((team, usage) -> {
-            if (usage[0] > teams.get(team).maxCpus() + 1e-6 || usage[1] > teams.get(team).maxGpus() + 1e-6) {
-                recordViolation("quota", team);
-            }
-        });
+        usageByTeam.forEach(
+                (team, usage) -> {
+                    if (usage[0] > teams.get(team).maxCpus() + 1e-6
+                            || usage[1] > teams.get(team).maxGpus() + 1e-6) {
+                        recordViolation("quota", team);
+                    }
+                });
     }
 
     void onTaskCompleted(SimulatedWorker.SimulatedTask task, JobSpec job) {
@@ -262,8 +336,12 @@
                 completedTasks.add(job.jobId() + "/" + i);
             }
             for (SimulatedWorker worker : cloud.machines.values()) {
-                for (SimulatedWorker.SimulatedTask otherTask : new ArrayList<>(worker.tasks.values())) {
-                    if (otherTask != task && jobOfTask(otherTask.name) == job && otherTask.attempt == task.attempt && otherTask.status.equals("running")) {
+                for (SimulatedWorker.SimulatedTask otherTask :
+                        new ArrayList<>(worker.tasks.values())) {
+                    if (otherTask != task
+                            && jobOfTask(otherTask.name) == job
+                            && otherTask.attempt == task.attempt
+                            && otherTask.status.equals("running")) {
                         worker.endTask(otherTask, "done");
                     }
                 }
@@ -276,35 +354,61 @@
         for (SimulatedWorker worker : cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 if (jobOfTask(task.name) == job && task.status.equals("waiting")) {
-                    waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>()).add(new Object[] {worker, task});
+                    waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>())
+                            .add(new Object[] {worker, task});
                 }
             }
         }
-        waiting.values().stream().filter(members -> members.size() == job.taskCount())
-                .forEach(members -> members.forEach(member -> ((SimulatedWorker) member[0]).beginRunning((SimulatedWorker.SimulatedTask) member[1], job)));
+        waiting.values().stream()
+                .filter(members -> members.size() == job.taskCount())
+                .forEach(
+                        members ->
+                                members.forEach(
+                                        member ->
+                                                ((SimulatedWorker) member[0])
+                                                        .beginRunning(
+                                                                (SimulatedWorker.SimulatedTask)
+                                                                        member[1],
+                                                                job)));
     }
 
     void onGangTaskEnded(JobSpec job, long attempt, String reason) {
         if (reason.equals("done") || reason.equals("peers")) {
             return;
         }
-        clock.schedule(3000, () -> {
-            for (SimulatedWorker worker : cloud.machines.values()) {
-                for (SimulatedWorker.SimulatedTask task : new ArrayList<>(worker.tasks.values())) {
-                    if (jobOfTask(task.name) == job && task.attempt == attempt && task.status.equals("running")) {
-                        worker.endTask(task, "peers");
+        clock.schedule(
+                3000,
+                () -> {
+                    for (SimulatedWorker worker : cloud.machines.values()) {
+                        for (SimulatedWorker.SimulatedTask task :
+                                new ArrayList<>(worker.tasks.values())) {
+                            if (jobOfTask(task.name) == job
+                                    && task.attempt == attempt
+                                    && task.status.equals("running")) {
+                                worker.endTask(task, "peers");
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
     }
 
     // ---- operators
 
     /** An operator's command at a controller; {@code then} hears status and answer, 0 for none. */
-    public void sendOperatorCommand(int controller, String path, ObjectNode body, java.util.function.BiConsumer<Integer, ObjectNode> onResponse) {
-        network.call(USERS_ADDRESS, controllers.get(controller).peerAddress, "POST", path, WireFormat.JSON.encode(body), 3000,
-                (status, responseBody, retryAfterSeconds) -> onResponse.accept(status, WireFormat.JSON.decodeMap(responseBody)));
+    public void sendOperatorCommand(
+            int controller,
+            String path,
+            ObjectNode body,
+            java.util.function.BiConsumer<Integer, ObjectNode> onResponse) {
+        network.call(
+                USERS_ADDRESS,
+                controllers.get(controller).peerAddress,
+                "POST",
+                path,
+                WireFormat.JSON.encode(body),
+                3000,
+                (status, responseBody, retryAfterSeconds) ->
+                        onResponse.accept(status, WireFormat.JSON.decodeMap(responseBody)));
     }
 
     // ---- users and rules about answers
@@ -329,12 +433,15 @@
     }
 
     /**
-     * Once all troubles are over, each accepted job that its user didn't cancel is known: judged job by job, for a question
-     * that is never answered doesn't become better by what others are told.
+     * Once all troubles are over, each accepted job that its user didn't cancel is known: judged
+     * job by job, for a question that is never answered doesn't become better by what others are
+     * told.
      */
     private void checkUnansweredJobs() {
         for (String id : acceptedJobs) {
-            if (!cancellationRequests.contains(id) && clock.nowMillis() - Math.max(lastAnswerAtMillis.get(id), faultsEndAtMillis) > UNANSWERED_LIMIT_MILLIS) {
+            if (!cancellationRequests.contains(id)
+                    && clock.nowMillis() - Math.max(lastAnswerAtMillis.get(id), faultsEndAtMillis)
+                            > UNANSWERED_LIMIT_MILLIS) {
                 recordViolation("forgotten", id + " got no answer for 75 s");
             }
         }
@@ -361,24 +468,40 @@
         boolean known = acceptedJobs.contains(job.jobId());
         String previousFinalStatus = finalStatusByJob.get(job.jobId());
         int previouslyDone = maxReportedDoneTasks.getOrDefault(job.jobId(), 0);
-        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs", WireFormat.CBOR.encode(job.encode()), 5000, (status, body, retryAfterSeconds) -> {
-            if (status == 200 || status == 201) {
-                if (acceptedJobs.add(job.jobId())) {
-                    lastAnswerAtMillis.put(job.jobId(), clock.nowMillis());
-                    acceptanceDelayMillis.put(job.jobId(), clock.nowMillis() - serviceLevels.submittedAtMillis(job.jobId()));
-                    clock.schedule(5000, () -> pollRepeatedly(job.jobId()));
-                    users.onAccepted(job);
-                }
-                if (status == 201 && known) {
-                    recordViolation("forgotten", job.jobId() + " was accepted once more");
-                }
-                checkAnswer(job.jobId(), WireFormat.CBOR.decodeMap(body), previousFinalStatus, status == 200 ? previouslyDone : 0);
-            } else if (status == 400 || status == 422) {
-                recordViolation("forgotten", job.jobId() + " got " + status);
-            } else if (clock.nowMillis() < untilMillis) {
-                clock.schedule(1000L * Math.max(1, retryAfterSeconds), () -> submit(job, controller, untilMillis));
-            }
-        });
+        network.call(
+                USERS_ADDRESS,
+                (controller < 0 ? randomController() : controllers.get(controller)).userAddress,
+                "POST",
+                "/v2/runs",
+                WireFormat.CBOR.encode(job.encode()),
+                5000,
+                (status, body, retryAfterSeconds) -> {
+                    if (status == 200 || status == 201) {
+                        if (acceptedJobs.add(job.jobId())) {
+                            lastAnswerAtMillis.put(job.jobId(), clock.nowMillis());
+                            acceptanceDelayMillis.put(
+                                    job.jobId(),
+                                    clock.nowMillis()
+                                            - serviceLevels.submittedAtMillis(job.jobId()));
+                            clock.schedule(5000, () -> pollRepeatedly(job.jobId()));
+                            users.onAccepted(job);
+                        }
+                        if (status == 201 && known) {
+                            recordViolation("forgotten", job.jobId() + " was accepted once more");
+                        }
+                        checkAnswer(
+                                job.jobId(),
+                                WireFormat.CBOR.decodeMap(body),
+                                previousFinalStatus,
+                                status == 200 ? previouslyDone : 0);
+                    } else if (status == 400 || status == 422) {
+                        recordViolation("forgotten", job.jobId() + " got " + status);
+                    } else if (clock.nowMillis() < untilMillis) {
+                        clock.schedule(
+                                1000L * Math.max(1, retryAfterSeconds),
+                                () -> submit(job, controller, untilMillis));
+                    }
+                });
     }
 
     private void pollRepeatedly(String id) {
@@ -396,43 +519,75 @@
         boolean known = acceptedJobs.contains(id);
         String previousFinalStatus = finalStatusByJob.get(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
-        network.call(USERS_ADDRESS, (controller < 0 ? controllerAskedAbout(id) : controllers.get(controller)).userAddress, "GET", "/v2/runs/" + id, null, 2000, (status, body, retryAfterSeconds) -> {
-            if (status == 404 && known) {
-                recordViolation("forgotten", id);
-            } else if (status == 200) {
-                if (!jobsById.containsKey(id)) {
-                    recordViolation("invented", id);
-                }
-                lastAnswerAtMillis.put(id, clock.nowMillis());
-                checkAnswer(id, WireFormat.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
-            }
-        });
+        network.call(
+                USERS_ADDRESS,
+                (controller < 0 ? controllerAskedAbout(id) : controllers.get(controller))
+                        .userAddress,
+                "GET",
+                "/v2/runs/" + id,
+                null,
+                2000,
+                (status, body, retryAfterSeconds) -> {
+                    if (status == 404 && known) {
+                        recordViolation("forgotten", id);
+                    } else if (status == 200) {
+                        if (!jobsById.containsKey(id)) {
+                            recordViolation("invented", id);
+                        }
+                        lastAnswerAtMillis.put(id, clock.nowMillis());
+                        checkAnswer(
+                                id,
+                                WireFormat.CBOR.decodeMap(body),
+                                previousFinalStatus,
+                                previouslyDone);
+                    }
+                });
     }
 
     /** Submits what can't be accepted: its body can't run or lacks a field. */
     void submitUnacceptable(String id, byte[] body, int expected) {
         unacceptableJobs.add(id);
-        network.call(USERS_ADDRESS, randomController().userAddress, "POST", "/v2/runs", body, 5000, (status, responseBody, retryAfterSeconds) -> {
-            if (status == 200 || status == 201) {
-                recordViolation("accepted", id + " can't run or lacks a field");
-            } else if (status == expected) {
-                users.refusedCount++;
-            } else if (status == 400 || status == 422) {
-                recordViolation("accepted", id + " got " + status + " instead of " + expected);
-            }
-        });
+        network.call(
+                USERS_ADDRESS,
+                randomController().userAddress,
+                "POST",
+                "/v2/runs",
+                body,
+                5000,
+                (status, responseBody, retryAfterSeconds) -> {
+                    if (status == 200 || status == 201) {
+                        recordViolation("accepted", id + " can't run or lacks a field");
+                    } else if (status == expected) {
+                        users.refusedCount++;
+                    } else if (status == 400 || status == 422) {
+                        recordViolation(
+                                "accepted", id + " got " + status + " instead of " + expected);
+                    }
+                });
     }
 
-    /** Judges a whole answer: also how many tasks it calls done, against what anybody had been told when the user asked. */
+    /**
+     * Judges a whole answer: also how many tasks it calls done, against what anybody had been told
+     * when the user asked.
+     */
     void checkAnswer(String id, ObjectNode body, String previousFinalStatus, int previouslyDone) {
         checkAnswer(id, body.path("status").asText(), previousFinalStatus);
         if (body.has("done") && body.path("done").asInt() < previouslyDone) {
-            recordViolation("older", id + ": " + body.path("done").asInt() + " tasks are done, there were " + previouslyDone);
+            recordViolation(
+                    "older",
+                    id
+                            + ": "
+                            + body.path("done").asInt()
+                            + " tasks are done, there were "
+                            + previouslyDone);
         }
         maxReportedDoneTasks.merge(id, body.path("done").asInt(), Math::max);
     }
 
-    /** Judges what a user was told, against the final state that was told when the user asked, if any. */
+    /**
+     * Judges what a user was told, against the final state that was told when the user asked, if
+     * any.
+     */
     public void checkAnswer(String id, String status, String previousFinalStatus) {
         if (previousFinalStatus != null && !previousFinalStatus.equals(status)) {
             recordViolation("went_back", id + " was " + previousFinalStatus + ", is " + status);
@@ -465,26 +620,41 @@
         String previousFinalStatus = finalStatusByJob.get(id);
         boolean known = acceptedJobs.contains(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
-        network.call(USERS_ADDRESS, (controller < 0 ? randomController() : controllers.get(controller)).userAddress, "POST", "/v2/runs/" + id + "/cancel", WireFormat.CBOR.encode(WireFormat.newMap()), 5000, (status, body, retryAfterSeconds) -> {
-            if (status == 200) {
-                String jobStatus = WireFormat.CBOR.decodeMap(body).path("status").asText();
-                checkAnswer(id, WireFormat.CBOR.decodeMap(body), previousFinalStatus, previouslyDone);
-                if (!jobStatus.equals("cancelled") && !jobStatus.equals("done")) {
-                    recordViolation("went_back", id + " is " + jobStatus + " to whoever cancels it");
-                }
-                if (jobStatus.equals("cancelled")) {
-                    cancellationConfirmedAtMillis.putIfAbsent(id, clock.nowMillis());
-                }
-            } else if (status == 404) {
-                if (known) {
-                    recordViolation("forgotten", id + " can't be cancelled");
-                } else {
-                    clock.schedule(1000, () -> cancel(id, controller));
-                }
-            } else {
-                clock.schedule(1000L * Math.max(1, retryAfterSeconds), () -> cancel(id, controller));
-            }
-        });
+        network.call(
+                USERS_ADDRESS,
+                (controller < 0 ? randomController() : controllers.get(controller)).userAddress,
+                "POST",
+                "/v2/runs/" + id + "/cancel",
+                WireFormat.CBOR.encode(WireFormat.newMap()),
+                5000,
+                (status, body, retryAfterSeconds) -> {
+                    if (status == 200) {
+                        String jobStatus = WireFormat.CBOR.decodeMap(body).path("status").asText();
+                        checkAnswer(
+                                id,
+                                WireFormat.CBOR.decodeMap(body),
+                                previousFinalStatus,
+                                previouslyDone);
+                        if (!jobStatus.equals("cancelled") && !jobStatus.equals("done")) {
+                            recordViolation(
+                                    "went_back",
+                                    id + " is " + jobStatus + " to whoever cancels it");
+                        }
+                        if (jobStatus.equals("cancelled")) {
+                            cancellationConfirmedAtMillis.putIfAbsent(id, clock.nowMillis());
+                        }
+                    } else if (status == 404) {
+                        if (known) {
+                            recordViolation("forgotten", id + " can't be cancelled");
+                        } else {
+                            clock.schedule(1000, () -> cancel(id, controller));
+                        }
+                    } else {
+                        clock.schedule(
+                                1000L * Math.max(1, retryAfterSeconds),
+                                () -> cancel(id, controller));
+                    }
+                });
     }
 
     /** When the user was told that the job is cancelled; -1: not yet. */
--- a/src/test/java/io/quincelead/simulation/SimulatedStore.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -13,11 +13,12 @@
 
 /** A stand-in for the state service, written from the protocol. */
 public final class SimulatedStore {
-    private record VersionedValue(JsonNode value, long modRevision, long leaseId) { }
+    private record VersionedValue(JsonNode value, long modRevision, long leaseId) {}
 
-    private record StoreChange(long revision, String key, JsonNode value) { }
+    private record StoreChange(long revision, String key, JsonNode value) {}
 
-    private record Watch(String prefix, long afterRevision, IncomingRequest request, String clientIp) { }
+    private record Watch(
+            String prefix, long afterRevision, IncomingRequest request, String clientIp) {}
 
     private final SimulatedClock clock;
     private final int maxOperations;
@@ -28,38 +29,62 @@
     private final List<Watch> watches = new ArrayList<>();
     private long revision;
     private long lastLeaseId;
+
     /** Changes kept for watches. */
     public int retainedChanges = 10_000;
+
     public boolean down;
     private long downSinceMillis;
+
     /** ms for which the store has been down, when it is up again. */
     public long totalDownMillis;
+
     /** Controllers, by IP, that get 503 while the others are served; their open watches wait. */
     private final java.util.Set<String> refusedClients = new java.util.HashSet<>();
+
     /** Controllers, by IP, whose watches are late though all else is served. */
     private final java.util.Set<String> delayedWatchers = new java.util.HashSet<>();
-    /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+
+    /**
+     * Share of transactions that get no answer and are carried out 2 to 12 s later, after newer
+     * ones.
+     */
     public double delayedWriteRate;
-    /** Share of transactions that are carried out at once and of which only the answer is lost; how many there were. */
+
+    /**
+     * Share of transactions that are carried out at once and of which only the answer is lost; how
+     * many there were.
+     */
     public double responseLossRate;
+
     public int lostResponses;
+
     /** Which transactions are carried out at once without an answer, whatever their share. */
     public java.util.function.Predicate<ObjectNode> dropsResponse = transaction -> false;
+
     /** Sees each transaction that has just been carried out. */
-    public java.util.function.Consumer<ObjectNode> commitObserver = transaction -> { };
+    public java.util.function.Consumer<ObjectNode> commitObserver = transaction -> {};
+
     /** How many of those were carried out, and how many failed by then. */
     public int delayedWritesApplied;
+
     public int delayedWritesRejected;
+
     /** Items that a page of a list holds at most. */
     public int maxPageSize = 1_000;
+
     /** ms. Each request takes up to so much longer. */
     public long maxExtraLatencyMillis;
+
     /** How often each key of the ledger was written. */
     public final Map<String, Integer> ledgerWrites = new HashMap<>();
+
     /** Which transactions get lost on their way, perhaps to arrive later. */
     public java.util.function.Predicate<ObjectNode> dropsTransaction = transaction -> false;
+
     /** Sees each transaction as it arrives, before anything is done with it. */
-    public java.util.function.Consumer<ObjectNode> arrivalObserver = transaction -> { };
+    public java.util.function.Consumer<ObjectNode> arrivalObserver = transaction -> {};
+
     public int largestValue;
     public int largestTransaction;
 
@@ -99,7 +124,8 @@
         downSinceMillis = clock.nowMillis();
         down = enabled;
         if (!enabled) {
-            leaseExpiryMillis.replaceAll((leaseId, delayMillis) -> clock.nowMillis() + leaseDurationMillis.get(leaseId));
+            leaseExpiryMillis.replaceAll(
+                    (leaseId, delayMillis) -> clock.nowMillis() + leaseDurationMillis.get(leaseId));
             notifyWatchers();
         }
     }
@@ -142,7 +168,8 @@
 
     public void handle(IncomingRequest request, String clientIp) {
         if (maxExtraLatencyMillis > 0) {
-            clock.schedule(clock.random.nextLong(maxExtraLatencyMillis), () -> process(request, clientIp));
+            clock.schedule(
+                    clock.random.nextLong(maxExtraLatencyMillis), () -> process(request, clientIp));
         } else {
             process(request, clientIp);
         }
@@ -150,13 +177,22 @@
 
     private void process(IncomingRequest request, String clientIp) {
         if (request.path.equals("/watch") && !isUnavailableTo(clientIp)) {
-            Watch watch = new Watch(request.queryParameters.get("prefix"), Long.parseLong(request.queryParameters.get("after")), request, clientIp);
+            Watch watch =
+                    new Watch(
+                            request.queryParameters.get("prefix"),
+                            Long.parseLong(request.queryParameters.get("after")),
+                            request,
+                            clientIp);
             watches.add(watch);
-            clock.schedule(Long.parseLong(request.queryParameters.getOrDefault("holdMs", "0")), () -> {
-                if (!isUnavailableTo(clientIp) && !delayedWatchers.contains(clientIp) && watches.remove(watch)) {
-                    answerWatch(watch, changesFor(watch));
-                }
-            });
+            clock.schedule(
+                    Long.parseLong(request.queryParameters.getOrDefault("holdMs", "0")),
+                    () -> {
+                        if (!isUnavailableTo(clientIp)
+                                && !delayedWatchers.contains(clientIp)
+                                && watches.remove(watch)) {
+                            answerWatch(watch, changesFor(watch));
+                        }
+                    });
             notifyWatchers();
             return;
         }
@@ -164,7 +200,8 @@
             request.respondError(503, "trouble");
             return;
         }
-        ObjectNode body = request.method.equals("POST") ? WireFormat.CBOR.decodeMap(request.body) : null;
+        ObjectNode body =
+                request.method.equals("POST") ? WireFormat.CBOR.decodeMap(request.body) : null;
         if (request.path.equals("/holds")) {
             long leaseId = ++lastLeaseId;
             leaseDurationMillis.put(leaseId, body.path("lifeMs").asLong());
@@ -178,13 +215,19 @@
                 endLease(leaseId);
                 request.respond(200, WireFormat.newMap());
             } else {
-                leaseExpiryMillis.put(leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
+                leaseExpiryMillis.put(
+                        leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
                 request.respond(200, WireFormat.newMap());
             }
         } else if (request.path.equals("/commit")) {
-            if (delayedWriteRate > 0 && !body.path("then").isEmpty() && clock.random.nextDouble() < delayedWriteRate) {
+            if (delayedWriteRate > 0
+                    && !body.path("then").isEmpty()
+                    && clock.random.nextDouble() < delayedWriteRate) {
                 commitLater(request, body, 2_000 + clock.random.nextLong(10_000));
-            } else if (dropsResponse.test(body) || responseLossRate > 0 && !body.path("then").isEmpty() && clock.random.nextDouble() < responseLossRate) {
+            } else if (dropsResponse.test(body)
+                    || responseLossRate > 0
+                            && !body.path("then").isEmpty()
+                            && clock.random.nextDouble() < responseLossRate) {
                 lostResponses++;
                 commit(requestWithoutResponse(), body);
             } else {
@@ -197,7 +240,11 @@
             if (entry == null) {
                 request.respond(404, WireFormat.newMap().put("generation", revision));
             } else {
-                ObjectNode response = WireFormat.newMap().put("path", request.path.substring("/store/".length())).put("stamp", entry.modRevision).put("grant", entry.leaseId);
+                ObjectNode response =
+                        WireFormat.newMap()
+                                .put("path", request.path.substring("/store/".length()))
+                                .put("stamp", entry.modRevision)
+                                .put("grant", entry.leaseId);
                 response.set("value", entry.value);
                 request.respond(200, response);
             }
@@ -206,43 +253,56 @@
 
     /** Carries a transaction out after so many ms; nobody hears of it. */
     void commitLater(IncomingRequest request, ObjectNode body, long delayMillis) {
-        clock.schedule(delayMillis, () -> {
-            if (down) {
-                commitLater(request, body, 1_000);
-                return;
-            }
-            long previousRevision = revision;
-            commit(requestWithoutResponse(), body);
-            if (revision > previousRevision) {
-                delayedWritesApplied++;
-            } else {
-                delayedWritesRejected++;
-            }
-        });
+        clock.schedule(
+                delayMillis,
+                () -> {
+                    if (down) {
+                        commitLater(request, body, 1_000);
+                        return;
+                    }
+                    long previousRevision = revision;
+                    commit(requestWithoutResponse(), body);
+                    if (revision > previousRevision) {
+                        delayedWritesApplied++;
+                    } else {
+                        delayedWritesRejected++;
+                    }
+                });
     }
 
     /** Nobody hears the answer. */
     static IncomingRequest requestWithoutResponse() {
         return new IncomingRequest("POST", "/commit", Map.of(), new byte[0]) {
-            @Override protected void sendResponse(int status, WireFormat codec, byte[] out, int retryAfterS) { }
+            @Override
+            protected void sendResponse(
+                    int status, WireFormat codec, byte[] out, int retryAfterS) {}
         };
     }
 
     private void list(IncomingRequest request) {
         ArrayNode items = WireFormat.newList();
         String prefix = request.queryParameters.get("prefix");
-        int limit = Math.min(maxPageSize, Integer.parseInt(request.queryParameters.getOrDefault("limit", "1000")));
+        int limit =
+                Math.min(
+                        maxPageSize,
+                        Integer.parseInt(request.queryParameters.getOrDefault("limit", "1000")));
         boolean more = false;
-        for (Map.Entry<String, VersionedValue> entry : entries.tailMap(request.queryParameters.getOrDefault("after", prefix), false).entrySet()) {
+        for (Map.Entry<String, VersionedValue> entry :
+                entries.tailMap(request.queryParameters.getOrDefault("after", prefix), false)
+                        .entrySet()) {
             if (entry.getKey().startsWith(prefix)) {
                 if (items.size() >= limit) {
                     more = true;
                     break;
                 }
-                items.addObject().put("path", entry.getKey()).put("stamp", entry.getValue().modRevision).set("value", entry.getValue().value);
+                items.addObject()
+                        .put("path", entry.getKey())
+                        .put("stamp", entry.getValue().modRevision)
+                        .set("value", entry.getValue().value);
             }
         }
-        ObjectNode response = WireFormat.newMap().put("truncated", more).put("generation", revision);
+        ObjectNode response =
+                WireFormat.newMap().put("truncated", more).put("generation", revision);
         response.set("items", items);
         request.respond(200, response);
     }
@@ -254,11 +314,17 @@
         arrivalObserver.accept(body);
         JsonNode operations = body.path("then");
         if (operations.size() > maxOperations || body.path("guards").size() > 4 * maxOperations) {
-            throw new IllegalStateException("a transaction over the limits: " + operations.size() + " changes, " + body.path("guards").size() + " guards");
+            throw new IllegalStateException(
+                    "a transaction over the limits: "
+                            + operations.size()
+                            + " changes, "
+                            + body.path("guards").size()
+                            + " guards");
         }
         largestTransaction = Math.max(largestTransaction, operations.size());
         for (JsonNode operation : operations) {
-            if (operation.hasNonNull("grant") && !leaseExpiryMillis.containsKey(operation.path("grant").asLong())) {
+            if (operation.hasNonNull("grant")
+                    && !leaseExpiryMillis.containsKey(operation.path("grant").asLong())) {
                 request.respondError(400, "no such lease");
                 return;
             }
@@ -291,8 +357,15 @@
                 ledgerWrites.merge(operation.path("put").asText(), 1, Integer::sum);
             }
             if (operation.has("put")) {
-                entries.put(operation.path("put").asText(), new VersionedValue(operation.path("value"), revision, operation.path("grant").asLong()));
-                changes.add(new StoreChange(revision, operation.path("put").asText(), operation.path("value")));
+                entries.put(
+                        operation.path("put").asText(),
+                        new VersionedValue(
+                                operation.path("value"),
+                                revision,
+                                operation.path("grant").asLong()));
+                changes.add(
+                        new StoreChange(
+                                revision, operation.path("put").asText(), operation.path("value")));
             } else if (entries.remove(operation.path("remove").asText()) != null) {
                 changes.add(new StoreChange(revision, operation.path("remove").asText(), null));
             }
@@ -312,7 +385,9 @@
             if (isUnavailableTo(watch.clientIp) || delayedWatchers.contains(watch.clientIp)) {
                 continue;
             }
-            if (changes.size() > retainedChanges && changes.get(changes.size() - retainedChanges).revision > watch.afterRevision) {
+            if (changes.size() > retainedChanges
+                    && changes.get(changes.size() - retainedChanges).revision
+                            > watch.afterRevision) {
                 watches.remove(watch);
                 watch.request.respond(410, WireFormat.newMap());
                 continue;
@@ -327,10 +402,15 @@
 
     private ArrayNode changesFor(Watch watch) {
         ArrayNode events = WireFormat.newList();
-        for (int i = changes.size() - 1; i >= 0 && changes.get(i).revision > watch.afterRevision; i--) {
+        for (int i = changes.size() - 1;
+                i >= 0 && changes.get(i).revision > watch.afterRevision;
+                i--) {
             StoreChange change = changes.get(i);
             if (change.key.startsWith(watch.prefix)) {
-                ObjectNode node = WireFormat.newMap().put(change.value == null ? "remove" : "put", change.key).put("stamp", change.revision);
+                ObjectNode node =
+                        WireFormat.newMap()
+                                .put(change.value == null ? "remove" : "put", change.key)
+                                .put("stamp", change.revision);
                 if (change.value != null) {
                     node.set("value", change.value);
                 }
--- a/src/test/java/io/quincelead/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -9,19 +9,29 @@
 /** What users do besides submitting, asking every few seconds and cancelling now and then. */
 final class SimulatedUsers {
     private final SimulatedCluster cluster;
-    /** They ask all controllers, and repeat the submission, within milliseconds of an acceptance, end or cancellation. */
+
+    /**
+     * They ask all controllers, and repeat the submission, within milliseconds of an acceptance,
+     * end or cancellation.
+     */
     boolean consistencyProbes;
+
     /** Share of jobs that are then cancelled at once. */
     double cancelAtOnceRate;
+
     /** Share of jobs that are cancelled at the moment at which their last task ends. */
     double cancelAtCompletionRate;
+
     /** How often each has happened. */
     int probeCount;
+
     int cancelledAtOnceCount;
     int cancelledAtCompletionCount;
     int massCancelledCount;
+
     /** Odd requests that got the refusal they should get, and those about jobs that are known. */
     int refusedCount;
+
     int unusualRequestCount;
     private int lastUnacceptableId;
     private int lastJobNumber = 1_000;
@@ -37,9 +47,12 @@
 
     /** The first time that anybody is told that the job is accepted. */
     void onAccepted(JobSpec job) {
-        if (cancelAtOnceRate > 0 && !job.isService() && cluster.clock.random.nextDouble() < cancelAtOnceRate) {
+        if (cancelAtOnceRate > 0
+                && !job.isService()
+                && cluster.clock.random.nextDouble() < cancelAtOnceRate) {
             cancelledAtOnceCount++;
-            cluster.clock.schedule(cluster.clock.random.nextLong(30), () -> cluster.cancel(job.jobId()));
+            cluster.clock.schedule(
+                    cluster.clock.random.nextLong(30), () -> cluster.cancel(job.jobId()));
         }
         probe(job.jobId());
     }
@@ -56,9 +69,12 @@
                 return;
             }
         }
-        if (cancelAtCompletionRate > 0 && cluster.acceptedJobs().contains(job.jobId()) && cluster.clock.random.nextDouble() < cancelAtCompletionRate) {
+        if (cancelAtCompletionRate > 0
+                && cluster.acceptedJobs().contains(job.jobId())
+                && cluster.clock.random.nextDouble() < cancelAtCompletionRate) {
             cancelledAtCompletionCount++;
-            cluster.clock.schedule(cluster.clock.random.nextLong(20), () -> cluster.cancel(job.jobId()));
+            cluster.clock.schedule(
+                    cluster.clock.random.nextLong(20), () -> cluster.cancel(job.jobId()));
         }
         probe(job.jobId());
     }
@@ -72,32 +88,68 @@
         for (int i = 0; i < cluster.controllers.size(); i++) {
             int controller = i;
             for (int k = 0; k < 3; k++) {
-                cluster.clock.schedule(cluster.clock.random.nextLong(60), () -> cluster.query(id, controller));
+                cluster.clock.schedule(
+                        cluster.clock.random.nextLong(60), () -> cluster.query(id, controller));
             }
-            cluster.clock.schedule(cluster.clock.random.nextLong(60), () -> cluster.submit(job, controller));
+            cluster.clock.schedule(
+                    cluster.clock.random.nextLong(60), () -> cluster.submit(job, controller));
         }
     }
 
-    /** Cancels so many running jobs that have long to go, within 0.2 s; up to eight of their machines hang for so many ms. */
+    /**
+     * Cancels so many running jobs that have long to go, within 0.2 s; up to eight of their
+     * machines hang for so many ms.
+     */
     void cancelRunningJobs(int count, long hangMillis) {
         List<String> runningJobs = new ArrayList<>();
         for (String id : cluster.acceptedJobs()) {
             JobSpec job = cluster.jobsById.get(id);
-            boolean isRunning = cluster.cloud.machines.values().stream().anyMatch(worker -> worker.tasks.values().stream().anyMatch(task -> task.occupiesMachine() && cluster.jobOfTask(task.name) == job));
-            if (isRunning && !job.isService() && !cluster.isCancellationRequested(id) && job.runtimeSeconds() >= 5) {
+            boolean isRunning =
+                    cluster.cloud.machines.values().stream()
+                            .anyMatch(
+                                    worker ->
+                                            worker.tasks.values().stream()
+                                                    .anyMatch(
+                                                            task ->
+                                                                    task.occupiesMachine()
+                                                                            && cluster.jobOfTask(
+                                                                                            task.name)
+                                                                                    == job));
+            if (isRunning
+                    && !job.isService()
+                    && !cluster.isCancellationRequested(id)
+                    && job.runtimeSeconds() >= 5) {
                 runningJobs.add(id);
             }
         }
         List<String> chosen = runningJobs.subList(0, Math.min(count, runningJobs.size()));
         massCancelledCount += chosen.size();
-        chosen.forEach(id -> cluster.clock.schedule(cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
+        chosen.forEach(
+                id ->
+                        cluster.clock.schedule(
+                                cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
         if (hangMillis > 0) {
             cluster.expectFaultsUntil(cluster.clock.nowMillis() + hangMillis);
-            cluster.cloud.machines.values().stream().filter(worker -> worker.up && !worker.dead && !worker.hung
-                    && worker.tasks.values().stream().anyMatch(task -> chosen.contains(cluster.jobOfTask(task.name).jobId()))).limit(8).toList().forEach(worker -> {
-                        worker.setHung(true);
-                        cluster.clock.schedule(hangMillis, () -> worker.setHung(false));
-                    });
+            cluster.cloud.machines.values().stream()
+                    .filter(
+                            worker ->
+                                    worker.up
+                                            && !worker.dead
+                                            && !worker.hung
+                                            && worker.tasks.values().stream()
+                                                    .anyMatch(
+                                                            task ->
+                                                                    chosen.contains(
+                                                                            cluster.jobOfTask(
+                                                                                            task.name)
+                                                                                    .jobId())))
+                    .limit(8)
+                    .toList()
+                    .forEach(
+                            worker -> {
+                                worker.setHung(true);
+                                cluster.clock.schedule(hangMillis, () -> worker.setHung(false));
+                            });
         }
     }
 
@@ -105,24 +157,52 @@
     void sendUnusualRequest() {
         List<String> accepted = new ArrayList<>(cluster.acceptedJobs());
         String id = String.format("wk-7%05d", ++lastUnacceptableId);
-        ObjectNode job = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 3, 1, 5).encode().put("nameId", id);
+        ObjectNode job =
+                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 3, 1, 5)
+                        .encode()
+                        .put("nameId", id);
         switch (cluster.clock.random.nextInt(7)) {
-            case 0 -> accepted.stream().filter(acceptedId -> !cluster.hasFinalStatus(acceptedId)).skip(cluster.clock.random.nextInt(3)).findFirst().ifPresent(acceptedId -> {
-                unusualRequestCount++;
-                cluster.submit(cluster.jobsById.get(acceptedId));
-            });
-            case 1 -> accepted.stream().filter(acceptedId -> cluster.wasToldFinalStatus(acceptedId, "done")).skip(cluster.clock.random.nextInt(3)).findFirst().ifPresent(acceptedId -> {
-                unusualRequestCount++;
-                cluster.cancel(acceptedId);
-            });
-            case 2 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("vcpus", 1_000)), 422);
-            case 3 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("owner", "nobody")), 422);
-            case 4 -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("mode", "ensemble").put("members", 5_000)), 422);
+            case 0 ->
+                    accepted.stream()
+                            .filter(acceptedId -> !cluster.hasFinalStatus(acceptedId))
+                            .skip(cluster.clock.random.nextInt(3))
+                            .findFirst()
+                            .ifPresent(
+                                    acceptedId -> {
+                                        unusualRequestCount++;
+                                        cluster.submit(cluster.jobsById.get(acceptedId));
+                                    });
+            case 1 ->
+                    accepted.stream()
+                            .filter(acceptedId -> cluster.wasToldFinalStatus(acceptedId, "done"))
+                            .skip(cluster.clock.random.nextInt(3))
+                            .findFirst()
+                            .ifPresent(
+                                    acceptedId -> {
+                                        unusualRequestCount++;
+                                        cluster.cancel(acceptedId);
+                                    });
+            case 2 ->
+                    cluster.submitUnacceptable(
+                            id, WireFormat.CBOR.encode(job.put("vcpus", 1_000)), 422);
+            case 3 ->
+                    cluster.submitUnacceptable(
+                            id, WireFormat.CBOR.encode(job.put("owner", "nobody")), 422);
+            case 4 ->
+                    cluster.submitUnacceptable(
+                            id,
+                            WireFormat.CBOR.encode(
+                                    job.put("mode", "ensemble").put("members", 5_000)),
+                            422);
             case 5 -> {
-                job.remove(List.of("vcpus", "members", "owner", "mode", "container").get(cluster.clock.random.nextInt(5)));
+                job.remove(
+                        List.of("vcpus", "members", "owner", "mode", "container")
+                                .get(cluster.clock.random.nextInt(5)));
                 cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job), 400);
             }
-            default -> cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job.put("members", -1)), 400);
+            default ->
+                    cluster.submitUnacceptable(
+                            id, WireFormat.CBOR.encode(job.put("members", -1)), 400);
         }
     }
 
@@ -132,13 +212,25 @@
         }
     }
 
-    /** One-task jobs of both teams, so many a second, a quarter of them cancelled within three seconds. */
+    /**
+     * One-task jobs of both teams, so many a second, a quarter of them cancelled within three
+     * seconds.
+     */
     void submitSingleTaskJobs(int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
-            JobSpec job = JobFixtures.array(nextJobNumber(), i % 2 == 0 ? "red" : "blue", JobSpec.Priority.values()[1 + i % 3], 1, 1, 2 + i % 6);
+            JobSpec job =
+                    JobFixtures.array(
+                            nextJobNumber(),
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.values()[1 + i % 3],
+                            1,
+                            1,
+                            2 + i % 6);
             cluster.clock.schedule(i * intervalMillis, () -> cluster.submit(job));
             if (i % 4 == 3) {
-                cluster.clock.schedule(i * intervalMillis + cluster.clock.random.nextLong(3_000), () -> cluster.cancel(job.jobId()));
+                cluster.clock.schedule(
+                        i * intervalMillis + cluster.clock.random.nextLong(3_000),
+                        () -> cluster.cancel(job.jobId()));
             }
         }
     }
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -53,10 +53,13 @@
     boolean released;
     boolean hung;
     boolean failsTasks;
+
     /** Its reports arrive; answers and direct commands to it are lost. */
     boolean unreachableInbound;
+
     /** It reaches no controller; direct commands reach it. */
     boolean unreachableOutbound;
+
     double preemptionWarningSeconds = -1;
     private long agentEpoch = 1;
     private long serial;
@@ -68,11 +71,19 @@
     private long lastHeartbeatMillis = -10_000;
     private int heartbeatNumber;
     final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
+
     /** Images, by when they are here. */
     private final Map<String, Long> imageReadyAtMillis = new java.util.HashMap<>();
+
     private final List<Runnable> suspendedActions = new ArrayList<>();
 
-    SimulatedWorker(SimulatedCluster cluster, String host, String address, SimulatedCloud.MachineType machineType, String zone, boolean spot) {
+    SimulatedWorker(
+            SimulatedCluster cluster,
+            String host,
+            String address,
+            SimulatedCloud.MachineType machineType,
+            String zone,
+            boolean spot) {
         this.cluster = cluster;
         this.clock = cluster.clock;
         this.host = host;
@@ -104,7 +115,8 @@
         if (!released) {
             up = true;
             leaseStartMillis = clock.nowMillis();
-            cluster.network.setHandler(address, request -> runUnlessHung(() -> handleCommand(request)));
+            cluster.network.setHandler(
+                    address, request -> runUnlessHung(() -> handleCommand(request)));
             scheduleHeartbeats();
         }
     }
@@ -144,31 +156,56 @@
     }
 
     boolean isHealthy() {
-        return up && !dead && !released && !hung && !unreachableInbound && !unreachableOutbound && !failsTasks && preemptionWarningSeconds < 0;
+        return up
+                && !dead
+                && !released
+                && !hung
+                && !unreachableInbound
+                && !unreachableOutbound
+                && !failsTasks
+                && preemptionWarningSeconds < 0;
     }
 
     private void scheduleHeartbeats() {
         if (released || dead) {
             return;
         }
-        runUnlessHung(() -> {
-            endTasksIfLeaseExpired();
-            if (!heartbeatInFlight && (clock.nowMillis() - lastHeartbeatMillis >= cluster.heartbeatIntervalMillis || heartbeatDue && clock.nowMillis() - lastHeartbeatMillis >= 500)) {
-                sendHeartbeat();
-            }
-        });
+        runUnlessHung(
+                () -> {
+                    endTasksIfLeaseExpired();
+                    if (!heartbeatInFlight
+                            && (clock.nowMillis() - lastHeartbeatMillis
+                                            >= cluster.heartbeatIntervalMillis
+                                    || heartbeatDue
+                                            && clock.nowMillis() - lastHeartbeatMillis >= 500)) {
+                        sendHeartbeat();
+                    }
+                });
         clock.schedule(100, this::scheduleHeartbeats);
     }
 
     private ObjectNode heartbeatBody() {
-        ObjectNode node = WireFormat.newMap().put("host", host).put("addr", address).put("shape", machineType.name()).put("site", zone)
-                .put("preemptible", spot).put("tenure", agentEpoch).put("serial", ++serial).put("epoch", fencingToken);
+        ObjectNode node =
+                WireFormat.newMap()
+                        .put("host", host)
+                        .put("addr", address)
+                        .put("shape", machineType.name())
+                        .put("site", zone)
+                        .put("preemptible", spot)
+                        .put("tenure", agentEpoch)
+                        .put("serial", ++serial)
+                        .put("epoch", fencingToken);
         if (preemptionWarningSeconds >= 0) {
             node.put("warningS", preemptionWarningSeconds);
         }
         ArrayNode taskNodes = node.putArray("members");
         for (SimulatedTask task : tasks.values()) {
-            ObjectNode taskNode = taskNodes.addObject().put("member", task.name).put("try", task.attempt).put("status", task.status);
+            ObjectNode taskNode =
+                    taskNodes
+                            .addObject()
+                            .put("member", task.name)
+                            .put("try", task.attempt)
+                            .put("status", task.status);
             if (task.hasEnded()) {
                 taskNode.put("exitReason", task.endReason).put("stored", task.checkpointStored);
             }
@@ -184,30 +221,65 @@
         long sentAgentEpoch = agentEpoch;
         int number = ++heartbeatNumber;
         if (unreachableOutbound) {
-            clock.schedule(500, () -> runUnlessHung(() -> onHeartbeatResponse(number, sentMillis, sentAgentEpoch, 0, null)));
+            clock.schedule(
+                    500,
+                    () ->
+                            runUnlessHung(
+                                    () ->
+                                            onHeartbeatResponse(
+                                                    number, sentMillis, sentAgentEpoch, 0, null)));
             return;
         }
         SimulatedCluster.SimulatedController controller = cluster.controllers.get(targetController);
-        cluster.network.call(address, controller.userAddress, "POST", "/v1/report", WireFormat.CBOR.encode(heartbeatBody()), 4000, (status, responseBody, retryAfterSeconds) -> runUnlessHung(() -> {
-            if (number != heartbeatNumber) {
-                return;
-            }
-            if (unreachableInbound && status != 0) {
-                clock.schedule(Math.max(0, 4000 - (clock.nowMillis() - sentMillis)), () -> runUnlessHung(() -> onHeartbeatResponse(number, sentMillis, sentAgentEpoch, 0, null)));
-                return;
-            }
-            onHeartbeatResponse(number, sentMillis, sentAgentEpoch, status, responseBody);
-        }));
+        cluster.network.call(
+                address,
+                controller.userAddress,
+                "POST",
+                "/v1/report",
+                WireFormat.CBOR.encode(heartbeatBody()),
+                4000,
+                (status, responseBody, retryAfterSeconds) ->
+                        runUnlessHung(
+                                () -> {
+                                    if (number != heartbeatNumber) {
+                                        return;
+                                    }
+                                    if (unreachableInbound && status != 0) {
+                                        clock.schedule(
+                                                Math.max(
+                                                        0, 4000 - (clock.nowMillis() - sentMillis)),
+                                                () ->
+                                                        runUnlessHung(
+                                                                () ->
+                                                                        onHeartbeatResponse(
+                                                                                number,
+                                                                                sentMillis,
+                                                                                sentAgentEpoch,
+                                                                                0,
+                                                                                null)));
+                                        return;
+                                    }
+                                    onHeartbeatResponse(
+                                            number,
+                                            sentMillis,
+                                            sentAgentEpoch,
+                                            status,
+                                            responseBody);
+                                }));
     }
 
-    private void onHeartbeatResponse(int number, long sentMillis, long sentAgentEpoch, int status, byte[] responseBody) {
+    private void onHeartbeatResponse(
+            int number, long sentMillis, long sentAgentEpoch, int status, byte[] responseBody) {
         if (number != heartbeatNumber) {
             return;
         }
         heartbeatInFlight = false;
         ObjectNode response = WireFormat.CBOR.decodeMap(responseBody);
         if (status == 200 && response != null) {
-            if (clock.nowMillis() - sentMillis > 4000 || sentAgentEpoch != agentEpoch || !response.has("epoch") || response.path("epoch").asLong() < fencingToken) {
+            if (clock.nowMillis() - sentMillis > 4000
+                    || sentAgentEpoch != agentEpoch
+                    || !response.has("epoch")
+                    || response.path("epoch").asLong() < fencingToken) {
                 return;
             }
             leaseStartMillis = sentMillis;
@@ -215,7 +287,8 @@
             response.path("orders").forEach(this::execute);
             return;
         }
-        String namedController = status == 421 && response != null ? response.path("controller").asText("") : "";
+        String namedController =
+                status == 421 && response != null ? response.path("controller").asText("") : "";
         int namedIndex = cluster.indexOfController(namedController);
         if (namedIndex >= 0 && namedIndex != targetController) {
             targetController = namedIndex;
@@ -238,9 +311,13 @@
             return;
         }
         endTasksIfLeaseExpired();
-        ObjectNode command = request.path.equals("/orders") ? WireFormat.CBOR.decodeMap(request.body) : WireFormat.newMap();
+        ObjectNode command =
+                request.path.equals("/orders")
+                        ? WireFormat.CBOR.decodeMap(request.body)
+                        : WireFormat.newMap();
         if (request.path.equals("/orders")) {
-            if (command.path("epoch").asLong() < fencingToken || command.path("tenure").asLong() != agentEpoch) {
+            if (command.path("epoch").asLong() < fencingToken
+                    || command.path("tenure").asLong() != agentEpoch) {
                 request.respond(409, heartbeatBody());
                 return;
             }
@@ -263,16 +340,25 @@
             case "kill" -> {
                 if (task != null && !task.hasEnded()) {
                     JobSpec job = cluster.jobOfTask(name);
-                    boolean checkpointsFirst = task.status.equals("running") && job.checkpointIntervalSeconds() > 0 && command.path("drainS").asDouble() >= job.checkpointSeconds();
+                    boolean checkpointsFirst =
+                            task.status.equals("running")
+                                    && job.checkpointIntervalSeconds() > 0
+                                    && command.path("drainS").asDouble() >= job.checkpointSeconds();
                     if (checkpointsFirst) {
                         task.status = "saving";
-                        clock.schedule((long) (job.checkpointSeconds() * 1000), () -> runUnlessHung(() -> {
-                            if (tasks.get(taskKey(name, attempt)) == task && !task.hasEnded()) {
-                                task.checkpointStored = true;
-                                endTask(task, "halted");
-                            }
-                        }));
-                    } else if (!task.status.equals("saving") || command.path("drainS").asDouble() == 0) {
+                        clock.schedule(
+                                (long) (job.checkpointSeconds() * 1000),
+                                () ->
+                                        runUnlessHung(
+                                                () -> {
+                                                    if (tasks.get(taskKey(name, attempt)) == task
+                                                            && !task.hasEnded()) {
+                                                        task.checkpointStored = true;
+                                                        endTask(task, "halted");
+                                                    }
+                                                }));
+                    } else if (!task.status.equals("saving")
+                            || command.path("drainS").asDouble() == 0) {
                         endTask(task, "halted");
                     }
                 }
@@ -307,35 +393,68 @@
             endTask(task, "unknown");
         } else if (alreadyHere) {
             endTask(task, "busy");
-        } else if (usedCpus + job.cpus() > machineType.cpus() + 1e-9 || usedMemoryGb + job.memoryGb() > machineType.memoryGb() + 1e-9 || usedGpus + job.gpus() > machineType.gpus() + 1e-9) {
+        } else if (usedCpus + job.cpus() > machineType.cpus() + 1e-9
+                || usedMemoryGb + job.memoryGb() > machineType.memoryGb() + 1e-9
+                || usedGpus + job.gpus() > machineType.gpus() + 1e-9) {
             endTask(task, "full");
         } else {
-            clock.schedule(imageFetchMillis(job), () -> runUnlessHung(() -> {
-                if (tasks.get(taskKey(name, attempt)) == task && task.status.equals("fetching")) {
-                    cluster.onTaskStarted(this, task, job);
-                    heartbeatDue = true;
-                    if (failsTasks) {
-                        task.status = "running";
-                        clock.schedule(700, () -> runUnlessHung(() -> {
-                            if (tasks.get(taskKey(name, attempt)) == task && !task.hasEnded()) {
-                                endTask(task, "error");
-                            }
-                        }));
-                    } else if (job.isGang() && cluster.completedTasks.contains(task.name)) {
-                        endTask(task, "done");
-                    } else if (job.isGang()) {
-                        task.status = "waiting";
-                        clock.schedule(GANG_WAIT_MILLIS, () -> runUnlessHung(() -> {
-                            if (tasks.get(taskKey(name, attempt)) == task && task.status.equals("waiting")) {
-                                endTask(task, "incomplete");
-                            }
-                        }));
-                        cluster.startGangIfComplete(job);
-                    } else {
-                        beginRunning(task, job);
-                    }
-                }
-            }));
+            clock.schedule(
+                    imageFetchMillis(job),
+                    () ->
+                            runUnlessHung(
+                                    () -> {
+                                        if (tasks.get(taskKey(name, attempt)) == task
+                                                && task.status.equals("fetching")) {
+                                            cluster.onTaskStarted(this, task, job);
+                                            heartbeatDue = true;
+                                            if (failsTasks) {
+                                                task.status = "running";
+                                                clock.schedule(
+                                                        700,
+                                                        () ->
+                                                                runUnlessHung(
+                                                                        () -> {
+                                                                            if (tasks.get(
+                                                                                                    taskKey(
+                                                                                                            name,
+                                                                                                            attempt))
+                                                                                            == task
+                                                                                    && !task
+                                                                                            .hasEnded()) {
+                                                                                endTask(
+                                                                                        task,
+                                                                                        "error");
+                                                                            }
+                                                                        }));
+                                            } else if (job.isGang()
+                                                    && cluster.completedTasks.contains(task.name)) {
+                                                endTask(task, "done");
+                                            } else if (job.isGang()) {
+                                                task.status = "waiting";
+                                                clock.schedule(
+                                                        GANG_WAIT_MILLIS,
+                                                        () ->
+                                                                runUnlessHung(
+                                                                        () -> {
+                                                                            if (tasks.get(
+                                                                                                    taskKey(
+                                                                                                            name,
+                                                                                                            attempt))
+                                                                                            == task
+                                                                                    && task.status
+                                                                                            .equals(
+                                                                                                    "waiting")) {
+                                                                                endTask(
+                                                                                        task,
+                                                                                        "incomplete");
+                                                                            }
+                                                                        }));
+                                                cluster.startGangIfComplete(job);
+                                            } else {
+                                                beginRunning(task, job);
+                                            }
+                                        }
+                                    }));
         }
     }
 
@@ -347,7 +466,9 @@
         Long readyAtMillis = imageReadyAtMillis.get(job.image());
         if (readyAtMillis == null) {
             cluster.fetchedImageGb += job.imageSizeGb();
-            readyAtMillis = clock.nowMillis() + (long) (job.imageSizeGb() / cluster.imageFetchGbPerSecond * 1000);
+            readyAtMillis =
+                    clock.nowMillis()
+                            + (long) (job.imageSizeGb() / cluster.imageFetchGbPerSecond * 1000);
             imageReadyAtMillis.put(job.image(), readyAtMillis);
         }
         return Math.max(50, readyAtMillis - clock.nowMillis());
@@ -357,12 +478,17 @@
         task.status = "running";
         if (!job.isService()) {
             double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
-            clock.schedule(cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000), () -> runUnlessHung(() -> {
-                if (tasks.get(taskKey(task.name, task.attempt)) == task && task.status.equals("running")) {
-                    cluster.onTaskCompleted(task, job);
-                    endTask(task, "done");
-                }
-            }));
+            clock.schedule(
+                    cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000),
+                    () ->
+                            runUnlessHung(
+                                    () -> {
+                                        if (tasks.get(taskKey(task.name, task.attempt)) == task
+                                                && task.status.equals("running")) {
+                                            cluster.onTaskCompleted(task, job);
+                                            endTask(task, "done");
+                                        }
+                                    }));
         }
     }
 
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -7,26 +7,37 @@
 import java.util.Set;
 
 /**
- * Who waits though there is room, by what is on the machines, never by the service's own books: once troubles are over, no job waits
- * for 90 s while a machine that fits has room and its team is under its limit.
+ * Who waits though there is room, by what is on the machines, never by the service's own books:
+ * once troubles are over, no job waits for 90 s while a machine that fits has room and its team is
+ * under its limit.
  */
 final class StarvationChecker {
     /** ms. The users' own bound. */
     static final long WAIT_LIMIT_MILLIS = 90_000;
+
     /**
-     * Looks, one a second: a place counts as free once it has been so for as long, which is what passing it on takes (the report that
-     * shows the end, a round, the report that takes the start along). A team at its limit whose tasks follow each other is not under it.
+     * Looks, one a second: a place counts as free once it has been so for as long, which is what
+     * passing it on takes (the report that shows the end, a round, the report that takes the start
+     * along). A team at its limit whose tasks follow each other is not under it.
      */
     private static final int HANDOVER_CHECKS = 5;
+
     private final SimulatedCluster cluster;
+
     /** Since when each job could have gone on. */
     private final Map<String, Long> startableSinceMillis = new HashMap<>();
-    /** When each task that has ended or gone was last there; its place may be on its way to another. */
+
+    /**
+     * When each task that has ended or gone was last there; its place may be on its way to another.
+     */
     private final Map<SimulatedWorker.SimulatedTask, TaskSighting> lastSightings = new HashMap<>();
 
-    private record TaskSighting(SimulatedWorker worker, JobSpec job, long atMillis) { }
+    private record TaskSighting(SimulatedWorker worker, JobSpec job, long atMillis) {}
 
-    /** Seconds for which each job that has not begun could have, were it not for less urgent work of its own team. */
+    /**
+     * Seconds for which each job that has not begun could have, were it not for less urgent work of
+     * its own team.
+     */
     private final Map<String, Integer> startableSeconds = new HashMap<>();
 
     StarvationChecker(SimulatedCluster cluster) {
@@ -54,7 +65,9 @@
         }
 
         int tasksThatFit(JobSpec job) {
-            if (job.machineTypes() != null && !job.machineTypes().contains(worker.machineType.name()) || job.zone() != null && !job.zone().equals(worker.zone)
+            if (job.machineTypes() != null
+                            && !job.machineTypes().contains(worker.machineType.name())
+                    || job.zone() != null && !job.zone().equals(worker.zone)
                     || worker.spot && !job.preemptible()) {
                 return 0;
             }
@@ -84,11 +97,15 @@
                     JobSpec job = cluster.jobOfTask(t.name);
                     presentTasks.add(t.name);
                     lastSightings.put(t, new TaskSighting(worker, job, cluster.clock.nowMillis()));
-                    tasksByZone.computeIfAbsent(job.jobId(), key -> new HashMap<>()).merge(worker.zone, 1, Integer::sum);
+                    tasksByZone
+                            .computeIfAbsent(job.jobId(), key -> new HashMap<>())
+                            .merge(worker.zone, 1, Integer::sum);
                 }
             }
         }
-        lastSightings.values().removeIf(t -> cluster.clock.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
+        lastSightings
+                .values()
+                .removeIf(t -> cluster.clock.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
         for (TaskSighting t : lastSightings.values()) {
             double[] usage = usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]);
             usage[0] += t.job.cpus();
@@ -99,28 +116,51 @@
         }
         for (String id : cluster.acceptedJobs()) {
             JobSpec job = cluster.jobsById.get(id);
-            if (cluster.serviceLevels().firstStartDelayMillis(id) < 0 && !cluster.hasFinalStatus(id)) {
+            if (cluster.serviceLevels().firstStartDelayMillis(id) < 0
+                    && !cluster.hasFinalStatus(id)) {
                 double[] usageNotLessUrgent = new double[2];
                 for (TaskSighting t : lastSightings.values()) {
-                    if (t.job.team().equals(job.team()) && t.job.priority().compareTo(job.priority()) <= 0) {
+                    if (t.job.team().equals(job.team())
+                            && t.job.priority().compareTo(job.priority()) <= 0) {
                         usageNotLessUrgent[0] += t.job.cpus();
                         usageNotLessUrgent[1] += t.job.gpus();
                     }
                 }
-                startableSeconds.merge(id, !cluster.store.down && canStart(job, job.taskCount(), freeCapacity, usageNotLessUrgent, Map.of()) ? 1 : 0, Integer::sum);
+                startableSeconds.merge(
+                        id,
+                        !cluster.store.down
+                                        && canStart(
+                                                job,
+                                                job.taskCount(),
+                                                freeCapacity,
+                                                usageNotLessUrgent,
+                                                Map.of())
+                                ? 1
+                                : 0,
+                        Integer::sum);
             }
             if (cluster.clock.nowMillis() <= faultsEndAtMillis) {
                 continue;
             }
-            boolean startable = !cluster.hasFinalStatus(id) && !cluster.isCancellationRequested(id)
-                    && canStart(job, waitingTasks(job, presentTasks), freeCapacity, usageByTeam.getOrDefault(job.team(), new double[2]), tasksByZone.getOrDefault(id, Map.of()));
+            boolean startable =
+                    !cluster.hasFinalStatus(id)
+                            && !cluster.isCancellationRequested(id)
+                            && canStart(
+                                    job,
+                                    waitingTasks(job, presentTasks),
+                                    freeCapacity,
+                                    usageByTeam.getOrDefault(job.team(), new double[2]),
+                                    tasksByZone.getOrDefault(id, Map.of()));
             if (!startable) {
                 startableSinceMillis.remove(id);
                 continue;
             }
-            long sinceMillis = startableSinceMillis.computeIfAbsent(id, key -> cluster.clock.nowMillis());
-            if (cluster.clock.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis) > WAIT_LIMIT_MILLIS) {
-                cluster.recordViolation("waiting", id + " could go on since " + sinceMillis / 1000 + " s");
+            long sinceMillis =
+                    startableSinceMillis.computeIfAbsent(id, key -> cluster.clock.nowMillis());
+            if (cluster.clock.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis)
+                    > WAIT_LIMIT_MILLIS) {
+                cluster.recordViolation(
+                        "waiting", id + " could go on since " + sinceMillis / 1000 + " s");
             }
         }
     }
@@ -134,20 +174,39 @@
         return count;
     }
 
-    private boolean canStart(JobSpec job, int waitingTasks, Map<String, MachineFreeCapacity> freeCapacity, double[] usage, Map<String, Integer> tasksByZone) {
+    private boolean canStart(
+            JobSpec job,
+            int waitingTasks,
+            Map<String, MachineFreeCapacity> freeCapacity,
+            double[] usage,
+            Map<String, Integer> tasksByZone) {
         int requiredTasks = job.isGang() ? job.taskCount() : 1;
-        if (waitingTasks < requiredTasks || usage[0] + requiredTasks * job.cpus() > cluster.teams.get(job.team()).maxCpus() || usage[1] + requiredTasks * job.gpus() > cluster.teams.get(job.team()).maxGpus()) {
+        if (waitingTasks < requiredTasks
+                || usage[0] + requiredTasks * job.cpus() > cluster.teams.get(job.team()).maxCpus()
+                || usage[1] + requiredTasks * job.gpus()
+                        > cluster.teams.get(job.team()).maxGpus()) {
             return false;
         }
         Map<String, Integer> fittingTasksByZone = new HashMap<>();
         for (MachineFreeCapacity capacity : freeCapacity.values()) {
-            fittingTasksByZone.merge(capacity.worker.zone, capacity.tasksThatFit(job), Integer::sum);
+            fittingTasksByZone.merge(
+                    capacity.worker.zone, capacity.tasksThatFit(job), Integer::sum);
         }
         int maxPerZone = (job.taskCount() + 1) / 2;
-        fittingTasksByZone.replaceAll((zone, count) -> job.zoneSpread() ? Math.min(count, maxPerZone - tasksByZone.getOrDefault(zone, 0)) : count);
+        fittingTasksByZone.replaceAll(
+                (zone, count) ->
+                        job.zoneSpread()
+                                ? Math.min(count, maxPerZone - tasksByZone.getOrDefault(zone, 0))
+                                : count);
         if (job.zoneAffinity()) {
-            return fittingTasksByZone.entrySet().stream().anyMatch(entry -> entry.getValue() >= requiredTasks && (tasksByZone.isEmpty() || tasksByZone.containsKey(entry.getKey())));
+            return fittingTasksByZone.entrySet().stream()
+                    .anyMatch(
+                            entry ->
+                                    entry.getValue() >= requiredTasks
+                                            && (tasksByZone.isEmpty()
+                                                    || tasksByZone.containsKey(entry.getKey())));
         }
-        return fittingTasksByZone.values().stream().mapToInt(count -> Math.max(0, count)).sum() >= requiredTasks;
+        return fittingTasksByZone.values().stream().mapToInt(count -> Math.max(0, count)).sum()
+                >= requiredTasks;
     }
 }
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -9,27 +9,81 @@
 import java.util.TreeMap;
 
 /**
- * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on
- * cheap machines of 8 CPUs beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica, replicas' up-time, time to the last one back, GB fetched,
- * low tasks started again, machines rented.
+ * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off
+ * SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on cheap machines of 8
+ * CPUs beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica,
+ * replicas' up-time, time to the last one back, GB fetched, low tasks started again, machines
+ * rented.
  */
 public final class ZoneLossScenario {
-    private ZoneLossScenario() { }
+    private ZoneLossScenario() {}
 
     public static void main(String[] args) {
         boolean recoveryEnabled = args[1].equals("on");
-        SimulatedCluster cluster = new SimulatedCluster(Long.parseLong(args[2]), List.of(new SimulatedCloud.MachineType("small", 8, 0, 32, 0.4, 0.15, 25, List.of("a", "b", "c"), 400)), 5);
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        Long.parseLong(args[2]),
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small",
+                                        8,
+                                        0,
+                                        32,
+                                        0.4,
+                                        0.15,
+                                        25,
+                                        List.of("a", "b", "c"),
+                                        400)),
+                        5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.imageFetchGbPerSecond = 4;
         cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
         cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
-        cluster.operatorSettings = OperatorSettings.DEFAULTS.withZoneRecovery(new OperatorSettings.ZoneRecovery(recoveryEnabled, 30, 12, 5));
+        cluster.operatorSettings =
+                OperatorSettings.DEFAULTS.withZoneRecovery(
+                        new OperatorSettings.ZoneRecovery(recoveryEnabled, 30, 12, 5));
         cluster.start();
         double[] imageGb = {8, 14, 24, 40, 70, 140};
         for (int i = 1; i <= 12; i++) {
-            JobSpec template = JobFixtures.job(i, "red", JobSpec.Mode.STANDING, JobSpec.Priority.PRODUCTION, 6, 3, 0, 0, null, null, false, i % 4 == 0, true, 0);
-            JobSpec job = new JobSpec(template.jobId(), "model", template.team(), template.mode(), template.priority(), 6, 3, 0, 6, null, null, false, template.zoneSpread(), true, "w-" + i, imageGb[i % 6], 0, 0, 0, -1);
+            JobSpec template =
+                    JobFixtures.job(
+                            i,
+                            "red",
+                            JobSpec.Mode.STANDING,
+                            JobSpec.Priority.PRODUCTION,
+                            6,
+                            3,
+                            0,
+                            0,
+                            null,
+                            null,
+                            false,
+                            i % 4 == 0,
+                            true,
+                            0);
+            JobSpec job =
+                    new JobSpec(
+                            template.jobId(),
+                            "model",
+                            template.team(),
+                            template.mode(),
+                            template.priority(),
+                            6,
+                            3,
+                            0,
+                            6,
+                            null,
+                            null,
+                            false,
+                            template.zoneSpread(),
+                            true,
+                            "w-" + i,
+                            imageGb[i % 6],
+                            0,
+                            0,
+                            0,
+                            -1);
             cluster.clock.schedule(3_000, () -> cluster.submit(job));
         }
         for (int i = 13; i < 140; i++) {
@@ -40,12 +94,18 @@
         Map<String, Integer> initialReplicas = runningReplicas(cluster);
         Map<String, Long> machinesByZone = new TreeMap<>();
         cluster.cloud.machines.values().forEach(m -> machinesByZone.merge(m.zone, 1L, Long::sum));
-        String lostZone = machinesByZone.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+        String lostZone =
+                machinesByZone.entrySet().stream()
+                        .max(Map.Entry.comparingByValue())
+                        .orElseThrow()
+                        .getKey();
         double fetchedBeforeGb = cluster.fetchedImageGb;
         int rentedBefore = cluster.cloud.rentedMachineCount();
         int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
         if (args[0].equals("dead")) {
-            cluster.cloud.machines.values().stream().filter(m -> m.zone.equals(lostZone)).forEach(SimulatedWorker::crash);
+            cluster.cloud.machines.values().stream()
+                    .filter(m -> m.zone.equals(lostZone))
+                    .forEach(SimulatedWorker::crash);
         } else {
             FaultInjector.partitionZone(cluster, lostZone, List.of(1), 90_000);
         }
@@ -54,23 +114,45 @@
         long[] lastIncompleteMillis = {-1};
         for (long offsetMillis = 500; offsetMillis <= 200_000; offsetMillis += 500) {
             long atMillis = offsetMillis;
-            cluster.clock.schedule(offsetMillis, () -> {
-                Map<String, Integer> replicas = runningReplicas(cluster);
-                initialReplicas.keySet().forEach(m -> {
-                    checksWithoutReplica.merge(m, replicas.getOrDefault(m, 0) == 0 ? 1 : 0, Integer::sum);
-                    replicaChecks[0] += replicas.getOrDefault(m, 0);
-                    replicaChecks[1] += 6;
-                });
-                if (replicas.values().stream().mapToInt(count -> count).sum() < 72) {
-                    lastIncompleteMillis[0] = atMillis;
-                }
-            });
+            cluster.clock.schedule(
+                    offsetMillis,
+                    () -> {
+                        Map<String, Integer> replicas = runningReplicas(cluster);
+                        initialReplicas
+                                .keySet()
+                                .forEach(
+                                        m -> {
+                                            checksWithoutReplica.merge(
+                                                    m,
+                                                    replicas.getOrDefault(m, 0) == 0 ? 1 : 0,
+                                                    Integer::sum);
+                                            replicaChecks[0] += replicas.getOrDefault(m, 0);
+                                            replicaChecks[1] += 6;
+                                        });
+                        if (replicas.values().stream().mapToInt(count -> count).sum() < 72) {
+                            lastIncompleteMillis[0] = atMillis;
+                        }
+                    });
         }
         cluster.clock.runUntil(400_500);
-        System.out.printf("%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; "
-                + "fetched %.0f GB; starts %d; rented %d; broken %s%n", args[0], args[1], machinesByZone, lostZone, checksWithoutReplica.values().stream().filter(count -> count > 0).count(),
-                checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0) / 2.0, checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0, replicaChecks[0] / replicaChecks[1], lastIncompleteMillis[0] / 1000.0,
-                cluster.fetchedImageGb - fetchedBeforeGb, cluster.taskStarts.values().stream().mapToInt(count -> count).sum() - startsBefore, cluster.cloud.rentedMachineCount() - rentedBefore, cluster.violations());
+        System.out.printf(
+                "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
+                    + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
+                    + " GB; starts %d; rented %d; broken %s%n",
+                args[0],
+                args[1],
+                machinesByZone,
+                lostZone,
+                checksWithoutReplica.values().stream().filter(count -> count > 0).count(),
+                checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
+                        / 2.0,
+                checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0,
+                replicaChecks[0] / replicaChecks[1],
+                lastIncompleteMillis[0] / 1000.0,
+                cluster.fetchedImageGb - fetchedBeforeGb,
+                cluster.taskStarts.values().stream().mapToInt(count -> count).sum() - startsBefore,
+                cluster.cloud.rentedMachineCount() - rentedBefore,
+                cluster.violations());
     }
 
     /** Replicas that run on machines that are there, by model. */
--- a/src/test/java/io/quincelead/store/TransactionTest.java
+++ b/src/test/java/io/quincelead/store/TransactionTest.java
@@ -7,12 +7,20 @@
 import org.junit.jupiter.api.Test;
 
 class TransactionTest {
-    /** Merged, the newer guard took the older one's place: an end by evidence landed though its machine had changed hands since. */
-    @Test void transactionsRequiringDifferentRevisionsConflict() {
+    /**
+     * Merged, the newer guard took the older one's place: an end by evidence landed though its
+     * machine had changed hands since.
+     */
+    @Test
+    void transactionsRequiringDifferentRevisionsConflict() {
         Transaction older = new Transaction().requireRevision("a/b/x", 7).remove("a/j/1");
         Transaction newer = new Transaction().requireRevision("a/b/x", 8).remove("a/j/2");
         assertTrue(older.conflictsWith(newer));
         assertTrue(newer.conflictsWith(older));
-        assertFalse(older.conflictsWith(new Transaction().requireRevision("a/b/x", 7).put("a/j/3", WireFormat.newMap())));
+        assertFalse(
+                older.conflictsWith(
+                        new Transaction()
+                                .requireRevision("a/b/x", 7)
+                                .put("a/j/3", WireFormat.newMap())));
     }
 }
