--- a/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
+++ b/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
@@ -25,16 +25,27 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Connections are short: a controller left alone once spent all of them on workers, and users and the platform's probe found none. */
+/**
+ * Connections are short: a controller left alone once spent all of them on workers, and users and
+ * the platform's probe found none.
+ */
 class ConnectionLimitsTest {
     private XnioWorker worker;
 
-    @BeforeEach void start() throws IOException {
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, true).getMap());
+    @BeforeEach
+    void start() throws IOException {
+        worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.THREAD_DAEMON, true)
+                                        .getMap());
     }
 
-    @AfterEach void stop() {
+    @AfterEach
+    void stop() {
         worker.shutdownNow();
     }
 
@@ -47,7 +58,10 @@
 
     /** Sends one request and reads the head of the answer. */
     private static String ask(Socket s, String path) throws IOException {
-        s.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        s.getOutputStream()
+                .write(
+                        ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         StringBuilder head = new StringBuilder();
         InputStream in = s.getInputStream();
         for (int c = in.read(); c >= 0 && head.indexOf("\r\n\r\n") < 0; c = in.read()) {
@@ -56,14 +70,21 @@
         return head.toString();
     }
 
-    @Test void workerConnectionsAreClosedNearTheLimit() throws Exception {
+    @Test
+    void workerConnectionsAreClosedNearTheLimit() throws Exception {
         int port = freePort();
-        new HttpServer(worker, "127.0.0.1:" + port, 40, request -> {
-            if (request.path.equals("/v1/report") && request.isNearConnectionLimit()) {
-                request.closeConnectionAfterResponse();
-            }
-            request.respond(200, WireFormat.newMap());
-        }).start();
+        new HttpServer(
+                        worker,
+                        "127.0.0.1:" + port,
+                        40,
+                        request -> {
+                            if (request.path.equals("/v1/report")
+                                    && request.isNearConnectionLimit()) {
+                                request.closeConnectionAfterResponse();
+                            }
+                            request.respond(200, WireFormat.newMap());
+                        })
+                .start();
         List<Socket> open = new ArrayList<>();
         int closed = 0;
         for (int i = 0; i < 120; i++) {
@@ -85,15 +106,22 @@
             user.connect(new InetSocketAddress("127.0.0.1", port), 2_000);
             user.setSoTimeout(2_000);
             String head = ask(user, "/ready");
-            assertTrue(head.startsWith("HTTP/1.1 200") && !head.toLowerCase().contains("connection: close"), head);
+            assertTrue(
+                    head.startsWith("HTTP/1.1 200")
+                            && !head.toLowerCase().contains("connection: close"),
+                    head);
         }
         for (Socket s : open) {
             s.close();
         }
     }
 
-    /** Calls to many workers, some of which never answer, share few connections; the store is reached all the same. */
-    @Test void callsToWorkersShareBoundedConnections() throws Exception {
+    /**
+     * Calls to many workers, some of which never answer, share few connections; the store is
+     * reached all the same.
+     */
+    @Test
+    void callsToWorkersShareBoundedConnections() throws Exception {
         Set<String> seen = new HashSet<>();
         AtomicInteger most = new AtomicInteger();
         List<Integer> ports = new ArrayList<>();
@@ -101,45 +129,73 @@
             int port = freePort();
             ports.add(port);
             boolean silent = i % 3 == 0;
-            new HttpServer(worker, "127.0.0.1:" + port, 40, request -> {
-                if (!silent) {
-                    request.respond(200, WireFormat.newMap());
-                }
-            }).start();
+            new HttpServer(
+                            worker,
+                            "127.0.0.1:" + port,
+                            40,
+                            request -> {
+                                if (!silent) {
+                                    request.respond(200, WireFormat.newMap());
+                                }
+                            })
+                    .start();
         }
-        EventLoop loop = new EventLoop() {
-            @Override public long nowMillis() {
-                return System.nanoTime() / 1_000_000;
-            }
+        EventLoop loop =
+                new EventLoop() {
+                    @Override
+                    public long nowMillis() {
+                        return System.nanoTime() / 1_000_000;
+                    }
 
-            @Override public long wallClockMillis() {
-                return nowMillis();
-            }
+                    @Override
+                    public long wallClockMillis() {
+                        return nowMillis();
+                    }
 
-            @Override public void runAfter(long ms, Runnable task) {
-                worker.getIoThread().executeAfter(task, Math.max(ms, 1), TimeUnit.MILLISECONDS);
-            }
-        };
+                    @Override
+                    public void runAfter(long ms, Runnable task) {
+                        worker.getIoThread()
+                                .executeAfter(task, Math.max(ms, 1), TimeUnit.MILLISECONDS);
+                    }
+                };
         String store = "127.0.0.1:" + ports.get(1);
         CountDownLatch answered = new CountDownLatch(48);
         AtomicInteger good = new AtomicInteger();
         CountDownLatch stored = new CountDownLatch(1);
-        worker.getIoThread().execute(() -> {
-            HttpClient client = new HttpClient(loop, worker.getIoThread(), Set.of(store), 5);
-            for (int round = 0; round < 4; round++) {
-                for (int port : ports) {
-                    client.call("127.0.0.1:" + port, "GET", "/x", WireFormat.CBOR, null, 3_000, (status, body) -> {
-                        good.addAndGet(status == 200 ? 1 : 0);
-                        most.accumulateAndGet(client.sharedConnectionCount(), Math::max);
-                        answered.countDown();
-                    });
-                }
-            }
-            client.call(store, "GET", "/x", WireFormat.CBOR, null, 1_000, (status, body) -> {
-                seen.add("store " + status);
-                stored.countDown();
-            });
-        });
+        worker.getIoThread()
+                .execute(
+                        () -> {
+                            HttpClient client =
+                                    new HttpClient(loop, worker.getIoThread(), Set.of(store), 5);
+                            for (int round = 0; round < 4; round++) {
+                                for (int port : ports) {
+                                    client.call(
+                                            "127.0.0.1:" + port,
+                                            "GET",
+                                            "/x",
+                                            WireFormat.CBOR,
+                                            null,
+                                            3_000,
+                                            (status, body) -> {
+                                                good.addAndGet(status == 200 ? 1 : 0);
+                                                most.accumulateAndGet(
+                                                        client.sharedConnectionCount(), Math::max);
+                                                answered.countDown();
+                                            });
+                                }
+                            }
+                            client.call(
+                                    store,
+                                    "GET",
+                                    "/x",
+                                    WireFormat.CBOR,
+                                    null,
+                                    1_000,
+                                    (status, body) -> {
+                                        seen.add("store " + status);
+                                        stored.countDown();
+                                    });
+                        });
         assertTrue(stored.await(2, TimeUnit.SECONDS));
         assertEquals(Set.of("store 200"), seen);
         assertTrue(answered.await(20, TimeUnit.SECONDS));
--- a/src/test/java/io/quincelead/worker/HeartbeatTest.java
+++ b/src/test/java/io/quincelead/worker/HeartbeatTest.java
@@ -10,12 +10,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A report is evidence: what can't be read whole must not pass for a list without the tasks that were cut off. */
+/**
+ * A report is evidence: what can't be read whole must not pass for a list without the tasks that
+ * were cut off.
+ */
 class HeartbeatTest {
     private static ObjectNode heartbeat() {
-        ObjectNode heartbeat = WireFormat.newMap().put("host", "i-1").put("tenure", 2).put("serial", 7).put("epoch", 41).put("unknown", 1);
+        ObjectNode heartbeat =
+                WireFormat.newMap()
+                        .put("host", "i-1")
+                        .put("tenure", 2)
+                        .put("serial", 7)
+                        .put("epoch", 41)
+                        .put("unknown", 1);
         heartbeat.putObject("more").putArray("x").addObject().put("host", "i-2");
-        heartbeat.putArray("members")
+        heartbeat
+                .putArray("members")
                 .add(attempt("wk-1/0", 1, "ended").put("exitReason", "busy"))
                 .add(attempt("wk-1/0", 2, "running").put("later", true))
                 .add(attempt("wk-1/0", 3, "ended").put("exitReason", "done"))
@@ -27,7 +37,8 @@
         return WireFormat.newMap().put("member", taskId).put("try", attempt).put("status", status);
     }
 
-    @Test void attemptsOfATaskAreKeptApartAndARunningOneComesFirst() {
+    @Test
+    void attemptsOfATaskAreKeptApartAndARunningOneComesFirst() {
         Heartbeat heartbeat = Heartbeat.parse(WireFormat.CBOR.encode(heartbeat()));
         assertEquals(2, heartbeat.tasks.size());
         Heartbeat.ReportedAttempt first = heartbeat.tasks.get("wk-1/0");
@@ -39,15 +50,20 @@
         assertEquals(41, heartbeat.fencingToken);
     }
 
-    @Test void incompleteHeartbeatIsRejected() {
+    @Test
+    void incompleteHeartbeatIsRejected() {
         byte[] whole = WireFormat.CBOR.encode(heartbeat());
         for (int length = 0; length < whole.length; length++) {
-            assertNull(Heartbeat.parse(Arrays.copyOf(whole, length)), "cut to " + length + " bytes");
+            assertNull(
+                    Heartbeat.parse(Arrays.copyOf(whole, length)), "cut to " + length + " bytes");
         }
-        assertNull(Heartbeat.parse(Arrays.copyOf(whole, whole.length + 1)), "with a byte behind it");
+        assertNull(
+                Heartbeat.parse(Arrays.copyOf(whole, whole.length + 1)), "with a byte behind it");
         assertNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().put("epoch", 1.5))));
         assertNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().put("members", "none"))));
-        assertNull(Heartbeat.parse(WireFormat.CBOR.encode((ObjectNode) heartbeat().without("serial"))));
+        assertNull(
+                Heartbeat.parse(
+                        WireFormat.CBOR.encode((ObjectNode) heartbeat().without("serial"))));
         assertNotNull(Heartbeat.parse(WireFormat.CBOR.encode(heartbeat().putNull("members"))));
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 5_000; i++) {
