--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -1,46 +1,83 @@
 package io.quincelead.simulation;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import java.util.stream.LongStream;
 
 /**
- * Plays random days of the test world over many seeds: {@code ScenarioRunner
- * rough|flood|quick|meetings|first|operators|zones FROM TO [THREADS]}. Not a test. Prints kind,
- * seed, number of messages and history digest of each, separated by tabs; what went wrong goes to
- * standard error.
+ * Plays random scenarios of the simulated cluster, for many seeds. A program, not a test: {@code
+ * ScenarioRunner KIND FROM TO [THREADS]} plays a range of seeds of one kind (rough, flood, quick,
+ * meetings, first, operators or zones); {@code ScenarioRunner @FILE [THREADS]} plays the kinds and
+ * seeds in the first two columns of a tab-separated file.
+ *
+ * <p>Prints kind, seed, number of messages and history digest of each scenario, separated by tabs;
+ * what went wrong goes to standard error, and any failure makes the exit status 1.
  */
 public final class ScenarioRunner {
-    /** A day that was played, and what is wrong with it, in words; empty if nothing is. */
+    /** A scenario that was played, and what is wrong with it, in words; empty if nothing is. */
     record ScenarioResult(SimulatedCluster cluster, String problems) {}
 
+    private record Scenario(String kind, long seed) {}
+
     private ScenarioRunner() {}
 
-    public static void main(String[] args) throws InterruptedException, ExecutionException {
-        ExecutorService pool =
-                Executors.newFixedThreadPool(args.length > 3 ? Integer.parseInt(args[3]) : 1);
-        List<Future<Boolean>> scenarios = new ArrayList<>();
-        long firstSeed = Long.parseLong(args[1]);
-        for (long seed = firstSeed; seed <= Long.parseLong(args[2]); seed++) {
-            long scenarioSeed = seed;
-            scenarios.add(pool.submit(() -> playAndReport(args[0], scenarioSeed)));
-        }
-        int failures = 0;
-        for (Future<Boolean> result : scenarios) {
-            failures += result.get() ? 0 : 1;
-        }
-        pool.shutdown();
+    public static void main(String[] args)
+            throws IOException, InterruptedException, ExecutionException {
+        boolean listed = args[0].startsWith("@");
+        List<Scenario> scenarios =
+                listed
+                        ? readList(Path.of(args[0].substring(1)))
+                        : range(args[0], Long.parseLong(args[1]), Long.parseLong(args[2]));
+        int threadArgument = listed ? 1 : 3;
+        int threads = args.length > threadArgument ? Integer.parseInt(args[threadArgument]) : 1;
+        int failures = playAll(scenarios, threads);
         System.err.println(
                 scenarios.size()
-                        + " days, "
+                        + " scenarios, "
                         + failures
-                        + " with a broken rule, an open job or somebody left behind");
+                        + " with a broken rule, an open job or a starved one");
         System.exit(failures == 0 ? 0 : 1);
     }
 
+    private static List<Scenario> range(String kind, long first, long last) {
+        return LongStream.rangeClosed(first, last)
+                .mapToObj(seed -> new Scenario(kind, seed))
+                .toList();
+    }
+
+    private static List<Scenario> readList(Path file) throws IOException {
+        return Files.readAllLines(file).stream()
+                .map(line -> line.split("\t"))
+                .map(columns -> new Scenario(columns[0], Long.parseLong(columns[1])))
+                .toList();
+    }
+
+    /** Plays the scenarios in parallel and returns how many failed. */
+    private static int playAll(List<Scenario> scenarios, int threads)
+            throws InterruptedException, ExecutionException {
+        ExecutorService pool = Executors.newFixedThreadPool(threads);
+        try {
+            List<Future<Boolean>> results = new ArrayList<>();
+            for (Scenario scenario : scenarios) {
+                results.add(pool.submit(() -> playAndReport(scenario.kind, scenario.seed)));
+            }
+            int failures = 0;
+            for (Future<Boolean> result : results) {
+                failures += result.get() ? 0 : 1;
+            }
+            return failures;
+        } finally {
+            pool.shutdownNow();
+        }
+    }
+
     private static boolean playAndReport(String scenario, long seed) {
         ScenarioResult result = play(scenario, seed);
         System.out.println(scenario + "\t" + seed + "\t" + result.cluster.network.history.finish());
@@ -64,7 +101,7 @@
             case "meetings" -> CompoundFaults.playAllKinds(cluster);
             case "first" -> CompoundFaults.playInitialKinds(cluster);
             case "rough" -> RandomizedScenarioTest.playRandomFaults(cluster);
-            default -> throw new IllegalArgumentException("no such kind of day: " + scenario);
+            default -> throw new IllegalArgumentException("no such kind of scenario: " + scenario);
         }
         List<String> starved =
                 scenario.equals("meetings") || scenario.equals("first")
