--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -209,13 +209,10 @@
             nextPage =
                     value == null
                             ? null
-                            : TaskStatePage.decode(
+                            : TaskStatePageCodec.decode(
                                     job, pageNumber, value, previousPage, loop.nowMillis());
-        } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            LOG.error(
-                    "the places of {} in record {} can't be read; the record is left alone",
-                    job.spec.jobId(),
-                    pageNumber);
+        } catch (MalformedRecordException e) {
+            LOG.error("{} can't be read; the record is left alone", e.getMessage(), e);
             return;
         }
         PlacementTable placementsBefore = previousPage == null ? null : previousPage.placements;
--- a/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
+++ b/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
@@ -33,12 +33,13 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void decodingOnlyTheChangeEqualsDecodingTheWholeRecord(long seed) {
+    void decodingOnlyTheChangeEqualsDecodingTheWholeRecord(long seed)
+            throws MalformedRecordException {
         SplittableRandom random = new SplittableRandom(seed);
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
         for (int pageNumber = 0; pageNumber < 3; pageNumber++) {
             TaskStatePage current =
-                    TaskStatePage.decode(
+                    TaskStatePageCodec.decode(
                             job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
             for (int change = 0; change < 400; change++) {
                 TaskStatePage.Edit edit = current.edit();
@@ -56,8 +57,8 @@
                     }
                 }
                 ObjectNode record = edit.encode();
-                TaskStatePage next = TaskStatePage.decode(job, pageNumber, record, current, 0);
-                TaskStatePage whole = TaskStatePage.decode(job, pageNumber, record, null, 0);
+                TaskStatePage next = TaskStatePageCodec.decode(job, pageNumber, record, current, 0);
+                TaskStatePage whole = TaskStatePageCodec.decode(job, pageNumber, record, null, 0);
                 assertEquals(describePlacements(whole), describePlacements(next));
                 assertEquals(whole.placements.size(), next.placements.size());
                 for (Placement placement : next.placements) {
@@ -89,26 +90,27 @@
                 "0  1;0",
                 ";"
             })
-    void unreadablePlacementsAreRejected(String places) {
+    void unreadablePlacementsAreRejected(String places) throws MalformedRecordException {
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
         TaskStatePage before =
-                TaskStatePage.decode(
+                TaskStatePageCodec.decode(
                         job, 0, WireFormat.newMap().put("p", "0 i-1 1;3 i-2 1;"), null, 0);
         for (TaskStatePage previous : new TaskStatePage[] {null, before}) {
-            RuntimeException thrown =
+            MalformedRecordException thrown =
                     assertThrows(
-                            RuntimeException.class,
+                            MalformedRecordException.class,
                             () ->
-                                    TaskStatePage.decode(
+                                    TaskStatePageCodec.decode(
                                             job,
                                             0,
                                             WireFormat.newMap().put("p", places),
                                             previous,
                                             0));
+            assertEquals("task states of " + job.spec.jobId() + ", page 0", thrown.getMessage());
             assertEquals(
                     true,
-                    thrown instanceof IndexOutOfBoundsException
-                            || thrown instanceof NumberFormatException,
+                    thrown.getCause() instanceof IndexOutOfBoundsException
+                            || thrown.getCause() instanceof NumberFormatException,
                     thrown.toString());
         }
     }
