--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.StoreConstants;
@@ -211,7 +212,7 @@
                                     .remove(recordKey);
                     int receivedCount = 0;
                     if (status == 200 && response.path("hosts").isArray()) {
-                        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+                        MachineEdits edits = machines.beginEdits(transaction);
                         for (JsonNode hostNode : response.path("hosts")) {
                             receivedCount++;
                             if (machines.get(hostNode.asText()) == null) {
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -5,6 +5,7 @@
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
@@ -59,7 +60,7 @@
      */
     final class ReturnBatch {
         final Transaction transaction = leader.newTransaction();
-        final MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        final MachineEdits edits = machines.beginEdits(transaction);
         final Map<String, ClusterMembership.Shard> shrunkShards = new HashMap<>();
     }
 
@@ -336,7 +337,7 @@
         }
         List<String> hosts = new ArrayList<>();
         Transaction cleanup = leader.newTransaction();
-        MachineTable.MachineEdits edits = machines.beginEdits(cleanup);
+        MachineEdits edits = machines.beginEdits(cleanup);
         for (MachineTable.Machine machine : machines.all()) {
             if (!machine.releasing() || shards.ownerOf(machine.host()) != null) {
                 continue;
--- a/src/main/java/io/quincelead/cluster/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -1,34 +1,36 @@
 package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.config.constants.AutoscalerConstants;
-import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Function;
 
 /**
- * The machines on record, from the rental until the cloud has confirmed their release. Machines
- * that were rented together share a record, so that a large rental, a wave of losses or a wave of
- * returns costs few changes.
+ * The machines on record, from the rental until the cloud has confirmed their release, as the watch
+ * cache has them. Machines that were rented together share a record, so that a large scale-out, a
+ * wave of losses or a wave of returns costs few changes.
  */
 public final class MachineTable {
     /**
-     * A machine. {@code addr} is null until the cloud's list has shown it: whoever takes the
-     * machine over can then show its worker the new term at once. {@code returning} is recorded
-     * before the release is asked for, so a successor asks again. A {@code closed} one gets no new
-     * tasks.
+     * A machine.
+     *
+     * @param groupId names the record that it shares
+     * @param address null until the cloud's list has shown it: a new owner can then show its worker
+     *     the new fencing token at once
+     * @param rentedAtEpochMillis wall-clock time of the rental, or of its discovery if unexpected
+     * @param releasing recorded before the release is requested, so a successor requests it again
+     * @param cordoned gets no new tasks
      */
     public record Machine(
             String host,
@@ -51,6 +53,7 @@
             this(host, groupId, machineType, zone, spot, null, rentedAtEpochMillis, false, false);
         }
 
+        /** This machine while it is being released. */
         public Machine asReleasing() {
             return new Machine(
                     host,
@@ -64,6 +67,7 @@
                     cordoned);
         }
 
+        /** This machine cordoned, or not any more. */
         public Machine withCordoned(boolean nowCordoned) {
             return new Machine(
                     host,
@@ -77,6 +81,7 @@
                     nowCordoned);
         }
 
+        /** This machine with the address of its worker. */
         public Machine withAddress(String newAddress) {
             return new Machine(
                     host,
@@ -90,33 +95,36 @@
                     cordoned);
         }
 
-        /** The record it shares. */
+        /** The store key of the record that it shares. */
         public String storeKey() {
             return StoreKeys.MACHINE_PREFIX + groupId;
         }
     }
 
-    private final WatchCache mirror;
+    private final WatchCache watchCache;
     private final Map<String, Machine> machinesByHost = new LinkedHashMap<>();
+    private final Collection<Machine> machinesView =
+            Collections.unmodifiableCollection(machinesByHost.values());
     private final Map<String, List<String>> hostsByGroup = new HashMap<>();
     private final Set<String> cordonedHosts = new HashSet<>();
+    private final Set<String> cordonedHostsView = Collections.unmodifiableSet(cordonedHosts);
     private long version;
 
-    /** Heavy images that machines have, as recorded, with their GB. */
+    /** Large images that machines have, as recorded, with their GB. */
     private final Map<String, Map<String, Double>> largeImagesByHost = new HashMap<>();
 
-    private java.util.function.Function<String, Map<String, Double>> currentLargeImages = h -> null;
-    private java.util.function.BiConsumer<String, Map<String, Double>> largeImagesListener =
-            (h, i) -> {};
+    private Function<String, Map<String, Double>> currentLargeImages = host -> null;
+    private BiConsumer<String, Map<String, Double>> largeImagesListener = (host, images) -> {};
 
-    public MachineTable(WatchCache mirror) {
-        this.mirror = mirror;
-        mirror.addPrefixListener(
+    /** Empty until the watch cache has read the store. */
+    public MachineTable(WatchCache watchCache) {
+        this.watchCache = watchCache;
+        watchCache.addPrefixListener(
                 StoreKeys.MACHINE_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        applyRecord(key.substring(StoreKeys.MACHINE_PREFIX.length()), v);
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        applyRecord(key.substring(StoreKeys.MACHINE_PREFIX.length()), value);
                     }
 
                     @Override
@@ -128,46 +136,21 @@
 
     private void applyRecord(String groupId, JsonNode node) {
         version++;
-        Set<String> releasing = textSet(node.path("x"));
-        Set<String> cordoned = textSet(node.path("q"));
+        MachineRecordCodec.MachineGroup group = MachineRecordCodec.decode(groupId, node);
         List<String> hosts = new ArrayList<>();
-        node.path("h").forEach(h -> hosts.add(h.asText()));
+        group.machines().forEach(machine -> hosts.add(machine.host()));
         forgetGroup(groupId, new HashSet<>(hosts));
-        for (String h : hosts) {
-            machinesByHost.put(
-                    h,
-                    new Machine(
-                            h,
-                            groupId,
-                            node.path("k").asText(),
-                            node.path("s").asText(),
-                            node.path("p").asBoolean(),
-                            node.path("a").path(h).isTextual()
-                                    ? node.path("a").path(h).asText()
-                                    : null,
-                            node.path("r").asLong(),
-                            releasing.contains(h),
-                            cordoned.contains(h)));
-        }
+        group.machines().forEach(machine -> machinesByHost.put(machine.host(), machine));
         hosts.forEach(largeImagesByHost::remove);
-        node.path("w")
-                .fields()
-                .forEachRemaining(
-                        field -> {
-                            Map<String, Double> images = new java.util.TreeMap<>();
-                            field.getValue()
-                                    .fields()
-                                    .forEachRemaining(
-                                            image ->
-                                                    images.put(
-                                                            image.getKey(),
-                                                            image.getValue().asDouble()));
-                            largeImagesByHost.put(field.getKey(), images);
-                            largeImagesListener.accept(field.getKey(), images);
+        group.largeImagesByHost()
+                .forEach(
+                        (host, images) -> {
+                            largeImagesByHost.put(host, images);
+                            largeImagesListener.accept(host, images);
                         });
         hostsByGroup.put(groupId, hosts);
         cordonedHosts.removeAll(hosts);
-        cordonedHosts.addAll(cordoned);
+        cordonedHosts.addAll(group.cordonedHosts());
     }
 
     private void forgetGroup(String groupId, Set<String> keptHosts) {
@@ -182,34 +165,49 @@
         hostsByGroup.remove(groupId);
     }
 
-    private static Set<String> textSet(JsonNode list) {
-        Set<String> out = new HashSet<>();
-        list.forEach(text -> out.add(text.asText()));
-        return out;
-    }
-
     /**
-     * Heavy images are recorded with their machines: {@code now} tells a machine's; {@code
-     * recorded} hears of what is on record.
+     * Has large images recorded with their machines. Set late because who knows the images ({@link
+     * ImageCaches}) looks up machines here.
+     *
+     * @param current tells the large images of a machine with their GB; null: what is on record
+     *     stays
+     * @param listener called with what each record says of a machine
      */
     public void trackLargeImages(
-            java.util.function.Function<String, Map<String, Double>> current,
-            java.util.function.BiConsumer<String, Map<String, Double>> listener) {
+            Function<String, Map<String, Double>> current,
+            BiConsumer<String, Map<String, Double>> listener) {
         currentLargeImages = current;
         largeImagesListener = listener;
     }
 
-    /** The heavy images that are on record for it, with their GB. */
+    /** The large images that are on record for the machine, with their GB; empty if none. */
     public Map<String, Double> recordedLargeImages(String host) {
         return largeImagesByHost.getOrDefault(host, Map.of());
     }
 
+    /** The large images that the machine's next record should name. */
+    Map<String, Double> largeImagesToRecord(String host) {
+        Map<String, Double> current = currentLargeImages.apply(host);
+        return current == null ? recordedLargeImages(host) : current;
+    }
+
+    /** A copy of the machines of one record, by host. */
+    Map<String, Machine> groupMachines(String groupId) {
+        Map<String, Machine> machines = new LinkedHashMap<>();
+        for (String host : hostsByGroup.getOrDefault(groupId, List.of())) {
+            machines.put(host, machinesByHost.get(host));
+        }
+        return machines;
+    }
+
+    /** The machine on record; null: there is none. */
     public Machine get(String host) {
         return machinesByHost.get(host);
     }
 
+    /** All machines on record; a live, unmodifiable view. */
     public Collection<Machine> all() {
-        return machinesByHost.values();
+        return machinesView;
     }
 
     /** Rises with every change of what is on record. */
@@ -217,142 +215,13 @@
         return version;
     }
 
-    /** Machines that get no new tasks. */
+    /** The machines that get no new tasks; a live, unmodifiable view. */
     public Set<String> cordonedHosts() {
-        return cordonedHosts;
+        return cordonedHostsView;
     }
 
-    /** Changes of machines that are part of one transaction. */
+    /** Begins changes of machines that are part of the transaction. */
     public MachineEdits beginEdits(Transaction transaction) {
-        return new MachineEdits(transaction);
-    }
-
-    /**
-     * Keeps a transaction's machine records in step with the changes asked for; each shared record
-     * is written once.
-     */
-    public final class MachineEdits {
-        private final Transaction transaction;
-        private final Map<String, Map<String, Machine>> machinesByEditedGroup = new HashMap<>();
-
-        /**
-         * Records begun for unexpected machines, by what all machines of one record have in common.
-         */
-        private final Map<String, String> openGroupByAttributes = new HashMap<>();
-
-        private MachineEdits(Transaction transaction) {
-            this.transaction = transaction;
-        }
-
-        private Map<String, Machine> machinesOf(String groupId) {
-            return machinesByEditedGroup.computeIfAbsent(
-                    groupId,
-                    g -> {
-                        Map<String, Machine> current = new LinkedHashMap<>();
-                        hostsByGroup
-                                .getOrDefault(g, List.of())
-                                .forEach(host -> current.put(host, machinesByHost.get(host)));
-                        return current;
-                    });
-        }
-
-        /**
-         * Takes in a machine that is on no record. Alike ones share one: a whole cluster may be
-         * found up at once.
-         */
-        public void addUnexpected(
-                String host,
-                String machineType,
-                String zone,
-                boolean spot,
-                String address,
-                long rentedAtEpochMillis) {
-            String attributes = machineType + "/" + zone + "/" + spot;
-            String groupId = openGroupByAttributes.get(attributes);
-            if (groupId == null
-                    || machinesOf(groupId).size()
-                            >= AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST) {
-                groupId = "s-" + host;
-                openGroupByAttributes.put(attributes, groupId);
-            }
-            put(
-                    new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis)
-                            .withAddress(address));
-            // The record may be gone again when a copy of this comes: its guard of 0 would then
-            // hold, and bring back machines that are gone.
-            transaction
-                    .requireRevision(
-                            StoreKeys.UNEXPECTED_MACHINE_INTAKE,
-                            mirror.modRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE))
-                    .put(StoreKeys.UNEXPECTED_MACHINE_INTAKE, WireFormat.newMap());
-        }
-
-        public void put(Machine machine) {
-            Map<String, Machine> groupMachines = machinesOf(machine.groupId());
-            groupMachines.put(machine.host(), machine);
-            write(machine.storeKey(), groupMachines);
-        }
-
-        public void remove(Machine machine) {
-            Map<String, Machine> groupMachines = machinesOf(machine.groupId());
-            groupMachines.remove(machine.host());
-            write(machine.storeKey(), groupMachines);
-        }
-
-        private void write(String key, Map<String, Machine> groupMachines) {
-            transaction.requireRevision(key, mirror.modRevision(key));
-            if (groupMachines.isEmpty()) {
-                transaction.remove(key);
-                return;
-            }
-            Machine any = groupMachines.values().iterator().next();
-            ObjectNode node =
-                    WireFormat.newMap()
-                            .put("k", any.machineType())
-                            .put("s", any.zone())
-                            .put("p", any.spot())
-                            .put("r", any.rentedAtEpochMillis());
-            ArrayNode hosts = node.putArray("h");
-            ArrayNode releasing = WireFormat.newList();
-            ArrayNode cordoned = WireFormat.newList();
-            ObjectNode addresses = WireFormat.newMap();
-            for (Machine machine : groupMachines.values()) {
-                hosts.add(machine.host());
-                if (machine.releasing()) {
-                    releasing.add(machine.host());
-                }
-                if (machine.cordoned()) {
-                    cordoned.add(machine.host());
-                }
-                if (machine.address() != null) {
-                    addresses.put(machine.host(), machine.address());
-                }
-            }
-            if (!addresses.isEmpty()) {
-                node.set("a", addresses);
-            }
-            if (!releasing.isEmpty()) {
-                node.set("x", releasing);
-            }
-            if (!cordoned.isEmpty()) {
-                node.set("q", cordoned);
-            }
-            ObjectNode largeImages = WireFormat.newMap();
-            for (Machine machine : groupMachines.values()) {
-                Map<String, Double> current = currentLargeImages.apply(machine.host());
-                current = current == null ? recordedLargeImages(machine.host()) : current;
-                if (!current.isEmpty()) {
-                    ObjectNode images = largeImages.putObject(machine.host());
-                    current.forEach(images::put);
-                }
-            }
-            // Where weights are is worth a record only as far as it fits beside the machines.
-            if (!largeImages.isEmpty()
-                    && largeImages.toString().length() + node.toString().length()
-                            < RecordConstants.MAX_MACHINE_RECORD_CHARS) {
-                node.set("w", largeImages);
-            }
-            transaction.put(key, node);
-        }
+        return new MachineEdits(this, watchCache, transaction);
     }
 }
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -4,6 +4,7 @@
 import io.quincelead.cluster.Job;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.config.Settings;
@@ -321,7 +322,7 @@
                         changedMembers.add(memberId);
                     }
                 });
-        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        MachineEdits edits = machines.beginEdits(transaction);
         for (MachineTable.Machine machine : machines.all()) {
             // Also while it boots: its worker then hears at its first report where to go.
             if (!machine.releasing() && shards.ownerOf(machine.host()) == null) {
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
@@ -424,7 +425,7 @@
                 new Transaction()
                         .requireRevision(
                                 shard.storeKey(), watchCache.modRevision(shard.storeKey()));
-        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        MachineEdits edits = machines.beginEdits(transaction);
         List<ShardWorker> leaving = new ArrayList<>();
         for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
             ShardWorker worker = candidate.getKey();
