--- a/src/main/java/io/quincelead/cluster/ClusterMembership.java
+++ b/src/main/java/io/quincelead/cluster/ClusterMembership.java
@@ -5,40 +5,43 @@
 import io.quincelead.config.Settings;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Who is alive, who leads and who holds which machines under which terms, as mirrored from the
- * store.
+ * Which controllers are alive, which one leads, and which one owns which machines under which
+ * fencing tokens, as the watch cache has it. Read-only: leadership and shards change by
+ * transactions of those who decide about them.
  */
 public final class ClusterMembership {
-    /** A live controller. */
+    /**
+     * A live controller.
+     *
+     * @param address where the other controllers reach it
+     * @param incarnation tells this membership from every other one of the same controller
+     * @param leaseId the store's lease that its keys are attached to
+     */
     public record Member(String memberId, String address, long incarnation, long leaseId) {}
 
     /** The leadership, fixed to one incarnation of a controller. */
     public record LeaderRecord(String memberId, long incarnation, long fencingToken) {
+        /** The record as it is stored. */
         public ObjectNode encode() {
-            return WireFormat.newMap()
-                    .put("m", memberId)
-                    .put("i", incarnation)
-                    .put("t", fencingToken);
+            return MembershipCodec.encode(this);
         }
     }
 
     /** What a team may use: CPUs and GPUs. */
     public record QuotaShare(double cpus, double gpus) {
+        /** Nothing. */
         public static final QuotaShare NONE = new QuotaShare(0, 0);
 
         /**
          * What is left when tasks on record move to another controller with their job: their use
-         * moves out with them.
+         * moves out with them. Never less than nothing.
          */
         public QuotaShare minusTasks(int taskCount, double cpusPerTask, double gpusPerTask) {
             return new QuotaShare(
@@ -48,17 +51,20 @@
     }
 
     /**
-     * A block: the machines leased to a controller, each with its term (the token), and its share
-     * of the teams' limits.
+     * The machines leased to a controller, each with its fencing token, and the controller's share
+     * of the teams' limits. The maps of a shard on record must not be changed; a {@link #copy} may
+     * be.
      */
     public record Shard(
             String ownerId,
             Map<String, Long> fencingTokensByHost,
             Map<String, QuotaShare> quotaShares) {
+        /** The team's quota share; nothing where the shard names none. */
         public QuotaShare quotaShare(String team) {
             return quotaShares.getOrDefault(team, QuotaShare.NONE);
         }
 
+        /** A copy with maps of its own, to be changed and encoded. */
         public Shard copy() {
             return new Shard(
                     ownerId,
@@ -66,65 +72,42 @@
                     new LinkedHashMap<>(quotaShares));
         }
 
+        /** The store key of its record. */
         public String storeKey() {
             return StoreKeys.SHARD_PREFIX + ownerId;
         }
 
-        private static String commonPrefix(String left, String right) {
-            int length = 0;
-            while (length < Math.min(left.length(), right.length())
-                    && left.charAt(length) == right.charAt(length)) {
-                length++;
-            }
-            return left.substring(0, length);
-        }
-
-        /**
-         * Machines by term, names without their common prefix: a controller alone may hold every
-         * machine in one record.
-         */
+        /** The record as it is stored. */
         public ObjectNode encode() {
-            ObjectNode node = WireFormat.newMap();
-            String prefix =
-                    fencingTokensByHost.keySet().stream().reduce(Shard::commonPrefix).orElse("");
-            node.put("p", prefix);
-            ObjectNode hostsByToken = node.putObject("ms");
-            fencingTokensByHost.forEach(
-                    (host, token) ->
-                            hostsByToken
-                                    .withArray("/" + token)
-                                    .add(host.substring(prefix.length())));
-            ObjectNode quotaShareNode = node.putObject("al");
-            quotaShares.forEach(
-                    (team, share) -> quotaShareNode.putArray(team).add(share.cpus).add(share.gpus));
-            return node;
+            return MembershipCodec.encode(this);
         }
     }
 
     private final String localMemberId;
+    private final ShardTable shards;
     private final Map<String, Member> membersById = new TreeMap<>();
-    private final Map<String, Shard> shardsByOwner = new TreeMap<>();
-    private final Map<String, String> ownerByHost = new HashMap<>();
-    private final List<Runnable> shardListeners = new ArrayList<>();
+    private final Collection<Member> membersView =
+            Collections.unmodifiableCollection(membersById.values());
     private LeaderRecord leaderRecord;
     private long latestFencingToken;
-    private long shardVersion;
 
-    public ClusterMembership(Settings settings, WatchCache mirror) {
+    /** Empty until the watch cache has read the store. */
+    public ClusterMembership(Settings settings, WatchCache watchCache) {
         this.localMemberId = settings.memberId();
-        mirror.addPrefixListener(
+        this.shards = new ShardTable(watchCache);
+        listenToMembers(watchCache);
+        listenToLeader(watchCache);
+        listenToTokenCounter(watchCache);
+    }
+
+    private void listenToMembers(WatchCache watchCache) {
+        watchCache.addPrefixListener(
                 StoreKeys.MEMBER_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        String member = key.substring(StoreKeys.MEMBER_PREFIX.length());
-                        membersById.put(
-                                member,
-                                new Member(
-                                        member,
-                                        v.path("a").asText(),
-                                        v.path("i").asLong(),
-                                        v.path("g").asLong()));
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        String memberId = key.substring(StoreKeys.MEMBER_PREFIX.length());
+                        membersById.put(memberId, MembershipCodec.decodeMember(memberId, value));
                     }
 
                     @Override
@@ -132,58 +115,15 @@
                         membersById.remove(key.substring(StoreKeys.MEMBER_PREFIX.length()));
                     }
                 });
-        mirror.addPrefixListener(
-                StoreKeys.SHARD_PREFIX,
-                new WatchCache.PrefixListener() {
-                    @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        String member = key.substring(StoreKeys.SHARD_PREFIX.length());
-                        forgetShard(member);
-                        Map<String, Long> machines = new LinkedHashMap<>();
-                        String prefix = v.path("p").asText();
-                        v.path("ms")
-                                .fields()
-                                .forEachRemaining(
-                                        f ->
-                                                f.getValue()
-                                                        .forEach(
-                                                                h ->
-                                                                        machines.put(
-                                                                                prefix + h.asText(),
-                                                                                Long.parseLong(
-                                                                                        f
-                                                                                                .getKey()))));
-                        Map<String, QuotaShare> allowances = new LinkedHashMap<>();
-                        v.path("al")
-                                .fields()
-                                .forEachRemaining(
-                                        f ->
-                                                allowances.put(
-                                                        f.getKey(),
-                                                        new QuotaShare(
-                                                                f.getValue().path(0).asDouble(),
-                                                                f.getValue().path(1).asDouble())));
-                        shardsByOwner.put(member, new Shard(member, machines, allowances));
-                        machines.keySet().forEach(h -> ownerByHost.put(h, member));
-                        shardListeners.forEach(Runnable::run);
-                    }
+    }
 
-                    @Override
-                    public void onRemove(String key) {
-                        forgetShard(key.substring(StoreKeys.SHARD_PREFIX.length()));
-                        shardListeners.forEach(Runnable::run);
-                    }
-                });
-        mirror.addPrefixListener(
+    private void listenToLeader(WatchCache watchCache) {
+        watchCache.addPrefixListener(
                 StoreKeys.LEADER,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        leaderRecord =
-                                new LeaderRecord(
-                                        v.path("m").asText(),
-                                        v.path("i").asLong(),
-                                        v.path("t").asLong());
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        leaderRecord = MembershipCodec.decodeLeader(value);
                     }
 
                     @Override
@@ -191,12 +131,15 @@
                         leaderRecord = null;
                     }
                 });
-        mirror.addPrefixListener(
+    }
+
+    private void listenToTokenCounter(WatchCache watchCache) {
+        watchCache.addPrefixListener(
                 StoreKeys.FENCING_TOKEN_COUNTER,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        latestFencingToken = v.path("n").asLong();
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        latestFencingToken = MembershipCodec.decodeTokenCounter(value);
                     }
 
                     @Override
@@ -206,58 +149,57 @@
                 });
     }
 
-    private void forgetShard(String ownerId) {
-        shardVersion++;
-        Shard previous = shardsByOwner.remove(ownerId);
-        if (previous != null) {
-            previous.fencingTokensByHost
-                    .keySet()
-                    .forEach(host -> ownerByHost.remove(host, ownerId));
-        }
-    }
-
-    /** Called whenever a block changes. */
+    /** Has the listener called after every change of a shard. */
     public void onShardChange(Runnable listener) {
-        shardListeners.add(listener);
+        shards.onChange(listener);
     }
 
-    /** Rises with every change of a block. */
+    /** Rises with every change of a shard. */
     public long shardVersion() {
-        return shardVersion;
+        return shards.version();
     }
 
+    /** This controller's shard; null: it has none. */
     public Shard localShard() {
-        return shardsByOwner.get(localMemberId);
+        return shards.get(localMemberId);
     }
 
+    /** The controller's shard; null: it has none. */
     public Shard shardOf(String ownerId) {
-        return shardsByOwner.get(ownerId);
+        return shards.get(ownerId);
     }
 
+    /** All shards by the owner's name; a live, unmodifiable view. */
     public Collection<Shard> shards() {
-        return shardsByOwner.values();
+        return shards.all();
     }
 
+    /** The controller whose shard has the machine; null: none. */
     public String ownerOf(String host) {
-        return ownerByHost.get(host);
+        return shards.ownerOf(host);
     }
 
+    /** All live controllers by name; a live, unmodifiable view. */
     public Collection<Member> members() {
-        return membersById.values();
+        return membersView;
     }
 
+    /** The controller's membership; null: it is not alive. */
     public Member member(String memberId) {
         return membersById.get(memberId);
     }
 
+    /** The leadership on record; null: nobody leads. */
     public LeaderRecord leaderRecord() {
         return leaderRecord;
     }
 
+    /** The name of the leader; null: nobody leads. */
     public String leaderId() {
         return leaderRecord == null ? null : leaderRecord.memberId;
     }
 
+    /** The highest fencing token given out so far, by the ever-rising counter; 0: none. */
     public long latestFencingToken() {
         return latestFencingToken;
     }
