--- a/src/main/java/io/quincelead/cluster/JobSpec.java
+++ b/src/main/java/io/quincelead/cluster/JobSpec.java
@@ -1,16 +1,30 @@
 package io.quincelead.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.config.constants.ApiConstants;
-import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** What a user asks for, as submitted. */
+/**
+ * What a user asks for, as submitted; it never changes.
+ *
+ * @param jobId names the job for ever
+ * @param jobClass the class of jobs that it belongs to; the settings' objectives name them
+ * @param team whose quota it uses
+ * @param taskCount tasks of an array, members of a gang, replicas of a service
+ * @param cpus CPUs of one task
+ * @param gpus GPUs of one task
+ * @param memoryGb memory of one task
+ * @param machineTypes the machine types allowed; null: any. Not to be changed
+ * @param zone the zone required; null: any
+ * @param zoneAffinity whether all tasks have to be in one zone
+ * @param zoneSpread whether at most half of the tasks, rounded up, may be in one zone
+ * @param preemptible whether it may run on spot machines
+ * @param image the container image
+ * @param runtimeSeconds the user's estimate of a task's run time, often wrong; 0 for services
+ * @param checkpointIntervalSeconds progress between two checkpoints; 0: a task never saves
+ * @param checkpointSeconds time that a task needs to save when it is stopped
+ * @param deadlineSeconds time from the submission to the deadline; {@link #NO_DEADLINE}: none
+ */
 public record JobSpec(
         String jobId,
         String jobClass,
@@ -33,43 +47,78 @@
         double checkpointSeconds,
         double deadlineSeconds) {
 
+    /** Stands for the deadline of a job that has none. */
+    public static final double NO_DEADLINE = -1;
+
     private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
-    private static final double MAX_AMOUNT = 1e9;
 
-    /** Kinds of jobs: array, gang and service. */
+    /** How the tasks of a job belong together. */
     public enum Mode {
-        ARRAY,
-        ENSEMBLE,
-        STANDING
+        /** A job array: each task runs on its own. */
+        ARRAY("array"),
+        /** All tasks run at the same time or none does. */
+        GANG("ensemble"),
+        /** Its replicas run until it is cancelled. */
+        SERVICE("standing");
+
+        private final String wireName;
+
+        Mode(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in submissions, records and operators' commands. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** Priorities, most urgent first. */
     public enum Priority {
-        PRODUCTION,
-        HIGH,
-        NORMAL,
-        BEST_EFFORT
+        /** Before everything else. */
+        PRODUCTION("production"),
+        /** Before what is normal. */
+        HIGH("high"),
+        /** The usual one. */
+        NORMAL("normal"),
+        /** Takes what the others leave. */
+        BEST_EFFORT("best_effort");
+
+        private final String wireName;
+
+        Priority(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in submissions, records and operators' commands. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
-    /** A submission that is not a job. */
+    /** A submission that is not a job; the message names the wrong field. */
     public static final class MalformedJobException extends Exception {
         private static final long serialVersionUID = 1L;
 
         MalformedJobException(String message) {
+            // Without stack trace: an expected outcome, as often as users like.
             super(message, null, false, false);
         }
     }
 
+    /** Whether a job may be named so. */
     public static boolean isValidJobId(String jobId) {
         return JOB_ID_PATTERN.matcher(jobId).matches();
     }
 
+    /** Whether all tasks run at the same time or none does. */
     public boolean isGang() {
-        return mode == Mode.ENSEMBLE;
+        return mode == Mode.GANG;
     }
 
+    /** Whether its replicas run until it is cancelled. */
     public boolean isService() {
-        return mode == Mode.STANDING;
+        return mode == Mode.SERVICE;
     }
 
     /** Whether any machine may run it and it is counted in CPUs alone. */
@@ -82,142 +131,18 @@
                 && !zoneAffinity;
     }
 
+    /**
+     * Decodes a job as submitted or stored.
+     *
+     * @param node null where the body of a submission was no map
+     * @throws MalformedJobException if it is not a job; the message is for the user
+     */
     public static JobSpec decode(ObjectNode node) throws MalformedJobException {
-        if (node == null) {
-            throw new MalformedJobException("the body must be a CBOR map of at most 64 KiB");
-        }
-        String jobId = requireText(node, "nameId");
-        if (!isValidJobId(jobId)) {
-            throw new MalformedJobException("nameId: must look like wk-000412");
-        }
-        List<String> machineTypes = null;
-        JsonNode machineTypesNode = node.get("shapes");
-        if (machineTypesNode != null && !machineTypesNode.isNull()) {
-            if (!machineTypesNode.isArray()) {
-                throw new MalformedJobException("shapes: must be a list of texts or null");
-            }
-            machineTypes = new ArrayList<>();
-            for (JsonNode machineType : machineTypesNode) {
-                if (!machineType.isTextual()) {
-                    throw new MalformedJobException("shapes: must be a list of texts or null");
-                }
-                machineTypes.add(machineType.asText());
-            }
-        }
-        JsonNode taskCount = node.get("members");
-        if (taskCount == null
-                || !taskCount.isIntegralNumber()
-                || !taskCount.canConvertToInt()
-                || taskCount.asInt() < 1
-                || taskCount.asInt() > ApiConstants.MAX_TASKS_PER_JOB) {
-            throw new MalformedJobException(
-                    "members: must be a whole number from 1 to " + ApiConstants.MAX_TASKS_PER_JOB);
-        }
-        double cpus = requireAmount(node, "vcpus");
-        double gpus = requireAmount(node, "cards");
-        double memoryGb = requireAmount(node, "ramGb");
-        return new JobSpec(
-                jobId,
-                requireText(node, "jobClass"),
-                requireText(node, "owner"),
-                requireEnum(node, "mode", Mode.class),
-                requireEnum(node, "urgency", Priority.class),
-                taskCount.asInt(),
-                cpus,
-                gpus,
-                memoryGb,
-                machineTypes,
-                optionalText(node, "site"),
-                requireBoolean(node, "oneZone"),
-                requireBoolean(node, "scatter"),
-                requireBoolean(node, "preemptible"),
-                requireText(node, "container"),
-                requireAmount(node, "sizeGb"),
-                requireAmount(node, "runtimeS"),
-                requireAmount(node, "snapshotEveryS"),
-                requireAmount(node, "snapshotS"),
-                node.hasNonNull("dueS") ? requireAmount(node, "dueS") : -1);
-    }
-
-    private static String requireText(ObjectNode node, String field) throws MalformedJobException {
-        JsonNode value = node.get(field);
-        if (value == null
-                || !value.isTextual()
-                || value.asText().isEmpty()
-                || value.asText().length() > 200) {
-            throw new MalformedJobException(field + ": must be a text of 1 to 200 characters");
-        }
-        return value.asText();
-    }
-
-    private static String optionalText(ObjectNode node, String field) throws MalformedJobException {
-        return node.hasNonNull(field) ? requireText(node, field) : null;
-    }
-
-    private static boolean requireBoolean(ObjectNode node, String field)
-            throws MalformedJobException {
-        JsonNode value = node.get(field);
-        if (value == null || !value.isBoolean()) {
-            throw new MalformedJobException(field + ": must be true or false");
-        }
-        return value.asBoolean();
-    }
-
-    private static double requireAmount(ObjectNode node, String field)
-            throws MalformedJobException {
-        JsonNode value = node.get(field);
-        if (value == null
-                || !value.isNumber()
-                || !Double.isFinite(value.asDouble())
-                || value.asDouble() < 0
-                || value.asDouble() > MAX_AMOUNT) {
-            throw new MalformedJobException(
-                    field + ": must be a number from 0 to " + (long) MAX_AMOUNT);
-        }
-        return value.asDouble();
-    }
-
-    private static <E extends Enum<E>> E requireEnum(ObjectNode node, String field, Class<E> type)
-            throws MalformedJobException {
-        String text = requireText(node, field);
-        for (E constant : type.getEnumConstants()) {
-            if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return constant;
-            }
-        }
-        throw new MalformedJobException(field + ": unknown value \"" + text + "\"");
+        return JobSpecCodec.decode(node);
     }
 
+    /** The job as submitted and stored. */
     public ObjectNode encode() {
-        ObjectNode node =
-                WireFormat.newMap()
-                        .put("nameId", jobId)
-                        .put("jobClass", jobClass)
-                        .put("owner", team)
-                        .put("mode", mode.name().toLowerCase(Locale.ROOT))
-                        .put("urgency", priority.name().toLowerCase(Locale.ROOT))
-                        .put("members", taskCount)
-                        .put("vcpus", cpus)
-                        .put("cards", gpus)
-                        .put("ramGb", memoryGb);
-        if (machineTypes != null) {
-            ArrayNode machineTypesNode = node.putArray("shapes");
-            machineTypes.forEach(machineTypesNode::add);
-        }
-        if (zone != null) {
-            node.put("site", zone);
-        }
-        node.put("oneZone", zoneAffinity)
-                .put("scatter", zoneSpread)
-                .put("preemptible", preemptible);
-        node.put("container", image)
-                .put("sizeGb", imageSizeGb)
-                .put("runtimeS", runtimeSeconds)
-                .put("snapshotEveryS", checkpointIntervalSeconds)
-                .put("snapshotS", checkpointSeconds);
-        if (deadlineSeconds >= 0) {
-            node.put("dueS", deadlineSeconds);
-        }
-        return node;
+        return JobSpecCodec.encode(this);
     }
 }
--- a/src/main/java/io/quincelead/policy/JobSelector.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -8,7 +8,6 @@
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 
 /** Which jobs an operators' rule is about: all that agree in each stated field; null: any. */
@@ -21,8 +20,9 @@
         return new JobSelector(
                 fields.readText("jobClass", false),
                 fields.readText("owner", false),
-                fields.readEnum("urgency", JobSpec.Priority.class, null),
-                fields.readEnum("mode", JobSpec.Mode.class, null));
+                fields.readEnum(
+                        "urgency", JobSpec.Priority.values(), JobSpec.Priority::wireName, null),
+                fields.readEnum("mode", JobSpec.Mode.values(), JobSpec.Mode::wireName, null));
     }
 
     ObjectNode encode() {
@@ -34,10 +34,10 @@
             node.put("owner", team);
         }
         if (priority != null) {
-            node.put("urgency", priority.name().toLowerCase(Locale.ROOT));
+            node.put("urgency", priority.wireName());
         }
         if (mode != null) {
-            node.put("mode", mode.name().toLowerCase(Locale.ROOT));
+            node.put("mode", mode.wireName());
         }
         return node;
     }
@@ -123,10 +123,10 @@
             parts.add("team " + team);
         }
         if (priority != null) {
-            parts.add(priority.name().toLowerCase(Locale.ROOT));
+            parts.add(priority.wireName());
         }
         if (mode != null) {
-            parts.add(mode.name().toLowerCase(Locale.ROOT));
+            parts.add(mode.wireName());
         }
         return parts.isEmpty() ? "all jobs" : String.join(", ", parts);
     }
--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
+import java.util.function.Function;
 
 /**
  * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this
@@ -102,23 +103,31 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
+    /** Reads a constant by its name in lower case; the default where the field is missing. */
     <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue)
             throws InvalidRecordException {
+        return readEnum(
+                field,
+                type.getEnumConstants(),
+                constant -> constant.name().toLowerCase(Locale.ROOT),
+                defaultValue);
+    }
+
+    /**
+     * Reads one of the constants by its name in records; the default where the field is missing.
+     */
+    <E> E readEnum(String field, E[] constants, Function<E, String> wireName, E defaultValue)
+            throws InvalidRecordException {
         String text = readText(field, false);
         if (text == null) {
             return defaultValue;
         }
-        for (E constant : type.getEnumConstants()) {
-            if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
+        for (E constant : constants) {
+            if (wireName.apply(constant).equals(text)) {
                 return constant;
             }
         }
-        throw invalid(
-                field,
-                "must be one of "
-                        + Arrays.stream(type.getEnumConstants())
-                                .map(constant -> constant.name().toLowerCase(Locale.ROOT))
-                                .toList());
+        throw invalid(field, "must be one of " + Arrays.stream(constants).map(wireName).toList());
     }
 
     List<String> readTexts(String field) throws InvalidRecordException {
--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -669,7 +669,7 @@
                     JobFixtures.job(
                             i,
                             "red",
-                            isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY,
+                            isGang ? JobSpec.Mode.GANG : JobSpec.Mode.ARRAY,
                             JobSpec.Priority.NORMAL,
                             4,
                             2,
@@ -927,7 +927,7 @@
                     JobFixtures.job(
                             50,
                             "blue",
-                            JobSpec.Mode.ENSEMBLE,
+                            JobSpec.Mode.GANG,
                             JobSpec.Priority.PRODUCTION,
                             9,
                             2,
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -64,7 +64,7 @@
                 spot,
                 "img-1",
                 0.5,
-                mode == JobSpec.Mode.STANDING ? 0 : runtimeSeconds,
+                mode == JobSpec.Mode.SERVICE ? 0 : runtimeSeconds,
                 checkpointIntervalSeconds,
                 checkpointIntervalSeconds > 0 ? 2 : 0,
                 -1);
@@ -80,7 +80,7 @@
                     job(
                             id,
                             team,
-                            JobSpec.Mode.ENSEMBLE,
+                            JobSpec.Mode.GANG,
                             priority,
                             2 + random.nextInt(4),
                             2,
@@ -96,7 +96,7 @@
                     job(
                             id,
                             team,
-                            JobSpec.Mode.STANDING,
+                            JobSpec.Mode.SERVICE,
                             priority,
                             2 + random.nextInt(2),
                             1,
--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -186,7 +186,7 @@
                                 JobFixtures.job(
                                         i,
                                         team,
-                                        JobSpec.Mode.STANDING,
+                                        JobSpec.Mode.SERVICE,
                                         JobSpec.Priority.PRODUCTION,
                                         List.of(3, 5, 8).get(cluster.clock.random.nextInt(3)),
                                         1,
@@ -202,7 +202,7 @@
                                 JobFixtures.job(
                                         i,
                                         team,
-                                        JobSpec.Mode.ENSEMBLE,
+                                        JobSpec.Mode.GANG,
                                         JobSpec.Priority.HIGH,
                                         List.of(1, 2, 4).get(cluster.clock.random.nextInt(3)),
                                         14,
@@ -271,7 +271,7 @@
                                 JobFixtures.job(
                                         1,
                                         "red",
-                                        JobSpec.Mode.STANDING,
+                                        JobSpec.Mode.SERVICE,
                                         JobSpec.Priority.PRODUCTION,
                                         60,
                                         1,
@@ -542,7 +542,7 @@
                 JobFixtures.job(
                         ++id,
                         "blue",
-                        JobSpec.Mode.ENSEMBLE,
+                        JobSpec.Mode.GANG,
                         JobSpec.Priority.BEST_EFFORT,
                         3,
                         4,
@@ -629,7 +629,7 @@
                     JobFixtures.job(
                             i,
                             "red",
-                            JobSpec.Mode.STANDING,
+                            JobSpec.Mode.SERVICE,
                             JobSpec.Priority.PRODUCTION,
                             6,
                             3,
@@ -994,7 +994,7 @@
                                 JobFixtures.job(
                                         1,
                                         "red",
-                                        JobSpec.Mode.STANDING,
+                                        JobSpec.Mode.SERVICE,
                                         JobSpec.Priority.PRODUCTION,
                                         800,
                                         1,
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -50,7 +50,7 @@
                     JobFixtures.job(
                             i,
                             "red",
-                            JobSpec.Mode.STANDING,
+                            JobSpec.Mode.SERVICE,
                             JobSpec.Priority.PRODUCTION,
                             6,
                             3,
--- a/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -61,7 +61,7 @@
                     JobFixtures.job(
                             i,
                             "red",
-                            JobSpec.Mode.STANDING,
+                            JobSpec.Mode.SERVICE,
                             JobSpec.Priority.PRODUCTION,
                             6,
                             3,
