--- a/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What constrained work has asked for lately: work that not every machine may run. The machines it
- * needs are kept for it and left free for it, for more of the same is likely to come.
+ * What constrained work, which not every machine may run, has asked for lately. The machines that
+ * it needs are reserved and left free for it, for more of the same is likely to come.
  */
 public final class ConstrainedDemand {
     /** What a task demands of its machine. */
@@ -31,14 +31,15 @@
 
     private final EventLoop loop;
 
-    /** When each kind was last asked for, the oldest first. */
-    private final Map<Requirements, Long> lastRequestedAt = new LinkedHashMap<>();
+    /** Event-loop time at which each demand last appeared, the oldest first. */
+    private final Map<Requirements, Long> lastRequestedAtMillis = new LinkedHashMap<>();
 
-    /** CPUs asked for by urgent work, fading with time. */
+    /** CPUs asked for by work of high priority, decaying with time. */
     private double decayedUrgentCpus;
 
     private long decayedAtMillis;
 
+    /** Learns from each job that appears in the table from now on. */
     public ConstrainedDemand(EventLoop loop, JobTable jobs) {
         this.loop = loop;
         jobs.onJobAdded(this::recordDemand);
@@ -49,7 +50,7 @@
         if (spec.isUnconstrained()) {
             return;
         }
-        // After a start, old jobs appear all at once: they say nothing of the rate.
+        // When this process starts, old jobs appear all at once: they say nothing of the rate.
         if (spec.gpus() == 0
                 && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
                 && loop.wallClockMillis() - job.acceptedAtEpochMillis
@@ -65,13 +66,13 @@
                         spec.machineTypes(),
                         spec.zone(),
                         spec.preemptible());
-        lastRequestedAt.remove(requirements);
-        lastRequestedAt.put(requirements, loop.nowMillis());
+        lastRequestedAtMillis.remove(requirements);
+        lastRequestedAtMillis.put(requirements, loop.nowMillis());
         long oldestRemembered =
                 loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
-        while (lastRequestedAt.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS
-                || lastRequestedAt.values().iterator().next() < oldestRemembered) {
-            lastRequestedAt.remove(lastRequestedAt.keySet().iterator().next());
+        while (lastRequestedAtMillis.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS
+                || lastRequestedAtMillis.values().iterator().next() < oldestRemembered) {
+            lastRequestedAtMillis.remove(lastRequestedAtMillis.keySet().iterator().next());
         }
     }
 
@@ -85,8 +86,8 @@
     }
 
     /**
-     * CPUs that urgent constrained work without GPUs would ask for in this time, at the rate of
-     * late.
+     * CPUs that constrained work of high priority without GPUs would ask for in this time, at the
+     * rate of late.
      */
     public double expectedUrgentCpus(double withinSeconds) {
         decay();
@@ -102,7 +103,7 @@
             boolean gpusOnly) {
         long oldestRemembered =
                 loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
-        for (Map.Entry<Requirements, Long> entry : lastRequestedAt.entrySet()) {
+        for (Map.Entry<Requirements, Long> entry : lastRequestedAtMillis.entrySet()) {
             if (entry.getValue() >= oldestRemembered
                     && (!gpusOnly || entry.getKey().gpus > 0)
                     && entry.getKey().fits(machineType, zone, spot)) {
@@ -112,7 +113,7 @@
         return false;
     }
 
-    /** Whether constrained work of late could use such a machine. */
+    /** Whether constrained work of late could run on such a machine. */
     public boolean isInDemand(
             MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return hasRecentDemand(machineType, zone, spot, false);
--- a/src/main/java/io/quincelead/cluster/ImageCaches.java
+++ b/src/main/java/io/quincelead/cluster/ImageCaches.java
@@ -1,27 +1,31 @@
 package io.quincelead.cluster;
 
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.ToDoubleFunction;
 
 /**
  * Which images a machine probably has: those of the tasks last placed there, up to the size of its
- * cache. A guess that only ranks machines; a wrong one costs a fetch.
+ * cache. A guess that only ranks machines; a wrong one costs a fetch. Kept by this process alone.
  */
 public final class ImageCaches {
     private final MachineTable machines;
-    private final java.util.function.ToDoubleFunction<String> cacheGbOfType;
+    private final ToDoubleFunction<String> cacheGbOfType;
     private final Map<String, LinkedHashMap<String, Double>> imagesByHost = new HashMap<>();
 
-    /** {@code cacheGb} tells the cache size of a machine type. */
-    public ImageCaches(
-            MachineTable machines, java.util.function.ToDoubleFunction<String> cacheGbOfType) {
+    /** {@code cacheGbOfType} tells the cache size of a machine type; 0: not known. */
+    public ImageCaches(MachineTable machines, ToDoubleFunction<String> cacheGbOfType) {
         this.machines = machines;
         this.cacheGbOfType = cacheGbOfType;
     }
 
     /**
-     * A task was placed: its image is there or is being fetched, and is the most recently used one.
+     * Notes that a task was placed: its image is there or is being fetched, and is the most
+     * recently used one.
      */
     public void recordUse(String host, JobSpec spec) {
         MachineTable.Machine machine = machines.get(host);
@@ -43,28 +47,28 @@
         }
     }
 
+    /** Whether the machine probably has the image. */
     public boolean hasImage(String host, String image) {
         Map<String, Double> images = imagesByHost.get(host);
         return images != null && images.containsKey(image);
     }
 
-    /** All images that it probably has. */
-    public java.util.Set<String> images(String host) {
-        return new java.util.HashSet<>(
-                imagesByHost.getOrDefault(host, new LinkedHashMap<>()).keySet());
+    /** All images that the machine probably has; a copy. */
+    public Set<String> images(String host) {
+        return new HashSet<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()).keySet());
     }
 
-    /** Those of at least this size, with their GB. */
+    /** Those images of at least this size, with their GB; a copy. */
     public Map<String, Double> largeImages(String host, double minimumGb) {
         Map<String, Double> large =
-                new java.util.TreeMap<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()));
+                new TreeMap<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()));
         large.values().removeIf(gb -> gb < minimumGb);
         return large;
     }
 
     /**
-     * What a record says that it has: from before this process, which knows more of what it saw
-     * placed itself.
+     * Adds what a record says that the machine has. It comes first in the order of use: what this
+     * process saw placed itself is newer.
      */
     public void mergeRecorded(String host, Map<String, Double> images) {
         LinkedHashMap<String, Double> known =
--- a/src/main/java/io/quincelead/cluster/Job.java
+++ b/src/main/java/io/quincelead/cluster/Job.java
@@ -5,26 +5,34 @@
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.store.StoreKeys;
-import io.quincelead.transport.WireFormat;
-
-/** An unfinished job as the store has it. */
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * An unfinished job as the store has it, with what this process has observed of it. The record
+ * changes only through {@link JobTable}; the observations are never stored.
+ */
 public final class Job {
+    /** The job as submitted. */
     public final JobSpec spec;
+
     private final String storeKey;
 
-    /** The controller that places its tasks. */
+    /** The controller that schedules its tasks. */
     public String controllerId;
 
-    /** Time of day in ms at which it was accepted. */
+    /** Wall-clock time at which it was accepted. */
     public long acceptedAtEpochMillis;
 
-    /** Time of day in ms at which its cancellation was recorded; 0: not cancelled. */
+    /** Wall-clock time at which its cancellation was recorded; 0: not cancelled. */
     public long cancelledAtEpochMillis;
 
+    /** The states of its tasks; null where a page has no record yet. Not to be changed. */
     public final TaskStatePage[] pages;
 
     /**
-     * Stand in for chunks that have no record yet; always the same ones, so that a plan can tell
+     * Stand in for pages that have no record yet; always the same ones, so that a plan can tell
      * them by identity.
      */
     private final TaskStatePage[] emptyPages;
@@ -33,39 +41,38 @@
     private int placedTasks;
 
     /**
-     * Of the placed: those whose end this process has evidence of, though it may not be on record
-     * yet.
+     * Of the placed tasks: those that this process has evidence of having completed, though it may
+     * not be on record yet.
      */
     private int unrecordedCompleted;
 
+    /** Likewise: those that have terminated without completing. */
     private int unrecordedGone;
 
-    /**
-     * This process's own notes: failures in a row, and the loop time before which no task is to be
-     * started.
-     */
+    /** Observed: failures of its tasks in a row. */
     public int consecutiveFailures;
 
-    /** Machines on which a task of it has failed, as far as this process saw. */
-    public final java.util.Set<String> failedHosts = new java.util.HashSet<>(2);
+    /** Observed: machines on which a task of it has failed. */
+    public final Set<String> failedHosts = new HashSet<>(2);
 
+    /** Event-loop time before which no task of it is to be started, after failures; 0: none. */
     public long notBeforeMillis;
 
     /**
-     * Machines types on which a task of it has completed or run well; used to tell faulty machines
-     * from faulty jobs.
+     * Observed: how often a task of it has completed or run well; tells faulty machines from faulty
+     * jobs.
      */
     public int successCount;
 
     Job(JobSpec spec) {
         this.spec = spec;
         this.storeKey = StoreKeys.JOB_PREFIX + spec.jobId();
-        this.pages =
-                new TaskStatePage
-                        [(spec.taskCount() + RecordConstants.TASKS_PER_STATE_PAGE - 1)
-                                / RecordConstants.TASKS_PER_STATE_PAGE];
-        this.emptyPages = new TaskStatePage[pages.length];
-        for (int pageNumber = 0; pageNumber < emptyPages.length; pageNumber++) {
+        int pageCount =
+                (spec.taskCount() + RecordConstants.TASKS_PER_STATE_PAGE - 1)
+                        / RecordConstants.TASKS_PER_STATE_PAGE;
+        this.pages = new TaskStatePage[pageCount];
+        this.emptyPages = new TaskStatePage[pageCount];
+        for (int pageNumber = 0; pageNumber < pageCount; pageNumber++) {
             emptyPages[pageNumber] = TaskStatePage.empty(this, pageNumber);
         }
     }
@@ -77,31 +84,39 @@
         this.acceptedAtEpochMillis = acceptedAtEpochMillis;
     }
 
+    /** The store key of its record. */
     public String storeKey() {
         return storeKey;
     }
 
+    /** Whether its cancellation is on record. */
     public boolean isCancelled() {
         return cancelledAtEpochMillis > 0;
     }
 
+    /** How many tasks are completed on record. */
     public int completedTaskCount() {
         return completedTasks;
     }
 
+    /** How many tasks are placed on record. */
     public int placedTaskCount() {
         return placedTasks;
     }
 
-    /** Tasks that may still be on a machine, as far as this process knows. */
+    /** How many tasks may still be on a machine, as far as this process knows. */
     public int possiblyRunningTaskCount() {
         return placedTasks - unrecordedCompleted - unrecordedGone;
     }
 
     /**
-     * How many tasks must have begun by now, so that nobody is left behind: none at first, then
-     * more and more of the stated share of all; a gang begins as a whole. Urgent work goes first
-     * anyway. {@code beginWithinS}: seconds within which it should have begun.
+     * How many tasks must have started by now, so that the job isn't starving: none at first, then
+     * more and more of the stated share of all; a gang starts as a whole. None for high priorities,
+     * which go first anyway.
+     *
+     * @param nowEpochMillis wall-clock time
+     * @param startWithinSeconds time within which the job should have started
+     * @param minimumShare share of the tasks that must have started by then, from 0 to 1
      */
     public int requiredStartedTaskCount(
             long nowEpochMillis, double startWithinSeconds, double minimumShare) {
@@ -124,12 +139,12 @@
                 : (int) Math.max(1, Math.ceil(spec.taskCount() * minimumShare * share));
     }
 
-    /** Tasks without a place, on record or by evidence. */
+    /** How many tasks have no placement, on record or by evidence. */
     public int waitingTaskCount() {
         return pendingTaskCount() + (spec.isGang() ? 0 : unrecordedGone);
     }
 
-    /** Whether every task is done, on record or by evidence that isn't on record yet. */
+    /** Whether every task is completed, on record or by evidence that isn't on record yet. */
     public boolean isCompleteByEvidence() {
         return !spec.isService() && completedTasks + unrecordedCompleted == spec.taskCount();
     }
@@ -146,23 +161,27 @@
         }
     }
 
+    /** How many tasks are neither completed nor placed on record. */
     public int pendingTaskCount() {
         return spec.taskCount() - completedTasks - placedTasks;
     }
 
+    /** Whether every task is completed on record; a service never is. */
     public boolean isComplete() {
         return !spec.isService() && completedTasks == spec.taskCount();
     }
 
+    /** The page, or the empty one that stands in for it before it has a record. */
     public TaskStatePage page(int pageNumber) {
         return pages[pageNumber] == null ? emptyPages[pageNumber] : pages[pageNumber];
     }
 
-    /** A chunk as it is before it has a record. */
+    /** A page as it is before it has a record. */
     TaskStatePage emptyPage(int pageNumber) {
         return emptyPages[pageNumber];
     }
 
+    /** Replaces what is on record of a page and counts anew; null: it has no record any more. */
     void replacePage(int pageNumber, TaskStatePage nextPage) {
         TaskStatePage previousPage = pages[pageNumber];
         PlacementTable before = previousPage == null ? null : previousPage.placements;
@@ -170,9 +189,9 @@
         PlacementTable.forEachChange(
                 before,
                 after,
-                (was, is) -> {
-                    if (was != null) {
-                        adjustEvidenceCounts(was, -1);
+                (previous, current) -> {
+                    if (previous != null) {
+                        adjustEvidenceCounts(previous, -1);
                     }
                 });
         pages[pageNumber] = nextPage;
@@ -187,13 +206,22 @@
         PlacementTable.forEachChange(
                 before,
                 after,
-                (was, is) -> {
-                    if (is != null) {
-                        adjustEvidenceCounts(is, 1);
+                (previous, current) -> {
+                    if (current != null) {
+                        adjustEvidenceCounts(current, 1);
                     }
                 });
     }
 
+    /** Hands over each placement on record, in the order of the tasks. */
+    void forEachPlacement(Consumer<Placement> action) {
+        for (TaskStatePage page : pages) {
+            if (page != null) {
+                page.placements.forEach(action);
+            }
+        }
+    }
+
     /**
      * Whether its tasks' states are kept in the job's own record: most jobs then cost the store
      * half the changes.
@@ -207,7 +235,7 @@
         return encode(controllerId, cancelledAtEpochMillis);
     }
 
-    /** The job's record with the given controller and time of cancellation. */
+    /** The job's record with the given controller and time of cancellation; 0: not cancelled. */
     public ObjectNode encode(String newControllerId, long cancelledEpochMillis) {
         return encode(
                 newControllerId,
@@ -215,27 +243,24 @@
                 hasSinglePage() && pages[0] != null ? pages[0].encode() : null);
     }
 
-    ObjectNode encode(String newControllerId, long cancelledEpochMillis, ObjectNode tasks) {
-        ObjectNode node = WireFormat.newMap();
-        node.set("s", spec.encode());
-        node.put("c", newControllerId).put("at", acceptedAtEpochMillis);
-        if (cancelledEpochMillis > 0) {
-            node.put("x", cancelledEpochMillis);
-        }
-        if (tasks != null) {
-            node.set("k", tasks);
-        }
-        return node;
+    ObjectNode encode(String newControllerId, long cancelledEpochMillis, ObjectNode taskStates) {
+        return JobCodec.encode(
+                spec,
+                new JobCodec.JobRecord(
+                        newControllerId, acceptedAtEpochMillis, cancelledEpochMillis),
+                taskStates);
     }
 
+    /** Takes over what the job's record says now. */
     void applyRecord(JsonNode node) {
-        controllerId = node.path("c").asText();
-        acceptedAtEpochMillis = node.path("at").asLong();
-        cancelledAtEpochMillis = node.path("x").asLong();
+        JobCodec.JobRecord record = JobCodec.decode(node);
+        controllerId = record.controllerId();
+        acceptedAtEpochMillis = record.acceptedAtEpochMillis();
+        cancelledAtEpochMillis = record.cancelledAtEpochMillis();
     }
 
     /**
-     * The state that users are told while the job is not finished; a cancelled one is called so
+     * The status that users are told while the job is not finished; a cancelled one is called so
      * when its tasks are gone.
      */
     public ObjectNode encodeStatus() {
@@ -245,10 +270,6 @@
 
     /** The same of a job whose records have just been read. */
     public static ObjectNode encodeStatus(String jobId, TaskStatePage.TaskCounts counts) {
-        return WireFormat.newMap()
-                .put("nameId", jobId)
-                .put("status", counts.placed() > 0 ? "running" : "pending")
-                .put("done", counts.completed())
-                .put("running", counts.placed());
+        return JobCodec.encodeStatus(jobId, counts);
     }
 }
--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -1,13 +1,12 @@
 package io.quincelead.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.WatchCache;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -17,29 +16,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All unfinished jobs and where their tasks may be, as mirrored from the store. */
+/**
+ * All unfinished jobs and where their tasks may be, as the watch cache has them. Changes of a
+ * record replace what it says and keep what this process has observed. A record that can't be read
+ * is left alone.
+ */
 public final class JobTable {
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
     private final EventLoop loop;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, MachineLoad> loadByHost = new HashMap<>();
+    private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
+    private final MachineLoadIndex loads = new MachineLoadIndex();
 
     /** The same jobs, the longest accepted first. */
     private final List<Job> jobsOldestFirst = new ArrayList<>();
 
+    private final List<Job> jobsOldestFirstView = Collections.unmodifiableList(jobsOldestFirst);
     private final Set<String> orphanPageKeys = new LinkedHashSet<>();
+    private final Set<String> orphanPageKeysView = Collections.unmodifiableSet(orphanPageKeys);
     private long unfinishedTaskCount;
-    private Consumer<Placement> placementListener = p -> {};
-    private Consumer<String> machineListener = h -> {};
-    private Consumer<Job> jobListener = j -> {};
+    private Consumer<Placement> placementListener = placement -> {};
+    private Consumer<String> machineListener = host -> {};
+    private Consumer<Job> jobListener = job -> {};
 
-    public JobTable(EventLoop loop, WatchCache mirror) {
+    /** Empty until the watch cache has read the store. */
+    public JobTable(EventLoop loop, WatchCache watchCache) {
         this.loop = loop;
-        mirror.addPrefixListener(
+        watchCache.addPrefixListener(
                 StoreKeys.JOB_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode value, long stamp) {
+                    public void onPut(String key, JsonNode value, long modRevision) {
                         applyJob(key, value);
                     }
 
@@ -48,11 +55,11 @@
                         removeJob(key.substring(StoreKeys.JOB_PREFIX.length()));
                     }
                 });
-        mirror.addPrefixListener(
+        watchCache.addPrefixListener(
                 StoreKeys.TASK_STATE_PAGE_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode value, long stamp) {
+                    public void onPut(String key, JsonNode value, long modRevision) {
                         applyPage(key, value);
                     }
 
@@ -63,32 +70,37 @@
                 });
     }
 
-    /** Called for each start that appears on record. */
+    /** Sets the one listener that is called with each start that appears on record. */
     public void onPlacementRecorded(Consumer<Placement> listener) {
         placementListener = listener;
     }
 
-    /** Called for each job that appears on record. */
+    /** Sets the one listener that is called with each job that appears on record. */
     public void onJobAdded(Consumer<Job> listener) {
         jobListener = listener;
     }
 
-    /** Called with each machine for which a record or its meaning has changed. */
+    /**
+     * Sets the one listener that is called with each machine for which a record or its meaning has
+     * changed.
+     */
     public void onMachineChanged(Consumer<String> listener) {
         machineListener = listener;
     }
 
+    /** The unfinished job of this name; null: there is none on record. */
     public Job get(String jobId) {
         return jobs.get(jobId);
     }
 
+    /** All unfinished jobs in the order in which they appeared; a live, unmodifiable view. */
     public Collection<Job> all() {
-        return jobs.values();
+        return jobsView;
     }
 
-    /** All jobs, the longest accepted first. */
+    /** All unfinished jobs, the longest accepted first; a live, unmodifiable view. */
     public List<Job> jobsOldestFirst() {
-        return jobsOldestFirst;
+        return jobsOldestFirstView;
     }
 
     private static int compareByAge(Job left, Job right) {
@@ -97,64 +109,64 @@
                 : left.spec.jobId().compareTo(right.spec.jobId());
     }
 
+    /** How many tasks all unfinished jobs have, completed ones included. */
     public long unfinishedTaskCount() {
         return unfinishedTaskCount;
     }
 
-    /** Chunks left behind by jobs that are over. */
+    /**
+     * The store keys of pages whose jobs are no longer on record, to be removed; a live,
+     * unmodifiable view.
+     */
     public Set<String> orphanPageKeys() {
-        return orphanPageKeys;
+        return orphanPageKeysView;
     }
 
-    /** Where tasks may be on a machine, by task name. */
+    /** The placements on record on a machine, by task name; live, not to be changed. */
     public Map<String, Placement> placementsOn(String host) {
-        MachineLoad load = loadByHost.get(host);
-        return load == null ? Map.of() : load.placementsByTask;
+        return loads.placementsOn(host);
     }
 
-    /** What those tasks use; null if there are none. */
+    /** What the tasks that may be on the machine use; null if there are none. */
     public MachineLoad loadOf(String host) {
-        return loadByHost.get(host);
+        return loads.get(host);
     }
 
     private void applyJob(String key, JsonNode value) {
-        String jobId = key.substring(StoreKeys.JOB_PREFIX.length());
-        Job job = jobs.get(jobId);
+        Job job = jobs.get(key.substring(StoreKeys.JOB_PREFIX.length()));
         if (job == null) {
             try {
-                job = new Job(JobSpec.decode((ObjectNode) value.path("s")));
-            } catch (JobSpec.MalformedJobException | ClassCastException malformed) {
-                LOG.error(
-                        "the record {} can't be read ({}); the job is left alone",
-                        key,
-                        malformed.getMessage());
+                job = new Job(JobCodec.decodeSpec(value));
+            } catch (MalformedRecordException e) {
+                LOG.error("the record {} can't be read; the job is left alone", key, e);
                 return;
             }
-            jobs.put(jobId, job);
-            unfinishedTaskCount += job.spec.taskCount();
             job.applyRecord(value);
-            int position = jobsOldestFirst.size();
-            while (position > 0 && compareByAge(job, jobsOldestFirst.get(position - 1)) < 0) {
-                position--;
-            }
-            jobsOldestFirst.add(position, job);
-            jobListener.accept(job);
+            add(key.substring(StoreKeys.JOB_PREFIX.length()), job);
         }
         boolean wasCancelled = job.isCancelled();
         job.applyRecord(value);
         if (job.hasSinglePage()) {
-            applyPage(job, 0, value.get("k"));
+            applyPage(job, 0, JobCodec.singlePage(value));
         }
         if (job.isCancelled() && !wasCancelled) {
-            for (TaskStatePage page : job.pages) {
-                if (page != null) {
-                    for (Placement placement : page.placements) {
+            job.forEachPlacement(
+                    placement -> {
                         placement.machineLoad.invalidate();
                         machineListener.accept(placement.host);
-                    }
-                }
-            }
+                    });
+        }
+    }
+
+    private void add(String jobId, Job job) {
+        jobs.put(jobId, job);
+        unfinishedTaskCount += job.spec.taskCount();
+        int position = jobsOldestFirst.size();
+        while (position > 0 && compareByAge(job, jobsOldestFirst.get(position - 1)) < 0) {
+            position--;
         }
+        jobsOldestFirst.add(position, job);
+        jobListener.accept(job);
     }
 
     private void removeJob(String jobId) {
@@ -164,17 +176,18 @@
         }
         unfinishedTaskCount -= job.spec.taskCount();
         jobsOldestFirst.remove(job);
-        for (TaskStatePage page : job.pages) {
-            if (page != null) {
-                if (!job.hasSinglePage()) {
+        if (!job.hasSinglePage()) {
+            for (TaskStatePage page : job.pages) {
+                if (page != null) {
                     orphanPageKeys.add(page.storeKey());
                 }
-                for (Placement placement : page.placements) {
-                    unindex(placement);
-                    machineListener.accept(placement.host);
-                }
             }
         }
+        job.forEachPlacement(
+                placement -> {
+                    loads.remove(placement);
+                    machineListener.accept(placement.host);
+                });
     }
 
     private void applyPage(String key, JsonNode value) {
@@ -189,12 +202,7 @@
             }
             return;
         }
-        int pageNumber;
-        try {
-            pageNumber = Integer.parseInt(rest.substring(slash + 1));
-        } catch (NumberFormatException e) {
-            pageNumber = -1;
-        }
+        int pageNumber = parsePageNumber(rest.substring(slash + 1));
         if (pageNumber < 0 || pageNumber >= job.pages.length || job.hasSinglePage()) {
             LOG.error("the record {} does not belong to its job; it is left alone", key);
             return;
@@ -202,6 +210,15 @@
         applyPage(job, pageNumber, value);
     }
 
+    /** The number in a page's store key; -1: it has none. */
+    private static int parsePageNumber(String digits) {
+        try {
+            return Integer.parseInt(digits);
+        } catch (NumberFormatException e) {
+            return -1;
+        }
+    }
+
     private void applyPage(Job job, int pageNumber, JsonNode value) {
         TaskStatePage previousPage = job.pages[pageNumber];
         TaskStatePage nextPage;
@@ -215,14 +232,14 @@
             LOG.error("{} can't be read; the record is left alone", e.getMessage(), e);
             return;
         }
-        PlacementTable placementsBefore = previousPage == null ? null : previousPage.placements;
-        PlacementTable placementsAfter = nextPage == null ? null : nextPage.placements;
+        PlacementTable before = previousPage == null ? null : previousPage.placements;
+        PlacementTable after = nextPage == null ? null : nextPage.placements;
         PlacementTable.forEachChange(
-                placementsBefore,
-                placementsAfter,
+                before,
+                after,
                 (previous, current) -> {
                     if (previous != null) {
-                        unindex(previous);
+                        loads.remove(previous);
                         if (current == null) {
                             machineListener.accept(previous.host);
                         }
@@ -230,40 +247,25 @@
                 });
         job.replacePage(pageNumber, nextPage);
         PlacementTable.forEachChange(
-                placementsBefore,
-                placementsAfter,
+                before,
+                after,
                 (previous, current) -> {
                     if (current != null) {
-                        index(previous, current);
+                        announce(previous, current);
+                        loads.add(current);
                     }
                 });
     }
 
-    private void index(Placement previous, Placement placement) {
+    private void announce(Placement previous, Placement current) {
         boolean sameStart =
                 previous != null
-                        && previous.isSameStart(
-                                placement.taskIndex, placement.host, placement.attempt);
+                        && previous.isSameStart(current.taskIndex, current.host, current.attempt);
         if (!sameStart) {
-            placementListener.accept(placement);
-        }
-        if (!sameStart || previous.stopRequested != placement.stopRequested) {
-            machineListener.accept(placement.host);
+            placementListener.accept(current);
         }
-        placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new MachineLoad());
-        placement.machineLoad.placementsByTask.put(placement.taskName(), placement);
-        placement.machineLoad.invalidate();
-    }
-
-    private void unindex(Placement placement) {
-        MachineLoad load = loadByHost.get(placement.host);
-        if (load != null) {
-            load.placementsByTask.remove(placement.taskName());
-            load.invalidate();
-            if (load.placementsByTask.isEmpty()) {
-                loadByHost.remove(placement.host);
-            }
+        if (!sameStart || previous.stopRequested != current.stopRequested) {
+            machineListener.accept(current.host);
         }
-        placement.machineLoad = null;
     }
 }
--- a/src/main/java/io/quincelead/cluster/MachineLoad.java
+++ b/src/main/java/io/quincelead/cluster/MachineLoad.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The tasks that may be on one machine, with what they use. The sums are read anew from the tasks
- * only after one of them has changed, so a round over all machines costs what has changed since the
- * last one, and no sum ever drifts.
+ * The tasks that may be on one machine, with what they use. The sums are computed anew from the
+ * tasks only after one of them has changed, so a scheduling cycle over all machines costs what has
+ * changed since the last one, and no sum ever drifts.
  */
 public final class MachineLoad {
     private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
@@ -26,8 +26,8 @@
             new ArrayList<>(Collections.nCopies(PRIORITY_COUNT, List.of()));
 
     /**
-     * Something about one of the tasks has changed: its phase, whether it is to stop, or whether
-     * its job is cancelled.
+     * Has the sums computed anew, because something about one of the tasks has changed: its phase,
+     * whether it is to stop, or whether its job is cancelled.
      */
     void invalidate() {
         stale = true;
@@ -99,8 +99,10 @@
     }
 
     /**
-     * Tasks of this urgency that could be stopped to make room: not of gangs, and not being stopped
-     * yet.
+     * Tasks of this priority that could be preempted: not of gangs, and not being stopped yet.
+     * Valid until the next change; not to be changed.
+     *
+     * @param priority ordinal of a {@link JobSpec.Priority}
      */
     public List<Placement> stoppablePlacements(int priority) {
         refresh();
--- /dev/null
+++ b/src/main/java/io/quincelead/cluster/MachineLoadIndex.java
@@ -0,0 +1,39 @@
+package io.quincelead.cluster;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The placements on record by the machine that they are on, with what they use there. */
+final class MachineLoadIndex {
+    private final Map<String, MachineLoad> loadByHost = new HashMap<>();
+
+    /** The machine's load; null: no task may be there. */
+    MachineLoad get(String host) {
+        return loadByHost.get(host);
+    }
+
+    /** The placements on the machine, by task name. */
+    Map<String, Placement> placementsOn(String host) {
+        MachineLoad load = loadByHost.get(host);
+        return load == null ? Map.of() : load.placementsByTask;
+    }
+
+    /** Adds the placement, or puts it in the place of the one that the task has there. */
+    void add(Placement placement) {
+        placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new MachineLoad());
+        placement.machineLoad.placementsByTask.put(placement.taskName(), placement);
+        placement.machineLoad.invalidate();
+    }
+
+    void remove(Placement placement) {
+        MachineLoad load = loadByHost.get(placement.host);
+        if (load != null) {
+            load.placementsByTask.remove(placement.taskName());
+            load.invalidate();
+            if (load.placementsByTask.isEmpty()) {
+                loadByHost.remove(placement.host);
+            }
+        }
+        placement.machineLoad = null;
+    }
+}
--- a/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
+++ b/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
@@ -4,9 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -16,7 +15,15 @@
  * controllers.
  */
 public final class MachineTypeCatalog {
-    /** A machine type; prices are per hour. */
+    /**
+     * A machine type.
+     *
+     * @param name as the cloud calls it
+     * @param localDiskGb room for images, shared by all tasks of a machine
+     * @param imagePullGbPerSecond how fast images are fetched, shared likewise
+     * @param bootSeconds the usual time from the rental until the worker reports
+     * @param zones where it can be rented
+     */
     public record MachineType(
             String name,
             double cpus,
@@ -29,63 +36,40 @@
             double bootSeconds,
             List<String> zones) {
 
+        /** The price of a spot or an on-demand machine. */
         public double pricePerHour(boolean spot) {
             return spot ? spotPricePerHour : onDemandPricePerHour;
         }
 
+        /** Whether an empty machine has the resources for one task of the job. */
         public boolean fits(JobSpec spec) {
             return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
         }
 
         /** The record of this type. */
         public ObjectNode encode() {
-            ObjectNode node =
-                    WireFormat.newMap()
-                            .put("label", name)
-                            .put("vcpus", cpus)
-                            .put("cards", gpus)
-                            .put("ramGb", memoryGb)
-                            .put("localGb", localDiskGb)
-                            .put("pullGbPerS", imagePullGbPerSecond)
-                            .put("price", onDemandPricePerHour)
-                            .put("spotPrice", spotPricePerHour)
-                            .put("bootS", bootSeconds);
-            zones.forEach(node.putArray("sites")::add);
-            return node;
+            return MachineTypeCodec.encode(this);
         }
 
-        /**
-         * A type as the cloud's catalog and our record have it (protocol, "GET /catalog"); what is
-         * missing gets a careful value.
-         */
+        /** A type as the cloud's catalog and our record have it; what is missing gets a default. */
         public static MachineType decode(JsonNode node) {
-            List<String> zones = new ArrayList<>();
-            node.path("sites").forEach(zone -> zones.add(zone.asText()));
-            double onDemandPricePerHour = node.path("price").asDouble();
-            return new MachineType(
-                    node.path("label").asText(),
-                    node.path("vcpus").asDouble(),
-                    node.path("cards").asDouble(),
-                    node.path("ramGb").asDouble(),
-                    node.path("localGb").asDouble(20),
-                    node.path("pullGbPerS").asDouble(1),
-                    onDemandPricePerHour,
-                    node.path("spotPrice").asDouble(onDemandPricePerHour),
-                    node.path("bootS").asDouble(30),
-                    zones);
+            return MachineTypeCodec.decode(node);
         }
     }
 
     private final Map<String, MachineType> machineTypes = new TreeMap<>();
+    private final Collection<MachineType> machineTypesView =
+            Collections.unmodifiableCollection(machineTypes.values());
 
-    public MachineTypeCatalog(WatchCache mirror) {
-        mirror.addPrefixListener(
+    /** Empty until the watch cache has read the store. */
+    public MachineTypeCatalog(WatchCache watchCache) {
+        watchCache.addPrefixListener(
                 StoreKeys.MACHINE_TYPE_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode value, long stamp) {
-                        MachineType s = MachineType.decode(value);
-                        machineTypes.put(s.name(), s);
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        MachineType machineType = MachineTypeCodec.decode(value);
+                        machineTypes.put(machineType.name(), machineType);
                     }
 
                     @Override
@@ -95,26 +79,30 @@
                 });
     }
 
+    /** Whether any machine type is known. */
     public boolean isLoaded() {
         return !machineTypes.isEmpty();
     }
 
+    /** The machine type of this name; null: it is not known. */
     public MachineType get(String name) {
         return machineTypes.get(name);
     }
 
+    /** All machine types by name; a live, unmodifiable view. */
     public Collection<MachineType> all() {
-        return machineTypes.values();
+        return machineTypesView;
     }
 
     /**
-     * Prices move; the leader's last reading counts for the leader alone and is not recorded again.
+     * Replaces a type in this process only: prices move, and the leader's last reading counts for
+     * the leader alone and is not recorded again.
      */
     public void overrideLocally(MachineType machineType) {
         machineTypes.put(machineType.name(), machineType);
     }
 
-    /** Whether some allowed machine could ever hold one task of the job. */
+    /** Whether some allowed machine could ever have room for one task of the job. */
     public boolean canEverFit(JobSpec spec) {
         return machineTypes.values().stream()
                 .anyMatch(
@@ -125,6 +113,7 @@
                                                 || machineType.zones().contains(spec.zone())));
     }
 
+    /** Whether the job may run on machines of this type. */
     public static boolean isAllowed(JobSpec spec, String machineType) {
         return spec.machineTypes() == null || spec.machineTypes().contains(machineType);
     }
--- a/src/main/java/io/quincelead/cluster/MalformedRecordException.java
+++ b/src/main/java/io/quincelead/cluster/MalformedRecordException.java
@@ -4,7 +4,12 @@
 final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Both the message, which says what was read, and the cause are required. */
+    /** The message says what was read and, without a cause, what is wrong with it. */
+    MalformedRecordException(String message) {
+        super(message);
+    }
+
+    /** The message says what was read, the cause what is wrong with it. */
     MalformedRecordException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -1,26 +1,33 @@
 package io.quincelead.cluster;
 
 /**
- * One task's recorded place: the task may be on that machine until evidence says that it is gone.
- * The record is in the task's chunk; what follows below it is this process's own knowledge and is
- * never stored.
+ * One task's placement: the task may be on that machine until evidence says that it has terminated.
+ * Job, task, machine, attempt and the request to stop are on record, in the task's {@link
+ * TaskStatePage}; all else is what this process has observed and is never stored.
  */
 public final class Placement {
+    /** The job that the task belongs to. */
     public final Job job;
+
+    /** The task, counted from the job's first one. */
     public final int taskIndex;
+
+    /** The machine. */
     public final String host;
+
+    /** Tells this start of the task from its others; never used twice. */
     public final long attempt;
 
-    /** Recorded: the task is to be stopped to make room or to drain its machine. */
+    /** Whether the task is to be stopped to make room or to drain its machine. */
     public final boolean stopRequested;
 
-    /** What this process knows of it; {@link #transitionTo} is the one function that changes it. */
+    /** What this process has observed; changed by {@link #transitionTo} and a change of owner. */
     public enum Phase {
-        /** Recorded; this process has not sent its start in the current term. */
+        /** On record; this process has not sent its start under the current fencing token. */
         RECORDED,
-        /** Its start left in the response to a report. */
+        /** Its start left in the response to a heartbeat. */
         START_SENT,
-        /** A report shows it. */
+        /** A heartbeat shows it. */
         OBSERVED,
         /** Fenced evidence: completed. */
         COMPLETED,
@@ -31,26 +38,28 @@
     private Phase phase = Phase.RECORDED;
     private String taskName;
 
-    /** Report (tenure, serial) whose response carried the start. */
+    /** Agent epoch of the heartbeat whose response carried the start. */
     public long startSentAgentEpoch;
 
+    /** Serial of the heartbeat whose response carried the start. */
     public long startSentSerial;
 
-    /** Last reported state, for display and choice of victims. */
+    /** The last state that a heartbeat showed; empty: none. For display and preemption. */
     public String reportedState = "";
 
-    /** Loop time when it was first seen running; 0 before. */
+    /** Event-loop time at which it was first seen running; 0: not yet. */
     public long runningSinceMillis;
 
-    /** Loop time of the last kill sent; 0 before. */
+    /** Event-loop time of the last kill sent; 0: none. */
     public long killSentAtMillis;
 
-    /** Loop time at which this process first saw the record. */
+    /** Event-loop time at which this process first saw the record. */
     public long recordSeenAtMillis;
 
-    /** The machine's load while this record is the one that counts there. */
+    /** The machine's load while this is the task's placement on record; else null. */
     MachineLoad machineLoad;
 
+    /** A placement of which nothing has been observed yet. */
     public Placement(
             Job job,
             int taskIndex,
@@ -66,11 +75,15 @@
         this.recordSeenAtMillis = recordSeenAtMillis;
     }
 
+    /** What this process has observed of it. */
     public Phase phase() {
         return phase;
     }
 
-    /** Outcomes are absorbing while we own the machine: evidence is not taken back. */
+    /**
+     * Notes what has been observed. Completed and gone are absorbing while this controller owns the
+     * machine: evidence is not taken back.
+     */
     public void transitionTo(Phase next) {
         if (phase != next && !isTerminated()) {
             job.adjustEvidenceCounts(this, -1);
@@ -81,9 +94,9 @@
     }
 
     /**
-     * The machine has changed hands. What we concluded under our term no longer holds: the record
-     * entitles the new owner to start the task there, so only the new owner can show that it is
-     * gone.
+     * Forgets what was observed, because the machine has a new owner. What was concluded under the
+     * old fencing token no longer holds: the record entitles the new owner to start the task there,
+     * so only the new owner can show that it is gone.
      */
     public void resetForNewOwner() {
         job.adjustEvidenceCounts(this, -1);
@@ -100,6 +113,7 @@
         }
     }
 
+    /** Whether there is evidence that the task is no longer on the machine. */
     public boolean isTerminated() {
         return phase == Phase.COMPLETED || phase == Phase.GONE;
     }
@@ -109,7 +123,7 @@
         return taskIndex == otherTaskIndex && attempt == otherAttempt && host.equals(otherHost);
     }
 
-    /** Takes over what the process knew under an older version of the record. */
+    /** Takes over what was observed under an older version of the record. */
     void inheritObservations(Placement previous) {
         phase = previous.phase;
         startSentAgentEpoch = previous.startSentAgentEpoch;
@@ -120,7 +134,7 @@
         recordSeenAtMillis = previous.recordSeenAtMillis;
     }
 
-    /** The task's name, as workers know it. */
+    /** The task's name on the wire: job and task index. */
     public String taskName() {
         if (taskName == null) {
             taskName = job.spec.jobId() + "/" + taskIndex;
--- a/src/main/java/io/quincelead/cluster/PlacementTable.java
+++ b/src/main/java/io/quincelead/cluster/PlacementTable.java
@@ -6,16 +6,16 @@
 import java.util.NoSuchElementException;
 
 /**
- * The places of one chunk's tasks, in the order of the tasks. Slots instead of a sorted map: every
- * controller reads every change of a chunk, and looking up, copying and walking 200 tasks is most
- * of what that costs.
+ * The placements of one page's tasks, in the order of the tasks. Slots instead of a sorted map:
+ * every controller reads every change of a page, and looking up, copying and walking 200 tasks is
+ * most of what that costs. Changed only within this package.
  */
 public final class PlacementTable extends AbstractCollection<Placement> {
     private final int firstTaskIndex;
     private final Placement[] slots;
     private int size;
 
-    /** For {@code tasks} tasks, the first of which has the index {@code first}. */
+    /** For {@code taskCount} tasks, the first of which has the index {@code firstTaskIndex}. */
     PlacementTable(int firstTaskIndex, int taskCount) {
         this.firstTaskIndex = firstTaskIndex;
         this.slots = new Placement[taskCount];
@@ -27,36 +27,46 @@
         this.size = other.size;
     }
 
-    /** The task's place, or null; the index counts from the job's first task. */
+    /**
+     * The task's placement; null where it has none or isn't of this page. The index counts from the
+     * job's first task.
+     */
     public Placement get(int taskIndex) {
         int slot = taskIndex - firstTaskIndex;
         return slot < 0 || slot >= slots.length ? null : slots[slot];
     }
 
+    /** Whether the task has a placement here. */
     public boolean hasPlacement(int taskIndex) {
         return get(taskIndex) != null;
     }
 
     /**
-     * Sets the place of its task; an index that isn't of this chunk is an {@link
-     * IndexOutOfBoundsException}.
+     * Sets the placement of its task.
+     *
+     * @throws IndexOutOfBoundsException if the task isn't of this page
      */
     void put(Placement placement) {
         size += slots[placement.taskIndex - firstTaskIndex] == null ? 1 : 0;
         slots[placement.taskIndex - firstTaskIndex] = placement;
     }
 
+    /**
+     * Removes the placement of the task, if it has one.
+     *
+     * @throws IndexOutOfBoundsException if the task isn't of this page
+     */
     void remove(int taskIndex) {
         size -= slots[taskIndex - firstTaskIndex] == null ? 0 : 1;
         slots[taskIndex - firstTaskIndex] = null;
     }
 
-    /** Takes what one chunk had and another has of a task; either may be null. */
+    /** Called with a task's placement before and after a change; either may be null. */
     interface ChangeVisitor {
         void visit(Placement before, Placement after);
     }
 
-    /** Walks over the tasks whose places differ from those before; null: there are none. */
+    /** Visits the tasks whose placements are not the same objects; a table may be null: none. */
     static void forEachChange(PlacementTable before, PlacementTable after, ChangeVisitor visitor) {
         int slotCount =
                 before != null ? before.slots.length : after != null ? after.slots.length : 0;
@@ -77,29 +87,29 @@
     @Override
     public Iterator<Placement> iterator() {
         return new Iterator<>() {
-            private int at = next(0);
+            private int nextSlot = firstUsedFrom(0);
 
-            private int next(int from) {
-                int i = from;
-                while (i < slots.length && slots[i] == null) {
-                    i++;
+            private int firstUsedFrom(int from) {
+                int slot = from;
+                while (slot < slots.length && slots[slot] == null) {
+                    slot++;
                 }
-                return i;
+                return slot;
             }
 
             @Override
             public boolean hasNext() {
-                return at < slots.length;
+                return nextSlot < slots.length;
             }
 
             @Override
             public Placement next() {
-                if (at >= slots.length) {
+                if (nextSlot >= slots.length) {
                     throw new NoSuchElementException();
                 }
-                Placement p = slots[at];
-                at = next(at + 1);
-                return p;
+                Placement placement = slots[nextSlot];
+                nextSlot = firstUsedFrom(nextSlot + 1);
+                return placement;
             }
         };
     }
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -4,47 +4,52 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
 import java.util.Collection;
-import java.util.Locale;
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Zones that aren't simply up, as the leader has recorded them; a zone without a record is up. */
+/** The zones that aren't simply up, as the leader has recorded them; one without a record is up. */
 public final class ZoneTable {
-    /** States of a zone; {@code zones/ZoneJudge} alone decides them. */
+    /** States of a zone; the {@code ZoneHealthEvaluator} alone decides them. */
     public enum State {
-        /** Its machines are heard. New work and new machines go there. */
+        /** Its machines report. New work and new machines go there. */
         UP,
-        /** Hardly one is heard. No machine is rented there; nothing is concluded. */
+        /** Hardly a machine reports. None is rented there; nothing is concluded. */
         DOUBTFUL,
         /**
-         * Silent for longer than its workers' lease; its tasks may live on inside. They keep their
-         * places and their teams' use.
+         * Unreachable for longer than its workers' lease; its tasks may go on inside. They keep
+         * their placements and their teams' quota use.
          */
         CUT,
         /**
-         * Most of its machines are gone, by the cloud's word. What ran there has its next place
+         * Most of its machines are gone, as the cloud's list shows. What ran there is placed
          * elsewhere.
          */
         LOST,
-        /** Machines are heard there again. They get what waits; nothing is moved there. */
+        /** Machines report there again. They get what waits; nothing is moved there. */
         RETURNING,
-        /** It has held since for its settling time. Spread is restored by moves. */
+        /** It has been up since for its settling time. Zone spread is restored by moves. */
         SETTLED
     }
 
     /** What operators have ordered for a zone that can't be reached. */
     public enum OperatorOrder {
+        /** Nothing: the zone's state decides. */
         NONE,
+        /** Its tasks are kept as running, however long it is unreachable. */
         HOLD,
+        /** Its tasks are started elsewhere as soon as evidence allows. */
         RELEASE
     }
 
     /**
-     * A zone's record. {@code since}: when it came into the state, in ms since 1970; {@code had}:
-     * machines it had when it was first doubted; {@code losses}: how often it was lost of late;
-     * {@code why}: the evidence, in words.
+     * A zone's record.
+     *
+     * @param sinceEpochMillis wall-clock time at which it came into the state
+     * @param machineCountWhenDoubted machines that it had when it was first doubted
+     * @param recentLossCount how often it was lost of late
+     * @param reason the evidence for the state, in words
      */
     public record Zone(
             String name,
@@ -54,10 +59,12 @@
             int recentLossCount,
             String reason,
             OperatorOrder operatorOrder) {
+        /** A zone that is up, as one without a record is. */
         public static Zone up(String zoneName) {
             return new Zone(zoneName, State.UP, 0, 0, 0, "", OperatorOrder.NONE);
         }
 
+        /** This zone in another state from now on, with the evidence for it. */
         public Zone withState(State next, long nowEpochMillis, String evidence) {
             return new Zone(
                     name,
@@ -69,6 +76,7 @@
                     operatorOrder);
         }
 
+        /** This zone under another order of the operators. */
         public Zone withOperatorOrder(OperatorOrder newOrder) {
             return new Zone(
                     name,
@@ -80,45 +88,23 @@
                     newOrder);
         }
 
+        /** The record as it is stored. */
         public ObjectNode encode() {
-            return WireFormat.newMap()
-                    .put("st", state.name().toLowerCase(Locale.ROOT))
-                    .put("since", sinceEpochMillis)
-                    .put("had", machineCountWhenDoubted)
-                    .put("losses", recentLossCount)
-                    .put("why", reason)
-                    .put("order", operatorOrder.name().toLowerCase(Locale.ROOT));
+            return ZoneCodec.encode(this);
         }
     }
 
     private final Map<String, Zone> zones = new TreeMap<>();
+    private final Collection<Zone> zonesView = Collections.unmodifiableCollection(zones.values());
 
-    public ZoneTable(WatchCache mirror) {
-        mirror.addPrefixListener(
+    /** Empty until the watch cache has read the store. */
+    public ZoneTable(WatchCache watchCache) {
+        watchCache.addPrefixListener(
                 StoreKeys.ZONE_PREFIX,
                 new WatchCache.PrefixListener() {
                     @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        String name = key.substring(StoreKeys.ZONE_PREFIX.length());
-                        try {
-                            zones.put(
-                                    name,
-                                    new Zone(
-                                            name,
-                                            State.valueOf(
-                                                    v.path("st").asText().toUpperCase(Locale.ROOT)),
-                                            v.path("since").asLong(),
-                                            v.path("had").asInt(),
-                                            v.path("losses").asInt(),
-                                            v.path("why").asText(),
-                                            OperatorOrder.valueOf(
-                                                    v.path("order")
-                                                            .asText("none")
-                                                            .toUpperCase(Locale.ROOT))));
-                        } catch (IllegalArgumentException e) {
-                            // A state of a later build: as it was, the zone goes on.
-                            zones.putIfAbsent(name, Zone.up(name));
-                        }
+                    public void onPut(String key, JsonNode value, long modRevision) {
+                        put(key.substring(StoreKeys.ZONE_PREFIX.length()), value);
                     }
 
                     @Override
@@ -128,21 +114,32 @@
                 });
     }
 
+    private void put(String name, JsonNode value) {
+        try {
+            zones.put(name, ZoneCodec.decode(name, value));
+        } catch (MalformedRecordException e) {
+            // A state of a later version: the zone stays as it was known.
+            zones.putIfAbsent(name, Zone.up(name));
+        }
+    }
+
+    /** The zone as it is on record; up where it has no record. Never null. */
     public Zone get(String name) {
         return zones.getOrDefault(name, Zone.up(name));
     }
 
-    /** Those on record. */
+    /** The zones on record, by name; a live, unmodifiable view. */
     public Collection<Zone> all() {
         return zones.values();
     }
 
-    /** Whether no machine should be rented there now. */
+    /** Whether no machine should be rented there now: doubtful, cut off or lost. */
     public boolean isUnavailable(String name) {
         State state = get(name).state();
         return state == State.DOUBTFUL || state == State.CUT || state == State.LOST;
     }
 
+    /** The store key of the zone's record. */
     public static String storeKey(String name) {
         return StoreKeys.ZONE_PREFIX + name;
     }
