--- /dev/null
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -0,0 +1,220 @@
+package io.quincelead.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.Settings;
+import io.quincelead.simulation.GoldenTable;
+import io.quincelead.simulation.GoldenTable.Row;
+import io.quincelead.simulation.SimulatedClock;
+import io.quincelead.store.StoreClient;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import io.quincelead.transport.WireFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Each stored record of {@code golden/records.tsv} is read from the store into its value and
+ * written again, byte for byte.
+ */
+class GoldenRecordsTest {
+    /**
+     * What nothing but its writer reads: its bytes are compared as they are written, with the
+     * messages.
+     */
+    private static final Set<String> WRITTEN_ONLY = Set.of("a/r/", "a/rn", "a/ti", "z/");
+
+    private static final Settings SETTINGS =
+            new Settings(
+                    "worker-0",
+                    "a",
+                    "10.0.0.1:8080",
+                    "10.0.0.1:8081",
+                    Map.of(),
+                    "10.2.0.2:1",
+                    "10.2.0.1:1",
+                    1,
+                    25,
+                    Map.of(),
+                    List.of(),
+                    new Settings.WorkerTimings(1, 10, 45, 6, 40),
+                    new Settings.StoreLimits(400, 200, 8, 12),
+                    new Settings.CloudLimits(4, 4),
+                    new Settings.ProcessLimits(1, 256, 500));
+
+    private ClusterMembership membership;
+    private MachineTypeCatalog catalog;
+    private JobTable jobs;
+    private MachineTable machines;
+    private ZoneTable zones;
+    private Policy policy;
+
+    static Stream<Row> records() {
+        return GoldenTable.rows("records").stream().filter(r -> !WRITTEN_ONLY.contains(kind(r)));
+    }
+
+    private static String kind(Row row) {
+        return row.name().substring(0, row.name().indexOf(' '));
+    }
+
+    /** A controller's views of a store that has these records. */
+    private void read(List<Row> rows) {
+        SimulatedClock clock = new SimulatedClock(1);
+        SimulatedClock.SimulatedProcess eventLoop = clock.newProcess();
+        ObjectNode page = WireFormat.newMap().put("truncated", false).put("generation", 10);
+        ArrayNode items = page.putArray("items");
+        rows.forEach(
+                r -> items.addObject().put("path", r.head()).put("stamp", 5).set("value", r.map()));
+        StoreClient store =
+                new StoreClient(
+                        eventLoop,
+                        (address, method, path, codec, body, timeoutMs, reply) -> {
+                            if (path.startsWith("/store?")) {
+                                clock.schedule(
+                                        1,
+                                        () -> reply.onResponse(200, WireFormat.CBOR.encode(page)));
+                            }
+                        },
+                        SETTINGS);
+        WatchCache watchCache = new WatchCache(eventLoop, store, 400);
+        membership = new ClusterMembership(SETTINGS, watchCache);
+        jobs = new JobTable(eventLoop, watchCache);
+        machines = new MachineTable(watchCache);
+        catalog = new MachineTypeCatalog(watchCache);
+        zones = new ZoneTable(watchCache);
+        policy = new Policy(watchCache);
+        watchCache.start();
+        clock.runUntil(1_000);
+        assertTrue(watchCache.isSynced());
+    }
+
+    private JsonNode written(String kind, String rest, Row row) throws InvalidRecordException {
+        String entry = rest.contains("/") ? rest.substring(0, rest.indexOf('/')) : rest;
+        return switch (kind) {
+            case "a/lead" -> membership.leaderRecord().encode();
+            case "a/term" -> WireFormat.newMap().put("n", membership.latestFencingToken());
+            case "a/n/" ->
+                    WireFormat.newMap()
+                            .put("a", membership.member(rest).address())
+                            .put("i", membership.member(rest).incarnation())
+                            .put("g", membership.member(rest).leaseId());
+            case "a/b/" -> membership.shardOf(rest).encode();
+            case "a/c/" -> catalog.get(rest).encode();
+            case "a/j/" -> jobs.get(rest).encode();
+            case "a/t/" ->
+                    jobs.get(entry)
+                            .pages[Integer.parseInt(rest.substring(rest.indexOf('/') + 1))]
+                            .edit()
+                            .encode();
+            case "a/m/" -> {
+                Transaction transaction = new Transaction();
+                machines.beginEdits(transaction).put(machines.all().iterator().next());
+                yield transaction.encode().path("then").get(0).path("value");
+            }
+            case "a/oz/" -> zones.get(rest).encode();
+            case "a/oc/head" -> PolicyReconciler.encodeClassesHead(policy.classesHead());
+            case "a/oc/p/" ->
+                    WireFormat.newMap()
+                            .put(
+                                    "t",
+                                    policy.loadGeneration(Long.parseLong(entry))
+                                            .encodeParts()
+                                            .get(0));
+            case "a/oc/x/" ->
+                    WireFormat.newMap().put("g", policy.unreadableGenerationByMember().get(rest));
+            case "a/ok/head" -> {
+                List<String> changes = policy.calendarHead().recentChangeIds();
+                yield new Policy.CalendarHead(policy.calendarGeneration() - 1, changes)
+                        .encodeNext(null);
+            }
+            case "a/ok/e/" -> policy.entries().get(rest).encode();
+            case "a/ok/o/" -> policy.occurrences().get(rest).encode();
+            case "a/ok/m/" -> {
+                ObjectNode n =
+                        WireFormat.newMap()
+                                .put("through", policy.historyOf(rest).closedThroughMillis());
+                policy.historyOf(rest).peakCpus().forEach(n.putArray("cpus")::add);
+                yield n;
+            }
+            case "a/ok/s/" -> policy.uncountedCompletions().get(rest);
+            case "z/oe/" ->
+                    ScheduledOccurrence.decode(
+                                    entry, rest.substring(rest.indexOf('/') + 1), row.map())
+                            .encodeSummary()
+                            .put("closed", row.map().path("closed").asLong())
+                            .put("unfinished", row.map().path("unfinished").asInt());
+            default -> throw new IllegalArgumentException(kind);
+        };
+    }
+
+    @ParameterizedTest
+    @MethodSource("records")
+    void recordIsReadAndWrittenAgain(Row row) throws InvalidRecordException {
+        String kind = kind(row);
+        // A page of task states is read with its job.
+        List<Row> job =
+                kind.equals("a/t/")
+                        ? GoldenTable.rows("records", "a/j/")
+                                .filter(
+                                        r ->
+                                                row.head()
+                                                        .startsWith(
+                                                                "a/t/"
+                                                                        + r.head().substring(4)
+                                                                        + "/"))
+                                .limit(1)
+                                .toList()
+                        : List.of();
+        read(Stream.concat(job.stream(), Stream.of(row)).toList());
+        assertEquals(
+                row.toString(),
+                row.with(
+                                written(
+                                        kind,
+                                        row.head()
+                                                .substring(
+                                                        Math.min(
+                                                                kind.length(),
+                                                                row.head().length())),
+                                        row))
+                        .toString());
+    }
+
+    /** A submission is the job's record, field by field. */
+    @Test
+    void submissionsAreReadAndWrittenAgain() throws JobSpec.MalformedJobException {
+        List<Row> accepted =
+                GoldenTable.rows("messages", "users POST /v2/runs #")
+                        .filter(
+                                r ->
+                                        r.map().path("vcpus").asDouble() < 500
+                                                && r.map().path("members").asInt() > 0)
+                        .toList();
+        assertTrue(accepted.size() > 4, "" + accepted.size());
+        int read = 0;
+        for (Row r : accepted) {
+            try {
+                assertEquals(r.toString(), r.with(JobSpec.decode(r.map()).encode()).toString());
+                read++;
+            } catch (JobSpec.MalformedJobException e) {
+                assertTrue(r.map().size() < 18, r + ": " + e.getMessage());
+            }
+        }
+        assertTrue(read > 4, "" + read);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -0,0 +1,458 @@
+package io.quincelead.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.Settings;
+import io.quincelead.transport.WireFormat;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Every protocol's messages and every stored record, byte for byte as they were written when {@code
+ * golden/messages.tsv} and {@code golden/records.tsv} were made. {@link #main} makes the tables
+ * anew, after a change of a form that is meant.
+ */
+class GoldenMessagesTest {
+    private static Map<String, GoldenTable.Row> messages;
+    private static Map<String, GoldenTable.Row> records;
+
+    public static void main(String[] args) throws IOException {
+        GoldenCapture capture = play();
+        GoldenTable.write("messages", capture.messages());
+        GoldenTable.write("records", capture.records());
+    }
+
+    private static Map<String, GoldenTable.Row> byName(List<GoldenTable.Row> rows) {
+        return rows.stream().collect(Collectors.toMap(GoldenTable.Row::name, Function.identity()));
+    }
+
+    @BeforeAll
+    static void playOnce() {
+        GoldenCapture capture = play();
+        messages = byName(capture.messages());
+        records = byName(capture.records());
+    }
+
+    static Stream<String> messages() {
+        return GoldenTable.rows("messages").stream().map(GoldenTable.Row::name);
+    }
+
+    static Stream<String> records() {
+        return GoldenTable.rows("records").stream().map(GoldenTable.Row::name);
+    }
+
+    @ParameterizedTest
+    @MethodSource("messages")
+    void messageIsWrittenAsBefore(String name) {
+        assertEquals(
+                byName(GoldenTable.rows("messages")).get(name).toString(),
+                String.valueOf(messages.get(name)));
+    }
+
+    @ParameterizedTest
+    @MethodSource("records")
+    void recordIsWrittenAsBefore(String name) {
+        assertEquals(
+                byName(GoldenTable.rows("records")).get(name).toString(),
+                String.valueOf(records.get(name)));
+    }
+
+    @Test
+    void noFormIsNewOrGone() {
+        assertEquals(byName(GoldenTable.rows("messages")).keySet(), messages.keySet());
+        assertEquals(byName(GoldenTable.rows("records")).keySet(), records.keySet());
+    }
+
+    /** A scenario in which everything occurs that has a form of its own. */
+    private static GoldenCapture play() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        4711,
+                        List.of(
+                                new SimulatedCloud.MachineType(
+                                        "small",
+                                        8,
+                                        0,
+                                        32,
+                                        0.4,
+                                        0.15,
+                                        5,
+                                        List.of("a", "b", "c"),
+                                        14),
+                                new SimulatedCloud.MachineType(
+                                        "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 3)),
+                        3);
+        cluster.teams.put("red", new Settings.Team("red", 40, 60, 2, 4));
+        cluster.operatorSettings =
+                OperatorSettings.DEFAULTS.withZoneRecovery(
+                        new OperatorSettings.ZoneRecovery(true, 20, 30, 0.1));
+        cluster.store.maxPageSize = 30;
+        cluster.store.retainedChanges = 40;
+        cluster.cloud.addRunningMachines("small", "c", 2);
+        GoldenCapture capture = new GoldenCapture(cluster);
+        cluster.start();
+        users(cluster);
+        operators(cluster);
+        faults(cluster);
+        cluster.clock.runUntil(520_000);
+        return capture;
+    }
+
+    private static void users(SimulatedCluster cluster) {
+        for (int i = 1; i <= 45; i++) {
+            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
+            long at = 3_000 + i * 3_000L;
+            cluster.clock.schedule(at, () -> cluster.submit(job));
+            if (job.isService() || i % 6 == 0) {
+                cluster.clock.schedule(
+                        at + (job.isService() ? 150_000 : 9_000),
+                        () -> cluster.cancel(job.jobId()));
+            }
+            cluster.clock.schedule(
+                    at + 500, () -> cluster.query("wk-9" + job.jobId().substring(3)));
+        }
+        for (int i = 60; i < 80; i++) {
+            JobSpec brief = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 1, 1, 1);
+            cluster.clock.schedule(80_000 + (i - 60) * 2_500L, () -> cluster.submit(brief));
+        }
+        JobSpec large = JobFixtures.array(50, "red", JobSpec.Priority.NORMAL, 450, 0.2, 15);
+        cluster.clock.schedule(20_000, () -> cluster.submit(large));
+        JobSpec due =
+                JobFixtures.job(
+                        51,
+                        "blue",
+                        JobSpec.Mode.ARRAY,
+                        JobSpec.Priority.HIGH,
+                        2,
+                        1,
+                        0,
+                        10,
+                        List.of("small", "big"),
+                        "a",
+                        false,
+                        false,
+                        true,
+                        5);
+        cluster.clock.schedule(
+                25_000,
+                () ->
+                        cluster.submit(
+                                new JobSpec(
+                                        due.jobId(),
+                                        due.jobClass(),
+                                        due.team(),
+                                        due.mode(),
+                                        due.priority(),
+                                        due.taskCount(),
+                                        due.cpus(),
+                                        due.gpus(),
+                                        due.memoryGb(),
+                                        due.machineTypes(),
+                                        due.zone(),
+                                        due.zoneAffinity(),
+                                        due.zoneSpread(),
+                                        due.preemptible(),
+                                        due.image(),
+                                        due.imageSizeGb(),
+                                        due.runtimeSeconds(),
+                                        due.checkpointIntervalSeconds(),
+                                        due.checkpointSeconds(),
+                                        90)));
+        JobSpec model =
+                JobFixtures.job(
+                        52,
+                        "red",
+                        JobSpec.Mode.STANDING,
+                        JobSpec.Priority.PRODUCTION,
+                        6,
+                        1,
+                        0,
+                        0,
+                        null,
+                        null,
+                        false,
+                        true,
+                        true,
+                        0);
+        cluster.clock.schedule(28_000, () -> cluster.submit(model));
+        for (int t = 30; t < 200; t += 17) {
+            cluster.clock.schedule(t * 1000L, cluster.users::sendUnusualRequest);
+            cluster.clock.schedule(
+                    t * 1000L + 300,
+                    () ->
+                            cluster.network.call(
+                                    SimulatedCluster.USERS_ADDRESS,
+                                    cluster.controllers.get(2).userAddress,
+                                    "GET",
+                                    "/ready",
+                                    null,
+                                    1_000,
+                                    (status, body, retry) -> {}));
+        }
+        cluster.clock.schedule(40_000, () -> cluster.submit(large));
+        cluster.clock.schedule(41_000, () -> cluster.cancel("wk-977777"));
+    }
+
+    private static void ask(
+            SimulatedCluster cluster, long at, int controller, String path, String body) {
+        cluster.clock.schedule(
+                at,
+                () ->
+                        cluster.sendOperatorCommand(
+                                controller,
+                                path,
+                                OperatorRecordsTest.json(body),
+                                (status, out) -> {}));
+    }
+
+    private static void put(SimulatedCluster cluster, long at, String key, ObjectNode value) {
+        ObjectNode transaction = WireFormat.newMap();
+        transaction.putArray("guards");
+        transaction.putArray("then").addObject().put("put", key).set("value", value);
+        cluster.clock.schedule(
+                at,
+                () ->
+                        cluster.network.call(
+                                "10.0.0.1:0",
+                                SimulatedCluster.STORE_ADDRESS,
+                                "POST",
+                                "/commit",
+                                WireFormat.CBOR.encode(transaction),
+                                1_000,
+                                (status, body, retry) -> {}));
+    }
+
+    private static void operators(SimulatedCluster cluster) {
+        String classes =
+                "[{'name':'storm','description':'first','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent','passes':'normal','beginWithinS':60,'leastShare':0.25},"
+                    + "{'name':'models','rank':20,'match':{'mode':'standing'},'zonePatienceS':25,'zoneSpare':0.5},{'name':'rest','rank':800,'match':{'jobClass':'slow'},'keep':'never'}]";
+        ask(
+                cluster,
+                12_000,
+                0,
+                "/ops/classes/apply",
+                "{'change':'c1','dryRun':true,'classes':" + classes + "}");
+        ask(cluster, 14_000, 1, "/ops/classes/apply", "{'change':'c1','classes':" + classes + "}");
+        ask(cluster, 14_050, 2, "/ops/classes/apply", "{'change':'c9','classes':" + classes + "}");
+        ask(cluster, 18_000, 1, "/ops/classes/apply", "{'change':'c1','classes':" + classes + "}");
+        ask(
+                cluster,
+                22_000,
+                2,
+                "/ops/classes/apply",
+                "{'change':'c2','classes':[{'name':'other','rank':5}]}");
+        ask(cluster, 26_000, 0, "/ops/classes/rollback", "{'change':'c3','to':1}");
+        ask(
+                cluster,
+                30_000,
+                0,
+                "/ops/classes/apply",
+                "{'change':'c4','classes':[{'name':'four','rank':5}]}");
+        put(
+                cluster,
+                33_000,
+                "a/oc/p/4/0",
+                WireFormat.newMap()
+                        .put(
+                                "t",
+                                "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}"));
+        cluster.clock.schedule(34_000, () -> FaultInjector.crashController(cluster, 2, 100));
+        put(
+                cluster,
+                9_000,
+                "a/ok/m/morning",
+                WireFormat.newMap()
+                        .put("through", 0)
+                        .set("cpus", WireFormat.newList().add(7.5).add(8.5)));
+        ask(
+                cluster,
+                10_000,
+                0,
+                "/ops/calendar/add",
+                OperatorRecordsTest.calendarEntry(
+                                "morning",
+                                130_000,
+                                60,
+                                "{'owner':'blue'},{'jobClass':'quick','mode':'array'}")
+                        .toString());
+        ask(
+                cluster,
+                10_500,
+                1,
+                "/ops/calendar/add",
+                OperatorRecordsTest.calendarEntry("noon", 330_000, 250, "{'urgency':'high'}")
+                        .toString());
+        ask(
+                cluster,
+                11_000,
+                1,
+                "/ops/calendar/add",
+                OperatorRecordsTest.calendarEntry("dates", 330_000, 250, "{}")
+                        .put("dryRun", true)
+                        .toString());
+        ask(
+                cluster,
+                11_500,
+                1,
+                "/ops/calendar/add",
+                "{'change':'y1','entry':{'name':'yearly','time':'06:30','zone':'America/Toronto','dates':['2027-01-31','--02-29'],'covers':[{'owner':'red'}],"
+                    + "'skipped':['2027-01-31'],'moved':{'2028-02-29':'07:15'}}}");
+        String date =
+                java.time.Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS)
+                        .toString()
+                        .substring(0, 10);
+        String next =
+                java.time.Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + 86_400_000)
+                        .toString()
+                        .substring(0, 10);
+        ask(
+                cluster,
+                90_000,
+                0,
+                "/ops/calendar/move",
+                "{'change':'m1','name':'noon','date':'" + next + "','time':'05:30'}");
+        ask(
+                cluster,
+                91_000,
+                0,
+                "/ops/calendar/move",
+                "{'change':'m1','name':'noon','date':'" + next + "','time':'05:30'}");
+        ask(
+                cluster,
+                92_000,
+                1,
+                "/ops/calendar/skip",
+                "{'change':'s1','name':'noon','date':'" + date + "'}");
+        ask(cluster, 460_000, 1, "/ops/calendar/remove", "{'change':'r1','name':'yearly'}");
+        for (int t = 15; t < 500; t += 23) {
+            int c = t % 3;
+            for (String path :
+                    List.of(
+                            "/ops/classes/list",
+                            "/ops/classes/history",
+                            "/ops/calendar/list",
+                            "/ops/calendar/next",
+                            "/ops/queue",
+                            "/ops/zones/list",
+                            "/ops/zones/plan")) {
+                ask(cluster, t * 1000L, c, path, "{}");
+            }
+            ask(cluster, t * 1000L, c, "/ops/calendar/ledger", "{'name':'morning'}");
+            ask(cluster, t * 1000L, c, "/ops/zones/plan", "{'lost':['a']}");
+            cluster.clock.schedule(
+                    t * 1000L,
+                    () ->
+                            cluster.acceptedJobs().stream()
+                                    .filter(id -> !cluster.hasFinalStatus(id))
+                                    .limit(3)
+                                    .toList()
+                                    .forEach(
+                                            id ->
+                                                    cluster.sendOperatorCommand(
+                                                            c,
+                                                            "/ops/explain",
+                                                            WireFormat.newMap().put("job", id),
+                                                            (status, out) -> {})));
+        }
+    }
+
+    private static void faults(SimulatedCluster cluster) {
+        cluster.clock.schedule(
+                45_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
+        cluster.clock.schedule(70_000, () -> CompoundFaults.storeOutage(cluster, 8_000));
+        cluster.clock.schedule(85_000, () -> cluster.cloud.down = true);
+        cluster.clock.schedule(93_000, () -> cluster.cloud.down = false);
+        cluster.clock.schedule(
+                60_000,
+                () -> FaultInjector.onRandomMachine(cluster, m -> m.preemptionWarningSeconds = 25));
+        cluster.clock.schedule(
+                80_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
+        cluster.clock.schedule(
+                95_000,
+                () ->
+                        FaultInjector.onRandomMachine(
+                                cluster,
+                                m -> CompoundFaults.makeUnreachableOutbound(cluster, m, 20_000)));
+        cluster.clock.schedule(
+                100_000,
+                () ->
+                        FaultInjector.onRandomMachine(
+                                cluster,
+                                m -> CompoundFaults.makeUnreachableInbound(cluster, m, 30_000)));
+        cluster.clock.schedule(
+                105_000,
+                () ->
+                        FaultInjector.onRandomMachine(
+                                cluster,
+                                m -> {
+                                    m.setHung(true);
+                                    cluster.clock.schedule(15_000, () -> m.setHung(false));
+                                }));
+        cluster.clock.schedule(
+                110_000, () -> FaultInjector.onRandomMachine(cluster, m -> m.failsTasks = true));
+        cluster.clock.schedule(
+                112_000,
+                () ->
+                        CompoundFaults.refuseByStore(
+                                cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 14_000));
+        ask(cluster, 72_000, 0, "/ops/classes/apply", "{'change':'c5','classes':[]}");
+        ask(cluster, 73_000, 1, "/ops/calendar/ledger", "{'name':'morning'}");
+        cluster.clock.schedule(115_000, () -> cluster.store.responseLossRate = 1);
+        ask(
+                cluster,
+                115_500,
+                0,
+                "/ops/classes/apply",
+                "{'change':'c6','classes':[{'name':'six','rank':6}]}");
+        cluster.clock.schedule(118_000, () -> cluster.store.responseLossRate = 0);
+        cluster.clock.schedule(130_000, () -> cluster.store.responseLossRate = 0.2);
+        cluster.clock.schedule(140_000, () -> cluster.store.responseLossRate = 0);
+        cluster.clock.schedule(
+                150_000, () -> FaultInjector.partitionZone(cluster, "b", List.of(), 60_000));
+        for (int i = 0; i < 4; i++) {
+            ask(cluster, 158_000 + i * 10_000L, 0, "/ops/zones/hold", "{'zone':'b','dryRun':true}");
+            ask(cluster, 159_000 + i * 10_000L, i % 3, "/ops/zones/hold", "{'zone':'b'}");
+            ask(cluster, 160_000 + i * 10_000L, 1, "/ops/zones/hold", "{'zone':'b'}");
+            ask(cluster, 161_000 + i * 10_000L, 1, "/ops/zones/release", "{'zone':'b'}");
+        }
+        cluster.clock.schedule(
+                160_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, true));
+        cluster.clock.schedule(
+                195_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, false));
+        cluster.clock.schedule(
+                240_000,
+                () ->
+                        cluster.cloud.machines.values().stream()
+                                .filter(m -> m.zone.equals("c"))
+                                .forEach(SimulatedWorker::crash));
+        cluster.clock.schedule(
+                300_000,
+                () ->
+                        FaultInjector.crashController(
+                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
+        cluster.clock.schedule(310_000, () -> cluster.store.maxExtraLatencyMillis = 1_500);
+        cluster.clock.schedule(325_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+        cluster.clock.schedule(
+                310_000,
+                () -> {
+                    for (int i = 0; i < 3; i++) {
+                        FaultInjector.crashController(cluster, i, 2_000 + i * 3_000L);
+                    }
+                });
+        cluster.expectFaultsUntil(330_000);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/quincelead/simulation/GoldenTable.java
@@ -0,0 +1,88 @@
+package io.quincelead.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.transport.WireFormat;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.stream.Stream;
+
+/**
+ * Tables of recorded bytes in {@code src/test/resources/golden}: what messages and stored records
+ * looked like when the table was written. One row a line, tab-separated: name, head, body (JSON as
+ * it is, CBOR in hexadecimal), and the body of CBOR once more as JSON, for readers.
+ */
+public final class GoldenTable {
+    private GoldenTable() {}
+
+    /**
+     * One row; {@code head}: the request line, the status with {@code Retry-After}, or the key of a
+     * record. {@code body}: null for none.
+     */
+    public record Row(String name, String head, WireFormat codec, byte[] body) {
+        static Row read(String line) {
+            String[] f = line.split("\t", -1);
+            if (f[2].equals("-")) {
+                return new Row(f[0], f[1], null, null);
+            }
+            return f[2].startsWith("{")
+                    ? new Row(f[0], f[1], WireFormat.JSON, f[2].getBytes(StandardCharsets.UTF_8))
+                    : new Row(f[0], f[1], WireFormat.CBOR, HexFormat.of().parseHex(f[2]));
+        }
+
+        /** The body as a tree, read anew. */
+        public ObjectNode map() {
+            return codec.decodeMap(body);
+        }
+
+        /** The row of the same record with its value written again. */
+        public Row with(JsonNode value) {
+            return new Row(name, head, codec, codec.encode(value));
+        }
+
+        @Override
+        public String toString() {
+            if (body == null) {
+                return name + "\t" + head + "\t-";
+            }
+            if (codec == WireFormat.JSON) {
+                return name + "\t" + head + "\t" + new String(body, StandardCharsets.UTF_8);
+            }
+            return name
+                    + "\t"
+                    + head
+                    + "\t"
+                    + HexFormat.of().formatHex(body)
+                    + "\t"
+                    + WireFormat.CBOR.decodeMap(body);
+        }
+    }
+
+    /** The rows of a table, in its order. */
+    public static List<Row> rows(String table) {
+        try (InputStream in = GoldenTable.class.getResourceAsStream("/golden/" + table + ".tsv")) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8)
+                    .lines()
+                    .map(Row::read)
+                    .toList();
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** The rows whose names begin so. */
+    public static Stream<Row> rows(String table, String prefix) {
+        return rows(table).stream().filter(r -> r.name().startsWith(prefix));
+    }
+
+    static void write(String table, List<Row> rows) throws IOException {
+        Files.write(
+                Path.of("src/test/resources/golden/" + table + ".tsv"),
+                rows.stream().map(Row::toString).toList());
+    }
+}
--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -86,6 +86,19 @@
     /** Who sent what is being handled. */
     private String sender = "";
 
+    /** A call and what its caller gets for it; status 0: no response in time. */
+    public record Exchange(
+            String to,
+            String method,
+            String path,
+            byte[] body,
+            int status,
+            int retryAfterSeconds,
+            byte[] responseBody) {}
+
+    /** Sees each call once its caller has its response. */
+    public java.util.function.Consumer<Exchange> exchangeObserver = exchange -> {};
+
     public SimulatedNetwork(SimulatedClock clock) {
         this.clock = clock;
     }
@@ -172,6 +185,15 @@
                     openCalls--;
                     history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
                     onResponse.onResponse(status, responseBody, retryAfterSeconds);
+                    exchangeObserver.accept(
+                            new Exchange(
+                                    to,
+                                    method,
+                                    path,
+                                    body,
+                                    status,
+                                    retryAfterSeconds,
+                                    responseBody));
                 };
         clock.schedule(
                 timeoutMillis,
