--- a/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
@@ -1,141 +1,149 @@
 package io.quincelead.config.constants;
 
-/** Fixed numbers of the autoscaler code, each with its unit and the reason for its value. */
+/**
+ * Fixed numbers of scaling out and in, and of the cloud client. The unit ends each name; each
+ * comment states the reason for the value.
+ */
 public final class AutoscalerConstants {
-    /** Machines in one rental request (protocol); they share one record. */
+    /** Protocol limit on the machines of one provisioning request; they share one record. */
     public static final int MAX_MACHINES_PER_PROVISIONING_REQUEST = 50;
 
-    /** Machine names in one release request (protocol). */
+    /** Protocol limit on the machine names in one release request. */
     public static final int MAX_MACHINES_PER_RELEASE_REQUEST = 100;
 
-    /** ms. Cloud answers take about 250 ms; renting may take longer. */
+    /** Timeout of a cloud request. Responses take about 250 ms; provisioning may take longer. */
     public static final long CLOUD_REQUEST_TIMEOUT_MILLIS = 5_000;
 
-    /** ms. Renting and returning are decided this often. */
+    /** Interval at which scaling out and in is decided. */
     public static final long AUTOSCALER_INTERVAL_MILLIS = 1_000;
 
-    /** ms. First pause after a refusal for want of capacity; doubles to the maximum. */
+    /**
+     * First backoff after a provisioning request refused for lack of capacity; it doubles up to the
+     * maximum.
+     */
     public static final long NO_CAPACITY_BACKOFF_INITIAL_MILLIS = 8_000;
 
-    /** ms. The longest such pause. */
+    /** Longest such backoff. */
     public static final long NO_CAPACITY_BACKOFF_MAX_MILLIS = 45_000;
 
-    /**
-     * s. A machine is expected to stay about this long: spreads the cost of its start over its
-     * work.
-     */
+    /** Time a machine is expected to stay: spreads the cost of its start over its work. */
     public static final double EXPECTED_STAY_SECONDS = 300;
 
-    /** s. Short average of the arriving work: notices when a load has ended. */
+    /** Short averaging window of the arriving work: notices when a load has ended. */
     public static final double SHORT_LOAD_WINDOW_SECONDS = 60;
 
-    /** s. Long average of the arriving work: one large job does not look like a load. */
+    /** Long averaging window of the arriving work: one large job doesn't look like a load. */
     public static final double LONG_LOAD_WINDOW_SECONDS = 180;
 
-    /** s. Less time than this says little of a rate. */
+    /** Shortest observation that says anything about a rate. */
     public static final double MIN_LOAD_WINDOW_SECONDS = 40;
 
     /**
-     * Parts of the capacity that must be missing in time before dear machines are rented for it.
+     * Fraction of the capacity that must be missing in time before costly machines are rented for
+     * it.
      */
     public static final double COSTLY_MISSING_CAPACITY_FRACTION = 0.08;
 
     /**
-     * Times. The usual load's work is multiplied by this: boots, fetches and gaps between tasks
-     * take their part.
+     * Factor on the work of the usual load: boots, image fetches and gaps between tasks take their
+     * part.
      */
     public static final double USUAL_LOAD_MARGIN_FACTOR = 1.1;
 
-    /** s. A machine rented now helps after about this long. */
+    /** Time after which a machine rented now typically helps. */
     public static final double TYPICAL_BOOT_SECONDS = 25;
 
     /**
-     * s. Work due sooner than this is counted as due then: no machine rented now can help it
-     * earlier.
+     * Work due sooner than this is counted as due then: no machine rented now can help it earlier.
      */
     public static final double SOONEST_HELP_SECONDS = 70;
 
     /**
-     * Parts of the waiting CPUs for which cheap machines are rented at once, whatever the due
-     * times.
+     * Fraction of the waiting CPUs for which spot machines are rented at once, whatever the
+     * deadlines.
      */
     public static final double SPOT_WAITING_CPUS_FRACTION = 0.6;
 
     /**
-     * s. Within this time work that is late already should be done: hurry doesn't help it any more.
+     * Time within which work that is overdue already should be done: more haste no longer helps it.
      */
     public static final double OVERDUE_DRAIN_SECONDS = 90;
 
     /**
-     * Parts of the waiting CPUs that count as open load: most of a burst waits only until room
-     * comes free.
+     * Fraction of the waiting CPUs that counts as open load: most of a burst waits only until
+     * capacity becomes free.
      */
     public static final double OPEN_LOAD_WAITING_FRACTION = 1.0;
 
-    /** CPUs. With nothing waiting, no machine is rented for a smaller usual load than this. */
+    /** With nothing waiting, no machine is rented for a smaller usual load, in CPUs, than this. */
     public static final double MIN_SPOT_LOAD_CPUS = 4;
 
     /**
-     * CPUs. Up to this many in use, spare capacity is the operators' headroom of it; beyond, it
-     * grows with the root only, as the ups and downs of many independent jobs do.
+     * CPUs in use up to which the reserve is the operators' fraction of them; beyond, it grows with
+     * the square root only, as the fluctuations of many independent jobs do.
      */
     public static final double LINEAR_RESERVE_MAX_CPUS = 200;
 
     /**
-     * Records of machines closed or opened in one write, if the store's share of the moment allows
-     * it.
+     * Records of machines cordoned or uncordoned in one write, if the controller's write share
+     * allows it.
      */
     public static final int MAX_CORDON_RECORDS_PER_WRITE = 10;
 
     /**
-     * Times its CPUs that must be spare before a machine is closed: keeps it from being opened
-     * again at once.
+     * A machine is cordoned only if its CPUs multiplied by this are spare, so that it isn't
+     * uncordoned at once.
      */
     public static final double CORDON_SPARE_FACTOR = 1.3;
 
     /**
-     * CPUs. A dear machine of this size is counted at twice its price, for the time it takes to run
-     * empty.
+     * Size, in CPUs, at which a costly machine is counted at twice its price, for the time it takes
+     * to drain.
      */
     public static final double SLOW_DRAIN_MACHINE_CPUS = 40;
 
     /**
-     * CPUs. Of a larger machine only this much must be spare: its tasks leave one by one, so its
-     * room goes slowly.
+     * Of a larger machine only this many CPUs must be spare to cordon it: its tasks leave one by
+     * one, so its capacity goes slowly.
      */
     public static final double MAX_CORDON_SPARE_CPUS = 24;
 
-    /** s. A machine is not closed before it has been paid for this long. */
+    /** A machine is not cordoned before it has been paid for this long. */
     public static final double MIN_RENTED_BEFORE_CORDON_SECONDS = 50;
 
-    /** Rentals whose outcome is open at one time: the cloud takes few calls a second. */
+    /**
+     * Provisioning requests whose outcome is open at one time: the cloud takes few calls a second.
+     */
     public static final int MAX_OPEN_PROVISIONING_REQUESTS = 6;
 
-    /** ms. Marked machines are released this often. */
+    /** Interval at which machines marked for release are released. */
     public static final long RELEASE_INTERVAL_MILLIS = 300;
 
-    /** ms. A released machine may still be listed this long. */
+    /** How long a released machine may still be listed by the cloud. */
     public static final long FORGET_RELEASED_AFTER_MILLIS = 180_000;
 
-    /** ms. The machine list is read this often, to find unexpected machines. */
+    /** Interval at which the cloud's machine list is read, to find unexpected machines. */
     public static final long INVENTORY_INTERVAL_MILLIS = 10_000;
 
     /**
-     * List lags. A leader trusts the list on unexpected machines after this time: what its
-     * predecessor returned is gone from it by then.
+     * A new leader trusts the list on unexpected machines after this many list lags: what its
+     * predecessor released is gone from it by then.
      */
     public static final double TRUST_UNEXPECTED_AFTER_LIST_LAGS = 4;
 
-    /** ms. Current prices are read this often. */
+    /** Interval at which the current prices are read. */
     public static final long CATALOG_INTERVAL_MILLIS = 60_000;
 
-    /** s. The minimum charge of a machine (protocol). */
+    /** Protocol: the minimum charge of a machine, in seconds of use. */
     public static final double MIN_CHARGE_SECONDS = 60;
 
-    /** Times its nominal time that a boot usually takes at most (protocol). */
+    /** Protocol: longest usual boot time as a multiple of the nominal one. */
     public static final double USUAL_BOOT_MAX_FACTOR = 1.5;
 
-    /** s before a window opens, beside the longest boot, at which machines for it are rented. */
+    /**
+     * Time before a window opens, in addition to the longest boot, at which machines for it are
+     * rented.
+     */
     public static final double CALENDAR_PROVISIONING_SLACK_SECONDS = 20;
 
     private AutoscalerConstants() {}
--- a/src/main/java/io/quincelead/config/constants/CliConstants.java
+++ b/src/main/java/io/quincelead/config/constants/CliConstants.java
@@ -1,10 +1,13 @@
 package io.quincelead.config.constants;
 
-/** Fixed numbers of the cli code, each with its unit and the reason for its value. */
+/**
+ * Fixed numbers of the operators' command line. The unit ends each name; each comment states the
+ * reason for the value.
+ */
 public final class CliConstants {
     /**
-     * ms. An operator's command waits this long for a controller's answer: longer than that waits
-     * for the store.
+     * How long an operator's command waits for a controller's response: longer than the controller
+     * waits for the store.
      */
     public static final long OPERATOR_COMMAND_TIMEOUT_MILLIS = 2_500;
 
--- a/src/main/java/io/quincelead/config/constants/PeerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/PeerConstants.java
@@ -1,14 +1,17 @@
 package io.quincelead.config.constants;
 
-/** Fixed numbers of the peer code, each with its unit and the reason for its value. */
+/**
+ * Fixed numbers of messages between controllers. The unit ends each name; each comment states the
+ * reason for the value.
+ */
 public final class PeerConstants {
     /**
-     * ms. A peer's word on its machines counts this long; without it the leader leaves that block
+     * How long a peer's status of its machines is valid; without one the leader leaves that shard
      * alone.
      */
     public static final long STATUS_VALID_MILLIS = 3_000;
 
-    /** ms. Controllers tell the leader of their machines' fitness this often. */
+    /** Interval at which controllers send the leader the status of their machines. */
     public static final long STATUS_INTERVAL_MILLIS = 700;
 
     private PeerConstants() {}
--- a/src/main/java/io/quincelead/config/constants/TransportConstants.java
+++ b/src/main/java/io/quincelead/config/constants/TransportConstants.java
@@ -1,39 +1,43 @@
 package io.quincelead.config.constants;
 
-/** Fixed numbers of the transport code, each with its unit and the reason for its value. */
+/**
+ * Fixed numbers of connections, HTTP requests and calls inside the cluster. The unit ends each
+ * name; each comment states the reason for the value.
+ */
 public final class TransportConstants {
-    /** Bytes. The protocol's limit for a request body and for a response to workers and users. */
+    /** Protocol limit, in bytes, of a request body and of a response to workers and users. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * Bytes. Room for the worst answers of the store: 512 KiB of items, or an unbounded watch
-     * response.
+     * Largest response, in bytes, accepted from another service: room for the largest responses of
+     * the store, which are 512 KiB of listed items or an unbounded watch response.
      */
     public static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-    /** ms. Direct orders and peer messages are small and near. */
+    /**
+     * Timeout of a direct call to a worker or a peer: both are small and inside the cluster's
+     * network.
+     */
     public static final long CLUSTER_CALL_TIMEOUT_MILLIS = 1_500;
 
-    /** ms. Idle or half-open connections from outside are closed after this. */
+    /** Idle or half-open inbound connections are closed after this time. */
     public static final int SERVER_IDLE_TIMEOUT_MILLIS = 75_000;
 
-    /** ms. A request must have come in whole by then. */
+    /** Time within which a request must have arrived completely. */
     public static final int REQUEST_PARSE_TIMEOUT_MILLIS = 10_000;
 
-    /**
-     * ms. A connection of ours that is idle this long is closed before the other side may do so.
-     */
+    /** Outbound connections idle for this time are closed before the other side may do so. */
     public static final long CLIENT_IDLE_TIMEOUT_MILLIS = 60_000;
 
-    /** Connections from us to one address. */
+    /** Outbound connections to one address. */
     public static final int MAX_CONNECTIONS_PER_ADDRESS = 6;
 
-    /** Connections that other controllers may open to us. */
+    /** Inbound connections that other controllers may open. */
     public static final int MAX_PEER_CONNECTIONS = 32;
 
     /**
-     * ms. An attempt to connect that has taken longer counts for nothing but its socket: another
-     * one may be made.
+     * A connection attempt that has taken longer counts only as an open socket: another one may be
+     * made.
      */
     public static final long CONNECT_TIMEOUT_MILLIS = 1_500;
 
@@ -45,13 +49,13 @@
      */
     public static final int RESERVED_CONNECTIONS = 24;
 
-    /** Parts of the connection limit for connections to workers that are told something at once. */
+    /** Fraction of the connection limit for direct calls to workers. */
     public static final double WORKER_CALLS_CONNECTION_FRACTION = 0.1;
 
     /**
-     * Parts of the connections that users and workers may have; beyond, workers' are closed after
-     * each answer, so that a controller left alone with more workers than connections still has
-     * some for users and for the platform's probe.
+     * Fraction of the connections that users and workers may have; beyond, workers' connections are
+     * closed after each response, so that a controller left alone with more workers than
+     * connections still has some for users and for the platform's probe.
      */
     public static final double CROWDED_CONNECTION_FRACTION = 0.75;
 
--- a/src/main/java/io/quincelead/eventloop/EventLoop.java
+++ b/src/main/java/io/quincelead/eventloop/EventLoop.java
@@ -1,20 +1,27 @@
 package io.quincelead.eventloop;
 
 /**
- * The one event loop that owns all state of a controller. Time and turns come from here, so tests
- * can inject both.
+ * The one event loop that owns all state of a controller: its clock and its deferred tasks.
+ * Simulations inject their own.
  */
 public interface EventLoop {
-    /** Steady time in ms. */
+    /** Monotonic time in milliseconds, from an arbitrary origin. */
     long nowMillis();
 
-    /** Time of day in ms since 1970, within the platform's clock error. */
+    /** Wall-clock time in milliseconds since 1970-01-01 UTC, within the platform's clock error. */
     long wallClockMillis();
 
-    /** Runs a task on the loop after a delay in ms. */
+    /**
+     * Runs a task once on the loop, {@code delayMillis} from now; 0 or less: in a later turn, as
+     * soon as possible.
+     */
     void runAfter(long delayMillis, Runnable task);
 
-    /** Repeats a task on the loop; the next run is due {@code ms} after the last has ended. */
+    /**
+     * Repeats a task on the loop for ever, also after an exception of the task: the first run is
+     * due {@code intervalMillis} from now, each next one that long after the end of the previous
+     * one.
+     */
     default void runEvery(long intervalMillis, Runnable task) {
         runAfter(
                 intervalMillis,
--- a/src/main/java/io/quincelead/store/GroupCommitter.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Group commit for small independent changes (submissions, cancellations, finals): those that wait
- * together share a transaction. When a shared one fails on a guard, each is tried alone, so that
- * one conflict doesn't fail the others.
+ * Group commit for small independent changes (submissions, cancellations, final states): those that
+ * wait together share a transaction. When a shared one fails on a precondition, each is committed
+ * alone, so that one conflict doesn't fail the others.
  */
 public final class GroupCommitter {
     private final EventLoop loop;
@@ -24,19 +24,22 @@
             long deadlineMillis,
             boolean commitAlone) {}
 
+    /** A committer with an empty queue. */
     public GroupCommitter(EventLoop loop, StoreClient store, WatchCache watchCache) {
         this.loop = loop;
         this.store = store;
         this.watchCache = watchCache;
     }
 
+    /** Whether no further transaction should be submitted. */
     public boolean isFull() {
         return pending.size() >= StoreConstants.MAX_WAITING_COMMITS;
     }
 
     /**
-     * Commits within the given time or refuses; a confirmed change is in the mirror before {@code
-     * done} hears of it.
+     * Commits a transaction within the given time, or gives up with {@link
+     * Transaction.Result#REJECTED} while it hasn't been sent. A committed change is in the watch
+     * cache before the handler is called.
      */
     public void submit(
             Transaction transaction, long timeoutMillis, Transaction.OutcomeHandler handler) {
@@ -114,8 +117,7 @@
                                             retryAlone));
                         }
                         if (!retryAlone) {
-                            // Nothing happened; whoever waits is told so at the end of its
-                            // patience.
+                            // Nothing was applied; whoever waits is told so at its deadline.
                             resumeAfterDelay();
                             return;
                         }
--- a/src/main/java/io/quincelead/store/IndeterminateWriteFence.java
+++ b/src/main/java/io/quincelead/store/IndeterminateWriteFence.java
@@ -9,26 +9,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Settles changes that got no answer. Such a change may be carried out seconds later, after newer
- * ones of the same process, and its guards speak only of the records it was about: two changes that
- * each use up the same allowance, or each choose a zone for parts of one job, may both land. So all
- * that one office decides is guarded by one key of its own (a controller's block, the leader's
- * key); after an outcome that isn't known the office decides nothing more until that key's record
- * has been rewritten, so that the lost change can't land any more, and the watch has been past the
- * rewriting, so that what it did before is known.
+ * Settles indeterminate writes: transactions without a response. Such a transaction may be applied
+ * seconds later, after newer ones of the same process, and its preconditions cover only the records
+ * it was about: two transactions that each use up the same quota share, or each choose a zone for
+ * parts of one job, may both be applied. So all that one writer decides has one key of its own as a
+ * precondition (a controller's shard, the leader's key). After an indeterminate write the writer
+ * decides nothing more until that key's record has been rewritten, so that the lost transaction
+ * can't be applied any more, and the watch has passed the rewrite, so that what it did before is
+ * known.
  */
 public final class IndeterminateWriteFence {
     private static final Logger LOG = LoggerFactory.getLogger(IndeterminateWriteFence.class);
 
     /**
-     * States of the office's changes; {@link #transitionTo} is the one function that changes them.
+     * States of the writer's transactions; {@link #transitionTo} is the one function that changes
+     * them.
      */
     private enum Phase {
-        /** Every change has an outcome. */
+        /** Every transaction has an outcome. */
         SETTLED,
-        /** Some change may still land. */
+        /** Some transaction may still be applied. */
         INDETERMINATE,
-        /** The key's record is being rewritten. */
+        /** The fence key's record is being rewritten. */
         REWRITING
     }
 
@@ -42,8 +44,11 @@
     private long nextRewriteAtMillis;
 
     /**
-     * {@code rewrite}: puts the office's {@code key} again as it is, guarded by its stamp; null
-     * where the key is gone.
+     * A fence without indeterminate writes.
+     *
+     * @param fenceKey the writer's own key
+     * @param rewriteFactory makes a transaction that puts the fence key's record again as it is, on
+     *     the precondition of its mod revision; null where the key is gone
      */
     public IndeterminateWriteFence(
             EventLoop loop,
@@ -60,14 +65,14 @@
 
     private void transitionTo(Phase next) {
         if (phase != next) {
-            LOG.debug("changes without an answer: {} -> {}", phase, next);
+            LOG.debug("indeterminate writes of {}: {} -> {}", fenceKey, phase, next);
             phase = next;
         }
     }
 
     /**
-     * Takes the outcome of a change: one that isn't known is settled before the next decision. What
-     * doesn't bear the key decided nothing.
+     * Takes the outcome of a transaction: an indeterminate one is settled before the next decision.
+     * One without the fence key among its preconditions decided nothing and is ignored.
      */
     public void onOutcome(Transaction transaction, Transaction.Outcome outcome) {
         if (outcome.result() == Transaction.Result.INDETERMINATE
@@ -80,8 +85,9 @@
     }
 
     /**
-     * Whether the office may decide: nothing of what it sent can land any more, and all that landed
-     * is known.
+     * Whether the writer may decide: nothing of what it sent can be applied any more, and all that
+     * was applied is in the watch cache. If not, starts a rewrite of the fence key where one is
+     * due.
      */
     public boolean trySettle() {
         indeterminateWrites.removeIf(transaction -> transaction.isSettled(watchCache));
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -9,17 +9,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's membership: a hold in the store that it renews, and its node key attached to
- * it. Its blocks and its leadership hang on the same hold, so all of it lapses together.
+ * This controller's membership: a lease in the store that it renews, and its member record attached
+ * to it. Its shards and its leadership are attached to the same lease, so all of them expire
+ * together.
  */
 public final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
 
     /** States of the membership; {@link #transitionTo} is the one function that changes them. */
-    public enum Phase {
-        /** No hold yet. */
+    private enum Phase {
+        /** No lease yet. */
         NOT_MEMBER,
-        /** Has a hold; ends its predecessor's and announces itself. */
+        /** Has a lease; revokes its predecessor's and announces itself. */
         JOINING,
         /** Member. Whether the lease still stands is a question of time: {@link #isValid}. */
         MEMBER
@@ -34,9 +35,16 @@
     private long leaseId;
     private long validUntilMillis;
 
-    /** Generation of our announcement. */
+    /** Store revision of our announcement. */
     private long announcedRevision;
 
+    /**
+     * A membership that isn't started.
+     *
+     * @param memberId this controller's name
+     * @param address where peers reach this controller
+     * @param leaseMillis the lease's time to live
+     */
     public MembershipLease(
             EventLoop loop, StoreClient store, String memberId, String address, long leaseMillis) {
         this.loop = loop;
@@ -47,8 +55,8 @@
     }
 
     /**
-     * How long a controller's lease lasts on this deployment: the design's 20 s, or less where
-     * workers give up sooner.
+     * Time to live, in milliseconds, of a controller's lease: the operators' setting, or less where
+     * workers' own leases are shorter.
      */
     public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
         return (long)
@@ -63,32 +71,38 @@
         phase = next;
     }
 
+    /** Joins, and renews the lease from then on. To be called once. */
     public void start() {
         join();
         loop.runEvery(leaseMillis / LeaseConstants.RENEWALS_PER_LEASE, this::renew);
     }
 
+    /**
+     * Whether the member record has been announced; the lease may have expired since ({@link
+     * #isValid}).
+     */
     public boolean isMember() {
         return phase == Phase.MEMBER;
     }
 
     /**
-     * Whether our keys surely still stand: counted from the sending of the last renewal, with a
-     * margin for drift.
+     * Whether the lease surely hasn't expired: counted from the sending of the last renewal, with a
+     * margin for clock drift.
      */
     public boolean isValid() {
         return phase == Phase.MEMBER && loop.nowMillis() < validUntilMillis;
     }
 
     /**
-     * Tells this membership from every other of the same controller. The store never gives a hold's
-     * number twice, while two processes that follow each other within a fraction of a second may
-     * see the same time of day.
+     * Tells this membership from every other of the same controller. The store never issues a lease
+     * id twice, while two processes that follow each other within a fraction of a second may see
+     * the same time of day.
      */
     public long incarnation() {
         return leaseId;
     }
 
+    /** The id of the current lease, to attach keys to; 0 before the first. */
     public long leaseId() {
         return leaseId;
     }
@@ -111,8 +125,8 @@
     }
 
     /**
-     * The platform runs one process a member, so whatever holds our node key is dead: its lease
-     * need not run out.
+     * The platform runs one process a member, so the owner of an existing member record is dead:
+     * its lease need not expire by itself.
      */
     private void revokePredecessorLease() {
         store.get(
@@ -141,8 +155,9 @@
     }
 
     /**
-     * Guarded by what was read, {@code stamp}: an announcement of a predecessor that is still on
-     * its way when its successor is in must not take the successor's place.
+     * On the precondition of the mod revision that was read (0: no record): a predecessor's
+     * announcement that is still under way when its successor is a member must not replace the
+     * successor's.
      */
     private void announce(long modRevision) {
         ObjectNode memberRecord =
@@ -176,16 +191,19 @@
     }
 
     /**
-     * Compares the record of this member, as of that generation, with what this process announced.
-     * {@code nodeGrant}: the hold that the record names; 0 if there is none. A member whose record
-     * is another's is counted as lost by all others though its hold stands, so it joins anew.
+     * Compares this controller's member record with what this process announced. All others regard
+     * a member whose record names another lease as lost, though its own lease hasn't expired, so it
+     * joins anew.
+     *
+     * @param recordedLeaseId the lease that the record names; 0 if there is no record
+     * @param storeRevision the store revision as of which it was read
      */
     public void verifyMemberRecord(long recordedLeaseId, long storeRevision) {
         if (phase == Phase.MEMBER
                 && storeRevision >= announcedRevision
                 && recordedLeaseId != leaseId) {
             LOG.info(
-                    "the record of {} names hold {} instead of {}",
+                    "the record of {} names lease {} instead of {}",
                     memberId,
                     recordedLeaseId,
                     leaseId);
@@ -209,7 +227,7 @@
                     if (status == 200) {
                         validUntilMillis = Math.max(validUntilMillis, expiryMillis(sentAtMillis));
                     } else if (status == 404 && phase != Phase.NOT_MEMBER) {
-                        LOG.info("the hold {} has lapsed", renewedLeaseId);
+                        LOG.info("the lease {} has expired", renewedLeaseId);
                         join();
                     }
                 });
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service's protocol, within this controller's share of its limits. */
+/** Client of the state service, within this controller's share of its request and write limits. */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private final EventLoop loop;
@@ -25,9 +25,10 @@
     private boolean writesDelayed;
     private boolean writesThrottled;
 
-    /** 0 to 1: how long this controller has been short of changes. */
+    /** 0 to 1: for how long this controller's writes have been delayed or throttled. */
     private double backpressure;
 
+    /** A client that sends its calls over this transport. */
     public StoreClient(EventLoop loop, Transport transport, Settings settings) {
         this.loop = loop;
         this.transport = transport;
@@ -53,12 +54,20 @@
         loop.runEvery(StoreConstants.WRITE_SHARE_INTERVAL_MILLIS, this::adjustWriteShare);
     }
 
-    /** An answer with its map; node is null where the body is none. */
+    /** Takes a response on the event loop. */
     @FunctionalInterface
     public interface ResponseHandler {
+        /**
+         * Called once per request.
+         *
+         * @param status HTTP status, or {@link Transport#NO_RESPONSE}
+         * @param body the body's map; null if there is none or it isn't a map; with the status 200
+         *     only where a lease was renewed or revoked
+         */
         void onResponse(int status, ObjectNode body);
     }
 
+    /** The store's limit on the operations of one transaction. */
     public int maxTransactionOperations() {
         return maxTransactionOperations;
     }
@@ -87,7 +96,8 @@
                             && !method.equals("DELETE")
                             && !path.endsWith("/touch")) {
                         LOG.info(
-                                "the store's answer to {} {} can't be read; taken for none",
+                                "the store's response to {} {} can't be read; treated as no"
+                                        + " response",
                                 method,
                                 path);
                         handler.onResponse(Transport.NO_RESPONSE, null);
@@ -97,11 +107,15 @@
                 });
     }
 
+    /** Reads one key, linearizably; 404 if it doesn't exist. */
     public void get(String key, ResponseHandler handler) {
         call("GET", "/store/" + key, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    /** One page of what lies under a prefix, in key order, after the given key if any. */
+    /**
+     * Lists one page of the keys under a prefix, in key order, after {@code afterKey}, or from the
+     * first if it is null.
+     */
     public void list(String prefix, String afterKey, ResponseHandler handler) {
         String path =
                 "/store?prefix="
@@ -148,12 +162,15 @@
         call("DELETE", "/holds/" + leaseId, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    /** ms until a comparison without changes may be sent; 0: now. */
+    /** Milliseconds until a transaction without operations may be sent; 0: now. */
     public long requestDelayMillis() {
         return requestBudget.millisUntilAvailable(1);
     }
 
-    /** How many changes this controller may make now; rounds and housekeeping keep within it. */
+    /**
+     * How many operations this controller may write now; scheduling cycles and periodic work keep
+     * within it. Less than one full transaction counts as a delay.
+     */
     public int affordableWrites() {
         int affordableWrites =
                 requestBudget.millisUntilAvailable(1) > 0
@@ -164,8 +181,8 @@
     }
 
     /**
-     * Whether what users wait for may be written: it goes ahead of all else, even into debt, which
-     * rounds then pay off.
+     * Whether a transaction that users wait for may be sent: it goes ahead of all else, even into
+     * debt, which scheduling cycles then pay off.
      */
     public boolean canAffordUrgentWrite() {
         boolean affordable =
@@ -176,9 +193,9 @@
     }
 
     /**
-     * Changes are shared by need: a controller that had to wait asks for more as long as the store
-     * refuses nothing, and for less when it does. None falls below an even share for long, and
-     * nobody has to tell anybody.
+     * Controllers share the store's write limit by need, without messages: one whose writes were
+     * delayed raises its share as long as the store throttles nothing, and lowers it when the store
+     * does. No share falls far below an even one.
      */
     private void adjustWriteShare() {
         if (writesThrottled) {
@@ -202,18 +219,22 @@
     }
 
     /**
-     * From 0 to 1: how short of changes the store has been of late; what can wait then waits
-     * longer, and goes together.
+     * Backpressure from 0 (none) to 1: how much this controller's writes have been delayed or
+     * throttled of late. Work that can wait then waits longer and shares writes.
      */
     public double backpressure() {
         return backpressure;
     }
 
-    /** A pause in ms that grows while the store's changes are short. */
+    /** A delay in milliseconds between the two, proportional to the backpressure. */
     public long throttledDelayMillis(long minMillis, long maxMillis) {
         return minMillis + (long) (backpressure * (maxMillis - minMillis));
     }
 
+    /**
+     * Sends a transaction; the handler gets its outcome. An outcome doesn't change the watch cache:
+     * see {@link WatchCache#applyCommitted}.
+     */
     public void commit(Transaction transaction, Transaction.OutcomeHandler handler) {
         writeBudget.takeUnconditionally(transaction.operationCount());
         call(
@@ -249,7 +270,7 @@
                                 writesThrottled = true;
                             }
                             if (status == 400) {
-                                LOG.info("the store refused a transaction: {}", body);
+                                LOG.info("the store rejected a transaction: {}", body);
                             }
                             handler.onOutcome(
                                     new Transaction.Outcome(
--- a/src/main/java/io/quincelead/store/StoreKeys.java
+++ b/src/main/java/io/quincelead/store/StoreKeys.java
@@ -1,29 +1,32 @@
 package io.quincelead.store;
 
 /**
- * The layout of the store. Everything under {@code a/} is live and mirrored by every controller;
- * final states lie under {@code z/} and are read when asked for.
+ * The layout of the store. Everything under {@code a/} is live and in every controller's watch
+ * cache; final states are under {@code z/} and read on demand. A name that ends in {@code PREFIX}
+ * is the common start of many keys; the others are whole keys.
  */
 public final class StoreKeys {
     private StoreKeys() {}
 
+    /** All live keys. */
     public static final String LIVE_PREFIX = "a/";
 
-    /** Who leads, attached to the leader's hold. */
+    /** The leader's record, attached to the leader's lease. */
     public static final String LEADER = "a/lead";
 
-    /** The ever-rising counter that all tokens come from. */
+    /** The ever-rising counter that all fencing tokens come from. */
     public static final String FENCING_TOKEN_COUNTER = "a/term";
 
-    /** Controllers alive, attached to their holds. */
+    /** Member records of the controllers, attached to their leases. */
     public static final String MEMBER_PREFIX = "a/n/";
 
-    /**
-     * Blocks of machines and allowances, leased to controllers, attached to the controllers' holds.
-     */
+    /** Shards of machines with their quota shares, attached to the owning controllers' leases. */
     public static final String SHARD_PREFIX = "a/b/";
 
-    /** Machine types of the catalog, so a controller knows them as soon as it has the mirror. */
+    /**
+     * Machine types of the catalog, so that a controller knows them as soon as its watch cache is
+     * synced.
+     */
     public static final String MACHINE_TYPE_PREFIX = "a/c/";
 
     /** Jobs. */
@@ -32,26 +35,26 @@
     /** Machines. */
     public static final String MACHINE_PREFIX = "a/m/";
 
-    /** Rental requests, recorded before use. */
+    /** Provisioning requests, recorded before use. */
     public static final String PROVISIONING_REQUEST_PREFIX = "a/r/";
 
     /**
-     * How many rentals were ever recorded: each record of new ones changes it, so that a copy of
-     * that change finds its guard gone.
+     * How many provisioning requests were ever recorded: each transaction that records new ones
+     * changes it, so that a duplicate of that transaction fails on its precondition.
      */
     public static final String PROVISIONING_REQUEST_COUNTER = "a/rn";
 
     /**
-     * Changed with each taking-in of unexpected machines, so that a copy of that change finds its
-     * guard gone.
+     * Changed with each intake of unexpected machines, so that a duplicate of that transaction
+     * fails on its precondition.
      */
     public static final String UNEXPECTED_MACHINE_INTAKE = "a/ti";
 
-    /** Chunks of a job's tasks. */
+    /** Task state pages: {@code <job>/<page>}. */
     public static final String TASK_STATE_PAGE_PREFIX = "a/t/";
 
     /**
-     * Which generation of the operators' priority classes rules, was the last good one, or is
+     * Which generation of the operators' priority classes is in force, was the last good one, or is
      * proposed.
      */
     public static final String CLASSES_HEAD = "a/oc/head";
@@ -59,7 +62,7 @@
     /** The classes of a generation, in parts: {@code <generation>/<part>}. */
     public static final String CLASSES_PART_PREFIX = "a/oc/p/";
 
-    /** Controllers that can't read the ruling generation. */
+    /** Controllers that can't read the generation in force. */
     public static final String CLASSES_OBJECTION_PREFIX = "a/oc/x/";
 
     /**
@@ -71,16 +74,16 @@
     /** Entries of the calendar. */
     public static final String CALENDAR_ENTRY_PREFIX = "a/ok/e/";
 
-    /** Occurrences that are planned or under way: {@code <entry>/<date>}. */
+    /** Scheduled occurrences that are planned or under way: {@code <entry>/<date>}. */
     public static final String OCCURRENCE_PREFIX = "a/ok/o/";
 
-    /** What is remembered of an entry's past occurrences. */
+    /** History of an entry's past occurrences. */
     public static final String ENTRY_HISTORY_PREFIX = "a/ok/m/";
 
-    /** Ends of covered jobs that no occurrence's record has named yet: {@code <job>}. */
+    /** Completions of covered jobs that no occurrence's record has counted yet: {@code <job>}. */
     public static final String UNCOUNTED_COMPLETION_PREFIX = "a/ok/s/";
 
-    /** Zones that aren't simply up. */
+    /** Zones in any state but healthy. */
     public static final String ZONE_PREFIX = "a/oz/";
 
     /** The ledger: what became of each occurrence, {@code <entry>/<date>}. */
--- a/src/main/java/io/quincelead/store/Transaction.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -8,17 +8,27 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One atomic change of the store: conditions on stamps, then puts and removals. */
+/**
+ * One compare-and-swap transaction of the store: preconditions on mod revisions, then puts and
+ * removals. All operations are applied, or none.
+ */
 public final class Transaction {
     private final Map<String, Long> preconditions = new LinkedHashMap<>();
     private final Map<String, ObjectNode> operations = new LinkedHashMap<>();
 
-    /** The key must have this stamp; 0: it must not exist. */
+    /**
+     * Adds the precondition that the key has this mod revision; 0: that it doesn't exist. Replaces
+     * an earlier one on the same key.
+     */
     public Transaction requireRevision(String key, long modRevision) {
         preconditions.put(key, modRevision);
         return this;
     }
 
+    /**
+     * Puts a value; replaces an earlier operation on the same key. The value must not be changed
+     * afterwards.
+     */
     public Transaction put(String key, JsonNode value) {
         ObjectNode operation = WireFormat.newMap().put("put", key);
         operation.set("value", value);
@@ -26,47 +36,54 @@
         return this;
     }
 
-    /** A put whose key lives only as long as the hold does. */
+    /** Puts a value that is removed when the lease expires or is revoked. */
     public Transaction put(String key, JsonNode value, long leaseId) {
         put(key, value);
         operations.get(key).put("grant", leaseId);
         return this;
     }
 
+    /** Removes a key; replaces an earlier operation on the same key. */
     public Transaction remove(String key) {
         operations.put(key, WireFormat.newMap().put("remove", key));
         return this;
     }
 
-    /** Whether it writes this key. */
+    /** Whether an operation puts or removes this key. */
     public boolean writesKey(String key) {
         return operations.containsKey(key);
     }
 
+    /** The number of keys written, which is what the store's write limit counts. */
     public int operationCount() {
         return operations.size();
     }
 
+    /** Whether there are no operations; there may be preconditions. */
     public boolean isEmpty() {
         return operations.isEmpty();
     }
 
-    /** Whether this many more changes and guards fit the store's limits. */
+    /** Whether so many more operations and preconditions fit the store's limits. */
     public boolean fits(int moreOperations, int morePreconditions, int maxOperations) {
         return operations.size() + moreOperations <= maxOperations
                 && preconditions.size() + morePreconditions
                         <= maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION;
     }
 
-    /** Adds another change to this one; both then happen or neither. */
+    /**
+     * Adds another transaction's preconditions and operations to this one: both are applied or
+     * neither.
+     */
     public void merge(Transaction other) {
         preconditions.putAll(other.preconditions);
         operations.putAll(other.operations);
     }
 
     /**
-     * Whether the two speak of a common key, so that they can't be merged without thought: each
-     * keeps what it was decided from.
+     * Whether the other one can't be merged into this one without losing what one of them was
+     * decided from: they require different revisions of a key, or the other one writes a key that
+     * this one writes or has a precondition on. Not symmetric.
      */
     public boolean conflictsWith(Transaction other) {
         for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
@@ -87,9 +104,9 @@
     }
 
     /**
-     * Whether this can't be carried out any more and all that it may have done is in the mirror: a
-     * guard has failed for good, and the watch has been past what made it fail. A guard of 0 proves
-     * nothing, for it holds again once its key is gone.
+     * Whether this can't be applied any more and all that it may have done is in the watch cache: a
+     * precondition has failed for good, and the watch has passed what made it fail. A precondition
+     * of 0 proves nothing, for it holds again once its key is gone.
      */
     boolean isSettled(WatchCache watchCache) {
         return preconditions.entrySet().stream()
@@ -100,7 +117,7 @@
                                                 precondition.getKey(), precondition.getValue()));
     }
 
-    /** Whether it can land only on a certain version of the key. */
+    /** Whether it can be applied only on a certain existing revision of the key. */
     boolean isFencedBy(String key) {
         return preconditions.getOrDefault(key, 0L) != 0;
     }
@@ -113,6 +130,7 @@
         return operations;
     }
 
+    /** The body of the commit request, new at each call. */
     public ObjectNode encode() {
         ObjectNode body = WireFormat.newMap();
         ArrayNode preconditionNodes = body.putArray("guards");
@@ -124,26 +142,33 @@
         return body;
     }
 
-    /** What became of a transaction. */
+    /** What became of a transaction. Not written to the wire or the store. */
     public enum Result {
         /** Applied. */
         COMMITTED,
-        /** A guard failed; nothing was applied. */
+        /** A precondition failed; nothing was applied. */
         CONFLICT,
-        /** Certainly not applied: the store's limit of the moment is used up. */
+        /** Certainly not applied: the store's write limit is used up for the moment. */
         THROTTLED,
-        /** Certainly not applied: an outage, an expired hold. */
+        /** Certainly not applied: an outage, an expired lease, an invalid transaction. */
         REJECTED,
-        /** No answer: it may have been applied, or may still be. */
+        /** No response: it may have been applied, or may still be. */
         INDETERMINATE
     }
 
-    /** The store's answer. */
+    /**
+     * The store's response to a transaction.
+     *
+     * @param result what became of it
+     * @param storeRevision the store revision at which it was applied or evaluated; 0 if unknown
+     * @param failedKeys keys of the failed preconditions; empty unless the result is a conflict
+     */
     public record Outcome(Result result, long storeRevision, java.util.Set<String> failedKeys) {}
 
-    /** Takes the outcome on the loop. */
+    /** Takes the outcome on the event loop. */
     @FunctionalInterface
     public interface OutcomeHandler {
+        /** Called once for each committed transaction. */
         void onOutcome(Outcome outcome);
     }
 }
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -16,24 +16,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the live part of the store in memory by one watch, so that changes arrive in the store's
- * own order, and hands each key to the slice it belongs to. Own commits are applied as soon as they
- * are confirmed; a key's older change that the watch brings afterwards is ignored by its stamp.
+ * Follows the live keys of the store by one watch, so that changes arrive in the store's own order,
+ * and hands each key's value to the listener of its prefix. Own commits are applied as soon as they
+ * are confirmed; an older change of a key that the watch brings afterwards is ignored by its mod
+ * revision.
  */
 public final class WatchCache {
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
 
-    /** A slice's view of the keys under one prefix. */
+    /** Keeps the values of the keys under one prefix. */
     public interface PrefixListener {
+        /** The key has this value as of this mod revision. */
         void onPut(String key, JsonNode value, long modRevision);
 
+        /** The key, which was put before, doesn't exist any more. */
         void onRemove(String key);
     }
 
-    /** States of the mirror; {@link #transitionTo} is the one function that changes them. */
+    /** States of the cache; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
+        /** Not started. */
         EMPTY,
+        /** Reading all keys page by page. */
         LISTING,
+        /** Following the changes. */
         WATCHING
     }
 
@@ -42,18 +48,22 @@
     private final Map<String, PrefixListener> prefixListeners = new LinkedHashMap<>();
     private final List<Runnable> changeListeners = new ArrayList<>();
 
-    /**
-     * Stamps of the keys that exist, and of the last removals that the watch has not yet passed; 0:
-     * none.
-     */
+    /** Mod revisions of the keys that exist; 0: none. */
     private final Object2LongHashMap<String> modRevisions = new Object2LongHashMap<>(0);
 
+    /** Revisions of the last removals that the watch has not yet passed; 0: none. */
     private final Object2LongHashMap<String> tombstones = new Object2LongHashMap<>(0);
+
     private final long minWatchIntervalMillis;
     private Phase phase = Phase.EMPTY;
     private boolean synced;
     private long storeRevision;
 
+    /**
+     * An empty cache.
+     *
+     * @param requestsPerSecond the store's request limit, of which all watches get a fraction
+     */
     public WatchCache(EventLoop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
         this.store = store;
@@ -66,32 +76,37 @@
                                                 * StoreConstants.WATCH_REQUESTS_FRACTION));
     }
 
+    /**
+     * Registers the listener of a prefix. The first one registered whose prefix matches gets a key;
+     * keys without a listener are ignored. To be called before {@link #start}.
+     */
     public void addPrefixListener(String prefix, PrefixListener listener) {
         prefixListeners.put(prefix, listener);
     }
 
-    /** Called after every batch of changes. */
+    /** Registers a task to run after every batch of changes, in the order of registration. */
     public void addChangeListener(Runnable listener) {
         changeListeners.add(listener);
     }
 
-    /** Whether all keys have been read at least once. */
+    /** Whether all live keys have been read at least once. */
     public boolean isSynced() {
         return synced;
     }
 
-    /** Every change up to this generation has been applied. */
+    /** The store revision up to which every change has been applied. */
     public long storeRevision() {
         return storeRevision;
     }
 
+    /** The revision of the last change of a key; 0 if it doesn't exist. */
     public long modRevision(String key) {
         return modRevisions.getValue(key);
     }
 
     /**
-     * Whether the key surely has this stamp no longer, and all that happened up to its next change
-     * has been applied.
+     * Whether the key surely doesn't have this mod revision any more, and every change up to its
+     * next one has been applied.
      */
     boolean isSuperseded(String key, long modRevision) {
         long currentRevision = modRevision(key);
@@ -100,10 +115,11 @@
     }
 
     private void transitionTo(Phase next) {
-        LOG.debug("mirror {} -> {}", phase, next);
+        LOG.debug("watch cache {} -> {}", phase, next);
         phase = next;
     }
 
+    /** Reads all live keys, then follows their changes. Has no effect when started already. */
     public void start() {
         if (phase == Phase.EMPTY) {
             relist();
@@ -133,7 +149,7 @@
                         lastKey = item.path("path").asText();
                         seenKeys.add(lastKey);
                         // What is newer than the first page comes by the watch, in the store's
-                        // order: a job's chunk must not come before the job.
+                        // order: a task state page must not come before its job.
                         if (item.path("stamp").asLong() <= snapshotRevision) {
                             applyPut(lastKey, item.path("value"), item.path("stamp").asLong());
                         }
@@ -198,7 +214,12 @@
                 });
     }
 
-    /** Applies a transaction of our own that the store has confirmed. */
+    /**
+     * Applies an own transaction that the store has committed.
+     *
+     * @param modRevision the store revision of the commit, which is the mod revision of every key
+     *     it put
+     */
     public void applyCommitted(Transaction transaction, long modRevision) {
         if (modRevision <= storeRevision) {
             // The confirmation was slow and the watch has been past it: what it wrote may be
