--- a/src/main/java/io/quincelead/config/OperatorSettings.java
+++ b/src/main/java/io/quincelead/config/OperatorSettings.java
@@ -8,12 +8,26 @@
 import java.io.File;
 import java.io.IOException;
 import java.io.InputStream;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
  * The operators' own settings (JSON, checked against {@code operator-settings.schema.json}). Every
- * field is optional; the defaults are those the design states.
+ * field of the file is optional; {@link #DEFAULTS} has the values of those left out.
+ *
+ * @param parallelFraction parallel part, 0 to 1, of a task in the fitness formula (file: {@code
+ *     alpha})
+ * @param tebasGroupSize machines in one group of a TEBAS pass (file: {@code beta})
+ * @param shardLeaseSeconds longest lease of a shard; shortened where workers' own leases are
+ *     shorter (file: {@code blockLeaseSeconds})
+ * @param clockSpeedByMachineType relative clock speed, 1 where a type isn't named; unmodifiable
+ *     (file: {@code frequencyByType})
+ * @param drainBacklogSeconds time within which rented machines should work off the backlog
+ * @param idleReturnSeconds idle time after which a machine that isn't needed is returned
+ * @param reserveFraction spare capacity kept, as a fraction of what is in use (file: {@code
+ *     headroom})
+ * @param zoneRecovery how lost zones are handled (file: {@code zones})
  */
 public record OperatorSettings(
         double parallelFraction,
@@ -26,20 +40,30 @@
         ZoneRecovery zoneRecovery) {
 
     /**
-     * How lost zones are met; off unless stated. {@code settleS}: seconds for which a zone that
-     * came back must hold before work is moved to it; {@code movesPerMinute}: replicas moved at
-     * most, of all models together; {@code heavyGb}: images from this size on are recorded with
-     * their machines.
+     * How lost zones are handled; disabled unless stated.
+     *
+     * @param enabled whether controllers recover from lost zones (file: {@code on})
+     * @param settleSeconds time for which a zone that came back must stay up before work is moved
+     *     to it
+     * @param movesPerMinute replicas moved at most, of all models together
+     * @param heavyImageGb images from this size on are recorded with their machines
      */
     public record ZoneRecovery(
             boolean enabled, double settleSeconds, double movesPerMinute, double heavyImageGb) {
+        /** No recovery, with the defaults of the other values. */
         public static final ZoneRecovery DISABLED = new ZoneRecovery(false, 60, 6, 5);
     }
 
+    /** The settings without a file. */
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, ZoneRecovery.DISABLED);
 
-    /** The same with zones met in this way. */
+    /** Makes the map unmodifiable. */
+    public OperatorSettings {
+        clockSpeedByMachineType = Collections.unmodifiableMap(clockSpeedByMachineType);
+    }
+
+    /** The same settings with other ones for zone recovery. */
     public OperatorSettings withZoneRecovery(ZoneRecovery zoneRecovery) {
         return new OperatorSettings(
                 parallelFraction,
@@ -52,6 +76,12 @@
                 zoneRecovery);
     }
 
+    /**
+     * Reads and checks a file.
+     *
+     * @throws Settings.InvalidSettingsException if it can't be read or doesn't match the schema;
+     *     the message names the file and what is wrong
+     */
     public static OperatorSettings load(File file) throws Settings.InvalidSettingsException {
         ObjectMapper mapper = new ObjectMapper();
         JsonNode root;
@@ -61,7 +91,7 @@
             String firstLine =
                     String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
             throw new Settings.InvalidSettingsException(
-                    file + ": can't be read as JSON: " + firstLine);
+                    file + ": can't be read as JSON: " + firstLine, e);
         }
         try (InputStream schemaStream =
                 OperatorSettings.class.getResourceAsStream("/operator-settings.schema.json")) {
--- a/src/main/java/io/quincelead/config/Settings.java
+++ b/src/main/java/io/quincelead/config/Settings.java
@@ -5,13 +5,31 @@
 import java.io.File;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
  * The settings file that the platform hands over (TOML), checked once at the start. Unknown fields
- * are ignored.
+ * of the file are ignored; all collections are unmodifiable.
+ *
+ * @param memberId this controller's name (file: {@code member})
+ * @param zone this controller's zone (file: {@code domain})
+ * @param listenAddress where users and workers reach this controller (file: {@code listen})
+ * @param clusterListenAddress where other controllers reach this one (file: {@code cluster_listen})
+ * @param peerAddresses cluster addresses of the other controllers by member id, in the file's order
+ *     (file: {@code known})
+ * @param cloudAddress the cloud's address (file: {@code external.cloud})
+ * @param storeAddress the state service's address (file: {@code external.state})
+ * @param controllerCount controllers of the cluster, this one included
+ * @param clockErrorMillis bound of the wall clock's error
+ * @param teams the teams by name, in the file's order
+ * @param objectives service-level objectives of job classes
+ * @param workerTimings what the platform says of workers
+ * @param storeLimits limits of the state service
+ * @param cloudLimits limits of the cloud
+ * @param processLimits what this process may use
  */
 public record Settings(
         String memberId,
@@ -30,7 +48,7 @@
         CloudLimits cloudLimits,
         ProcessLimits processLimits) {
 
-    /** A team's guarantee and limit. */
+    /** A team's quota: what it is guaranteed, and the limit of what it may use at one time. */
     public record Team(
             String name,
             double guaranteedCpus,
@@ -38,11 +56,30 @@
             double guaranteedGpus,
             double maxGpus) {}
 
-    /** What is expected of a class of jobs. */
+    /**
+     * A service-level objective of a class of jobs.
+     *
+     * @param metric what is measured (file: {@code kind})
+     * @param jobClass the class; empty where none is named
+     * @param withinSeconds the time within which
+     * @param fraction the fraction of the jobs that should meet it (file: {@code share})
+     * @param factor a multiple for objectives relative to another time (file: {@code times})
+     */
     public record ServiceLevelObjective(
             String metric, String jobClass, double withinSeconds, double fraction, double factor) {}
 
-    /** What the platform says of workers, in seconds. */
+    /**
+     * What the platform says of workers.
+     *
+     * @param heartbeatSeconds interval of heartbeats (file: {@code report_s})
+     * @param leaseSeconds time since the sending of the last answered heartbeat after which a
+     *     worker kills its tasks
+     * @param gangWaitSeconds how long a gang's task waits for the others to start
+     * @param gangPeerSeconds time within which the tasks of a running gang notice a lost one and
+     *     exit
+     * @param cancelSeconds time after a confirmed cancellation within which the job's tasks must be
+     *     gone
+     */
     public record WorkerTimings(
             double heartbeatSeconds,
             double leaseSeconds,
@@ -50,28 +87,59 @@
             double gangPeerSeconds,
             double cancelSeconds) {}
 
-    /** Limits of the state service. */
+    /**
+     * Limits of the state service, for all controllers together.
+     *
+     * @param requestsPerSecond requests of all kinds (file: {@code rps})
+     * @param writesPerSecond operations of transactions (file: {@code write_rps})
+     * @param maxValueKb largest value, in KiB
+     * @param maxTransactionOperations operations of one transaction (file: {@code txn_ops})
+     */
     public record StoreLimits(
             double requestsPerSecond,
             double writesPerSecond,
             double maxValueKb,
             int maxTransactionOperations) {}
 
-    /** Limits of the cloud. */
+    /**
+     * Limits of the cloud.
+     *
+     * @param requestsPerSecond requests of all controllers together
+     * @param listLagSeconds how far the machine list may lag behind
+     */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-    /** What the process may use. */
+    /** What this process may use: CPUs, memory in MB, open connections. */
     public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) {}
 
     /** A settings file that can't be used: the message names file, field and what is allowed. */
     public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /** A finding in a file that could be read. */
         public InvalidSettingsException(String message) {
             super(message);
         }
+
+        /** A file that couldn't be read. */
+        public InvalidSettingsException(String message, Throwable cause) {
+            super(message, cause);
+        }
+    }
+
+    /** Makes the collections unmodifiable. */
+    public Settings {
+        peerAddresses = Collections.unmodifiableMap(peerAddresses);
+        teams = Collections.unmodifiableMap(teams);
+        objectives = Collections.unmodifiableList(objectives);
     }
 
+    /**
+     * Reads and checks a file.
+     *
+     * @throws InvalidSettingsException if it can't be read or used; the message names the file, the
+     *     field and what is allowed
+     */
     public static Settings load(File file) throws InvalidSettingsException {
         JsonNode root;
         try {
@@ -79,41 +147,25 @@
         } catch (IOException e) {
             String firstLine =
                     String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
-            throw new InvalidSettingsException(file + ": can't be read as TOML: " + firstLine);
+            throw new InvalidSettingsException(file + ": can't be read as TOML: " + firstLine, e);
         }
         return read(root, file.toString());
     }
 
-    /** Reads settings; {@code file} is named in the error. */
+    /**
+     * Reads and checks the settings of a parsed file.
+     *
+     * @param fileName named in the error
+     * @throws InvalidSettingsException on the first field that is wrong
+     */
     public static Settings read(JsonNode root, String fileName) throws InvalidSettingsException {
         TableReader rootTable = new TableReader(fileName, "", root);
         TableReader externalTable = rootTable.table("external");
         TableReader settingsTable = rootTable.table("settings");
-        Map<String, String> peerAddresses = new LinkedHashMap<>();
-        for (TableReader peerTable : rootTable.tables("known", false)) {
-            peerAddresses.put(peerTable.text("member"), peerTable.address("address"));
-        }
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (TableReader teamTable : settingsTable.tables("teams", true)) {
-            Team team =
-                    new Team(
-                            teamTable.text("name"),
-                            teamTable.number("cpus", 0, 0),
-                            teamTable.number("cpus_max", 0, null),
-                            teamTable.number("gpus", 0, 0),
-                            teamTable.number("gpus_max", 0, 0));
-            teams.put(team.name(), team);
-        }
-        List<ServiceLevelObjective> objectives = new ArrayList<>();
-        for (TableReader objectiveTable : settingsTable.tables("objectives", false)) {
-            objectives.add(
-                    new ServiceLevelObjective(
-                            objectiveTable.text("kind"),
-                            objectiveTable.textOrDefault("class", ""),
-                            objectiveTable.number("within_s", 0, 0),
-                            objectiveTable.number("share", 0, 0),
-                            objectiveTable.number("times", 0, 1)));
-        }
+        // The order of the checks decides which of several errors is reported.
+        Map<String, String> peerAddresses = readPeerAddresses(rootTable);
+        Map<String, Team> teams = readTeams(settingsTable);
+        List<ServiceLevelObjective> objectives = readObjectives(settingsTable);
         TableReader workersTable = settingsTable.table("workers");
         TableReader stateTable = settingsTable.table("state");
         TableReader cloudTable = settingsTable.table("cloud");
@@ -150,6 +202,49 @@
                         (int) limitsTable.number("max_connections", 8, 500)));
     }
 
+    /** Addresses by member id. */
+    private static Map<String, String> readPeerAddresses(TableReader rootTable)
+            throws InvalidSettingsException {
+        Map<String, String> peerAddresses = new LinkedHashMap<>();
+        for (TableReader peerTable : rootTable.tables("known", false)) {
+            peerAddresses.put(peerTable.text("member"), peerTable.address("address"));
+        }
+        return peerAddresses;
+    }
+
+    /** Teams by name. */
+    private static Map<String, Team> readTeams(TableReader settingsTable)
+            throws InvalidSettingsException {
+        Map<String, Team> teams = new LinkedHashMap<>();
+        for (TableReader teamTable : settingsTable.tables("teams", true)) {
+            Team team =
+                    new Team(
+                            teamTable.text("name"),
+                            teamTable.number("cpus", 0, 0),
+                            teamTable.number("cpus_max", 0, null),
+                            teamTable.number("gpus", 0, 0),
+                            teamTable.number("gpus_max", 0, 0));
+            teams.put(team.name(), team);
+        }
+        return teams;
+    }
+
+    /** Objectives, in order. */
+    private static List<ServiceLevelObjective> readObjectives(TableReader settingsTable)
+            throws InvalidSettingsException {
+        List<ServiceLevelObjective> objectives = new ArrayList<>();
+        for (TableReader objectiveTable : settingsTable.tables("objectives", false)) {
+            objectives.add(
+                    new ServiceLevelObjective(
+                            objectiveTable.text("kind"),
+                            objectiveTable.textOrDefault("class", ""),
+                            objectiveTable.number("within_s", 0, 0),
+                            objectiveTable.number("share", 0, 0),
+                            objectiveTable.number("times", 0, 1)));
+        }
+        return objectives;
+    }
+
     /** Reads one table of the file and names the place of whatever is wrong. */
     private record TableReader(String fileName, String path, JsonNode node) {
         InvalidSettingsException invalid(String field, String allowed) {
