--- a/src/main/java/io/quincelead/store/GroupCommitter.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -5,6 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 
 /**
  * Group commit for small independent changes (submissions, cancellations, final states): those that
@@ -60,14 +61,7 @@
     }
 
     private void commitNextBatch() {
-        long nowMillis = loop.nowMillis();
-        while (!pending.isEmpty() && pending.peekFirst().deadlineMillis < nowMillis) {
-            pending.pollFirst()
-                    .handler
-                    .onOutcome(
-                            new Transaction.Outcome(
-                                    Transaction.Result.REJECTED, 0, java.util.Set.of()));
-        }
+        rejectExpired(loop.nowMillis());
         if (busy || pending.isEmpty()) {
             return;
         }
@@ -75,56 +69,74 @@
             resumeAfterDelay();
             return;
         }
-        Transaction transaction = new Transaction();
-        List<PendingTransaction> batch = new ArrayList<>();
-        while (!pending.isEmpty()) {
-            PendingTransaction entry = pending.peekFirst();
-            boolean fitsBatch =
-                    batch.isEmpty()
-                            || !entry.commitAlone
-                                    && !batch.get(0).commitAlone
-                                    && !transaction.conflictsWith(entry.transaction)
-                                    && !entry.transaction.conflictsWith(transaction)
-                                    && transaction.fits(
-                                            entry.transaction.operationCount(),
-                                            entry.transaction.preconditionCount(),
-                                            store.maxTransactionOperations());
-            if (!fitsBatch) {
-                break;
-            }
-            transaction.merge(entry.transaction);
-            batch.add(pending.pollFirst());
-        }
+        Transaction shared = new Transaction();
+        List<PendingTransaction> batch = takeBatch(shared);
         busy = true;
         store.commit(
-                transaction,
+                shared,
                 outcome -> {
                     busy = false;
-                    if (outcome.result() == Transaction.Result.COMMITTED) {
-                        watchCache.applyCommitted(transaction, outcome.storeRevision());
-                    }
-                    if (outcome.result() == Transaction.Result.THROTTLED
-                            || outcome.result() == Transaction.Result.CONFLICT
-                                    && batch.size() > 1) {
-                        boolean retryAlone = outcome.result() == Transaction.Result.CONFLICT;
-                        for (int i = batch.size() - 1; i >= 0; i--) {
-                            PendingTransaction entry = batch.get(i);
-                            pending.addFirst(
-                                    new PendingTransaction(
-                                            entry.transaction,
-                                            entry.handler,
-                                            entry.deadlineMillis,
-                                            retryAlone));
-                        }
-                        if (!retryAlone) {
-                            // Nothing was applied; whoever waits is told so at its deadline.
-                            resumeAfterDelay();
-                            return;
-                        }
-                    } else {
-                        batch.forEach(entry -> entry.handler.onOutcome(outcome));
-                    }
-                    commitNextBatch();
+                    onOutcome(shared, batch, outcome);
                 });
     }
+
+    private void rejectExpired(long nowMillis) {
+        while (!pending.isEmpty() && pending.peekFirst().deadlineMillis < nowMillis) {
+            pending.pollFirst()
+                    .handler
+                    .onOutcome(new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
+        }
+    }
+
+    /** Moves the longest run of transactions that fit together from the queue to {@code shared}. */
+    private List<PendingTransaction> takeBatch(Transaction shared) {
+        List<PendingTransaction> batch = new ArrayList<>();
+        while (!pending.isEmpty() && fitsBatch(pending.peekFirst(), batch, shared)) {
+            shared.merge(pending.peekFirst().transaction);
+            batch.add(pending.pollFirst());
+        }
+        return batch;
+    }
+
+    private boolean fitsBatch(
+            PendingTransaction entry, List<PendingTransaction> batch, Transaction shared) {
+        return batch.isEmpty()
+                || !entry.commitAlone
+                        && !batch.get(0).commitAlone
+                        && !shared.conflictsWith(entry.transaction)
+                        && !entry.transaction.conflictsWith(shared)
+                        && shared.fits(
+                                entry.transaction.operationCount(),
+                                entry.transaction.preconditionCount(),
+                                store.maxTransactionOperations());
+    }
+
+    private void onOutcome(
+            Transaction shared, List<PendingTransaction> batch, Transaction.Outcome outcome) {
+        if (outcome.result() == Transaction.Result.COMMITTED) {
+            watchCache.applyCommitted(shared, outcome.storeRevision());
+        }
+        if (outcome.result() == Transaction.Result.THROTTLED) {
+            // Nothing was applied; whoever waits is told so at its deadline.
+            requeue(batch, false);
+            resumeAfterDelay();
+            return;
+        }
+        if (outcome.result() == Transaction.Result.CONFLICT && batch.size() > 1) {
+            requeue(batch, true);
+        } else {
+            batch.forEach(entry -> entry.handler.onOutcome(outcome));
+        }
+        commitNextBatch();
+    }
+
+    /** Puts a batch back to the head of the queue, in its order. */
+    private void requeue(List<PendingTransaction> batch, boolean commitAlone) {
+        for (int i = batch.size() - 1; i >= 0; i--) {
+            PendingTransaction entry = batch.get(i);
+            pending.addFirst(
+                    new PendingTransaction(
+                            entry.transaction, entry.handler, entry.deadlineMillis, commitAlone));
+        }
+    }
 }
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -4,7 +4,7 @@
 import io.quincelead.config.constants.LeaseConstants;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.transport.WireFormat;
+import java.util.OptionalLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -113,11 +113,13 @@
         store.createLease(
                 leaseMillis,
                 (status, body) -> {
-                    if (status != 200 || !body.path("grant").isNumber()) {
+                    OptionalLong createdLeaseId =
+                            status == 200 ? StoreCodec.leaseId(body) : OptionalLong.empty();
+                    if (createdLeaseId.isEmpty()) {
                         loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::join);
                         return;
                     }
-                    leaseId = body.path("grant").asLong();
+                    leaseId = createdLeaseId.getAsLong();
                     validUntilMillis = expiryMillis(sentAtMillis);
                     transitionTo(Phase.JOINING);
                     revokePredecessorLease();
@@ -134,22 +136,25 @@
                 (status, body) -> {
                     if (status == 404) {
                         announce(0);
-                    } else if (status == 200
-                            && body.path("grant").isNumber()
-                            && body.path("grant").asLong() != leaseId) {
+                        return;
+                    }
+                    if (status != 200) {
+                        loop.runAfter(
+                                StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
+                        return;
+                    }
+                    OptionalLong recordedLeaseId = StoreCodec.leaseId(body);
+                    if (recordedLeaseId.isPresent() && recordedLeaseId.getAsLong() != leaseId) {
                         store.revokeLease(
-                                body.path("grant").asLong(),
-                                (s, b) ->
+                                recordedLeaseId.getAsLong(),
+                                (revokeStatus, revokeBody) ->
                                         loop.runAfter(
-                                                s == 200 || s == 404
+                                                revokeStatus == 200 || revokeStatus == 404
                                                         ? 0
                                                         : StoreConstants.RETRY_DELAY_MILLIS,
                                                 this::revokePredecessorLease));
-                    } else if (status == 200) {
-                        announce(body.path("stamp").asLong());
                     } else {
-                        loop.runAfter(
-                                StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
+                        announce(StoreCodec.modRevision(body));
                     }
                 });
     }
@@ -160,8 +165,7 @@
      * successor's.
      */
     private void announce(long modRevision) {
-        ObjectNode memberRecord =
-                WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+        ObjectNode memberRecord = StoreCodec.encodeMemberRecord(address, leaseId);
         long announcedLeaseId = leaseId;
         store.commit(
                 new Transaction()
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -1,6 +1,5 @@
 package io.quincelead.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.StoreConstants;
@@ -8,8 +7,6 @@
 import io.quincelead.transport.RateLimiter;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
-import java.util.HashSet;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -144,7 +141,7 @@
         call(
                 "POST",
                 "/holds",
-                WireFormat.newMap().put("lifeMs", leaseMillis),
+                StoreCodec.encodeLeaseRequest(leaseMillis),
                 StoreConstants.REQUEST_TIMEOUT_MILLIS,
                 handler);
     }
@@ -243,48 +240,13 @@
                 transaction.encode(),
                 StoreConstants.REQUEST_TIMEOUT_MILLIS,
                 (status, body) -> {
-                    long storeRevision = body == null ? 0 : body.path("generation").asLong();
-                    switch (status) {
-                        case 200 ->
-                                handler.onOutcome(
-                                        new Transaction.Outcome(
-                                                Transaction.Result.COMMITTED,
-                                                storeRevision,
-                                                Set.of()));
-                        case 409 -> {
-                            Set<String> failedKeys = new HashSet<>();
-                            if (body != null) {
-                                for (JsonNode failedKey : body.path("failed")) {
-                                    failedKeys.add(failedKey.asText());
-                                }
-                            }
-                            handler.onOutcome(
-                                    new Transaction.Outcome(
-                                            Transaction.Result.CONFLICT,
-                                            storeRevision,
-                                            failedKeys));
-                        }
-                        case 400, 429, 503 -> {
-                            if (status == 429) {
-                                writeBudget.drain();
-                                writesThrottled = true;
-                            }
-                            if (status == 400) {
-                                LOG.info("the store rejected a transaction: {}", body);
-                            }
-                            handler.onOutcome(
-                                    new Transaction.Outcome(
-                                            status == 429
-                                                    ? Transaction.Result.THROTTLED
-                                                    : Transaction.Result.REJECTED,
-                                            storeRevision,
-                                            Set.of()));
-                        }
-                        default ->
-                                handler.onOutcome(
-                                        new Transaction.Outcome(
-                                                Transaction.Result.INDETERMINATE, 0, Set.of()));
+                    if (status == 429) {
+                        writeBudget.drain();
+                        writesThrottled = true;
+                    } else if (status == 400) {
+                        LOG.info("the store rejected a transaction: {}", body);
                     }
+                    handler.onOutcome(StoreCodec.decodeOutcome(status, body));
                 });
     }
 }
--- /dev/null
+++ b/src/main/java/io/quincelead/store/StoreCodec.java
@@ -0,0 +1,157 @@
+package io.quincelead.store;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.transport.WireFormat;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.OptionalLong;
+import java.util.Set;
+
+/**
+ * The field names of the state service's protocol: the one place that maps them to this package's
+ * terms. The protocol calls a mod revision {@code stamp}, a store revision {@code generation}, a
+ * lease id {@code grant} and a precondition {@code guard}.
+ */
+final class StoreCodec {
+    private StoreCodec() {}
+
+    /** Takes the changes of a watch response in the store's order. */
+    interface ChangeSink {
+        /** The key has got this value. */
+        void onPut(String key, JsonNode value, long modRevision);
+
+        /** The key has been removed at this store revision. */
+        void onRemove(String key, long revision);
+    }
+
+    /** The body of a request to create a lease. */
+    static ObjectNode encodeLeaseRequest(long leaseMillis) {
+        return WireFormat.newMap().put("lifeMs", leaseMillis);
+    }
+
+    /** The value of a controller's member record. */
+    static ObjectNode encodeMemberRecord(String address, long leaseId) {
+        return WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+    }
+
+    /** The body of a commit request. */
+    static ObjectNode encodeTransaction(
+            Map<String, Long> preconditions, Map<String, Transaction.Operation> operations) {
+        ObjectNode body = WireFormat.newMap();
+        ArrayNode preconditionNodes = body.putArray("guards");
+        preconditions.forEach(
+                (key, modRevision) ->
+                        preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
+        ArrayNode operationNodes = body.putArray("then");
+        operations.forEach((key, operation) -> encodeOperation(operationNodes, key, operation));
+        return body;
+    }
+
+    private static void encodeOperation(
+            ArrayNode operationNodes, String key, Transaction.Operation operation) {
+        ObjectNode node = operationNodes.addObject();
+        if (operation.isRemoval()) {
+            node.put("remove", key);
+            return;
+        }
+        node.put("put", key).set("value", operation.value());
+        if (operation.leaseId() != Transaction.Operation.NO_LEASE) {
+            node.put("grant", operation.leaseId());
+        }
+    }
+
+    /**
+     * The outcome of a commit request.
+     *
+     * @param body null if the response has none
+     */
+    static Transaction.Outcome decodeOutcome(int status, ObjectNode body) {
+        long storeRevision = body == null ? 0 : storeRevision(body);
+        return switch (status) {
+            case 200 -> outcome(Transaction.Result.COMMITTED, storeRevision);
+            case 409 ->
+                    new Transaction.Outcome(
+                            Transaction.Result.CONFLICT, storeRevision, failedKeys(body));
+            case 429 -> outcome(Transaction.Result.THROTTLED, storeRevision);
+            case 400, 503 -> outcome(Transaction.Result.REJECTED, storeRevision);
+            default -> outcome(Transaction.Result.INDETERMINATE, 0);
+        };
+    }
+
+    private static Transaction.Outcome outcome(Transaction.Result result, long storeRevision) {
+        return new Transaction.Outcome(result, storeRevision, Set.of());
+    }
+
+    private static Set<String> failedKeys(ObjectNode body) {
+        Set<String> failedKeys = new HashSet<>();
+        if (body != null) {
+            for (JsonNode failedKey : body.path("failed")) {
+                failedKeys.add(failedKey.asText());
+            }
+        }
+        return Collections.unmodifiableSet(failedKeys);
+    }
+
+    /** The store revision as of which a response holds; 0 if it names none. */
+    static long storeRevision(ObjectNode body) {
+        return body.path("generation").asLong();
+    }
+
+    /** The mod revision of a key that was read, or of a listed item; 0 if none is named. */
+    static long modRevision(JsonNode item) {
+        return item.path("stamp").asLong();
+    }
+
+    /** The lease of a response to its creation, or the one that a key that was read belongs to. */
+    static OptionalLong leaseId(ObjectNode body) {
+        JsonNode leaseId = body.path("grant");
+        return leaseId.isNumber() ? OptionalLong.of(leaseId.asLong()) : OptionalLong.empty();
+    }
+
+    /** Whether a body is a page of a listing. */
+    static boolean isPage(ObjectNode body) {
+        return body.path("items").isArray();
+    }
+
+    /** The items of a page, in the order of their keys. */
+    static Iterable<JsonNode> items(ObjectNode page) {
+        return page.path("items");
+    }
+
+    /** Whether there are further items behind a page. */
+    static boolean isTruncated(ObjectNode page) {
+        return page.path("truncated").asBoolean();
+    }
+
+    /** The key of a listed item. */
+    static String key(JsonNode item) {
+        return item.path("path").asText();
+    }
+
+    /** The value of a listed item. */
+    static JsonNode value(JsonNode item) {
+        return item.path("value");
+    }
+
+    /**
+     * Hands over the changes of a watch response one by one; changes of an unknown form are
+     * skipped.
+     *
+     * @return whether there were any, known or not
+     */
+    static boolean decodeChanges(ObjectNode body, ChangeSink sink) {
+        JsonNode changes = body.path("news");
+        for (JsonNode change : changes) {
+            long modRevision = modRevision(change);
+            if (change.has("put")) {
+                sink.onPut(change.path("put").asText(), value(change), modRevision);
+            } else if (change.has("remove")) {
+                sink.onRemove(change.path("remove").asText(), modRevision);
+            }
+        }
+        return !changes.isEmpty();
+    }
+}
--- a/src/main/java/io/quincelead/store/Transaction.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -1,12 +1,13 @@
 package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.StoreConstants;
-import io.quincelead.transport.WireFormat;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
 
 /**
  * One compare-and-swap transaction of the store: preconditions on mod revisions, then puts and
@@ -14,7 +15,22 @@
  */
 public final class Transaction {
     private final Map<String, Long> preconditions = new LinkedHashMap<>();
-    private final Map<String, ObjectNode> operations = new LinkedHashMap<>();
+    private final Map<String, Operation> operations = new LinkedHashMap<>();
+
+    /**
+     * What is done to a key.
+     *
+     * @param value the value to put; null for a removal
+     * @param leaseId the lease that the key is attached to, or {@link #NO_LEASE}
+     */
+    record Operation(JsonNode value, long leaseId) {
+        static final long NO_LEASE = Long.MIN_VALUE;
+        static final Operation REMOVAL = new Operation(null, NO_LEASE);
+
+        boolean isRemoval() {
+            return value == null;
+        }
+    }
 
     /**
      * Adds the precondition that the key has this mod revision; 0: that it doesn't exist. Replaces
@@ -30,22 +46,18 @@
      * afterwards.
      */
     public Transaction put(String key, JsonNode value) {
-        ObjectNode operation = WireFormat.newMap().put("put", key);
-        operation.set("value", value);
-        operations.put(key, operation);
-        return this;
+        return put(key, value, Operation.NO_LEASE);
     }
 
     /** Puts a value that is removed when the lease expires or is revoked. */
     public Transaction put(String key, JsonNode value, long leaseId) {
-        put(key, value);
-        operations.get(key).put("grant", leaseId);
+        operations.put(key, new Operation(Objects.requireNonNull(value), leaseId));
         return this;
     }
 
     /** Removes a key; replaces an earlier operation on the same key. */
     public Transaction remove(String key) {
-        operations.put(key, WireFormat.newMap().put("remove", key));
+        operations.put(key, Operation.REMOVAL);
         return this;
     }
 
@@ -126,20 +138,14 @@
         return preconditions.size();
     }
 
-    Map<String, ObjectNode> operations() {
-        return operations;
+    /** The operations by key, unmodifiable. */
+    Map<String, Operation> operations() {
+        return Collections.unmodifiableMap(operations);
     }
 
     /** The body of the commit request, new at each call. */
     public ObjectNode encode() {
-        ObjectNode body = WireFormat.newMap();
-        ArrayNode preconditionNodes = body.putArray("guards");
-        preconditions.forEach(
-                (key, modRevision) ->
-                        preconditionNodes.addObject().put("path", key).put("stamp", modRevision));
-        ArrayNode operationNodes = body.putArray("then");
-        operations.values().forEach(operationNodes::add);
-        return body;
+        return StoreCodec.encodeTransaction(preconditions, operations);
     }
 
     /** What became of a transaction. Not written to the wire or the store. */
@@ -163,7 +169,7 @@
      * @param storeRevision the store revision at which it was applied or evaluated; 0 if unknown
      * @param failedKeys keys of the failed preconditions; empty unless the result is a conflict
      */
-    public record Outcome(Result result, long storeRevision, java.util.Set<String> failedKeys) {}
+    public record Outcome(Result result, long storeRevision, Set<String> failedKeys) {}
 
     /** Takes the outcome on the event loop. */
     @FunctionalInterface
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -1,7 +1,6 @@
 package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.transport.Transport;
@@ -54,6 +53,18 @@
     /** Revisions of the last removals that the watch has not yet passed; 0: none. */
     private final Object2LongHashMap<String> tombstones = new Object2LongHashMap<>(0);
 
+    private final StoreCodec.ChangeSink changeSink =
+            new StoreCodec.ChangeSink() {
+                @Override
+                public void onPut(String key, JsonNode value, long modRevision) {
+                    applyPut(key, value, modRevision);
+                }
+
+                @Override
+                public void onRemove(String key, long revision) {
+                    applyRemove(key, revision);
+                }
+            };
     private final long minWatchIntervalMillis;
     private Phase phase = Phase.EMPTY;
     private boolean synced;
@@ -136,25 +147,26 @@
                 StoreKeys.LIVE_PREFIX,
                 afterKey,
                 (status, body) -> {
-                    if (status != 200 || !body.path("items").isArray()) {
+                    if (status != 200 || !StoreCodec.isPage(body)) {
                         loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::relist);
                         return;
                     }
                     long snapshotRevision =
                             firstPageRevision < 0
-                                    ? body.path("generation").asLong()
+                                    ? StoreCodec.storeRevision(body)
                                     : firstPageRevision;
                     String lastKey = afterKey;
-                    for (JsonNode item : body.path("items")) {
-                        lastKey = item.path("path").asText();
+                    for (JsonNode item : StoreCodec.items(body)) {
+                        lastKey = StoreCodec.key(item);
                         seenKeys.add(lastKey);
                         // What is newer than the first page comes by the watch, in the store's
                         // order: a task state page must not come before its job.
-                        if (item.path("stamp").asLong() <= snapshotRevision) {
-                            applyPut(lastKey, item.path("value"), item.path("stamp").asLong());
+                        long modRevision = StoreCodec.modRevision(item);
+                        if (modRevision <= snapshotRevision) {
+                            applyPut(lastKey, StoreCodec.value(item), modRevision);
                         }
                     }
-                    if (body.path("truncated").asBoolean() && lastKey != null) {
+                    if (StoreCodec.isTruncated(body) && lastKey != null) {
                         readPage(lastKey, snapshotRevision, seenKeys);
                         return;
                     }
@@ -189,23 +201,14 @@
                                 this::watch);
                         return;
                     }
-                    JsonNode changes = body.path("news");
-                    for (JsonNode change : changes) {
-                        long modRevision = change.path("stamp").asLong();
-                        if (change.has("put")) {
-                            applyPut(
-                                    change.path("put").asText(), change.path("value"), modRevision);
-                        } else if (change.has("remove")) {
-                            applyRemove(change.path("remove").asText(), modRevision);
-                        }
-                    }
-                    storeRevision = Math.max(storeRevision, body.path("generation").asLong());
+                    boolean changed = StoreCodec.decodeChanges(body, changeSink);
+                    storeRevision = Math.max(storeRevision, StoreCodec.storeRevision(body));
                     if (!tombstones.isEmpty()) {
                         tombstones
                                 .entrySet()
                                 .removeIf(tombstone -> tombstone.getValue() <= storeRevision);
                     }
-                    if (!changes.isEmpty()) {
+                    if (changed) {
                         notifyChangeListeners();
                     }
                     loop.runAfter(
@@ -227,15 +230,16 @@
             notifyChangeListeners();
             return;
         }
-        for (Map.Entry<String, ObjectNode> operation : transaction.operations().entrySet()) {
-            if (!operation.getKey().startsWith(StoreKeys.LIVE_PREFIX)) {
+        for (Map.Entry<String, Transaction.Operation> entry : transaction.operations().entrySet()) {
+            String key = entry.getKey();
+            Transaction.Operation operation = entry.getValue();
+            if (!key.startsWith(StoreKeys.LIVE_PREFIX)) {
                 continue;
             }
-            JsonNode value = operation.getValue().get("value");
-            if (value == null) {
-                applyRemove(operation.getKey(), modRevision);
+            if (operation.isRemoval()) {
+                applyRemove(key, modRevision);
             } else {
-                applyPut(operation.getKey(), value, modRevision);
+                applyPut(key, operation.value(), modRevision);
             }
         }
         notifyChangeListeners();
