--- a/src/main/java/io/quincelead/store/Transaction.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Puts a value; replaces an earlier operation on the same key. The value must not be changed
-     * afterwards.
+     * Puts a value; replaces an earlier operation on the same key. The value, not null, is kept as
+     * it is and encoded when the transaction is sent.
      */
     public Transaction put(String key, JsonNode value) {
         return put(key, value, Operation.NO_LEASE);
--- a/src/test/java/io/quincelead/config/SettingsTest.java
+++ b/src/test/java/io/quincelead/config/SettingsTest.java
@@ -1,6 +1,7 @@
 package io.quincelead.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,6 +14,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
 /** The settings files and the command line. */
@@ -119,17 +122,48 @@
         assertEquals(0.5, operatorSettings.parallelFraction());
         assertEquals(3, operatorSettings.tebasGroupSize());
         assertEquals(1.2, operatorSettings.clockSpeedByMachineType().get("gull"));
-        for (String bad :
-                new String[] {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"}) {
-            File settingsFile = writeFile("bad.json", bad);
-            assertTrue(
-                    assertThrows(
-                                    Settings.InvalidSettingsException.class,
-                                    () -> OperatorSettings.load(settingsFile))
-                            .getMessage()
-                            .contains("bad.json"),
-                    bad);
-        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"{\"alpha\":2}", "{\"unknown\":1}", "{\"beta\":1.5}", "[]", "{"})
+    void invalidOperatorSettingsAreRefusedWithTheFilesName(String text) throws Exception {
+        File settingsFile = writeFile("bad.json", text);
+
+        String message =
+                assertThrows(
+                                Settings.InvalidSettingsException.class,
+                                () -> OperatorSettings.load(settingsFile))
+                        .getMessage();
+
+        assertTrue(message.contains("bad.json"), message);
+    }
+
+    @Test
+    void unreadableFilesKeepTheirCause() throws Exception {
+        File settingsFile = writeFile("bad.toml", "this is = = not TOML");
+        File operatorFile = writeFile("bad.json", "{");
+
+        assertInstanceOf(
+                IOException.class,
+                assertThrows(
+                                Settings.InvalidSettingsException.class,
+                                () -> Settings.load(settingsFile))
+                        .getCause());
+        assertInstanceOf(
+                IOException.class,
+                assertThrows(
+                                Settings.InvalidSettingsException.class,
+                                () -> OperatorSettings.load(operatorFile))
+                        .getCause());
+    }
+
+    @Test
+    void collectionsAreUnmodifiable() throws Exception {
+        Settings settings = Settings.load(writeFile("good.toml", VALID_SETTINGS));
+
+        assertThrows(UnsupportedOperationException.class, () -> settings.teams().clear());
+        assertThrows(UnsupportedOperationException.class, () -> settings.peerAddresses().clear());
+        assertThrows(UnsupportedOperationException.class, () -> settings.objectives().clear());
     }
 
     private int run(StringWriter err, String... args) {
--- a/src/test/java/io/quincelead/store/TransactionTest.java
+++ b/src/test/java/io/quincelead/store/TransactionTest.java
@@ -8,8 +8,8 @@
 
 class TransactionTest {
     /**
-     * Merged, the newer guard took the older one's place: an end by evidence landed though its
-     * machine had changed hands since.
+     * Merged, the newer precondition replaced the older one: a completion by evidence was applied
+     * though its machine had got a new owner since.
      */
     @Test
     void transactionsRequiringDifferentRevisionsConflict() {
--- a/src/test/java/io/quincelead/store/WatchCacheTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -8,6 +8,7 @@
 import io.quincelead.simulation.SimulatedClock;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -22,74 +23,42 @@
                 .putObject("value");
     }
 
-    /**
-     * A job and its chunk came while the store was read page by page: the chunk, on a late page,
-     * was seen before its job, taken for what an old job left behind, and then ignored as known
-     * when the watch brought both.
-     */
-    @Test
-    void changesDuringListingAreAppliedInStoreOrder() {
-        SimulatedClock sim = new SimulatedClock(1);
-        SimulatedClock.SimulatedProcess loop = sim.newProcess();
-        int[] requestCount = {0};
+    private static final Settings SETTINGS =
+            new Settings(
+                    "worker-0",
+                    "a",
+                    "10.0.0.1:8080",
+                    "10.0.0.1:8081",
+                    Map.of(),
+                    "10.2.0.2:1",
+                    "10.2.0.1:1",
+                    1,
+                    25,
+                    Map.of(),
+                    List.of(),
+                    new Settings.WorkerTimings(1, 10, 45, 6, 40),
+                    new Settings.StoreLimits(400, 200, 8, 12),
+                    new Settings.CloudLimits(4, 4),
+                    new Settings.ProcessLimits(1, 256, 500));
+
+    private final SimulatedClock clock = new SimulatedClock(1);
+    private final SimulatedClock.SimulatedProcess loop = clock.newProcess();
+    private final List<String> seenKeys = new ArrayList<>();
+
+    /** A cache on a store that gives these responses in turn, then none. */
+    private WatchCache newCache(List<ObjectNode> responses) {
+        Iterator<ObjectNode> next = responses.iterator();
         StoreClient store =
                 new StoreClient(
                         loop,
-                        (address, method, path, codec, body, timeoutMs, reply) -> {
-                            ObjectNode response = WireFormat.newMap();
-                            switch (requestCount[0]++) {
-                                case 0 ->
-                                        addItem(
-                                                response.put("generation", 10)
-                                                        .put("truncated", true),
-                                                "items",
-                                                "path",
-                                                "a/j/wk-000001",
-                                                5);
-                                case 1 -> {
-                                    addItem(
-                                            response.put("generation", 12).put("truncated", false),
-                                            "items",
-                                            "path",
-                                            "a/t/wk-000001/0",
-                                            6);
-                                    addItem(response, "items", "path", "a/t/wk-000002/0", 12);
-                                }
-                                case 2 -> {
-                                    addItem(
-                                            response.put("generation", 12),
-                                            "news",
-                                            "put",
-                                            "a/j/wk-000002",
-                                            11);
-                                    addItem(response, "news", "put", "a/t/wk-000002/0", 12);
-                                }
-                                default -> {
-                                    return;
-                                }
+                        (address, method, path, codec, body, timeoutMillis, reply) -> {
+                            if (next.hasNext()) {
+                                byte[] response = WireFormat.CBOR.encode(next.next());
+                                clock.schedule(1, () -> reply.onResponse(200, response));
                             }
-                            sim.schedule(
-                                    1,
-                                    () -> reply.onResponse(200, WireFormat.CBOR.encode(response)));
                         },
-                        new Settings(
-                                "worker-0",
-                                "a",
-                                "10.0.0.1:8080",
-                                "10.0.0.1:8081",
-                                Map.of(),
-                                "10.2.0.2:1",
-                                "10.2.0.1:1",
-                                1,
-                                25,
-                                Map.of(),
-                                List.of(),
-                                new Settings.WorkerTimings(1, 10, 45, 6, 40),
-                                new Settings.StoreLimits(400, 200, 8, 12),
-                                new Settings.CloudLimits(4, 4),
-                                new Settings.ProcessLimits(1, 256, 500)));
+                        SETTINGS);
         WatchCache watchCache = new WatchCache(loop, store, 400);
-        List<String> seenKeys = new ArrayList<>();
         watchCache.addPrefixListener(
                 "a/",
                 new WatchCache.PrefixListener() {
@@ -101,8 +70,29 @@
                     @Override
                     public void onRemove(String key) {}
                 });
+        return watchCache;
+    }
+
+    /**
+     * A job and its task state page were created while the store was listed page by page: the state
+     * page, on a late page of the listing, was seen before its job, taken for a remainder of an old
+     * job, and then ignored as known when the watch brought both.
+     */
+    @Test
+    void changesDuringListingAreAppliedInStoreOrder() {
+        ObjectNode firstPage = WireFormat.newMap().put("generation", 10).put("truncated", true);
+        addItem(firstPage, "items", "path", "a/j/wk-000001", 5);
+        ObjectNode lastPage = WireFormat.newMap().put("generation", 12).put("truncated", false);
+        addItem(lastPage, "items", "path", "a/t/wk-000001/0", 6);
+        addItem(lastPage, "items", "path", "a/t/wk-000002/0", 12);
+        ObjectNode changes = WireFormat.newMap().put("generation", 12);
+        addItem(changes, "news", "put", "a/j/wk-000002", 11);
+        addItem(changes, "news", "put", "a/t/wk-000002/0", 12);
+        WatchCache watchCache = newCache(List.of(firstPage, lastPage, changes));
+
         watchCache.start();
-        sim.runUntil(1_000);
+        clock.runUntil(1_000);
+
         assertEquals(
                 List.of("a/j/wk-000001", "a/t/wk-000001/0", "a/j/wk-000002", "a/t/wk-000002/0"),
                 seenKeys);
