--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -54,6 +54,7 @@
     private final ClusterMembership clusterMembership;
     private final SchedulingCycle schedulingCycle;
     private final OperatorApi operatorApi;
+    private final Autoscaler autoscaler;
 
     public Controller(
             EventLoop loop,
@@ -98,14 +99,11 @@
                 new Leader(
                         loop,
                         settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        policy);
+                        new Leader.StoreAccess(store, watchCache, membershipLease),
+                        new Leader.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog),
+                        policy,
+                        this::hasOpenProvisioningRequests);
         peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
         schedulingCycle =
                 new SchedulingCycle(
@@ -204,7 +202,7 @@
                             leader,
                             machineVisibility);
         }
-        Autoscaler autoscaler =
+        autoscaler =
                 new Autoscaler(
                         loop,
                         settings,
@@ -226,7 +224,6 @@
                         zoneRecoveryController == null
                                 ? Map::of
                                 : zoneRecoveryController::rebalanceDemand);
-        leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
@@ -313,6 +310,11 @@
         workerGateway.dispatchPendingCommands();
     }
 
+    /** Asked by the leader, whose cycles begin after the autoscaler is made. */
+    private boolean hasOpenProvisioningRequests() {
+        return autoscaler.hasOpenProvisioningRequests();
+    }
+
     /** Whether a machine, as its owner says, has not come up yet; null when that isn't known. */
     private Boolean isBooting(String owner, String host) {
         if (!settings.memberId().equals(owner)) {
