--- a/src/main/java/io/quincelead/leadership/QuotaShares.java
+++ b/src/main/java/io/quincelead/leadership/QuotaShares.java
@@ -4,142 +4,172 @@
 import java.util.Arrays;
 
 /**
- * How a team's limit is split over controllers: arithmetic alone, which the leader calls and a
- * model explores.
+ * How a team's limit on one resource is split over the live members: arithmetic alone, which the
+ * leader calls and a model checker explores. All amounts are CPUs or GPUs; arrays are by member, in
+ * one order throughout.
  */
-public final class QuotaShares {
-    private QuotaShares() {}
+final class QuotaShares {
+    /** Smaller differences of CPUs or GPUs are rounding. */
+    private static final double EPSILON = 1e-9;
+
+    /** The least change of a share that is recorded where every bit counts, in CPUs or GPUs. */
+    private static final double MIN_EXACT_CHANGE = 1e-6;
+
+    private final double limit;
+    private final double[] currentShares;
+    private final double[] usedByMember;
+
+    /** By member and priority, the highest priority first. */
+    private final double[][] wantedByPriority;
+
+    private final int memberCount;
+    private final double[] wantedTotals;
+    private final double usedTotal;
+    private final double committedTotal;
+
+    private QuotaShares(
+            double limit,
+            double orphanedUse,
+            double[] currentShares,
+            double[] usedByMember,
+            double[][] wantedByPriority) {
+        this.limit = limit;
+        this.currentShares = currentShares;
+        this.usedByMember = usedByMember;
+        this.wantedByPriority = wantedByPriority;
+        memberCount = currentShares.length;
+        wantedTotals = new double[memberCount];
+        double used = orphanedUse;
+        double committed = orphanedUse;
+        for (int i = 0; i < memberCount; i++) {
+            wantedTotals[i] = Arrays.stream(wantedByPriority[i]).sum();
+            used += usedByMember[i];
+            committed += usable(i);
+        }
+        usedTotal = used;
+        committedTotal = committed;
+    }
 
     /**
-     * The next allowances by controller. Each may use the larger of its allowance {@code now} and
-     * its {@code use} on record; {@code dead} is what tasks of lost controllers use, {@code want}
-     * what waits by controller and urgency, and {@code fresh} says that some controller has had
-     * none yet. Only what is free under the allowances on record is given out: what this takes away
-     * can be given by a later split, when it is on record.
+     * The next shares by member. A member may use the larger of its current share and its use on
+     * record. Only what is free under the shares on record is given out: what this takes away can
+     * be given out by a later split, once it is on record.
+     *
+     * @param limit the team's limit
+     * @param orphanedUse what tasks of lost controllers use
+     * @param currentShares the shares on record
+     * @param usedByMember what tasks on record use
+     * @param wantedByPriority what waits, by member and priority, the highest priority first
+     * @param hasNewMember whether some member has had no share yet
+     * @return {@code currentShares} itself where nothing is to change
      */
-    public static double[] split(
+    static double[] split(
             double limit,
             double orphanedUse,
             double[] currentShares,
             double[] usedByMember,
             double[][] wantedByPriority,
             boolean hasNewMember) {
-        int memberCount = currentShares.length;
-        double[] wantedTotals = new double[memberCount];
-        double usedTotal = orphanedUse;
-        double committedTotal = orphanedUse;
-        boolean hasUnmetDemand = false;
+        QuotaShares shares =
+                new QuotaShares(limit, orphanedUse, currentShares, usedByMember, wantedByPriority);
+        return hasNewMember || shares.hasUnmetDemand() ? shares.nextShares() : currentShares;
+    }
+
+    /** What a member may use now. */
+    private double usable(int member) {
+        return Math.max(currentShares[member], usedByMember[member]);
+    }
+
+    private boolean lacksShare(int member) {
+        return currentShares[member] - usedByMember[member] < wantedTotals[member] - EPSILON;
+    }
+
+    private boolean hasUnmetDemand() {
         for (int i = 0; i < memberCount; i++) {
-            wantedTotals[i] = Arrays.stream(wantedByPriority[i]).sum();
-            usedTotal += usedByMember[i];
-            committedTotal += Math.max(currentShares[i], usedByMember[i]);
-            hasUnmetDemand |=
-                    wantedTotals[i] > 0
-                            && currentShares[i] - usedByMember[i] < wantedTotals[i] - 1e-9;
-        }
-        if (!hasUnmetDemand && !hasNewMember) {
-            return currentShares;
+            if (wantedTotals[i] > 0 && lacksShare(i)) {
+                return true;
+            }
         }
-        double[][] targetStages =
-                cumulativeTargets(Math.max(0, limit - usedTotal), usedByMember, wantedByPriority);
+        return false;
+    }
+
+    private double[] nextShares() {
+        double[][] targetStages = cumulativeTargets();
         double[] finalTarget = targetStages[targetStages.length - 1];
-        double freeQuota = Math.max(0, limit - committedTotal);
         double[] nextShares = new double[memberCount];
         for (int i = 0; i < memberCount; i++) {
-            // Records may show ends late and so, for a while, more use than there is; nobody's
-            // allowance rises by that.
-            double usable =
-                    committedTotal > limit + 1e-6
-                            ? currentShares[i]
-                            : Math.max(currentShares[i], usedByMember[i]);
-            nextShares[i] = Math.min(finalTarget[i], usable);
+            // Ends of tasks may be recorded late and the use on record pass the limit for a while;
+            // nobody's share rises by that.
+            double most = committedTotal > limit + 1e-6 ? currentShares[i] : usable(i);
+            nextShares[i] = Math.min(finalTarget[i], most);
         }
-        boolean nearlyMet =
-                grantFreeQuota(
-                        nextShares,
-                        targetStages,
-                        currentShares,
-                        usedByMember,
-                        freeQuota,
-                        memberCount * LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit);
+        boolean nearlyMet = grantFreeQuota(nextShares, targetStages);
         for (int i = 0; i < memberCount; i++) {
-            boolean hasSpare =
-                    wantedTotals[i] <= 0
-                            || currentShares[i] - usedByMember[i]
-                                    > LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit;
-            boolean reachesTarget = false;
-            for (double[] stage : targetStages) {
-                reachesTarget |=
-                        currentShares[i] < stage[i] - 1e-9
-                                && currentShares[i] - usedByMember[i] < wantedTotals[i] - 1e-9
-                                && nextShares[i] >= stage[i] - 1e-9;
-            }
-            if (currentShares[i] > 0
-                    && Math.abs(nextShares[i] - currentShares[i])
-                            < minimumChange(
-                                    limit,
-                                    hasSpare,
-                                    reachesTarget
-                                            || nearlyMet && nextShares[i] < currentShares[i])) {
+            boolean mustBeExact =
+                    reachesStage(i, nextShares[i], targetStages)
+                            || nearlyMet && nextShares[i] < currentShares[i];
+            double change = Math.abs(nextShares[i] - currentShares[i]);
+            if (currentShares[i] > 0 && change < minimumChange(i, mustBeExact)) {
                 nextShares[i] = currentShares[i];
             }
         }
         return nextShares;
     }
 
+    /** Whether the next share is what a member that lacks some needs for one of the stages. */
+    private boolean reachesStage(int member, double nextShare, double[][] targetStages) {
+        for (double[] stage : targetStages) {
+            if (currentShares[member] < stage[member] - EPSILON
+                    && lacksShare(member)
+                    && nextShare >= stage[member] - EPSILON) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     /**
-     * The least change worth a record, for each one rewrites blocks and fails the rounds in flight.
-     * But what somebody is short of is taken back to the last bit, and whoever is short gets the
-     * last bit of its target: a gang that lacks a tenth of a CPU waits as much as one that lacks
-     * all.
+     * The least change worth a record, for each one rewrites shards and fails the scheduling cycles
+     * in flight. But what somebody is short of is taken back to the last bit, and whoever is short
+     * gets the last bit of its target: a gang that lacks a tenth of a CPU waits as much as one that
+     * lacks all.
      */
-    private static double minimumChange(double limit, boolean hasSpare, boolean mustBeExact) {
+    private double minimumChange(int member, boolean mustBeExact) {
         if (mustBeExact) {
-            return 1e-6;
+            return MIN_EXACT_CHANGE;
         }
-        return Math.max(
-                LeadershipConstants.MIN_QUOTA_SHARE_CHANGE_UNITS,
-                hasSpare ? LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit : 0);
+        double tolerance = LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit;
+        boolean hasSpare =
+                wantedTotals[member] <= 0
+                        || currentShares[member] - usedByMember[member] > tolerance;
+        return Math.max(LeadershipConstants.MIN_QUOTA_SHARE_CHANGE_UNITS, hasSpare ? tolerance : 0);
     }
 
     /**
-     * Gives out what is free, the more urgent wants first; returns whether little was lacking, so
-     * that the last bits which others hold would serve somebody. Where much is lacking, small
-     * changes would only rewrite blocks all the time.
+     * Gives out what is free, demand of higher priority first.
+     *
+     * @return whether little was lacking, so that the last bits which others hold would serve
+     *     somebody; where much is lacking, small changes would only rewrite shards all the time
      */
-    private static boolean grantFreeQuota(
-            double[] nextShares,
-            double[][] targetStages,
-            double[] currentShares,
-            double[] usedByMember,
-            double freeQuota,
-            double nearMargin) {
+    private boolean grantFreeQuota(double[] nextShares, double[][] targetStages) {
+        double nearMargin =
+                memberCount * LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit;
         boolean nearlyMet = false;
-        double remaining = freeQuota;
+        double remaining = Math.max(0, limit - committedTotal);
         for (double[] stage : targetStages) {
-            double[] growthByMember = new double[nextShares.length];
-            for (int i = 0; i < nextShares.length; i++) {
-                growthByMember[i] =
-                        Math.max(
-                                0,
-                                stage[i]
-                                        - Math.max(
-                                                nextShares[i],
-                                                Math.max(currentShares[i], usedByMember[i])));
+            double[] growthByMember = new double[memberCount];
+            for (int i = 0; i < memberCount; i++) {
+                growthByMember[i] = Math.max(0, stage[i] - Math.max(nextShares[i], usable(i)));
             }
             double totalGrowth = Arrays.stream(growthByMember).sum();
             double fraction = totalGrowth <= remaining ? 1 : remaining / totalGrowth;
-            nearlyMet |= totalGrowth > remaining + 1e-9 && totalGrowth <= remaining + nearMargin;
-            for (int i = 0; i < nextShares.length; i++) {
-                // From what it holds, which it may use already, up to this stage's part of its
-                // target.
+            nearlyMet |= totalGrowth > remaining + EPSILON && totalGrowth <= remaining + nearMargin;
+            for (int i = 0; i < memberCount; i++) {
+                // From what it may use already up to this stage's part of its target.
                 nextShares[i] =
                         growthByMember[i] <= 0 || fraction <= 0
                                 ? nextShares[i]
-                                : Math.max(
-                                                nextShares[i],
-                                                Math.max(currentShares[i], usedByMember[i]))
-                                        + growthByMember[i] * fraction;
+                                : Math.max(nextShares[i], usable(i)) + growthByMember[i] * fraction;
             }
             remaining -= totalGrowth * fraction;
         }
@@ -147,30 +177,32 @@
     }
 
     /**
-     * What each would get if everything could move at once, by urgency and summed up over it: the
-     * more urgent wants first, for shared evenly, a large low job would keep an urgent gang from
-     * ever fitting. Last, what nobody wants is shared evenly.
+     * What each member would get if everything could move at once, one stage a priority, each on
+     * top of the one before: demand of higher priority first, for shared evenly, a large job of low
+     * priority would keep an urgent gang from ever fitting. In the last stage, what nobody wants is
+     * shared evenly.
      */
-    private static double[][] cumulativeTargets(
-            double remaining, double[] usedByMember, double[][] wantedByPriority) {
-        double[][] targetStages = new double[wantedByPriority[0].length + 1][];
+    private double[][] cumulativeTargets() {
+        int priorities = wantedByPriority[0].length;
+        double remaining = Math.max(0, limit - usedTotal);
+        double[][] targetStages = new double[priorities + 1][];
         double[] target = usedByMember.clone();
-        for (int priority = 0; priority < wantedByPriority[0].length; priority++) {
+        for (int priority = 0; priority < priorities; priority++) {
             double wantedTotal = 0;
             for (double[] memberWants : wantedByPriority) {
                 wantedTotal += memberWants[priority];
             }
             double granted = Math.min(remaining, wantedTotal);
-            for (int i = 0; i < wantedByPriority.length && wantedTotal > 0; i++) {
+            for (int i = 0; i < memberCount && wantedTotal > 0; i++) {
                 target[i] += granted * wantedByPriority[i][priority] / wantedTotal;
             }
             remaining -= granted;
             targetStages[priority] = target.clone();
         }
-        for (int i = 0; i < target.length; i++) {
-            target[i] += remaining / target.length;
+        for (int i = 0; i < memberCount; i++) {
+            target[i] += remaining / memberCount;
         }
-        targetStages[wantedByPriority[0].length] = target;
+        targetStages[priorities] = target;
         return targetStages;
     }
 }
