--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -104,7 +104,14 @@
                                 clusterMembership, jobs, machines, machineTypeCatalog),
                         policy,
                         this::hasOpenProvisioningRequests);
-        peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
+        peerMessenger =
+                new PeerMessenger(
+                        loop,
+                        settings,
+                        clusterMembership,
+                        transport,
+                        leader::onMisroutedWorker,
+                        this::localWorkers);
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
@@ -157,7 +164,6 @@
                             }
                         });
         schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
-        peerMessenger.setWorkerGateway(workerGateway);
         ZoneRecoveryController.MachineVisibility machineVisibility =
                 new ZoneRecoveryController.MachineVisibility() {
                     @Override
@@ -310,6 +316,11 @@
         workerGateway.dispatchPendingCommands();
     }
 
+    /** Asked by the peer messenger, whose first status is due after the gateway is made. */
+    private Iterable<ShardWorker> localWorkers() {
+        return workerGateway.workers();
+    }
+
     /** Asked by the leader, whose cycles begin after the autoscaler is made. */
     private boolean hasOpenProvisioningRequests() {
         return autoscaler.hasOpenProvisioningRequests();
--- a/src/main/java/io/quincelead/peer/PeerMessenger.java
+++ b/src/main/java/io/quincelead/peer/PeerMessenger.java
@@ -1,218 +1,170 @@
 package io.quincelead.peer;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.PeerConstants;
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.leadership.Leader;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
 import io.quincelead.worker.MisroutedWorker;
 import io.quincelead.worker.ShardWorker;
-import io.quincelead.worker.WorkerGateway;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Map;
-import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 
 /**
- * What controllers tell each other, in JSON: the leader hears of machines that report to the wrong
- * place and of those that should get no work. All of it is advice; nothing that a rule depends on
- * travels here.
+ * Sends the leader word of misrouted workers and the status of this controller's machines, and
+ * takes the same from others. All of it is advice: no safety rule depends on what travels here.
  */
 public final class PeerMessenger {
     private final EventLoop eventLoop;
     private final Settings settings;
-    private final ClusterMembership shards;
+    private final ClusterMembership membership;
     private final Transport transport;
-    private final Leader leader;
+    private final Consumer<MisroutedWorker> localLeader;
+    private final Supplier<Iterable<ShardWorker>> localWorkers;
     private final Map<String, PeerStatus> statusByMember = new HashMap<>();
-    private WorkerGateway workerGateway;
     private long lastSentSequence;
     private long acknowledgedAtMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Machines that may get work: named one by one, for a machine granted since isn't known to be
-     * up.
+     * Starts to send the status periodically, first one interval later.
+     *
+     * @param localLeader takes misrouted workers where this controller leads, and ignores them else
+     * @param localWorkers the workers of this controller's shard, at each call
      */
-    private record PeerStatus(
-            long receivedAtMillis,
-            long leaseId,
-            long sequence,
-            Set<String> schedulableHosts,
-            Set<String> bootingHosts) {}
-
     public PeerMessenger(
             EventLoop eventLoop,
             Settings settings,
-            ClusterMembership shards,
+            ClusterMembership membership,
             Transport transport,
-            Leader leader) {
+            Consumer<MisroutedWorker> localLeader,
+            Supplier<Iterable<ShardWorker>> localWorkers) {
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.shards = shards;
+        this.membership = membership;
         this.transport = transport;
-        this.leader = leader;
+        this.localLeader = localLeader;
+        this.localWorkers = localWorkers;
         eventLoop.runEvery(PeerConstants.STATUS_INTERVAL_MILLIS, this::sendStatusToLeader);
     }
 
-    public void setWorkerGateway(WorkerGateway gateway) {
-        workerGateway = gateway;
-    }
-
+    /** Takes another controller's message and answers 200, 400 if it is none, 404 if unknown. */
     public void handle(IncomingRequest request) {
-        ObjectNode body = WireFormat.JSON.decodeMap(request.body);
-        if (body == null || !body.path("from").isTextual()) {
-            request.respond(
-                    400, WireFormat.JSON, WireFormat.newMap().put("error", "not a message"), 0);
+        ObjectNode message = PeerMessageCodec.parse(request.body);
+        if (message == null) {
+            respondError(request, 400, "not a message");
             return;
         }
         switch (request.path) {
-            case "/peer/stray" -> {
-                leader.onMisroutedWorker(
-                        new MisroutedWorker(
-                                body.path("host").asText(),
-                                body.path("addr").asText(),
-                                body.path("shape").asText(),
-                                body.path("site").asText(),
-                                body.path("preemptible").asBoolean(),
-                                body.path("from").asText(),
-                                body.path("stuck").asBoolean(),
-                                body.path("term").asLong()));
+            case PeerMessageCodec.MISROUTED_WORKER_PATH -> {
+                localLeader.accept(PeerMessageCodec.decodeMisroutedWorker(message));
                 request.respond(200, WireFormat.JSON, WireFormat.newMap(), 0);
             }
-            case "/peer/news" -> {
+            case PeerMessageCodec.STATUS_PATH -> {
                 acceptIfNewer(
-                        body.path("from").asText(),
-                        new PeerStatus(
-                                eventLoop.nowMillis(),
-                                body.path("hold").asLong(),
-                                body.path("seq").asLong(),
-                                textSet(body.path("fit")),
-                                textSet(body.path("booting"))));
+                        PeerMessageCodec.senderId(message),
+                        PeerMessageCodec.decodeStatus(message, eventLoop.nowMillis()));
                 request.respond(200, WireFormat.JSON, WireFormat.newMap(), 0);
             }
-            default ->
-                    request.respond(
-                            404,
-                            WireFormat.JSON,
-                            WireFormat.newMap().put("error", "no such message"),
-                            0);
+            default -> respondError(request, 404, "no such message");
         }
     }
 
-    /**
-     * What was told before, by the same process or by its predecessor, may arrive after what is
-     * told now.
-     */
+    private static void respondError(IncomingRequest request, int status, String reason) {
+        request.respond(status, WireFormat.JSON, WireFormat.newMap().put("error", reason), 0);
+    }
+
     private void acceptIfNewer(String senderId, PeerStatus status) {
         PeerStatus previous = statusByMember.get(senderId);
-        if (previous == null
-                || status.leaseId == 0
-                || status.leaseId > previous.leaseId
-                || status.leaseId == previous.leaseId && status.sequence > previous.sequence) {
+        if (previous == null || status.supersedes(previous)) {
             statusByMember.put(senderId, status);
         }
     }
 
-    /** Whether the leader has taken our word of late: without it, it leaves our block alone. */
+    /** A member's latest status; null where there is none or it is too old. */
+    private PeerStatus validStatus(String memberId) {
+        PeerStatus status = statusByMember.get(memberId);
+        return status != null && status.isValidAt(eventLoop.nowMillis()) ? status : null;
+    }
+
+    /**
+     * Whether the leader has taken this controller's status of late: without it, the leader places
+     * nothing on this controller's machines.
+     */
     public boolean isAcknowledgedByLeader() {
         return eventLoop.nowMillis() - acknowledgedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
     }
 
-    /** Whether the owner said of late that the machine may get work. */
+    /** Whether the machine's owner reported of late that it may get tasks. */
     public boolean isReportedSchedulable(String owner, String host) {
-        PeerStatus status = statusByMember.get(owner);
-        return status != null
-                && eventLoop.nowMillis() - status.receivedAtMillis
-                        < PeerConstants.STATUS_VALID_MILLIS
-                && status.schedulableHosts.contains(host);
+        PeerStatus status = validStatus(owner);
+        return status != null && status.schedulableHosts().contains(host);
     }
 
     /**
-     * Whether the owner said of late that the machine has not come up yet; null without its word.
+     * Whether the machine's owner reported of late that it has not come up yet; null without such a
+     * report, or where {@code owner} is null.
      */
     public Boolean reportedBooting(String owner, String host) {
-        PeerStatus status = owner == null ? null : statusByMember.get(owner);
-        return status != null
-                        && eventLoop.nowMillis() - status.receivedAtMillis
-                                < PeerConstants.STATUS_VALID_MILLIS
-                ? status.bootingHosts.contains(host)
-                : null;
-    }
-
-    private static Set<String> textSet(JsonNode array) {
-        Set<String> texts = new HashSet<>();
-        array.forEach(text -> texts.add(text.asText()));
-        return texts;
+        PeerStatus status = validStatus(owner);
+        return status == null ? null : Boolean.valueOf(status.bootingHosts().contains(host));
     }
 
+    /**
+     * Brings a misrouted worker to the leader's notice, once: a lost message isn't repeated, for
+     * the worker reports again.
+     */
     public void reportMisroutedWorker(MisroutedWorker worker) {
-        if (settings.memberId().equals(shards.leaderId())) {
-            leader.onMisroutedWorker(worker);
+        if (settings.memberId().equals(membership.leaderId())) {
+            localLeader.accept(worker);
             return;
         }
         sendToLeader(
-                "/peer/stray",
-                WireFormat.newMap()
-                        .put("from", settings.memberId())
-                        .put("host", worker.host())
-                        .put("addr", worker.address())
-                        .put("shape", worker.machineType())
-                        .put("site", worker.zone())
-                        .put("preemptible", worker.spot())
-                        .put("stuck", worker.ownedElsewhere())
-                        .put("term", worker.fencingToken()),
+                PeerMessageCodec.MISROUTED_WORKER_PATH,
+                PeerMessageCodec.encode(settings.memberId(), worker),
                 () -> {});
     }
 
     private void sendStatusToLeader() {
-        if (shards.localShard() == null || settings.memberId().equals(shards.leaderId())) {
+        if (membership.localShard() == null || settings.memberId().equals(membership.leaderId())) {
             return;
         }
-        ObjectNode body =
-                WireFormat.newMap()
-                        .put("from", settings.memberId())
-                        .put(
-                                "hold",
-                                shards.member(settings.memberId()) == null
-                                        ? 0
-                                        : shards.member(settings.memberId()).leaseId())
-                        .put("seq", ++lastSentSequence);
-        ArrayNode schedulableHosts = body.putArray("fit");
-        ArrayNode bootingHosts = body.putArray("booting");
-        for (ShardWorker worker : workerGateway.workers()) {
-            if (worker.isSchedulable()) {
-                schedulableHosts.add(worker.host);
-            }
-            if (worker.isBooting()) {
-                bootingHosts.add(worker.host);
-            }
-        }
-        sendToLeader("/peer/news", body, () -> acknowledgedAtMillis = eventLoop.nowMillis());
+        ClusterMembership.Member self = membership.member(settings.memberId());
+        byte[] status =
+                PeerMessageCodec.encodeStatus(
+                        settings.memberId(),
+                        self == null ? 0 : self.leaseId(),
+                        ++lastSentSequence,
+                        localWorkers.get());
+        sendToLeader(
+                PeerMessageCodec.STATUS_PATH,
+                status,
+                () -> acknowledgedAtMillis = eventLoop.nowMillis());
     }
 
-    private void sendToLeader(String path, ObjectNode body, Runnable onAccepted) {
-        ClusterMembership.Member leaderMember =
-                shards.leaderId() == null ? null : shards.member(shards.leaderId());
-        if (leaderMember != null) {
-            transport.call(
-                    leaderMember.address(),
-                    "POST",
-                    path,
-                    WireFormat.JSON,
-                    WireFormat.JSON.encode(body),
-                    TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
-                    (status, bytes) -> {
-                        if (status == 200) {
-                            onAccepted.run();
-                        }
-                    });
+    /** Does nothing while there is no leader, or its address isn't known. */
+    private void sendToLeader(String path, byte[] message, Runnable onAccepted) {
+        ClusterMembership.Member leader =
+                membership.leaderId() == null ? null : membership.member(membership.leaderId());
+        if (leader == null) {
+            return;
         }
+        transport.call(
+                leader.address(),
+                "POST",
+                path,
+                WireFormat.JSON,
+                message,
+                TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
+                (status, responseBody) -> {
+                    if (status == 200) {
+                        onAccepted.run();
+                    }
+                });
     }
 }
