--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -173,7 +173,7 @@
                 JobFixtures.job(
                         52,
                         "red",
-                        JobSpec.Mode.STANDING,
+                        JobSpec.Mode.SERVICE,
                         JobSpec.Priority.PRODUCTION,
                         6,
                         1,
