--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -21,8 +21,11 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
+import io.quincelead.scheduler.ClusterView;
+import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
+import io.quincelead.scheduler.StoreAccess;
 import io.quincelead.store.GroupCommitter;
 import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreClient;
@@ -107,22 +110,6 @@
                         machineTypeCatalog,
                         policy);
         peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
-        schedulingCycle =
-                new SchedulingCycle(
-                        loop,
-                        settings,
-                        operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        constrainedDemand,
-                        policy,
-                        this::flushWorkerResponses);
         workerGateway =
                 new WorkerGateway(
                         loop,
@@ -145,7 +132,7 @@
 
                             @Override
                             public void requestCycle() {
-                                schedulingCycle.requestCycle();
+                                Controller.this.schedulingCycle.requestCycle();
                             }
 
                             @Override
@@ -155,10 +142,25 @@
 
                             @Override
                             public boolean isCyclePending() {
-                                return schedulingCycle.isCyclePending();
+                                return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
-        schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
+        schedulingCycle =
+                new SchedulingCycle(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        new StoreAccess(membershipLease, watchCache, store),
+                        new ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                imageCaches,
+                                constrainedDemand,
+                                policy),
+                        new Collaborators(workerGateway, leader, peerMessenger),
+                        this::flushWorkerResponses);
         peerMessenger.setWorkerGateway(workerGateway);
         ZoneRecoveryController.MachineVisibility machineVisibility =
                 new ZoneRecoveryController.MachineVisibility() {
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/CapacityReader.java
@@ -0,0 +1,135 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Reads the free capacity of machines into a plan. */
+final class CapacityReader {
+    private record UsableMachine(String host, String owner, boolean inOwnShard) {}
+
+    private final ClusterView cluster;
+    private final MachineStatus machineStatus;
+
+    /**
+     * Machines on record that this controller may place on, by pool. Most cycles see the same ones
+     * as the cycle before; read anew when a record of machines or shards, or the leadership, has
+     * changed.
+     */
+    private final Map<MachinePool.Key, List<UsableMachine>> usableMachines = new LinkedHashMap<>();
+
+    private long seenMachinesVersion = -1;
+    private long seenShardsVersion = -1;
+    private boolean seenAsLeader;
+
+    CapacityReader(ClusterView cluster, MachineStatus machineStatus) {
+        this.cluster = cluster;
+        this.machineStatus = machineStatus;
+    }
+
+    /**
+     * Adds to the plan the machines that accept tasks now.
+     *
+     * @param urgent whether work waits for which it counts how soon a worker can be told
+     */
+    void collectFreeCapacity(SchedulingPlan plan, boolean urgent) {
+        refreshUsableMachines(plan);
+        for (Map.Entry<MachinePool.Key, List<UsableMachine>> entry : usableMachines.entrySet()) {
+            MachinePool.Key key = entry.getKey();
+            MachineTypeCatalog.MachineType machineType =
+                    cluster.machineTypes().get(key.machineTypeName());
+            if (machineType != null) {
+                addMachines(
+                        plan,
+                        plan.pool(machineType, key.zone(), key.spot()),
+                        entry.getValue(),
+                        urgent);
+            }
+        }
+        plan.pools.values().removeIf(pool -> pool.machines.isEmpty());
+        for (MachinePool pool : plan.pools.values()) {
+            pool.gpusInDemand =
+                    cluster.constrainedDemand()
+                            .isGpuInDemand(pool.machineType, pool.zone, pool.spot);
+        }
+    }
+
+    private void addMachines(
+            SchedulingPlan plan, MachinePool pool, List<UsableMachine> usable, boolean urgent) {
+        for (UsableMachine candidate : usable) {
+            String host = candidate.host;
+            if (machineStatus.isAcceptingTasks(candidate.owner, host)) {
+                FreeCapacity machine =
+                        new FreeCapacity(
+                                host, pool, candidate.inOwnShard, cluster.jobs().loadOf(host));
+                machine.reachSeconds = urgent ? machineStatus.secondsToReach(host) : 0;
+                plan.addMachine(machine);
+            }
+        }
+    }
+
+    private void refreshUsableMachines(SchedulingPlan plan) {
+        MachineTable machines = cluster.machines();
+        if (seenMachinesVersion == machines.version()
+                && seenShardsVersion == cluster.shards().shardVersion()
+                && seenAsLeader == plan.leading) {
+            return;
+        }
+        seenMachinesVersion = machines.version();
+        seenShardsVersion = cluster.shards().shardVersion();
+        seenAsLeader = plan.leading;
+        usableMachines.clear();
+        Map<String, Long> ownMachines = plan.shard.fencingTokensByHost();
+        if (plan.leading) {
+            for (MachineTable.Machine machine : machines.all()) {
+                addIfUsable(machine, ownMachines.containsKey(machine.host()));
+            }
+        } else {
+            for (String host : ownMachines.keySet()) {
+                MachineTable.Machine machine = machines.get(host);
+                if (machine != null) {
+                    addIfUsable(machine, true);
+                }
+            }
+        }
+    }
+
+    private void addIfUsable(MachineTable.Machine machine, boolean inOwnShard) {
+        String owner = cluster.shards().ownerOf(machine.host());
+        if (!machine.releasing() && !machine.cordoned() && owner != null) {
+            usableMachines
+                    .computeIfAbsent(
+                            new MachinePool.Key(
+                                    machine.machineType(), machine.zone(), machine.spot()),
+                            k -> new ArrayList<>())
+                    .add(new UsableMachine(machine.host(), owner, inOwnShard));
+        }
+    }
+
+    /** Machines of all other shards by pool, as far as their records tell. */
+    Map<MachinePool.Key, MachinePool> poolsOfOtherShards(ClusterMembership.Shard ownShard) {
+        SchedulingPlan others = new SchedulingPlan(ownShard, false, 0, 0, 0);
+        for (MachineTable.Machine machine : cluster.machines().all()) {
+            MachineTypeCatalog.MachineType machineType =
+                    cluster.machineTypes().get(machine.machineType());
+            if (cluster.shards().ownerOf(machine.host()) != null
+                    && !ownShard.fencingTokensByHost().containsKey(machine.host())
+                    && machineType != null
+                    && !machine.releasing()
+                    && !machine.cordoned()
+                    && cluster.imageCaches().isKnown(machine.host())) {
+                others.addMachine(
+                        new FreeCapacity(
+                                machine.host(),
+                                others.pool(machineType, machine.zone(), machine.spot()),
+                                false,
+                                cluster.jobs().loadOf(machine.host())));
+            }
+        }
+        return others.pools;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/Collaborators.java
@@ -0,0 +1,15 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.leadership.Leader;
+import io.quincelead.peer.PeerMessenger;
+import io.quincelead.worker.WorkerGateway;
+
+/**
+ * The parts of this controller that a scheduling cycle asks about machines and leadership. None of
+ * the components is null.
+ *
+ * @param workerGateway the machines of the own shard
+ * @param leader whether this controller leads
+ * @param messenger what other controllers last reported of their machines
+ */
+public record Collaborators(WorkerGateway workerGateway, Leader leader, PeerMessenger messenger) {}
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
@@ -0,0 +1,91 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.eventloop.EventLoop;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** Leaves room in the own shard to work that comes first and that the leader is placing. */
+final class LeaderPrecedence {
+    private final EventLoop loop;
+    private final ClusterView cluster;
+    private final List<JobSpec> demandsAtLeader = new ArrayList<>();
+
+    /** Since when there has been room here for a job that waits at the leader. */
+    private final Map<Job, Long> roomSinceMillis = new HashMap<>();
+
+    LeaderPrecedence(EventLoop loop, ClusterView cluster) {
+        this.loop = loop;
+        this.cluster = cluster;
+    }
+
+    /** The jobs that wait at the leader and that their teams' quota shares there let in. */
+    void setJobsAtLeader(List<Job> jobsAtLeader) {
+        demandsAtLeader.clear();
+        for (Job job : jobsAtLeader) {
+            demandsAtLeader.add(job.spec);
+        }
+    }
+
+    /** Whether work that waits at the leader could go to the machine. */
+    boolean canLeaderUse(String host) {
+        MachineTable.Machine machine = cluster.machines().get(host);
+        MachineTypeCatalog.MachineType machineType =
+                machine == null || demandsAtLeader.isEmpty()
+                        ? null
+                        : cluster.machineTypes().get(machine.machineType());
+        if (machineType == null) {
+            return false;
+        }
+        MachinePool pool = new MachinePool(machineType, machine.zone(), machine.spot());
+        pool.gpusInDemand =
+                cluster.constrainedDemand()
+                        .isGpuInDemand(machineType, machine.zone(), machine.spot());
+        return demandsAtLeader.stream().anyMatch(spec -> pool.suits(spec, 0));
+    }
+
+    /**
+     * Closes the pools where such work could go to work of later tiers. A leader that hasn't used
+     * the room within {@link SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it; waiting on
+     * would idle the shard.
+     */
+    void leaveRoomToLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
+        roomSinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
+        UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
+        for (Job job : jobsAtLeader) {
+            JobSpec spec = job.spec;
+            boolean hasRoom = !unsatisfiable.covers(spec) && hasRoomFor(plan, spec);
+            if (!hasRoom) {
+                unsatisfiable.add(spec);
+                roomSinceMillis.remove(job);
+            } else if (loop.nowMillis()
+                            - roomSinceMillis.computeIfAbsent(job, j -> loop.nowMillis())
+                    > SchedulerConstants.LEADER_PRECEDENCE_MILLIS) {
+                continue;
+            }
+            for (MachinePool pool : plan.pools.values()) {
+                if (pool.allows(spec)) {
+                    pool.maxTier = Math.min(pool.maxTier, plan.tier(job));
+                }
+            }
+        }
+    }
+
+    private static boolean hasRoomFor(SchedulingPlan plan, JobSpec spec) {
+        for (MachinePool pool : plan.pools.values()) {
+            for (FreeCapacity machine : pool.machinesIf(pool.allows(spec))) {
+                if (machine.hasFreeCapacity() && machine.taskCapacity(spec) > 0) {
+                    return true;
+                }
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/MachinePool.java
@@ -0,0 +1,71 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineTypeCatalog;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Machines of one plan that every job sees alike: of one type, in one zone, rented one way. */
+final class MachinePool {
+    /** What the machines of a pool have in common. */
+    record Key(String machineTypeName, String zone, boolean spot) {}
+
+    final MachineTypeCatalog.MachineType machineType;
+    final String zone;
+    final boolean spot;
+
+    /** Whether constrained work needs their GPUs. */
+    boolean gpusInDemand;
+
+    /**
+     * Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the leader is
+     * placing some.
+     */
+    int maxTier = Integer.MAX_VALUE;
+
+    final List<FreeCapacity> machines = new ArrayList<>();
+
+    MachinePool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+        this.machineType = machineType;
+        this.zone = zone;
+        this.spot = spot;
+    }
+
+    /** Its machines, or none of them if the condition is false. */
+    List<FreeCapacity> machinesIf(boolean condition) {
+        return condition ? machines : List.of();
+    }
+
+    /**
+     * Whether the job should go there: it may, nobody who comes first is about to, and it takes no
+     * GPUs from those who need them.
+     */
+    boolean suits(JobSpec spec, int tier) {
+        return allows(spec)
+                && maxTier >= tier
+                && !(gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null);
+    }
+
+    /** Whether the job's own demands let it go there. */
+    boolean allows(JobSpec spec) {
+        return matchesConstraints(spec) && machineType.fits(spec);
+    }
+
+    /** Tasks of the job that an empty machine holds. */
+    int tasksPerEmptyMachine(JobSpec spec) {
+        return Tebas.taskCapacity(
+                machineType.cpus(),
+                machineType.memoryGb(),
+                machineType.gpus(),
+                spec.cpus(),
+                spec.memoryGb(),
+                spec.gpus());
+    }
+
+    /** Whether the job's machine types, zone and spot preference allow them. */
+    boolean matchesConstraints(JobSpec spec) {
+        return MachineTypeCatalog.isAllowed(spec, machineType.name())
+                && (spec.zone() == null || spec.zone().equals(zone))
+                && (spec.preemptible() || !spot);
+    }
+}
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -41,17 +41,12 @@
 
     private final UnsatisfiableDemands unsatisfiableAnywhere = new UnsatisfiableDemands();
 
-    Placer(
-            OperatorSettings operatorSettings,
-            MachineTable machines,
-            ImageCaches imageCaches,
-            Policy policy,
-            SchedulingPlan plan) {
-        this.policy = policy;
+    Placer(OperatorSettings operatorSettings, ClusterView cluster, SchedulingPlan plan) {
+        this.policy = cluster.policy();
         this.spreadsServices = operatorSettings.zoneRecovery().enabled();
         this.operatorSettings = operatorSettings;
-        this.machines = machines;
-        this.imageCaches = imageCaches;
+        this.machines = cluster.machines();
+        this.imageCaches = cluster.imageCaches();
         this.plan = plan;
         this.remainingReservations =
                 Math.max(
@@ -130,7 +125,7 @@
             return;
         }
         Map<String, List<FreeCapacity>> machinesByZone = new LinkedHashMap<>();
-        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+        for (MachinePool pool : plan.pools.values()) {
             for (FreeCapacity machine :
                     pool.suits(spec, tier) ? pool.machines : List.<FreeCapacity>of()) {
                 if (machine.reservedForTier == Integer.MAX_VALUE
@@ -293,7 +288,7 @@
     private Map<String, List<Tebas.CandidateMachine>> candidatesByZone(
             JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
         Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
-        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+        for (MachinePool pool : plan.pools.values()) {
             if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
                 continue;
             }
@@ -359,7 +354,7 @@
      */
     private static double effectiveFrequency(
             JobSpec spec,
-            FreeCapacity.MachinePool pool,
+            MachinePool pool,
             double clockFactor,
             boolean hasImage,
             double waitSeconds) {
@@ -460,8 +455,8 @@
                     FreeCapacity machine = plan.machines.get(hosts.get(placed));
                     edit.place(i, machine.host, attempt);
                     plan.allocate(machine, job.spec, 1);
-                    plan.addUsage(plan.ownUsage, job.spec, 1);
-                    plan.addUsage(plan.totalUsage, job.spec, 1);
+                    TeamUsage.add(plan.ownUsage, job.spec, 1);
+                    TeamUsage.add(plan.totalUsage, job.spec, 1);
                     placed++;
                 }
             }
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/PlanEncoder.java
@@ -0,0 +1,81 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.policy.Policy;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import java.util.Map;
+
+/**
+ * Turns a plan's edits into its transaction. The preconditions are what make a cycle safe: the own
+ * shard's revision (the fencing token), that of each job and page it touches, and for the leader
+ * those of the leadership and of all shards.
+ */
+final class PlanEncoder {
+    private final WatchCache watchCache;
+    private final ClusterMembership shards;
+    private final Policy policy;
+
+    PlanEncoder(WatchCache watchCache, ClusterMembership shards, Policy policy) {
+        this.watchCache = watchCache;
+        this.shards = shards;
+        this.policy = policy;
+    }
+
+    void encode(SchedulingPlan plan) {
+        boolean anyChange = false;
+        for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
+            TaskStatePage.Edit edit = entry.getValue();
+            if (plan.enteringJobs.contains(edit.page().job)) {
+                encodeEnteringJob(plan, edit);
+                anyChange |= edit.isChanged();
+            } else if (edit.isChanged()) {
+                anyChange = true;
+                encodePage(plan.transaction, edit);
+            }
+        }
+        if (anyChange) {
+            requireUnchangedAuthority(plan);
+        }
+    }
+
+    /** A job that enters is new: neither it nor a final state of the same id may be on record. */
+    private void encodeEnteringJob(SchedulingPlan plan, TaskStatePage.Edit edit) {
+        Job job = edit.page().job;
+        String leaderId = shards.leaderId();
+        boolean assignedToLeader =
+                !edit.isChanged()
+                        && plan.jobsToEscalate.contains(job)
+                        && leaderId != null
+                        && shards.shardOf(leaderId) != null;
+        plan.transaction
+                .requireRevision(job.storeKey(), 0)
+                .requireRevision(StoreKeys.FINAL_STATE_PREFIX + job.spec.jobId(), 0)
+                .put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
+    }
+
+    private void encodePage(Transaction transaction, TaskStatePage.Edit edit) {
+        String pageKey = edit.page().storeKey();
+        transaction.put(pageKey, edit.encode());
+        requireCurrent(transaction, pageKey);
+        requireCurrent(transaction, edit.page().job.storeKey());
+    }
+
+    private void requireUnchangedAuthority(SchedulingPlan plan) {
+        requireCurrent(plan.transaction, plan.shard.storeKey());
+        policy.requireCurrentPolicy(plan.transaction);
+        if (plan.leading) {
+            requireCurrent(plan.transaction, StoreKeys.LEADER);
+            for (ClusterMembership.Shard shard : shards.shards()) {
+                requireCurrent(plan.transaction, shard.storeKey());
+            }
+        }
+    }
+
+    private void requireCurrent(Transaction transaction, String key) {
+        transaction.requireRevision(key, watchCache.modRevision(key));
+    }
+}
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -85,7 +85,7 @@
                 : unsatisfiable.covers(spec)) {
             return needed;
         }
-        for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+        for (MachinePool pool : plan.pools.values()) {
             if (!pool.suits(spec, tier) || !zoneAllowed.test(pool.zone)) {
                 continue;
             }
@@ -220,7 +220,7 @@
                 key,
                 k -> {
                     List<PreemptionCandidates.Candidate> found = new ArrayList<>();
-                    for (FreeCapacity.MachinePool pool : plan.pools.values()) {
+                    for (MachinePool pool : plan.pools.values()) {
                         for (FreeCapacity machine :
                                 pool.matchesConstraints(spec)
                                         ? pool.machines
@@ -287,14 +287,15 @@
         // the same reason a job within its own team's guarantee is left alone, though that team
         // runs more than that besides.
         Settings.Team team = settings.teams().get(victim.team());
-        double[] usage = plan.totalUsage.getOrDefault(victim.team(), new double[2]);
+        TeamUsage usage = TeamUsage.of(plan.totalUsage, victim.team());
         return withinGuarantee
                 && victim.priority() == forJob.spec.priority()
                 && !plan.jobsWithinGuarantee.contains(placement.job)
                 && !victim.team().equals(forJob.spec.team())
                 && team != null
-                && (usage[0] - victim.cpus() >= team.guaranteedCpus()
-                        || victim.gpus() > 0 && usage[1] - victim.gpus() >= team.guaranteedGpus());
+                && (usage.cpus() - victim.cpus() >= team.guaranteedCpus()
+                        || victim.gpus() > 0
+                                && usage.gpus() - victim.gpus() >= team.guaranteedGpus());
     }
 
     /** Operators' records only narrow what may be stopped. */
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -6,24 +6,39 @@
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.EffectivePriority;
 import io.quincelead.policy.Policy;
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * Who comes first: urgent work, then the little with which late jobs begin, then what its team is
- * guaranteed, whatever its urgency, then what would else be left behind, then the rest by urgency;
- * last by nearness to the deadline or objective. A guarantee that waits behind other teams' surplus
- * would be none.
+ * Who comes first: urgent work, then the first few tasks of starving jobs, then what its team is
+ * guaranteed, whatever its priority, then further tasks of starving jobs, then the rest by
+ * priority; last by nearness to the deadline or objective. A guarantee that waits behind other
+ * teams' surplus would be none.
  */
 public final class QueueOrder {
+    /** Tier of the few tasks with which a job that has waited long begins. */
+    static final int TIER_FIRST_START = JobSpec.Priority.HIGH.ordinal() + 1;
+
+    /** Tier of what its team is guaranteed. */
+    static final int TIER_GUARANTEED = TIER_FIRST_START + 1;
+
+    /** Tier of further tasks of jobs that have waited long. */
+    static final int TIER_STARVING = TIER_GUARANTEED + 1;
+
+    /** The order of the queue: what comes first is placed first. Total over different jobs. */
+    public static final Comparator<RankedJob> BY_QUEUE_ORDER = QueueOrder::compare;
+
     private final Map<String, Double> objectiveSecondsByClass = new HashMap<>();
     private final Map<String, Settings.Team> teams;
     private final Policy policy;
 
+    /** An order by the objectives and teams of the settings and the operators' records. */
     public QueueOrder(Settings settings, Policy policy) {
         this.policy = policy;
         teams = settings.teams();
@@ -36,9 +51,19 @@
     }
 
     /**
-     * A job and what its place in the queue depends on. {@code late}: only so many of its tasks as
-     * it would else be left behind by, at most {@code most}; {@code begins}: none of its tasks has
-     * begun.
+     * A job and what its place in the queue depends on. One job may have several places, each for
+     * some of its tasks.
+     *
+     * @param priority ordinal of its own priority, the smaller the more urgent
+     * @param withinGuarantee whether its team is guaranteed what it needs
+     * @param deadlineUnreachable whether its deadline has passed by more than its run time
+     * @param slackSeconds until it has to start to be done in time; negative when that has passed
+     * @param starving whether this place is only for tasks that are overdue to start
+     * @param firstStart whether none of its tasks has started, and this place is for the first
+     * @param maxTasks of the job for which this place is
+     * @param effectivePriority what the operators' records make of it
+     * @param replicaRank among services: 0 for the first replica of one that has none, else the
+     *     larger the more it has; 1 for other jobs
      */
     public record RankedJob(
             Job job,
@@ -51,10 +76,7 @@
             int maxTasks,
             EffectivePriority effectivePriority,
             double replicaRank) {
-        /**
-         * The same with its place among services: 0 for the first replica of one that has none,
-         * else the larger the more are there.
-         */
+        /** The same with another rank among services, for so many tasks. */
         RankedJob withReplicaRank(double rank, int tasks) {
             return new RankedJob(
                     job,
@@ -69,7 +91,7 @@
                     rank);
         }
 
-        /** By its own urgency: what it may stop and what may be stopped for it goes by this. */
+        /** By its own priority: what it may preempt and what may preempt it goes by this. */
         int tier() {
             return firstStart
                     ? TIER_FIRST_START
@@ -77,8 +99,8 @@
         }
 
         /**
-         * By the urgency that its class lets it be ordered by; covered work doesn't wait behind
-         * work that is late to begin.
+         * By the priority that its class lets it be ordered by; work covered by an open window
+         * doesn't wait behind starving work.
          */
         int orderingTier() {
             int tier =
@@ -92,13 +114,13 @@
             return effectivePriority.orderingPriority(job.spec);
         }
 
-        /** By when it should have begun, in ms since 1970. */
+        /** By when it should have started, in milliseconds since 1970. */
         long startDeadlineMillis() {
             return job.acceptedAtEpochMillis
                     + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
-        /** The same job's place for the tasks that it would be left behind by. */
+        /** The same job's place for so many tasks that are overdue to start. */
         RankedJob asStarving(boolean atFirstStart, int tasks) {
             return new RankedJob(
                     job,
@@ -114,18 +136,9 @@
         }
     }
 
-    /** Tier of the little with which a job begins that has waited long. */
-    static final int TIER_FIRST_START = JobSpec.Priority.HIGH.ordinal() + 1;
-
-    /** Tier of what its team is guaranteed. */
-    static final int TIER_GUARANTEED = TIER_FIRST_START + 1;
-
-    /** Tier of the first tasks of jobs that have waited long. */
-    static final int TIER_STARVING = TIER_GUARANTEED + 1;
-
     /**
-     * The smaller, the earlier; work may be stopped only for work of a smaller one, or the two
-     * would displace each other without end.
+     * The smaller, the earlier; work may be preempted only by work of a smaller tier, or the two
+     * would preempt each other without end.
      */
     static int tier(int priority, boolean withinGuarantee, boolean starving) {
         return priority < TIER_FIRST_START
@@ -137,14 +150,12 @@
                                 : priority + TIER_STARVING - TIER_FIRST_START + 1;
     }
 
-    public static final Comparator<RankedJob> BY_QUEUE_ORDER = QueueOrder::compare;
-
     private static int compare(RankedJob a, RankedJob b) {
         int result = Integer.compare(a.orderingTier(), b.orderingTier());
         if (result == 0
                 && (a.orderingTier() == TIER_STARVING || a.orderingTier() == TIER_FIRST_START)) {
             // First open windows; then whoever has waited longest, or endless arrivals of one
-            // urgency would leave another behind.
+            // priority would starve another.
             result =
                     Boolean.compare(
                             b.effectivePriority.isCovered(), a.effectivePriority.isCovered());
@@ -165,7 +176,7 @@
     }
 
     /**
-     * What operators' records say, within a tier: urgency, then open windows, then the rank of the
+     * What operators' records say, within a tier: priority, then open windows, then the rank of the
      * class.
      */
     private static int compareEffectivePriority(RankedJob a, RankedJob b) {
@@ -181,21 +192,81 @@
     }
 
     /**
-     * Whether running work comes before waiting work by the operators' records. It isn't stopped
-     * for it then, whatever the protocol allows: it would take the room back at once, and the two
-     * would take turns without end.
+     * Whether running work comes before waiting work by the operators' records. It isn't preempted
+     * then, whatever the protocol allows: it would take the room back at once, and the two would
+     * take turns without end.
      */
     static boolean precedes(RankedJob running, RankedJob waiting) {
         int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
         return (result != 0 ? result : compareEffectivePriority(running, waiting)) < 0;
     }
 
+    /** Whether the job's own priority is HIGH or PRODUCTION. */
+    static boolean isUrgent(JobSpec spec) {
+        return spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
+    }
+
+    /**
+     * The places in the queue of the jobs that wait, in order.
+     *
+     * @param replicasTakeTurns whether services get one replica each before any gets a second
+     * @param wallMillis milliseconds since 1970
+     */
+    List<RankedJob> queue(
+            List<Job> candidates, SchedulingPlan plan, boolean replicasTakeTurns, long wallMillis) {
+        List<RankedJob> queue = new ArrayList<>(candidates.size());
+        for (Job job : candidates) {
+            RankedJob ranked = rank(job, plan.jobsWithinGuarantee.contains(job), wallMillis);
+            if (replicasTakeTurns && job.spec.isService()) {
+                // One replica of every service before any second one; then those of which the
+                // largest part is missing.
+                ranked =
+                        ranked.withReplicaRank(
+                                1 + job.possiblyRunningTaskCount() / (double) job.spec.taskCount(),
+                                Integer.MAX_VALUE);
+                if (job.possiblyRunningTaskCount() == 0 && job.spec.taskCount() > 1) {
+                    queue.add(ranked.withReplicaRank(0, 1));
+                }
+            }
+            queue.add(ranked);
+            addOverdueTasks(queue, ranked, plan.entitledTasksOfStarving.getOrDefault(job, 0));
+        }
+        queue.sort(BY_QUEUE_ORDER);
+        return queue;
+    }
+
+    /** Adds the job's places for the tasks that are overdue to start, if there are any. */
+    private static void addOverdueTasks(
+            List<RankedJob> queue, RankedJob ranked, int entitledTasks) {
+        JobSpec spec = ranked.job.spec;
+        int startedTasks = ranked.job.completedTaskCount() + ranked.job.possiblyRunningTaskCount();
+        int overdueTasks = entitledTasks - startedTasks;
+        int firstStarts;
+        if (spec.isGang()) {
+            firstStarts = overdueTasks;
+        } else if (startedTasks > 0) {
+            firstStarts = 0;
+        } else {
+            firstStarts =
+                    Math.min(
+                            overdueTasks,
+                            1 + spec.taskCount() / SchedulerConstants.OVERDUE_FIRST_TASKS_DIVISOR);
+        }
+        if (firstStarts > 0) {
+            queue.add(ranked.asStarving(true, firstStarts));
+        }
+        if (overdueTasks > Math.max(0, firstStarts) && ranked.tier() > TIER_STARVING) {
+            queue.add(ranked.asStarving(false, overdueTasks - Math.max(0, firstStarts)));
+        }
+    }
+
     /**
-     * Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs;
-     * given by age.
+     * Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
+     *
+     * @param byAge all unfinished jobs, the oldest first
      */
     public Set<Job> jobsWithinGuarantee(Collection<Job> byAge) {
-        Map<String, double[]> demandByTeam = new HashMap<>();
+        Map<String, TeamUsage> demandByTeam = new HashMap<>();
         Set<Job> within = new HashSet<>();
         for (Job job : byAge) {
             Settings.Team team = teams.get(job.spec.team());
@@ -203,17 +274,21 @@
                 continue;
             }
             int unfinishedTasks = job.spec.taskCount() - job.completedTaskCount();
-            double[] demand = demandByTeam.computeIfAbsent(team.name(), t -> new double[2]);
-            demand[0] += unfinishedTasks * job.spec.cpus();
-            demand[1] += unfinishedTasks * job.spec.gpus();
-            if (demand[0] <= team.guaranteedCpus() + 1e-9
-                    && demand[1] <= team.guaranteedGpus() + 1e-9) {
+            TeamUsage demand = demandByTeam.computeIfAbsent(team.name(), t -> new TeamUsage());
+            demand.add(job.spec, unfinishedTasks);
+            if (demand.cpus() <= team.guaranteedCpus() + 1e-9
+                    && demand.gpus() <= team.guaranteedGpus() + 1e-9) {
                 within.add(job);
             }
         }
         return within;
     }
 
+    /**
+     * The job's place in the queue for all its tasks.
+     *
+     * @param wallNowMillis milliseconds since 1970
+     */
     public RankedJob rank(Job job, boolean withinGuarantee, long wallNowMillis) {
         double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -18,56 +18,71 @@
 import java.util.Set;
 
 /**
- * One round's plan: the changes of chunks it would write, and what room and use there is under
- * them.
+ * One cycle's plan: the edits of task state pages it would write, and the free capacity and usage
+ * that remain under them. Lives for one cycle and is never shared.
  */
 final class SchedulingPlan {
+    /** What the plan writes; filled when all else is decided. */
     final Transaction transaction = new Transaction();
+
+    /** The edits by the page that they start from, in the order they were made. */
     final Map<TaskStatePage, TaskStatePage.Edit> edits = new LinkedHashMap<>();
+
+    /** Machines that accept tasks, by host. */
     final Map<String, FreeCapacity> machines = new LinkedHashMap<>();
 
-    /** The same rooms by what every job sees alike in them. */
-    final Map<List<Object>, FreeCapacity.MachinePool> pools = new LinkedHashMap<>();
+    /** The same machines by what every job sees alike in them. */
+    final Map<MachinePool.Key, MachinePool> pools = new LinkedHashMap<>();
 
     /**
-     * What tasks of this controller's jobs use by team: those on record, less the ends that this
-     * very change puts on record. An end that is only known here doesn't count: were the machine to
-     * change hands before it is on record, the record would entitle the new owner to start the task
-     * again, beside what took its place.
+     * What tasks of this controller's jobs use by team: those on record, less the terminations that
+     * this very transaction puts on record. A termination that is only known here doesn't count:
+     * were the machine to change hands before it is on record, the record would entitle the new
+     * owner to start the task again, beside what took its place.
      */
-    final Map<String, double[]> ownUsage = new HashMap<>();
+    final Map<String, TeamUsage> ownUsage = new HashMap<>();
 
     /**
-     * What tasks of all jobs use by team, ends by evidence left out: for the choice of whom to
-     * displace.
+     * What tasks of all jobs use by team, without those known to have terminated: for the choice of
+     * what to preempt.
      */
-    final Map<String, double[]> totalUsage = new HashMap<>();
+    final Map<String, TeamUsage> totalUsage = new HashMap<>();
 
+    /** Jobs that should go to the leader. */
     final List<Job> jobsToEscalate = new ArrayList<>();
 
-    /** Jobs that this round would record for the first time. */
+    /** Jobs that this cycle would record for the first time. */
     final Set<Job> enteringJobs = new LinkedHashSet<>();
 
     /** Jobs within their team's guarantee. */
     Set<Job> jobsWithinGuarantee = Set.of();
 
     /**
-     * Jobs of which no more has begun than they would else be left behind by, with how many tasks
-     * that is.
+     * Jobs of which no more tasks have started than they are entitled to by their age, with how
+     * many that is.
      */
     final Map<Job, Integer> entitledTasksOfStarving = new HashMap<>();
 
+    /** The own shard under which this plan is made. */
     final ClusterMembership.Shard shard;
+
+    /** Whether this controller leads, and may place on all shards. */
     final boolean leading;
+
     final int shardCount;
+
+    /** Records that the store's budget lets the transaction write. */
     final int writeBudget;
+
     final int maxTransactionOps;
+
+    /** Whether there was more to write than the transaction holds. */
     boolean truncated;
 
-    /** CPUs free in rooms whose GPUs nobody seeks; NaN when they have to be summed up anew. */
+    /** CPUs free on machines whose GPUs are not in demand; NaN when they have to be summed up. */
     private double cachedFreeCpus = Double.NaN;
 
-    /** CPUs of the rooms that low work leaves free. */
+    /** CPUs that best-effort work leaves free. */
     double reservedCpus;
 
     SchedulingPlan(
@@ -83,9 +98,15 @@
         this.maxTransactionOps = maxTransactionOps;
     }
 
+    /** Jobs that the plan records for the first time, each with its only page. */
+    void addEnteringJobs(List<Job> jobs) {
+        enteringJobs.addAll(jobs);
+        jobs.forEach(job -> edit(job, 0));
+    }
+
     /**
-     * How many records one change may hold: each needs two guards, beside those of the leadership,
-     * the operators' records and the blocks.
+     * How many records one transaction may hold: each needs two preconditions, beside those of the
+     * leadership, the operators' records and the shards.
      */
     static int maxRecords(int writeBudget, int shardCount, int maxTransactionOps) {
         return Math.min(
@@ -96,12 +117,12 @@
                         / 2);
     }
 
-    /** Whether no further record fits into the change. */
+    /** Whether no further record fits into the transaction. */
     boolean isFull() {
         return edits.size() >= maxRecords(writeBudget, shardCount, maxTransactionOps);
     }
 
-    /** Whether it only fits as long as so many others are kept. */
+    /** Whether none fits if so many are reserved for others. */
     boolean isFull(int reservedRecords) {
         return edits.size()
                 >= maxRecords(writeBudget, shardCount, maxTransactionOps) - reservedRecords;
@@ -115,7 +136,7 @@
                 entitledTasksOfStarving.containsKey(job));
     }
 
-    /** Whether a record of the job is in the change already. */
+    /** Whether a record of the job is in the transaction already. */
     boolean containsRecordOf(Job job) {
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
             if (edits.containsKey(job.page(pageIndex))) {
@@ -125,11 +146,11 @@
         return false;
     }
 
-    FreeCapacity.MachinePool pool(
-            MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
+    /** The pool of such machines; made if there is none. */
+    MachinePool pool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return pools.computeIfAbsent(
-                List.of(machineType.name(), zone, spot),
-                k -> new FreeCapacity.MachinePool(machineType, zone, spot));
+                new MachinePool.Key(machineType.name(), zone, spot),
+                k -> new MachinePool(machineType, zone, spot));
     }
 
     void addMachine(FreeCapacity machine) {
@@ -138,15 +159,15 @@
         cachedFreeCpus = Double.NaN;
     }
 
-    /** Room of a machine is taken by tasks that get their place in this plan. */
+    /** Tasks that are placed by this plan take capacity of a machine. */
     void allocate(FreeCapacity machine, JobSpec spec, int tasks) {
         machine.allocate(spec, tasks);
         cachedFreeCpus = Double.NaN;
     }
 
     /**
-     * The edit of a chunk, with the ends known by evidence; null when the transaction has no room
-     * for one more.
+     * The edit of a page, with the terminations known by evidence; null when the transaction has no
+     * room for one more.
      */
     TaskStatePage.Edit edit(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
@@ -165,18 +186,19 @@
                     edit.markGone(placement.taskIndex);
                 }
                 if (placement.isTerminated() && job.controllerId.equals(shard.ownerId())) {
-                    addUsage(ownUsage, job.spec, -1);
+                    TeamUsage.add(ownUsage, job.spec, -1);
                 }
             }
         }
         return edit;
     }
 
+    /** The edit of the page that the placement is on; null as above. */
     TaskStatePage.Edit edit(Placement placement) {
         return edit(placement.job, placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
-    /** Tasks of the job that may get a place and have none in this plan. */
+    /** Tasks of the job that may be placed and are not by this plan. */
     int unplacedTasks(Job job) {
         int tasks = job.waitingTaskCount();
         for (int pageIndex = 0; !edits.isEmpty() && pageIndex < job.pages.length; pageIndex++) {
@@ -187,6 +209,7 @@
         return tasks;
     }
 
+    /** The same of one page. */
     int unplacedTasks(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
         TaskStatePage.Edit edit = edits.get(page);
@@ -203,7 +226,7 @@
         return tasks;
     }
 
-    /** CPUs that are free in rooms whose GPUs nobody seeks. */
+    /** CPUs that are free on machines whose GPUs are not in demand. */
     double freeCpus() {
         if (Double.isNaN(cachedFreeCpus)) {
             cachedFreeCpus = freeCpus(false);
@@ -211,7 +234,7 @@
         return cachedFreeCpus;
     }
 
-    /** The same, also in the others if {@code anywhere}. */
+    /** The same, also on the others if {@code anywhere}. */
     double freeCpus(boolean anywhere) {
         double free = 0;
         for (FreeCapacity machine : machines.values()) {
@@ -223,29 +246,25 @@
         return free;
     }
 
+    /** Whether the plan changes the state of any task of the job. */
     boolean hasChangesOf(Job job) {
         return edits.values().stream().anyMatch(e -> e.page().job == job && e.isChanged());
     }
 
-    void addUsage(Map<String, double[]> usageByTeam, JobSpec spec, int tasks) {
-        double[] usage = usageByTeam.computeIfAbsent(spec.team(), t -> new double[2]);
-        usage[0] += tasks * spec.cpus();
-        usage[1] += tasks * spec.gpus();
-    }
-
-    /** How many more tasks of the job its team's allowance here lets in. */
+    /** How many more tasks of the job its team's quota share here lets in. */
     int tasksWithinQuotaShare(JobSpec spec) {
         return tasksWithinQuotaShare(shard, ownUsage, spec);
     }
 
+    /** How many more tasks of the job a shard's quota share lets in beside that usage. */
     static int tasksWithinQuotaShare(
-            ClusterMembership.Shard shard, Map<String, double[]> usageByTeam, JobSpec spec) {
+            ClusterMembership.Shard shard, Map<String, TeamUsage> usageByTeam, JobSpec spec) {
         ClusterMembership.QuotaShare quotaShare = shard.quotaShare(spec.team());
-        double[] usage = usageByTeam.getOrDefault(spec.team(), new double[2]);
+        TeamUsage usage = TeamUsage.of(usageByTeam, spec.team());
         return Tebas.taskCapacity(
-                quotaShare.cpus() - usage[0],
+                quotaShare.cpus() - usage.cpus(),
                 Double.MAX_VALUE,
-                quotaShare.gpus() - usage[1],
+                quotaShare.gpus() - usage.gpus(),
                 spec.cpus(),
                 0,
                 spec.gpus());
--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/UnservedJobs.java
@@ -0,0 +1,40 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.eventloop.EventLoop;
+import java.util.HashMap;
+import java.util.Map;
+
+/** Since when nothing of a waiting job has found a machine here. */
+final class UnservedJobs {
+    private final EventLoop loop;
+    private final JobTable jobs;
+    private final Map<Job, Long> unservedSinceMillis = new HashMap<>();
+
+    UnservedJobs(EventLoop loop, JobTable jobs) {
+        this.loop = loop;
+        this.jobs = jobs;
+    }
+
+    void markServed(Job job) {
+        unservedSinceMillis.put(job, loop.nowMillis());
+    }
+
+    /** Whether it has been unserved for too long; the first time it is asked, its time begins. */
+    boolean isUnservedTooLong(Job job) {
+        long sinceMillis = unservedSinceMillis.computeIfAbsent(job, j -> loop.nowMillis());
+        return loop.nowMillis() - sinceMillis > SchedulerConstants.STARVING_AFTER_MILLIS;
+    }
+
+    void forgetFinishedJobs() {
+        unservedSinceMillis
+                .keySet()
+                .removeIf(job -> job.waitingTaskCount() == 0 || jobs.get(job.spec.jobId()) != job);
+    }
+
+    void clear() {
+        unservedSinceMillis.clear();
+    }
+}
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -87,14 +87,15 @@
                     settings,
                     OperatorSettings.DEFAULTS,
                     store,
-                    shards,
-                    jobs,
-                    machines,
-                    catalog,
-                    new ImageCaches(machines, label -> 50),
-                    new ConstrainedDemand(loop, jobs),
-                    policy,
-                    new QueuePass.MachineStatus() {
+                    new ClusterView(
+                            shards,
+                            jobs,
+                            machines,
+                            catalog,
+                            new ImageCaches(machines, label -> 50),
+                            new ConstrainedDemand(loop, jobs),
+                            policy),
+                    new MachineStatus() {
                         @Override
                         public boolean isAcceptingTasks(String owner, String host) {
                             return true;
@@ -112,8 +113,8 @@
     private long revision;
 
     /** Puts no end on record. */
-    final QueuePass.TerminationRecorder recordsNoTerminations =
-            new QueuePass.TerminationRecorder() {
+    final TerminationRecorder recordsNoTerminations =
+            new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
 
@@ -122,8 +123,8 @@
             };
 
     /** Puts every end on record that is asked for. */
-    final QueuePass.TerminationRecorder recordsAllTerminations =
-            new QueuePass.TerminationRecorder() {
+    final TerminationRecorder recordsAllTerminations =
+            new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
 
