--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -0,0 +1,123 @@
+package io.quincelead.scheduler;
+
+import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.constants.SchedulerConstants;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Finds the machines with room for a job's tasks, with their fitness for the TEBAS pass. */
+final class CandidateFinder {
+    private final OperatorSettings operatorSettings;
+    private final ImageCaches imageCaches;
+    private final SchedulingPlan plan;
+
+    CandidateFinder(
+            OperatorSettings operatorSettings, ImageCaches imageCaches, SchedulingPlan plan) {
+        this.operatorSettings = operatorSettings;
+        this.imageCaches = imageCaches;
+        this.plan = plan;
+    }
+
+    /**
+     * The machines with room for a task of the job, by zone.
+     *
+     * @param tier of the job's place in the queue
+     * @param anywhere also on machines that should be left to others
+     * @param ownShardOnly only on machines of the own shard
+     * @param tasksByHost tasks of the job that have been assigned already
+     */
+    Map<String, List<Tebas.CandidateMachine>> candidatesByZone(
+            JobSpec spec,
+            int tier,
+            boolean anywhere,
+            boolean ownShardOnly,
+            Map<String, Integer> tasksByHost) {
+        Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
+        boolean urgent = QueueOrder.isUrgent(spec);
+        for (MachinePool pool : plan.pools.values()) {
+            if (!(anywhere ? pool.allows(spec) : pool.suits(spec, tier))) {
+                continue;
+            }
+            List<Tebas.CandidateMachine> candidates = null;
+            double clockFactor = clockFactor(pool);
+            // Where the time to reach a worker doesn't count, a pool's machines differ by the image
+            // alone.
+            double fitnessWithImage = fitness(spec, pool, clockFactor, true, 0);
+            double fitnessWithoutImage = fitness(spec, pool, clockFactor, false, 0);
+            for (FreeCapacity machine : pool.machines) {
+                int capacity =
+                        ownShardOnly && !machine.inOwnShard
+                                        || !machine.hasFreeCapacity()
+                                        || tier >= machine.reservedForTier
+                                ? 0
+                                : machine.taskCapacity(spec)
+                                        - (tasksByHost.isEmpty()
+                                                ? 0
+                                                : tasksByHost.getOrDefault(machine.host, 0));
+                if (capacity > 0) {
+                    boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
+                    double fitness;
+                    if (urgent && machine.reachSeconds > 0) {
+                        fitness = fitness(spec, pool, clockFactor, hasImage, machine.reachSeconds);
+                    } else {
+                        fitness = hasImage ? fitnessWithImage : fitnessWithoutImage;
+                    }
+                    if (candidates == null) {
+                        candidates =
+                                candidatesByZone.computeIfAbsent(pool.zone, z -> new ArrayList<>());
+                    }
+                    candidates.add(
+                            new Tebas.CandidateMachine(machine.host, fitness, capacity, capacity));
+                }
+            }
+        }
+        return candidatesByZone;
+    }
+
+    private double clockFactor(MachinePool pool) {
+        return operatorSettings
+                .clockSpeedByMachineType()
+                .getOrDefault(pool.machineType.name(), 1.0);
+    }
+
+    private double fitness(
+            JobSpec spec,
+            MachinePool pool,
+            double clockFactor,
+            boolean hasImage,
+            double waitSeconds) {
+        return Tebas.fitness(
+                operatorSettings.parallelFraction(),
+                spec.cpus(),
+                effectiveFrequency(spec, pool, clockFactor, hasImage, waitSeconds));
+    }
+
+    /**
+     * The machine's frequency as this task gets to feel it: while its image is pulled, nothing
+     * runs. Where pulls take as long as the tasks themselves, the paper's gain of a machine is
+     * mostly a matter of who has the image.
+     */
+    private static double effectiveFrequency(
+            JobSpec spec,
+            MachinePool pool,
+            double clockFactor,
+            boolean hasImage,
+            double waitSeconds) {
+        double pullSeconds =
+                hasImage
+                        ? 0
+                        : spec.imageSizeGb()
+                                / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
+        double runSeconds =
+                spec.isService()
+                        ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS
+                        : Math.max(spec.runtimeSeconds(), 1);
+        // Where workers report seldom, which of them can be told soon matters as well to work that
+        // should start at once.
+        return clockFactor * runSeconds / (runSeconds + pullSeconds + waitSeconds);
+    }
+}
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -1,37 +1,33 @@
 package io.quincelead.scheduler;
 
-import io.quincelead.cluster.ImageCaches;
 import io.quincelead.cluster.Job;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
 import io.quincelead.config.OperatorSettings;
-import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.policy.Policy;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** Runs the TEBAS pass for one job after the other and writes where its tasks go into the plan. */
+/**
+ * Places one job after the other by TEBAS passes and writes where their tasks go into the plan.
+ * Made for one plan.
+ */
 final class Placer {
+    /** A job that is being placed; {@code anywhere}: also on machines better left to others. */
+    private record Attempt(Job job, int tier, boolean anywhere) {}
+
     private final OperatorSettings operatorSettings;
-    private final MachineTable machines;
-    private final ImageCaches imageCaches;
-    private final SchedulingPlan plan;
     private final Policy policy;
+    private final SchedulingPlan plan;
+    private final CandidateFinder candidateFinder;
+    private final ZoneOccupancy zoneOccupancy;
+    private final DrainReservations drainReservations;
     private final boolean spreadsServices;
-    private boolean lastResort;
-
-    /** Machines that may still be left to run empty. */
-    private int remainingReservations;
-
-    private int tier;
 
     /**
      * Demands that no machine had any room for: on those that suit, and as a last resort on all
@@ -42,46 +38,26 @@
     private final UnsatisfiableDemands unsatisfiableAnywhere = new UnsatisfiableDemands();
 
     Placer(OperatorSettings operatorSettings, ClusterView cluster, SchedulingPlan plan) {
-        this.policy = cluster.policy();
-        this.spreadsServices = operatorSettings.zoneRecovery().enabled();
         this.operatorSettings = operatorSettings;
-        this.machines = cluster.machines();
-        this.imageCaches = cluster.imageCaches();
+        this.policy = cluster.policy();
         this.plan = plan;
-        this.remainingReservations =
-                Math.max(
-                        SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES,
-                        (int)
-                                (plan.machines.size()
-                                        * SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION));
+        this.candidateFinder = new CandidateFinder(operatorSettings, cluster.imageCaches(), plan);
+        this.zoneOccupancy = new ZoneOccupancy(cluster.machines(), policy, plan);
+        this.drainReservations = new DrainReservations(plan);
+        this.spreadsServices = operatorSettings.zoneRecovery().enabled();
     }
 
     /**
-     * Places what fits, as a last resort also on machines that should be left to others; returns
-     * how many tasks found no place.
+     * Places what fits.
+     *
+     * @param anywhere as a last resort also on machines that should be left to others
+     * @return how many tasks of those this place in the queue is for were not placed
      */
     int place(QueueOrder.RankedJob ranked, boolean anywhere) {
         Job job = ranked.job();
-        lastResort = anywhere;
-        tier = ranked.tier();
         JobSpec spec = job.spec;
         int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
-        int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
-        if (spec.priority() == JobSpec.Priority.BEST_EFFORT && spec.isUnconstrained()) {
-            // What urgent work will need before long is left free: displacing low work costs it its
-            // run, and the store changes.
-            tasks =
-                    Math.min(
-                            tasks,
-                            Tebas.taskCapacity(
-                                    (anywhere ? plan.freeCpus(true) : plan.freeCpus())
-                                            - plan.reservedCpus,
-                                    Double.MAX_VALUE,
-                                    0,
-                                    spec.cpus(),
-                                    0,
-                                    0));
-        }
+        int tasks = permittedTasks(spec, wanted, anywhere);
         if (tasks <= 0
                 || spec.isGang() && tasks < wanted
                 || (anywhere ? unsatisfiableAnywhere : unsatisfiable).covers(spec)) {
@@ -92,13 +68,14 @@
             plan.truncated = true;
             return wanted;
         }
+        Attempt attempt = new Attempt(job, ranked.tier(), anywhere);
         Map<String, Integer> tasksByHost = new LinkedHashMap<>();
-        int unplaced = assign(job, tasks, true, tasksByHost);
+        int unplaced = assign(attempt, tasks, true, tasksByHost);
         if (unplaced > 0 && plan.leading) {
             if (spec.isGang()) {
                 tasksByHost.clear();
             }
-            unplaced = assign(job, spec.isGang() ? tasks : unplaced, false, tasksByHost);
+            unplaced = assign(attempt, spec.isGang() ? tasks : unplaced, false, tasksByHost);
         }
         if (spec.isGang() && unplaced > 0) {
             return wanted;
@@ -106,75 +83,54 @@
         return wanted - recordPlacements(job, tasksByHost);
     }
 
-    /**
-     * Leaves the machines that will soonest have room for so many tasks to run empty: on a full
-     * cluster, smaller tasks would take each part of them as it comes free, for ever. For a gang,
-     * whose tasks start together, also those that have some room now.
-     */
-    void reserveMachines(JobSpec spec, int tasks) {
-        int maxMachines =
-                spec.isGang()
-                        ? Math.max(
-                                SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES,
-                                (int)
-                                        (plan.machines.size()
-                                                * SchedulerConstants
-                                                        .GANG_DRAIN_RESERVE_MACHINES_FRACTION))
-                        : Math.min(tasks, remainingReservations);
-        if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
-            return;
-        }
-        Map<String, List<FreeCapacity>> machinesByZone = new LinkedHashMap<>();
-        for (MachinePool pool : plan.pools.values()) {
-            for (FreeCapacity machine :
-                    pool.suits(spec, tier) ? pool.machines : List.<FreeCapacity>of()) {
-                if (machine.reservedForTier == Integer.MAX_VALUE
-                        && (machine.inOwnShard || plan.leading)
-                        && (spec.isGang() || machine.taskCapacity(spec) == 0)) {
-                    machinesByZone
-                            .computeIfAbsent(
-                                    spec.zoneAffinity() ? pool.zone : "", z -> new ArrayList<>())
-                            .add(machine);
-                }
-            }
-        }
-        List<FreeCapacity> bestMachines = List.of();
-        double bestFreeCpus = -1;
-        for (List<FreeCapacity> zoneMachines : machinesByZone.values()) {
-            zoneMachines.sort(
-                    Comparator.comparingDouble((FreeCapacity machine) -> -machine.freeCpus())
-                            .thenComparing(machine -> machine.host));
-            int uncovered = tasks;
-            int count = 0;
-            double freeCpus = 0;
-            while (uncovered > 0 && count < Math.min(maxMachines, zoneMachines.size())) {
-                FreeCapacity machine = zoneMachines.get(count++);
-                freeCpus += machine.freeCpus();
-                uncovered -= spec.isGang() ? machine.pool.tasksPerEmptyMachine(spec) : 1;
-            }
-            if (freeCpus > bestFreeCpus && (uncovered <= 0 || !spec.isGang())) {
-                bestMachines = zoneMachines.subList(0, count);
-                bestFreeCpus = freeCpus;
-            }
-        }
-        for (FreeCapacity machine : bestMachines) {
-            machine.reservedForTier = tier;
-            remainingReservations--;
+    /** As many of the wanted tasks as the quota share and the reserve for urgent work let in. */
+    private int permittedTasks(JobSpec spec, int wanted, boolean anywhere) {
+        int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
+        if (spec.priority() == JobSpec.Priority.BEST_EFFORT && spec.isUnconstrained()) {
+            // What urgent work will need before long is left free: preempting best-effort work
+            // costs it its run, and the store writes.
+            double freeCpus = anywhere ? plan.freeCpus(true) : plan.freeCpus();
+            tasks =
+                    Math.min(
+                            tasks,
+                            Tebas.taskCapacity(
+                                    freeCpus - plan.reservedCpus,
+                                    Double.MAX_VALUE,
+                                    0,
+                                    spec.cpus(),
+                                    0,
+                                    0));
         }
+        return tasks;
+    }
+
+    /** Drains machines for tasks that found no room, so that smaller ones don't take it. */
+    void reserveMachines(QueueOrder.RankedJob ranked, int tasks) {
+        drainReservations.reserve(ranked.job().spec, ranked.tier(), tasks);
+    }
+
+    /** The zones where the job may have more tasks: room made elsewhere is of no use to it. */
+    Predicate<String> allowedZones(Job job) {
+        return zoneOccupancy.allowedZones(job);
     }
 
     /**
-     * Runs the pass over the block's machines (or, for the leader, all machines) within the job's
-     * zone rules.
+     * Assigns tasks to machines within the job's zone rules; adds them to {@code tasksByHost}.
+     *
+     * @param ownShardOnly false for the leader: on machines of all shards
+     * @return how many found no machine
      */
-    private int assign(Job job, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+    private int assign(
+            Attempt attempt, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
+        Job job = attempt.job;
         JobSpec spec = job.spec;
         Map<String, List<Tebas.CandidateMachine>> candidatesByZone =
-                candidatesByZone(spec, ownShardOnly, tasksByHost);
+                candidateFinder.candidatesByZone(
+                        spec, attempt.tier, attempt.anywhere, ownShardOnly, tasksByHost);
         if (candidatesByZone.isEmpty()
                 && tasksByHost.isEmpty()
                 && (!ownShardOnly || !plan.leading)) {
-            (lastResort ? unsatisfiableAnywhere : unsatisfiable).add(spec);
+            (attempt.anywhere ? unsatisfiableAnywhere : unsatisfiable).add(spec);
         }
         int maxPerZone = policy.maxTasksPerZone(job);
         if (spec.isService()
@@ -185,21 +141,36 @@
         if (!spec.zoneAffinity() && !spec.zoneSpread()) {
             List<Tebas.CandidateMachine> candidates = new ArrayList<>();
             candidatesByZone.values().forEach(candidates::addAll);
-            int unplaced = Tebas.assign(candidates, tasks, operatorSettings.tebasGroupSize());
-            candidates.forEach(candidate -> tally(tasksByHost, candidate));
-            return unplaced;
+            return assignTo(candidates, tasks, tasksByHost);
         }
-        Map<String, Integer> tasksByZone = tasksByZone(job);
-        tasksByHost.forEach(
-                (host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        return assignZoneByZone(job, tasks, candidatesByZone, tasksByHost, maxPerZone);
+    }
+
+    /** One TEBAS pass over these machines; returns how many tasks found none. */
+    private int assignTo(
+            List<Tebas.CandidateMachine> candidates, int tasks, Map<String, Integer> tasksByHost) {
+        int unplaced = Tebas.assign(candidates, tasks, operatorSettings.tebasGroupSize());
+        for (Tebas.CandidateMachine candidate : candidates) {
+            if (candidate.assigned > 0) {
+                tasksByHost.merge(candidate.host, candidate.assigned, Integer::sum);
+            }
+        }
+        return unplaced;
+    }
+
+    /** The roomiest zone first; a job with zone affinity stays in the zone that it has begun in. */
+    private int assignZoneByZone(
+            Job job,
+            int tasks,
+            Map<String, List<Tebas.CandidateMachine>> candidatesByZone,
+            Map<String, Integer> tasksByHost,
+            int maxPerZone) {
+        JobSpec spec = job.spec;
+        Map<String, Integer> tasksByZone = zoneOccupancy.tasksByZone(job, tasksByHost);
         List<String> zones = new ArrayList<>(candidatesByZone.keySet());
         zones.sort(
-                Comparator.comparingInt(
-                                (String zone) ->
-                                        -candidatesByZone.get(zone).stream()
-                                                .mapToInt(x -> x.remainingCapacity)
-                                                .sum())
-                        .thenComparing(zone -> zone));
+                Comparator.comparingInt((String zone) -> -capacityOf(candidatesByZone.get(zone)))
+                        .thenComparing(Comparator.naturalOrder()));
         int unplaced = tasks;
         for (String zone : zones) {
             if (spec.zoneAffinity() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone)) {
@@ -209,18 +180,12 @@
                     spec.zoneSpread()
                             ? Math.min(unplaced, maxPerZone - tasksByZone.getOrDefault(zone, 0))
                             : unplaced;
-            int zoneCapacity =
-                    candidatesByZone.get(zone).stream().mapToInt(x -> x.remainingCapacity).sum();
-            if (maxTasks <= 0 || spec.zoneAffinity() && spec.isGang() && zoneCapacity < unplaced) {
+            List<Tebas.CandidateMachine> candidates = candidatesByZone.get(zone);
+            boolean mustFitWhole = spec.zoneAffinity() && spec.isGang();
+            if (maxTasks <= 0 || mustFitWhole && capacityOf(candidates) < unplaced) {
                 continue;
             }
-            unplaced -=
-                    maxTasks
-                            - Tebas.assign(
-                                    candidatesByZone.get(zone),
-                                    maxTasks,
-                                    operatorSettings.tebasGroupSize());
-            candidatesByZone.get(zone).forEach(candidate -> tally(tasksByHost, candidate));
+            unplaced -= maxTasks - assignTo(candidates, maxTasks, tasksByHost);
             tasksByZone.merge(zone, 0, Integer::sum);
             if (unplaced == 0) {
                 break;
@@ -229,6 +194,14 @@
         return unplaced;
     }
 
+    private static int capacityOf(List<Tebas.CandidateMachine> candidates) {
+        int capacity = 0;
+        for (Tebas.CandidateMachine candidate : candidates) {
+            capacity += candidate.remainingCapacity;
+        }
+        return capacity;
+    }
+
     /**
      * A service's replicas go where the fewest are, one by one, within what one zone may have;
      * within a zone the pass places them.
@@ -239,15 +212,10 @@
             Map<String, List<Tebas.CandidateMachine>> candidatesByZone,
             Map<String, Integer> tasksByHost,
             int maxPerZone) {
-        Map<String, Integer> tasksByZone = tasksByZone(job);
-        tasksByHost.forEach(
-                (host, n) -> tasksByZone.merge(plan.machines.get(host).pool.zone, n, Integer::sum));
+        Map<String, Integer> tasksByZone = zoneOccupancy.tasksByZone(job, tasksByHost);
         Map<String, Integer> capacityByZone = new TreeMap<>();
         candidatesByZone.forEach(
-                (zone, candidates) ->
-                        capacityByZone.put(
-                                zone,
-                                candidates.stream().mapToInt(x -> x.remainingCapacity).sum()));
+                (zone, candidates) -> capacityByZone.put(zone, capacityOf(candidates)));
         Map<String, Integer> newTasksByZone = new TreeMap<>();
         int undistributed = tasks;
         while (undistributed > 0) {
@@ -273,156 +241,12 @@
         int unplaced = undistributed;
         for (Map.Entry<String, Integer> entry : newTasksByZone.entrySet()) {
             unplaced +=
-                    Tebas.assign(
-                            candidatesByZone.get(entry.getKey()),
-                            entry.getValue(),
-                            operatorSettings.tebasGroupSize());
-            candidatesByZone
-                    .get(entry.getKey())
-                    .forEach(candidate -> tally(tasksByHost, candidate));
+                    assignTo(candidatesByZone.get(entry.getKey()), entry.getValue(), tasksByHost);
         }
         return unplaced;
     }
 
-    /** The machines with room for a task of the job, by zone. */
-    private Map<String, List<Tebas.CandidateMachine>> candidatesByZone(
-            JobSpec spec, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
-        Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
-        for (MachinePool pool : plan.pools.values()) {
-            if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
-                continue;
-            }
-            List<Tebas.CandidateMachine> candidates = null;
-            double clockFactor =
-                    operatorSettings
-                            .clockSpeedByMachineType()
-                            .getOrDefault(pool.machineType.name(), 1.0);
-            // Where the time to reach a worker doesn't count, a kind's machines differ by the image
-            // alone.
-            boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
-            double fitnessWithImage =
-                    Tebas.fitness(
-                            operatorSettings.parallelFraction(),
-                            spec.cpus(),
-                            effectiveFrequency(spec, pool, clockFactor, true, 0));
-            double fitnessWithoutImage =
-                    Tebas.fitness(
-                            operatorSettings.parallelFraction(),
-                            spec.cpus(),
-                            effectiveFrequency(spec, pool, clockFactor, false, 0));
-            for (FreeCapacity machine : pool.machines) {
-                int capacity =
-                        ownShardOnly && !machine.inOwnShard
-                                        || !machine.hasFreeCapacity()
-                                        || tier >= machine.reservedForTier
-                                ? 0
-                                : machine.taskCapacity(spec)
-                                        - (tasksByHost.isEmpty()
-                                                ? 0
-                                                : tasksByHost.getOrDefault(machine.host, 0));
-                if (capacity > 0) {
-                    boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
-                    double fitness =
-                            !urgent || machine.reachSeconds <= 0
-                                    ? hasImage ? fitnessWithImage : fitnessWithoutImage
-                                    : Tebas.fitness(
-                                            operatorSettings.parallelFraction(),
-                                            spec.cpus(),
-                                            effectiveFrequency(
-                                                    spec,
-                                                    pool,
-                                                    clockFactor,
-                                                    hasImage,
-                                                    machine.reachSeconds));
-                    candidates =
-                            candidates == null
-                                    ? candidatesByZone.computeIfAbsent(
-                                            pool.zone, z -> new ArrayList<>())
-                                    : candidates;
-                    candidates.add(
-                            new Tebas.CandidateMachine(machine.host, fitness, capacity, capacity));
-                }
-            }
-        }
-        return candidatesByZone;
-    }
-
-    /**
-     * The machine's frequency as this task gets to feel it: while its image is fetched, nothing
-     * runs. Where fetches take as long as the tasks themselves, the paper's gain of a machine is
-     * mostly a matter of who has the image.
-     */
-    private static double effectiveFrequency(
-            JobSpec spec,
-            MachinePool pool,
-            double clockFactor,
-            boolean hasImage,
-            double waitSeconds) {
-        double fetchSeconds =
-                hasImage
-                        ? 0
-                        : spec.imageSizeGb()
-                                / Math.max(pool.machineType.imagePullGbPerSecond(), 0.01);
-        double runSeconds =
-                spec.isService()
-                        ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS
-                        : Math.max(spec.runtimeSeconds(), 1);
-        // Where workers report seldom, whose answer is still open matters as well to work that
-        // should start at once.
-        return clockFactor * runSeconds / (runSeconds + fetchSeconds + waitSeconds);
-    }
-
-    private static void tally(Map<String, Integer> tasksByHost, Tebas.CandidateMachine candidate) {
-        if (candidate.assigned > 0) {
-            tasksByHost.merge(candidate.host, candidate.assigned, Integer::sum);
-        }
-    }
-
-    /**
-     * The zones where the job may have more tasks than it has: room made elsewhere would be of no
-     * use to it.
-     */
-    Predicate<String> allowedZones(Job job) {
-        JobSpec spec = job.spec;
-        int maxPerZone = policy.maxTasksPerZone(job);
-        if (!spec.zoneAffinity() && maxPerZone >= spec.taskCount()) {
-            return zone -> true;
-        }
-        Map<String, Integer> tasksByZone = tasksByZone(job);
-        return zone ->
-                spec.zoneAffinity()
-                        ? tasksByZone.isEmpty() || tasksByZone.containsKey(zone)
-                        : tasksByZone.getOrDefault(zone, 0) < maxPerZone;
-    }
-
-    /** Where the job's tasks may be now, by zone, evidence of this round included. */
-    private Map<String, Integer> tasksByZone(Job job) {
-        Map<String, Integer> tasksByZone = new HashMap<>();
-        for (TaskStatePage page : job.pages) {
-            if (page == null) {
-                continue;
-            }
-            tally(tasksByZone, page.placements.stream().filter(p -> plan.edits.get(page) == null));
-        }
-        for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            TaskStatePage.Edit edit = plan.edits.get(job.page(pageIndex));
-            if (edit != null) {
-                // What an earlier pass of this round has placed counts too.
-                tally(tasksByZone, edit.placements().stream());
-            }
-        }
-        return tasksByZone;
-    }
-
-    private void tally(
-            Map<String, Integer> tasksByZone, java.util.stream.Stream<Placement> placements) {
-        placements
-                .map(p -> machines.get(p.host))
-                .filter(java.util.Objects::nonNull)
-                .forEach(m -> tasksByZone.merge(m.zone(), 1, Integer::sum));
-    }
-
-    /** Writes the spread into the chunks; returns how many tasks got a place. */
+    /** Writes the placements into the job's pages; returns how many tasks were placed. */
     private int recordPlacements(Job job, Map<String, Integer> tasksByHost) {
         List<String> hosts = new ArrayList<>();
         tasksByHost.forEach(
@@ -431,11 +255,11 @@
                         hosts.add(host);
                     }
                 });
-        int placed = 0;
         long lastGangAttempt = 0;
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
             lastGangAttempt = Math.max(lastGangAttempt, job.page(pageIndex).lastAttempt);
         }
+        int placed = 0;
         for (int pageIndex = 0;
                 pageIndex < job.pages.length && placed < hosts.size();
                 pageIndex++) {
@@ -447,20 +271,29 @@
                 break;
             }
             long attempt = (job.spec.isGang() ? lastGangAttempt : edit.page().lastAttempt) + 1;
-            for (int i = edit.page().firstTaskIndex();
-                    i < edit.page().firstTaskIndex() + edit.page().taskCount()
-                            && placed < hosts.size();
-                    i++) {
-                if (edit.isPlaceable(i)) {
-                    FreeCapacity machine = plan.machines.get(hosts.get(placed));
-                    edit.place(i, machine.host, attempt);
-                    plan.allocate(machine, job.spec, 1);
-                    TeamUsage.add(plan.ownUsage, job.spec, 1);
-                    TeamUsage.add(plan.totalUsage, job.spec, 1);
-                    placed++;
-                }
-            }
+            placed = placeOnPage(edit, attempt, hosts, placed);
         }
         return placed;
     }
+
+    /**
+     * Places tasks of the page on the hosts from the given one on; returns the next one's index.
+     */
+    private int placeOnPage(
+            TaskStatePage.Edit edit, long attempt, List<String> hosts, int firstHost) {
+        JobSpec spec = edit.page().job.spec;
+        int next = firstHost;
+        int endIndex = edit.page().firstTaskIndex() + edit.page().taskCount();
+        for (int i = edit.page().firstTaskIndex(); i < endIndex && next < hosts.size(); i++) {
+            if (edit.isPlaceable(i)) {
+                FreeCapacity machine = plan.machines.get(hosts.get(next));
+                edit.place(i, machine.host, attempt);
+                plan.allocate(machine, spec, 1);
+                TeamUsage.add(plan.ownUsage, spec, 1);
+                TeamUsage.add(plan.totalUsage, spec, 1);
+                next++;
+            }
+        }
+        return next;
+    }
 }
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -8,12 +8,9 @@
 import io.quincelead.cluster.TaskStatePage;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.RecordConstants;
-import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Policy;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,29 +19,34 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Stops work that the protocol lets a job displace, as little and as cheap as will do. */
+/**
+ * Makes room for a job by stopping work that it may preempt, as little of it and at as small a loss
+ * as will do. Made for one plan.
+ */
 final class Preemption {
-    /**
-     * One time for the whole round: time passes while it is planned, and a sort must see one order.
-     */
-    private final long nowMillis;
+    private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
+
+    /** Jobs for which the same running tasks are candidates, in the same order. */
+    private record CandidatesKey(
+            boolean urgent,
+            int highestPriority,
+            String guaranteedTeam,
+            List<String> machineTypes,
+            String zone,
+            boolean preemptible) {}
 
-    private final Settings settings;
     private final JobTable jobs;
     private final SchedulingPlan plan;
-    private final Policy policy;
+    private final PreemptionRules rules;
 
-    /** Whether victims should share records, for the store's changes are short. */
+    /** Whether stopped tasks should share records, for writes are short. */
     private final boolean shareRecords;
 
-    /**
-     * What could be stopped, cheapest first, for those in a hurry and for others, by whom it is
-     * for. Made when needed.
-     */
-    private final Map<List<Object>, PreemptionCandidates> candidates = new HashMap<>();
+    /** Made when needed. */
+    private final Map<CandidatesKey, PreemptionCandidates> candidates = new HashMap<>();
 
     /**
-     * Demands for which everything that may be stopped is being stopped, without and within a
+     * Demands for which everything that may be preempted is being stopped, without and within a
      * guarantee (by team).
      */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
@@ -58,70 +60,97 @@
             SchedulingPlan plan,
             boolean shareRecords,
             Policy policy) {
-        this.policy = policy;
-        this.nowMillis = loop.nowMillis();
-        this.settings = settings;
         this.jobs = jobs;
         this.plan = plan;
+        this.rules = new PreemptionRules(loop.nowMillis(), settings, plan, policy);
         this.shareRecords = shareRecords;
     }
 
     /**
-     * Returns how many tasks will find no room all the same. {@code zoneLets}: zones where the job
-     * may have more tasks.
+     * Makes room for tasks of the job that this plan did not place: first counts what is being
+     * stopped anyway, then stops more, the cheapest first.
+     *
+     * @param unplaced tasks that need room
+     * @param zoneAllowed zones where the job may have more tasks
+     * @return how many tasks will find no room all the same
      */
     int makeRoom(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
-        Job job = ranked.job();
-        JobSpec spec = job.spec;
+        JobSpec spec = ranked.job().spec;
         int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
-        boolean withinGuarantee = ranked.withinGuarantee();
-        int tier = ranked.tier();
-        if (needed <= 0 || spec.priority() == JobSpec.Priority.BEST_EFFORT && !withinGuarantee) {
+        if (needed <= 0
+                || spec.priority() == JobSpec.Priority.BEST_EFFORT && !ranked.withinGuarantee()
+                || isKnownUnsatisfiable(ranked)) {
             return needed;
         }
-        if (withinGuarantee
-                ? unsatisfiableWithinGuarantee.containsKey(spec.team())
-                        && unsatisfiableWithinGuarantee.get(spec.team()).covers(spec)
-                : unsatisfiable.covers(spec)) {
-            return needed;
+        needed = claimUpcomingCapacity(ranked, needed, zoneAllowed);
+        return needed <= 0 ? needed : stopCheapestFirst(ranked, needed, zoneAllowed);
+    }
+
+    private boolean isKnownUnsatisfiable(QueueOrder.RankedJob ranked) {
+        JobSpec spec = ranked.job().spec;
+        if (!ranked.withinGuarantee()) {
+            return unsatisfiable.covers(spec);
+        }
+        UnsatisfiableDemands ofTeam = unsatisfiableWithinGuarantee.get(spec.team());
+        return ofTeam != null && ofTeam.covers(spec);
+    }
+
+    private void rememberUnsatisfiable(QueueOrder.RankedJob ranked) {
+        JobSpec spec = ranked.job().spec;
+        // What is stopped for one within its guarantee is more than another may stop.
+        unsatisfiable.add(spec);
+        if (ranked.withinGuarantee()) {
+            unsatisfiableWithinGuarantee
+                    .computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands())
+                    .add(spec);
         }
+    }
+
+    /** Claims what tasks that are being stopped will leave; returns how many still need room. */
+    private int claimUpcomingCapacity(
+            QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
+        JobSpec spec = ranked.job().spec;
+        int tier = ranked.tier();
+        int stillNeeded = needed;
         for (MachinePool pool : plan.pools.values()) {
             if (!pool.suits(spec, tier) || !zoneAllowed.test(pool.zone)) {
                 continue;
             }
             for (FreeCapacity machine : pool.machines) {
-                int tasks = needed <= 0 ? 0 : Math.min(needed, machine.upcomingTaskCapacity(spec));
-                if (tasks > 0) {
-                    machine.allocateUpcoming(spec, tasks);
-                    needed -= tasks;
-                }
+                stillNeeded -= stillNeeded <= 0 ? 0 : claim(machine, spec, stillNeeded);
             }
         }
-        PreemptionCandidates cheapestFirst =
-                needed <= 0 ? null : candidatesFor(job, withinGuarantee);
+        return stillNeeded;
+    }
+
+    private static int claim(FreeCapacity machine, JobSpec spec, int needed) {
+        int tasks = Math.min(needed, machine.upcomingTaskCapacity(spec));
+        if (tasks > 0) {
+            machine.allocateUpcoming(spec, tasks);
+        }
+        return tasks;
+    }
+
+    /** Stops candidates until all have room; returns how many still need it. */
+    private int stopCheapestFirst(
+            QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
+        Job job = ranked.job();
+        PreemptionCandidates cheapestFirst = candidatesFor(job, ranked.withinGuarantee());
         Set<FreeCapacity> exhaustedMachines = new HashSet<>();
-        for (int i = 0; needed > 0; i++) {
+        int stillNeeded = needed;
+        for (int i = 0; stillNeeded > 0; i++) {
             PreemptionCandidates.Candidate candidate = cheapestFirst.get(i);
             if (candidate == null) {
-                // What is stopped for one within its guarantee is more than another may stop.
-                unsatisfiable.add(spec);
-                if (withinGuarantee) {
-                    unsatisfiableWithinGuarantee
-                            .computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands())
-                            .add(spec);
-                }
+                rememberUnsatisfiable(ranked);
                 break;
             }
-            Placement placement = candidate.placement();
             FreeCapacity machine = candidate.machine();
             if (exhaustedMachines.contains(machine)
-                    || !mayPreempt(job, placement, withinGuarantee)
-                    || !machine.pool.suits(spec, tier)
-                    || !zoneAllowed.test(machine.pool.zone)
-                    || !isRunning(placement)) {
+                    || !isEligible(candidate, ranked, zoneAllowed)) {
                 continue;
             }
-            List<Placement> toStop = fewestToStop(job, placement, machine, withinGuarantee);
+            List<Placement> toStop =
+                    fewestToStop(job, candidate.placement(), machine, ranked.withinGuarantee());
             if (toStop.isEmpty()) {
                 // All that may be stopped there isn't enough, whichever goes first: nothing is
                 // stopped for nothing.
@@ -134,11 +163,21 @@
             // The room this leaves may be more than the job needs.
             unsatisfiable.clear();
             unsatisfiableWithinGuarantee.clear();
-            int tasks = Math.min(needed, machine.upcomingTaskCapacity(spec));
-            machine.allocateUpcoming(spec, tasks);
-            needed -= tasks;
+            stillNeeded -= claim(machine, job.spec, stillNeeded);
         }
-        return needed;
+        return stillNeeded;
+    }
+
+    /** Candidates were chosen for all jobs alike, and some have been stopped since. */
+    private boolean isEligible(
+            PreemptionCandidates.Candidate candidate,
+            QueueOrder.RankedJob ranked,
+            Predicate<String> zoneAllowed) {
+        MachinePool pool = candidate.machine().pool;
+        return rules.mayPreempt(ranked.job(), candidate.placement(), ranked.withinGuarantee())
+                && pool.suits(ranked.job().spec, ranked.tier())
+                && zoneAllowed.test(pool.zone)
+                && isRunning(candidate.placement());
     }
 
     /**
@@ -152,15 +191,24 @@
         if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
             return chosen;
         }
+        for (Placement placement : othersCheapestFirst(job, first, machine, withinGuarantee)) {
+            chosen.add(placement);
+            if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
+                return chosen;
+            }
+        }
+        return List.of();
+    }
+
+    private List<Placement> othersCheapestFirst(
+            Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
         MachineLoad load = jobs.loadOf(machine.host);
         List<Placement> others = new ArrayList<>();
-        for (int priority = JobSpec.Priority.values().length - 1;
-                load != null && priority >= 0;
-                priority--) {
+        for (int priority = PRIORITY_COUNT - 1; load != null && priority >= 0; priority--) {
             for (Placement placement : load.stoppablePlacements(priority)) {
                 if (placement != first
-                        && mayPreempt(job, placement, withinGuarantee)
-                        && !isNearlyDone(placement)
+                        && rules.mayPreempt(job, placement, withinGuarantee)
+                        && !rules.isNearlyDone(placement)
                         && isRunning(placement)) {
                     others.add(placement);
                 }
@@ -169,18 +217,12 @@
         others.sort(
                 Comparator.comparing((Placement placement) -> placement.job.spec.priority())
                         .reversed()
-                        .thenComparingDouble(this::lostCpuSeconds)
+                        .thenComparingDouble(rules::lostCpuSeconds)
                         .thenComparing(Placement::taskName));
-        for (Placement placement : others) {
-            chosen.add(placement);
-            if (machine.upcomingTaskCapacityWith(chosen, job.spec) > 0) {
-                return chosen;
-            }
-        }
-        return List.of();
+        return others;
     }
 
-    /** Whether the task is neither stopped nor over in this plan. */
+    /** Whether the task is neither stopped nor terminated in this plan. */
     private boolean isRunning(Placement placement) {
         TaskStatePage.Edit edit =
                 plan.edits.get(
@@ -189,7 +231,7 @@
         return edit == null || edit.isRunning(placement.taskIndex);
     }
 
-    /** Stops all of them, or what the change has room for; false if that isn't all. */
+    /** Stops all of them, or what the transaction has room for; false if that isn't all. */
     private boolean stopAll(List<Placement> toStop, FreeCapacity machine) {
         for (Placement placement : toStop) {
             TaskStatePage.Edit edit = plan.edit(placement);
@@ -206,10 +248,10 @@
 
     private PreemptionCandidates candidatesFor(Job job, boolean withinGuarantee) {
         JobSpec spec = job.spec;
-        boolean urgent = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
+        boolean urgent = QueueOrder.isUrgent(spec);
         int highestPriority = spec.priority().ordinal() + (withinGuarantee ? 0 : 1);
-        List<Object> key =
-                Arrays.asList(
+        CandidatesKey key =
+                new CandidatesKey(
                         urgent,
                         highestPriority,
                         withinGuarantee ? spec.team() : null,
@@ -218,126 +260,37 @@
                         spec.preemptible());
         return candidates.computeIfAbsent(
                 key,
-                k -> {
-                    List<PreemptionCandidates.Candidate> found = new ArrayList<>();
-                    for (MachinePool pool : plan.pools.values()) {
-                        for (FreeCapacity machine :
-                                pool.matchesConstraints(spec)
-                                        ? pool.machines
-                                        : List.<FreeCapacity>of()) {
-                            MachineLoad load = jobs.loadOf(machine.host);
-                            for (int priority = highestPriority;
-                                    load != null && priority < JobSpec.Priority.values().length;
-                                    priority++) {
-                                for (Placement placement : load.stoppablePlacements(priority)) {
-                                    if (mayPreempt(job, placement, withinGuarantee)
-                                            && !isNearlyDone(placement)) {
-                                        found.add(
-                                                new PreemptionCandidates.Candidate(
-                                                        placement,
-                                                        machine,
-                                                        lostCpuSeconds(placement),
-                                                        plan.entitledTasksOfStarving.containsKey(
-                                                                placement.job),
-                                                        found.size()));
-                                    }
-                                }
-                            }
-                        }
-                    }
-                    return new PreemptionCandidates(found, urgent, shareRecords);
-                });
-    }
-
-    private boolean isNearlyDone(Placement placement) {
-        JobSpec spec = placement.job.spec;
-        double ranSeconds =
-                placement.runningSinceMillis == 0
-                        ? 0
-                        : (nowMillis - placement.runningSinceMillis) / 1000.0;
-        return spec.runtimeSeconds() > 0
-                && ranSeconds > 0
-                && spec.runtimeSeconds() - ranSeconds < SchedulerConstants.NEARLY_DONE_SECONDS
-                && ranSeconds < 2 * spec.runtimeSeconds();
+                k ->
+                        new PreemptionCandidates(
+                                findCandidates(job, highestPriority, withinGuarantee),
+                                urgent,
+                                shareRecords));
     }
 
-    private boolean mayPreempt(Job forJob, Placement placement, boolean withinGuarantee) {
-        JobSpec victim = placement.job.spec;
-        if (placement.job == forJob) {
-            return false;
-        }
-        if (policy.isInForce() && !policyAllows(forJob, placement, withinGuarantee)) {
-            return false;
-        }
-        if (plan.entitledTasksOfStarving.containsKey(placement.job)
-                && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false)
-                        >= QueueOrder.TIER_FIRST_START) {
-            // What a job would be left behind by is stopped for urgent work alone: a guarantee
-            // takes other surplus, or the two would take turns.
-            return false;
-        }
-        if (victim.priority().ordinal() > forJob.spec.priority().ordinal()) {
-            return plan.tier(placement.job)
-                    > QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false);
-        }
-        // For a guarantee the protocol lets us stop work of any urgency. We stop only work that
-        // comes after this job in the
-        // queue: more urgent work would take the room back at once, and the two would displace each
-        // other without end. For
-        // the same reason a job within its own team's guarantee is left alone, though that team
-        // runs more than that besides.
-        Settings.Team team = settings.teams().get(victim.team());
-        TeamUsage usage = TeamUsage.of(plan.totalUsage, victim.team());
-        return withinGuarantee
-                && victim.priority() == forJob.spec.priority()
-                && !plan.jobsWithinGuarantee.contains(placement.job)
-                && !victim.team().equals(forJob.spec.team())
-                && team != null
-                && (usage.cpus() - victim.cpus() >= team.guaranteedCpus()
-                        || victim.gpus() > 0
-                                && usage.gpus() - victim.gpus() >= team.guaranteedGpus());
-    }
-
-    /** Operators' records only narrow what may be stopped. */
-    private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
-        JobClass.PreemptionProtection keep =
-                policy.priorityOf(placement.job).preemptionProtection();
-        if (keep == JobClass.PreemptionProtection.NEVER
-                || keep == JobClass.PreemptionProtection.URGENT
-                        && forJob.spec.priority().ordinal() > JobSpec.Priority.HIGH.ordinal()) {
-            return false;
-        }
-        return !QueueOrder.precedes(
-                rankOf(
-                        placement.job,
-                        plan.jobsWithinGuarantee.contains(placement.job),
-                        plan.entitledTasksOfStarving.containsKey(placement.job)),
-                rankOf(forJob, withinGuarantee, false));
-    }
-
-    private QueueOrder.RankedJob rankOf(Job job, boolean withinGuarantee, boolean starving) {
-        return new QueueOrder.RankedJob(
-                job,
-                job.spec.priority().ordinal(),
-                withinGuarantee,
-                false,
-                0,
-                starving,
-                false,
-                0,
-                policy.priorityOf(job),
-                1);
-    }
-
-    /** CPU seconds of work that stopping the task would lose. */
-    private double lostCpuSeconds(Placement placement) {
-        if (placement.runningSinceMillis == 0) {
-            return 0;
+    private List<PreemptionCandidates.Candidate> findCandidates(
+            Job job, int highestPriority, boolean withinGuarantee) {
+        List<PreemptionCandidates.Candidate> found = new ArrayList<>();
+        for (MachinePool pool : plan.pools.values()) {
+            for (FreeCapacity machine : pool.machinesIf(pool.matchesConstraints(job.spec))) {
+                MachineLoad load = jobs.loadOf(machine.host);
+                for (int priority = highestPriority;
+                        load != null && priority < PRIORITY_COUNT;
+                        priority++) {
+                    for (Placement placement : load.stoppablePlacements(priority)) {
+                        if (rules.mayPreempt(job, placement, withinGuarantee)
+                                && !rules.isNearlyDone(placement)) {
+                            found.add(
+                                    new PreemptionCandidates.Candidate(
+                                            placement,
+                                            machine,
+                                            rules.lostCpuSeconds(placement),
+                                            plan.entitledTasksOfStarving.containsKey(placement.job),
+                                            found.size()));
+                        }
+                    }
+                }
+            }
         }
-        double ranSeconds = (nowMillis - placement.runningSinceMillis) / 1000.0;
-        return (placement.job.spec.checkpointIntervalSeconds() > 0
-                        ? placement.job.spec.checkpointSeconds()
-                        : ranSeconds)
-                * placement.job.spec.cpus();
+        return found;
     }
 }
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -137,7 +137,7 @@
             stillUnplaced = placer.place(ranked, true);
         }
         starvingRecords += !alreadyInPlan && plan.containsRecordOf(job) ? 1 : 0;
-        placer.reserveMachines(job.spec, stillUnplaced);
+        placer.reserveMachines(ranked, stillUnplaced);
         quotaSaving.saveFor(ranked, stillUnplaced);
         preemption.makeRoom(ranked, stillUnplaced, placer.allowedZones(job));
     }
