--- /dev/null
+++ b/src/main/java/io/quincelead/scheduler/JobExplanation.java
@@ -0,0 +1,32 @@
+package io.quincelead.scheduler;
+
+import java.time.Instant;
+import java.util.List;
+
+/**
+ * Why a job is where it is in the queue.
+ *
+ * @param ownRank its place for all its tasks
+ * @param classSource where its priority class comes from
+ * @param rankSource where its rank comes from
+ * @param tierName as operators know it
+ * @param due when it should be done
+ * @param dueSource where that time comes from
+ * @param ageSeconds since it was accepted
+ * @param entitledTasks that should have started by now
+ * @param waitsFor what it waits for; "nothing" if no task waits
+ * @param firstAhead the first places before its own
+ * @param placesAhead how many places are before its own; 0 if no task waits
+ */
+record JobExplanation(
+        QueueOrder.RankedJob ownRank,
+        String classSource,
+        String rankSource,
+        String tierName,
+        Instant due,
+        String dueSource,
+        double ageSeconds,
+        int entitledTasks,
+        String waitsFor,
+        List<QueueOrder.RankedJob> firstAhead,
+        int placesAhead) {}
--- a/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -7,13 +7,17 @@
 import java.util.PriorityQueue;
 
 /**
- * Tasks that could be stopped to make room, cheapest first. Sorted only as far as somebody looks:
+ * Tasks that could be preempted to make room, cheapest first. Sorted only as far as somebody looks:
  * few are ever needed.
  */
 final class PreemptionCandidates {
     /**
-     * A running task, the room it is in, what stopping it would lose in CPU seconds, whether its
-     * job has only just begun, late, and its place among equals.
+     * A running task that could be stopped.
+     *
+     * @param machine the machine it runs on
+     * @param lostCpuSeconds work that stopping it would lose
+     * @param starving whether its job has no more tasks started than it needs not to starve
+     * @param sequence its place among equals
      */
     record Candidate(
             Placement placement,
@@ -26,9 +30,9 @@
     private final List<Candidate> sorted = new ArrayList<>();
 
     /**
-     * {@code hurry}: the room is waited for, and a task that first saves would keep it longer than
-     * one that just ends. {@code together}: victims should share records, for the store's changes
-     * are short.
+     * @param urgent whether the room is waited for: a task that first writes a checkpoint would
+     *     keep it longer than one that just ends
+     * @param shareRecords whether those stopped should share records, for writes are short
      */
     PreemptionCandidates(List<Candidate> candidates, boolean urgent, boolean shareRecords) {
         remaining =
@@ -38,7 +42,7 @@
         remaining.addAll(candidates);
     }
 
-    /** The i-th cheapest; null if there are no more. Must be asked in order. */
+    /** The one with that index, cheapest first; null if there are no more. Ask in order. */
     Candidate get(int index) {
         if (index == sorted.size() && !remaining.isEmpty()) {
             sorted.add(remaining.poll());
@@ -55,8 +59,8 @@
     static int compare(Candidate a, Candidate b, boolean urgent, boolean shareRecords) {
         Placement first = a.placement;
         Placement second = b.placement;
-        // The little with which a late job has begun goes last: it would have to begin again, and
-        // is spread over many records.
+        // The few tasks with which a starving job has begun go last: they would have to begin
+        // again, and are spread over many records.
         int result = Boolean.compare(a.starving, b.starving);
         result =
                 result != 0
@@ -71,7 +75,7 @@
                         : second.job.spec.priority().compareTo(first.job.spec.priority());
         if (result == 0 && shareRecords && first.job != second.job) {
             // The youngest jobs' tasks have run least; those of one record are stopped by one
-            // change.
+            // write.
             result =
                     Long.compare(second.job.acceptedAtEpochMillis, first.job.acceptedAtEpochMillis);
             result =
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -1,9 +1,9 @@
 package io.quincelead.scheduler;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.SchedulerConstants;
@@ -12,15 +12,14 @@
 import io.quincelead.policy.JobClass;
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
-import io.quincelead.transport.WireFormat;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
 /**
- * Says why a job is where it is in the queue, by the same order that rounds use, over the waiting
- * jobs of all controllers.
+ * Says why a job is where it is in the queue, by the same order that scheduling cycles use, over
+ * the waiting jobs of all controllers. Changes nothing.
  */
 public final class QueueExplainer {
     private final EventLoop loop;
@@ -30,6 +29,7 @@
     private final Policy policy;
     private final QueueOrder queueOrder;
 
+    /** Registers the two operators' commands with the API. */
     public QueueExplainer(
             EventLoop loop,
             Settings settings,
@@ -61,121 +61,96 @@
     }
 
     /** The waiting jobs in their order; of each, what operators' records make of it. */
-    private void describeQueue(ObjectNode body, OperatorApi.Responder reply) {
-        ObjectNode out = WireFormat.newMap();
-        ArrayNode list = out.putArray("list");
-        int limit = body.path("most").asInt(200);
-        for (QueueOrder.RankedJob ranked : rankWaitingJobs()) {
-            if (list.size() >= limit) {
-                break;
-            }
-            JobClass jobClass = ranked.effectivePriority().jobClass();
-            list.addObject()
-                    .put("job", ranked.job().spec.jobId())
-                    .put("tier", ranked.orderingTier())
-                    .put("rank", ranked.effectivePriority().rank())
-                    .put("class", jobClass == null ? "" : jobClass.name())
-                    .put("covered", ranked.effectivePriority().isCovered());
-        }
-        reply.respondOk(out);
+    private void describeQueue(ObjectNode body, OperatorApi.Responder responder) {
+        int limit = ExplanationCodec.decodeLimit(body);
+        List<QueueOrder.RankedJob> queue = rankWaitingJobs();
+        responder.respondOk(
+                ExplanationCodec.encodeQueue(
+                        queue.subList(0, Math.max(0, Math.min(limit, queue.size())))));
     }
 
-    private void explainJob(ObjectNode body, OperatorApi.Responder reply) {
-        String jobId = body.path("job").asText();
+    private void explainJob(ObjectNode body, OperatorApi.Responder responder) {
+        String jobId = ExplanationCodec.decodeJobId(body);
         Job job = jobs.get(jobId);
         if (job == null) {
-            reply.respondError(404, "job: no unfinished job " + jobId + " is known here");
+            responder.respondError(404, "job: no unfinished job " + jobId + " is known here");
             return;
         }
+        responder.respondOk(ExplanationCodec.encodeExplanation(explain(job)));
+    }
+
+    private JobExplanation explain(Job job) {
         List<QueueOrder.RankedJob> queue = rankWaitingJobs();
         long wallMillis = loop.wallClockMillis();
         boolean withinGuarantee =
                 queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
         QueueOrder.RankedJob ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
-        EffectivePriority effectivePriority = ownRank.effectivePriority();
-        JobClass jobClass = effectivePriority.jobClass();
-        ObjectNode out =
-                WireFormat.newMap()
-                        .put("job", jobId)
-                        .put("status", job.encodeStatus().path("status").asText())
-                        .put("done", job.completedTaskCount())
-                        .put("running", job.possiblyRunningTaskCount())
-                        .put("waiting", job.waitingTaskCount());
-        out.put("class", jobClass == null ? "" : jobClass.name())
-                .put(
-                        "classFrom",
-                        jobClass == null
-                                ? "no class matches"
-                                : "generation " + policy.activeClasses().generation());
-        out.put("rank", effectivePriority.rank())
-                .put(
-                        "rankFrom",
-                        jobClass == null ? "the middle, for no class matches" : "its class");
-        out.put("tier", tierName(ownRank));
-        double ageSeconds = (wallMillis - job.acceptedAtEpochMillis) / 1000.0;
-        String dueFrom =
-                effectivePriority.isCovered()
-                                && Math.abs(
-                                                ownRank.slackSeconds()
-                                                        + job.spec.runtimeSeconds()
-                                                                * SchedulerConstants
-                                                                        .ESTIMATE_MARGIN_FACTOR
-                                                        - (effectivePriority.publicationMillis()
-                                                                        - wallMillis)
-                                                                / 1000.0)
-                                        < 1
-                        ? "the publication of "
-                                + effectivePriority.occurrence().entryName
-                                + " on "
-                                + effectivePriority.occurrence().date
-                        : job.spec.deadlineSeconds() >= 0
-                                ? "its own deadline"
-                                : "its class's objective, or twice its estimate";
-        double secondsLeft =
-                ownRank.slackSeconds()
-                        + job.spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
-        out.put("due", Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)).toString())
-                .put("dueFrom", dueFrom);
-        out.put("ageS", Math.round(ageSeconds))
-                .put("shouldBeginWithinS", effectivePriority.startWithinSeconds())
-                .put("entitledTasks", policy.requiredStartedTaskCount(job, wallMillis));
-        out.put("controller", job.controllerId);
-        out.put("waitsFor", waitingReason(job));
-        ArrayNode ahead = out.putArray("ahead");
-        int jobsAhead = 0;
-        for (QueueOrder.RankedJob ranked : queue) {
-            if (ranked.job() == job) {
-                break;
-            }
-            jobsAhead++;
-            if (ahead.size() < SchedulerConstants.MAX_EXPLAINED_AHEAD_JOBS) {
-                ahead.addObject()
-                        .put("job", ranked.job().spec.jobId())
-                        .put("tier", tierName(ranked))
-                        .put("rank", ranked.effectivePriority().rank())
-                        .put("waiting", ranked.job().waitingTaskCount());
-            }
+        double secondsLeft = secondsLeft(ownRank);
+        int position = 0;
+        while (position < queue.size() && queue.get(position).job() != job) {
+            position++;
         }
-        out.put("jobsAhead", job.waitingTaskCount() > 0 ? jobsAhead : 0);
-        reply.respondOk(out);
+        return new JobExplanation(
+                ownRank,
+                classSource(ownRank.effectivePriority().jobClass()),
+                ownRank.effectivePriority().jobClass() == null
+                        ? "the middle, for no class matches"
+                        : "its class",
+                tierName(ownRank),
+                Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)),
+                deadlineSource(ownRank, secondsLeft, wallMillis),
+                (wallMillis - job.acceptedAtEpochMillis) / 1000.0,
+                policy.requiredStartedTaskCount(job, wallMillis),
+                waitingReason(job),
+                queue.subList(0, Math.min(position, SchedulerConstants.MAX_EXPLAINED_AHEAD_JOBS)),
+                job.waitingTaskCount() > 0 ? position : 0);
     }
 
-    private static String tierName(QueueOrder.RankedJob ranked) {
+    private String classSource(JobClass jobClass) {
+        return jobClass == null
+                ? "no class matches"
+                : "generation " + policy.activeClasses().generation();
+    }
+
+    private static double secondsLeft(QueueOrder.RankedJob ranked) {
+        return ranked.slackSeconds()
+                + ranked.job().spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
+    }
+
+    private static String deadlineSource(
+            QueueOrder.RankedJob ranked, double secondsLeft, long wallMillis) {
+        EffectivePriority priority = ranked.effectivePriority();
+        if (priority.isCovered()
+                && Math.abs(secondsLeft - (priority.publicationMillis() - wallMillis) / 1000.0)
+                        < 1) {
+            return "the publication of "
+                    + priority.occurrence().entryName
+                    + " on "
+                    + priority.occurrence().date;
+        }
+        return ranked.job().spec.deadlineSeconds() >= 0
+                ? "its own deadline"
+                : "its class's objective, or twice its estimate";
+    }
+
+    /** The name by which operators know the tier of the job's place in the queue. */
+    static String tierName(QueueOrder.RankedJob ranked) {
         int tier = ranked.orderingTier();
-        String covered =
-                ranked.effectivePriority().isCovered()
-                        ? ", covered by " + ranked.effectivePriority().occurrence().entryName
-                        : "";
-        return (tier == 0
-                        ? "production"
-                        : tier == 1
-                                ? "high"
-                                : tier == QueueOrder.TIER_GUARANTEED
-                                        ? "its team's guarantee"
-                                        : tier == QueueOrder.TIER_STARVING
-                                                ? "late to begin"
-                                                : "surplus")
-                + covered;
+        String name;
+        if (tier == JobSpec.Priority.PRODUCTION.ordinal()) {
+            name = "production";
+        } else if (tier == JobSpec.Priority.HIGH.ordinal()) {
+            name = "high";
+        } else if (tier == QueueOrder.TIER_GUARANTEED) {
+            name = "its team's guarantee";
+        } else if (tier == QueueOrder.TIER_STARVING) {
+            name = "late to begin";
+        } else {
+            name = "surplus";
+        }
+        return ranked.effectivePriority().isCovered()
+                ? name + ", covered by " + ranked.effectivePriority().occurrence().entryName
+                : name;
     }
 
     private String waitingReason(Job job) {
--- a/src/main/java/io/quincelead/scheduler/Tebas.java
+++ b/src/main/java/io/quincelead/scheduler/Tebas.java
@@ -11,19 +11,19 @@
 public final class Tebas {
     private Tebas() {}
 
-    /** A machine as the pass sees it. */
-    public static final class CandidateMachine {
-        public final String host;
+    /** A machine as the pass sees it. Made and used up by one pass. */
+    static final class CandidateMachine {
+        final String host;
         final double fitness;
         final double initialCapacity;
 
         /** Tasks of the job that still fit. */
-        public int remainingCapacity;
+        int remainingCapacity;
 
         /** Tasks the pass has assigned. */
-        public int assigned;
+        int assigned;
 
-        public CandidateMachine(
+        CandidateMachine(
                 String host, double fitness, double initialCapacity, int remainingCapacity) {
             this.host = host;
             this.fitness = fitness;
@@ -35,13 +35,19 @@
     /**
      * Fitness = 1 / ((1 - alpha) + alpha / k), k being the task's CPU demand times the machine's
      * frequency.
+     *
+     * @param alpha the part of a task that runs in parallel, 0 to 1
+     * @param frequency of the machine, 1 for a usual one
      */
-    public static double fitness(double alpha, double cpus, double frequency) {
+    static double fitness(double alpha, double cpus, double frequency) {
         double k = Math.max(cpus * frequency, 1e-6);
         return 1 / ((1 - alpha) + alpha / k);
     }
 
-    /** The smaller of free CPU, memory and GPUs, each over the task's demand. */
+    /**
+     * How many tasks fit: the smallest of free CPUs, memory and GPUs, each over the task's demand.
+     * What the task doesn't demand doesn't count.
+     */
     public static int taskCapacity(
             double freeCpus,
             double freeMemoryGb,
@@ -56,8 +62,12 @@
         return (int) Math.max(0, capacity);
     }
 
-    /** Assigns up to {@code tasks} tasks; returns how many found no room. */
-    public static int assign(List<CandidateMachine> machines, int tasks, int beta) {
+    /**
+     * Assigns up to {@code tasks} tasks to the machines; returns how many found no room.
+     *
+     * @param beta machines in a group, as the paper calls it
+     */
+    static int assign(List<CandidateMachine> machines, int tasks, int beta) {
         int machineCount = machines.size();
         if (machineCount == 0 || tasks <= 0) {
             return tasks;
--- a/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
+++ b/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Demands for which a round found nothing. Room only shrinks while a round is planned, so a job
- * that asks for as much or more, and may go to no other machines, finds nothing either and need not
- * be tried. Most waiting jobs are alike.
+ * Demands for which a cycle found no room. Room only shrinks while a cycle is planned, so a job
+ * that asks for as much or more, and may go to no other machines, finds none either and need not be
+ * tried. Most waiting jobs are alike.
  */
 final class UnsatisfiableDemands {
     private final List<JobSpec> minimalDemands = new ArrayList<>();
 
-    /** Whether one that asks for no more than this has found nothing. */
+    /** Whether a demand no larger than this one has found no room. */
     boolean covers(JobSpec spec) {
         for (JobSpec known : minimalDemands) {
             if (isAtLeastAsDemanding(spec, known)) {
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Whether every machine that would do for a task of {@code b} would do for one of {@code a}.
+     * Whether every machine that would do for a task of {@code demand} would do for one of {@code
+     * reference}, and no priority helps.
      */
     static boolean isAtLeastAsDemanding(JobSpec demand, JobSpec reference) {
         boolean asksNoLess =
@@ -48,7 +49,8 @@
                                         && reference
                                                 .machineTypes()
                                                 .containsAll(demand.machineTypes()));
-        // Work without GPUs that may run anywhere doesn't see the machines whose GPUs are sought.
+        // Work without GPUs that may run anywhere isn't shown the machines whose GPUs are in
+        // demand.
         boolean seesGpus =
                 reference.gpus() > 0
                         || reference.machineTypes() != null
