--- a/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
+++ b/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One round of the leader over a cluster that is nearly full: what placing costs by machines,
+ * One queue pass of the leader over a cluster that is nearly full: what placing costs by machines,
  * waiting jobs and running tasks. The compiler's first tier alone, as controllers run it.
  */
 @State(Scope.Thread)
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -158,7 +158,9 @@
         return unplaced;
     }
 
-    /** The roomiest zone first; a job with zone affinity stays in the zone that it has begun in. */
+    /**
+     * The roomiest zone first; a job with zone affinity stays in the zone that it has started in.
+     */
     private int assignZoneByZone(
             Job job,
             int tasks,
--- a/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -59,7 +59,7 @@
     static int compare(Candidate a, Candidate b, boolean urgent, boolean shareRecords) {
         Placement first = a.placement;
         Placement second = b.placement;
-        // The few tasks with which a starving job has begun go last: they would have to begin
+        // The few tasks with which a starving job has started go last: they would have to start
         // again, and are spread over many records.
         int result = Boolean.compare(a.starving, b.starving);
         result =
--- a/src/main/java/io/quincelead/scheduler/QuotaSaving.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaSaving.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Whether the team's quota share here would do for the gang when all that ends by itself has
-     * ended; if not, saving for it only idles the team.
+     * Whether the team's quota share here would do for the gang when all that completes by itself
+     * has completed; if not, saving for it only idles the team.
      */
     private boolean couldSaveUp(Job gang, int tasks) {
         double serviceCpus = 0;
--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -72,9 +72,9 @@
     }
 
     /**
-     * A machine with a spot notice is drained of what writes checkpoints or has not begun; the rest
-     * may still finish in time. Off a cordoned machine only what writes checkpoints and has run for
-     * a while is moved, so that the machine can be returned sooner.
+     * A machine with a spot notice is drained of what writes checkpoints or has not started; the
+     * rest may still finish in time. Off a cordoned machine only what writes checkpoints and has
+     * run for a while is moved, so that the machine can be returned sooner.
      */
     void drainMachines(SchedulingPlan plan) {
         for (ShardWorker worker : workerGateway.workers()) {
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -27,7 +27,7 @@
 
 /**
  * Machines, jobs and the leader's pass over them, made of records alone: for tests and measurements
- * of one round.
+ * of one scheduling cycle.
  */
 final class ClusterFixture {
     static final String MEMBER_ID = "w";
@@ -112,29 +112,29 @@
     double quotaShareCpus = 1e9;
     private long revision;
 
-    /** Puts no end on record. */
+    /** Puts no termination on record. */
     final TerminationRecorder recordsNoTerminations =
             new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
 
                 @Override
-                public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {}
+                public void recordForQuota(SchedulingPlan plan, JobSpec spec, int tasks) {}
             };
 
-    /** Puts every end on record that is asked for. */
+    /** Puts every termination on record that is asked for. */
     final TerminationRecorder recordsAllTerminations =
             new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
 
                 @Override
-                public void recordForQuota(SchedulingPlan plan, JobSpec s, int tasks) {
-                    for (Job j : jobs.all()) {
-                        for (int k = 0; k < j.pages.length; k++) {
-                            if (j.pages[k] != null
-                                    && j.possiblyRunningTaskCount() < j.placedTaskCount()) {
-                                plan.edit(j, k);
+                public void recordForQuota(SchedulingPlan plan, JobSpec spec, int tasks) {
+                    for (Job job : jobs.all()) {
+                        for (int page = 0; page < job.pages.length; page++) {
+                            if (job.pages[page] != null
+                                    && job.possiblyRunningTaskCount() < job.placedTaskCount()) {
+                                plan.edit(job, page);
                             }
                         }
                     }
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Records the job's tasks on machines that have room for them; those that find none stay out,
-     * as if done.
+     * Records the job's tasks on machines that have room for them; those that find none are
+     * recorded as completed.
      */
     JobSpec addRunningJob(JobSpec spec, SplittableRandom random) {
         ObjectNode tasks = WireFormat.newMap().put("t", 1);
@@ -257,7 +257,7 @@
                 .toList();
     }
 
-    /** Machines of all chunks with a place. */
+    /** How many of the job's tasks the plan leaves on which machine. */
     static Map<String, Integer> tasksByMachine(SchedulingPlan plan, JobSpec spec) {
         Map<String, Integer> tasksByMachine = new LinkedHashMap<>();
         for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
@@ -271,8 +271,8 @@
     }
 
     /**
-     * So many priority classes, entries of the calendar, and windows that are open; few of them
-     * match any job.
+     * Records so many priority classes, calendar entries and open windows; few of them match any
+     * job.
      */
     void addOperatorRecords(int classes, int entries, int openWindows) {
         Transaction transaction = new Transaction();
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Victims were once sorted by a loss read from the clock at each comparison: the sort failed
-     * and ended all rounds.
+     * Candidates were once sorted by a loss read from the clock at each comparison: the sort failed
+     * and ended all scheduling cycles.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -124,6 +124,7 @@
                                 false),
                         true,
                         jobs.loadOf("i-1")));
+
         new Preemption(loop, settings, jobs, plan, false, policy)
                 .makeRoom(
                         new QueueOrder.RankedJob(
@@ -139,6 +140,7 @@
                                 1),
                         100,
                         z -> true);
+
         long stopped = 0;
         for (int pageIndex = 0; pageIndex < 3; pageIndex++) {
             for (int taskIndex = pageIndex * 200; taskIndex < pageIndex * 200 + 200; taskIndex++) {
--- a/src/test/java/io/quincelead/scheduler/QueuePassTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueuePassTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.quincelead.cluster.Job;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.Placement;
 import io.quincelead.simulation.JobFixtures;
@@ -18,34 +19,37 @@
 
 class QueuePassTest {
     /**
-     * The plain way: each job in the order of the queue filters all machines, sorts them, runs the
-     * pass over them with nothing left out, and takes the room. What the pass with kept loads and
-     * remembered failures assigns must be the same.
+     * The naive reference: each job in the order of the queue filters all machines, sorts them,
+     * runs the TEBAS pass over them with nothing left out, and takes the capacity. What the pass
+     * with cached loads and remembered failures assigns must be the same.
      */
     private static Map<String, Map<String, Integer>> assignNaively(
             ClusterFixture cluster, List<JobSpec> queue) {
         Map<String, double[]> freeByHost = new TreeMap<>();
         cluster.machineTypeByHost.forEach(
-                (host, shape) -> {
-                    double[] f = {shape.cpus(), shape.memoryGb()};
+                (host, machineType) -> {
+                    double[] free = {machineType.cpus(), machineType.memoryGb()};
                     for (Placement placement : cluster.jobs.placementsOn(host).values()) {
-                        f[0] -= placement.isTerminated() ? 0 : placement.job.spec.cpus();
-                        f[1] -= placement.isTerminated() ? 0 : placement.job.spec.memoryGb();
+                        free[0] -= placement.isTerminated() ? 0 : placement.job.spec.cpus();
+                        free[1] -= placement.isTerminated() ? 0 : placement.job.spec.memoryGb();
                     }
-                    freeByHost.put(host, f);
+                    freeByHost.put(host, free);
                 });
         Map<String, Map<String, Integer>> tasksByJob = new TreeMap<>();
         for (JobSpec spec : queue) {
             List<Tebas.CandidateMachine> candidates = new ArrayList<>();
-            for (Map.Entry<String, double[]> f : freeByHost.entrySet()) {
+            for (Map.Entry<String, double[]> entry : freeByHost.entrySet()) {
                 boolean allowed =
                         spec.machineTypes() == null
                                 || spec.machineTypes()
-                                        .contains(cluster.machineTypeByHost.get(f.getKey()).name());
+                                        .contains(
+                                                cluster.machineTypeByHost
+                                                        .get(entry.getKey())
+                                                        .name());
                 int capacity =
                         Tebas.taskCapacity(
-                                f.getValue()[0],
-                                f.getValue()[1],
+                                entry.getValue()[0],
+                                entry.getValue()[1],
                                 0,
                                 spec.cpus(),
                                 spec.memoryGb(),
@@ -56,11 +60,11 @@
                                     / (spec.runtimeSeconds()
                                             + spec.imageSizeGb()
                                                     / cluster.machineTypeByHost
-                                                            .get(f.getKey())
+                                                            .get(entry.getKey())
                                                             .imagePullGbPerSecond());
                     candidates.add(
                             new Tebas.CandidateMachine(
-                                    f.getKey(),
+                                    entry.getKey(),
                                     Tebas.fitness(0.9, spec.cpus(), effectiveFrequency),
                                     capacity,
                                     capacity));
@@ -119,91 +123,108 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (int run = 0; run < 25; run++) {
             ClusterFixture cluster = new ClusterFixture(3 + random.nextInt(60), random);
-            int id = 0;
-            for (int i = random.nextInt(40); i > 0; i--) {
-                cluster.addRunningJob(
-                        JobFixtures.array(
-                                ++id,
-                                "red",
-                                JobSpec.Priority.NORMAL,
-                                1 + random.nextInt(4),
-                                0.5 + random.nextInt(8) / 2.0,
-                                60),
-                        random);
-            }
-            // Ends that are known but not on record leave room at once.
-            cluster.jobs
-                    .all()
-                    .forEach(
-                            j ->
-                                    j.pages[0].placements.forEach(
-                                            p -> {
-                                                if (random.nextInt(6) == 0) {
-                                                    p.transitionTo(Placement.Phase.COMPLETED);
-                                                }
-                                            }));
-            List<JobSpec> waiting = new ArrayList<>();
-            for (int i = 1 + random.nextInt(60); i > 0; i--) {
-                waiting.add(
-                        cluster.addWaitingJob(
-                                JobFixtures.job(
-                                        ++id,
-                                        "red",
-                                        JobSpec.Mode.ARRAY,
-                                        JobSpec.Priority.NORMAL,
-                                        1 + random.nextInt(12),
-                                        0.5 + random.nextInt(20) / 2.0,
-                                        0,
-                                        10 + random.nextInt(50),
-                                        random.nextInt(4) == 0 ? List.of("big") : null,
-                                        null,
-                                        false,
-                                        false,
-                                        true,
-                                        0)));
-            }
+            int runningJobs = addRunningJobs(cluster, random);
+            terminateSomeTasks(cluster, random);
+            List<JobSpec> waiting = addWaitingJobs(cluster, runningJobs, random);
             SchedulingPlan plan = cluster.newPlan(10_000);
+
             cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
+
             Map<String, Map<String, Integer>> assigned = new TreeMap<>();
             waiting.forEach(s -> assigned.put(s.jobId(), ClusterFixture.tasksByMachine(plan, s)));
             assertEquals(assignNaively(cluster, cluster.inQueueOrder(waiting)), assigned);
         }
     }
 
+    private static int addRunningJobs(ClusterFixture cluster, SplittableRandom random) {
+        int id = 0;
+        for (int i = random.nextInt(40); i > 0; i--) {
+            cluster.addRunningJob(
+                    JobFixtures.array(
+                            ++id,
+                            "red",
+                            JobSpec.Priority.NORMAL,
+                            1 + random.nextInt(4),
+                            0.5 + random.nextInt(8) / 2.0,
+                            60),
+                    random);
+        }
+        return id;
+    }
+
+    /** Terminations that are known but not on record leave room at once. */
+    private static void terminateSomeTasks(ClusterFixture cluster, SplittableRandom random) {
+        for (Job job : cluster.jobs.all()) {
+            for (Placement placement : job.pages[0].placements) {
+                if (random.nextInt(6) == 0) {
+                    placement.transitionTo(Placement.Phase.COMPLETED);
+                }
+            }
+        }
+    }
+
+    private static List<JobSpec> addWaitingJobs(
+            ClusterFixture cluster, int lastId, SplittableRandom random) {
+        int id = lastId;
+        List<JobSpec> waiting = new ArrayList<>();
+        for (int i = 1 + random.nextInt(60); i > 0; i--) {
+            waiting.add(
+                    cluster.addWaitingJob(
+                            JobFixtures.job(
+                                    ++id,
+                                    "red",
+                                    JobSpec.Mode.ARRAY,
+                                    JobSpec.Priority.NORMAL,
+                                    1 + random.nextInt(12),
+                                    0.5 + random.nextInt(20) / 2.0,
+                                    0,
+                                    10 + random.nextInt(50),
+                                    random.nextInt(4) == 0 ? List.of("big") : null,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    0)));
+        }
+        return waiting;
+    }
+
     /**
-     * Rough day 14: ends known by evidence once freed allowance before they were on record. The
-     * machine then changed hands, the record entitled its new owner to start the ended tasks again,
-     * and the team ran past its limit.
+     * Scenario "rough" of seed 14: terminations known by evidence once freed quota share before
+     * they were on record. The machine then changed hands, the record entitled its new owner to
+     * start the terminated tasks again, and the team ran past its limit.
      */
     @Test
     void terminationFreesQuotaShareOnlyInTheTransactionThatRecordsIt() {
         SplittableRandom random = new SplittableRandom(1);
         ClusterFixture cluster = new ClusterFixture(6, random);
-        JobSpec ended =
+        JobSpec terminated =
                 cluster.addRunningJob(
                         JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 4, 60), random);
         JobSpec next =
                 cluster.addWaitingJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 2, 4, 60));
         cluster.quotaShareCpus = 8;
         cluster.jobs
-                .get(ended.jobId())
+                .get(terminated.jobId())
                 .pages[0]
                 .placements
                 .forEach(p -> p.transitionTo(Placement.Phase.GONE));
+
         SchedulingPlan without = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(without, null, cluster.recordsNoTerminations);
         assertEquals(Map.of(), ClusterFixture.tasksByMachine(without, next));
+
         SchedulingPlan with = cluster.newPlan(10_000);
         cluster.queuePass.placeWaitingJobs(with, null, cluster.recordsAllTerminations);
         assertEquals(
                 2,
                 ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
-        assertTrue(with.edits.containsKey(cluster.jobs.get(ended.jobId()).pages[0]));
+        assertTrue(with.edits.containsKey(cluster.jobs.get(terminated.jobId()).pages[0]));
     }
 
     /**
-     * A change that was full of jobs entering with it once placed none of them: each waited for a
-     * second change.
+     * A transaction that was full of jobs entering with it once placed none of them: each waited
+     * for a second one.
      */
     @Test
     void jobsEnteringWithAFullTransactionArePlacedByIt() {
