--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -72,7 +72,7 @@
     }
 
     /**
-     * A machine with a spot notice is drained of what writes checkpoints or has not started; the
+     * A machine with a reclaim notice is drained of what writes checkpoints or has not started; the
      * rest may still finish in time. Off a cordoned machine only what writes checkpoints and has
      * run for a while is moved, so that the machine can be returned sooner.
      */
