--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -21,8 +21,11 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
+import io.quincelead.scheduler.ClusterView;
+import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
+import io.quincelead.scheduler.StoreAccess;
 import io.quincelead.store.GroupCommitter;
 import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreClient;
@@ -54,6 +57,7 @@
     private final ClusterMembership clusterMembership;
     private final SchedulingCycle schedulingCycle;
     private final OperatorApi operatorApi;
+    private final Autoscaler autoscaler;
 
     public Controller(
             EventLoop loop,
@@ -98,31 +102,19 @@
                 new Leader(
                         loop,
                         settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        policy);
-        peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
-        schedulingCycle =
-                new SchedulingCycle(
+                        new Leader.StoreAccess(store, watchCache, membershipLease),
+                        new Leader.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog),
+                        policy,
+                        this::hasOpenProvisioningRequests);
+        peerMessenger =
+                new PeerMessenger(
                         loop,
                         settings,
-                        operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
                         clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        constrainedDemand,
-                        policy,
-                        this::flushWorkerResponses);
+                        transport,
+                        leader::onMisroutedWorker,
+                        this::localWorkers);
         workerGateway =
                 new WorkerGateway(
                         loop,
@@ -145,7 +137,7 @@
 
                             @Override
                             public void requestCycle() {
-                                schedulingCycle.requestCycle();
+                                Controller.this.schedulingCycle.requestCycle();
                             }
 
                             @Override
@@ -155,11 +147,25 @@
 
                             @Override
                             public boolean isCyclePending() {
-                                return schedulingCycle.isCyclePending();
+                                return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
-        schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
-        peerMessenger.setWorkerGateway(workerGateway);
+        schedulingCycle =
+                new SchedulingCycle(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        new StoreAccess(membershipLease, watchCache, store),
+                        new ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                imageCaches,
+                                constrainedDemand,
+                                policy),
+                        new Collaborators(workerGateway, leader, peerMessenger),
+                        this::flushWorkerResponses);
         ZoneRecoveryController.MachineVisibility machineVisibility =
                 new ZoneRecoveryController.MachineVisibility() {
                     @Override
@@ -204,7 +210,7 @@
                             leader,
                             machineVisibility);
         }
-        Autoscaler autoscaler =
+        autoscaler =
                 new Autoscaler(
                         loop,
                         settings,
@@ -226,7 +232,6 @@
                         zoneRecoveryController == null
                                 ? Map::of
                                 : zoneRecoveryController::rebalanceDemand);
-        leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
@@ -313,6 +318,16 @@
         workerGateway.dispatchPendingCommands();
     }
 
+    /** Asked by the peer messenger, whose first status is due after the gateway is made. */
+    private Iterable<ShardWorker> localWorkers() {
+        return workerGateway.workers();
+    }
+
+    /** Asked by the leader, whose cycles begin after the autoscaler is made. */
+    private boolean hasOpenProvisioningRequests() {
+        return autoscaler.hasOpenProvisioningRequests();
+    }
+
     /** Whether a machine, as its owner says, has not come up yet; null when that isn't known. */
     private Boolean isBooting(String owner, String host) {
         if (!settings.memberId().equals(owner)) {
