--- a/src/main/java/io/quincelead/api/UserApi.java
+++ b/src/main/java/io/quincelead/api/UserApi.java
@@ -520,7 +520,9 @@
         Transaction transaction =
                 new Transaction()
                         .requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()))
-                        .put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
+                        .put(
+                                job.storeKey(),
+                                job.encode(job.controllerId(), loop.wallClockMillis()));
         committer.submit(
                 transaction,
                 Math.max(0, deadlineMillis - loop.nowMillis()),
@@ -594,8 +596,8 @@
                                     && job.pages.length <= store.maxTransactionOperations() - 2;
             boolean ours =
                     terminated
-                            && (job.controllerId.equals(settings.memberId())
-                                    || shards.member(job.controllerId) == null
+                            && (job.controllerId().equals(settings.memberId())
+                                    || shards.member(job.controllerId()) == null
                                             && settings.memberId().equals(shards.leaderId()));
             if (ours && completing.add(job.spec.jobId())) {
                 recordCompletion(job);
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -234,7 +234,8 @@
                 for (Placement placement : page.placements) {
                     if (!placement.isTerminated()) {
                         usedCpus += spec.cpus();
-                        double elapsedSeconds = (nowMillis - placement.recordSeenAtMillis) / 1000.0;
+                        double elapsedSeconds =
+                                (nowMillis - placement.recordSeenAtMillis()) / 1000.0;
                         double remainingSeconds =
                                 spec.isService()
                                         ? 1e6
@@ -248,7 +249,7 @@
             if (job.isCancelled()
                     || job.pendingTaskCount() == 0
                     || !spec.isUnconstrained()
-                    || nowMillis < job.notBeforeMillis) {
+                    || nowMillis < job.notBeforeMillis()) {
                 continue;
             }
             double teamCpuLimit =
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -258,7 +258,7 @@
             double remainingSeconds =
                     Math.max(
                             spec.runtimeSeconds()
-                                    - (nowMillis - placement.recordSeenAtMillis) / 1000.0,
+                                    - (nowMillis - placement.recordSeenAtMillis()) / 1000.0,
                             spec.runtimeSeconds() * 0.2);
             latestEndSeconds =
                     Math.max(
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -135,7 +135,7 @@
         for (Job job : jobs.all()) {
             if (!job.isCancelled()
                     && job.pendingTaskCount() > 0
-                    && nowMillis >= job.notBeforeMillis) {
+                    && nowMillis >= job.notBeforeMillis()) {
                 pendingJobs.add(queueOrder.rank(job, true, eventLoop.wallClockMillis()));
             }
         }
--- a/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -53,7 +53,7 @@
         // When this process starts, old jobs appear all at once: they say nothing of the rate.
         if (spec.gpus() == 0
                 && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
-                && loop.wallClockMillis() - job.acceptedAtEpochMillis
+                && loop.wallClockMillis() - job.acceptedAtEpochMillis()
                         < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
             decay();
             decayedUrgentCpus += spec.taskCount() * spec.cpus();
--- a/src/main/java/io/quincelead/cluster/Job.java
+++ b/src/main/java/io/quincelead/cluster/Job.java
@@ -19,14 +19,9 @@
 
     private final String storeKey;
 
-    /** The controller that schedules its tasks. */
-    public String controllerId;
-
-    /** Wall-clock time at which it was accepted. */
-    public long acceptedAtEpochMillis;
-
-    /** Wall-clock time at which its cancellation was recorded; 0: not cancelled. */
-    public long cancelledAtEpochMillis;
+    private String controllerId;
+    private long acceptedAtEpochMillis;
+    private long cancelledAtEpochMillis;
 
     /** The states of its tasks; null where a page has no record yet. Not to be changed. */
     public final TaskStatePage[] pages;
@@ -49,20 +44,10 @@
     /** Likewise: those that have terminated without completing. */
     private int unrecordedGone;
 
-    /** Observed: failures of its tasks in a row. */
-    public int consecutiveFailures;
-
-    /** Observed: machines on which a task of it has failed. */
-    public final Set<String> failedHosts = new HashSet<>(2);
-
-    /** Event-loop time before which no task of it is to be started, after failures; 0: none. */
-    public long notBeforeMillis;
-
-    /**
-     * Observed: how often a task of it has completed or run well; tells faulty machines from faulty
-     * jobs.
-     */
-    public int successCount;
+    private int consecutiveFailures;
+    private final Set<String> failedHosts = new HashSet<>(2);
+    private long notBeforeMillis;
+    private int successCount;
 
     Job(JobSpec spec) {
         this.spec = spec;
@@ -89,6 +74,21 @@
         return storeKey;
     }
 
+    /** The controller that schedules its tasks. */
+    public String controllerId() {
+        return controllerId;
+    }
+
+    /** Wall-clock time at which it was accepted. */
+    public long acceptedAtEpochMillis() {
+        return acceptedAtEpochMillis;
+    }
+
+    /** Wall-clock time at which its cancellation was recorded; 0: not cancelled. */
+    public long cancelledAtEpochMillis() {
+        return cancelledAtEpochMillis;
+    }
+
     /** Whether its cancellation is on record. */
     public boolean isCancelled() {
         return cancelledAtEpochMillis > 0;
@@ -213,7 +213,47 @@
                 });
     }
 
-    /** Hands over each placement on record, in the order of the tasks. */
+    /** Notes that a task of it has completed on a machine of this controller. */
+    public void recordSuccess() {
+        consecutiveFailures = 0;
+        successCount++;
+    }
+
+    /** Notes that a task of it has failed on the machine. */
+    public void recordFailure(String host) {
+        consecutiveFailures++;
+        failedHosts.add(host);
+    }
+
+    /** How often its tasks have failed in a row, as far as this process has observed. */
+    public int consecutiveFailures() {
+        return consecutiveFailures;
+    }
+
+    /** On how many machines a task of it has failed, as far as this process has observed. */
+    public int failedHostCount() {
+        return failedHosts.size();
+    }
+
+    /**
+     * How often a task of it has completed, as far as this process has observed; tells faulty
+     * machines from faulty jobs.
+     */
+    public int successCount() {
+        return successCount;
+    }
+
+    /** Has no task of it started before this event-loop time. */
+    public void postponeStarts(long untilMillis) {
+        notBeforeMillis = untilMillis;
+    }
+
+    /** Event-loop time before which no task of it is to be started; 0: at any time. */
+    public long notBeforeMillis() {
+        return notBeforeMillis;
+    }
+
+    /** Calls the action with each placement on record, in the order of the tasks. */
     void forEachPlacement(Consumer<Placement> action) {
         for (TaskStatePage page : pages) {
             if (page != null) {
--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -104,8 +104,8 @@
     }
 
     private static int compareByAge(Job left, Job right) {
-        return left.acceptedAtEpochMillis != right.acceptedAtEpochMillis
-                ? Long.compare(left.acceptedAtEpochMillis, right.acceptedAtEpochMillis)
+        return left.acceptedAtEpochMillis() != right.acceptedAtEpochMillis()
+                ? Long.compare(left.acceptedAtEpochMillis(), right.acceptedAtEpochMillis())
                 : left.spec.jobId().compareTo(right.spec.jobId());
     }
 
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -38,23 +38,12 @@
     private Phase phase = Phase.RECORDED;
     private String taskName;
 
-    /** Agent epoch of the heartbeat whose response carried the start. */
-    public long startSentAgentEpoch;
-
-    /** Serial of the heartbeat whose response carried the start. */
-    public long startSentSerial;
-
-    /** The last state that a heartbeat showed; empty: none. For display and preemption. */
-    public String reportedState = "";
-
-    /** Event-loop time at which it was first seen running; 0: not yet. */
-    public long runningSinceMillis;
-
-    /** Event-loop time of the last kill sent; 0: none. */
-    public long killSentAtMillis;
-
-    /** Event-loop time at which this process first saw the record. */
-    public long recordSeenAtMillis;
+    private long startSentAgentEpoch;
+    private long startSentSerial;
+    private String reportedState = "";
+    private long runningSinceMillis;
+    private long killSentAtMillis;
+    private long recordSeenAtMillis;
 
     /** The machine's load while this is the task's placement on record; else null. */
     MachineLoad machineLoad;
@@ -107,6 +96,60 @@
         runningSinceMillis = 0;
     }
 
+    /**
+     * Notes that the start left in the response to the heartbeat of this agent epoch and serial.
+     */
+    public void recordStartSent(long agentEpoch, long serial) {
+        transitionTo(Phase.START_SENT);
+        startSentAgentEpoch = agentEpoch;
+        startSentSerial = serial;
+    }
+
+    /** Notes the event-loop time at which the task was first seen running. */
+    public void recordRunningSince(long nowMillis) {
+        runningSinceMillis = nowMillis;
+    }
+
+    /** Notes the state in which a heartbeat shows the task. */
+    public void recordReportedState(String state) {
+        reportedState = state;
+    }
+
+    /** Notes the event-loop time at which a kill was sent. */
+    public void recordKillSent(long nowMillis) {
+        killSentAtMillis = nowMillis;
+    }
+
+    /** Agent epoch of the heartbeat whose response carried the start; 0: none has. */
+    public long startSentAgentEpoch() {
+        return startSentAgentEpoch;
+    }
+
+    /** Serial of the heartbeat whose response carried the start; 0: none has. */
+    public long startSentSerial() {
+        return startSentSerial;
+    }
+
+    /** The last state that a heartbeat showed; empty: none. */
+    public String reportedState() {
+        return reportedState;
+    }
+
+    /** Event-loop time at which it was first seen running; 0: not yet. */
+    public long runningSinceMillis() {
+        return runningSinceMillis;
+    }
+
+    /** Event-loop time of the last kill sent; 0: none. */
+    public long killSentAtMillis() {
+        return killSentAtMillis;
+    }
+
+    /** Event-loop time at which this process first saw the record. */
+    public long recordSeenAtMillis() {
+        return recordSeenAtMillis;
+    }
+
     private void invalidateLoad() {
         if (machineLoad != null) {
             machineLoad.invalidate();
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -37,9 +37,9 @@
     public enum OperatorOrder {
         /** Nothing: the zone's state decides. */
         NONE,
-        /** Its tasks are kept as running, however long it is unreachable. */
+        /** Its machines are not declared lost, however long they are silent. */
         HOLD,
-        /** Its tasks are started elsewhere as soon as evidence allows. */
+        /** Its silent machines are declared lost at once. */
         RELEASE
     }
 
--- a/src/main/java/io/quincelead/leadership/JobReassigner.java
+++ b/src/main/java/io/quincelead/leadership/JobReassigner.java
@@ -62,7 +62,7 @@
             }
             // Only after the lost controller's shard is gone: then nothing it placed can be unknown
             // here.
-            if (membership.shardOf(job.controllerId) == null) {
+            if (membership.shardOf(job.controllerId()) == null) {
                 String newOwner =
                         hasPlacements
                                 ? placedJobsOwner
@@ -80,7 +80,7 @@
     private List<Job> orphanedJobs() {
         List<Job> orphanedJobs = new ArrayList<>();
         for (Job job : jobs.all()) {
-            if (membership.member(job.controllerId) == null) {
+            if (membership.member(job.controllerId()) == null) {
                 orphanedJobs.add(job);
             }
         }
@@ -93,8 +93,8 @@
     private void addJob(Transaction transaction, Job job, String newOwner) {
         transaction
                 .requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()))
-                .requireRevision(StoreKeys.SHARD_PREFIX + job.controllerId, 0)
-                .put(job.storeKey(), job.encode(newOwner, job.cancelledAtEpochMillis));
+                .requireRevision(StoreKeys.SHARD_PREFIX + job.controllerId(), 0)
+                .put(job.storeKey(), job.encode(newOwner, job.cancelledAtEpochMillis()));
     }
 
     private void addShardRewrite(Transaction transaction, Shard shard) {
--- a/src/main/java/io/quincelead/leadership/QuotaDistributor.java
+++ b/src/main/java/io/quincelead/leadership/QuotaDistributor.java
@@ -125,9 +125,9 @@
                 continue;
             }
             JobDemand memberDemand =
-                    membership.shardOf(job.controllerId) == null
+                    membership.shardOf(job.controllerId()) == null
                             ? null
-                            : demand.byMember.get(job.controllerId);
+                            : demand.byMember.get(job.controllerId());
             if (memberDemand == null) {
                 demand.orphaned.addUsed(job.placedTaskCount(), job.spec);
                 continue;
--- a/src/main/java/io/quincelead/policy/OperatorApi.java
+++ b/src/main/java/io/quincelead/policy/OperatorApi.java
@@ -209,7 +209,7 @@
             boolean overdue =
                     !job.isCancelled()
                             && job.completedTaskCount() + job.possiblyRunningTaskCount() == 0
-                            && loop.wallClockMillis() - job.acceptedAtEpochMillis
+                            && loop.wallClockMillis() - job.acceptedAtEpochMillis()
                                     > (jobClass == null
                                                     ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
                                                     : jobClass.startWithinSeconds())
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -415,7 +415,7 @@
             ScheduledOccurrence first = null;
             for (ScheduledOccurrence occurrence : priorityOccurrences) {
                 if ((first == null || occurrence.publicationMillis < first.publicationMillis)
-                        && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                        && occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                     first = occurrence;
                 }
             }
@@ -522,7 +522,7 @@
     List<ScheduledOccurrence> occurrencesCovering(Job job) {
         List<ScheduledOccurrence> occurrencesCovering = new ArrayList<>();
         for (ScheduledOccurrence occurrence : priorityOccurrences) {
-            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                 occurrencesCovering.add(occurrence);
             }
         }
@@ -553,7 +553,7 @@
             if ((opensSoon || justOpened) && !peakCpus.isEmpty()) {
                 double usedCpus = 0;
                 for (Job job : jobs) {
-                    if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)
+                    if (occurrence.covers(job.spec, job.acceptedAtEpochMillis())
                             && !job.isCancelled()) {
                         usedCpus +=
                                 (job.possiblyRunningTaskCount() + job.waitingTaskCount())
--- a/src/main/java/io/quincelead/policy/PolicyReconciler.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -525,7 +525,7 @@
         boolean changed = false;
         double usedCpus = 0;
         for (Job job : jobs.all()) {
-            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                 usedCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
                 if (!occurrence.openJobIds.contains(job.spec.jobId())
                         && occurrence.openJobIds.size() < PolicyConstants.MAX_COVERED_OPEN_JOBS) {
--- a/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
+++ b/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
@@ -60,7 +60,7 @@
                         .put("ageS", Math.round(explanation.ageSeconds()))
                         .put("shouldBeginWithinS", priority.startWithinSeconds())
                         .put("entitledTasks", explanation.entitledTasks())
-                        .put("controller", job.controllerId)
+                        .put("controller", job.controllerId())
                         .put("waitsFor", explanation.waitsFor());
         ArrayNode ahead = response.putArray("ahead");
         for (QueueOrder.RankedJob ranked : explanation.firstAhead()) {
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -2,7 +2,7 @@
 
 import io.quincelead.cluster.Job;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.policy.Policy;
 import java.util.ArrayList;
@@ -268,7 +268,7 @@
             if (plan.unplacedTasks(job, pageIndex) == 0) {
                 continue;
             }
-            TaskStatePage.Edit edit = plan.edit(job, pageIndex);
+            TaskStatePageEdit edit = plan.edit(job, pageIndex);
             if (edit == null) {
                 break;
             }
@@ -282,7 +282,7 @@
      * Places tasks of the page on the hosts from the given one on; returns the next one's index.
      */
     private int placeOnPage(
-            TaskStatePage.Edit edit, long attempt, List<String> hosts, int firstHost) {
+            TaskStatePageEdit edit, long attempt, List<String> hosts, int firstHost) {
         JobSpec spec = edit.page().job.spec;
         int next = firstHost;
         int endIndex = edit.page().firstTaskIndex() + edit.page().taskCount();
--- a/src/main/java/io/quincelead/scheduler/PlanEncoder.java
+++ b/src/main/java/io/quincelead/scheduler/PlanEncoder.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.Job;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.policy.Policy;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
@@ -27,8 +28,8 @@
 
     void encode(SchedulingPlan plan) {
         boolean anyChange = false;
-        for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
-            TaskStatePage.Edit edit = entry.getValue();
+        for (Map.Entry<TaskStatePage, TaskStatePageEdit> entry : plan.edits.entrySet()) {
+            TaskStatePageEdit edit = entry.getValue();
             if (plan.enteringJobs.contains(edit.page().job)) {
                 encodeEnteringJob(plan, edit);
                 anyChange |= edit.isChanged();
@@ -43,7 +44,7 @@
     }
 
     /** A job that enters is new: neither it nor a final state of the same id may be on record. */
-    private void encodeEnteringJob(SchedulingPlan plan, TaskStatePage.Edit edit) {
+    private void encodeEnteringJob(SchedulingPlan plan, TaskStatePageEdit edit) {
         Job job = edit.page().job;
         String leaderId = shards.leaderId();
         boolean assignedToLeader =
@@ -57,7 +58,7 @@
                 .put(job.storeKey(), assignedToLeader ? job.encode(leaderId, 0) : edit.encode());
     }
 
-    private void encodePage(Transaction transaction, TaskStatePage.Edit edit) {
+    private void encodePage(Transaction transaction, TaskStatePageEdit edit) {
         String pageKey = edit.page().storeKey();
         transaction.put(pageKey, edit.encode());
         requireCurrent(transaction, pageKey);
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -5,7 +5,7 @@
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineLoad;
 import io.quincelead.cluster.Placement;
-import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.eventloop.EventLoop;
@@ -224,7 +224,7 @@
 
     /** Whether the task is neither stopped nor terminated in this plan. */
     private boolean isRunning(Placement placement) {
-        TaskStatePage.Edit edit =
+        TaskStatePageEdit edit =
                 plan.edits.get(
                         placement.job.page(
                                 placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
@@ -234,7 +234,7 @@
     /** Stops all of them, or what the transaction has room for; false if that isn't all. */
     private boolean stopAll(List<Placement> toStop, FreeCapacity machine) {
         for (Placement placement : toStop) {
-            TaskStatePage.Edit edit = plan.edit(placement);
+            TaskStatePageEdit edit = plan.edit(placement);
             if (edit == null) {
                 return false;
             }
--- a/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -77,7 +77,8 @@
             // The youngest jobs' tasks have run least; those of one record are stopped by one
             // write.
             result =
-                    Long.compare(second.job.acceptedAtEpochMillis, first.job.acceptedAtEpochMillis);
+                    Long.compare(
+                            second.job.acceptedAtEpochMillis(), first.job.acceptedAtEpochMillis());
             result =
                     result != 0
                             ? result
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -108,9 +108,9 @@
     boolean isNearlyDone(Placement placement) {
         JobSpec spec = placement.job.spec;
         double ranSeconds =
-                placement.runningSinceMillis == 0
+                placement.runningSinceMillis() == 0
                         ? 0
-                        : (nowMillis - placement.runningSinceMillis) / 1000.0;
+                        : (nowMillis - placement.runningSinceMillis()) / 1000.0;
         return spec.runtimeSeconds() > 0
                 && ranSeconds > 0
                 && spec.runtimeSeconds() - ranSeconds < SchedulerConstants.NEARLY_DONE_SECONDS
@@ -119,10 +119,10 @@
 
     /** CPU seconds of work that stopping the task would lose. */
     double lostCpuSeconds(Placement placement) {
-        if (placement.runningSinceMillis == 0) {
+        if (placement.runningSinceMillis() == 0) {
             return 0;
         }
-        double ranSeconds = (nowMillis - placement.runningSinceMillis) / 1000.0;
+        double ranSeconds = (nowMillis - placement.runningSinceMillis()) / 1000.0;
         return (placement.job.spec.checkpointIntervalSeconds() > 0
                         ? placement.job.spec.checkpointSeconds()
                         : ranSeconds)
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -99,7 +99,7 @@
                 tierName(ownRank),
                 Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)),
                 deadlineSource(ownRank, secondsLeft, wallMillis),
-                (wallMillis - job.acceptedAtEpochMillis) / 1000.0,
+                (wallMillis - job.acceptedAtEpochMillis()) / 1000.0,
                 policy.requiredStartedTaskCount(job, wallMillis),
                 waitingReason(job),
                 queue.subList(0, Math.min(position, SchedulerConstants.MAX_EXPLAINED_AHEAD_JOBS)),
@@ -161,10 +161,10 @@
         if (!policy.isReady()) {
             return "priority classes that can be read here";
         }
-        if (job.notBeforeMillis > loop.nowMillis()) {
+        if (job.notBeforeMillis() > loop.nowMillis()) {
             return "its pause after failures";
         }
-        if (shards.shardOf(job.controllerId) == null) {
+        if (shards.shardOf(job.controllerId()) == null) {
             return "a controller";
         }
         double usedCpus = 0;
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -116,7 +116,7 @@
 
         /** By when it should have started, in milliseconds since 1970. */
         long startDeadlineMillis() {
-            return job.acceptedAtEpochMillis
+            return job.acceptedAtEpochMillis()
                     + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
@@ -290,7 +290,7 @@
      * @param wallNowMillis milliseconds since 1970
      */
     public RankedJob rank(Job job, boolean withinGuarantee, long wallNowMillis) {
-        double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis) / 1000.0;
+        double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis()) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
         double dueSeconds =
                 job.spec.deadlineSeconds() >= 0
--- a/src/main/java/io/quincelead/scheduler/QueuePass.java
+++ b/src/main/java/io/quincelead/scheduler/QueuePass.java
@@ -137,20 +137,20 @@
             int placed = job.placedTaskCount();
             if (placed > 0) {
                 TeamUsage.add(plan.totalUsage, job.spec, job.possiblyRunningTaskCount());
-                if (job.controllerId.equals(memberId)) {
+                if (job.controllerId().equals(memberId)) {
                     TeamUsage.add(plan.ownUsage, job.spec, placed);
-                } else if (job.controllerId.equals(leaderId)) {
+                } else if (job.controllerId().equals(leaderId)) {
                     TeamUsage.add(leaderUsage, job.spec, placed);
                 }
             }
             if (job.isCancelled() || job.waitingTaskCount() == 0) {
                 continue;
             }
-            if (job.controllerId.equals(leaderId)) {
+            if (job.controllerId().equals(leaderId)) {
                 jobsAtLeader.add(job);
             }
-            if (job.controllerId.equals(memberId)
-                    && nowMillis >= job.notBeforeMillis
+            if (job.controllerId().equals(memberId)
+                    && nowMillis >= job.notBeforeMillis()
                     && !(job.spec.isGang() && job.placedTaskCount() > 0)) {
                 candidates.add(job);
             }
@@ -170,7 +170,7 @@
         long wallMillis = loop.wallClockMillis();
         for (Job job : cluster.jobs().jobsOldestFirst()) {
             if (!cluster.policy().isInForce()
-                    && wallMillis - job.acceptedAtEpochMillis
+                    && wallMillis - job.acceptedAtEpochMillis()
                             < PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
                                     * SchedulerConstants.OVERDUE_RAMP_START_FRACTION
                                     * 1000) {
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -146,7 +146,7 @@
         Job job = ranked.job();
         boolean waitedLong =
                 ranked.tier() <= QueueOrder.TIER_GUARANTEED
-                        && conditions.wallMillis - job.acceptedAtEpochMillis
+                        && conditions.wallMillis - job.acceptedAtEpochMillis()
                                 > SchedulerConstants.LONG_WAIT_SECONDS * 1000;
         if (waitedLong) {
             // Urgent work comes first anyway, but single tasks of all other work fit into what is
--- a/src/main/java/io/quincelead/scheduler/QuotaSaving.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaSaving.java
@@ -70,7 +70,7 @@
         for (Job job : jobs.all()) {
             if (job.spec.isService()
                     && job.spec.team().equals(gang.spec.team())
-                    && job.controllerId.equals(memberId)) {
+                    && job.controllerId().equals(memberId)) {
                 serviceCpus += job.placedTaskCount() * job.spec.cpus();
             }
         }
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -238,7 +238,7 @@
             boolean ownJobWaits =
                     !job.isCancelled()
                             && job.pendingTaskCount() > 0
-                            && job.controllerId.equals(memberId);
+                            && job.controllerId().equals(memberId);
             if (ownJobWaits || job.spec.isGang()) {
                 return true;
             }
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -6,6 +6,7 @@
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.store.Transaction;
@@ -26,7 +27,7 @@
     final Transaction transaction = new Transaction();
 
     /** The edits by the page that they start from, in the order they were made. */
-    final Map<TaskStatePage, TaskStatePage.Edit> edits = new LinkedHashMap<>();
+    final Map<TaskStatePage, TaskStatePageEdit> edits = new LinkedHashMap<>();
 
     /** Machines that accept tasks, by host. */
     final Map<String, FreeCapacity> machines = new LinkedHashMap<>();
@@ -169,9 +170,9 @@
      * The edit of a page, with the terminations known by evidence; null when the transaction has no
      * room for one more.
      */
-    TaskStatePage.Edit edit(Job job, int pageIndex) {
+    TaskStatePageEdit edit(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
-        TaskStatePage.Edit edit = edits.get(page);
+        TaskStatePageEdit edit = edits.get(page);
         if (edit == null) {
             if (isFull()) {
                 truncated = true;
@@ -185,7 +186,7 @@
                 } else if (placement.isTerminated()) {
                     edit.markGone(placement.taskIndex);
                 }
-                if (placement.isTerminated() && job.controllerId.equals(shard.ownerId())) {
+                if (placement.isTerminated() && job.controllerId().equals(shard.ownerId())) {
                     TeamUsage.add(ownUsage, job.spec, -1);
                 }
             }
@@ -194,7 +195,7 @@
     }
 
     /** The edit of the page that the placement is on; null as above. */
-    TaskStatePage.Edit edit(Placement placement) {
+    TaskStatePageEdit edit(Placement placement) {
         return edit(placement.job, placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
@@ -203,7 +204,7 @@
         int tasks = job.waitingTaskCount();
         for (int pageIndex = 0; !edits.isEmpty() && pageIndex < job.pages.length; pageIndex++) {
             TaskStatePage page = job.page(pageIndex);
-            TaskStatePage.Edit edit = edits.get(page);
+            TaskStatePageEdit edit = edits.get(page);
             tasks += edit == null ? 0 : edit.placeableTaskCount() - waitingTasks(page);
         }
         return tasks;
@@ -212,7 +213,7 @@
     /** The same of one page. */
     int unplacedTasks(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
-        TaskStatePage.Edit edit = edits.get(page);
+        TaskStatePageEdit edit = edits.get(page);
         return edit != null ? edit.placeableTaskCount() : waitingTasks(page);
     }
 
--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -6,6 +6,7 @@
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.worker.ShardWorker;
@@ -64,7 +65,7 @@
 
     private static void stopTask(SchedulingPlan plan, Placement placement) {
         if (!placement.stopRequested && !placement.isTerminated()) {
-            TaskStatePage.Edit edit = plan.edit(placement);
+            TaskStatePageEdit edit = plan.edit(placement);
             if (edit != null) {
                 edit.requestStop(placement.taskIndex);
             }
@@ -94,12 +95,12 @@
         JobSpec spec = placement.job.spec;
         boolean checkpoints = spec.checkpointIntervalSeconds() > 0 || spec.isService();
         if (reclaimed) {
-            return checkpoints || placement.runningSinceMillis == 0;
+            return checkpoints || placement.runningSinceMillis() == 0;
         }
         return checkpoints
                 && !spec.isGang()
-                && placement.runningSinceMillis > 0
-                && loop.nowMillis() - placement.runningSinceMillis
+                && placement.runningSinceMillis() > 0
+                && loop.nowMillis() - placement.runningSinceMillis()
                         > SchedulerConstants.MIN_RUN_BEFORE_MOVE_MILLIS;
     }
 }
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -5,6 +5,7 @@
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
@@ -45,7 +46,7 @@
      */
     boolean add(Placement placement, boolean leaderCouldUseRoom) {
         Job job = placement.job;
-        boolean ownJob = job.controllerId.equals(memberId);
+        boolean ownJob = job.controllerId().equals(memberId);
         boolean gone = placement.phase() == Placement.Phase.GONE;
         // Preempted best-effort work can wait for its next placement while writes are short; other
         // work wants it at once.
@@ -114,7 +115,7 @@
     /** The tasks of a gang complete together: if one has, all have. */
     private static void completeGang(SchedulingPlan plan, Job job) {
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            TaskStatePage.Edit edit = plan.edit(job, pageIndex);
+            TaskStatePageEdit edit = plan.edit(job, pageIndex);
             for (int i = 0; edit != null && i < edit.page().taskCount(); i++) {
                 edit.markCompleted(edit.page().firstTaskIndex() + i);
             }
@@ -129,7 +130,7 @@
             }
             Job job = ref.job;
             if (job.spec.team().equals(spec.team())
-                    && job.controllerId.equals(memberId)
+                    && job.controllerId().equals(memberId)
                     && jobs.get(job.spec.jobId()) == job) {
                 plan.edit(job, ref.pageIndex);
             }
--- a/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
+++ b/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
@@ -4,7 +4,7 @@
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.Placement;
-import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.policy.Policy;
 import java.util.Collection;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
     Map<String, Integer> tasksByZone(Job job, Map<String, Integer> assignedTasksByHost) {
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            TaskStatePage.Edit edit = plan.edits.get(job.page(pageIndex));
+            TaskStatePageEdit edit = plan.edits.get(job.page(pageIndex));
             if (edit != null) {
                 count(tasksByZone, edit.placements());
             } else if (job.pages[pageIndex] != null) {
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -109,9 +109,9 @@
                 && (Heartbeat.isNewer(
                                 worker.heartbeatAgentEpoch,
                                 worker.heartbeatSerial,
-                                placement.startSentAgentEpoch,
-                                placement.startSentSerial)
-                        || worker.agentEpoch > placement.startSentAgentEpoch);
+                                placement.startSentAgentEpoch(),
+                                placement.startSentSerial())
+                        || worker.agentEpoch > placement.startSentAgentEpoch());
     }
 
     private void reconcileTask(
@@ -137,10 +137,10 @@
         }
         if (!reported.isTerminated()) {
             placement.transitionTo(Placement.Phase.OBSERVED);
-            if (reported.status.equals("running") && placement.runningSinceMillis == 0) {
-                placement.runningSinceMillis = loop.nowMillis();
+            if (reported.status.equals("running") && placement.runningSinceMillis() == 0) {
+                placement.recordRunningSince(loop.nowMillis());
             }
-            placement.reportedState = reported.status;
+            placement.recordReportedState(reported.status);
             return;
         }
         Job job = placement.job;
@@ -149,8 +149,7 @@
                 placement.transitionTo(Placement.Phase.COMPLETED);
                 worker.consecutiveFailures = 0;
                 worker.failedJobIds.clear();
-                job.consecutiveFailures = 0;
-                job.successCount++;
+                job.recordSuccess();
                 callbacks.onTaskTerminated(placement);
             }
             case "error" -> {
@@ -171,7 +170,7 @@
                 }
             }
             case "unknown" -> {
-                job.notBeforeMillis = loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS;
+                job.postponeStarts(loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS);
                 terminate(worker, placement, "refused (unknown) by");
             }
             default -> terminate(worker, placement, "stopped (" + reported.exitReason + ") on");
@@ -196,18 +195,17 @@
     private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
-        job.consecutiveFailures++;
-        job.failedHosts.add(worker.host);
+        job.recordFailure(worker.host);
         // What others saw end well counts too: this process may be new.
-        if (job.successCount == 0
+        if (job.successCount() == 0
                 && job.completedTaskCount() == 0
-                && job.consecutiveFailures >= 2
+                && job.consecutiveFailures() >= 2
                 && worker.failedJobIds.size() == 1) {
             // Where it has failed often and on no other machine, nothing will ever show whose fault
             // it is: once, the machine goes.
             boolean failsOnlyHere =
-                    job.failedHosts.size() == 1
-                            && job.consecutiveFailures
+                    job.failedHostCount() == 1
+                            && job.consecutiveFailures()
                                     >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
             worker.consecutiveFailures =
                     failsOnlyHere
@@ -216,13 +214,13 @@
                                     worker.consecutiveFailures,
                                     WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
         }
-        if (job.consecutiveFailures >= 2) {
+        if (job.consecutiveFailures() >= 2) {
             long pauseMillis =
                     WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS
-                            << Math.min(job.consecutiveFailures - 2, 10);
-            job.notBeforeMillis =
+                            << Math.min(job.consecutiveFailures() - 2, 10);
+            job.postponeStarts(
                     loop.nowMillis()
-                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS);
+                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS));
         }
     }
 }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -52,9 +52,8 @@
                                 .put("verb", "start")
                                 .put("member", placement.taskName())
                                 .put("try", placement.attempt);
-                        placement.transitionTo(Placement.Phase.START_SENT);
-                        placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
-                        placement.startSentSerial = worker.heartbeatSerial;
+                        placement.recordStartSent(
+                                worker.heartbeatAgentEpoch, worker.heartbeatSerial);
                     }
                 }
             }
@@ -72,11 +71,11 @@
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable =
                     placement.phase() == Placement.Phase.OBSERVED
-                            && !placement.reportedState.equals("saving");
+                            && !placement.reportedState().equals("saving");
             if (!isWanted(placement)
                     && (stoppable || placement.phase() == Placement.Phase.RECORDED)
-                    && (placement.killSentAtMillis == 0
-                            || now - placement.killSentAtMillis
+                    && (placement.killSentAtMillis() == 0
+                            || now - placement.killSentAtMillis()
                                     > WorkerConstants.KILL_RETRY_MILLIS)) {
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
@@ -85,7 +84,7 @@
                             placement.taskName(),
                             placement.attempt,
                             graceSeconds(placement));
-                    placement.killSentAtMillis = now;
+                    placement.recordKillSent(now);
                 }
             }
         }
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -213,7 +213,7 @@
                         * WorkerConstants.CANCEL_RELEASE_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.job.isCancelled()
-                    && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis > limitMillis
+                    && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis() > limitMillis
                     && !placement.isTerminated()) {
                 return true;
             }
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -10,6 +10,7 @@
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.cluster.ZoneTable;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.constants.RecordConstants;
@@ -247,7 +248,7 @@
                 if (m == null
                         || placement.stopRequested
                         || placement.isTerminated()
-                        || eventLoop.nowMillis() - placement.recordSeenAtMillis
+                        || eventLoop.nowMillis() - placement.recordSeenAtMillis()
                                 < ZoneConstants.REPLICA_STEADY_AFTER_MILLIS + fetchMillis) {
                     // A replica is away already, or has its place but may not serve yet.
                     return null;
@@ -308,7 +309,7 @@
             if (hasFreeCapacity(m.job, m.toZone)) {
                 TaskStatePage page =
                         m.job.page(m.replica.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
-                TaskStatePage.Edit edit = page.edit();
+                TaskStatePageEdit edit = page.edit();
                 edit.requestStop(m.replica.taskIndex);
                 movedAtMillis = eventLoop.nowMillis();
                 LOG.info(
@@ -330,7 +331,7 @@
      * it, has room for one task of the job.
      */
     private boolean hasFreeCapacity(Job job, String zone) {
-        boolean isLeadersJob = job.controllerId.equals(shards.leaderId());
+        boolean isLeadersJob = job.controllerId().equals(shards.leaderId());
         for (MachineTable.Machine machine : machines.all()) {
             MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
             if (machine.zone().equals(zone)
@@ -339,7 +340,7 @@
                     && machineType != null
                     && MachineTypeCatalog.isAllowed(job.spec, machine.machineType())
                     && (job.spec.preemptible() || !machine.spot())
-                    && (isLeadersJob || job.controllerId.equals(shards.ownerOf(machine.host())))
+                    && (isLeadersJob || job.controllerId().equals(shards.ownerOf(machine.host())))
                     && machineVisibility.isReachable(machine.host())) {
                 MachineLoad load = jobs.loadOf(machine.host());
                 boolean fits =
--- a/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
+++ b/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
@@ -42,7 +42,7 @@
                     TaskStatePageCodec.decode(
                             job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
             for (int change = 0; change < 400; change++) {
-                TaskStatePage.Edit edit = current.edit();
+                TaskStatePageEdit edit = current.edit();
                 for (int remaining = random.nextInt(8); remaining >= 0; remaining--) {
                     int taskIndex = current.firstTaskIndex() + random.nextInt(current.taskCount());
                     switch (random.nextInt(5)) {
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -11,6 +11,7 @@
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.Settings;
 import io.quincelead.eventloop.EventLoop;
@@ -260,7 +261,7 @@
     /** How many of the job's tasks the plan leaves on which machine. */
     static Map<String, Integer> tasksByMachine(SchedulingPlan plan, JobSpec spec) {
         Map<String, Integer> tasksByMachine = new LinkedHashMap<>();
-        for (Map.Entry<TaskStatePage, TaskStatePage.Edit> entry : plan.edits.entrySet()) {
+        for (Map.Entry<TaskStatePage, TaskStatePageEdit> entry : plan.edits.entrySet()) {
             if (entry.getKey().job.spec.jobId().equals(spec.jobId())) {
                 entry.getValue()
                         .placements()
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -102,7 +102,7 @@
         putJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 100, 1, 10), null);
         SplittableRandom random = new SplittableRandom(seed);
         for (Placement placement : jobs.placementsOn("i-1").values()) {
-            placement.runningSinceMillis = 50_000 + random.nextInt(4);
+            placement.recordRunningSince(50_000 + random.nextInt(4));
         }
         SchedulingPlan plan =
                 new SchedulingPlan(
