--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -40,7 +40,7 @@
                     new MachineTypeCatalog.MachineType(
                             "big", 64, 0, 512, 60, 0.8, 3.81, 1.7, 20, List.of("a")));
 
-    private final EventLoop loop =
+    final EventLoop loop =
             new EventLoop() {
                 @Override
                 public long nowMillis() {
--- /dev/null
+++ b/src/test/java/io/quincelead/scheduler/EnteringJobsTest.java
@@ -0,0 +1,116 @@
+package io.quincelead.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.constants.StoreConstants;
+import io.quincelead.simulation.JobFixtures;
+import io.quincelead.store.Transaction;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+class EnteringJobsTest {
+    private final ClusterFixture cluster = new ClusterFixture(1, new SplittableRandom(1));
+    private final EnteringJobs entering = new EnteringJobs(cluster.loop, cluster.jobs);
+    private final List<String> outcomes = new ArrayList<>();
+
+    private static JobSpec spec(int id) {
+        return JobFixtures.array(id, "red", JobSpec.Priority.HIGH, 1, 1, 10);
+    }
+
+    private Job add(int id, long patienceMillis) {
+        Job job = new Job(spec(id), ClusterFixture.MEMBER_ID, 0);
+        entering.add(job, patienceMillis, o -> outcomes.add(job.spec.jobId() + " " + o.result()));
+        return job;
+    }
+
+    private static List<String> ids(List<EnteringJobs.EnteringJob> taken) {
+        return taken.stream().map(entry -> entry.job().spec.jobId()).toList();
+    }
+
+    @Test
+    void rejectsOnlyJobsThatWaitedLongerThanTheirPatience() {
+        add(1, -1);
+        add(2, 0);
+
+        entering.expire();
+
+        assertEquals(List.of("wk-000001 REJECTED"), outcomes);
+        assertEquals(1, entering.size());
+    }
+
+    @Test
+    void takesTheFirstJobsInTheOrderTheyCame() {
+        add(1, 10);
+        add(2, 10);
+        add(3, 10);
+
+        assertEquals(List.of("wk-000001", "wk-000002"), ids(entering.takeAtMost(2)));
+        assertEquals(1, entering.size());
+    }
+
+    @Test
+    void reportsAConflictForAJobThatWasRecordedMeanwhile() {
+        add(1, 10);
+        cluster.addWaitingJob(spec(1));
+
+        assertTrue(entering.takeAtMost(2).isEmpty());
+        assertEquals(List.of("wk-000001 CONFLICT"), outcomes);
+    }
+
+    @Test
+    void keepsJobsThatAConflictDoesNotConcernInTheirOrder() {
+        Job first = add(1, 10);
+        add(2, 10);
+        add(3, 10);
+        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(3);
+
+        entering.respond(
+                taken,
+                new Transaction.Outcome(Transaction.Result.CONFLICT, 0, Set.of(first.storeKey())));
+
+        assertEquals(List.of("wk-000001 CONFLICT"), outcomes);
+        assertEquals(List.of("wk-000002", "wk-000003"), ids(entering.takeAtMost(3)));
+    }
+
+    @Test
+    void keepsAllJobsWhenTheStoreIsThrottled() {
+        add(1, 10);
+        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(1);
+
+        entering.respond(taken, new Transaction.Outcome(Transaction.Result.THROTTLED, 0, Set.of()));
+
+        assertEquals(List.of(), outcomes);
+        assertEquals(1, entering.size());
+    }
+
+    @Test
+    void tellsAnIndeterminateOutcome() {
+        add(1, 10);
+        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(1);
+
+        entering.respond(
+                taken, new Transaction.Outcome(Transaction.Result.INDETERMINATE, 0, Set.of()));
+
+        assertEquals(List.of("wk-000001 INDETERMINATE"), outcomes);
+        assertTrue(entering.isEmpty());
+    }
+
+    @Test
+    void acceptsAJobOnceAndNoMoreThanItsBound() {
+        for (int id = 1; id <= StoreConstants.MAX_WAITING_COMMITS; id++) {
+            assertTrue(entering.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
+            add(id, 10);
+            assertFalse(entering.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
+        }
+        int next = StoreConstants.MAX_WAITING_COMMITS + 1;
+
+        assertFalse(entering.accepts(new Job(spec(next), ClusterFixture.MEMBER_ID, 0)));
+    }
+}
