--- a/src/main/java/io/quincelead/scheduler/CapacityReader.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityReader.java
@@ -1,6 +1,7 @@
 package io.quincelead.scheduler;
 
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import java.util.ArrayList;
@@ -60,12 +61,12 @@
 
     private void addMachines(
             SchedulingPlan plan, MachinePool pool, List<UsableMachine> usable, boolean urgent) {
+        JobTable jobs = cluster.jobs();
         for (UsableMachine candidate : usable) {
             String host = candidate.host;
             if (machineStatus.isAcceptingTasks(candidate.owner, host)) {
                 FreeCapacity machine =
-                        new FreeCapacity(
-                                host, pool, candidate.inOwnShard, cluster.jobs().loadOf(host));
+                        new FreeCapacity(host, pool, candidate.inOwnShard, jobs.loadOf(host));
                 machine.reachSeconds = urgent ? machineStatus.secondsToReach(host) : 0;
                 plan.addMachine(machine);
             }
--- a/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
+++ b/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
@@ -1,32 +1,36 @@
 package io.quincelead.scheduler;
 
 import io.quincelead.config.Settings;
+import io.quincelead.peer.PeerMessenger;
 import io.quincelead.worker.ShardWorker;
+import io.quincelead.worker.WorkerGateway;
 
 /** Machine status by heartbeats: our own workers' and those that other controllers report on. */
 final class ReportedMachineStatus implements MachineStatus {
-    private final Settings settings;
-    private final Collaborators collaborators;
+    private final String memberId;
+    private final double heartbeatSeconds;
+    private final WorkerGateway workerGateway;
+    private final PeerMessenger messenger;
 
     ReportedMachineStatus(Settings settings, Collaborators collaborators) {
-        this.settings = settings;
-        this.collaborators = collaborators;
+        this.memberId = settings.memberId();
+        this.heartbeatSeconds = settings.workerTimings().heartbeatSeconds();
+        this.workerGateway = collaborators.workerGateway();
+        this.messenger = collaborators.messenger();
     }
 
     @Override
     public boolean isAcceptingTasks(String owner, String host) {
-        ShardWorker worker = collaborators.workerGateway().worker(host);
-        return owner.equals(settings.memberId())
+        ShardWorker worker = workerGateway.worker(host);
+        return owner.equals(memberId)
                 ? worker != null && worker.isSchedulable()
-                : collaborators.messenger().isReportedSchedulable(owner, host);
+                : messenger.isReportedSchedulable(owner, host);
     }
 
     @Override
     public double secondsToReach(String host) {
-        ShardWorker worker = collaborators.workerGateway().worker(host);
+        ShardWorker worker = workerGateway.worker(host);
         // Another controller's machine: on average, half an interval passes until its heartbeat.
-        return worker != null
-                ? worker.startDelaySeconds()
-                : settings.workerTimings().heartbeatSeconds() / 2;
+        return worker != null ? worker.startDelaySeconds() : heartbeatSeconds / 2;
     }
 }
