--- /dev/null
+++ b/src/main/java/io/quincelead/autoscaler/ArrivingLoad.java
@@ -0,0 +1,127 @@
+package io.quincelead.autoscaler;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.config.constants.AutoscalerConstants;
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * The rate at which unconstrained work arrives, as decaying averages by priority. The averages are
+ * this process's own memory: a new leader starts them anew.
+ */
+final class ArrivingLoad {
+    private static final double[] WINDOWS_SECONDS = {
+        AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS, AutoscalerConstants.LONG_LOAD_WINDOW_SECONDS
+    };
+
+    private final Set<String> observedJobIds = new HashSet<>();
+
+    /** CPU seconds of the jobs that arrived, decaying; by window, then by priority. */
+    private final double[][] arrivedCpuSeconds =
+            new double[WINDOWS_SECONDS.length][JobSpec.Priority.values().length];
+
+    /** CPUs of the placed and pending tasks, averaged over the short window, by priority. */
+    private final double[] openCpus = new double[JobSpec.Priority.values().length];
+
+    private long observedAtMillis;
+
+    /** When the first observation was made; negative: there was none yet. */
+    private long observingSinceMillis = -1;
+
+    /** Takes in what has arrived and what is open, at this time. */
+    void observe(JobTable jobs, long nowMillis) {
+        boolean isFirstObservation = observingSinceMillis < 0;
+        if (isFirstObservation) {
+            observingSinceMillis = nowMillis;
+            observedAtMillis = nowMillis;
+        }
+        for (int window = 0; window < WINDOWS_SECONDS.length; window++) {
+            double decay =
+                    Math.exp(-(nowMillis - observedAtMillis) / 1000.0 / WINDOWS_SECONDS[window]);
+            for (int priority = 0; priority < arrivedCpuSeconds[window].length; priority++) {
+                arrivedCpuSeconds[window][priority] *= decay;
+            }
+        }
+        double openCpusDecay =
+                isFirstObservation
+                        ? 0
+                        : Math.exp(
+                                -(nowMillis - observedAtMillis)
+                                        / 1000.0
+                                        / AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS);
+        observedAtMillis = nowMillis;
+        averageOpenCpus(jobs, openCpusDecay);
+        addArrivals(jobs, isFirstObservation);
+    }
+
+    private void averageOpenCpus(JobTable jobs, double decay) {
+        for (int priority = 0; priority < openCpus.length; priority++) {
+            openCpus[priority] *= decay;
+        }
+        for (Job job : jobs.all()) {
+            if (!job.isCancelled() && job.spec.isUnconstrained()) {
+                openCpus[job.spec.priority().ordinal()] +=
+                        (1 - decay)
+                                * (job.placedTaskCount()
+                                        + AutoscalerConstants.OPEN_LOAD_WAITING_FRACTION
+                                                * job.pendingTaskCount())
+                                * job.spec.cpus();
+            }
+        }
+    }
+
+    private void addArrivals(JobTable jobs, boolean isFirstObservation) {
+        observedJobIds.removeIf(id -> jobs.get(id) == null);
+        for (Job job : jobs.all()) {
+            // What was there at the first observation says nothing of the rate at which work
+            // arrives.
+            if (observedJobIds.add(job.spec.jobId())
+                    && job.spec.isUnconstrained()
+                    && !isFirstObservation) {
+                for (double[] cpuSecondsByPriority : arrivedCpuSeconds) {
+                    cpuSecondsByPriority[job.spec.priority().ordinal()] +=
+                            job.spec.taskCount()
+                                    * job.spec.cpus()
+                                    * Math.max(1, job.spec.runtimeSeconds());
+                }
+            }
+        }
+    }
+
+    /** CPUs that work of every priority keeps busy when it goes on arriving at the present rate. */
+    double steadyStateCpus(long nowMillis) {
+        return steadyStateCpus(openCpus.length, nowMillis);
+    }
+
+    /**
+     * CPUs that work arriving at the present rate keeps busy, counting only the priorities more
+     * urgent than this one: the smaller of a long and a short average, so neither one large job nor
+     * a load that has ended counts for long; and never more than was open on average, for run time
+     * estimates may be too high throughout.
+     *
+     * @param beforePriority ordinal of the first priority that does not count
+     */
+    double steadyStateCpus(int beforePriority, long nowMillis) {
+        double lowestCpus = 0;
+        for (int priority = 0; priority < beforePriority; priority++) {
+            lowestCpus += openCpus[priority];
+        }
+        for (int window = 0; window < WINDOWS_SECONDS.length; window++) {
+            double observedSeconds =
+                    Math.max(
+                            AutoscalerConstants.MIN_LOAD_WINDOW_SECONDS,
+                            (nowMillis - observingSinceMillis) / 1000.0);
+            double effectiveWindowSeconds =
+                    WINDOWS_SECONDS[window]
+                            * (1 - Math.exp(-observedSeconds / WINDOWS_SECONDS[window]));
+            double cpuSeconds = 0;
+            for (int priority = 0; priority < beforePriority; priority++) {
+                cpuSeconds += arrivedCpuSeconds[window][priority];
+            }
+            lowestCpus = Math.min(lowestCpus, cpuSeconds / effectiveWindowSeconds);
+        }
+        return lowestCpus;
+    }
+}
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -164,7 +164,7 @@
         provisioningRequests.openRequests().forEach(provisioningRequests::submit);
         inventory.readInstancesIfDue();
         List<MachineTable.Machine> readyMachines = new ArrayList<>();
-        DemandForecast.Capacity capacity = measureCapacity(readyMachines);
+        CapacityForecast capacity = measureCapacity(readyMachines);
         double bootSeconds =
                 catalog.all().stream()
                                         .mapToDouble(MachineTypeCatalog.MachineType::bootSeconds)
@@ -172,7 +172,7 @@
                                         .orElse(0)
                                 * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR
                         + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
-        DemandForecast.CpuDemand demand =
+        CpuDemand demand =
                 demandForecast
                         .estimate(jobs, capacity, eventLoop.wallClockMillis())
                         .withBookedCpus(
@@ -193,9 +193,9 @@
     }
 
     /** Counts what is up and what is on its way. */
-    private DemandForecast.Capacity measureCapacity(List<MachineTable.Machine> readyMachines) {
+    private CapacityForecast measureCapacity(List<MachineTable.Machine> readyMachines) {
         Set<String> presentHosts = new HashSet<>();
-        DemandForecast.Capacity capacity = new DemandForecast.Capacity();
+        CapacityForecast capacity = new CapacityForecast();
         for (ProvisioningRequests.ProvisioningRequest request :
                 provisioningRequests.openRequests()) {
             MachineTypeCatalog.MachineType machineType = catalog.get(request.machineType());
--- /dev/null
+++ b/src/main/java/io/quincelead/autoscaler/CpuDemand.java
@@ -0,0 +1,53 @@
+package io.quincelead.autoscaler;
+
+import io.quincelead.config.constants.AutoscalerConstants;
+
+/**
+ * How many CPUs the unconstrained work needs.
+ *
+ * @param steadyStateCpus CPUs that work arriving at the present rate keeps busy, with a margin
+ * @param shortfallCpus CPUs that are missing for work that would otherwise miss its deadline
+ * @param usedCpus CPUs that placed tasks use now
+ * @param deadlineCpus CPUs that all placed and queued work needs to end by its deadlines
+ * @param pendingCpus CPUs that the pending tasks ask for, as far as their teams' limits allow them
+ * @param bookedCpus CPUs that calendar windows will need beyond what is there
+ */
+record CpuDemand(
+        double steadyStateCpus,
+        double shortfallCpus,
+        double usedCpus,
+        double deadlineCpus,
+        double pendingCpus,
+        double bookedCpus) {
+
+    /** The same demand with another number of CPUs that calendar windows will need. */
+    CpuDemand withBookedCpus(double cpus) {
+        return new CpuDemand(
+                steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
+    }
+
+    /**
+     * The CPUs up to which costly (not spot) machines are kept: what is in use, with a reserve, or
+     * what the deadlines need.
+     *
+     * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
+     */
+    double costlyCpusToKeep(double reserveFraction) {
+        double reserveCpus =
+                reserveFraction
+                        * Math.min(
+                                usedCpus,
+                                Math.sqrt(usedCpus * AutoscalerConstants.LINEAR_RESERVE_MAX_CPUS));
+        return Math.max(usedCpus + reserveCpus, deadlineCpus) + bookedCpus;
+    }
+
+    /**
+     * The CPUs up to which spot machines are kept: as for costly ones, and for the steady-state
+     * load too.
+     *
+     * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
+     */
+    double spotCpusToKeep(double reserveFraction) {
+        return Math.max(steadyStateCpus, costlyCpusToKeep(reserveFraction));
+    }
+}
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -167,8 +167,8 @@
     /** Closes and returns machines beyond the need. */
     void returnExcess(
             List<MachineTable.Machine> readyMachines,
-            DemandForecast.CpuDemand demand,
-            DemandForecast.Capacity capacity,
+            CpuDemand demand,
+            CapacityForecast capacity,
             Predicate<InstanceOffering> shouldYieldToStarvedWork) {
         ReturnBatch returnBatch = new ReturnBatch();
         returnIdleMachines(
@@ -191,7 +191,10 @@
         return machineType.pricePerHour(machine.spot()) / machineType.cpus();
     }
 
-    /** Whether constrained work, of which {@link Demand} knows nothing, has use for the machine. */
+    /**
+     * Whether constrained work, of which {@link DemandForecast} knows nothing, has use for the
+     * machine.
+     */
     private boolean isWantedByConstrainedWork(MachineTable.Machine machine) {
         return constrainedDemand.isInDemand(
                 catalog.get(machine.machineType()), machine.zone(), machine.spot());
@@ -201,8 +204,8 @@
             ReturnBatch returnBatch,
             long nowMillis,
             List<MachineTable.Machine> readyMachines,
-            DemandForecast.CpuDemand demand,
-            DemandForecast.Capacity capacity,
+            CpuDemand demand,
+            CapacityForecast capacity,
             Predicate<InstanceOffering> shouldYieldToStarvedWork) {
         double spareCostlyCpus =
                 capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
@@ -275,8 +278,8 @@
     private void cordonExcess(
             ReturnBatch returnBatch,
             List<MachineTable.Machine> readyMachines,
-            DemandForecast.CpuDemand demand,
-            DemandForecast.Capacity capacity) {
+            CpuDemand demand,
+            CapacityForecast capacity) {
         double spareCpus =
                 capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
         // Those that run empty soonest come first: a closed machine is paid for until its last task
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -118,11 +118,10 @@
     }
 
     /**
-     * How many of which to rent. Ordinary work is sized by {@link Demand}; work that only some
-     * machines may run is planned task by task.
+     * How many of which to rent. Ordinary work is sized by {@link DemandForecast}; work that only
+     * some machines may run is planned task by task.
      */
-    Map<InstanceOffering, Integer> planScaleOut(
-            DemandForecast.CpuDemand demand, DemandForecast.Capacity capacity) {
+    Map<InstanceOffering, Integer> planScaleOut(CpuDemand demand, CapacityForecast capacity) {
         long nowMillis = eventLoop.nowMillis();
         Map<String, double[]> plannedUseByTeam = new HashMap<>();
         for (Job job : jobs.all()) {
@@ -168,8 +167,8 @@
      * else be late.
      */
     private void planUnconstrained(
-            DemandForecast.CpuDemand demand,
-            DemandForecast.Capacity capacity,
+            CpuDemand demand,
+            CapacityForecast capacity,
             double strandedCpus,
             Map<InstanceOffering, Integer> purchases) {
         double spotTargetCpus =
--- /dev/null
+++ b/src/main/java/io/quincelead/autoscaler/WorkByDeadline.java
@@ -0,0 +1,66 @@
+package io.quincelead.autoscaler;
+
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.config.constants.AutoscalerConstants;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * CPU seconds of work, by the second from now by which it must be done and by priority. Running
+ * work counts as the most urgent.
+ */
+final class WorkByDeadline {
+    private final TreeMap<Integer, double[]> cpuSecondsByDeadline = new TreeMap<>();
+
+    /** What the deadlines ask for: CPUs to meet them all, and CPUs that are missing for it. */
+    record Requirement(double deadlineCpus, double shortfallCpus) {}
+
+    /** Adds work that must be done in {@code dueInSeconds}; {@code priority} is an ordinal. */
+    void add(double dueInSeconds, double cpuSeconds, int priority) {
+        cpuSecondsByDeadline
+                        .computeIfAbsent(
+                                (int) dueInSeconds,
+                                second -> new double[JobSpec.Priority.values().length])[priority] +=
+                cpuSeconds;
+    }
+
+    /**
+     * Compares the work due by each deadline with the CPU time that the capacity offers until then
+     * (a demand bound test).
+     *
+     * @param steadyCpusBefore CPUs that arriving work more urgent than each priority keeps busy
+     */
+    Requirement compareWith(CapacityForecast capacity, double[] steadyCpusBefore) {
+        double dueCpuSeconds = 0;
+        double shortfallCpus = 0;
+        double deadlineCpus = 0;
+        for (Map.Entry<Integer, double[]> deadline : cpuSecondsByDeadline.entrySet()) {
+            // A machine rented now can't help what is due at once; that work counts as due when it
+            // could.
+            double horizonSeconds =
+                    Math.max(deadline.getKey(), AutoscalerConstants.SOONEST_HELP_SECONDS);
+            double availableCpuSeconds = capacity.cpuSecondsWithin(horizonSeconds);
+            for (int priority = 0; priority < steadyCpusBefore.length; priority++) {
+                if (deadline.getValue()[priority] <= 0) {
+                    continue;
+                }
+                dueCpuSeconds += deadline.getValue()[priority];
+                deadlineCpus = Math.max(deadlineCpus, dueCpuSeconds / horizonSeconds);
+                // Until then, more urgent work will arrive and go first.
+                double missingCpuSeconds =
+                        dueCpuSeconds
+                                + steadyCpusBefore[priority] * horizonSeconds
+                                - availableCpuSeconds;
+                if (missingCpuSeconds > 0) {
+                    shortfallCpus =
+                            Math.max(
+                                    shortfallCpus,
+                                    missingCpuSeconds
+                                            / (horizonSeconds
+                                                    - AutoscalerConstants.TYPICAL_BOOT_SECONDS));
+                }
+            }
+        }
+        return new Requirement(deadlineCpus, shortfallCpus);
+    }
+}
