--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -2,9 +2,12 @@
 
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
+import io.quincelead.autoscaler.ClusterView;
+import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
@@ -37,6 +40,7 @@
 import io.quincelead.zone.ZoneOperatorApi;
 import io.quincelead.zone.ZoneRecoveryController;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -207,25 +211,19 @@
         Autoscaler autoscaler =
                 new Autoscaler(
                         loop,
+                        transport,
                         settings,
                         operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        leader,
-                        transport,
-                        this::isBooting,
-                        this::recordTaskTermination,
-                        constrainedDemand,
-                        policy,
-                        zones,
-                        zoneRecoveryController == null
-                                ? Map::of
-                                : zoneRecoveryController::rebalanceDemand);
+                        new ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                zones,
+                                constrainedDemand,
+                                policy),
+                        new LeaderStore(leader, membershipLease, store, watchCache),
+                        autoscalerCallbacks(zoneRecoveryController));
         leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
@@ -302,6 +300,26 @@
         watchCache.start();
     }
 
+    /** {@code zoneRecovery} is null when zone recovery is turned off. */
+    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+        return new Autoscaler.Callbacks() {
+            @Override
+            public Boolean isBooting(String ownerId, String host) {
+                return Controller.this.isBooting(ownerId, host);
+            }
+
+            @Override
+            public void onTaskTerminated(Placement placement) {
+                recordTaskTermination(placement);
+            }
+
+            @Override
+            public Map<String, List<JobSpec>> rebalanceDemand() {
+                return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
+            }
+        };
+    }
+
     private void recordTaskTermination(Placement placement) {
         schedulingCycle.onTaskTerminated(placement);
         if (placement.job.isCompleteByEvidence()) {
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -1,226 +1,206 @@
 package io.quincelead.autoscaler;
 
-import io.quincelead.cluster.ClusterMembership;
-import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.MachineTypeCatalog.MachineType;
 import io.quincelead.cluster.Placement;
-import io.quincelead.cluster.ZoneTable;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.leadership.Leader;
-import io.quincelead.policy.Policy;
 import io.quincelead.scheduler.QueueOrder;
-import io.quincelead.store.MembershipLease;
-import io.quincelead.store.StoreClient;
-import io.quincelead.store.WatchCache;
 import io.quincelead.transport.Transport;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's part with the cloud: reads the catalog, rents ahead of need, returns what is idle,
- * faulty, silent or unexpected.
+ * The leader's dealings with the cloud: rents machines ahead of demand, and returns those that are
+ * idle, failed or unexpected. Every controller has one; only the leader's acts.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
+
+    /** A boot is counted as over after this many times its nominal time when nobody reports it. */
+    private static final double ASSUMED_BOOT_FACTOR = 1.2;
+
     private final EventLoop eventLoop;
-    private final ClusterMembership shards;
-    private final JobTable jobs;
-    private final MachineTable machines;
-    private final MachineTypeCatalog catalog;
-    private final Leader leader;
-    private final BootStatus bootStatus;
-    private final Policy policy;
+    private final ClusterView cluster;
+    private final LeaderStore leaderStore;
+    private final Callbacks callbacks;
     private final DemandForecast demandForecast;
     private final SingleFlightCommitter committer;
     private final ProvisioningRequests provisioningRequests;
     private final ScaleOutPlanner scaleOutPlanner;
+    private final IdleMachines idleMachines;
     private final ScaleInController scaleInController;
+    private final MachineTypeReader machineTypeReader;
     private final InstanceInventory inventory;
 
-    /**
-     * What a machine's owner says of it: whether it has not come up yet; null when that isn't
-     * known.
-     */
-    @FunctionalInterface
-    public interface BootStatus {
+    /** What the autoscaler asks of, and tells, the rest of the controller. */
+    public interface Callbacks {
+        /**
+         * Whether a machine is still booting, as the controller says that owns its shard; null when
+         * that isn't known.
+         *
+         * @param ownerId the owner's member id; null when no shard holds the machine
+         */
         Boolean isBooting(String ownerId, String host);
+
+        /** A task has terminated, for its machine was released. */
+        void onTaskTerminated(Placement placement);
+
+        /** Replicas that would move to a zone if it had free capacity, by zone; never null. */
+        Map<String, List<JobSpec>> rebalanceDemand();
     }
 
+    /** Starts the scaling passes; nothing is done in them until this controller leads. */
     public Autoscaler(
             EventLoop eventLoop,
+            Transport transport,
             Settings settings,
             OperatorSettings operatorSettings,
-            MembershipLease membershipLease,
-            WatchCache watchCache,
-            StoreClient store,
-            ClusterMembership shards,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog catalog,
-            Leader leader,
-            Transport transport,
-            BootStatus bootStatus,
-            Consumer<Placement> onTaskTerminated,
-            ConstrainedDemand constrainedDemand,
-            Policy policy,
-            ZoneTable zoneTable,
-            Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
-        this.policy = policy;
+            ClusterView cluster,
+            LeaderStore leaderStore,
+            Callbacks callbacks) {
         this.eventLoop = eventLoop;
-        this.shards = shards;
-        this.jobs = jobs;
-        this.machines = machines;
-        this.catalog = catalog;
-        this.leader = leader;
-        this.bootStatus = bootStatus;
+        this.cluster = cluster;
+        this.leaderStore = leaderStore;
+        this.callbacks = callbacks;
         CloudClient cloudClient = new CloudClient(eventLoop, transport, settings);
-        QueueOrder queueOrder = new QueueOrder(settings, policy);
+        QueueOrder queueOrder = new QueueOrder(settings, cluster.policy());
         this.demandForecast = new DemandForecast(eventLoop, queueOrder, settings);
-        this.committer = new SingleFlightCommitter(store, watchCache, leader);
+        this.committer = new SingleFlightCommitter(leaderStore);
         this.provisioningRequests =
-                new ProvisioningRequests(
-                        eventLoop,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        shards,
-                        machines,
-                        leader,
-                        cloudClient,
-                        committer);
+                new ProvisioningRequests(eventLoop, cluster, leaderStore, cloudClient, committer);
         this.scaleOutPlanner =
                 new ScaleOutPlanner(
                         eventLoop,
                         settings,
                         operatorSettings,
-                        jobs,
-                        machines,
-                        catalog,
+                        cluster,
                         queueOrder,
                         provisioningRequests,
-                        constrainedDemand,
-                        zoneTable,
-                        policy,
-                        rebalanceDemand);
+                        callbacks::rebalanceDemand);
+        this.idleMachines = new IdleMachines(eventLoop, cluster.jobs());
+        MachineReleaser releaser =
+                new MachineReleaser(
+                        eventLoop,
+                        cluster,
+                        leaderStore,
+                        cloudClient,
+                        committer,
+                        callbacks::onTaskTerminated,
+                        idleMachines::forget);
         this.scaleInController =
                 new ScaleInController(
                         eventLoop,
                         operatorSettings,
-                        watchCache,
-                        store,
-                        shards,
-                        jobs,
-                        machines,
-                        catalog,
-                        leader,
-                        cloudClient,
+                        cluster,
+                        leaderStore,
                         committer,
-                        onTaskTerminated,
-                        constrainedDemand);
+                        releaser,
+                        idleMachines);
+        this.machineTypeReader =
+                new MachineTypeReader(
+                        eventLoop, cluster.catalog(), leaderStore, cloudClient, committer);
         this.inventory =
                 new InstanceInventory(
                         eventLoop,
                         settings,
-                        watchCache,
-                        store,
-                        machines,
-                        catalog,
-                        leader,
+                        cluster,
+                        leaderStore,
                         cloudClient,
                         committer,
-                        scaleInController);
+                        releaser);
         eventLoop.runEvery(AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS, this::runScalingPass);
     }
 
-    /** Whether a rental's outcome isn't on record yet. */
+    /** Whether there is a provisioning request whose outcome isn't on record yet. */
     public boolean hasOpenProvisioningRequests() {
         return !provisioningRequests.openRequests().isEmpty();
     }
 
     private void runScalingPass() {
-        if (!leader.isLeading()) {
-            scaleInController.onNotLeading();
+        if (!leaderStore.leader().isLeading()) {
+            idleMachines.clear();
             inventory.onNotLeading();
             return;
         }
-        inventory.readCatalogIfDue();
-        if (!catalog.isLoaded()) {
+        machineTypeReader.readIfDue();
+        if (!cluster.catalog().isLoaded()) {
             return;
         }
-        demandForecast.observe(jobs);
+        demandForecast.observe(cluster.jobs());
         provisioningRequests.openRequests().forEach(provisioningRequests::submit);
-        inventory.readInstancesIfDue();
+        inventory.readIfDue();
         List<MachineTable.Machine> readyMachines = new ArrayList<>();
-        CapacityForecast capacity = measureCapacity(readyMachines);
-        double bootSeconds =
-                catalog.all().stream()
-                                        .mapToDouble(MachineTypeCatalog.MachineType::bootSeconds)
-                                        .max()
-                                        .orElse(0)
-                                * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR
-                        + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
-        CpuDemand demand =
-                demandForecast
-                        .estimate(jobs, capacity, eventLoop.wallClockMillis())
-                        .withBookedCpus(
-                                policy.forecastCpus(
-                                        jobs.all(), eventLoop.wallClockMillis(), bootSeconds));
+        CapacityForecast capacity = forecastCapacity(readyMachines);
+        CpuDemand demand = estimateDemand(capacity);
         if (!committer.isBusy()) {
             scaleInController.returnExcess(
                     readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
         }
-        if (!committer.isBusy() && !leader.hasUnregisteredMachines()) {
+        // While machines on no record report here, nothing is rented: they may be what is missing.
+        if (!committer.isBusy() && !leaderStore.leader().hasUnregisteredMachines()) {
             Map<InstanceOffering, Integer> purchases =
                     scaleOutPlanner.planScaleOut(demand, capacity);
             if (!purchases.isEmpty()) {
-                LOG.debug("need {} with {} CPUs up or coming", demand, capacity.totalCpus());
+                LOG.debug("{} with {} CPUs up or coming", demand, capacity.totalCpus());
                 provisioningRequests.provision(purchases);
             }
         }
     }
 
-    /** Counts what is up and what is on its way. */
-    private CapacityForecast measureCapacity(List<MachineTable.Machine> readyMachines) {
+    private CpuDemand estimateDemand(CapacityForecast capacity) {
+        double provisioningSeconds =
+                cluster.catalog().all().stream()
+                                        .mapToDouble(MachineType::bootSeconds)
+                                        .max()
+                                        .orElse(0)
+                                * AutoscalerConstants.USUAL_BOOT_MAX_FACTOR
+                        + AutoscalerConstants.CALENDAR_PROVISIONING_SLACK_SECONDS;
+        long wallClockMillis = eventLoop.wallClockMillis();
+        return demandForecast
+                .estimate(cluster.jobs(), capacity, wallClockMillis)
+                .withBookedCpus(
+                        cluster.policy()
+                                .forecastCpus(
+                                        cluster.jobs().all(),
+                                        wallClockMillis,
+                                        provisioningSeconds));
+    }
+
+    /**
+     * Counts the machines that are up, that boot, and that are requested.
+     *
+     * @param readyMachines gets the machines that are up, cordoned ones too
+     */
+    private CapacityForecast forecastCapacity(List<MachineTable.Machine> readyMachines) {
         Set<String> presentHosts = new HashSet<>();
         CapacityForecast capacity = new CapacityForecast();
-        for (ProvisioningRequests.ProvisioningRequest request :
-                provisioningRequests.openRequests()) {
-            MachineTypeCatalog.MachineType machineType = catalog.get(request.machineType());
+        for (ProvisioningRequest request : provisioningRequests.openRequests()) {
+            MachineType machineType = cluster.catalog().get(request.machineType());
             if (machineType != null) {
                 capacity.add(
                         request.machineCount() * machineType.cpus(),
                         machineType.bootSeconds() + machineType.bootSeconds() / 4);
             }
         }
-        for (MachineTable.Machine machine : machines.all()) {
-            MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
+        for (MachineTable.Machine machine : cluster.machines().all()) {
+            MachineType machineType = cluster.catalog().get(machine.machineType());
             presentHosts.add(machine.host());
             if (machine.releasing() || machineType == null) {
                 continue;
             }
-            double ageSeconds =
-                    (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
-            Boolean reportedBooting =
-                    bootStatus.isBooting(shards.ownerOf(machine.host()), machine.host());
-            if (reportedBooting != null
-                    ? reportedBooting
-                    : ageSeconds < machineType.bootSeconds() * 1.2) {
-                capacity.add(
-                        machineType.cpus(),
-                        Math.max(5, machineType.bootSeconds() * 1.2 - ageSeconds));
+            double bootRemainingSeconds =
+                    machineType.bootSeconds() * ASSUMED_BOOT_FACTOR - rentedSeconds(machine);
+            if (isBooting(machine, machineType)) {
+                capacity.add(machineType.cpus(), Math.max(5, bootRemainingSeconds));
                 continue;
             }
             if (!machine.cordoned()) {
@@ -228,7 +208,19 @@
             }
             readyMachines.add(machine);
         }
-        scaleInController.trackIdleMachines(readyMachines, presentHosts);
+        idleMachines.observe(readyMachines, presentHosts);
         return capacity;
     }
+
+    private boolean isBooting(MachineTable.Machine machine, MachineType machineType) {
+        Boolean reportedBooting =
+                callbacks.isBooting(cluster.membership().ownerOf(machine.host()), machine.host());
+        return reportedBooting != null
+                ? reportedBooting
+                : rentedSeconds(machine) < machineType.bootSeconds() * ASSUMED_BOOT_FACTOR;
+    }
+
+    private double rentedSeconds(MachineTable.Machine machine) {
+        return (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+    }
 }
--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -1,6 +1,7 @@
 package io.quincelead.autoscaler;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.MachineTypeCatalog.MachineType;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
@@ -8,13 +9,18 @@
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayDeque;
+import java.util.List;
+import java.util.function.Consumer;
 
-/** The cloud's protocol, within its limit of calls a second. */
+/**
+ * The client of the cloud's protocol, within its limit of requests per second. Urgent calls (the
+ * catalog and releases) overtake those that wait.
+ */
 final class CloudClient {
     private final EventLoop eventLoop;
     private final Transport transport;
     private final String cloudAddress;
-    private final RateLimiter rateBudget;
+    private final RateLimiter rateLimiter;
     private final ArrayDeque<Runnable> pendingCalls = new ArrayDeque<>();
     private boolean isSendScheduled;
 
@@ -22,13 +28,13 @@
         this.eventLoop = eventLoop;
         this.transport = transport;
         this.cloudAddress = settings.cloudAddress();
-        this.rateBudget =
+        this.rateLimiter =
                 new RateLimiter(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
     }
 
-    /** status 0 also stands for a 200 whose body can't be read. */
+    /** {@code body} is null when there is none that can be read; never with status 200. */
     @FunctionalInterface
-    interface ResponseHandler {
+    private interface ResponseHandler {
         void onResponse(int status, ObjectNode body);
     }
 
@@ -37,12 +43,68 @@
         return pendingCalls.size() > 2;
     }
 
-    void call(
-            String method,
-            String path,
-            ObjectNode body,
-            boolean isUrgent,
-            ResponseHandler responseHandler) {
+    /** Reads the catalog; exactly one of the two is run. */
+    void readCatalog(Consumer<List<MachineType>> onCatalog, Runnable onFailure) {
+        call(
+                "GET",
+                "/catalog",
+                null,
+                true,
+                (status, body) -> {
+                    if (status == 200 && CloudCodec.isCatalog(body)) {
+                        onCatalog.accept(CloudCodec.decodeCatalog(body));
+                    } else {
+                        onFailure.run();
+                    }
+                });
+    }
+
+    /**
+     * Reads a page of the list of machines.
+     *
+     * @param afterHost the last host of the page before; null for the first page
+     * @param onPage not run when the call fails
+     */
+    void listInstances(String afterHost, Consumer<InstancePage> onPage) {
+        call(
+                "GET",
+                "/rentals?limit=500" + (afterHost == null ? "" : "&after=" + afterHost),
+                null,
+                false,
+                (status, body) -> {
+                    if (status == 200) {
+                        onPage.accept(CloudCodec.decodeInstances(body));
+                    }
+                });
+    }
+
+    /** Submits a provisioning request; the same name may be submitted any number of times. */
+    void provision(ProvisioningRequest request, Consumer<ProvisioningResult> onResult) {
+        call(
+                "POST",
+                "/rentals",
+                CloudCodec.encodeRequest(request),
+                false,
+                (status, body) -> onResult.accept(CloudCodec.decodeResult(status, body)));
+    }
+
+    /**
+     * Releases machines.
+     *
+     * @param onAnswer gets true when the cloud has confirmed that all of them are gone; false says
+     *     nothing
+     */
+    void release(List<String> hosts, Consumer<Boolean> onAnswer) {
+        call(
+                "POST",
+                "/rentals/release",
+                CloudCodec.encodeRelease(hosts),
+                true,
+                (status, body) -> onAnswer.accept(status == 200));
+    }
+
+    private void call(
+            String method, String path, ObjectNode body, boolean isUrgent, ResponseHandler onBody) {
         Runnable sendCall =
                 () ->
                         transport.call(
@@ -52,20 +114,8 @@
                                 WireFormat.CBOR,
                                 body == null ? null : WireFormat.CBOR.encode(body),
                                 AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS,
-                                (status, responseBytes) -> {
-                                    ObjectNode responseBody =
-                                            WireFormat.CBOR.decodeMap(responseBytes);
-                                    if (status == 429) {
-                                        rateBudget.drain();
-                                    }
-                                    boolean isUnreadable =
-                                            status == 200
-                                                    && responseBody == null
-                                                    && !path.endsWith("/release");
-                                    responseHandler.onResponse(
-                                            isUnreadable ? Transport.NO_RESPONSE : status,
-                                            responseBody);
-                                });
+                                (status, responseBytes) ->
+                                        handleResponse(path, status, responseBytes, onBody));
         if (isUrgent) {
             pendingCalls.addFirst(sendCall);
         } else {
@@ -74,14 +124,25 @@
         sendPending();
     }
 
+    private void handleResponse(
+            String path, int status, byte[] responseBytes, ResponseHandler onBody) {
+        ObjectNode body = WireFormat.CBOR.decodeMap(responseBytes);
+        if (status == 429) {
+            rateLimiter.drain();
+        }
+        // The answer to a release has no body.
+        boolean isUnreadable = status == 200 && body == null && !path.endsWith("/release");
+        onBody.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, body);
+    }
+
     private void sendPending() {
         while (!isSendScheduled && !pendingCalls.isEmpty()) {
-            if (rateBudget.tryTake(1)) {
+            if (rateLimiter.tryTake(1)) {
                 pendingCalls.pollFirst().run();
             } else {
                 isSendScheduled = true;
                 eventLoop.runAfter(
-                        Math.max(1, rateBudget.millisUntilAvailable(1)),
+                        Math.max(1, rateLimiter.millisUntilAvailable(1)),
                         () -> {
                             isSendScheduled = false;
                             sendPending();
--- a/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -1,226 +1,145 @@
 package io.quincelead.autoscaler;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.leadership.Leader;
-import io.quincelead.store.StoreClient;
-import io.quincelead.store.StoreKeys;
-import io.quincelead.store.Transaction;
-import io.quincelead.store.WatchCache;
-import java.util.ArrayList;
-import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What the cloud says without being asked for anything: its machine types with their prices, and
- * its list of machines.
+ * Reads the cloud's list of machines at intervals: registers machines that no record knows, returns
+ * failed ones, and records the addresses of new ones. The list lags: absence from it means nothing.
  */
 final class InstanceInventory {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceInventory.class);
+
     private final EventLoop eventLoop;
     private final Settings settings;
-    private final WatchCache watchCache;
-    private final StoreClient store;
-    private final MachineTable machines;
-    private final MachineTypeCatalog catalog;
-    private final Leader leader;
+    private final ClusterView cluster;
+    private final LeaderStore leaderStore;
     private final CloudClient cloudClient;
     private final SingleFlightCommitter committer;
-    private final ScaleInController scaleInController;
-    private boolean isCatalogReadInFlight;
-    private long catalogReadAtMillis = Long.MIN_VALUE / 2;
-    private long instancesReadAtMillis = Long.MIN_VALUE / 2;
+    private final MachineReleaser releaser;
+    private long readAtMillis = Long.MIN_VALUE / 2;
     private long notLeadingAtMillis;
 
     InstanceInventory(
             EventLoop eventLoop,
             Settings settings,
-            WatchCache watchCache,
-            StoreClient store,
-            MachineTable machines,
-            MachineTypeCatalog catalog,
-            Leader leader,
+            ClusterView cluster,
+            LeaderStore leaderStore,
             CloudClient cloudClient,
             SingleFlightCommitter committer,
-            ScaleInController scaleInController) {
+            MachineReleaser releaser) {
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.watchCache = watchCache;
-        this.store = store;
-        this.machines = machines;
-        this.catalog = catalog;
-        this.leader = leader;
+        this.cluster = cluster;
+        this.leaderStore = leaderStore;
         this.cloudClient = cloudClient;
         this.committer = committer;
-        this.scaleInController = scaleInController;
+        this.releaser = releaser;
     }
 
-    /** Another controller leads. */
+    /** This controller doesn't lead at present; called in each scaling pass. */
     void onNotLeading() {
         notLeadingAtMillis = eventLoop.nowMillis();
     }
 
-    void readCatalogIfDue() {
-        if (!isCatalogReadInFlight
-                && eventLoop.nowMillis() - catalogReadAtMillis
-                        > (catalog.isLoaded()
-                                ? AutoscalerConstants.CATALOG_INTERVAL_MILLIS
-                                : AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS)) {
-            readCatalog();
-        }
-    }
-
-    void readInstancesIfDue() {
-        if (eventLoop.nowMillis() - instancesReadAtMillis
-                        > AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
+    /** Reads the whole list unless that was done lately or other calls wait. */
+    void readIfDue() {
+        if (eventLoop.nowMillis() - readAtMillis > AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
                 && !cloudClient.isBacklogged()) {
-            instancesReadAtMillis = eventLoop.nowMillis();
-            readInstances(null);
+            readAtMillis = eventLoop.nowMillis();
+            readPage(null);
         }
     }
 
-    private void readCatalog() {
-        isCatalogReadInFlight = true;
-        cloudClient.call(
-                "GET",
-                "/catalog",
-                null,
-                true,
-                (status, response) -> {
-                    isCatalogReadInFlight = false;
-                    if (status != 200 || !response.path("shapes").isArray()) {
-                        return;
-                    }
-                    catalogReadAtMillis = eventLoop.nowMillis();
-                    Transaction transaction = leader.newTransaction();
-                    List<MachineTypeCatalog.MachineType> machineTypes = new ArrayList<>();
-                    for (JsonNode node : response.path("shapes")) {
-                        MachineTypeCatalog.MachineType machineType =
-                                MachineTypeCatalog.MachineType.decode(node);
-                        if (machineType.name().isEmpty()
-                                || machineType.cpus() <= 0
-                                || machineType.memoryGb() <= 0
-                                || machineType.zones().isEmpty()) {
-                            LOG.info("a machine type of the catalog can't be read: {}", node);
-                            continue;
-                        }
-                        machineTypes.add(machineType);
-                        if (watchCache.modRevision(
-                                                StoreKeys.MACHINE_TYPE_PREFIX + machineType.name())
-                                        == 0
-                                && transaction.fits(1, 0, store.maxTransactionOperations())) {
-                            transaction.put(
-                                    StoreKeys.MACHINE_TYPE_PREFIX + machineType.name(),
-                                    machineType.encode());
+    private void readPage(String afterHost) {
+        cloudClient.listInstances(
+                afterHost,
+                page -> {
+                    if (leaderStore.leader().isLeading()) {
+                        onPage(page);
+                        String lastHost = lastHost(page, afterHost);
+                        if (page.isTruncated() && lastHost != null) {
+                            readPage(lastHost);
                         }
                     }
-                    if (transaction.isEmpty()) {
-                        machineTypes.forEach(catalog::overrideLocally);
-                    } else {
-                        committer.commit(
-                                transaction,
-                                () ->
-                                        machineTypes.stream()
-                                                .filter(
-                                                        machineType ->
-                                                                catalog.get(machineType.name())
-                                                                        != null)
-                                                .forEach(catalog::overrideLocally));
-                    }
                 });
     }
 
+    private static String lastHost(InstancePage page, String afterHost) {
+        return page.instances().isEmpty()
+                ? afterHost
+                : page.instances().get(page.instances().size() - 1).host();
+    }
+
+    private void onPage(InstancePage page) {
+        releaser.forgetOldReleases();
+        MachineChanges changes = new MachineChanges(cluster, leaderStore);
+        boolean mayRegister = mayRegister();
+        int registeredCount = 0;
+        for (InstancePage.Instance instance : page.instances()) {
+            MachineTable.Machine machine = cluster.machines().get(instance.host());
+            if (machine != null) {
+                updateMachine(changes, machine, instance);
+            } else if (mayRegister
+                    && !instance.hasFailed()
+                    && !releaser.wasReleased(instance.host())) {
+                if (changes.fits(2, 2)) {
+                    registeredCount++;
+                    changes.register(
+                            instance,
+                            eventLoop.wallClockMillis() - (long) (instance.ageSeconds() * 1000));
+                } else {
+                    readAgainSoon();
+                }
+            }
+        }
+        if (registeredCount > 0) {
+            LOG.info(
+                    "{} machines are in the cloud's list and on no record; they are registered",
+                    registeredCount);
+        }
+        if (!changes.transaction().isEmpty() && !committer.isBusy()) {
+            committer.commit(changes.transaction());
+        }
+    }
+
     /**
-     * Looks for machines that nobody knows, and for failed ones. The list lags: absence from it
-     * means nothing.
+     * Whether machines on no record may be registered now. What a predecessor returned stays listed
+     * for a while, so a new leader waits; a service that starts on a cluster that is up has no
+     * predecessor.
      */
-    private void readInstances(String afterHost) {
-        cloudClient.call(
-                "GET",
-                "/rentals?limit=500" + (afterHost == null ? "" : "&after=" + afterHost),
-                null,
-                false,
-                (status, response) -> {
-                    if (status != 200 || !leader.isLeading()) {
-                        return;
-                    }
-                    long nowMillis = eventLoop.nowMillis();
-                    scaleInController.forgetOldReleases();
-                    String lastHost = afterHost;
-                    ScaleInController.ReturnBatch returnBatch = scaleInController.newReturnBatch();
-                    Transaction transaction = returnBatch.transaction;
-                    // What a predecessor returned stays listed for a while; a service that starts
-                    // on a cluster that is up has none.
-                    boolean mayRegister =
-                            leader.mayRegisterUnexpectedMachines()
-                                    && (machines.all().isEmpty()
-                                            || nowMillis - notLeadingAtMillis
-                                                    > AutoscalerConstants
-                                                                    .TRUST_UNEXPECTED_AFTER_LIST_LAGS
-                                                            * settings.cloudLimits()
-                                                                    .listLagSeconds()
-                                                            * 1000);
-                    int registeredCount = 0;
-                    for (JsonNode instance : response.path("hosts")) {
-                        String host = instance.path("nameId").asText();
-                        lastHost = host;
-                        MachineTable.Machine machine = machines.get(host);
-                        boolean hasFailed = instance.path("status").asText().equals("failed");
-                        double ageSeconds = instance.path("ageS").asDouble();
-                        if (machine == null) {
-                            if (mayRegister
-                                    && !hasFailed
-                                    && !scaleInController.wasReleased(host)
-                                    && !transaction.fits(2, 2, store.maxTransactionOperations())) {
-                                instancesReadAtMillis =
-                                        nowMillis
-                                                - AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
-                                                + AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS;
-                            } else if (mayRegister
-                                    && !hasFailed
-                                    && !scaleInController.wasReleased(host)) {
-                                registeredCount++;
-                                returnBatch.edits.addUnexpected(
-                                        host,
-                                        instance.path("shape").asText(),
-                                        instance.path("site").asText(),
-                                        instance.path("preemptible").asBoolean(),
-                                        instance.path("addr").asText(null),
-                                        eventLoop.wallClockMillis() - (long) (ageSeconds * 1000));
-                            }
-                        } else if (hasFailed && !machine.releasing()) {
-                            if (!scaleInController.addReturn(returnBatch, machine, "failed")) {
-                                // A zone's machines may fail together: what one change has no room
-                                // for is looked at again at once.
-                                instancesReadAtMillis =
-                                        nowMillis
-                                                - AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
-                                                + AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS;
-                            }
-                        } else if (machine.address() == null
-                                && instance.hasNonNull("addr")
-                                && transaction.fits(1, 1, store.maxTransactionOperations())) {
-                            returnBatch.edits.put(
-                                    machine.withAddress(instance.path("addr").asText()));
-                        }
-                    }
-                    if (registeredCount > 0) {
-                        LOG.info(
-                                "{} machines are in the cloud's list and on no record; they are"
-                                        + " taken in",
-                                registeredCount);
-                    }
-                    if (!transaction.isEmpty() && !committer.isBusy()) {
-                        committer.commit(transaction, () -> {});
-                    }
-                    if (response.path("truncated").asBoolean() && lastHost != null) {
-                        readInstances(lastHost);
-                    }
-                });
+    private boolean mayRegister() {
+        return leaderStore.leader().mayRegisterUnexpectedMachines()
+                && (cluster.machines().all().isEmpty()
+                        || eventLoop.nowMillis() - notLeadingAtMillis
+                                > AutoscalerConstants.TRUST_UNEXPECTED_AFTER_LIST_LAGS
+                                        * settings.cloudLimits().listLagSeconds()
+                                        * 1000);
+    }
+
+    private void updateMachine(
+            MachineChanges changes, MachineTable.Machine machine, InstancePage.Instance instance) {
+        if (instance.hasFailed() && !machine.releasing()) {
+            if (!changes.addReturn(machine, "failed")) {
+                readAgainSoon();
+            }
+        } else if (machine.address() == null && instance.address() != null && changes.fits(1, 1)) {
+            changes.recordAddress(machine, instance.address());
+        }
+    }
+
+    /**
+     * The machines of a zone may fail together: what one transaction has no room for is looked at
+     * again at once.
+     */
+    private void readAgainSoon() {
+        readAtMillis =
+                eventLoop.nowMillis()
+                        - AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
+                        + AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS;
     }
 }
--- /dev/null
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -0,0 +1,102 @@
+package io.quincelead.autoscaler;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.store.Transaction;
+import java.util.HashMap;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Changes of machines that go into one transaction: several machines of one shard or one record may
+ * change together.
+ */
+final class MachineChanges {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineChanges.class);
+
+    private final ClusterView cluster;
+    private final LeaderStore leaderStore;
+    private final Transaction transaction;
+    private final MachineTable.MachineEdits edits;
+    private final Map<String, ClusterMembership.Shard> shrunkShardsByOwner = new HashMap<>();
+
+    MachineChanges(ClusterView cluster, LeaderStore leaderStore) {
+        this.cluster = cluster;
+        this.leaderStore = leaderStore;
+        this.transaction = leaderStore.newTransaction();
+        this.edits = cluster.machines().beginEdits(transaction);
+    }
+
+    /** The transaction with all changes so far. */
+    Transaction transaction() {
+        return transaction;
+    }
+
+    /** Whether this many more operations and preconditions fit into the transaction. */
+    boolean fits(int moreOperations, int morePreconditions) {
+        return leaderStore.fits(transaction, moreOperations, morePreconditions);
+    }
+
+    /**
+     * Adds a machine's return: it is marked on record and taken out of its shard at once, so
+     * nothing more is placed there.
+     *
+     * @param reason for the log
+     * @return false when the transaction has no room for it, or its owner's membership isn't known
+     */
+    boolean addReturn(MachineTable.Machine machine, String reason) {
+        if (!fits(2, 2)) {
+            return false;
+        }
+        ClusterMembership membership = cluster.membership();
+        String ownerId = membership.ownerOf(machine.host());
+        if (ownerId != null) {
+            if (membership.member(ownerId) == null) {
+                return false;
+            }
+            ClusterMembership.Shard shard =
+                    shrunkShardsByOwner.computeIfAbsent(
+                            ownerId, owner -> membership.shardOf(owner).copy());
+            shard.fencingTokensByHost().remove(machine.host());
+            leaderStore
+                    .requireUnchanged(transaction, shard.storeKey())
+                    .put(shard.storeKey(), shard.encode(), membership.member(ownerId).leaseId());
+        }
+        LOG.info(
+                "machine {} ({}, {}{}) is returned: {}",
+                machine.host(),
+                machine.machineType(),
+                machine.zone(),
+                machine.spot() ? ", spot" : "",
+                reason);
+        edits.put(machine.asReleasing());
+        return true;
+    }
+
+    /** Cordons a machine, so that no task is placed there any more, or lifts its cordon. */
+    void setCordoned(MachineTable.Machine machine, boolean cordoned) {
+        edits.put(machine.withCordoned(cordoned));
+    }
+
+    /** Registers a machine that the cloud lists and no record knows. */
+    void register(InstancePage.Instance instance, long rentedAtEpochMillis) {
+        edits.addUnexpected(
+                instance.host(),
+                instance.machineType(),
+                instance.zone(),
+                instance.spot(),
+                instance.address(),
+                rentedAtEpochMillis);
+    }
+
+    /** Records where a machine's worker listens. */
+    void recordAddress(MachineTable.Machine machine, String address) {
+        edits.put(machine.withAddress(address));
+    }
+
+    /** Forgets a machine that is gone. */
+    void remove(MachineTable.Machine machine) {
+        edits.remove(machine);
+    }
+}
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -1,22 +1,16 @@
 package io.quincelead.autoscaler;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.leadership.Leader;
-import io.quincelead.store.MembershipLease;
-import io.quincelead.store.StoreClient;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,149 +20,113 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals on record: each is recorded before it is asked for, under a name that is never used
- * again, until its outcome is known.
+ * The provisioning requests whose outcome is not on record yet. Each is recorded before it is
+ * submitted, under a name that is never used again, and submitted again under that name until the
+ * cloud has said yes or no; then the machines replace it on record, in one transaction.
  */
 final class ProvisioningRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ProvisioningRequests.class);
 
-    /**
-     * A rental on record: its outcome is not known until the cloud has answered under this very
-     * name.
-     */
-    record ProvisioningRequest(
-            String name, String machineType, String zone, boolean spot, int machineCount) {}
-
-    private record Refusal(long untilMillis, long pauseMillis) {}
-
     private final EventLoop eventLoop;
-    private final MembershipLease membershipLease;
-    private final WatchCache watchCache;
-    private final StoreClient store;
-    private final ClusterMembership shards;
-    private final MachineTable machines;
-    private final Leader leader;
+    private final ClusterView cluster;
+    private final LeaderStore leaderStore;
     private final CloudClient cloudClient;
     private final SingleFlightCommitter committer;
+    private final CapacityBackoff capacityBackoff;
     private final Map<String, ProvisioningRequest> openRequests = new LinkedHashMap<>();
+
+    /** Names that were submitted and wait for their answer, or for their next turn. */
     private final Set<String> requestsInFlight = new HashSet<>();
-    private final Map<String, Refusal> refusalsByOffering = new HashMap<>();
+
     private long lastRequestNumber;
     private long recordedRequestCount;
 
     ProvisioningRequests(
             EventLoop eventLoop,
-            MembershipLease membershipLease,
-            WatchCache watchCache,
-            StoreClient store,
-            ClusterMembership shards,
-            MachineTable machines,
-            Leader leader,
+            ClusterView cluster,
+            LeaderStore leaderStore,
             CloudClient cloudClient,
             SingleFlightCommitter committer) {
         this.eventLoop = eventLoop;
-        this.membershipLease = membershipLease;
-        this.watchCache = watchCache;
-        this.store = store;
-        this.shards = shards;
-        this.machines = machines;
-        this.leader = leader;
+        this.cluster = cluster;
+        this.leaderStore = leaderStore;
         this.cloudClient = cloudClient;
         this.committer = committer;
-        watchCache.addPrefixListener(
-                StoreKeys.PROVISIONING_REQUEST_COUNTER,
-                new WatchCache.PrefixListener() {
-                    @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        recordedRequestCount = v.path("n").asLong();
-                    }
+        this.capacityBackoff = new CapacityBackoff(eventLoop);
+        leaderStore
+                .watchCache()
+                .addPrefixListener(
+                        StoreKeys.PROVISIONING_REQUEST_COUNTER,
+                        new WatchCache.PrefixListener() {
+                            @Override
+                            public void onPut(String key, JsonNode value, long modRevision) {
+                                recordedRequestCount =
+                                        ProvisioningRequestCodec.decodeCounter(value);
+                            }
+
+                            @Override
+                            public void onRemove(String key) {
+                                recordedRequestCount = 0;
+                            }
+                        });
+        leaderStore
+                .watchCache()
+                .addPrefixListener(
+                        StoreKeys.PROVISIONING_REQUEST_PREFIX,
+                        new WatchCache.PrefixListener() {
+                            @Override
+                            public void onPut(String key, JsonNode value, long modRevision) {
+                                String name = requestName(key);
+                                openRequests.put(
+                                        name, ProvisioningRequestCodec.decode(name, value));
+                            }
 
-                    @Override
-                    public void onRemove(String key) {
-                        recordedRequestCount = 0;
-                    }
-                });
-        watchCache.addPrefixListener(
-                StoreKeys.PROVISIONING_REQUEST_PREFIX,
-                new WatchCache.PrefixListener() {
-                    @Override
-                    public void onPut(String key, JsonNode v, long stamp) {
-                        String name = key.substring(StoreKeys.PROVISIONING_REQUEST_PREFIX.length());
-                        openRequests.put(
-                                name,
-                                new ProvisioningRequest(
-                                        name,
-                                        v.path("k").asText(),
-                                        v.path("s").asText(),
-                                        v.path("p").asBoolean(),
-                                        v.path("n").asInt()));
-                    }
+                            @Override
+                            public void onRemove(String key) {
+                                openRequests.remove(requestName(key));
+                            }
+                        });
+    }
 
-                    @Override
-                    public void onRemove(String key) {
-                        openRequests.remove(
-                                key.substring(StoreKeys.PROVISIONING_REQUEST_PREFIX.length()));
-                    }
-                });
+    private static String requestName(String storeKey) {
+        return storeKey.substring(StoreKeys.PROVISIONING_REQUEST_PREFIX.length());
     }
 
-    /** Those whose outcome isn't on record yet. */
+    /** Those whose outcome is not on record yet; a view. */
     Collection<ProvisioningRequest> openRequests() {
-        return openRequests.values();
+        return Collections.unmodifiableCollection(openRequests.values());
     }
 
-    /** Whether the cloud said of late that it has no more of these. */
+    /** Whether the cloud said of late that it has no more machines of this offering. */
     boolean isRefused(InstanceOffering offering) {
-        Refusal refusal = refusalsByOffering.get(offering.id());
-        return refusal != null && eventLoop.nowMillis() < refusal.untilMillis;
+        return capacityBackoff.isPaused(offering.id());
     }
 
-    /** Records what is to be rented, as much as may be open at one time, and asks for it. */
+    /**
+     * Records requests for these machines, as many as may be open at one time, and submits them
+     * once they are on record.
+     */
     void provision(Map<InstanceOffering, Integer> purchases) {
-        // A copy of this change, minutes later, would record rentals again whose machines are long
-        // gone.
-        Transaction transaction =
-                leader.newTransaction()
-                        .requireRevision(
-                                StoreKeys.PROVISIONING_REQUEST_COUNTER,
-                                watchCache.modRevision(StoreKeys.PROVISIONING_REQUEST_COUNTER))
-                        .put(
-                                StoreKeys.PROVISIONING_REQUEST_COUNTER,
-                                WireFormat.newMap()
-                                        .put("n", recordedRequestCount + purchases.size()));
+        Transaction transaction = leaderStore.newTransaction();
+        // A copy of this write, minutes later, would record requests again whose machines are long
+        // gone: the counter's revision forbids it.
+        leaderStore
+                .requireUnchanged(transaction, StoreKeys.PROVISIONING_REQUEST_COUNTER)
+                .put(
+                        StoreKeys.PROVISIONING_REQUEST_COUNTER,
+                        ProvisioningRequestCodec.encodeCounter(
+                                recordedRequestCount + purchases.size()));
         List<ProvisioningRequest> newRequests = new ArrayList<>();
         for (Map.Entry<InstanceOffering, Integer> purchase : purchases.entrySet()) {
             if (openRequests.size() + newRequests.size()
                             >= AutoscalerConstants.MAX_OPEN_PROVISIONING_REQUESTS
-                    || !transaction.fits(1, 0, store.maxTransactionOperations())) {
+                    || !leaderStore.fits(transaction, 1, 0)) {
                 break;
             }
-            InstanceOffering offering = purchase.getKey();
-            String name =
-                    "r-"
-                            + shards.leaderRecord().fencingToken()
-                            + "-"
-                            + membershipLease.incarnation()
-                            + "-"
-                            + ++lastRequestNumber;
-            int machineCount =
-                    Math.min(
-                            purchase.getValue(),
-                            AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST);
-            ProvisioningRequest request =
-                    new ProvisioningRequest(
-                            name,
-                            offering.machineType().name(),
-                            offering.zone(),
-                            offering.spot(),
-                            machineCount);
+            ProvisioningRequest request = newRequest(purchase.getKey(), purchase.getValue());
             transaction.put(
-                    StoreKeys.PROVISIONING_REQUEST_PREFIX + name,
-                    WireFormat.newMap()
-                            .put("k", request.machineType)
-                            .put("s", request.zone)
-                            .put("p", request.spot)
-                            .put("n", machineCount));
+                    StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name(),
+                    ProvisioningRequestCodec.encode(request));
             newRequests.add(request);
         }
         if (!newRequests.isEmpty()) {
@@ -176,108 +134,103 @@
         }
     }
 
-    /**
-     * Asks for a recorded rental; repeated under the same name until the cloud has said yes or no.
-     */
+    private ProvisioningRequest newRequest(InstanceOffering offering, int machineCount) {
+        // The fencing token and the incarnation keep names of other leaders and of this process's
+        // predecessors apart.
+        String name =
+                "r-"
+                        + cluster.membership().leaderRecord().fencingToken()
+                        + "-"
+                        + leaderStore.membershipLease().incarnation()
+                        + "-"
+                        + ++lastRequestNumber;
+        return new ProvisioningRequest(
+                name,
+                offering.machineType().name(),
+                offering.zone(),
+                offering.spot(),
+                Math.min(machineCount, AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST));
+    }
+
+    /** Submits a recorded request to the cloud, unless it was and has no answer yet. */
     void submit(ProvisioningRequest request) {
-        if (!leader.isLeading()
-                || !leader.areWritesSettled()
-                || !requestsInFlight.add(request.name)) {
+        if (!leaderStore.leader().isLeading()
+                || !leaderStore.leader().areWritesSettled()
+                || !requestsInFlight.add(request.name())) {
             return;
         }
-        ObjectNode requestBody =
-                WireFormat.newMap()
-                        .put("rental", request.name)
-                        .put("shape", request.machineType)
-                        .put("site", request.zone)
-                        .put("preemptible", request.spot)
-                        .put("howMany", request.machineCount);
-        cloudClient.call(
-                "POST",
-                "/rentals",
-                requestBody,
-                false,
-                (status, response) -> {
-                    // Settled once: carried out late, after the machines have gone again, it would
-                    // bring their records back.
-                    String recordKey = StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name;
-                    if (watchCache.modRevision(recordKey) == 0) {
-                        requestsInFlight.remove(request.name);
-                        return;
-                    }
-                    Transaction transaction =
-                            leader.newTransaction()
-                                    .requireRevision(recordKey, watchCache.modRevision(recordKey))
-                                    .remove(recordKey);
-                    int receivedCount = 0;
-                    if (status == 200 && response.path("hosts").isArray()) {
-                        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
-                        for (JsonNode hostNode : response.path("hosts")) {
-                            receivedCount++;
-                            if (machines.get(hostNode.asText()) == null) {
-                                edits.put(
-                                        new MachineTable.Machine(
-                                                hostNode.asText(),
-                                                request.name,
-                                                request.machineType,
-                                                request.zone,
-                                                request.spot,
-                                                eventLoop.wallClockMillis()));
-                            }
-                        }
-                        LOG.info(
-                                "rented {} of {} {} in {}{}",
-                                receivedCount,
-                                request.machineCount,
-                                request.machineType,
-                                request.zone,
-                                request.spot ? ", spot" : "");
-                    } else if (status == 400) {
-                        LOG.error("the cloud calls a rental malformed: {}", requestBody);
-                    } else if (status != 503
-                            || response == null
-                            || !response.path("error").asText().contains("capacity")) {
-                        eventLoop.runAfter(
-                                AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS,
-                                () -> requestsInFlight.remove(request.name));
-                        return;
-                    }
-                    if (receivedCount < request.machineCount) {
-                        recordRefusal(
-                                InstanceOffering.id(
-                                        request.machineType, request.zone, request.spot));
-                    }
-                    resolve(request, transaction);
-                });
+        cloudClient.provision(request, result -> onResult(request, result));
     }
 
-    private void recordRefusal(String offeringId) {
-        Refusal previous = refusalsByOffering.get(offeringId);
-        long pauseMillis =
-                previous == null
-                                || eventLoop.nowMillis() - previous.untilMillis
-                                        > previous.pauseMillis
-                        ? AutoscalerConstants.NO_CAPACITY_BACKOFF_INITIAL_MILLIS
-                        : Math.min(
-                                AutoscalerConstants.NO_CAPACITY_BACKOFF_MAX_MILLIS,
-                                previous.pauseMillis * 2);
-        refusalsByOffering.put(
-                offeringId, new Refusal(eventLoop.nowMillis() + pauseMillis, pauseMillis));
+    private void onResult(ProvisioningRequest request, ProvisioningResult result) {
+        // Settled once: carried out late, after the machines have gone again, it would bring their
+        // records back.
+        String recordKey = StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name();
+        if (leaderStore.watchCache().modRevision(recordKey) == 0) {
+            requestsInFlight.remove(request.name());
+            return;
+        }
+        if (result instanceof ProvisioningResult.Unknown) {
+            eventLoop.runAfter(
+                    AutoscalerConstants.AUTOSCALER_INTERVAL_MILLIS,
+                    () -> requestsInFlight.remove(request.name()));
+            return;
+        }
+        Transaction transaction =
+                leaderStore
+                        .requireUnchanged(leaderStore.newTransaction(), recordKey)
+                        .remove(recordKey);
+        int receivedCount = 0;
+        if (result instanceof ProvisioningResult.Provisioned provisioned) {
+            receivedCount = provisioned.hosts().size();
+            recordMachines(request, provisioned.hosts(), transaction);
+        } else if (result instanceof ProvisioningResult.Malformed) {
+            LOG.error("the cloud calls a rental malformed: {}", CloudCodec.encodeRequest(request));
+        }
+        if (receivedCount < request.machineCount()) {
+            capacityBackoff.recordRefusal(
+                    InstanceOffering.id(request.machineType(), request.zone(), request.spot()));
+        }
+        resolve(request, transaction);
+    }
+
+    private void recordMachines(
+            ProvisioningRequest request, List<String> hosts, Transaction transaction) {
+        MachineTable machines = cluster.machines();
+        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        for (String host : hosts) {
+            if (machines.get(host) == null) {
+                edits.put(
+                        new MachineTable.Machine(
+                                host,
+                                request.name(),
+                                request.machineType(),
+                                request.zone(),
+                                request.spot(),
+                                eventLoop.wallClockMillis()));
+            }
+        }
+        LOG.info(
+                "provisioned {} of {} {} in {}{}",
+                hosts.size(),
+                request.machineCount(),
+                request.machineType(),
+                request.zone(),
+                request.spot() ? ", spot" : "");
     }
 
     private void resolve(ProvisioningRequest request, Transaction transaction) {
-        store.commit(
-                transaction,
-                outcome -> {
-                    leader.onOutcome(transaction, outcome);
-                    if (outcome.result() == Transaction.Result.COMMITTED) {
-                        watchCache.applyCommitted(transaction, outcome.storeRevision());
-                    }
-                    // Otherwise the record stands and the same name is asked for again; the answer
-                    // will be the same.
-                    eventLoop.runAfter(
-                            StoreConstants.RETRY_DELAY_MILLIS,
-                            () -> requestsInFlight.remove(request.name));
-                });
+        leaderStore
+                .store()
+                .commit(
+                        transaction,
+                        outcome -> {
+                            leaderStore.onOutcome(transaction, outcome);
+                            // Unless it was committed, the record stands and the same name is
+                            // submitted again; the answer will be the same.
+                            eventLoop.runAfter(
+                                    StoreConstants.RETRY_DELAY_MILLIS,
+                                    () -> requestsInFlight.remove(request.name()));
+                        });
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -1,10 +1,6 @@
 package io.quincelead.autoscaler;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.cluster.ClusterMembership;
-import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
@@ -12,393 +8,215 @@
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.leadership.Leader;
-import io.quincelead.store.StoreClient;
-import io.quincelead.store.Transaction;
-import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * Returning machines: which are closed to new tasks, which are given back, and what the cloud's
- * release of them proves.
+ * Decides which machines beyond the demand are returned because they are idle, and which costly
+ * ones are cordoned so that they run empty.
  */
 final class ScaleInController {
-    private static final Logger LOG = LoggerFactory.getLogger(ScaleInController.class);
     private final EventLoop eventLoop;
     private final OperatorSettings operatorSettings;
-    private final WatchCache watchCache;
-    private final StoreClient store;
-    private final ClusterMembership shards;
-    private final JobTable jobs;
-    private final MachineTable machines;
-    private final MachineTypeCatalog catalog;
-    private final Leader leader;
-    private final CloudClient cloudClient;
+    private final ClusterView cluster;
+    private final LeaderStore leaderStore;
     private final SingleFlightCommitter committer;
-    private final Consumer<Placement> onTaskTerminated;
-    private final ConstrainedDemand constrainedDemand;
-    private final Map<String, Long> idleSinceMillisByHost = new HashMap<>();
-    private final Set<String> hostsInRelease = new HashSet<>();
-    private final Map<String, Long> releasedAtMillisByHost = new HashMap<>();
-    private final Map<String, Long> markRevisionByReleasedHost = new HashMap<>();
-
-    /**
-     * Returns that go into one change: several machines of one block or one record may leave
-     * together.
-     */
-    final class ReturnBatch {
-        final Transaction transaction = leader.newTransaction();
-        final MachineTable.MachineEdits edits = machines.beginEdits(transaction);
-        final Map<String, ClusterMembership.Shard> shrunkShards = new HashMap<>();
-    }
+    private final MachineReleaser releaser;
+    private final IdleMachines idleMachines;
 
     ScaleInController(
             EventLoop eventLoop,
             OperatorSettings operatorSettings,
-            WatchCache watchCache,
-            StoreClient store,
-            ClusterMembership shards,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog catalog,
-            Leader leader,
-            CloudClient cloudClient,
+            ClusterView cluster,
+            LeaderStore leaderStore,
             SingleFlightCommitter committer,
-            Consumer<Placement> onTaskTerminated,
-            ConstrainedDemand constrainedDemand) {
+            MachineReleaser releaser,
+            IdleMachines idleMachines) {
         this.eventLoop = eventLoop;
         this.operatorSettings = operatorSettings;
-        this.watchCache = watchCache;
-        this.store = store;
-        this.shards = shards;
-        this.jobs = jobs;
-        this.machines = machines;
-        this.catalog = catalog;
-        this.leader = leader;
-        this.cloudClient = cloudClient;
+        this.cluster = cluster;
+        this.leaderStore = leaderStore;
         this.committer = committer;
-        this.onTaskTerminated = onTaskTerminated;
-        this.constrainedDemand = constrainedDemand;
-        eventLoop.runEvery(
-                AutoscalerConstants.RELEASE_INTERVAL_MILLIS, this::releaseReturningMachines);
-    }
-
-    ReturnBatch newReturnBatch() {
-        return new ReturnBatch();
-    }
-
-    /**
-     * Whether the cloud has said of late that the machine is gone, though it may still be listed.
-     */
-    boolean wasReleased(String host) {
-        return releasedAtMillisByHost.containsKey(host);
-    }
-
-    void forgetOldReleases() {
-        releasedAtMillisByHost
-                .values()
-                .removeIf(
-                        t ->
-                                eventLoop.nowMillis() - t
-                                        > AutoscalerConstants.FORGET_RELEASED_AFTER_MILLIS);
-    }
-
-    /** Another controller leads. */
-    void onNotLeading() {
-        idleSinceMillisByHost.clear();
-    }
-
-    /** Notes which of the machines that are up hold nothing, and forgets those that are gone. */
-    void trackIdleMachines(List<MachineTable.Machine> readyMachines, Set<String> presentHosts) {
-        for (MachineTable.Machine machine : readyMachines) {
-            if (!jobs.placementsOn(machine.host()).isEmpty()) {
-                idleSinceMillisByHost.remove(machine.host());
-            } else {
-                idleSinceMillisByHost.putIfAbsent(machine.host(), eventLoop.nowMillis());
-            }
-        }
-        idleSinceMillisByHost.keySet().retainAll(presentHosts);
+        this.releaser = releaser;
+        this.idleMachines = idleMachines;
     }
 
     /**
-     * Adds a machine's return to a change: marked on record and out of its block at once, so
-     * nothing more is placed there.
+     * Returns idle machines beyond the demand, or, when there are none, cordons machines or lifts
+     * cordons, all in one transaction.
+     *
+     * @param readyMachines the machines that are up; sorted anew in place
+     * @param shouldYieldToStarvedWork whether a machine that is only kept for demand of late should
+     *     go, because the cloud lacks machines for work that waits now
      */
-    boolean addReturn(ReturnBatch returnBatch, MachineTable.Machine machine, String reason) {
-        String ownerId = shards.ownerOf(machine.host());
-        Transaction transaction = returnBatch.transaction;
-        if (!transaction.fits(2, 2, store.maxTransactionOperations())) {
-            return false;
-        }
-        if (ownerId != null) {
-            if (shards.member(ownerId) == null) {
-                return false;
-            }
-            ClusterMembership.Shard shard =
-                    returnBatch.shrunkShards.computeIfAbsent(
-                            ownerId, o -> shards.shardOf(o).copy());
-            shard.fencingTokensByHost().remove(machine.host());
-            transaction
-                    .requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()))
-                    .put(shard.storeKey(), shard.encode(), shards.member(ownerId).leaseId());
-        }
-        LOG.info(
-                "machine {} ({}, {}{}) is returned: {}",
-                machine.host(),
-                machine.machineType(),
-                machine.zone(),
-                machine.spot() ? ", spot" : "",
-                reason);
-        returnBatch.edits.put(machine.asReleasing());
-        return true;
-    }
-
-    /** Closes and returns machines beyond the need. */
     void returnExcess(
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity,
             Predicate<InstanceOffering> shouldYieldToStarvedWork) {
-        ReturnBatch returnBatch = new ReturnBatch();
-        returnIdleMachines(
-                returnBatch,
-                eventLoop.nowMillis(),
-                readyMachines,
-                demand,
-                capacity,
-                shouldYieldToStarvedWork);
-        if (returnBatch.transaction.isEmpty()) {
-            cordonExcess(returnBatch, readyMachines, demand, capacity);
+        MachineChanges changes = new MachineChanges(cluster, leaderStore);
+        returnIdleMachines(changes, readyMachines, demand, capacity, shouldYieldToStarvedWork);
+        if (changes.transaction().isEmpty()) {
+            cordonExcess(changes, readyMachines, demand, capacity);
         }
-        if (!returnBatch.transaction.isEmpty()) {
-            committer.commit(returnBatch.transaction, this::releaseReturningMachines);
+        if (!changes.transaction().isEmpty()) {
+            committer.commit(changes.transaction(), releaser::releaseMarked);
         }
     }
 
-    private double pricePerCpu(MachineTable.Machine machine) {
-        MachineTypeCatalog.MachineType machineType = catalog.get(machine.machineType());
-        return machineType.pricePerHour(machine.spot()) / machineType.cpus();
-    }
-
-    /**
-     * Whether constrained work, of which {@link DemandForecast} knows nothing, has use for the
-     * machine.
-     */
-    private boolean isWantedByConstrainedWork(MachineTable.Machine machine) {
-        return constrainedDemand.isInDemand(
-                catalog.get(machine.machineType()), machine.zone(), machine.spot());
-    }
-
     private void returnIdleMachines(
-            ReturnBatch returnBatch,
-            long nowMillis,
+            MachineChanges changes,
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity,
             Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+        long nowMillis = eventLoop.nowMillis();
         double spareCostlyCpus =
                 capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
         double spareSpotCpus =
                 capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
         readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
-        // Cheap machines stay while dear ones are open: those go first, even if they take longer to
-        // empty.
+        // Spot machines stay while costly ones take tasks: those go first, even if they take longer
+        // to run empty.
         boolean hasUncordonedCostlyMachine =
                 readyMachines.stream().anyMatch(machine -> !machine.spot() && !machine.cordoned());
         for (MachineTable.Machine machine : readyMachines) {
-            Long idleSinceMillis = idleSinceMillisByHost.get(machine.host());
-            double ageSeconds =
-                    (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+            Long idleSinceMillis = idleMachines.idleSinceMillis(machine.host());
             if (idleSinceMillis == null
-                    || ageSeconds < AutoscalerConstants.MIN_CHARGE_SECONDS - 2) {
-                continue;
-            }
-            double machineCpus = catalog.get(machine.machineType()).cpus();
-            // What is kept from habit may be what the cloud lacks for work that waits now.
-            if (!machine.cordoned()
-                    && nowMillis - idleSinceMillis
-                            < SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS
-                    && isWantedByConstrainedWork(machine)
-                    && !shouldYieldToStarvedWork.test(
-                            new InstanceOffering(
-                                    catalog.get(machine.machineType()),
-                                    machine.zone(),
-                                    machine.spot()))) {
+                    || rentedSeconds(machine) < AutoscalerConstants.MIN_CHARGE_SECONDS - 2
+                    || isKeptForConstrainedWork(
+                            machine, nowMillis - idleSinceMillis, shouldYieldToStarvedWork)) {
                 continue;
             }
+            double machineCpus = machineType(machine).cpus();
             if (machine.cordoned()) {
-                addReturn(returnBatch, machine, "closed and empty");
+                changes.addReturn(machine, "cordoned and empty");
             } else if (machine.spot() && hasUncordonedCostlyMachine) {
                 continue;
             } else if (nowMillis - idleSinceMillis > operatorSettings.idleReturnSeconds() * 1000
                     && demand.shortfallCpus() <= 0
-                    && (machine.spot() ? spareSpotCpus : spareCostlyCpus) >= machineCpus / 2) {
-                if (addReturn(returnBatch, machine, "idle")) {
-                    spareCostlyCpus -= machineCpus;
-                    spareSpotCpus -= machineCpus;
-                }
+                    && (machine.spot() ? spareSpotCpus : spareCostlyCpus) >= machineCpus / 2
+                    && changes.addReturn(machine, "idle")) {
+                spareCostlyCpus -= machineCpus;
+                spareSpotCpus -= machineCpus;
             }
         }
     }
 
-    /** About when the last task on the machine ends. */
-    private double secondsUntilEmpty(MachineTable.Machine machine, long nowMillis) {
-        double latestEndSeconds = 0;
-        for (Placement placement : jobs.placementsOn(machine.host()).values()) {
-            JobSpec spec = placement.job.spec;
-            double remainingSeconds =
-                    Math.max(
-                            spec.runtimeSeconds()
-                                    - (nowMillis - placement.recordSeenAtMillis) / 1000.0,
-                            spec.runtimeSeconds() * 0.2);
-            latestEndSeconds =
-                    Math.max(
-                            latestEndSeconds,
-                            spec.isService() ? Double.MAX_VALUE : remainingSeconds);
-        }
-        return latestEndSeconds;
+    /**
+     * Whether an idle machine stays because constrained work of late could use it. The demand
+     * forecast knows nothing of such work.
+     */
+    private boolean isKeptForConstrainedWork(
+            MachineTable.Machine machine,
+            long idleMillis,
+            Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+        return !machine.cordoned()
+                && idleMillis < SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS
+                && isWantedByConstrainedWork(machine)
+                && !shouldYieldToStarvedWork.test(
+                        new InstanceOffering(machineType(machine), machine.zone(), machine.spot()));
     }
 
     /**
-     * The pass spreads tasks over all machines, so a dear machine beyond the need would never run
-     * empty: it is closed to new tasks, and returned when its last one has ended. When the need
-     * comes back first, it is opened again.
+     * Tasks are spread over all machines, so a costly machine beyond the demand would never run
+     * empty: it is cordoned, and returned when its last task has ended. When the demand comes back
+     * first, the cordon is lifted.
      */
     private void cordonExcess(
-            ReturnBatch returnBatch,
+            MachineChanges changes,
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity) {
         double spareCpus =
                 capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
-        // Those that run empty soonest come first: a closed machine is paid for until its last task
-        // has ended.
-        long nowMillis = eventLoop.nowMillis();
-        Map<String, Double> secondsUntilEmptyByHost = new HashMap<>();
-        readyMachines.forEach(
-                machine ->
-                        secondsUntilEmptyByHost.put(
-                                machine.host(), secondsUntilEmpty(machine, nowMillis)));
-        readyMachines.sort(
-                Comparator.comparing(MachineTable.Machine::spot)
-                        .thenComparingDouble(
-                                machine -> secondsUntilEmptyByHost.get(machine.host())));
+        sortSoonestEmptyFirst(readyMachines);
         for (MachineTable.Machine machine : readyMachines) {
-            double machineCpus = catalog.get(machine.machineType()).cpus();
-            if (returnBatch.transaction.operationCount()
+            double machineCpus = machineType(machine).cpus();
+            if (changes.transaction().operationCount()
                     >= Math.min(
                             AutoscalerConstants.MAX_CORDON_RECORDS_PER_WRITE,
-                            Math.max(2, store.affordableWrites()))) {
+                            Math.max(2, leaderStore.store().affordableWrites()))) {
                 break;
             }
             if (machine.cordoned() && demand.shortfallCpus() > 0.5) {
-                returnBatch.edits.put(machine.withCordoned(false));
+                changes.setCordoned(machine, false);
             } else if (!machine.cordoned()
                     && !machine.spot()
                     && demand.shortfallCpus() <= 0
                     && spareCpus
                             >= Math.min(machineCpus, AutoscalerConstants.MAX_CORDON_SPARE_CPUS)
                                     * AutoscalerConstants.CORDON_SPARE_FACTOR
-                    && (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0
-                            > AutoscalerConstants.MIN_RENTED_BEFORE_CORDON_SECONDS
+                    && rentedSeconds(machine) > AutoscalerConstants.MIN_RENTED_BEFORE_CORDON_SECONDS
                     && !isWantedByConstrainedWork(machine)
                     && !runsService(machine)) {
-                returnBatch.edits.put(machine.withCordoned(true));
+                changes.setCordoned(machine, true);
                 spareCpus -= machineCpus;
             }
         }
     }
 
     /**
-     * Services never end by themselves: on a closed machine they were stopped to be moved, a new
-     * machine was rented for them, another one was closed in turn, and so on without end.
+     * Costly machines first, and of these the ones that run empty soonest: a cordoned machine is
+     * paid for until its last task has ended.
      */
-    private boolean runsService(MachineTable.Machine machine) {
-        return jobs.placementsOn(machine.host()).values().stream()
-                .anyMatch(p -> p.job.spec.isService() && !p.isTerminated());
+    private void sortSoonestEmptyFirst(List<MachineTable.Machine> readyMachines) {
+        long nowMillis = eventLoop.nowMillis();
+        Map<String, Double> secondsUntilEmptyByHost = new HashMap<>();
+        for (MachineTable.Machine machine : readyMachines) {
+            secondsUntilEmptyByHost.put(machine.host(), secondsUntilEmpty(machine, nowMillis));
+        }
+        readyMachines.sort(
+                Comparator.comparing(MachineTable.Machine::spot)
+                        .thenComparingDouble(
+                                machine -> secondsUntilEmptyByHost.get(machine.host())));
+    }
+
+    /** About when the last task on the machine ends; endless with a service's replica. */
+    private double secondsUntilEmpty(MachineTable.Machine machine, long nowMillis) {
+        double latestEndSeconds = 0;
+        for (Placement placement : cluster.jobs().placementsOn(machine.host()).values()) {
+            JobSpec spec = placement.job.spec;
+            double remainingSeconds =
+                    Math.max(
+                            spec.runtimeSeconds()
+                                    - (nowMillis - placement.recordSeenAtMillis) / 1000.0,
+                            spec.runtimeSeconds() * 0.2);
+            latestEndSeconds =
+                    Math.max(
+                            latestEndSeconds,
+                            spec.isService() ? Double.MAX_VALUE : remainingSeconds);
+        }
+        return latestEndSeconds;
     }
 
     /**
-     * Releases what is marked; the cloud's 200 is the evidence that everything on the machines is
-     * gone.
+     * Services never end by themselves: on a cordoned machine they were stopped to be moved, a new
+     * machine was rented for them, another one was cordoned in turn, and so on without end.
      */
-    private void releaseReturningMachines() {
-        if (!leader.isLeading()) {
-            return;
-        }
-        List<String> hosts = new ArrayList<>();
-        Transaction cleanup = leader.newTransaction();
-        MachineTable.MachineEdits edits = machines.beginEdits(cleanup);
-        for (MachineTable.Machine machine : machines.all()) {
-            if (!machine.releasing() || shards.ownerOf(machine.host()) != null) {
-                continue;
-            }
-            Long markRevision = markRevisionByReleasedHost.get(machine.host());
-            if (markRevision == null) {
-                if (!hostsInRelease.contains(machine.host())
-                        && hosts.size() < AutoscalerConstants.MAX_MACHINES_PER_RELEASE_REQUEST) {
-                    hosts.add(machine.host());
-                }
-            } else if (watchCache.storeRevision() >= markRevision) {
-                // Nothing can have been placed there after its mark; all that was, we know by now.
-                for (Placement placement :
-                        new ArrayList<>(jobs.placementsOn(machine.host()).values())) {
-                    if (!placement.isTerminated()) {
-                        placement.transitionTo(Placement.Phase.GONE);
-                        onTaskTerminated.accept(placement);
-                    }
-                }
-                if (jobs.placementsOn(machine.host()).isEmpty()
-                        && cleanup.fits(1, 1, store.maxTransactionOperations())) {
-                    edits.remove(machine);
-                }
-            }
-        }
-        markRevisionByReleasedHost.keySet().removeIf(h -> machines.get(h) == null);
-        if (!cleanup.isEmpty() && !committer.isBusy()) {
-            committer.commit(cleanup, () -> {});
-        }
-        if (!hosts.isEmpty()) {
-            requestRelease(hosts);
-        }
+    private boolean runsService(MachineTable.Machine machine) {
+        return cluster.jobs().placementsOn(machine.host()).values().stream()
+                .anyMatch(placement -> placement.job.spec.isService() && !placement.isTerminated());
+    }
+
+    private boolean isWantedByConstrainedWork(MachineTable.Machine machine) {
+        return cluster.constrainedDemand()
+                .isInDemand(machineType(machine), machine.zone(), machine.spot());
+    }
+
+    private MachineTypeCatalog.MachineType machineType(MachineTable.Machine machine) {
+        return cluster.catalog().get(machine.machineType());
+    }
+
+    private double pricePerCpu(MachineTable.Machine machine) {
+        MachineTypeCatalog.MachineType machineType = machineType(machine);
+        return machineType.pricePerHour(machine.spot()) / machineType.cpus();
     }
 
-    private void requestRelease(List<String> hosts) {
-        hostsInRelease.addAll(hosts);
-        Map<String, Long> markRevisions = new HashMap<>();
-        hosts.forEach(
-                host ->
-                        markRevisions.put(
-                                host, watchCache.modRevision(machines.get(host).storeKey())));
-        ObjectNode requestBody = WireFormat.newMap();
-        hosts.forEach(requestBody.putArray("hosts")::add);
-        cloudClient.call(
-                "POST",
-                "/rentals/release",
-                requestBody,
-                true,
-                (status, response) -> {
-                    hostsInRelease.removeAll(hosts);
-                    if (status == 200) {
-                        hosts.forEach(
-                                host -> {
-                                    markRevisionByReleasedHost.put(host, markRevisions.get(host));
-                                    releasedAtMillisByHost.put(host, eventLoop.nowMillis());
-                                    idleSinceMillisByHost.remove(host);
-                                });
-                        releaseReturningMachines();
-                    }
-                });
+    private double rentedSeconds(MachineTable.Machine machine) {
+        return (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
+++ b/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
@@ -1,42 +1,49 @@
 package io.quincelead.autoscaler;
 
-import io.quincelead.leadership.Leader;
-import io.quincelead.store.StoreClient;
 import io.quincelead.store.Transaction;
-import io.quincelead.store.WatchCache;
 
-/** The leader's changes of what it rents and returns, one at a time. */
+/**
+ * Commits the autoscaler's changes of machines and provisioning requests one at a time, so that
+ * each is decided from records that hold the one before.
+ */
 final class SingleFlightCommitter {
-    private final StoreClient store;
-    private final WatchCache watchCache;
-    private final Leader leader;
+    private final LeaderStore leaderStore;
     private boolean isCommitInFlight;
 
-    SingleFlightCommitter(StoreClient store, WatchCache watchCache, Leader leader) {
-        this.store = store;
-        this.watchCache = watchCache;
-        this.leader = leader;
+    SingleFlightCommitter(LeaderStore leaderStore) {
+        this.leaderStore = leaderStore;
     }
 
     /**
-     * Whether another change has to wait: one is on its way, or one without an answer may still
-     * land.
+     * Whether another change has to wait: one is on its way, or an indeterminate write of the
+     * leader may still apply.
      */
     boolean isBusy() {
-        return isCommitInFlight || !leader.areWritesSettled();
+        return isCommitInFlight || !leaderStore.leader().areWritesSettled();
     }
 
+    /**
+     * Commits a transaction; call it only when not {@linkplain #isBusy busy}.
+     *
+     * @param onCommitted run once it was committed; not run when it failed or its outcome is
+     *     unknown
+     */
     void commit(Transaction transaction, Runnable onCommitted) {
         isCommitInFlight = true;
-        store.commit(
-                transaction,
-                outcome -> {
-                    isCommitInFlight = false;
-                    leader.onOutcome(transaction, outcome);
-                    if (outcome.result() == Transaction.Result.COMMITTED) {
-                        watchCache.applyCommitted(transaction, outcome.storeRevision());
-                        onCommitted.run();
-                    }
-                });
+        leaderStore
+                .store()
+                .commit(
+                        transaction,
+                        outcome -> {
+                            isCommitInFlight = false;
+                            if (leaderStore.onOutcome(transaction, outcome)) {
+                                onCommitted.run();
+                            }
+                        });
+    }
+
+    /** Commits a transaction after which nothing is left to be done. */
+    void commit(Transaction transaction) {
+        commit(transaction, () -> {});
     }
 }
--- /dev/null
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -0,0 +1,141 @@
+package io.quincelead.autoscaler;
+
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineTypeCatalog.MachineType;
+import io.quincelead.config.constants.AutoscalerConstants;
+
+/**
+ * Plans machines for work that every machine may run, by the CPUs it needs in all. Spot machines
+ * are rented for the steady-state load and for what waits; costly ones only for what would miss its
+ * deadline otherwise.
+ */
+final class UnconstrainedWorkPlanner {
+    private final ClusterView cluster;
+    private final ProvisioningRequests provisioningRequests;
+
+    UnconstrainedWorkPlanner(ClusterView cluster, ProvisioningRequests provisioningRequests) {
+        this.cluster = cluster;
+        this.provisioningRequests = provisioningRequests;
+    }
+
+    void plan(CpuDemand demand, CapacityForecast capacity, PurchasePlan plan) {
+        double strandedCpus = strandedCpus(plan);
+        double spotTargetCpus =
+                Math.max(
+                                demand.steadyStateCpus(),
+                                demand.usedCpus()
+                                        + Math.min(strandedCpus, demand.pendingCpus())
+                                        + demand.pendingCpus()
+                                                * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION)
+                        + demand.bookedCpus();
+        double missingCpus =
+                Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
+        double overdueCpus =
+                demand.shortfallCpus()
+                        - capacity.totalCpus()
+                                * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
+        if (demand.bookedCpus() > 0) {
+            // What the calendar books must be there, costly or not; but not more of it than is
+            // missing.
+            overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
+        }
+        double toleratedCpus =
+                demand.pendingCpus() + demand.bookedCpus() > 0
+                        ? 0.5
+                        : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
+        while (missingCpus > toleratedCpus) {
+            InstanceOffering offering = cheapestOffering(missingCpus, overdueCpus > 0.5, plan);
+            if (offering == null) {
+                return;
+            }
+            plan.purchase(offering);
+            missingCpus -= offering.machineType().cpus();
+            overdueCpus -= offering.machineType().cpus();
+        }
+    }
+
+    /**
+     * CPUs that are free on machines with too little left for any unconstrained task that waits:
+     * whole-machine tasks wait beside half-filled machines.
+     */
+    private double strandedCpus(PurchasePlan plan) {
+        JobSpec smallestSpec = smallestPendingSpec();
+        if (smallestSpec == null) {
+            return 0;
+        }
+        double strandedCpus = 0;
+        for (PlannedMachine machine : plan.machines()) {
+            if (machine.offering().machineType().gpus() == 0
+                    && machine.taskCapacity(smallestSpec) == 0) {
+                strandedCpus += Math.max(0, machine.freeCpus());
+            }
+        }
+        return strandedCpus;
+    }
+
+    /** The unconstrained job with pending tasks whose tasks need the fewest CPUs; or null. */
+    private JobSpec smallestPendingSpec() {
+        JobSpec smallestSpec = null;
+        for (Job job : cluster.jobs().all()) {
+            if (!job.isCancelled()
+                    && job.pendingTaskCount() > 0
+                    && job.spec.isUnconstrained()
+                    && (smallestSpec == null || job.spec.cpus() < smallestSpec.cpus())) {
+                smallestSpec = job.spec;
+            }
+        }
+        return smallestSpec;
+    }
+
+    /** The offering without GPUs that costs least per useful CPU; null when there is none. */
+    private InstanceOffering cheapestOffering(
+            double missingCpus, boolean mayBeCostly, PurchasePlan plan) {
+        InstanceOffering best = null;
+        double bestCost = Double.MAX_VALUE;
+        for (MachineType machineType : cluster.catalog().all()) {
+            if (machineType.gpus() > 0) {
+                continue;
+            }
+            for (String zone : machineType.zones()) {
+                for (boolean spot : new boolean[] {true, false}) {
+                    InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
+                    if (!spot && !mayBeCostly || !isAvailable(offering, plan)) {
+                        continue;
+                    }
+                    double cost = costPerUsefulCpu(offering, missingCpus);
+                    if (plan.isBetter(offering, cost, best, bestCost)) {
+                        best = offering;
+                        bestCost = cost;
+                    }
+                }
+            }
+        }
+        return best;
+    }
+
+    private boolean isAvailable(InstanceOffering offering, PurchasePlan plan) {
+        return !provisioningRequests.isRefused(offering)
+                && !cluster.zones().isUnavailable(offering.zone())
+                && plan.purchaseCount(offering)
+                        < AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST;
+    }
+
+    private static double costPerUsefulCpu(InstanceOffering offering, double missingCpus) {
+        MachineType machineType = offering.machineType();
+        // Unused parts of a machine cost too, and so do its boot and its first image fetch.
+        double usefulCpus =
+                Math.min(machineType.cpus(), Math.max(missingCpus, machineType.cpus() / 2));
+        double cost =
+                offering.pricePerHour()
+                        / usefulCpus
+                        * (1
+                                + machineType.bootSeconds()
+                                        / AutoscalerConstants.EXPECTED_STAY_SECONDS);
+        if (!offering.spot()) {
+            // A costly machine must go again soon, and a large one takes long to run empty.
+            cost *= 1 + machineType.cpus() / AutoscalerConstants.SLOW_DRAIN_MACHINE_CPUS;
+        }
+        return cost;
+    }
+}
