--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -37,8 +37,10 @@
 import io.quincelead.worker.MisroutedWorker;
 import io.quincelead.worker.ShardWorker;
 import io.quincelead.worker.WorkerGateway;
+import io.quincelead.zone.MachineVisibility;
 import io.quincelead.zone.ZoneOperatorApi;
 import io.quincelead.zone.ZoneRecoveryController;
+import io.quincelead.zone.ZoneView;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
@@ -164,8 +166,8 @@
                         });
         schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
         peerMessenger.setWorkerGateway(workerGateway);
-        ZoneRecoveryController.MachineVisibility machineVisibility =
-                new ZoneRecoveryController.MachineVisibility() {
+        MachineVisibility machineVisibility =
+                new MachineVisibility() {
                     @Override
                     public Boolean isBooting(String host) {
                         return clusterMembership.ownerOf(host) == null
@@ -183,6 +185,16 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
+        ZoneView zoneView =
+                new ZoneView(
+                        watchCache,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        zones,
+                        policy,
+                        machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -196,17 +208,10 @@
                             operatorSettings.zoneRecovery(),
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
-                            watchCache,
-                            store,
-                            jobs,
+                            zoneView,
                             clusterMembership,
-                            machines,
-                            machineTypeCatalog,
-                            imageCaches,
-                            zones,
-                            policy,
                             leader,
-                            machineVisibility);
+                            store);
         }
         Autoscaler autoscaler =
                 new Autoscaler(
@@ -272,17 +277,7 @@
                     }
                 });
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(
-                operatorSettings.zoneRecovery().enabled(),
-                watchCache,
-                jobs,
-                machines,
-                machineTypeCatalog,
-                imageCaches,
-                zones,
-                policy,
-                operatorApi,
-                machineVisibility);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
         watchCache.addChangeListener(
                 () -> {
--- /dev/null
+++ b/src/main/java/io/quincelead/zone/LostService.java
@@ -0,0 +1,35 @@
+package io.quincelead.zone;
+
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A service whose replicas may have been lost with their zones.
+ *
+ * @param jobClass name of its class; empty when it has none
+ * @param classRank rank of its class, lower first
+ * @param priority ordinal of its priority, lower is more urgent
+ * @param taskCount how many replicas it should have
+ * @param survivorsByZone how many it still has, by zone
+ * @param coveredByWindow whether an open calendar window covers it
+ * @param demand what one replica needs
+ * @param imageGb size of the image
+ * @param machineTypes names of the machine types it may run on; null: all
+ * @param requiredZone the one zone it may run in; null: any
+ * @param maxTasksPerZone how many replicas may be in one zone
+ */
+record LostService(
+        String jobId,
+        String jobClass,
+        int classRank,
+        int priority,
+        int taskCount,
+        Map<String, Integer> survivorsByZone,
+        boolean coveredByWindow,
+        Resources demand,
+        String image,
+        double imageGb,
+        List<String> machineTypes,
+        String requiredZone,
+        boolean allowsSpot,
+        int maxTasksPerZone) {}
--- /dev/null
+++ b/src/main/java/io/quincelead/zone/RentableType.java
@@ -0,0 +1,11 @@
+package io.quincelead.zone;
+
+/**
+ * A machine type that can be rented in a zone that is not lost.
+ *
+ * @param capacity of an empty machine
+ * @param bootSeconds nominal time until it is up
+ * @param pricePerHour of one machine
+ */
+record RentableType(
+        MachineOffer offer, Resources capacity, double bootSeconds, double pricePerHour) {}
--- /dev/null
+++ b/src/main/java/io/quincelead/zone/ServiceRebalancer.java
@@ -0,0 +1,194 @@
+package io.quincelead.zone;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.MachineLoad;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.MachineTypeCatalog.MachineType;
+import io.quincelead.cluster.Placement;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.ZoneTable;
+import io.quincelead.config.OperatorSettings;
+import io.quincelead.config.constants.ZoneConstants;
+import io.quincelead.eventloop.EventLoop;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * Finds the moves of replicas that restore the zone spread of services once a zone that came back
+ * has settled. It changes nothing.
+ */
+final class ServiceRebalancer {
+    /** A replica that should be in another zone. */
+    record ReplicaMove(Job job, Placement replica, String fromZone, String toZone) {}
+
+    private final EventLoop eventLoop;
+    private final OperatorSettings.ZoneRecovery settings;
+    private final ZoneView view;
+    private final ClusterMembership membership;
+
+    ServiceRebalancer(
+            EventLoop eventLoop,
+            OperatorSettings.ZoneRecovery settings,
+            ZoneView view,
+            ClusterMembership membership) {
+        this.eventLoop = eventLoop;
+        this.settings = settings;
+        this.view = view;
+        this.membership = membership;
+    }
+
+    /**
+     * A move for each service that has too many replicas in one zone while another that came back
+     * has too few, or all of them in one zone. None while a calendar window covers any work, or
+     * while any zone is unavailable or returning.
+     */
+    List<ReplicaMove> findMoves() {
+        List<ReplicaMove> moves = new ArrayList<>();
+        if (settings.movesPerMinute() <= 0
+                || view.policy().isAnyWindowOpen()
+                || view.zones().all().stream().anyMatch(this::isUnsettled)) {
+            return moves;
+        }
+        Set<String> allZones = new TreeSet<>();
+        view.catalog().all().forEach(machineType -> allZones.addAll(machineType.zones()));
+        Set<String> settledZones = new TreeSet<>(allZones);
+        settledZones.removeIf(zone -> view.zones().get(zone).state() != ZoneTable.State.SETTLED);
+        for (Job job : view.jobs().all()) {
+            if (isMovable(job)) {
+                ReplicaMove move = findMove(job, allZones, settledZones);
+                if (move != null) {
+                    moves.add(move);
+                }
+            }
+        }
+        return moves;
+    }
+
+    private boolean isUnsettled(ZoneTable.Zone zone) {
+        return view.zones().isUnavailable(zone.name()) || zone.state() == ZoneTable.State.RETURNING;
+    }
+
+    /** Whether the job is a service with all of its replicas that may run in several zones. */
+    private static boolean isMovable(Job job) {
+        JobSpec spec = job.spec;
+        return spec.isService()
+                && !job.isCancelled()
+                && !spec.zoneAffinity()
+                && spec.zone() == null
+                && spec.taskCount() > 1
+                && job.possiblyRunningTaskCount() == spec.taskCount();
+    }
+
+    /** A move of one of the job's replicas; null when none is due. */
+    private ReplicaMove findMove(Job job, Set<String> allZones, Set<String> settledZones) {
+        Map<String, Integer> replicaCountByZone = new TreeMap<>();
+        Map<String, Placement> firstReplicaByZone = new HashMap<>();
+        for (TaskStatePage page : job.pages) {
+            for (Placement replica : page == null ? List.<Placement>of() : page.placements) {
+                MachineTable.Machine machine = view.machines().get(replica.host);
+                if (machine == null || !isSteady(replica, machine)) {
+                    return null;
+                }
+                replicaCountByZone.merge(machine.zone(), 1, Integer::sum);
+                firstReplicaByZone.putIfAbsent(machine.zone(), replica);
+            }
+        }
+        String fromZone =
+                replicaCountByZone.entrySet().stream()
+                        .max(
+                                Map.Entry.<String, Integer>comparingByValue()
+                                        .thenComparing(Map.Entry.comparingByKey()))
+                        .map(Map.Entry::getKey)
+                        .orElse(null);
+        Set<String> targetZones = replicaCountByZone.size() == 1 ? allZones : settledZones;
+        String toZone =
+                targetZones.stream()
+                        .min(
+                                Comparator.comparing(
+                                                (String zone) ->
+                                                        replicaCountByZone.getOrDefault(zone, 0))
+                                        .thenComparing(Comparator.naturalOrder()))
+                        .orElse(null);
+        return fromZone == null
+                        || toZone == null
+                        || replicaCountByZone.get(fromZone)
+                                        - replicaCountByZone.getOrDefault(toZone, 0)
+                                < 2
+                ? null
+                : new ReplicaMove(job, firstReplicaByZone.get(fromZone), fromZone, toZone);
+    }
+
+    /**
+     * Whether a replica runs undisturbed; otherwise it is away already, or has its place but may
+     * not serve yet.
+     */
+    private boolean isSteady(Placement replica, MachineTable.Machine machine) {
+        MachineType machineType = view.catalog().get(machine.machineType());
+        double fetchMillis =
+                machineType == null
+                        ? 0
+                        : replica.job.spec.imageSizeGb()
+                                / Math.max(machineType.imagePullGbPerSecond(), 0.01)
+                                * 1000;
+        return !replica.stopRequested
+                && !replica.isTerminated()
+                && eventLoop.nowMillis() - replica.recordSeenAtMillis
+                        >= ZoneConstants.REPLICA_STEADY_AFTER_MILLIS + fetchMillis;
+    }
+
+    /**
+     * The replicas that would move to a zone if it had free capacity, by zone, as many as would
+     * move within a minute: machines are rented for them.
+     */
+    Map<String, List<JobSpec>> rebalanceDemand() {
+        Map<String, List<JobSpec>> specsByZone = new TreeMap<>();
+        int count = 0;
+        for (ReplicaMove move : findMoves()) {
+            if (count++ >= settings.movesPerMinute()) {
+                break;
+            }
+            specsByZone.computeIfAbsent(move.toZone, zone -> new ArrayList<>()).add(move.job.spec);
+        }
+        return specsByZone;
+    }
+
+    /**
+     * Whether a machine in the zone is reachable, is of the shard where the job's controller places
+     * it, and has free capacity for one task of the job. The leader places its jobs on all shards.
+     */
+    boolean hasFreeCapacity(Job job, String zone) {
+        boolean isLeadersJob = job.controllerId.equals(membership.leaderId());
+        for (MachineTable.Machine machine : view.machines().all()) {
+            MachineType machineType = view.catalog().get(machine.machineType());
+            if (machine.zone().equals(zone)
+                    && !machine.releasing()
+                    && !machine.cordoned()
+                    && machineType != null
+                    && MachineTypeCatalog.isAllowed(job.spec, machine.machineType())
+                    && (job.spec.preemptible() || !machine.spot())
+                    && (isLeadersJob || job.controllerId.equals(membership.ownerOf(machine.host())))
+                    && view.visibility().isReachable(machine.host())
+                    && fits(job.spec, machineType, view.jobs().loadOf(machine.host()))) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** {@code load} is null on an empty machine. */
+    private static boolean fits(JobSpec spec, MachineType machineType, MachineLoad load) {
+        return machineType.cpus() - (load == null ? 0 : load.cpus()) >= spec.cpus() - 1e-9
+                && machineType.memoryGb() - (load == null ? 0 : load.memoryGb())
+                        >= spec.memoryGb() - 1e-9
+                && machineType.gpus() - (load == null ? 0 : load.gpus()) >= spec.gpus() - 1e-9;
+    }
+}
--- a/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
+++ b/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
@@ -6,29 +6,17 @@
 import io.quincelead.config.constants.ZoneConstants;
 
 /**
- * What a zone's state is next, from what is seen of its machines: a function of record, sight and
- * time alone, the same whoever leads.
+ * Decides a zone's next state: a function of its record, an observation and the time alone, the
+ * same whoever leads. A zone is lost by evidence only, never by time.
  */
 final class ZoneHealthEvaluator {
-    /**
-     * What is seen of a zone: machines on record there that are up or were; those whose owners were
-     * heard of late ({@code known}); of these the ones that are heard; and of the {@code had}
-     * machines at the first doubt those that are still on record. {@code fair}: whether other zones
-     * are heard, so that the fault isn't the onlooker's.
-     */
-    record ZoneObservation(
-            int machineCount,
-            int knownCount,
-            int reachableCount,
-            int remainingCount,
-            boolean otherZonesReachable) {}
-
     private final double silenceThresholdMillis;
     private final double baseSettleMillis;
 
     /**
-     * {@code silentMs}: longer silence is a dead, hung or cut machine's; {@code settleMs}: how long
-     * a zone that is back must hold.
+     * @param silenceThresholdMillis longer silence is that of a machine that is dead, hung or cut
+     *     off
+     * @param baseSettleMillis how long a zone that came back must hold until work is moved to it
      */
     ZoneHealthEvaluator(double silenceThresholdMillis, double baseSettleMillis) {
         this.silenceThresholdMillis = silenceThresholdMillis;
@@ -36,115 +24,106 @@
     }
 
     /**
-     * The next record; the same one if nothing changes, null when the zone is up and needs none.
+     * The zone's next record; the same one if nothing changes, null when the zone is up and needs
+     * none.
+     *
+     * @param nowMillis the time on the wall clock, in milliseconds since 1970
      */
     Zone evaluate(Zone zone, ZoneObservation observation, long nowMillis) {
-        boolean isConclusive =
-                observation.otherZonesReachable
-                        && observation.knownCount >= ZoneConstants.MIN_EVALUATED_MACHINES
-                        && observation.knownCount * 2 >= observation.machineCount;
-        boolean isUnreachable =
-                isConclusive
-                        && observation.reachableCount
-                                < observation.knownCount * ZoneConstants.MIN_HEARD_FRACTION;
-        boolean isReachable = observation.reachableCount >= Math.max(1, observation.knownCount / 2);
         return switch (zone.state()) {
-            case UP ->
-                    isUnreachable
-                            ? new Zone(
-                                    zone.name(),
-                                    State.DOUBTFUL,
-                                    nowMillis,
-                                    observation.machineCount,
-                                    zone.recentLossCount(),
-                                    observation.reachableCount
-                                            + " of "
-                                            + observation.knownCount
-                                            + " machines are heard",
-                                    zone.operatorOrder())
-                            : zone;
-            case DOUBTFUL ->
-                    isGone(zone, observation)
-                            ? markLost(zone, observation, nowMillis)
-                            : isReachable
-                                    ? recover(zone, nowMillis)
-                                    : nowMillis - zone.sinceEpochMillis() > silenceThresholdMillis
-                                                    && isUnreachable
-                                            ? zone.withState(
-                                                    State.CUT,
-                                                    nowMillis,
-                                                    observation.reachableCount
-                                                            + " of "
-                                                            + observation.knownCount
-                                                            + " machines are heard for "
-                                                            + Math.round(
-                                                                    (nowMillis
-                                                                                    - zone
-                                                                                            .sinceEpochMillis())
-                                                                            / 1000.0)
-                                                            + " s")
-                                            : zone;
-            // Cut never becomes lost by time: only by the cloud's word, or its answer to a release
-            // that somebody decided.
-            case CUT ->
-                    isGone(zone, observation)
-                            ? markLost(zone, observation, nowMillis)
-                            : isReachable ? recover(zone, nowMillis) : zone;
-            // With nobody left there to be heard, new machines are tried when it has been lost for
-            // as long as it must hold.
-            case LOST ->
-                    observation.reachableCount >= ZoneConstants.MIN_EVALUATED_MACHINES
-                                    || observation.reachableCount > 0
-                                            && nowMillis - zone.sinceEpochMillis()
-                                                    > silenceThresholdMillis
-                            ? zone.withOperatorOrder(OperatorOrder.NONE)
-                                    .withState(
-                                            State.RETURNING,
-                                            nowMillis,
-                                            observation.reachableCount
-                                                    + " machines are heard again")
-                            : observation.machineCount == 0
-                                            && nowMillis - zone.sinceEpochMillis()
-                                                    > requiredSettleMillis(zone)
-                                    ? zone.withOperatorOrder(OperatorOrder.NONE)
-                                            .withState(
-                                                    State.RETURNING,
-                                                    nowMillis,
-                                                    "machines may be rented there again")
-                                    : zone;
-            case RETURNING ->
-                    isUnreachable
-                            ? doubtAgain(zone, observation, nowMillis)
-                            : observation.reachableCount > 0
-                                            && nowMillis - zone.sinceEpochMillis()
-                                                    > requiredSettleMillis(zone)
-                                    ? zone.withState(
-                                            State.SETTLED,
-                                            nowMillis,
-                                            "held for "
-                                                    + Math.round(requiredSettleMillis(zone) / 1000)
-                                                    + " s")
-                                    : zone;
-            case SETTLED ->
-                    isUnreachable
-                            ? doubtAgain(zone, observation, nowMillis)
-                            : nowMillis - zone.sinceEpochMillis()
-                                            > ZoneConstants.FORGET_LOSS_AFTER_MILLIS
-                                    ? null
-                                    : zone;
+            case UP -> observation.isUnreachable() ? doubt(zone, observation, nowMillis, "") : zone;
+            case DOUBTFUL -> afterDoubt(zone, observation, nowMillis);
+            case CUT -> afterCut(zone, observation, nowMillis);
+            case LOST -> afterLoss(zone, observation, nowMillis);
+            case RETURNING -> afterReturn(zone, observation, nowMillis);
+            case SETTLED -> afterSettling(zone, observation, nowMillis);
         };
     }
 
-    /** The time for which it must hold doubles with each loss of late. */
+    private Zone afterDoubt(Zone zone, ZoneObservation observation, long nowMillis) {
+        if (isMostlyGone(zone, observation)) {
+            return markLost(zone, observation, nowMillis);
+        }
+        if (observation.isReachable()) {
+            return recover(zone, nowMillis);
+        }
+        long silentMillis = nowMillis - zone.sinceEpochMillis();
+        return silentMillis > silenceThresholdMillis && observation.isUnreachable()
+                ? zone.withState(
+                        State.CUT,
+                        nowMillis,
+                        observation.reachableOfKnown()
+                                + " for "
+                                + Math.round(silentMillis / 1000.0)
+                                + " s")
+                : zone;
+    }
+
+    /**
+     * A zone that is cut off is never lost by time: only by the cloud's word, or its answer to a
+     * release that somebody decided.
+     */
+    private Zone afterCut(Zone zone, ZoneObservation observation, long nowMillis) {
+        if (isMostlyGone(zone, observation)) {
+            return markLost(zone, observation, nowMillis);
+        }
+        return observation.isReachable() ? recover(zone, nowMillis) : zone;
+    }
+
+    /**
+     * With no machine left there that could be reachable, new machines are tried when it has been
+     * lost for as long as it must hold.
+     */
+    private Zone afterLoss(Zone zone, ZoneObservation observation, long nowMillis) {
+        long lostMillis = nowMillis - zone.sinceEpochMillis();
+        if (observation.reachableCount() >= ZoneConstants.MIN_EVALUATED_MACHINES
+                || observation.reachableCount() > 0 && lostMillis > silenceThresholdMillis) {
+            return zone.withOperatorOrder(OperatorOrder.NONE)
+                    .withState(
+                            State.RETURNING,
+                            nowMillis,
+                            observation.reachableCount() + " machines are heard again");
+        }
+        if (observation.machineCount() == 0 && lostMillis > requiredSettleMillis(zone)) {
+            return zone.withOperatorOrder(OperatorOrder.NONE)
+                    .withState(State.RETURNING, nowMillis, "machines may be rented there again");
+        }
+        return zone;
+    }
+
+    private Zone afterReturn(Zone zone, ZoneObservation observation, long nowMillis) {
+        if (observation.isUnreachable()) {
+            return doubt(zone, observation, nowMillis, ", again");
+        }
+        double settleMillis = requiredSettleMillis(zone);
+        return observation.reachableCount() > 0
+                        && nowMillis - zone.sinceEpochMillis() > settleMillis
+                ? zone.withState(
+                        State.SETTLED,
+                        nowMillis,
+                        "held for " + Math.round(settleMillis / 1000) + " s")
+                : zone;
+    }
+
+    private Zone afterSettling(Zone zone, ZoneObservation observation, long nowMillis) {
+        if (observation.isUnreachable()) {
+            return doubt(zone, observation, nowMillis, ", again");
+        }
+        return nowMillis - zone.sinceEpochMillis() > ZoneConstants.FORGET_LOSS_AFTER_MILLIS
+                ? null
+                : zone;
+    }
+
+    /** The time for which a zone that came back must hold doubles with each recent loss. */
     double requiredSettleMillis(Zone zone) {
         return Math.min(
                 ZoneConstants.MAX_SETTLE_MILLIS,
                 baseSettleMillis * Math.pow(2, Math.max(0, zone.recentLossCount() - 1)));
     }
 
-    private static boolean isGone(Zone zone, ZoneObservation observation) {
+    private static boolean isMostlyGone(Zone zone, ZoneObservation observation) {
         return zone.machineCountWhenDoubted() >= ZoneConstants.MIN_EVALUATED_MACHINES
-                && observation.remainingCount
+                && observation.remainingCount()
                         <= zone.machineCountWhenDoubted()
                                 * (1 - ZoneConstants.LOST_MACHINES_FRACTION);
     }
@@ -157,11 +136,12 @@
                 zone.machineCountWhenDoubted(),
                 zone.recentLossCount() + 1,
                 zone.machineCountWhenDoubted()
-                        - observation.remainingCount
+                        - observation.remainingCount()
                         + " of "
                         + zone.machineCountWhenDoubted()
                         + " machines are gone by the cloud's word",
-                // What was given up is given up whole; otherwise the order has had its day.
+                // An order to release holds for the rest of the zone's machines too; an order to
+                // hold has no use any more.
                 zone.operatorOrder() == OperatorOrder.RELEASE
                         ? OperatorOrder.RELEASE
                         : OperatorOrder.NONE);
@@ -175,17 +155,15 @@
                         .withState(State.SETTLED, nowMillis, "heard again, nothing was lost");
     }
 
-    private static Zone doubtAgain(Zone zone, ZoneObservation observation, long nowMillis) {
+    private static Zone doubt(
+            Zone zone, ZoneObservation observation, long nowMillis, String reasonSuffix) {
         return new Zone(
                 zone.name(),
                 State.DOUBTFUL,
                 nowMillis,
-                observation.machineCount,
+                observation.machineCount(),
                 zone.recentLossCount(),
-                observation.reachableCount
-                        + " of "
-                        + observation.knownCount
-                        + " machines are heard, again",
+                observation.reachableOfKnown() + reasonSuffix,
                 zone.operatorOrder());
     }
 }
