--- a/src/main/java/io/quincelead/config/constants/StoreConstants.java
+++ b/src/main/java/io/quincelead/config/constants/StoreConstants.java
@@ -68,5 +68,14 @@
     /** Submissions and cancellations that may wait to be committed. */
     public static final int MAX_WAITING_COMMITS = 150;
 
+    /**
+     * Fraction of its share of the store's limits that a controller plans with, so that it stays a
+     * little below what the store allows.
+     */
+    public static final double PLANNED_RATE_FRACTION = 0.95;
+
+    /** Seconds of its request rate that a controller may send at once. */
+    public static final double REQUEST_BURST_SECONDS = 0.9;
+
     private StoreConstants() {}
 }
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -17,8 +17,8 @@
     private final Transport transport;
     private final String storeAddress;
     private final int maxTransactionOperations;
-    final RateLimiter requestBudget;
-    final RateLimiter writeBudget;
+    private final RateLimiter requestBudget;
+    private final RateLimiter writeBudget;
     private boolean writesDelayed;
     private boolean writesThrottled;
 
@@ -36,13 +36,13 @@
                         loop,
                         settings.storeLimits().requestsPerSecond()
                                 / settings.controllerCount()
-                                * 0.95,
-                        0.9);
+                                * StoreConstants.PLANNED_RATE_FRACTION,
+                        StoreConstants.REQUEST_BURST_SECONDS);
         double evenShare = settings.storeLimits().writesPerSecond() / settings.controllerCount();
         this.writeBudget =
                 new RateLimiter(
                                 loop,
-                                evenShare * 0.95,
+                                evenShare * StoreConstants.PLANNED_RATE_FRACTION,
                                 Math.max(1, maxTransactionOperations / evenShare))
                         .withRateBounds(
                                 evenShare * StoreConstants.MIN_WRITE_SHARE_FRACTION,
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -1,6 +1,7 @@
 package io.quincelead.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.transport.Transport;
@@ -65,6 +66,7 @@
                     applyRemove(key, revision);
                 }
             };
+
     private final long minWatchIntervalMillis;
     private Phase phase = Phase.EMPTY;
     private boolean synced;
@@ -155,34 +157,45 @@
                             firstPageRevision < 0
                                     ? StoreCodec.storeRevision(body)
                                     : firstPageRevision;
-                    String lastKey = afterKey;
-                    for (JsonNode item : StoreCodec.items(body)) {
-                        lastKey = StoreCodec.key(item);
-                        seenKeys.add(lastKey);
-                        // What is newer than the first page comes by the watch, in the store's
-                        // order: a task state page must not come before its job.
-                        long modRevision = StoreCodec.modRevision(item);
-                        if (modRevision <= snapshotRevision) {
-                            applyPut(lastKey, StoreCodec.value(item), modRevision);
-                        }
-                    }
+                    String lastKey = applyPage(body, afterKey, snapshotRevision, seenKeys);
                     if (StoreCodec.isTruncated(body) && lastKey != null) {
                         readPage(lastKey, snapshotRevision, seenKeys);
-                        return;
-                    }
-                    for (String key : new ArrayList<>(modRevisions.keySet())) {
-                        if (!seenKeys.contains(key) && modRevision(key) <= snapshotRevision) {
-                            applyRemove(key, snapshotRevision);
-                        }
+                    } else {
+                        completeListing(snapshotRevision, seenKeys);
                     }
-                    storeRevision = Math.max(storeRevision, snapshotRevision);
-                    synced = true;
-                    transitionTo(Phase.WATCHING);
-                    notifyChangeListeners();
-                    watch();
                 });
     }
 
+    /** Returns the page's last key, or {@code afterKey} if it is empty. */
+    private String applyPage(
+            ObjectNode page, String afterKey, long snapshotRevision, Set<String> seenKeys) {
+        String lastKey = afterKey;
+        for (JsonNode item : StoreCodec.items(page)) {
+            lastKey = StoreCodec.key(item);
+            seenKeys.add(lastKey);
+            // What is newer than the first page comes by the watch, in the store's order: a task
+            // state page must not come before its job.
+            long modRevision = StoreCodec.modRevision(item);
+            if (modRevision <= snapshotRevision) {
+                applyPut(lastKey, StoreCodec.value(item), modRevision);
+            }
+        }
+        return lastKey;
+    }
+
+    private void completeListing(long snapshotRevision, Set<String> seenKeys) {
+        for (String key : new ArrayList<>(modRevisions.keySet())) {
+            if (!seenKeys.contains(key) && modRevision(key) <= snapshotRevision) {
+                applyRemove(key, snapshotRevision);
+            }
+        }
+        storeRevision = Math.max(storeRevision, snapshotRevision);
+        synced = true;
+        transitionTo(Phase.WATCHING);
+        notifyChangeListeners();
+        watch();
+    }
+
     private void watch() {
         long sentAtMillis = loop.nowMillis();
         store.watch(
--- /dev/null
+++ b/src/test/java/io/quincelead/store/GroupCommitterTest.java
@@ -0,0 +1,92 @@
+package io.quincelead.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.simulation.SimulatedClock;
+import io.quincelead.transport.WireFormat;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class GroupCommitterTest {
+    private final SimulatedClock clock = new SimulatedClock(1);
+    private final SimulatedClock.SimulatedProcess loop = clock.newProcess();
+
+    /** Keys written by each commit request, in the order of the requests. */
+    private final List<List<String>> commits = new ArrayList<>();
+
+    private final List<String> outcomes = new ArrayList<>();
+
+    /** Status of each commit request by its number; 0: no response. */
+    private final List<Integer> statuses = new ArrayList<>();
+
+    private GroupCommitter newCommitter() {
+        StoreClient store =
+                new StoreClient(
+                        loop,
+                        (address, method, path, codec, body, timeoutMillis, reply) -> {
+                            List<String> keys = new ArrayList<>();
+                            ObjectNode request = WireFormat.CBOR.decodeMap(body);
+                            request.path("then").forEach(o -> keys.add(o.path("put").asText()));
+                            commits.add(keys);
+                            int status =
+                                    statuses.get(Math.min(commits.size(), statuses.size()) - 1);
+                            ObjectNode response = WireFormat.newMap().put("generation", 7);
+                            clock.schedule(
+                                    1,
+                                    () ->
+                                            reply.onResponse(
+                                                    status, WireFormat.CBOR.encode(response)));
+                        },
+                        StoreTestSettings.SETTINGS);
+        return new GroupCommitter(loop, store, new WatchCache(loop, store, 400));
+    }
+
+    private void submit(GroupCommitter committer, String key) {
+        committer.submit(
+                new Transaction().requireRevision(key, 0).put(key, WireFormat.newMap()),
+                1_000,
+                outcome -> outcomes.add(key + " " + outcome.result()));
+    }
+
+    @Test
+    void transactionsThatWaitTogetherShareACommit() {
+        statuses.add(200);
+        GroupCommitter committer = newCommitter();
+
+        submit(committer, "a/j/1");
+        submit(committer, "a/j/2");
+        clock.runUntil(500);
+
+        assertEquals(List.of(List.of("a/j/1", "a/j/2")), commits);
+        assertEquals(List.of("a/j/1 COMMITTED", "a/j/2 COMMITTED"), outcomes);
+    }
+
+    @Test
+    void transactionsOfAConflictingBatchAreCommittedAlone() {
+        statuses.addAll(List.of(409, 200, 409));
+        GroupCommitter committer = newCommitter();
+
+        submit(committer, "a/j/1");
+        submit(committer, "a/j/2");
+        clock.runUntil(500);
+
+        assertEquals(
+                List.of(List.of("a/j/1", "a/j/2"), List.of("a/j/1"), List.of("a/j/2")), commits);
+        assertEquals(List.of("a/j/1 COMMITTED", "a/j/2 CONFLICT"), outcomes);
+    }
+
+    @Test
+    void throttledTransactionIsRepeatedUntilItsDeadlineThenRejected() {
+        statuses.add(429);
+        GroupCommitter committer = newCommitter();
+
+        submit(committer, "a/j/1");
+        clock.runUntil(800);
+        assertEquals(List.of(), outcomes);
+        clock.runUntil(1_500);
+
+        assertEquals(List.of("a/j/1 REJECTED"), outcomes);
+    }
+}
--- a/src/test/java/io/quincelead/store/WatchCacheTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -4,13 +4,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.config.Settings;
 import io.quincelead.simulation.SimulatedClock;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 class WatchCacheTest {
@@ -23,24 +21,6 @@
                 .putObject("value");
     }
 
-    private static final Settings SETTINGS =
-            new Settings(
-                    "worker-0",
-                    "a",
-                    "10.0.0.1:8080",
-                    "10.0.0.1:8081",
-                    Map.of(),
-                    "10.2.0.2:1",
-                    "10.2.0.1:1",
-                    1,
-                    25,
-                    Map.of(),
-                    List.of(),
-                    new Settings.WorkerTimings(1, 10, 45, 6, 40),
-                    new Settings.StoreLimits(400, 200, 8, 12),
-                    new Settings.CloudLimits(4, 4),
-                    new Settings.ProcessLimits(1, 256, 500));
-
     private final SimulatedClock clock = new SimulatedClock(1);
     private final SimulatedClock.SimulatedProcess loop = clock.newProcess();
     private final List<String> seenKeys = new ArrayList<>();
@@ -57,7 +37,7 @@
                                 clock.schedule(1, () -> reply.onResponse(200, response));
                             }
                         },
-                        SETTINGS);
+                        StoreTestSettings.SETTINGS);
         WatchCache watchCache = new WatchCache(loop, store, 400);
         watchCache.addPrefixListener(
                 "a/",
