--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -35,7 +35,7 @@
     private long leaseId;
     private long validUntilMillis;
 
-    /** Store revision of our announcement. */
+    /** Store revision of the announcement of the current lease. */
     private long announcedRevision;
 
     /**
