--- a/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
@@ -16,10 +16,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * All interleavings, to a stated depth, of a small service: two controllers (the first leads), a
- * team limited to two CPUs, four tasks of one CPU in three jobs, two machines. Rounds and splits
- * are prepared and take effect later or never; workers start, lose and are heard; machines change
- * hands; a job is handed over. The arithmetic is the product's own.
+ * Model checking of quota: all interleavings, to a stated depth, of a small service with two
+ * controllers (the first leads), a team limited to two CPUs, four tasks of one CPU in three jobs,
+ * and two machines. Scheduling cycles and splits are planned and commit later or never; workers
+ * start and lose tasks and send heartbeats; machines change their owner; a job is reassigned. The
+ * arithmetic is that of {@link QuotaShares} itself.
  */
 class QuotaShareModelTest {
     /** What the protocol relies on; the model can leave one out, to see that it is needed. */
@@ -35,7 +36,7 @@
     private static final int[] JOB_OF = {0, 1, 1, 2};
     private static final int TASKS = JOB_OF.length;
 
-    /** By job; the first is less urgent, so that the others' wants go ahead of it. */
+    /** By job; the first has lower priority, so that the others' demand goes ahead of it. */
     private static final int[] PRIORITY = {1, 0, 0};
 
     /** What a machine's owner knows of a task recorded there. */
@@ -46,13 +47,13 @@
     }
 
     /**
-     * A round that was sent and may take effect: where it places a task, and whether its guards
-     * still hold.
+     * A scheduling cycle's write that may still commit: where it places a task, and whether its
+     * preconditions hold.
      */
     private record CycleCommit(
             int task, int machine, boolean shardUnchanged, boolean jobUnchanged) {}
 
-    /** A split that was sent and may take effect. */
+    /** A write of quota shares that may still commit. */
     private record Split(double first, double second, boolean shardsUnchanged) {}
 
     private static final class State {
@@ -220,7 +221,7 @@
             CycleCommit cycle = state.pendingCycle[controllerId];
             State lost = state.copy();
             lost.pendingCycle[controllerId] = null;
-            addSuccessor("round of " + controllerId + " has no effect", lost);
+            addSuccessor("cycle of " + controllerId + " does not commit", lost);
             if ((cycle.shardUnchanged || omitted == Safeguard.SHARD_REVISION)
                     && (cycle.jobUnchanged || omitted == Safeguard.JOB_REVISION)) {
                 State successor = state.copy();
@@ -229,7 +230,7 @@
                 successor.evidence[cycle.task] = Evidence.NOTHING;
                 successor.onJobChanged(JOB_OF[cycle.task]);
                 addSuccessor(
-                        "round of "
+                        "cycle of "
                                 + controllerId
                                 + " places "
                                 + cycle.task
@@ -247,13 +248,13 @@
                 successor.evidence[task] = Evidence.RUNNING;
                 addSuccessor(
                         task
-                                + (state.runsOn[task][machine] ? " is seen on " : " starts on ")
+                                + (state.runsOn[task][machine] ? " is reported on " : " starts on ")
                                 + machine,
                         successor);
             } else if (state.evidence[task] == Evidence.RUNNING && !state.runsOn[task][machine]) {
                 State successor = state.copy();
                 successor.evidence[task] = Evidence.TERMINATED;
-                addSuccessor(task + " is seen to be gone from " + machine, successor);
+                addSuccessor(task + " is reported gone from " + machine, successor);
             } else if (state.evidence[task] == Evidence.TERMINATED) {
                 State successor = state.copy();
                 successor.machineOnRecord[task] = -1;
@@ -272,7 +273,7 @@
             if (state.pendingSplit != null) {
                 State lost = state.copy();
                 lost.pendingSplit = null;
-                addSuccessor("split has no effect", lost);
+                addSuccessor("split does not commit", lost);
                 if (state.pendingSplit.shardsUnchanged || omitted == Safeguard.SHARD_REVISION) {
                     State successor = state.copy();
                     successor.quotaShare =
@@ -314,13 +315,13 @@
                     successor.onShardChanged(1);
                 }
                 successor.onJobChanged(1);
-                addSuccessor("job 1 is handed to 0", successor);
+                addSuccessor("job 1 is reassigned to 0", successor);
             }
         }
 
         /**
-         * The shortest way past the limit, or to a task that runs twice; null if there is none
-         * within the depth.
+         * The shortest trace to a state past the limit, or with a task that runs twice; null if
+         * there is none within the depth.
          */
         List<String> search(int maxDepth, int maxStates) {
             record Node(State state, Node from, String step, int depth) {}
@@ -353,11 +354,11 @@
     void noInterleavingPassesTheLimit() {
         Model model = new Model(null);
         assertNull(model.search(100, 400_000));
-        System.out.println("allowance model: " + model.states + " states, depth " + model.depth);
+        System.out.println("quota share model: " + model.states + " states, depth " + model.depth);
         assertTrue(model.states > 20_000);
     }
 
-    /** Each guard, left out alone, lets some interleaving pass the limit or run a task twice. */
+    /** Each safeguard, omitted alone, lets some interleaving pass the limit or run a task twice. */
     @ParameterizedTest
     @EnumSource(Safeguard.class)
     void eachSafeguardIsNeeded(Safeguard safeguard) {
--- a/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Properties of the split of a team's limit, over random allowances, uses and wants of four
+ * Properties of the split of a team's limit, over random quota shares, uses and demands of four
  * controllers.
  */
 class QuotaSharesTest {
@@ -40,7 +40,7 @@
      * use before.
      */
     @Property(tries = 2000, seed = "11")
-    void neverMoreThanTheLimit(
+    void splitNeverPassesTheLimit(
             @ForAll @Size(4) List<@DoubleRange(max = 60) Double> shares,
             @ForAll @Size(4) List<@DoubleRange(max = 60) Double> used,
             @ForAll @Size(4) List<@DoubleRange(max = 200) Double> high,
@@ -62,20 +62,20 @@
     }
 
     /**
-     * Repeated, splits bring a gang's whole want to the one controller where it is, if nothing more
-     * urgent wants it and what is free would do: so a gang at the leader is not kept waiting by
-     * others' unused allowances. (It once got all but the last quarter of a CPU, for changes below
-     * that were left out.)
+     * Repeated, splits bring a gang's whole demand to the one controller where it is, if nothing of
+     * higher priority wants it and what is free would do: so a gang at the leader is not kept
+     * waiting by others' unused shares. (It once got all but the last quarter of a CPU, for changes
+     * below that were left out.)
      */
     @Property(tries = 2000, seed = "12")
-    void aWantThatFitsIsServedWithinFewSplits(
+    void demandThatFitsIsServedWithinFewSplits(
             @ForAll @Size(4) List<@DoubleRange(max = 60) Double> start,
             @ForAll @Size(4) List<@DoubleRange(max = 20) Double> used,
             @ForAll @Size(4) List<@DoubleRange(max = 200) Double> low,
             @ForAll @DoubleRange(min = 1, max = 20) double gang) {
         double[] usedArray = array(used);
         double[] shares = committed(array(start), usedArray, 0) > LIMIT ? usedArray : array(start);
-        for (int round = 0; round < 8; round++) {
+        for (int split = 0; split < 8; split++) {
             shares =
                     QuotaShares.split(
                             LIMIT,
