--- a/src/main/java/io/quincelead/leadership/ShardAssigner.java
+++ b/src/main/java/io/quincelead/leadership/ShardAssigner.java
@@ -1,6 +1,7 @@
 package io.quincelead.leadership;
 
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.config.constants.ApiConstants;
 import io.quincelead.config.constants.LeadershipConstants;
@@ -99,7 +100,7 @@
      */
     boolean assign(ShardUpdate update, Transaction transaction) {
         assignUnownedMachines(update);
-        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        MachineEdits edits = machines.beginEdits(transaction);
         boolean mayRegister =
                 mayRegisterUnexpectedMachines()
                         && eventLoop.nowMillis() - registeredAtMillis
@@ -173,7 +174,7 @@
     /**
      * The machine is assigned by a later cycle, once on record; until then it goes on reporting.
      */
-    private void register(MachineTable.MachineEdits edits, MisroutedWorker worker) {
+    private void register(MachineEdits edits, MisroutedWorker worker) {
         registeredAtMillis = eventLoop.nowMillis();
         edits.addUnexpected(
                 worker.host(),
