--- a/src/main/java/io/quincelead/leadership/LeaderElection.java
+++ b/src/main/java/io/quincelead/leadership/LeaderElection.java
@@ -5,7 +5,6 @@
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -87,18 +86,18 @@
     Transaction beginCampaign() {
         transitionTo(Phase.CANDIDATE);
         long fencingToken = membership.latestFencingToken() + 1;
-        return new Transaction()
-                .requireRevision(StoreKeys.LEADER, 0)
-                .requireRevision(
-                        StoreKeys.FENCING_TOKEN_COUNTER,
-                        watchCache.modRevision(StoreKeys.FENCING_TOKEN_COUNTER))
-                .put(
-                        StoreKeys.LEADER,
-                        new ClusterMembership.LeaderRecord(
-                                        localMemberId, membershipLease.incarnation(), fencingToken)
-                                .encode(),
-                        membershipLease.leaseId())
-                .put(StoreKeys.FENCING_TOKEN_COUNTER, WireFormat.newMap().put("n", fencingToken));
+        Transaction campaign =
+                new Transaction()
+                        .requireRevision(StoreKeys.LEADER, 0)
+                        .put(
+                                StoreKeys.LEADER,
+                                new ClusterMembership.LeaderRecord(
+                                                localMemberId,
+                                                membershipLease.incarnation(),
+                                                fencingToken)
+                                        .encode(),
+                                membershipLease.leaseId());
+        return FencingTokenCounter.raise(campaign, watchCache, fencingToken);
     }
 
     /** The campaign's write was refused, or its outcome isn't known. */
--- a/src/main/java/io/quincelead/leadership/ShardUpdate.java
+++ b/src/main/java/io/quincelead/leadership/ShardUpdate.java
@@ -3,10 +3,8 @@
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.ClusterMembership.QuotaShare;
 import io.quincelead.cluster.ClusterMembership.Shard;
-import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
-import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -121,13 +119,7 @@
      */
     void addTo(Transaction transaction, WatchCache watchCache, int maxRecordLength) {
         if (hasAssignments) {
-            transaction
-                    .requireRevision(
-                            StoreKeys.FENCING_TOKEN_COUNTER,
-                            watchCache.modRevision(StoreKeys.FENCING_TOKEN_COUNTER))
-                    .put(
-                            StoreKeys.FENCING_TOKEN_COUNTER,
-                            WireFormat.newMap().put("n", fencingToken));
+            FencingTokenCounter.raise(transaction, watchCache, fencingToken);
         }
         for (Shard shard : membership.shards()) {
             transaction.requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()));
