--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -2,9 +2,11 @@
 
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
+import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
@@ -21,8 +23,11 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
+import io.quincelead.scheduler.ClusterView;
+import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
+import io.quincelead.scheduler.StoreAccess;
 import io.quincelead.store.GroupCommitter;
 import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreClient;
@@ -34,9 +39,12 @@
 import io.quincelead.worker.MisroutedWorker;
 import io.quincelead.worker.ShardWorker;
 import io.quincelead.worker.WorkerGateway;
+import io.quincelead.zone.MachineVisibility;
 import io.quincelead.zone.ZoneOperatorApi;
 import io.quincelead.zone.ZoneRecoveryController;
+import io.quincelead.zone.ZoneView;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -112,22 +120,6 @@
                         transport,
                         leader::onMisroutedWorker,
                         this::localWorkers);
-        schedulingCycle =
-                new SchedulingCycle(
-                        loop,
-                        settings,
-                        operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        constrainedDemand,
-                        policy,
-                        this::flushWorkerResponses);
         workerGateway =
                 new WorkerGateway(
                         loop,
@@ -150,7 +142,7 @@
 
                             @Override
                             public void requestCycle() {
-                                schedulingCycle.requestCycle();
+                                Controller.this.schedulingCycle.requestCycle();
                             }
 
                             @Override
@@ -160,12 +152,27 @@
 
                             @Override
                             public boolean isCyclePending() {
-                                return schedulingCycle.isCyclePending();
+                                return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
-        schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
-        ZoneRecoveryController.MachineVisibility machineVisibility =
-                new ZoneRecoveryController.MachineVisibility() {
+        schedulingCycle =
+                new SchedulingCycle(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        new StoreAccess(membershipLease, watchCache, store),
+                        new ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                imageCaches,
+                                constrainedDemand,
+                                policy),
+                        new Collaborators(workerGateway, leader, peerMessenger),
+                        this::flushWorkerResponses);
+        MachineVisibility machineVisibility =
+                new MachineVisibility() {
                     @Override
                     public Boolean isBooting(String host) {
                         return clusterMembership.ownerOf(host) == null
@@ -183,6 +190,16 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
+        ZoneView zoneView =
+                new ZoneView(
+                        watchCache,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        zones,
+                        policy,
+                        machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -196,40 +213,27 @@
                             operatorSettings.zoneRecovery(),
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
-                            watchCache,
-                            store,
-                            jobs,
+                            zoneView,
                             clusterMembership,
-                            machines,
-                            machineTypeCatalog,
-                            imageCaches,
-                            zones,
-                            policy,
                             leader,
-                            machineVisibility);
+                            store);
         }
         autoscaler =
                 new Autoscaler(
                         loop,
+                        transport,
                         settings,
                         operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        leader,
-                        transport,
-                        this::isBooting,
-                        this::recordTaskTermination,
-                        constrainedDemand,
-                        policy,
-                        zones,
-                        zoneRecoveryController == null
-                                ? Map::of
-                                : zoneRecoveryController::rebalanceDemand);
+                        new io.quincelead.autoscaler.ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                zones,
+                                constrainedDemand,
+                                policy),
+                        new LeaderStore(leader, membershipLease, store, watchCache),
+                        autoscalerCallbacks(zoneRecoveryController));
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
@@ -277,17 +281,7 @@
                     }
                 });
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(
-                operatorSettings.zoneRecovery().enabled(),
-                watchCache,
-                jobs,
-                machines,
-                machineTypeCatalog,
-                imageCaches,
-                zones,
-                policy,
-                operatorApi,
-                machineVisibility);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
         watchCache.addChangeListener(
                 () -> {
@@ -305,6 +299,26 @@
         watchCache.start();
     }
 
+    /** {@code zoneRecovery} is null when zone recovery is turned off. */
+    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+        return new Autoscaler.Callbacks() {
+            @Override
+            public Boolean isBooting(String ownerId, String host) {
+                return Controller.this.isBooting(ownerId, host);
+            }
+
+            @Override
+            public void onTaskTerminated(Placement placement) {
+                recordTaskTermination(placement);
+            }
+
+            @Override
+            public Map<String, List<JobSpec>> rebalanceDemand() {
+                return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
+            }
+        };
+    }
+
     private void recordTaskTermination(Placement placement) {
         schedulingCycle.onTaskTerminated(placement);
         if (placement.job.isCompleteByEvidence()) {
