--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -155,20 +155,22 @@
                                 return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
+        ClusterView clusterView =
+                new ClusterView(
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        constrainedDemand,
+                        policy);
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
                         settings,
                         operatorSettings,
                         new StoreAccess(membershipLease, watchCache, store),
-                        new ClusterView(
-                                clusterMembership,
-                                jobs,
-                                machines,
-                                machineTypeCatalog,
-                                imageCaches,
-                                constrainedDemand,
-                                policy),
+                        clusterView,
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
         MachineVisibility machineVisibility =
@@ -190,16 +192,7 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
-        ZoneView zoneView =
-                new ZoneView(
-                        watchCache,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        zones,
-                        policy,
-                        machineVisibility);
+        ZoneView zoneView = new ZoneView(clusterView, watchCache, zones, machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -214,7 +207,6 @@
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
                             zoneView,
-                            clusterMembership,
                             leader,
                             store);
         }
@@ -224,16 +216,9 @@
                         transport,
                         settings,
                         operatorSettings,
-                        new io.quincelead.autoscaler.ClusterView(
-                                clusterMembership,
-                                jobs,
-                                machines,
-                                machineTypeCatalog,
-                                zones,
-                                constrainedDemand,
-                                policy),
+                        clusterView,
                         new LeaderStore(leader, membershipLease, store, watchCache),
-                        autoscalerCallbacks(zoneRecoveryController));
+                        autoscalerCallbacks(zones, zoneRecoveryController));
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
@@ -300,7 +285,8 @@
     }
 
     /** {@code zoneRecovery} is null when zone recovery is turned off. */
-    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+    private Autoscaler.Callbacks autoscalerCallbacks(
+            ZoneTable zones, ZoneRecoveryController zoneRecovery) {
         return new Autoscaler.Callbacks() {
             @Override
             public Boolean isBooting(String ownerId, String host) {
@@ -312,6 +298,11 @@
                 recordTaskTermination(placement);
             }
 
+            @Override
+            public boolean isZoneUnavailable(String zone) {
+                return zones.isUnavailable(zone);
+            }
+
             @Override
             public Map<String, List<JobSpec>> rebalanceDemand() {
                 return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -8,6 +8,7 @@
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import io.quincelead.scheduler.QueueOrder;
 import io.quincelead.transport.Transport;
 import java.util.ArrayList;
@@ -54,6 +55,9 @@
         /** A task has terminated, for its machine was released. */
         void onTaskTerminated(Placement placement);
 
+        /** Whether no machine should be rented in the zone now, for it may be lost. */
+        boolean isZoneUnavailable(String zone);
+
         /** Replicas that would move to a zone if it had free capacity, by zone; never null. */
         Map<String, List<JobSpec>> rebalanceDemand();
     }
@@ -85,7 +89,7 @@
                         cluster,
                         queueOrder,
                         provisioningRequests,
-                        callbacks::rebalanceDemand);
+                        callbacks);
         this.idleMachines = new IdleMachines(eventLoop, cluster.jobs());
         MachineReleaser releaser =
                 new MachineReleaser(
@@ -107,7 +111,7 @@
                         idleMachines);
         this.machineTypeReader =
                 new MachineTypeReader(
-                        eventLoop, cluster.catalog(), leaderStore, cloudClient, committer);
+                        eventLoop, cluster.machineTypes(), leaderStore, cloudClient, committer);
         this.inventory =
                 new InstanceInventory(
                         eventLoop,
@@ -132,7 +136,7 @@
             return;
         }
         machineTypeReader.readIfDue();
-        if (!cluster.catalog().isLoaded()) {
+        if (!cluster.machineTypes().isLoaded()) {
             return;
         }
         demandForecast.observe(cluster.jobs());
@@ -158,7 +162,7 @@
 
     private CpuDemand estimateDemand(CapacityForecast capacity) {
         double provisioningSeconds =
-                cluster.catalog().all().stream()
+                cluster.machineTypes().all().stream()
                                         .mapToDouble(MachineType::bootSeconds)
                                         .max()
                                         .orElse(0)
@@ -184,7 +188,7 @@
         Set<String> presentHosts = new HashSet<>();
         CapacityForecast capacity = new CapacityForecast();
         for (ProvisioningRequest request : provisioningRequests.openRequests()) {
-            MachineType machineType = cluster.catalog().get(request.machineType());
+            MachineType machineType = cluster.machineTypes().get(request.machineType());
             if (machineType != null) {
                 capacity.add(
                         request.machineCount() * machineType.cpus(),
@@ -192,7 +196,7 @@
             }
         }
         for (MachineTable.Machine machine : cluster.machines().all()) {
-            MachineType machineType = cluster.catalog().get(machine.machineType());
+            MachineType machineType = cluster.machineTypes().get(machine.machineType());
             presentHosts.add(machine.host());
             if (machine.releasing() || machineType == null) {
                 continue;
@@ -214,7 +218,7 @@
 
     private boolean isBooting(MachineTable.Machine machine, MachineType machineType) {
         Boolean reportedBooting =
-                callbacks.isBooting(cluster.membership().ownerOf(machine.host()), machine.host());
+                callbacks.isBooting(cluster.shards().ownerOf(machine.host()), machine.host());
         return reportedBooting != null
                 ? reportedBooting
                 : rentedSeconds(machine) < machineType.bootSeconds() * ASSUMED_BOOT_FACTOR;
--- a/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
@@ -8,11 +8,13 @@
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
+import io.quincelead.scheduler.ClusterView;
 import io.quincelead.scheduler.Tebas;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Predicate;
 
 /** Plans machines for work that only some machines may run, task by task. */
 final class ConstrainedWorkPlanner {
@@ -30,6 +32,7 @@
     private final OperatorSettings operatorSettings;
     private final ClusterView cluster;
     private final ProvisioningRequests provisioningRequests;
+    private final Predicate<String> isZoneUnavailable;
 
     /** Jobs of the last plan that wait for machines which the cloud says it hasn't got. */
     private final List<JobSpec> starvedSpecs = new ArrayList<>();
@@ -41,11 +44,13 @@
             Settings settings,
             OperatorSettings operatorSettings,
             ClusterView cluster,
-            ProvisioningRequests provisioningRequests) {
+            ProvisioningRequests provisioningRequests,
+            Predicate<String> isZoneUnavailable) {
         this.settings = settings;
         this.operatorSettings = operatorSettings;
         this.cluster = cluster;
         this.provisioningRequests = provisioningRequests;
+        this.isZoneUnavailable = isZoneUnavailable;
     }
 
     /**
@@ -158,7 +163,7 @@
 
     /** Whether there are machines for the job that only the cloud's refusals keep it from. */
     private boolean isBlockedByRefusalsOnly(JobSpec spec, ZoneLimits zoneLimits) {
-        for (MachineType machineType : cluster.catalog().all()) {
+        for (MachineType machineType : cluster.machineTypes().all()) {
             if (!machineType.fits(spec)) {
                 continue;
             }
@@ -178,7 +183,7 @@
             JobSpec spec, int neededTasks, ZoneLimits zoneLimits, PurchasePlan plan) {
         InstanceOffering best = null;
         double bestCost = Double.MAX_VALUE;
-        for (MachineType machineType : cluster.catalog().all()) {
+        for (MachineType machineType : cluster.machineTypes().all()) {
             int tasksPerMachine = tasksPerMachine(machineType, spec);
             for (String zone : tasksPerMachine > 0 ? machineType.zones() : List.<String>of()) {
                 for (boolean spot : new boolean[] {true, false}) {
@@ -219,7 +224,7 @@
     private boolean isAvailable(InstanceOffering offering, JobSpec spec) {
         return offering.allows(spec)
                 && !provisioningRequests.isRefused(offering)
-                && (!cluster.zones().isUnavailable(offering.zone()) || spec.zone() != null);
+                && (!isZoneUnavailable.test(offering.zone()) || spec.zone() != null);
     }
 
     /** A machine is paid while it boots and fetches the image, so a slow start raises the cost. */
--- a/src/main/java/io/quincelead/autoscaler/CpuDemand.java
+++ b/src/main/java/io/quincelead/autoscaler/CpuDemand.java
@@ -27,12 +27,12 @@
     }
 
     /**
-     * The CPUs up to which costly (not spot) machines are kept: what is in use, with a reserve, or
-     * what the deadlines need.
+     * The CPUs up to which on-demand machines are kept: what is in use, with a reserve, or what the
+     * deadlines need.
      *
      * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
      */
-    double costlyCpusToKeep(double reserveFraction) {
+    double onDemandCpusToKeep(double reserveFraction) {
         double reserveCpus =
                 reserveFraction
                         * Math.min(
@@ -42,12 +42,12 @@
     }
 
     /**
-     * The CPUs up to which spot machines are kept: as for costly ones, and for the steady-state
+     * The CPUs up to which spot machines are kept: as for on-demand ones, and for the steady-state
      * load too.
      *
      * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
      */
     double spotCpusToKeep(double reserveFraction) {
-        return Math.max(steadyStateCpus, costlyCpusToKeep(reserveFraction));
+        return Math.max(steadyStateCpus, onDemandCpusToKeep(reserveFraction));
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -4,6 +4,7 @@
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/io/quincelead/autoscaler/MachineChanges.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
+import io.quincelead.scheduler.ClusterView;
 import io.quincelead.store.Transaction;
 import java.util.HashMap;
 import java.util.Map;
@@ -50,7 +51,7 @@
         if (!fits(2, 2)) {
             return false;
         }
-        ClusterMembership membership = cluster.membership();
+        ClusterMembership membership = cluster.shards();
         String ownerId = membership.ownerOf(machine.host());
         if (ownerId != null) {
             if (membership.member(ownerId) == null) {
--- a/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
@@ -5,6 +5,7 @@
 import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -82,7 +83,7 @@
         List<String> hosts = new ArrayList<>();
         MachineChanges cleanup = new MachineChanges(cluster, leaderStore);
         for (MachineTable.Machine machine : machines.all()) {
-            if (!machine.releasing() || cluster.membership().ownerOf(machine.host()) != null) {
+            if (!machine.releasing() || cluster.shards().ownerOf(machine.host()) != null) {
                 continue;
             }
             Long markRevision = markRevisionByReleasedHost.get(machine.host());
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -6,6 +6,7 @@
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
@@ -140,7 +141,7 @@
         // predecessors apart.
         String name =
                 "r-"
-                        + cluster.membership().leaderRecord().fencingToken()
+                        + cluster.shards().leaderRecord().fencingToken()
                         + "-"
                         + leaderStore.membershipLease().incarnation()
                         + "-"
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -8,6 +8,7 @@
 import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -15,7 +16,7 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which machines beyond the demand are returned because they are idle, and which costly
+ * Decides which machines beyond the demand are returned because they are idle, and which on-demand
  * ones are cordoned so that they run empty.
  */
 final class ScaleInController {
@@ -74,14 +75,16 @@
             CapacityForecast capacity,
             Predicate<InstanceOffering> shouldYieldToStarvedWork) {
         long nowMillis = eventLoop.nowMillis();
-        double spareCostlyCpus =
-                capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
+        double spareOnDemandCpus =
+                capacity.readyCpus()
+                        - demand.onDemandCpusToKeep(operatorSettings.reserveFraction());
         double spareSpotCpus =
                 capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
         readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
-        // Spot machines stay while costly ones take tasks: those go first, even if they take longer
+        // Spot machines stay while on-demand ones take tasks: those go first, even if they take
+        // longer
         // to run empty.
-        boolean hasUncordonedCostlyMachine =
+        boolean hasUncordonedOnDemandMachine =
                 readyMachines.stream().anyMatch(machine -> !machine.spot() && !machine.cordoned());
         for (MachineTable.Machine machine : readyMachines) {
             Long idleSinceMillis = idleMachines.idleSinceMillis(machine.host());
@@ -94,13 +97,13 @@
             double machineCpus = machineType(machine).cpus();
             if (machine.cordoned()) {
                 changes.addReturn(machine, "cordoned and empty");
-            } else if (machine.spot() && hasUncordonedCostlyMachine) {
+            } else if (machine.spot() && hasUncordonedOnDemandMachine) {
                 continue;
             } else if (nowMillis - idleSinceMillis > operatorSettings.idleReturnSeconds() * 1000
                     && demand.shortfallCpus() <= 0
-                    && (machine.spot() ? spareSpotCpus : spareCostlyCpus) >= machineCpus / 2
+                    && (machine.spot() ? spareSpotCpus : spareOnDemandCpus) >= machineCpus / 2
                     && changes.addReturn(machine, "idle")) {
-                spareCostlyCpus -= machineCpus;
+                spareOnDemandCpus -= machineCpus;
                 spareSpotCpus -= machineCpus;
             }
         }
@@ -122,7 +125,7 @@
     }
 
     /**
-     * Tasks are spread over all machines, so a costly machine beyond the demand would never run
+     * Tasks are spread over all machines, so an on-demand machine beyond the demand would never run
      * empty: it is cordoned, and returned when its last task has ended. When the demand comes back
      * first, the cordon is lifted.
      */
@@ -132,7 +135,8 @@
             CpuDemand demand,
             CapacityForecast capacity) {
         double spareCpus =
-                capacity.readyCpus() - demand.costlyCpusToKeep(operatorSettings.reserveFraction());
+                capacity.readyCpus()
+                        - demand.onDemandCpusToKeep(operatorSettings.reserveFraction());
         sortSoonestEmptyFirst(readyMachines);
         for (MachineTable.Machine machine : readyMachines) {
             double machineCpus = machineType(machine).cpus();
@@ -160,7 +164,7 @@
     }
 
     /**
-     * Costly machines first, and of these the ones that run empty soonest: a cordoned machine is
+     * On-demand machines first, and of these the ones that run empty soonest: a cordoned machine is
      * paid for until its last task has ended.
      */
     private void sortSoonestEmptyFirst(List<MachineTable.Machine> readyMachines) {
@@ -208,7 +212,7 @@
     }
 
     private MachineTypeCatalog.MachineType machineType(MachineTable.Machine machine) {
-        return cluster.catalog().get(machine.machineType());
+        return cluster.machineTypes().get(machine.machineType());
     }
 
     private double pricePerCpu(MachineTable.Machine machine) {
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -8,11 +8,11 @@
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.Settings;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.scheduler.ClusterView;
 import io.quincelead.scheduler.QueueOrder;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
  * Decides what is rented: machines for the work that those which are up or on their way can't
@@ -23,13 +23,10 @@
     private final ClusterView cluster;
     private final QueueOrder queueOrder;
     private final ProvisioningRequests provisioningRequests;
-    private final Supplier<Map<String, List<JobSpec>>> rebalanceDemand;
+    private final Autoscaler.Callbacks callbacks;
     private final ConstrainedWorkPlanner constrainedWork;
     private final UnconstrainedWorkPlanner unconstrainedWork;
 
-    /**
-     * @param rebalanceDemand replicas that would move to a zone if it had free capacity, by zone
-     */
     ScaleOutPlanner(
             EventLoop eventLoop,
             Settings settings,
@@ -37,16 +34,22 @@
             ClusterView cluster,
             QueueOrder queueOrder,
             ProvisioningRequests provisioningRequests,
-            Supplier<Map<String, List<JobSpec>>> rebalanceDemand) {
+            Autoscaler.Callbacks callbacks) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.queueOrder = queueOrder;
         this.provisioningRequests = provisioningRequests;
-        this.rebalanceDemand = rebalanceDemand;
+        this.callbacks = callbacks;
         this.constrainedWork =
                 new ConstrainedWorkPlanner(
-                        settings, operatorSettings, cluster, provisioningRequests);
-        this.unconstrainedWork = new UnconstrainedWorkPlanner(cluster, provisioningRequests);
+                        settings,
+                        operatorSettings,
+                        cluster,
+                        provisioningRequests,
+                        callbacks::isZoneUnavailable);
+        this.unconstrainedWork =
+                new UnconstrainedWorkPlanner(
+                        cluster, provisioningRequests, callbacks::isZoneUnavailable);
     }
 
     /**
@@ -72,8 +75,8 @@
                 constrainedWork.plan(ranked.job(), plan);
             }
         }
-        rebalanceDemand
-                .get()
+        callbacks
+                .rebalanceDemand()
                 .forEach((zone, specs) -> specs.forEach(spec -> planRebalance(spec, zone, plan)));
         unconstrainedWork.plan(demand, capacity, plan);
         return plan.purchases();
@@ -96,7 +99,7 @@
 
     private void addExistingMachines(PurchasePlan plan) {
         for (MachineTable.Machine machine : cluster.machines().all()) {
-            MachineType machineType = cluster.catalog().get(machine.machineType());
+            MachineType machineType = cluster.machineTypes().get(machine.machineType());
             if (!machine.releasing() && machineType != null) {
                 PlannedMachine planned =
                         new PlannedMachine(
@@ -108,7 +111,7 @@
             }
         }
         for (ProvisioningRequest request : provisioningRequests.openRequests()) {
-            MachineType machineType = cluster.catalog().get(request.machineType());
+            MachineType machineType = cluster.machineTypes().get(request.machineType());
             for (int i = 0; machineType != null && i < request.machineCount(); i++) {
                 plan.addExisting(
                         new PlannedMachine(
@@ -138,7 +141,7 @@
     /** The offering in the zone with the lowest price per machine; null when there is none. */
     private InstanceOffering cheapestOffering(JobSpec spec, String zone) {
         InstanceOffering best = null;
-        for (MachineType machineType : cluster.catalog().all()) {
+        for (MachineType machineType : cluster.machineTypes().all()) {
             for (boolean spot : new boolean[] {true, false}) {
                 InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
                 boolean isCandidate =
--- a/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -4,19 +4,26 @@
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.MachineTypeCatalog.MachineType;
 import io.quincelead.config.constants.AutoscalerConstants;
+import io.quincelead.scheduler.ClusterView;
+import java.util.function.Predicate;
 
 /**
  * Plans machines for work that every machine may run, by the CPUs it needs in all. Spot machines
- * are rented for the steady-state load and for what waits; costly ones only for what would miss its
- * deadline otherwise.
+ * are rented for the steady-state load and for what waits; on-demand ones only for what would miss
+ * its deadline otherwise.
  */
 final class UnconstrainedWorkPlanner {
     private final ClusterView cluster;
     private final ProvisioningRequests provisioningRequests;
+    private final Predicate<String> isZoneUnavailable;
 
-    UnconstrainedWorkPlanner(ClusterView cluster, ProvisioningRequests provisioningRequests) {
+    UnconstrainedWorkPlanner(
+            ClusterView cluster,
+            ProvisioningRequests provisioningRequests,
+            Predicate<String> isZoneUnavailable) {
         this.cluster = cluster;
         this.provisioningRequests = provisioningRequests;
+        this.isZoneUnavailable = isZoneUnavailable;
     }
 
     void plan(CpuDemand demand, CapacityForecast capacity, PurchasePlan plan) {
@@ -36,7 +43,7 @@
                         - capacity.totalCpus()
                                 * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
         if (demand.bookedCpus() > 0) {
-            // What the calendar books must be there, costly or not; but not more of it than is
+            // What the calendar books must be there, spot or not; but not more of it than is
             // missing.
             overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
         }
@@ -90,17 +97,17 @@
 
     /** The offering without GPUs that costs least per useful CPU; null when there is none. */
     private InstanceOffering cheapestOffering(
-            double missingCpus, boolean mayBeCostly, PurchasePlan plan) {
+            double missingCpus, boolean mayBeOnDemand, PurchasePlan plan) {
         InstanceOffering best = null;
         double bestCost = Double.MAX_VALUE;
-        for (MachineType machineType : cluster.catalog().all()) {
+        for (MachineType machineType : cluster.machineTypes().all()) {
             if (machineType.gpus() > 0) {
                 continue;
             }
             for (String zone : machineType.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     InstanceOffering offering = new InstanceOffering(machineType, zone, spot);
-                    if (!spot && !mayBeCostly || !isAvailable(offering, plan)) {
+                    if (!spot && !mayBeOnDemand || !isAvailable(offering, plan)) {
                         continue;
                     }
                     double cost = costPerUsefulCpu(offering, missingCpus);
@@ -116,7 +123,7 @@
 
     private boolean isAvailable(InstanceOffering offering, PurchasePlan plan) {
         return !provisioningRequests.isRefused(offering)
-                && !cluster.zones().isUnavailable(offering.zone())
+                && !isZoneUnavailable.test(offering.zone())
                 && plan.purchaseCount(offering)
                         < AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST;
     }
@@ -133,7 +140,7 @@
                                 + machineType.bootSeconds()
                                         / AutoscalerConstants.EXPECTED_STAY_SECONDS);
         if (!offering.spot()) {
-            // A costly machine must go again soon, and a large one takes long to run empty.
+            // An on-demand machine must go again soon, and a large one takes long to run empty.
             cost *= 1 + machineType.cpus() / AutoscalerConstants.SLOW_DRAIN_MACHINE_CPUS;
         }
         return cost;
--- a/src/main/java/io/quincelead/autoscaler/ZoneLimits.java
+++ b/src/main/java/io/quincelead/autoscaler/ZoneLimits.java
@@ -5,6 +5,7 @@
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.scheduler.ClusterView;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
+++ b/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
@@ -27,7 +27,7 @@
     /** All services, with the replicas they have outside the lost zones. */
     List<LostService> services() {
         List<LostService> services = new ArrayList<>();
-        for (Job job : view.jobs().all()) {
+        for (Job job : view.cluster().jobs().all()) {
             if (job.spec.isService() && !job.isCancelled()) {
                 services.add(service(job));
             }
@@ -37,7 +37,7 @@
 
     private LostService service(Job job) {
         JobSpec spec = job.spec;
-        EffectivePriority priority = view.policy().priorityOf(job);
+        EffectivePriority priority = view.cluster().policy().priorityOf(job);
         return new LostService(
                 spec.jobId(),
                 priority.jobClass() == null ? "" : priority.jobClass().name(),
@@ -52,14 +52,14 @@
                 spec.machineTypes(),
                 spec.zone(),
                 spec.preemptible(),
-                view.policy().maxTasksPerZone(job));
+                view.cluster().policy().maxTasksPerZone(job));
     }
 
     private Map<String, Integer> survivorsByZone(Job job) {
         Map<String, Integer> survivorsByZone = new TreeMap<>();
         for (TaskStatePage page : job.pages) {
             for (Placement placement : page == null ? List.<Placement>of() : page.placements) {
-                MachineTable.Machine machine = view.machines().get(placement.host);
+                MachineTable.Machine machine = view.cluster().machines().get(placement.host);
                 if (machine != null
                         && !placement.isTerminated()
                         && !lostZones.contains(machine.zone())) {
@@ -81,8 +81,8 @@
     /** The machines outside the lost zones that are up, reachable and not cordoned. */
     List<CandidateMachine> machines() {
         List<CandidateMachine> candidates = new ArrayList<>();
-        for (MachineTable.Machine machine : view.machines().all()) {
-            MachineType machineType = view.catalog().get(machine.machineType());
+        for (MachineTable.Machine machine : view.cluster().machines().all()) {
+            MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
             if (!machine.releasing()
                     && !machine.cordoned()
                     && machineType != null
@@ -100,7 +100,7 @@
         List<Resources> displaceableByPriority =
                 new ArrayList<>(
                         Collections.nCopies(JobSpec.Priority.values().length, Resources.NONE));
-        for (Placement placement : view.jobs().placementsOn(machine.host()).values()) {
+        for (Placement placement : view.cluster().jobs().placementsOn(machine.host()).values()) {
             if (!placement.isTerminated()) {
                 JobSpec spec = placement.job.spec;
                 free = free.minus(demand(spec));
@@ -120,13 +120,13 @@
                         machineType.imagePullGbPerSecond()),
                 free,
                 displaceableByPriority,
-                view.imageCaches().images(machine.host()));
+                view.cluster().imageCaches().images(machine.host()));
     }
 
     /** All machine types, spot and not, in the zones that are not lost. */
     List<RentableType> rentableTypes() {
         List<RentableType> types = new ArrayList<>();
-        for (MachineType machineType : view.catalog().all()) {
+        for (MachineType machineType : view.cluster().machineTypes().all()) {
             for (String zone : machineType.zones()) {
                 if (!lostZones.contains(zone)) {
                     types.add(rentableType(machineType, zone, true));
--- a/src/main/java/io/quincelead/zone/ServiceRebalancer.java
+++ b/src/main/java/io/quincelead/zone/ServiceRebalancer.java
@@ -1,6 +1,5 @@
 package io.quincelead.zone;
 
-import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.Job;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.MachineLoad;
@@ -33,17 +32,11 @@
     private final EventLoop eventLoop;
     private final OperatorSettings.ZoneRecovery settings;
     private final ZoneView view;
-    private final ClusterMembership membership;
 
-    ServiceRebalancer(
-            EventLoop eventLoop,
-            OperatorSettings.ZoneRecovery settings,
-            ZoneView view,
-            ClusterMembership membership) {
+    ServiceRebalancer(EventLoop eventLoop, OperatorSettings.ZoneRecovery settings, ZoneView view) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.view = view;
-        this.membership = membership;
     }
 
     /**
@@ -54,15 +47,18 @@
     List<ReplicaMove> findMoves() {
         List<ReplicaMove> moves = new ArrayList<>();
         if (settings.movesPerMinute() <= 0
-                || view.policy().isAnyWindowOpen()
+                || view.cluster().policy().isAnyWindowOpen()
                 || view.zones().all().stream().anyMatch(this::isUnsettled)) {
             return moves;
         }
         Set<String> allZones = new TreeSet<>();
-        view.catalog().all().forEach(machineType -> allZones.addAll(machineType.zones()));
+        view.cluster()
+                .machineTypes()
+                .all()
+                .forEach(machineType -> allZones.addAll(machineType.zones()));
         Set<String> settledZones = new TreeSet<>(allZones);
         settledZones.removeIf(zone -> view.zones().get(zone).state() != ZoneTable.State.SETTLED);
-        for (Job job : view.jobs().all()) {
+        for (Job job : view.cluster().jobs().all()) {
             if (isMovable(job)) {
                 ReplicaMove move = findMove(job, allZones, settledZones);
                 if (move != null) {
@@ -94,7 +90,7 @@
         Map<String, Placement> firstReplicaByZone = new HashMap<>();
         for (TaskStatePage page : job.pages) {
             for (Placement replica : page == null ? List.<Placement>of() : page.placements) {
-                MachineTable.Machine machine = view.machines().get(replica.host);
+                MachineTable.Machine machine = view.cluster().machines().get(replica.host);
                 if (machine == null || !isSteady(replica, machine)) {
                     return null;
                 }
@@ -132,7 +128,7 @@
      * not serve yet.
      */
     private boolean isSteady(Placement replica, MachineTable.Machine machine) {
-        MachineType machineType = view.catalog().get(machine.machineType());
+        MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
         double fetchMillis =
                 machineType == null
                         ? 0
@@ -166,18 +162,20 @@
      * it, and has free capacity for one task of the job. The leader places its jobs on all shards.
      */
     boolean hasFreeCapacity(Job job, String zone) {
-        boolean isLeadersJob = job.controllerId.equals(membership.leaderId());
-        for (MachineTable.Machine machine : view.machines().all()) {
-            MachineType machineType = view.catalog().get(machine.machineType());
+        boolean isLeadersJob = job.controllerId.equals(view.cluster().shards().leaderId());
+        for (MachineTable.Machine machine : view.cluster().machines().all()) {
+            MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
             if (machine.zone().equals(zone)
                     && !machine.releasing()
                     && !machine.cordoned()
                     && machineType != null
                     && MachineTypeCatalog.isAllowed(job.spec, machine.machineType())
                     && (job.spec.preemptible() || !machine.spot())
-                    && (isLeadersJob || job.controllerId.equals(membership.ownerOf(machine.host())))
+                    && (isLeadersJob
+                            || job.controllerId.equals(
+                                    view.cluster().shards().ownerOf(machine.host())))
                     && view.visibility().isReachable(machine.host())
-                    && fits(job.spec, machineType, view.jobs().loadOf(machine.host()))) {
+                    && fits(job.spec, machineType, view.cluster().jobs().loadOf(machine.host()))) {
                 return true;
             }
         }
--- a/src/main/java/io/quincelead/zone/ZoneObserver.java
+++ b/src/main/java/io/quincelead/zone/ZoneObserver.java
@@ -28,7 +28,7 @@
     Map<String, ZoneObservation> observe() {
         Map<String, Counts> countsByZone = new TreeMap<>();
         view.zones().all().forEach(zone -> countsByZone.put(zone.name(), new Counts()));
-        for (MachineTable.Machine machine : view.machines().all()) {
+        for (MachineTable.Machine machine : view.cluster().machines().all()) {
             if (!machine.releasing()) {
                 count(machine, countsByZone.computeIfAbsent(machine.zone(), zone -> new Counts()));
             }
--- a/src/main/java/io/quincelead/zone/ZoneOperatorApi.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorApi.java
@@ -41,8 +41,11 @@
     /** All zones of the catalog, of machines and on record, sorted. */
     private Set<String> zoneNames() {
         Set<String> names = new TreeSet<>();
-        view.catalog().all().forEach(machineType -> names.addAll(machineType.zones()));
-        view.machines().all().forEach(machine -> names.add(machine.zone()));
+        view.cluster()
+                .machineTypes()
+                .all()
+                .forEach(machineType -> names.addAll(machineType.zones()));
+        view.cluster().machines().all().forEach(machine -> names.add(machine.zone()));
         view.zones().all().forEach(zone -> names.add(zone.name()));
         return names;
     }
@@ -52,7 +55,7 @@
         for (String name : zoneNames()) {
             int machineCount = 0;
             int reachableCount = 0;
-            for (MachineTable.Machine machine : view.machines().all()) {
+            for (MachineTable.Machine machine : view.cluster().machines().all()) {
                 if (machine.zone().equals(name) && !machine.releasing()) {
                     machineCount++;
                     reachableCount += view.visibility().isReachable(machine.host()) ? 1 : 0;
@@ -118,11 +121,11 @@
     /** Replicas of services that run, or may run, on machines of the zone. */
     private int countReplicas(String zone) {
         int replicas = 0;
-        for (MachineTable.Machine machine : view.machines().all()) {
+        for (MachineTable.Machine machine : view.cluster().machines().all()) {
             if (machine.zone().equals(zone)) {
                 replicas +=
                         (int)
-                                view.jobs().placementsOn(machine.host()).values().stream()
+                                view.cluster().jobs().placementsOn(machine.host()).values().stream()
                                         .filter(
                                                 placement ->
                                                         placement.job.spec.isService()
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -1,6 +1,5 @@
 package io.quincelead.zone;
 
-import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.TaskStatePage;
@@ -50,7 +49,6 @@
             OperatorSettings.ZoneRecovery settings,
             double silenceThresholdMillis,
             ZoneView view,
-            ClusterMembership membership,
             Leader leader,
             StoreClient store) {
         this.eventLoop = eventLoop;
@@ -61,7 +59,7 @@
         this.observer = new ZoneObserver(view);
         this.healthEvaluator =
                 new ZoneHealthEvaluator(silenceThresholdMillis, settings.settleSeconds() * 1000);
-        this.rebalancer = new ServiceRebalancer(eventLoop, settings, view, membership);
+        this.rebalancer = new ServiceRebalancer(eventLoop, settings, view);
         eventLoop.runEvery(ZoneConstants.EVALUATION_INTERVAL_MILLIS, this::runRecoveryPass);
     }
 
@@ -176,13 +174,17 @@
             return null;
         }
         imagesRecordedAtMillis = eventLoop.nowMillis();
-        for (MachineTable.Machine machine : view.machines().all()) {
+        for (MachineTable.Machine machine : view.cluster().machines().all()) {
             if (!machine.releasing()
-                    && !view.imageCaches()
+                    && !view.cluster()
+                            .imageCaches()
                             .largeImages(machine.host(), settings.heavyImageGb())
-                            .equals(view.machines().recordedLargeImages(machine.host()))) {
+                            .equals(
+                                    view.cluster()
+                                            .machines()
+                                            .recordedLargeImages(machine.host()))) {
                 Transaction transaction = leader.newTransaction();
-                view.machines().beginEdits(transaction).put(machine);
+                view.cluster().machines().beginEdits(transaction).put(machine);
                 return transaction;
             }
         }
