--- /dev/null
+++ b/src/main/java/io/quincelead/api/ApiResponses.java
@@ -0,0 +1,38 @@
+package io.quincelead.api;
+
+import io.quincelead.transport.IncomingRequest;
+
+/** The refusals that several parts of the user API share. */
+final class ApiResponses {
+    static final int BAD_REQUEST = 400;
+    static final int NOT_FOUND = 404;
+    static final int UNPROCESSABLE = 422;
+    static final String NO_SUCH_JOB = "no such job";
+
+    private ApiResponses() {}
+
+    /** 404: neither an open job nor a final state has this ID. */
+    static void noSuchJob(IncomingRequest request) {
+        request.respondError(NOT_FOUND, NO_SUCH_JOB);
+    }
+
+    /** 503: the state of the cluster has not been read yet, or the lease is in doubt. */
+    static void notReady(IncomingRequest request) {
+        request.respondRetryLater(503, "not ready");
+    }
+
+    /** 503: the store gave no answer, or none that can be relied on. */
+    static void storeUnavailable(IncomingRequest request) {
+        request.respondRetryLater(503, "the state service does not answer");
+    }
+
+    /** 503: nothing was decided; the same request may succeed at once. */
+    static void tryAgain(IncomingRequest request) {
+        request.respondRetryLater(503, "try again");
+    }
+
+    /** 429: a bound on open jobs or on waiting commits is reached. */
+    static void overloaded(IncomingRequest request) {
+        request.respondRetryLater(429, "too much to do");
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/api/JobCancellations.java
@@ -0,0 +1,160 @@
+package io.quincelead.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.transport.IncomingRequest;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Cancels jobs. A cancellation is committed under the job's mod revision, so that no later
+ * scheduling cycle starts a task of it, and is told once all tasks have terminated.
+ */
+final class JobCancellations {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCancellations.class);
+
+    private final EventLoop loop;
+    private final ApiStore store;
+    private final JobTable jobs;
+    private final FinalStates finalStates;
+    private final JobCompletion completion;
+
+    JobCancellations(
+            EventLoop loop,
+            ApiStore store,
+            JobTable jobs,
+            FinalStates finalStates,
+            JobCompletion completion) {
+        this.loop = loop;
+        this.store = store;
+        this.jobs = jobs;
+        this.finalStates = finalStates;
+        this.completion = completion;
+    }
+
+    /**
+     * Cancels a job, or repeats the answer where it is cancelled already. The answer is the final
+     * state, "done" included; 503 where it can't be given in time, so that the user asks again.
+     */
+    void cancel(String jobId, IncomingRequest request) {
+        ObjectNode cached = finalStates.cached(jobId);
+        if (cached != null) {
+            request.respond(200, cached);
+            return;
+        }
+        if (!JobSpec.isValidJobId(jobId)) {
+            ApiResponses.noSuchJob(request);
+            return;
+        }
+        if (!store.isReady()) {
+            ApiResponses.notReady(request);
+            return;
+        }
+        Job job = jobs.get(jobId);
+        LOG.debug("the cancellation of {} is asked for", jobId);
+        if (job == null) {
+            store.client()
+                    .get(
+                            StoreKeys.JOB_PREFIX + jobId,
+                            (status, body) -> {
+                                if (status == 200) {
+                                    request.respondRetryLater(
+                                            503, "this controller is catching up");
+                                } else if (status == 404) {
+                                    finalStates.respondFromRecord(
+                                            jobId, request, () -> ApiResponses.noSuchJob(request));
+                                } else {
+                                    ApiResponses.storeUnavailable(request);
+                                }
+                            });
+            return;
+        }
+        if (job.isCancelled()) {
+            awaitTermination(
+                    jobId,
+                    request,
+                    loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS,
+                    false);
+            return;
+        }
+        if (store.committer().isFull()) {
+            ApiResponses.overloaded(request);
+            return;
+        }
+        commitCancellation(
+                job, request, loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS);
+    }
+
+    private void commitCancellation(Job job, IncomingRequest request, long deadlineMillis) {
+        Transaction transaction =
+                new Transaction()
+                        .requireRevision(job.storeKey(), store.cache().modRevision(job.storeKey()))
+                        .put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
+        store.committer()
+                .submit(
+                        transaction,
+                        Math.max(0, deadlineMillis - loop.nowMillis()),
+                        outcome -> {
+                            LOG.debug(
+                                    "the cancellation of {}: {}",
+                                    job.spec.jobId(),
+                                    outcome.result());
+                            switch (outcome.result()) {
+                                case COMMITTED ->
+                                        awaitTermination(
+                                                job.spec.jobId(), request, deadlineMillis, false);
+                                case CONFLICT ->
+                                        loop.runAfter(
+                                                ApiConstants.READ_BARRIER_INTERVAL_MILLIS,
+                                                () -> {
+                                                    if (loop.nowMillis() > deadlineMillis) {
+                                                        ApiResponses.tryAgain(request);
+                                                    } else {
+                                                        cancel(job.spec.jobId(), request);
+                                                    }
+                                                });
+                                default -> ApiResponses.storeUnavailable(request);
+                            }
+                        });
+    }
+
+    /**
+     * Tells "cancelled" once every task is gone, by evidence. Told earlier, it would be a promise
+     * that nobody can keep for a machine behind a partition that the cloud can't release either:
+     * the time of {@code cancel_s} runs from the telling. Once the cancellation is on record
+     * nothing starts, and the job completes by itself; a user who is sent away asks again.
+     *
+     * @param wasTerminated whether at the last check no task had a placement on record, and yet the
+     *     job's own controller had not completed it; the store may be refusing that one alone
+     */
+    private void awaitTermination(
+            String jobId, IncomingRequest request, long deadlineMillis, boolean wasTerminated) {
+        Job job = jobs.get(jobId);
+        boolean terminated = job != null && job.isCancelled() && job.placedTaskCount() == 0;
+        // Every page must fit the preconditions: its own controller alone knows all of a larger
+        // job.
+        if (terminated
+                && wasTerminated
+                && job.pages.length < store.client().maxTransactionOperations()
+                && store.isReady()
+                && !store.committer().isFull()) {
+            completion.complete(job);
+        }
+        if (job == null) {
+            LOG.debug("the cancellation of {} is told", jobId);
+            finalStates.respondFromRecord(jobId, request, () -> ApiResponses.tryAgain(request));
+        } else if (loop.nowMillis() >= deadlineMillis) {
+            request.respondRetryLater(503, "its tasks are being stopped");
+        } else {
+            loop.runAfter(
+                    ApiConstants.READ_BARRIER_INTERVAL_MILLIS,
+                    () -> awaitTermination(jobId, request, deadlineMillis, terminated));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/api/JobCompletion.java
@@ -0,0 +1,171 @@
+package io.quincelead.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.Job;
+import io.quincelead.config.constants.StoreConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.policy.Policy;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Records final states: moves jobs whose tasks have all terminated to their final keys. */
+final class JobCompletion {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
+
+    private final EventLoop loop;
+    private final ApiStore store;
+    private final ApiCluster cluster;
+    private final Policy policy;
+    private final FinalStates finalStates;
+
+    /** IDs of the jobs whose completion is being committed or waits to be tried again. */
+    private final Set<String> completing = new HashSet<>();
+
+    private boolean removingOrphans;
+
+    JobCompletion(
+            EventLoop loop,
+            ApiStore store,
+            ApiCluster cluster,
+            Policy policy,
+            FinalStates finalStates) {
+        this.loop = loop;
+        this.store = store;
+        this.cluster = cluster;
+        this.policy = policy;
+        this.finalStates = finalStates;
+    }
+
+    /** Moves terminated jobs to their final key. Only then is a user told "done". */
+    void completeTerminatedJobs() {
+        if (!store.lease().isValid() || store.committer().isFull()) {
+            return;
+        }
+        for (Job job : cluster.jobs().all()) {
+            if (isTerminated(job) && isOurs(job)) {
+                complete(job);
+            }
+        }
+        removeOrphanedPages();
+    }
+
+    private boolean isTerminated(Job job) {
+        return job.isComplete()
+                || job.isCancelled() && job.placedTaskCount() == 0
+                || job.isCompleteByEvidence()
+                        && cluster.membership().localShard() != null
+                        && job.pages.length <= store.client().maxTransactionOperations() - 2;
+    }
+
+    /** Whether this controller completes the job; the leader does so for members that are gone. */
+    private boolean isOurs(Job job) {
+        return job.controllerId.equals(cluster.settings().memberId())
+                || cluster.membership().member(job.controllerId) == null && cluster.isLeader();
+    }
+
+    /** Moves one terminated job to its final key, unless that is under way. */
+    void complete(Job job) {
+        if (completing.add(job.spec.jobId())) {
+            recordCompletion(job);
+        }
+    }
+
+    private void recordCompletion(Job job) {
+        String jobId = job.spec.jobId();
+        String status = job.isCancelled() ? ApiCodec.CANCELLED : ApiCodec.DONE;
+        int completedTasks = job.isCancelled() ? job.completedTaskCount() : job.spec.taskCount();
+        ObjectNode finalRecord = ApiCodec.encodeFinalRecord(status, completedTasks);
+        Transaction transaction =
+                new Transaction()
+                        .requireRevision(job.storeKey(), store.cache().modRevision(job.storeKey()))
+                        .remove(job.storeKey())
+                        .put(StoreKeys.FINAL_STATE_PREFIX + jobId, finalRecord);
+        policy.recordCompletion(job, finalRecord, transaction, loop.wallClockMillis());
+        requireAndRemovePages(job, transaction);
+        if (!job.isComplete() && !job.isCancelled()) {
+            // The last terminations are known by evidence, which counts only while the machines are
+            // ours.
+            String shardKey = cluster.membership().localShard().storeKey();
+            transaction.requireRevision(shardKey, store.cache().modRevision(shardKey));
+        }
+        ObjectNode response = ApiCodec.encodeFinalStatus(jobId, status, completedTasks);
+        store.committer()
+                .submit(
+                        transaction,
+                        StoreConstants.REQUEST_TIMEOUT_MILLIS,
+                        outcome -> {
+                            if (outcome.result() == Transaction.Result.COMMITTED) {
+                                finalStates.committed(jobId, response);
+                                completing.remove(jobId);
+                            } else {
+                                LOG.debug(
+                                        "the completion of {} was not recorded: {}",
+                                        jobId,
+                                        outcome.result());
+                                loop.runAfter(
+                                        StoreConstants.RETRY_DELAY_MILLIS,
+                                        () -> {
+                                            completing.remove(jobId);
+                                            completeTerminatedJobs();
+                                        });
+                            }
+                        });
+    }
+
+    /** Adds the job's separate pages to the transaction, as far as it has room for them. */
+    private void requireAndRemovePages(Job job, Transaction transaction) {
+        int maxOperations = store.client().maxTransactionOperations();
+        List<String> keys = TaskPageKeys.of(job);
+        for (int page = 0; page < keys.size(); page++) {
+            boolean exists = job.pages[page] != null;
+            if (!transaction.fits(exists ? 1 : 0, 1, maxOperations)) {
+                continue;
+            }
+            // Also where none is known: another controller that completes a job may not have heard
+            // yet that its tasks were placed.
+            String key = keys.get(page);
+            transaction.requireRevision(key, store.cache().modRevision(key));
+            if (exists) {
+                transaction.remove(key);
+            }
+        }
+    }
+
+    /** Removes task state pages that a large job left on record when it was completed. */
+    private void removeOrphanedPages() {
+        if (removingOrphans || cluster.jobs().orphanPageKeys().isEmpty() || !cluster.isLeader()) {
+            return;
+        }
+        Transaction transaction = new Transaction();
+        for (String key : cluster.jobs().orphanPageKeys()) {
+            // Only where the job has no record any more: after a relist a page may be seen before
+            // its job.
+            String jobKey =
+                    StoreKeys.JOB_PREFIX
+                            + key.substring(
+                                    StoreKeys.TASK_STATE_PAGE_PREFIX.length(),
+                                    key.lastIndexOf('/'));
+            if (!transaction.fits(1, 1, store.client().maxTransactionOperations())) {
+                break;
+            }
+            transaction.requireRevision(jobKey, 0).remove(key);
+        }
+        removingOrphans = true;
+        store.committer()
+                .submit(
+                        transaction,
+                        StoreConstants.REQUEST_TIMEOUT_MILLIS,
+                        outcome ->
+                                loop.runAfter(
+                                        StoreConstants.RETRY_DELAY_MILLIS,
+                                        () -> {
+                                            removingOrphans = false;
+                                            completeTerminatedJobs();
+                                        }));
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/api/JobQueries.java
@@ -0,0 +1,279 @@
+package io.quincelead.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.config.constants.StoreConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.transport.IncomingRequest;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Answers status queries. A query is answered only after a read barrier, which waiting queries
+ * share, has shown that what this controller knows of the job is what the store has now; else the
+ * records themselves are read.
+ */
+final class JobQueries {
+    private static final int MAX_BARRIERS_IN_FLIGHT = 2;
+
+    private final EventLoop loop;
+    private final ApiStore store;
+    private final JobTable jobs;
+    private final FinalStates finalStates;
+    private final ArrayDeque<PendingQuery> pendingQueries = new ArrayDeque<>();
+    private boolean barrierScheduled;
+    private int barriersInFlight;
+
+    /**
+     * A query that waits for a barrier.
+     *
+     * @param deadlineMillis the loop time after which it is refused
+     * @param absentStatus the HTTP status of its refusal once the store has shown that there is no
+     *     such job
+     * @param absentReason the text of that refusal
+     */
+    private record PendingQuery(
+            String jobId,
+            IncomingRequest request,
+            long deadlineMillis,
+            int absentStatus,
+            String absentReason) {}
+
+    /**
+     * What a barrier compares for a query.
+     *
+     * @param job the job as known here; null if it isn't open here
+     * @param absent whether no record of the job is known here
+     * @param keys the keys whose mod revisions are compared
+     */
+    private record BarrierCheck(PendingQuery query, Job job, boolean absent, List<String> keys) {}
+
+    JobQueries(EventLoop loop, ApiStore store, JobTable jobs, FinalStates finalStates) {
+        this.loop = loop;
+        this.store = store;
+        this.jobs = jobs;
+        this.finalStates = finalStates;
+    }
+
+    /** Answers with the job's status; 404 if there is no such job. */
+    void query(String jobId, IncomingRequest request) {
+        query(jobId, request, ApiResponses.NOT_FOUND, ApiResponses.NO_SUCH_JOB);
+    }
+
+    /**
+     * Answers with the job's status; with {@code absentStatus} and {@code absentReason} if the
+     * store shows that there is no such job.
+     */
+    void query(String jobId, IncomingRequest request, int absentStatus, String absentReason) {
+        ObjectNode cached = finalStates.cached(jobId);
+        if (cached != null) {
+            request.respond(200, cached);
+            return;
+        }
+        if (!JobSpec.isValidJobId(jobId)) {
+            ApiResponses.noSuchJob(request);
+            return;
+        }
+        if (!store.cache().isSynced() || !store.lease().isMember()) {
+            ApiResponses.notReady(request);
+            return;
+        }
+        if (pendingQueries.size() >= ApiConstants.MAX_WAITING_QUERIES) {
+            request.respondRetryLater(429, "too many polls");
+            return;
+        }
+        pendingQueries.addLast(
+                new PendingQuery(
+                        jobId,
+                        request,
+                        loop.nowMillis() + ApiConstants.USER_REQUEST_TIMEOUT_MILLIS,
+                        absentStatus,
+                        absentReason));
+        scheduleBarrier(ApiConstants.READ_BARRIER_INTERVAL_MILLIS);
+    }
+
+    private void scheduleBarrier(long delayMillis) {
+        if (!barrierScheduled) {
+            barrierScheduled = true;
+            loop.runAfter(delayMillis, this::runBarrier);
+        }
+    }
+
+    /**
+     * Compares, in one transaction for all waiting queries, whether the mod revisions known here
+     * are still those in the store.
+     */
+    private void runBarrier() {
+        barrierScheduled = false;
+        long now = loop.nowMillis();
+        while (!pendingQueries.isEmpty() && pendingQueries.peekFirst().deadlineMillis < now) {
+            ApiResponses.storeUnavailable(pendingQueries.pollFirst().request);
+        }
+        if (pendingQueries.isEmpty()) {
+            return;
+        }
+        if (barriersInFlight >= MAX_BARRIERS_IN_FLIGHT) {
+            scheduleBarrier(ApiConstants.READ_BARRIER_INTERVAL_MILLIS);
+            return;
+        }
+        long storeWaitMillis = store.client().requestDelayMillis();
+        if (storeWaitMillis > ApiConstants.READ_BARRIER_INTERVAL_MILLIS) {
+            scheduleBarrier(Math.min(storeWaitMillis, StoreConstants.RETRY_DELAY_MILLIS));
+            return;
+        }
+        Transaction comparison = new Transaction();
+        List<BarrierCheck> batch = collectBatch(comparison);
+        if (!batch.isEmpty()) {
+            barriersInFlight++;
+            store.client()
+                    .commit(
+                            comparison,
+                            outcome -> {
+                                barriersInFlight--;
+                                batch.forEach(check -> answerQuery(check, outcome));
+                            });
+        }
+        if (!pendingQueries.isEmpty()) {
+            scheduleBarrier(1);
+        }
+    }
+
+    /** Takes as many waiting queries as one comparison holds, and adds what they compare to it. */
+    private List<BarrierCheck> collectBatch(Transaction comparison) {
+        int maxOperations = store.client().maxTransactionOperations();
+        List<BarrierCheck> batch = new ArrayList<>();
+        while (!pendingQueries.isEmpty()) {
+            BarrierCheck next = barrierCheck(pendingQueries.peekFirst());
+            if (next.keys.size() > maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION) {
+                // More records than a comparison holds: they are read.
+                readFromStore(pendingQueries.pollFirst());
+                continue;
+            }
+            if (!comparison.fits(0, next.keys.size(), maxOperations)) {
+                break;
+            }
+            pendingQueries.pollFirst();
+            next.keys.forEach(
+                    key -> comparison.requireRevision(key, store.cache().modRevision(key)));
+            batch.add(next);
+        }
+        return batch;
+    }
+
+    /**
+     * All keys that an answer is made of: the job's own record, and its task state pages where
+     * these are separate records.
+     */
+    private BarrierCheck barrierCheck(PendingQuery query) {
+        Job job = jobs.get(query.jobId);
+        List<String> keys = new ArrayList<>(List.of(StoreKeys.JOB_PREFIX + query.jobId));
+        boolean absent = store.cache().modRevision(StoreKeys.JOB_PREFIX + query.jobId) == 0;
+        if (absent) {
+            keys.add(StoreKeys.FINAL_STATE_PREFIX + query.jobId);
+        } else if (job != null) {
+            keys.addAll(TaskPageKeys.of(job));
+        }
+        return new BarrierCheck(query, job, absent, keys);
+    }
+
+    /** 404 only if the store itself has just shown that neither record exists. */
+    private void answerQuery(BarrierCheck check, Transaction.Outcome outcome) {
+        PendingQuery query = check.query;
+        if (outcome.result() != Transaction.Result.COMMITTED
+                && outcome.result() != Transaction.Result.CONFLICT) {
+            ApiResponses.storeUnavailable(query.request);
+            return;
+        }
+        boolean unchanged =
+                outcome.result() == Transaction.Result.COMMITTED
+                        || !outcome.failedKeys().isEmpty()
+                                && check.keys.stream().noneMatch(outcome.failedKeys()::contains);
+        if (unchanged && check.absent) {
+            query.request.respondError(query.absentStatus, query.absentReason);
+        } else if (unchanged && check.job != null && jobs.get(query.jobId) == check.job) {
+            query.request.respond(200, check.job.encodeStatus());
+        } else {
+            // Changed since, or it was completed elsewhere while the barrier was in flight: it is
+            // on record under
+            // one key or the other.
+            readFromStore(query);
+        }
+    }
+
+    /**
+     * The watch cache is behind on this job, so the answer is made of its records themselves. Jobs
+     * move to their final key, never back.
+     */
+    private void readFromStore(PendingQuery query) {
+        store.client()
+                .get(
+                        StoreKeys.JOB_PREFIX + query.jobId,
+                        (status, body) -> {
+                            if (status == 200 && ApiCodec.hasSeparatePages(body)) {
+                                readTaskPages(query, null, new TaskStatePage.TaskCounts(0, 0));
+                            } else if (status == 200) {
+                                query.request.respond(
+                                        200,
+                                        Job.encodeStatus(
+                                                query.jobId, ApiCodec.countsInJobRecord(body)));
+                            } else {
+                                answerFromFinalRecord(query, status);
+                            }
+                        });
+    }
+
+    /**
+     * The tasks of a larger job, page by page; then whether the job still was there, so that no
+     * page was removed meanwhile.
+     */
+    private void readTaskPages(
+            PendingQuery query, String afterKey, TaskStatePage.TaskCounts countsBefore) {
+        store.client()
+                .list(
+                        StoreKeys.TASK_STATE_PAGE_PREFIX + query.jobId + "/",
+                        afterKey,
+                        (status, body) -> {
+                            if (status != 200 || !ApiCodec.isListing(body)) {
+                                ApiResponses.storeUnavailable(query.request);
+                                return;
+                            }
+                            TaskStatePage.TaskCounts total =
+                                    ApiCodec.addListedCounts(countsBefore, body);
+                            String continuationKey = ApiCodec.continuationKey(afterKey, body);
+                            if (continuationKey != null) {
+                                readTaskPages(query, continuationKey, total);
+                                return;
+                            }
+                            store.client()
+                                    .get(
+                                            StoreKeys.JOB_PREFIX + query.jobId,
+                                            (jobStatus, job) -> {
+                                                if (jobStatus == 200) {
+                                                    query.request.respond(
+                                                            200,
+                                                            Job.encodeStatus(query.jobId, total));
+                                                } else {
+                                                    answerFromFinalRecord(query, jobStatus);
+                                                }
+                                            });
+                        });
+    }
+
+    private void answerFromFinalRecord(PendingQuery query, int status) {
+        if (status == 404) {
+            finalStates.respondFromRecord(
+                    query.jobId,
+                    query.request,
+                    () -> query.request.respondError(query.absentStatus, query.absentReason));
+        } else {
+            ApiResponses.storeUnavailable(query.request);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quincelead/api/JobSubmissions.java
@@ -0,0 +1,127 @@
+package io.quincelead.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.Job;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.cluster.JobTable;
+import io.quincelead.config.Settings;
+import io.quincelead.config.constants.ApiConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.transport.IncomingRequest;
+import io.quincelead.transport.WireFormat;
+
+/**
+ * Accepts jobs. A job that was accepted once is never refused: a repeated submission is answered
+ * like a query, and a refusal is told only where the store shows that no such job exists.
+ */
+final class JobSubmissions {
+    private final EventLoop loop;
+    private final ApiStore store;
+    private final ApiCluster cluster;
+    private final JobAdmission admission;
+    private final FinalStates finalStates;
+    private final JobQueries queries;
+
+    JobSubmissions(
+            EventLoop loop,
+            ApiStore store,
+            ApiCluster cluster,
+            JobAdmission admission,
+            FinalStates finalStates,
+            JobQueries queries) {
+        this.loop = loop;
+        this.store = store;
+        this.cluster = cluster;
+        this.admission = admission;
+        this.finalStates = finalStates;
+        this.queries = queries;
+    }
+
+    void submit(IncomingRequest request) {
+        ObjectNode body = WireFormat.CBOR.decodeMap(request.body);
+        JobSpec spec;
+        try {
+            spec = JobSpec.decode(body);
+        } catch (JobSpec.MalformedJobException malformed) {
+            String jobId = ApiCodec.decodeJobId(body);
+            if (JobSpec.isValidJobId(jobId)) {
+                queries.query(jobId, request, ApiResponses.BAD_REQUEST, malformed.getMessage());
+            } else {
+                request.respondError(ApiResponses.BAD_REQUEST, malformed.getMessage());
+            }
+            return;
+        }
+        if (finalStates.cached(spec.jobId()) != null || cluster.jobs().get(spec.jobId()) != null) {
+            queries.query(spec.jobId(), request);
+            return;
+        }
+        if (!store.isReady() || !cluster.machineTypes().isLoaded()) {
+            ApiResponses.notReady(request);
+            return;
+        }
+        String reason = unsatisfiableReason(spec);
+        if (reason != null) {
+            queries.query(spec.jobId(), request, ApiResponses.UNPROCESSABLE, reason);
+            return;
+        }
+        if (isOverloadedBy(spec)) {
+            ApiResponses.overloaded(request);
+            return;
+        }
+        recordJob(new Job(spec, cluster.settings().memberId(), loop.wallClockMillis()), request);
+    }
+
+    private boolean isOverloadedBy(JobSpec spec) {
+        JobTable jobs = cluster.jobs();
+        return store.committer().isFull()
+                || jobs.all().size() >= ApiConstants.MAX_OPEN_JOBS
+                || jobs.unfinishedTaskCount() + spec.taskCount() > ApiConstants.MAX_OPEN_TASKS;
+    }
+
+    /** Has the job recorded by the next scheduling cycle or, if that does not take it, alone. */
+    private void recordJob(Job job, IncomingRequest request) {
+        String jobId = job.spec.jobId();
+        Transaction.OutcomeHandler onOutcome =
+                outcome -> {
+                    switch (outcome.result()) {
+                        case COMMITTED -> request.respond(201, ApiCodec.encodeAccepted(jobId));
+                        case CONFLICT -> queries.query(jobId, request);
+                        default -> ApiResponses.storeUnavailable(request);
+                    }
+                };
+        if (!admission.admit(job, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome)) {
+            Transaction transaction =
+                    new Transaction()
+                            .requireRevision(job.storeKey(), 0)
+                            .requireRevision(StoreKeys.FINAL_STATE_PREFIX + jobId, 0)
+                            .put(job.storeKey(), job.encode());
+            store.committer()
+                    .submit(transaction, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome);
+        }
+    }
+
+    /** Why the job could never run, named by wire fields; null if it can. */
+    private String unsatisfiableReason(JobSpec spec) {
+        Settings.Team team = cluster.settings().teams().get(spec.team());
+        if (team == null) {
+            return "owner: unknown team";
+        }
+        if (!cluster.machineTypes().canEverFit(spec)) {
+            return "shapes, site, vcpus, cards, ramGb: no allowed machine type holds one task";
+        }
+        int concurrentTasks = spec.mode() == JobSpec.Mode.ARRAY ? 1 : spec.taskCount();
+        if (spec.cpus() * concurrentTasks > team.maxCpus() + 1e-9
+                || spec.gpus() * concurrentTasks > team.maxGpus() + 1e-9) {
+            return "members, vcpus, cards: more than the team's limit";
+        }
+        if (spec.mode() != JobSpec.Mode.ARRAY
+                && spec.zoneSpread()
+                && spec.taskCount() > 1
+                && (spec.zoneAffinity() || spec.zone() != null)) {
+            return "scatter: all tasks at once in one zone are more than half of them";
+        }
+        return null;
+    }
+}
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,5 +1,7 @@
 package io.quincelead.app;
 
+import io.quincelead.api.ApiCluster;
+import io.quincelead.api.ApiStore;
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
 import io.quincelead.cluster.ClusterMembership;
@@ -231,14 +233,8 @@
         userApi =
                 new UserApi(
                         loop,
-                        settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        groupCommitter,
-                        clusterMembership,
-                        jobs,
-                        machineTypeCatalog,
+                        new ApiStore(membershipLease, watchCache, store, groupCommitter),
+                        new ApiCluster(settings, clusterMembership, jobs, machineTypeCatalog),
                         policy,
                         schedulingCycle::admit);
         new PolicyReconciler(
