--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -129,16 +129,11 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        membershipLease,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        watchCache,
-                        store,
+                        new WorkerGateway.StoreAccess(membershipLease, watchCache, store),
+                        new WorkerGateway.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog, zones),
                         transport,
                         policy,
-                        zones,
                         new WorkerGateway.Callbacks() {
                             @Override
                             public void onMisroutedWorker(MisroutedWorker stray) {
--- /dev/null
+++ b/src/main/java/io/quincelead/worker/DeferredResponses.java
@@ -0,0 +1,49 @@
+package io.quincelead.worker;
+
+import io.quincelead.config.constants.WorkerConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.transport.IncomingRequest;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * Sends deferred heartbeat responses when their time is up. Deadlines are rounded up to a common
+ * grid, so that hundreds of heartbeats share few turns of the event loop.
+ */
+final class DeferredResponses {
+    private record Deferred(ShardWorker worker, IncomingRequest request) {}
+
+    private final EventLoop loop;
+    private final Consumer<ShardWorker> sender;
+    private final Map<Long, List<Deferred>> batchesByLoopMillis = new HashMap<>();
+
+    DeferredResponses(EventLoop loop, Consumer<ShardWorker> sender) {
+        this.loop = loop;
+        this.sender = sender;
+    }
+
+    /** Has the request answered at the worker's deadline, unless that has happened before. */
+    void schedule(ShardWorker worker, IncomingRequest request) {
+        long gridMillis = WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
+        long respondAtMillis =
+                (worker.deferredUntilMillis + gridMillis - 1) / gridMillis * gridMillis;
+        List<Deferred> batch = batchesByLoopMillis.get(respondAtMillis);
+        if (batch == null) {
+            batch = new ArrayList<>();
+            batchesByLoopMillis.put(respondAtMillis, batch);
+            loop.runAfter(respondAtMillis - loop.nowMillis(), () -> sendBatch(respondAtMillis));
+        }
+        batch.add(new Deferred(worker, request));
+    }
+
+    private void sendBatch(long respondAtMillis) {
+        for (Deferred deferred : batchesByLoopMillis.remove(respondAtMillis)) {
+            if (deferred.worker.deferredRequest == deferred.request) {
+                sender.accept(deferred.worker);
+            }
+        }
+    }
+}
--- a/src/main/java/io/quincelead/worker/Heartbeat.java
+++ b/src/main/java/io/quincelead/worker/Heartbeat.java
@@ -8,18 +8,25 @@
 import java.util.Map;
 
 /**
- * A worker's report (protocol, "Workers"). Read from the stream: reports are most of what a
- * controller receives, each lists every task of its machine, and a tree of it would be thrown away
- * at once.
+ * A worker's heartbeat, or its response to a direct command, which has the same form (protocol,
+ * "Workers"). It is read from the token stream: heartbeats are most of what a controller receives,
+ * each lists every task of its machine, and a tree of it would be thrown away at once.
  */
 final class Heartbeat {
+    static final String STATUS_RUNNING = "running";
+
+    /** The task is saving a checkpoint before it is killed. */
+    static final String STATUS_SAVING = "saving";
+
+    private static final String STATUS_ENDED = "ended";
+
     String host;
     String address;
     String machineType = "";
     String zone = "";
     boolean spot;
 
-    /** -1 where it is missing. */
+    /** Counts restarts of the worker's agent; -1 if it is missing, as for the next two. */
     long agentEpoch = -1;
 
     long serial = -1;
@@ -28,12 +35,12 @@
     /** Seconds until the cloud takes the machine away; -1: no notice. */
     double reclaimNoticeSeconds = -1;
 
-    /** What is on the machine, by task. */
+    /** The attempts on the machine, by task ID; the head of the list of each task. */
     Map<String, ReportedAttempt> tasks = Map.of();
 
     /**
-     * An attempt as a worker's list shows it, and the next one of the same task; those that are not
-     * over come first.
+     * An attempt of a task as a worker reports it, linked to the next one of the same task; those
+     * that haven't terminated come first.
      */
     static final class ReportedAttempt {
         String taskId = "";
@@ -47,10 +54,10 @@
         }
 
         boolean isTerminated() {
-            return status.equals("ended");
+            return status.equals(STATUS_ENDED);
         }
 
-        /** The entry of this attempt among those of the task; null: not shown. */
+        /** This attempt among those of the task; null if it isn't reported. */
         static ReportedAttempt find(ReportedAttempt first, long attempt) {
             ReportedAttempt reported = first;
             while (reported != null && reported.attempt != attempt) {
@@ -59,7 +66,7 @@
             return reported;
         }
 
-        /** Puts another entry of the task among them and returns the first. */
+        /** Adds another attempt of the same task to the list and returns its new head. */
         private ReportedAttempt insert(ReportedAttempt other) {
             if (!isTerminated() && other.isTerminated()) {
                 other.next = next;
@@ -74,7 +81,7 @@
     private Heartbeat() {}
 
     /**
-     * Whether a message of a worker is newer than another one, by tenure and serial (protocol,
+     * Whether a message of a worker is newer than another one, by agent epoch and serial (protocol,
      * "Workers").
      */
     static boolean isNewer(long agentEpoch, long serial, long otherAgentEpoch, long otherSerial) {
@@ -82,7 +89,7 @@
                 || agentEpoch == otherAgentEpoch && serial > otherSerial;
     }
 
-    /** The report in a body; null if it is none: malformed input is never an exception. */
+    /** The heartbeat in a body; null if it is malformed or incomplete, never an exception. */
     static Heartbeat parse(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
--- /dev/null
+++ b/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
@@ -0,0 +1,78 @@
+package io.quincelead.worker;
+
+import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineTable;
+import io.quincelead.store.Transaction;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Declares workers lost: records that their machines are to be released. */
+final class LostWorkerRecorder {
+    private static final Logger LOG = LoggerFactory.getLogger(LostWorkerRecorder.class);
+
+    private final WorkerGateway.StoreAccess store;
+    private final ClusterMembership membership;
+    private final MachineTable machines;
+
+    LostWorkerRecorder(
+            WorkerGateway.StoreAccess store, ClusterMembership membership, MachineTable machines) {
+        this.store = store;
+        this.membership = membership;
+        this.machines = machines;
+    }
+
+    /**
+     * Records in one transaction that machines are to be released, and removes them from our shard;
+     * the leader releases them. Takes as many as one transaction holds; the next check finds the
+     * others again. This controller must have a shard.
+     *
+     * @param lost the workers, each with the reason for the log
+     * @param isCurrent whether the worker is still one of our shard under the same fencing token
+     */
+    void declareLost(Map<ShardWorker, String> lost, Predicate<ShardWorker> isCurrent) {
+        ClusterMembership.Shard shard = membership.localShard().copy();
+        Transaction transaction =
+                new Transaction()
+                        .requireRevision(
+                                shard.storeKey(), store.cache().modRevision(shard.storeKey()));
+        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        List<ShardWorker> leaving = new ArrayList<>();
+        for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
+            ShardWorker worker = candidate.getKey();
+            MachineTable.Machine machine = machines.get(worker.host);
+            if (machine == null
+                    || machine.releasing()
+                    || !transaction.fits(2, 2, store.client().maxTransactionOperations())) {
+                continue;
+            }
+            LOG.info("machine {} is declared lost: {}", worker.host, candidate.getValue());
+            worker.transitionTo(ShardWorker.Phase.LEAVING);
+            leaving.add(worker);
+            shard.fencingTokensByHost().remove(worker.host);
+            edits.put(machine.asReleasing());
+        }
+        if (leaving.isEmpty()) {
+            return;
+        }
+        transaction.put(shard.storeKey(), shard.encode(), store.lease().leaseId());
+        store.client()
+                .commit(
+                        transaction,
+                        outcome -> {
+                            if (outcome.result() == Transaction.Result.COMMITTED) {
+                                store.cache().applyCommitted(transaction, outcome.storeRevision());
+                                return;
+                            }
+                            leaving.stream()
+                                    .filter(isCurrent)
+                                    .forEach(
+                                            worker ->
+                                                    worker.transitionTo(
+                                                            ShardWorker.Phase.CLAIMING));
+                        });
+    }
+}
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -1,13 +1,10 @@
 package io.quincelead.worker;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.store.MembershipLease;
-import io.quincelead.store.WatchCache;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
@@ -18,20 +15,19 @@
 import java.util.function.Consumer;
 
 /**
- * Workers that report here and belong to another controller, or to none: sent on, told of, or kept
- * alive behind a cut.
+ * Workers that send their heartbeats here and belong to another controller, or to none: redirected,
+ * reported to the leader, or kept alive behind a partition.
  */
 final class MisroutedWorkers {
     /**
-     * Since when a machine has been reporting here though it is granted elsewhere under this term.
+     * Since when a machine has been reporting here though it is granted elsewhere under this token.
      */
     private record Sighting(long fencingToken, long sinceMillis) {}
 
     private final EventLoop loop;
     private final Settings settings;
-    private final MembershipLease membershipLease;
-    private final WatchCache watchCache;
-    private final ClusterMembership shards;
+    private final WorkerGateway.StoreAccess store;
+    private final ClusterMembership membership;
     private final Transport transport;
     private final Consumer<MisroutedWorker> leaderNotifier;
     private final Map<String, Sighting> misrouted = new HashMap<>();
@@ -39,37 +35,37 @@
     /** Workers of others that are answered here while the store can't be reached. */
     private final Map<String, Sighting> keptAlive = new HashMap<>();
 
+    /**
+     * Agent epoch and serial of the newest heartbeat of each host that came here: an older one is a
+     * copy, or was held up on its way.
+     */
+    private final Map<String, long[]> newestHeartbeats = new HashMap<>();
+
+    private final Set<String> hostsBeingProbed = new HashSet<>();
+
     MisroutedWorkers(
             EventLoop loop,
             Settings settings,
-            MembershipLease membershipLease,
-            WatchCache watchCache,
-            ClusterMembership shards,
+            WorkerGateway.StoreAccess store,
+            ClusterMembership membership,
             Transport transport,
             Consumer<MisroutedWorker> leaderNotifier) {
         this.loop = loop;
         this.settings = settings;
-        this.membershipLease = membershipLease;
-        this.watchCache = watchCache;
-        this.shards = shards;
+        this.store = store;
+        this.membership = membership;
         this.transport = transport;
         this.leaderNotifier = leaderNotifier;
     }
 
     /**
-     * The newest report of each machine that came here, as tenure and serial: an older one is a
-     * copy, or was held up on its way.
+     * The machine is ours no longer; these are the agent epoch and serial of its last heartbeat.
      */
-    private final Map<String, long[]> newestHeartbeats = new HashMap<>();
-
-    private final Set<String> hostsBeingProbed = new HashSet<>();
-
-    /** The machine is ours no longer; these were the tenure and serial of its last report here. */
     void onWorkerReleased(String host, long agentEpoch, long serial) {
         newestHeartbeats.put(host, new long[] {agentEpoch, serial});
     }
 
-    /** Whether a newer report has been here; else this is the newest now. */
+    /** Whether this heartbeat or a newer one came before; else this is the newest now. */
     private boolean isStale(Heartbeat heartbeat) {
         long[] last = newestHeartbeats.get(heartbeat.host);
         if (last != null
@@ -80,11 +76,12 @@
         return false;
     }
 
-    /** The worker is where it belongs. */
+    /** The worker sends its heartbeats to its owner. */
     void onWorkerAtOwner(String host) {
         misrouted.remove(host);
     }
 
+    /** Forgets what has become irrelevant; to be called regularly. */
     void expireEntries() {
         misrouted
                 .values()
@@ -92,16 +89,16 @@
                         sighting ->
                                 loop.nowMillis() - sighting.sinceMillis
                                         > 20 * WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS);
-        newestHeartbeats.keySet().removeIf(host -> shards.ownerOf(host) == null);
-        if (membershipLease.isValid()) {
+        newestHeartbeats.keySet().removeIf(host -> membership.ownerOf(host) == null);
+        if (store.lease().isValid()) {
             keptAlive.clear();
         }
     }
 
-    /** Answers a worker that isn't of our block. */
+    /** Answers a worker that isn't of our shard. */
     void handleHeartbeat(IncomingRequest request, Heartbeat heartbeat) {
         String host = heartbeat.host;
-        if (!watchCache.isSynced() || !membershipLease.isMember()) {
+        if (!store.cache().isSynced() || !store.lease().isMember()) {
             request.respondRetryLater(503, "not ready");
             return;
         }
@@ -110,28 +107,20 @@
             return;
         }
         long now = loop.nowMillis();
-        String owner = shards.ownerOf(host);
-        if (!membershipLease.isValid()
+        String owner = membership.ownerOf(host);
+        if (!store.lease().isValid()
                 && owner != null
                 && keepAliveForOwner(
                         request,
                         host,
                         heartbeat,
-                        shards.shardOf(owner).fencingTokensByHost().get(host))) {
+                        membership.shardOf(owner).fencingTokensByHost().get(host))) {
             return;
         }
         Long grantedToken =
-                owner == null ? null : shards.shardOf(owner).fencingTokensByHost().get(host);
+                owner == null ? null : membership.shardOf(owner).fencingTokensByHost().get(host);
         long fencingToken = grantedToken == null ? 0 : grantedToken;
-        // Counted anew for each grant: a worker on its way to a new owner would else be moved back
-        // before it gets there, and
-        // two controllers could pass a machine to each other for ever.
-        Sighting sighting =
-                misrouted.merge(
-                        host,
-                        new Sighting(fencingToken, now),
-                        (previous, current) ->
-                                previous.fencingToken == fencingToken ? previous : current);
+        Sighting sighting = firstSighting(misrouted, host, fencingToken, now);
         MisroutedWorker worker =
                 new MisroutedWorker(
                         host,
@@ -144,7 +133,7 @@
                         fencingToken);
         if (owner == null) {
             leaderNotifier.accept(worker);
-            if (settings.memberId().equals(shards.leaderId())) {
+            if (settings.memberId().equals(membership.leaderId())) {
                 // The grant is a few ms away: the worker then hears at once where to go.
                 loop.runAfter(
                         WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS,
@@ -158,9 +147,22 @@
     }
 
     /**
-     * Says that the worker is stuck here if it hears us and is where that report says it is. One
-     * that hears nobody tries all controllers in turn, and would be passed around for ever; a
-     * report that was held up speaks of long ago.
+     * The first sighting of the host under this token; this one, if there is none. Counted anew for
+     * each grant: a worker on its way to a new owner would else be moved back before it gets there,
+     * and two controllers could pass a machine to each other for ever.
+     */
+    private static Sighting firstSighting(
+            Map<String, Sighting> sightings, String host, long fencingToken, long nowMillis) {
+        return sightings.merge(
+                host,
+                new Sighting(fencingToken, nowMillis),
+                (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
+    }
+
+    /**
+     * Reports the worker to the leader if it hears us and is still where that heartbeat says it is.
+     * One that hears nobody tries all controllers in turn, and would be passed around for ever; a
+     * heartbeat that was held up speaks of long ago.
      */
     private void probeWorker(MisroutedWorker worker, Heartbeat heartbeat) {
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
@@ -189,29 +191,27 @@
     }
 
     /**
-     * Cut off from the store, perhaps with a whole zone: a worker that can't reach its owner either
-     * is answered under the owner's term, without any order, so that its tasks live on. Every now
-     * and then it is sent to look for its owner again.
+     * Answers a worker while this controller is cut off from the store, perhaps with a whole zone:
+     * a worker that can't reach its owner either is answered under the owner's token, without any
+     * command, so that its tasks live on. Every now and then it is sent to look for its owner
+     * again.
+     *
+     * @return false if the worker was not answered
      */
     private boolean keepAliveForOwner(
             IncomingRequest request, String host, Heartbeat heartbeat, long fencingToken) {
         long now = loop.nowMillis();
         double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
-        // Sent on, a worker may try all others in vain; its lease must outlast that.
+        // Redirected, a worker may try all others in vain; its lease must outlast that.
         if (leaseMillis
                 < WorkerConstants.CONTROLLER_RETRY_INTERVAL_MILLIS
                         * (settings.controllerCount() - 1)
                         * WorkerConstants.MIN_CONTROLLER_SWEEPS_PER_LEASE) {
             return false;
         }
-        // Not among the strays: on record again, it has its time to find its owner from then on.
+        // No longer counted as misrouted: its time to find its owner begins anew afterwards.
         misrouted.remove(host);
-        Sighting sighting =
-                keptAlive.merge(
-                        host,
-                        new Sighting(fencingToken, now),
-                        (previous, current) ->
-                                previous.fencingToken == fencingToken ? previous : current);
+        Sighting sighting = firstSighting(keptAlive, host, fencingToken, now);
         if (now - sighting.sinceMillis
                 > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
             keptAlive.remove(host);
@@ -220,18 +220,15 @@
         if (heartbeat.fencingToken > fencingToken) {
             return false;
         }
-        ObjectNode response = WireFormat.newMap().put("epoch", fencingToken);
-        response.putArray("orders");
-        request.respond(200, response);
+        request.respond(200, WorkerMessageCodec.newHeartbeatResponse(fencingToken));
         return true;
     }
 
+    /** Answers 421 with the owner or, where there is none, the leader, if that is another one. */
     void redirectToOwner(IncomingRequest request, String host) {
-        String controller = shards.ownerOf(host) != null ? shards.ownerOf(host) : shards.leaderId();
-        ObjectNode body = WireFormat.newMap();
-        if (controller != null && !controller.equals(settings.memberId())) {
-            body.put("controller", controller);
-        }
-        request.respond(421, body);
+        String owner = membership.ownerOf(host);
+        String controller = owner != null ? owner : membership.leaderId();
+        boolean isSelf = settings.memberId().equals(controller);
+        request.respond(421, WorkerMessageCodec.encodeRedirect(isSelf ? null : controller));
     }
 }
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -10,21 +10,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A machine of our block and what we know of it under the current term. */
+/** A machine of our shard and what we know of it under its current fencing token. */
 public final class ShardWorker {
-    /**
-     * States of a machine of our block; {@link #transitionTo} is the one function that changes
-     * them.
-     */
+    /** States of a machine of our shard; only {@link #transitionTo} changes them. */
     public enum Phase {
         /**
-         * Granted; no message bearing our term has come from it. Nothing may be concluded or
+         * Granted; no message bearing our token has come from it. Nothing may be concluded or
          * started.
          */
         CLAIMING,
-        /** It has shown our term: its reports are evidence. */
+        /** It has shown our token: its heartbeats are evidence. */
         FENCED,
-        /** Its return has been recorded or is being recorded. */
+        /** It is declared lost: its release is on record or being recorded. */
         LEAVING
     }
 
@@ -33,12 +30,16 @@
     private final JobTable jobs;
     private final double heartbeatIntervalSeconds;
     private final long silenceTimeoutMillis;
+
+    /** The machine's name. */
     public final String host;
+
+    /** The token of the grant; every command bears it. */
     public final long fencingToken;
 
     /**
-     * Generation of the grant: until the watch has passed it, records of what was there before may
-     * be out of date.
+     * Store revision of the grant: until the watch has passed it, records of what was placed there
+     * before may be out of date.
      */
     final long grantRevision;
 
@@ -50,14 +51,14 @@
     long heartbeatSerial = -1;
 
     /**
-     * When it last reported or, before that, first answered: a machine that only answers gets no
-     * start and reaches nobody.
+     * When its last heartbeat came or, before any, its first response to a command: a machine that
+     * only responds gets no start and reaches nobody.
      */
     long lastHeardAtMillis;
 
     long lastHeartbeatAtMillis;
 
-    /** Whether anything came from it under this term: before, it may still be booting. */
+    /** Whether anything came from it under this token: before, it may still be booting. */
     boolean everHeard;
 
     long lastClaimAtMillis;
@@ -65,14 +66,14 @@
     long reclaimNoticeAtMillis;
 
     /**
-     * Reports in a row that didn't show what the answer to an earlier one had started; when the
-     * first of them came.
+     * Heartbeats in a row that didn't show what the response to an earlier one had started; below,
+     * when the first of them came.
      */
     int missedStarts;
 
     long missedSinceMillis;
 
-    /** When its first report came; a machine that boots is granted long before. */
+    /** When its first heartbeat came, -1 before; a booting machine is granted long before. */
     private long firstHeartbeatAtMillis = -1;
 
     int consecutiveFailures;
@@ -83,7 +84,12 @@
     long deferredUntilMillis;
     boolean heldForFutureStart;
 
-    /** {@code silentMs}: how long its silence is borne. */
+    /**
+     * A machine that has just been granted.
+     *
+     * @param silenceTimeoutMillis the silence after which a machine is dead or hangs
+     * @param grantRevision the store revision of the grant
+     */
     ShardWorker(
             EventLoop loop,
             JobTable jobs,
@@ -113,22 +119,21 @@
         }
     }
 
-    /** Whether this very report, or one that the worker sent after it, came before. */
+    /** Whether this heartbeat, or one that the worker sent after it, came before. */
     boolean isStale(Heartbeat heartbeat) {
         return !Heartbeat.isNewer(
                 heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
     }
 
     /**
-     * Whether it reports but shows again and again that our answers don't reach it. What we start
-     * there never begins, and what it runs ends with its lease, though it seems as well as any
-     * other.
+     * Whether it sends heartbeats that show again and again that our responses don't reach it. What
+     * we start there never begins, and what it runs ends with its lease, though it seems healthy.
      */
     boolean isUnreachableInbound() {
         return missedStarts >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
     }
 
-    /** Whether it has reported for so long, ms, without showing that it hears us. */
+    /** Whether it has sent heartbeats for that long without showing that it hears us. */
     boolean isUnreachableInboundFor(long millis) {
         return isUnreachableInbound()
                 ? loop.nowMillis() - missedSinceMillis > millis
@@ -144,22 +149,23 @@
     }
 
     /**
-     * Whether it hasn't reported for so long that it may reach nobody: no start can leave for it,
-     * but it may answer when it is asked.
+     * Whether its heartbeat is missing for so long that it may reach nobody: no start can be sent
+     * to it, but it may respond to commands. Its bound is that of {@link #isSchedulable}; at the
+     * bound itself a worker is neither overdue nor schedulable.
      */
     boolean isHeartbeatOverdue() {
         return phase == Phase.FENCED
                 && loop.nowMillis() - lastHeardAtMillis > silenceTimeoutMillis / 2;
     }
 
-    /** It has answered a direct command. */
+    /** It has carried out a direct command. */
     void recordCommandAccepted() {
         missedStarts = 0;
     }
 
     /**
-     * A report has been judged: {@code lacking}, a start of ours did not arrive; {@code shown}, one
-     * did.
+     * A heartbeat has shown that a start of ours arrived, or that one that must have arrived by now
+     * is missing.
      */
     void recordStartDelivery(boolean anyArrived, boolean anyMissing) {
         if (anyArrived) {
@@ -170,7 +176,7 @@
         }
     }
 
-    /** Whether new tasks may go there. */
+    /** Whether new tasks may be placed there. */
     public boolean isSchedulable() {
         return phase == Phase.FENCED
                 && !isUnreachableInbound()
@@ -180,7 +186,7 @@
                 && loop.nowMillis() - lastHeardAtMillis < silenceTimeoutMillis / 2;
     }
 
-    /** Seconds until a start can leave for it: an open answer takes one along at once. */
+    /** Seconds until a start can be sent to it; 0 while a heartbeat response is deferred. */
     public double startDelaySeconds() {
         return deferredRequest != null
                 ? 0
@@ -192,15 +198,17 @@
                                         - (loop.nowMillis() - lastHeartbeatAtMillis) / 1000.0));
     }
 
+    /** Whether the cloud has announced that it takes the machine back. */
     public boolean isBeingReclaimed() {
         return reclaimNoticeSeconds >= 0;
     }
 
+    /** Seconds until the cloud takes the machine back; meaningful only if that is announced. */
     public double reclaimSecondsLeft() {
         return reclaimNoticeSeconds - (loop.nowMillis() - reclaimNoticeAtMillis) / 1000.0;
     }
 
-    /** Whether nothing shows that it ever came up. */
+    /** Whether nothing shows that it ever came up: no message, no placement. */
     public boolean isBooting() {
         return !everHeard && jobs.placementsOn(host).isEmpty();
     }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What workers' lists prove: which tasks are there, which are over, and whose fault a failure is.
- * Nothing follows from time alone.
+ * Reconciles placements with what workers report: which tasks run, which have terminated, and
+ * whether a failure is the machine's or the job's. Nothing follows from time alone.
  */
 final class TaskStatusReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
@@ -25,9 +25,12 @@
     }
 
     /**
-     * Takes a worker's list as evidence, if it is newer than all before and bears our term. A body
-     * of {@code /orders} may overtake the answer to a report, so it never proves that a start of
-     * ours did not arrive.
+     * Takes a worker's task list as evidence, if it is newer than all before and bears our fencing
+     * token. A response to {@code /orders} may overtake a heartbeat response, so it never proves
+     * that a start of ours did not arrive.
+     *
+     * @param isHeartbeatRequest whether this is a heartbeat, not a response to a direct command
+     * @return whether the message is newer than all before
      */
     boolean reconcile(ShardWorker worker, Heartbeat heartbeat, boolean isHeartbeatRequest) {
         long agentEpoch = heartbeat.agentEpoch;
@@ -80,8 +83,8 @@
     }
 
     /**
-     * Looks whether the starts that were sent and not yet seen have arrived: only those, for every
-     * report passes here.
+     * Checks whether the starts that were sent and not yet observed have arrived: only those, for
+     * every heartbeat passes here.
      */
     private void checkStartDelivery(ShardWorker worker) {
         boolean anyArrived = false;
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Whether the machine has reported again since the answer that carried the start, or has begun
-     * another session, which drops that answer.
+     * Whether the machine has sent another heartbeat since the response that carried the start, or
+     * has begun another agent epoch, which drops that response.
      */
     static boolean hasReportedSinceStart(ShardWorker worker, Placement placement) {
         return placement.phase() == Placement.Phase.START_SENT
@@ -120,31 +123,41 @@
             return;
         }
         if (reported == null) {
-            if (placement.phase() == Placement.Phase.OBSERVED) {
-                terminate(worker, placement, "no longer on");
-            } else if (hasReportedSinceStart(worker, placement)
-                    || placement.phase() == Placement.Phase.RECORDED) {
-                // It never arrived there. The record stands, so its start may be sent (again),
-                // unless it is unwanted or nothing arrives.
-                if (placement.stopRequested
-                        || placement.job.isCancelled()
-                        || worker.isUnreachableInbound()
-                        || worker.isHeartbeatOverdue()) {
-                    terminate(worker, placement, "never reached");
-                }
-            }
+            reconcileMissingTask(worker, placement);
             return;
         }
         if (!reported.isTerminated()) {
             placement.transitionTo(Placement.Phase.OBSERVED);
-            if (reported.status.equals("running") && placement.runningSinceMillis == 0) {
+            if (reported.status.equals(Heartbeat.STATUS_RUNNING)
+                    && placement.runningSinceMillis == 0) {
                 placement.runningSinceMillis = loop.nowMillis();
             }
             placement.reportedState = reported.status;
             return;
         }
+        reconcileTerminatedTask(worker, placement, reported.exitReason);
+    }
+
+    private void reconcileMissingTask(ShardWorker worker, Placement placement) {
+        if (placement.phase() == Placement.Phase.OBSERVED) {
+            terminate(worker, placement, "no longer on");
+        } else if (hasReportedSinceStart(worker, placement)
+                || placement.phase() == Placement.Phase.RECORDED) {
+            // It never arrived there. The record stands, so its start may be sent (again),
+            // unless it is unwanted or nothing arrives.
+            if (placement.stopRequested
+                    || placement.job.isCancelled()
+                    || worker.isUnreachableInbound()
+                    || worker.isHeartbeatOverdue()) {
+                terminate(worker, placement, "never reached");
+            }
+        }
+    }
+
+    private void reconcileTerminatedTask(
+            ShardWorker worker, Placement placement, String exitReason) {
         Job job = placement.job;
-        switch (reported.exitReason) {
+        switch (exitReason) {
             case "done" -> {
                 placement.transitionTo(Placement.Phase.COMPLETED);
                 worker.consecutiveFailures = 0;
@@ -174,7 +187,7 @@
                 job.notBeforeMillis = loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS;
                 terminate(worker, placement, "refused (unknown) by");
             }
-            default -> terminate(worker, placement, "stopped (" + reported.exitReason + ") on");
+            default -> terminate(worker, placement, "stopped (" + exitReason + ") on");
         }
     }
 
@@ -190,21 +203,21 @@
     }
 
     /**
-     * Blames the machine if other jobs fail there too or the job does well elsewhere; else the job,
-     * which pauses.
+     * Counts a failure against the machine if other jobs fail there too or the job succeeds
+     * elsewhere; else against the job, which backs off.
      */
     private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
         job.consecutiveFailures++;
         job.failedHosts.add(worker.host);
-        // What others saw end well counts too: this process may be new.
+        // Completions that other controllers saw count too: this process may be new.
         if (job.successCount == 0
                 && job.completedTaskCount() == 0
                 && job.consecutiveFailures >= 2
                 && worker.failedJobIds.size() == 1) {
             // Where it has failed often and on no other machine, nothing will ever show whose fault
-            // it is: once, the machine goes.
+            // it is: the machine is declared lost, once.
             boolean failsOnlyHere =
                     job.failedHosts.size() == 1
                             && job.consecutiveFailures
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -7,51 +7,44 @@
 import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.store.MembershipLease;
-import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.Map;
 
 /**
- * What a worker is told: starts, only in answers to reports; kills, at once; clears, only of ends
- * that are on record.
+ * What a worker is told: starts, only in heartbeat responses; kills, at once; clears, only of
+ * terminations that are on record.
  */
 final class WorkerCommands {
     private final EventLoop loop;
-    private final MembershipLease membershipLease;
-    private final WatchCache watchCache;
-    private final ClusterMembership shards;
+    private final WorkerGateway.StoreAccess store;
+    private final ClusterMembership membership;
     private final JobTable jobs;
 
     WorkerCommands(
             EventLoop loop,
-            MembershipLease membershipLease,
-            WatchCache watchCache,
-            ClusterMembership shards,
+            WorkerGateway.StoreAccess store,
+            ClusterMembership membership,
             JobTable jobs) {
         this.loop = loop;
-        this.membershipLease = membershipLease;
-        this.watchCache = watchCache;
-        this.shards = shards;
+        this.store = store;
+        this.membership = membership;
         this.jobs = jobs;
     }
 
-    /** The answer to the worker's last report; the starts in it count as sent. */
+    /** The response to the worker's last heartbeat; the starts in it count as sent. */
     ObjectNode buildHeartbeatResponse(ShardWorker worker) {
-        ObjectNode response = WireFormat.newMap().put("epoch", worker.fencingToken);
-        ArrayNode commands = response.putArray("orders");
+        ObjectNode response = WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken);
+        ArrayNode commands = WorkerMessageCodec.commandsOf(response);
         if (worker.phase() == ShardWorker.Phase.FENCED) {
-            if (membershipLease.isMember()) {
+            if (store.lease().isMember()) {
                 commands.addAll(killsAndClears(worker));
             }
-            if (membershipLease.isValid() && shards.localShard() != null) {
+            if (store.lease().isValid() && membership.localShard() != null) {
                 for (Placement placement : jobs.placementsOn(worker.host).values()) {
                     if (isStartDue(worker, placement)
                             && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
-                        commands.addObject()
-                                .put("verb", "start")
-                                .put("member", placement.taskName())
-                                .put("try", placement.attempt);
+                        WorkerMessageCodec.addStart(
+                                commands, placement.taskName(), placement.attempt);
                         placement.transitionTo(Placement.Phase.START_SENT);
                         placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
                         placement.startSentSerial = worker.heartbeatSerial;
@@ -63,8 +56,8 @@
     }
 
     /**
-     * Kills to be sent at once; null if there are none. A kill of what we have sent no start of
-     * changes nothing on the machine, but its answer shows at once that the task isn't there.
+     * Kills to be sent at once; null if there are none. A kill of a task whose start wasn't sent
+     * changes nothing on the machine, but the response shows at once that the task isn't there.
      */
     ArrayNode collectDueKills(ShardWorker worker) {
         long now = loop.nowMillis();
@@ -72,7 +65,7 @@
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable =
                     placement.phase() == Placement.Phase.OBSERVED
-                            && !placement.reportedState.equals("saving");
+                            && !placement.reportedState.equals(Heartbeat.STATUS_SAVING);
             if (!isWanted(placement)
                     && (stoppable || placement.phase() == Placement.Phase.RECORDED)
                     && (placement.killSentAtMillis == 0
@@ -80,7 +73,7 @@
                                     > WorkerConstants.KILL_RETRY_MILLIS)) {
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
-                    addKill(
+                    WorkerMessageCodec.addKill(
                             kills,
                             placement.taskName(),
                             placement.attempt,
@@ -100,19 +93,19 @@
         if (placement.isTerminated()
                 || !isWanted(placement)
                 || worker.phase() != ShardWorker.Phase.FENCED
-                || watchCache.storeRevision() < worker.grantRevision) {
-            // A leader applies its own grant before the watch brings what its predecessors on that
-            // machine recorded:
-            // a start by such a record could be of a task that has been placed elsewhere since.
+                || store.cache().storeRevision() < worker.grantRevision) {
+            // A leader applies its own grant before the watch brings what earlier owners of that
+            // machine recorded: a start by such a record could be of a task that has been placed
+            // elsewhere since.
             return false;
         }
         return placement.phase() == Placement.Phase.RECORDED
                 || TaskStatusReconciler.hasReportedSinceStart(worker, placement);
     }
 
-    /** Whether there is something to tell the worker. */
+    /** Whether the heartbeat should be answered now: there are commands, or none can come. */
     boolean hasCommands(ShardWorker worker) {
-        if (worker.phase() != ShardWorker.Phase.FENCED || !membershipLease.isValid()) {
+        if (worker.phase() != ShardWorker.Phase.FENCED || !store.lease().isValid()) {
             return true;
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -123,7 +116,7 @@
         return !killsAndClears(worker).isEmpty();
     }
 
-    /** Kills for what must not run and clears for ends that are on record. */
+    /** Kills for what must not run and clears for terminations that are on record. */
     private ArrayNode killsAndClears(ShardWorker worker) {
         ArrayNode commands = WireFormat.newList();
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
@@ -135,32 +128,23 @@
                 boolean isRecorded = placement != null && placement.attempt == reported.attempt;
                 if (reported.isTerminated()) {
                     if (!isRecorded) {
-                        commands.addObject()
-                                .put("verb", "clear")
-                                .put("member", reported.taskId)
-                                .put("try", reported.attempt);
+                        WorkerMessageCodec.addClear(commands, reported.taskId, reported.attempt);
                     }
                 } else if (!isRecorded) {
-                    addKill(commands, reported.taskId, reported.attempt, 0);
-                } else if (!isWanted(placement) && !reported.status.equals("saving")) {
-                    addKill(commands, reported.taskId, reported.attempt, graceSeconds(placement));
+                    WorkerMessageCodec.addKill(commands, reported.taskId, reported.attempt, 0);
+                } else if (!isWanted(placement)
+                        && !reported.status.equals(Heartbeat.STATUS_SAVING)) {
+                    WorkerMessageCodec.addKill(
+                            commands, reported.taskId, reported.attempt, graceSeconds(placement));
                 } else if (placement.job.isCancelled()) {
-                    addKill(commands, reported.taskId, reported.attempt, 0);
+                    WorkerMessageCodec.addKill(commands, reported.taskId, reported.attempt, 0);
                 }
             }
         }
         return commands;
     }
 
-    private static void addKill(
-            ArrayNode commands, String taskId, long attempt, double graceSeconds) {
-        commands.addObject()
-                .put("verb", "kill")
-                .put("member", taskId)
-                .put("try", attempt)
-                .put("drainS", graceSeconds);
-    }
-
+    /** Time for a last checkpoint; none for cancelled jobs and those without checkpoints. */
     private static double graceSeconds(Placement placement) {
         return placement.job.isCancelled() || placement.job.spec.checkpointIntervalSeconds() <= 0
                 ? 0
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -18,41 +18,41 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which machines of our block should be given up, and which zones are only cut off from here. */
+/**
+ * Finds the machines of our shard that should be declared lost, and the zones that are only
+ * unreachable from here.
+ */
 final class WorkerFailureDetector {
     private final EventLoop loop;
     private final Settings settings;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final MachineTypeCatalog catalog;
+    private final MachineTypeCatalog machineTypes;
     private final long silenceTimeoutMillis;
     private final Policy policy;
     private final ZoneTable zones;
 
-    /** When each zone was last cut off from here. */
+    /** When each zone was last unreachable from here, in loop time. */
     private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
     WorkerFailureDetector(
             EventLoop loop,
             Settings settings,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog catalog,
-            Policy policy,
-            ZoneTable zones) {
+            WorkerGateway.ClusterRecords records,
+            Policy policy) {
         this.policy = policy;
-        this.zones = zones;
+        this.zones = records.zones();
         this.loop = loop;
         this.settings = settings;
-        this.jobs = jobs;
-        this.machines = machines;
-        this.catalog = catalog;
+        this.jobs = records.jobs();
+        this.machines = records.machines();
+        this.machineTypes = records.machineTypes();
         this.silenceTimeoutMillis = silenceTimeoutMillis(settings);
     }
 
     /**
-     * ms. A worker's lease, with what clocks may differ and the way of a report: longer silence is
-     * a dead or hung machine's.
+     * A worker's lease, plus the drift of clocks and the delay of a heartbeat: a machine that is
+     * silent for longer is dead or hangs.
      */
     static long silenceTimeoutMillis(Settings settings) {
         return (long)
@@ -62,7 +62,7 @@
                 + WorkerConstants.SILENCE_SLACK_MILLIS;
     }
 
-    /** The machines to be given up, each with the reason. */
+    /** The machines to be declared lost, each with the reason. */
     Map<ShardWorker, String> findLost(Collection<ShardWorker> workers) {
         long now = loop.nowMillis();
         Map<ShardWorker, String> lost = new LinkedHashMap<>();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Zones of which hardly a machine can be heard here, or hears us: not the machines are at fault
-     * but the way to them.
+     * Zones of which hardly a machine can be heard here, or hears us: the network is at fault, not
+     * the machines.
      */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
         long heardSinceMillis =
@@ -153,9 +153,9 @@
     }
 
     /**
-     * How long a machine's silence is borne. In a zone that is cut off, its tasks go on, kept by a
-     * controller inside; giving them up would only lose them. Elsewhere a silent machine hangs or
-     * is dead; what should run all the time is not left there for long.
+     * How long a machine may be silent. In an unreachable zone its tasks go on, kept alive by a
+     * controller inside; declaring it lost would only lose them. Elsewhere a silent machine hangs
+     * or is dead, and a service is not left there for long.
      */
     private long silencePatienceMillis(ShardWorker worker, boolean zoneUnreachable) {
         ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
@@ -176,8 +176,8 @@
     }
 
     /**
-     * The shortest that the classes of its services state, but no shorter than silence means
-     * anything; else some leases.
+     * The shortest patience that the classes of its services state, but no shorter than the silence
+     * timeout and no longer than some leases.
      */
     private long unreachableZonePatienceMillis(ShardWorker worker) {
         double leastMillis = Double.MAX_VALUE;
@@ -199,7 +199,7 @@
     private boolean isBootOverdue(String host) {
         MachineTable.Machine machine = machines.get(host);
         MachineTypeCatalog.MachineType machineType =
-                machine == null ? null : catalog.get(machine.machineType());
+                machine == null ? null : machineTypes.get(machine.machineType());
         return machineType != null
                 && loop.wallClockMillis() - machine.rentedAtEpochMillis()
                         > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -1,7 +1,6 @@
 package io.quincelead.worker;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
@@ -15,165 +14,191 @@
 import io.quincelead.policy.Policy;
 import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreClient;
-import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * Speaks with the workers of this controller's block: takes their reports as evidence, answers with
- * what the records say, and sends kills at once. It never decides where a task runs, and it never
- * concludes anything from time alone.
+ * Speaks with the workers of this controller's shard: takes their heartbeats as evidence, answers
+ * with what the records say, and sends kills at once. It never decides where a task runs, and it
+ * never concludes anything from time alone.
  */
 public final class WorkerGateway {
-    private static final Logger LOG = LoggerFactory.getLogger(WorkerGateway.class);
-
-    /** What the rest of the controller does for the desk. */
+    /** What the rest of the controller does for the gateway. */
     public interface Callbacks {
-        /** A worker reports to this controller though it isn't of its block, or of any. */
+        /** A worker sends its heartbeats here though it isn't of this controller's shard. */
         void onMisroutedWorker(MisroutedWorker worker);
 
-        /** Something changed that the next round should see. */
+        /** Something changed that the next scheduling cycle should see. */
         void requestCycle();
 
-        /** There is evidence that a task is over. */
+        /** There is evidence that a task has terminated. */
         void onTaskTerminated(Placement placement);
 
-        /** Whether a round is due or under way whose result a report's answer should wait for. */
+        /**
+         * Whether a scheduling cycle is due or under way whose result a heartbeat response should
+         * wait for.
+         */
         boolean isCyclePending();
     }
 
+    /**
+     * The ways in which the gateway reaches the store.
+     *
+     * @param lease this controller's membership lease
+     * @param cache the watched copy of the store
+     * @param client commits transactions
+     */
+    public record StoreAccess(MembershipLease lease, WatchCache cache, StoreClient client) {}
+
+    /**
+     * The records that the gateway reads.
+     *
+     * @param membership the controllers, and the machines granted to each
+     * @param jobs the open jobs and their placements
+     * @param machines the machines on record
+     * @param machineTypes the machine types that can be had
+     * @param zones the states of the zones
+     */
+    public record ClusterRecords(
+            ClusterMembership membership,
+            JobTable jobs,
+            MachineTable machines,
+            MachineTypeCatalog machineTypes,
+            ZoneTable zones) {}
+
     private final EventLoop loop;
     private final Settings settings;
-    private final MembershipLease membershipLease;
-    private final ClusterMembership shards;
+    private final StoreAccess store;
+    private final ClusterMembership membership;
     private final JobTable jobs;
     private final MachineTable machines;
-    private final WatchCache watchCache;
-    private final StoreClient store;
     private final Transport transport;
     private final Callbacks callbacks;
     private final MisroutedWorkers misroutedWorkers;
     private final TaskStatusReconciler statusReconciler;
     private final WorkerCommands workerCommands;
     private final WorkerFailureDetector failureDetector;
+    private final LostWorkerRecorder lostWorkerRecorder;
+    private final DeferredResponses deferredResponses;
     private final Map<String, ShardWorker> workers = new LinkedHashMap<>();
+    private final Iterable<ShardWorker> workersView =
+            Collections.unmodifiableCollection(workers.values());
 
-    /** Machines whose records changed since the last look. */
+    /** Hosts whose records changed since commands were last dispatched. */
     private final Set<String> changedHosts = new HashSet<>();
 
-    /** Machines whose report's answer waits for the round that is due. */
+    /** Workers whose heartbeat responses wait for the scheduling cycle that is pending. */
     private final Set<ShardWorker> awaitingCycle = new LinkedHashSet<>();
 
-    /** Reports whose answers wait, by the loop time in ms at which that is over. */
-    private final Map<Long, List<DeferredResponse>> deferredResponses = new HashMap<>();
-
+    /**
+     * Builds the gateway and has it informed of changes of the shard and of placements.
+     *
+     * @param loop the event loop on which everything here runs
+     * @param settings the deployment's settings, among them the workers' timings
+     * @param store the ways to the store
+     * @param records the records that are read here
+     * @param transport calls the workers
+     * @param policy states how long services wait for an unreachable zone
+     * @param callbacks what the rest of the controller does for the gateway
+     */
     public WorkerGateway(
             EventLoop loop,
             Settings settings,
-            MembershipLease membershipLease,
-            ClusterMembership shards,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog catalog,
-            WatchCache watchCache,
-            StoreClient store,
+            StoreAccess store,
+            ClusterRecords records,
             Transport transport,
             Policy policy,
-            ZoneTable zones,
             Callbacks callbacks) {
         this.loop = loop;
         this.settings = settings;
-        this.membershipLease = membershipLease;
-        this.shards = shards;
-        this.jobs = jobs;
-        this.machines = machines;
-        this.watchCache = watchCache;
         this.store = store;
+        this.membership = records.membership();
+        this.jobs = records.jobs();
+        this.machines = records.machines();
         this.transport = transport;
         this.callbacks = callbacks;
         this.misroutedWorkers =
                 new MisroutedWorkers(
-                        loop,
-                        settings,
-                        membershipLease,
-                        watchCache,
-                        shards,
-                        transport,
-                        callbacks::onMisroutedWorker);
+                        loop, settings, store, membership, transport, callbacks::onMisroutedWorker);
         this.statusReconciler = new TaskStatusReconciler(loop, jobs, callbacks);
-        this.workerCommands = new WorkerCommands(loop, membershipLease, watchCache, shards, jobs);
-        this.failureDetector =
-                new WorkerFailureDetector(loop, settings, jobs, machines, catalog, policy, zones);
-        shards.onShardChange(this::onShardChanged);
+        this.workerCommands = new WorkerCommands(loop, store, membership, jobs);
+        this.failureDetector = new WorkerFailureDetector(loop, settings, records, policy);
+        this.lostWorkerRecorder = new LostWorkerRecorder(store, membership, machines);
+        this.deferredResponses = new DeferredResponses(loop, this::sendDeferredResponse);
+        membership.onShardChange(this::onShardChanged);
         jobs.onMachineChanged(changedHosts::add);
         loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
     }
 
+    /** The worker on that host; null if the host isn't of this controller's shard. */
     public ShardWorker worker(String host) {
         return workers.get(host);
     }
 
+    /**
+     * The workers of this controller's shard, in the order in which they were granted; read-only.
+     */
     public Iterable<ShardWorker> workers() {
-        return workers.values();
+        return workersView;
     }
 
     /**
-     * Takes over the machines that our block now names, each under its term; a new term starts from
-     * nothing.
+     * Takes over the machines that our shard now names, each under its fencing token; under a new
+     * token everything is learned anew.
      */
     private void onShardChanged() {
-        ClusterMembership.Shard shard = shards.localShard();
-        Map<String, Long> fencingTokens = shard == null ? Map.of() : shard.fencingTokensByHost();
-        if (shard != null) {
-            workers.values()
-                    .removeIf(
-                            worker -> {
-                                boolean revoked =
-                                        !fencingTokens.containsKey(worker.host)
-                                                || fencingTokens.get(worker.host)
-                                                        != worker.fencingToken;
-                                if (revoked) {
-                                    releaseWorker(worker);
-                                }
-                                return revoked;
-                            });
+        ClusterMembership.Shard shard = membership.localShard();
+        if (shard == null) {
+            // Without a shard we keep answering under the old tokens: until a higher one shows up,
+            // that keeps tasks alive.
+            return;
         }
-        // Without a block we keep answering under the old terms: until a higher one shows up, that
-        // keeps work alive.
+        Map<String, Long> fencingTokens = shard.fencingTokensByHost();
+        workers.values()
+                .removeIf(
+                        worker -> {
+                            Long granted = fencingTokens.get(worker.host);
+                            boolean revoked = granted == null || granted != worker.fencingToken;
+                            if (revoked) {
+                                releaseWorker(worker);
+                            }
+                            return revoked;
+                        });
+        long grantRevision = store.cache().modRevision(shard.storeKey());
         for (Map.Entry<String, Long> grant : fencingTokens.entrySet()) {
             if (!workers.containsKey(grant.getKey())) {
-                ShardWorker worker =
-                        new ShardWorker(
-                                loop,
-                                jobs,
-                                settings.workerTimings().heartbeatSeconds(),
-                                WorkerFailureDetector.silenceTimeoutMillis(settings),
-                                grant.getKey(),
-                                grant.getValue(),
-                                watchCache.modRevision(shard.storeKey()));
-                MachineTable.Machine machine = machines.get(worker.host);
-                // A worker may be held by a controller that is cut off from the store alone: only a
-                // claim calls it away.
-                worker.address = machine == null ? null : machine.address();
-                jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
-                workers.put(worker.host, worker);
-                loop.runAfter(0, () -> sendClaim(worker));
+                addWorker(grant.getKey(), grant.getValue(), grantRevision);
             }
         }
     }
 
+    private void addWorker(String host, long fencingToken, long grantRevision) {
+        ShardWorker worker =
+                new ShardWorker(
+                        loop,
+                        jobs,
+                        settings.workerTimings().heartbeatSeconds(),
+                        WorkerFailureDetector.silenceTimeoutMillis(settings),
+                        host,
+                        fencingToken,
+                        grantRevision);
+        MachineTable.Machine machine = machines.get(host);
+        // A worker may be kept by a controller that is cut off from the store alone: only a claim
+        // calls it away.
+        worker.address = machine == null ? null : machine.address();
+        jobs.placementsOn(host).values().forEach(Placement::resetForNewOwner);
+        workers.put(host, worker);
+        loop.runAfter(0, () -> sendClaim(worker));
+    }
+
     private void releaseWorker(ShardWorker worker) {
         jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
         misroutedWorkers.onWorkerReleased(
@@ -185,22 +210,24 @@
     }
 
     /**
-     * Shows the worker our term at once, or whether it hears us, so that nothing from before can
-     * run there, and learns what it holds.
+     * Shows the worker our fencing token at once, so that nothing from before can start there, and
+     * learns what it runs. Later it asks whether the worker hears us.
      */
     private void sendClaim(ShardWorker worker) {
         if (workers.get(worker.host) == worker
                 && worker.phase() != ShardWorker.Phase.LEAVING
                 && worker.address != null
-                && membershipLease.isValid()) {
+                && store.lease().isValid()) {
             worker.lastClaimAtMillis = loop.nowMillis();
             sendCommands(
                     worker, worker.agentEpoch < 0 ? 1 : worker.agentEpoch, WireFormat.newList());
         }
     }
 
-    // ---- reports
-
+    /**
+     * Answers a heartbeat, now or later: 200 with commands; 400 if it is malformed; 421 if the
+     * worker belongs to another controller; 503 while that can't be known.
+     */
     public void handleHeartbeat(IncomingRequest request) {
         Heartbeat heartbeat = Heartbeat.parse(request.body);
         if (heartbeat == null) {
@@ -209,23 +236,21 @@
         }
         String host = heartbeat.host;
         ShardWorker worker = workers.get(host);
-        if (worker == null || shards.localShard() == null && shards.ownerOf(host) != null) {
+        if (worker == null || membership.localShard() == null && membership.ownerOf(host) != null) {
             misroutedWorkers.handleHeartbeat(request, heartbeat);
             return;
         }
         if (heartbeat.fencingToken > worker.fencingToken) {
-            // Somebody newer commands this worker; an answer of ours would be dropped and hold it
-            // here.
+            // A newer owner commands this worker; it would drop our response and stay here.
             misroutedWorkers.redirectToOwner(request, host);
             return;
         }
         misroutedWorkers.onWorkerAtOwner(host);
         if (worker.isStale(heartbeat)) {
-            // A copy, or what a cut held back: nobody waits for the answer, and the starts in it
-            // would count as sent.
-            ObjectNode response = WireFormat.newMap().put("epoch", worker.fencingToken);
-            response.putArray("orders");
-            request.respond(200, response);
+            // A copy, or one that was held up: nobody waits for the response, and starts in it
+            // would
+            // count as sent.
+            request.respond(200, WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken));
             return;
         }
         worker.address = heartbeat.address == null ? worker.address : heartbeat.address;
@@ -233,17 +258,22 @@
             sendDeferredResponse(worker);
         }
         boolean fresh = statusReconciler.reconcile(worker, heartbeat, true);
+        respondOrDefer(worker, request, fresh);
+    }
+
+    private void respondOrDefer(ShardWorker worker, IncomingRequest request, boolean fresh) {
         worker.deferredRequest = request;
         long now = loop.nowMillis();
         if (request.isNearConnectionLimit()) {
-            // Connections are short: this one is given back, and the worker makes a new one for its
-            // next report.
+            // Connections are scarce: this one is given back, and the worker opens a new one for
+            // its
+            // next heartbeat.
             request.closeConnectionAfterResponse();
         }
         boolean holdOpen =
                 fresh
                         && worker.isSchedulable()
-                        && membershipLease.isValid()
+                        && store.lease().isValid()
                         && !request.isNearConnectionLimit();
         worker.heldForFutureStart = holdOpen;
         worker.deferredUntilMillis =
@@ -261,42 +291,13 @@
             if (!holdOpen) {
                 awaitingCycle.add(worker);
             }
-            scheduleDeferredResponse(worker, request);
+            deferredResponses.schedule(worker, request);
         }
     }
 
-    private record DeferredResponse(ShardWorker worker, IncomingRequest request) {}
-
     /**
-     * Answers the report when its time is up, unless that has happened; hundreds of reports share
-     * few turns of the loop.
-     */
-    private void scheduleDeferredResponse(ShardWorker worker, IncomingRequest request) {
-        long respondAtMillis =
-                (worker.deferredUntilMillis + WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS - 1)
-                        / WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS
-                        * WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
-        List<DeferredResponse> batch = deferredResponses.get(respondAtMillis);
-        if (batch == null) {
-            batch = new ArrayList<>();
-            deferredResponses.put(respondAtMillis, batch);
-            loop.runAfter(
-                    respondAtMillis - loop.nowMillis(),
-                    () -> {
-                        for (DeferredResponse deferred :
-                                deferredResponses.remove(respondAtMillis)) {
-                            if (deferred.worker.deferredRequest == deferred.request) {
-                                sendDeferredResponse(deferred.worker);
-                            }
-                        }
-                    });
-        }
-        batch.add(new DeferredResponse(worker, request));
-    }
-
-    /**
-     * How long an answer may wait for a start: starts travel only in answers, so a parked one makes
-     * them instant.
+     * How long a response may wait for a start: starts travel only in heartbeat responses, so a
+     * deferred one carries them at once.
      */
     private long maxDeferralMillis(ShardWorker worker) {
         boolean hasFiniteTasks = false;
@@ -322,8 +323,8 @@
     }
 
     /**
-     * Called when records changed or a round ended: answers what need not wait longer and sends
-     * kills at once.
+     * Sends the responses that need not wait longer, and kills at once. To be called when records
+     * changed or a scheduling cycle ended.
      */
     public void dispatchPendingCommands() {
         for (String host : changedHosts) {
@@ -347,7 +348,7 @@
     private void sendDueKills(ShardWorker worker) {
         if (worker.phase() == ShardWorker.Phase.CLAIMING
                 || worker.address == null
-                || !membershipLease.isMember()) {
+                || !store.lease().isMember()) {
             return;
         }
         ArrayNode kills = workerCommands.collectDueKills(worker);
@@ -357,15 +358,12 @@
     }
 
     private void sendCommands(ShardWorker worker, long agentEpoch, ArrayNode commands) {
-        ObjectNode message =
-                WireFormat.newMap().put("epoch", worker.fencingToken).put("tenure", agentEpoch);
-        message.set("orders", commands);
         transport.call(
                 worker.address,
                 "POST",
                 "/orders",
                 WireFormat.CBOR,
-                WireFormat.CBOR.encode(message),
+                WorkerMessageCodec.encodeDirectCommands(worker.fencingToken, agentEpoch, commands),
                 TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS,
                 (status, bytes) -> {
                     Heartbeat response = Heartbeat.parse(bytes);
@@ -374,15 +372,16 @@
                             || status != 200 && status != 409) {
                         return;
                     }
-                    // Also a refusal is the worker's word: of a new session that knows our term, it
-                    // proves what the old one ran to be over.
+                    // Also a refusal is the worker's word: a higher agent epoch that knows our
+                    // token
+                    // proves that what the earlier one ran has terminated.
                     statusReconciler.reconcile(worker, response, false);
                     if (status == 200) {
                         worker.recordCommandAccepted();
                     } else if (response.agentEpoch > agentEpoch
                             && worker.phase() == ShardWorker.Phase.CLAIMING) {
-                        // Nothing was executed; a newer session of the worker is claimed under its
-                        // number.
+                        // Nothing was executed; the worker's newer agent epoch is claimed under its
+                        // own number.
                         sendClaim(worker);
                     }
                     changedHosts.add(worker.host);
@@ -390,70 +389,29 @@
                 });
     }
 
-    // ---- health
-
     private void checkWorkers() {
         misroutedWorkers.expireEntries();
-        if (!membershipLease.isValid() || shards.localShard() == null) {
+        if (!store.lease().isValid() || membership.localShard() == null) {
             return;
         }
         for (ShardWorker worker : workers.values()) {
-            boolean mustAnswer =
-                    worker.phase() == ShardWorker.Phase.CLAIMING || worker.isUnreachableInbound();
-            if (loop.nowMillis() - worker.lastClaimAtMillis
-                    > (mustAnswer
-                            ? TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS
-                            : worker.isHeartbeatOverdue()
-                                    ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS
-                                    : Long.MAX_VALUE)) {
+            if (loop.nowMillis() - worker.lastClaimAtMillis > probeIntervalMillis(worker)) {
                 sendClaim(worker);
             }
         }
-        declareLost(failureDetector.findLost(workers.values()));
+        lostWorkerRecorder.declareLost(
+                failureDetector.findLost(workers.values()),
+                worker -> workers.get(worker.host) == worker);
         changedHosts.addAll(workers.keySet());
         dispatchPendingCommands();
     }
 
-    /**
-     * Records that machines are to be returned and drops them from our block, in one change; the
-     * leader returns them.
-     */
-    private void declareLost(Map<ShardWorker, String> lost) {
-        ClusterMembership.Shard shard = shards.localShard().copy();
-        Transaction transaction =
-                new Transaction()
-                        .requireRevision(
-                                shard.storeKey(), watchCache.modRevision(shard.storeKey()));
-        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
-        List<ShardWorker> leaving = new ArrayList<>();
-        for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
-            ShardWorker worker = candidate.getKey();
-            MachineTable.Machine machine = machines.get(worker.host);
-            if (machine == null
-                    || machine.releasing()
-                    || !transaction.fits(2, 2, store.maxTransactionOperations())) {
-                continue;
-            }
-            LOG.info("machine {} is given up: {}", worker.host, candidate.getValue());
-            worker.transitionTo(ShardWorker.Phase.LEAVING);
-            leaving.add(worker);
-            shard.fencingTokensByHost().remove(worker.host);
-            edits.put(machine.asReleasing());
+    private static long probeIntervalMillis(ShardWorker worker) {
+        if (worker.phase() == ShardWorker.Phase.CLAIMING || worker.isUnreachableInbound()) {
+            return TransportConstants.CLUSTER_CALL_TIMEOUT_MILLIS;
         }
-        if (leaving.isEmpty()) {
-            return;
-        }
-        transaction.put(shard.storeKey(), shard.encode(), membershipLease.leaseId());
-        store.commit(
-                transaction,
-                outcome -> {
-                    if (outcome.result() == Transaction.Result.COMMITTED) {
-                        watchCache.applyCommitted(transaction, outcome.storeRevision());
-                        return;
-                    }
-                    leaving.stream()
-                            .filter(worker -> workers.get(worker.host) == worker)
-                            .forEach(worker -> worker.transitionTo(ShardWorker.Phase.CLAIMING));
-                });
+        return worker.isHeartbeatOverdue()
+                ? WorkerConstants.SILENT_WORKER_PROBE_INTERVAL_MILLIS
+                : Long.MAX_VALUE;
     }
 }
