--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -4,9 +4,11 @@
 import io.quincelead.api.ApiStore;
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
+import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
@@ -23,8 +25,11 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
+import io.quincelead.scheduler.ClusterView;
+import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
+import io.quincelead.scheduler.StoreAccess;
 import io.quincelead.store.GroupCommitter;
 import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreClient;
@@ -36,9 +41,12 @@
 import io.quincelead.worker.MisroutedWorker;
 import io.quincelead.worker.ShardWorker;
 import io.quincelead.worker.WorkerGateway;
+import io.quincelead.zone.MachineVisibility;
 import io.quincelead.zone.ZoneOperatorApi;
 import io.quincelead.zone.ZoneRecoveryController;
+import io.quincelead.zone.ZoneView;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -56,6 +64,7 @@
     private final ClusterMembership clusterMembership;
     private final SchedulingCycle schedulingCycle;
     private final OperatorApi operatorApi;
+    private final Autoscaler autoscaler;
 
     public Controller(
             EventLoop loop,
@@ -100,31 +109,19 @@
                 new Leader(
                         loop,
                         settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        policy);
-        peerMessenger = new PeerMessenger(loop, settings, clusterMembership, transport, leader);
-        schedulingCycle =
-                new SchedulingCycle(
+                        new Leader.StoreAccess(store, watchCache, membershipLease),
+                        new Leader.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog),
+                        policy,
+                        this::hasOpenProvisioningRequests);
+        peerMessenger =
+                new PeerMessenger(
                         loop,
                         settings,
-                        operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
                         clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        constrainedDemand,
-                        policy,
-                        this::flushWorkerResponses);
+                        transport,
+                        leader::onMisroutedWorker,
+                        this::localWorkers);
         workerGateway =
                 new WorkerGateway(
                         loop,
@@ -142,7 +139,7 @@
 
                             @Override
                             public void requestCycle() {
-                                schedulingCycle.requestCycle();
+                                Controller.this.schedulingCycle.requestCycle();
                             }
 
                             @Override
@@ -152,13 +149,27 @@
 
                             @Override
                             public boolean isCyclePending() {
-                                return schedulingCycle.isCyclePending();
+                                return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
-        schedulingCycle.setCollaborators(workerGateway, leader, peerMessenger);
-        peerMessenger.setWorkerGateway(workerGateway);
-        ZoneRecoveryController.MachineVisibility machineVisibility =
-                new ZoneRecoveryController.MachineVisibility() {
+        schedulingCycle =
+                new SchedulingCycle(
+                        loop,
+                        settings,
+                        operatorSettings,
+                        new StoreAccess(membershipLease, watchCache, store),
+                        new ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                imageCaches,
+                                constrainedDemand,
+                                policy),
+                        new Collaborators(workerGateway, leader, peerMessenger),
+                        this::flushWorkerResponses);
+        MachineVisibility machineVisibility =
+                new MachineVisibility() {
                     @Override
                     public Boolean isBooting(String host) {
                         return clusterMembership.ownerOf(host) == null
@@ -176,6 +187,16 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
+        ZoneView zoneView =
+                new ZoneView(
+                        watchCache,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        zones,
+                        policy,
+                        machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -189,41 +210,27 @@
                             operatorSettings.zoneRecovery(),
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
-                            watchCache,
-                            store,
-                            jobs,
+                            zoneView,
                             clusterMembership,
-                            machines,
-                            machineTypeCatalog,
-                            imageCaches,
-                            zones,
-                            policy,
                             leader,
-                            machineVisibility);
+                            store);
         }
-        Autoscaler autoscaler =
+        autoscaler =
                 new Autoscaler(
                         loop,
+                        transport,
                         settings,
                         operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        leader,
-                        transport,
-                        this::isBooting,
-                        this::recordTaskTermination,
-                        constrainedDemand,
-                        policy,
-                        zones,
-                        zoneRecoveryController == null
-                                ? Map::of
-                                : zoneRecoveryController::rebalanceDemand);
-        leader.setProvisioningPending(autoscaler::hasOpenProvisioningRequests);
+                        new io.quincelead.autoscaler.ClusterView(
+                                clusterMembership,
+                                jobs,
+                                machines,
+                                machineTypeCatalog,
+                                zones,
+                                constrainedDemand,
+                                policy),
+                        new LeaderStore(leader, membershipLease, store, watchCache),
+                        autoscalerCallbacks(zoneRecoveryController));
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
@@ -265,17 +272,7 @@
                     }
                 });
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(
-                operatorSettings.zoneRecovery().enabled(),
-                watchCache,
-                jobs,
-                machines,
-                machineTypeCatalog,
-                imageCaches,
-                zones,
-                policy,
-                operatorApi,
-                machineVisibility);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
         watchCache.addChangeListener(
                 () -> {
@@ -293,6 +290,26 @@
         watchCache.start();
     }
 
+    /** {@code zoneRecovery} is null when zone recovery is turned off. */
+    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+        return new Autoscaler.Callbacks() {
+            @Override
+            public Boolean isBooting(String ownerId, String host) {
+                return Controller.this.isBooting(ownerId, host);
+            }
+
+            @Override
+            public void onTaskTerminated(Placement placement) {
+                recordTaskTermination(placement);
+            }
+
+            @Override
+            public Map<String, List<JobSpec>> rebalanceDemand() {
+                return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
+            }
+        };
+    }
+
     private void recordTaskTermination(Placement placement) {
         schedulingCycle.onTaskTerminated(placement);
         if (placement.job.isCompleteByEvidence()) {
@@ -304,6 +321,16 @@
         workerGateway.dispatchPendingCommands();
     }
 
+    /** Asked by the peer messenger, whose first status is due after the gateway is made. */
+    private Iterable<ShardWorker> localWorkers() {
+        return workerGateway.workers();
+    }
+
+    /** Asked by the leader, whose cycles begin after the autoscaler is made. */
+    private boolean hasOpenProvisioningRequests() {
+        return autoscaler.hasOpenProvisioningRequests();
+    }
+
     /** Whether a machine, as its owner says, has not come up yet; null when that isn't known. */
     private Boolean isBooting(String owner, String host) {
         if (!settings.memberId().equals(owner)) {
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -4,22 +4,23 @@
 import io.quincelead.config.constants.LeaseConstants;
 import io.quincelead.config.constants.StoreConstants;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.transport.WireFormat;
+import java.util.OptionalLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's membership: a hold in the store that it renews, and its node key attached to
- * it. Its blocks and its leadership hang on the same hold, so all of it lapses together.
+ * This controller's membership: a lease in the store that it renews, and its member record attached
+ * to it. Its shards and its leadership are attached to the same lease, so all of them expire
+ * together.
  */
 public final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
 
     /** States of the membership; {@link #transitionTo} is the one function that changes them. */
-    public enum Phase {
-        /** No hold yet. */
+    private enum Phase {
+        /** No lease yet. */
         NOT_MEMBER,
-        /** Has a hold; ends its predecessor's and announces itself. */
+        /** Has a lease; revokes its predecessor's and announces itself. */
         JOINING,
         /** Member. Whether the lease still stands is a question of time: {@link #isValid}. */
         MEMBER
@@ -34,9 +35,16 @@
     private long leaseId;
     private long validUntilMillis;
 
-    /** Generation of our announcement. */
+    /** Store revision of our announcement. */
     private long announcedRevision;
 
+    /**
+     * A membership that isn't started.
+     *
+     * @param memberId this controller's name
+     * @param address where peers reach this controller
+     * @param leaseMillis the lease's time to live
+     */
     public MembershipLease(
             EventLoop loop, StoreClient store, String memberId, String address, long leaseMillis) {
         this.loop = loop;
@@ -47,8 +55,8 @@
     }
 
     /**
-     * How long a controller's lease lasts on this deployment: the design's 20 s, or less where
-     * workers give up sooner.
+     * Time to live, in milliseconds, of a controller's lease: the operators' setting, or less where
+     * workers' own leases are shorter.
      */
     public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
         return (long)
@@ -63,32 +71,38 @@
         phase = next;
     }
 
+    /** Joins, and renews the lease from then on. To be called once. */
     public void start() {
         join();
         loop.runEvery(leaseMillis / LeaseConstants.RENEWALS_PER_LEASE, this::renew);
     }
 
+    /**
+     * Whether the member record has been announced; the lease may have expired since ({@link
+     * #isValid}).
+     */
     public boolean isMember() {
         return phase == Phase.MEMBER;
     }
 
     /**
-     * Whether our keys surely still stand: counted from the sending of the last renewal, with a
-     * margin for drift.
+     * Whether the lease surely hasn't expired: counted from the sending of the last renewal, with a
+     * margin for clock drift.
      */
     public boolean isValid() {
         return phase == Phase.MEMBER && loop.nowMillis() < validUntilMillis;
     }
 
     /**
-     * Tells this membership from every other of the same controller. The store never gives a hold's
-     * number twice, while two processes that follow each other within a fraction of a second may
-     * see the same time of day.
+     * Tells this membership from every other of the same controller. The store never issues a lease
+     * id twice, while two processes that follow each other within a fraction of a second may see
+     * the same time of day.
      */
     public long incarnation() {
         return leaseId;
     }
 
+    /** The id of the current lease, to attach keys to; 0 before the first. */
     public long leaseId() {
         return leaseId;
     }
@@ -99,11 +113,13 @@
         store.createLease(
                 leaseMillis,
                 (status, body) -> {
-                    if (status != 200 || !body.path("grant").isNumber()) {
+                    OptionalLong createdLeaseId =
+                            status == 200 ? StoreCodec.leaseId(body) : OptionalLong.empty();
+                    if (createdLeaseId.isEmpty()) {
                         loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::join);
                         return;
                     }
-                    leaseId = body.path("grant").asLong();
+                    leaseId = createdLeaseId.getAsLong();
                     validUntilMillis = expiryMillis(sentAtMillis);
                     transitionTo(Phase.JOINING);
                     revokePredecessorLease();
@@ -111,8 +127,8 @@
     }
 
     /**
-     * The platform runs one process a member, so whatever holds our node key is dead: its lease
-     * need not run out.
+     * The platform runs one process a member, so the owner of an existing member record is dead:
+     * its lease need not expire by itself.
      */
     private void revokePredecessorLease() {
         store.get(
@@ -120,33 +136,36 @@
                 (status, body) -> {
                     if (status == 404) {
                         announce(0);
-                    } else if (status == 200
-                            && body.path("grant").isNumber()
-                            && body.path("grant").asLong() != leaseId) {
+                        return;
+                    }
+                    if (status != 200) {
+                        loop.runAfter(
+                                StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
+                        return;
+                    }
+                    OptionalLong recordedLeaseId = StoreCodec.leaseId(body);
+                    if (recordedLeaseId.isPresent() && recordedLeaseId.getAsLong() != leaseId) {
                         store.revokeLease(
-                                body.path("grant").asLong(),
-                                (s, b) ->
+                                recordedLeaseId.getAsLong(),
+                                (revokeStatus, revokeBody) ->
                                         loop.runAfter(
-                                                s == 200 || s == 404
+                                                revokeStatus == 200 || revokeStatus == 404
                                                         ? 0
                                                         : StoreConstants.RETRY_DELAY_MILLIS,
                                                 this::revokePredecessorLease));
-                    } else if (status == 200) {
-                        announce(body.path("stamp").asLong());
                     } else {
-                        loop.runAfter(
-                                StoreConstants.RETRY_DELAY_MILLIS, this::revokePredecessorLease);
+                        announce(StoreCodec.modRevision(body));
                     }
                 });
     }
 
     /**
-     * Guarded by what was read, {@code stamp}: an announcement of a predecessor that is still on
-     * its way when its successor is in must not take the successor's place.
+     * On the precondition of the mod revision that was read (0: no record): a predecessor's
+     * announcement that is still under way when its successor is a member must not replace the
+     * successor's.
      */
     private void announce(long modRevision) {
-        ObjectNode memberRecord =
-                WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
+        ObjectNode memberRecord = StoreCodec.encodeMemberRecord(address, leaseId);
         long announcedLeaseId = leaseId;
         store.commit(
                 new Transaction()
@@ -176,16 +195,19 @@
     }
 
     /**
-     * Compares the record of this member, as of that generation, with what this process announced.
-     * {@code nodeGrant}: the hold that the record names; 0 if there is none. A member whose record
-     * is another's is counted as lost by all others though its hold stands, so it joins anew.
+     * Compares this controller's member record with what this process announced. All others regard
+     * a member whose record names another lease as lost, though its own lease hasn't expired, so it
+     * joins anew.
+     *
+     * @param recordedLeaseId the lease that the record names; 0 if there is no record
+     * @param storeRevision the store revision as of which it was read
      */
     public void verifyMemberRecord(long recordedLeaseId, long storeRevision) {
         if (phase == Phase.MEMBER
                 && storeRevision >= announcedRevision
                 && recordedLeaseId != leaseId) {
             LOG.info(
-                    "the record of {} names hold {} instead of {}",
+                    "the record of {} names lease {} instead of {}",
                     memberId,
                     recordedLeaseId,
                     leaseId);
@@ -209,7 +231,7 @@
                     if (status == 200) {
                         validUntilMillis = Math.max(validUntilMillis, expiryMillis(sentAtMillis));
                     } else if (status == 404 && phase != Phase.NOT_MEMBER) {
-                        LOG.info("the hold {} has lapsed", renewedLeaseId);
+                        LOG.info("the lease {} has expired", renewedLeaseId);
                         join();
                     }
                 });
--- a/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
+++ b/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
@@ -1,6 +1,7 @@
 package io.quincelead.worker;
 
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.store.Transaction;
 import java.util.ArrayList;
@@ -39,7 +40,7 @@
                 new Transaction()
                         .requireRevision(
                                 shard.storeKey(), store.cache().modRevision(shard.storeKey()));
-        MachineTable.MachineEdits edits = machines.beginEdits(transaction);
+        MachineEdits edits = machines.beginEdits(transaction);
         List<ShardWorker> leaving = new ArrayList<>();
         for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
             ShardWorker worker = candidate.getKey();
