--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,5 +1,7 @@
 package io.quincelead.app;
 
+import io.quincelead.api.ApiCluster;
+import io.quincelead.api.ApiStore;
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
 import io.quincelead.autoscaler.LeaderStore;
@@ -124,16 +126,11 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        membershipLease,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        watchCache,
-                        store,
+                        new WorkerGateway.StoreAccess(membershipLease, watchCache, store),
+                        new WorkerGateway.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog, zones),
                         transport,
                         policy,
-                        zones,
                         new WorkerGateway.Callbacks() {
                             @Override
                             public void onMisroutedWorker(MisroutedWorker stray) {
@@ -223,14 +220,8 @@
         userApi =
                 new UserApi(
                         loop,
-                        settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        groupCommitter,
-                        clusterMembership,
-                        jobs,
-                        machineTypeCatalog,
+                        new ApiStore(membershipLease, watchCache, store, groupCommitter),
+                        new ApiCluster(settings, clusterMembership, jobs, machineTypeCatalog),
                         policy,
                         schedulingCycle::admit);
         new PolicyReconciler(
