--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -65,7 +65,7 @@
         for (int seed = 1; seed <= 4; seed++) {
             SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
             cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
-            cluster.teams.put("red", new Settings.Team("red", 20, 40, 0, 0));
+            cluster.setTeam("red", 20, 40);
             cluster.start();
             // Both teams are at their limits with long tasks; as much again waits.
             for (int i = 1; i <= 40; i++) {
@@ -77,9 +77,9 @@
                                 4,
                                 1,
                                 i <= 20 ? 300 : 20);
-                cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
+                cluster.submitAfter(2_000 + i * 100L, job);
             }
-            cluster.clock.runUntil(30_000);
+            cluster.runUntil(30_000);
             assertTrue(
                     cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21,
                     "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
@@ -103,36 +103,27 @@
                     faultyMachines[0]++;
                     switch (fault) {
                         case PARTITIONED ->
-                                FaultInjector.partition(
-                                        cluster,
-                                        ipOf(worker),
-                                        controllerIps(cluster),
-                                        durationMillis);
+                                cluster.faults.partition(
+                                        ipOf(worker), controllerIps(cluster), durationMillis);
                         case UNREACHABLE_INBOUND ->
-                                CompoundFaults.makeUnreachableInbound(
-                                        cluster, worker, durationMillis);
+                                cluster.faults.makeUnreachableInbound(worker, durationMillis);
                         case UNREACHABLE_OUTBOUND ->
-                                CompoundFaults.makeUnreachableOutbound(
-                                        cluster, worker, durationMillis);
+                                cluster.faults.makeUnreachableOutbound(worker, durationMillis);
                         default -> {
                             worker.setHung(true);
-                            cluster.clock.schedule(durationMillis, () -> worker.setHung(false));
+                            cluster.after(durationMillis, () -> worker.setHung(false));
                         }
                     }
                 }
             }
             assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
-            int oldLeader = CompoundFaults.leaderIndex(cluster);
-            cancelled.forEach(
-                    id ->
-                            cluster.clock.schedule(
-                                    cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
-            cluster.clock.schedule(
-                    300 * seed, () -> FaultInjector.crashController(cluster, oldLeader, 8_000));
+            int oldLeader = cluster.leaderIndex();
+            cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
+            cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
             cluster.expectFaultsUntil(30_000 + durationMillis);
             // The lease, its slack, the new leader and a round: from then on others of the team run
             // there.
-            cluster.clock.runUntil(30_000 + 75_000);
+            cluster.runUntil(30_000 + 75_000);
             assertTrue(
                     cancelled.stream()
                             .allMatch(
@@ -161,7 +152,7 @@
                             + startedJobs
                             + " of red begun, blue uses "
                             + cpusInUse(cluster, "blue"));
-            cluster.clock.runUntil(900_000);
+            cluster.runUntil(900_000);
             assertAllJobsFinished(cluster, 40);
         }
     }
@@ -220,7 +211,7 @@
             cluster.submissionRetryMillis = 200_000;
             cluster.cloud.fastBoots = true;
             cluster.start();
-            cluster.clock.runUntil(7_000);
+            cluster.runUntil(7_000);
             cluster.store.delayedWriteRate = 0.25;
             int[] occurrences = {0};
             Set<String> duplicateHosts = new HashSet<>();
@@ -232,13 +223,11 @@
                         if (lastWrite.matcher.test(transaction)
                                 && occurrences[0]++ % 3 == 0
                                 && occurrences[0] < 8) {
-                            cluster.clock.schedule(
+                            cluster.after(
                                     occurrences[0] % 2,
                                     () ->
-                                            FaultInjector.crashController(
-                                                    cluster,
-                                                    Math.max(
-                                                            0, CompoundFaults.leaderIndex(cluster)),
+                                            cluster.faults.crashController(
+                                                    Math.max(0, cluster.leaderIndex()),
                                                     300 + 900L * (occurrences[0] % 4)));
                         }
                     };
@@ -251,13 +240,13 @@
                                 3,
                                 2,
                                 8);
-                cluster.clock.schedule(i * 1_200L, () -> cluster.submit(job));
+                cluster.submitAfter(i * 1_200L, job);
             }
-            cluster.clock.schedule(45_000, () -> cluster.store.delayedWriteRate = 0);
+            cluster.after(45_000, () -> cluster.store.delayedWriteRate = 0);
             cluster.expectFaultsUntil(65_000);
-            cluster.clock.runUntil(60_000);
+            cluster.runUntil(60_000);
             assertTrue(occurrences[0] > 0, lastWrite + ", seed " + seed + ": none");
-            cluster.clock.runUntil(500_000);
+            cluster.runUntil(500_000);
             assertEquals(Set.of(), cluster.violations(), lastWrite + ", seed " + seed);
             assertAllJobsFinished(cluster, 20);
             assertTrue(
@@ -300,17 +289,16 @@
                                 5,
                                 1,
                                 40);
-                cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
+                cluster.submitAfter(2_000 + i * 300L, job);
             }
-            cluster.clock.runUntil(10_000);
+            cluster.runUntil(10_000);
             cluster.network.heartbeatRetentionRate = 0.5;
-            cluster.clock.runUntil(16_000);
+            cluster.runUntil(16_000);
             cluster.network.heartbeatRetentionRate = 0;
             switch (staleElement) {
                 // Machines change hands and get a new term.
                 case FENCING_TOKEN ->
-                        FaultInjector.crashController(
-                                cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 12_000);
+                        cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 12_000);
                 // They lose their sessions with all that they run.
                 case AGENT_EPOCH ->
                         cluster.cloud.machines.values().stream()
@@ -318,8 +306,7 @@
                                 .toList()
                                 .forEach(
                                         worker ->
-                                                FaultInjector.partition(
-                                                        cluster,
+                                                cluster.faults.partition(
                                                         ipOf(worker),
                                                         controllerIps(cluster),
                                                         12_000));
@@ -341,30 +328,27 @@
                                                                         worker.endTask(
                                                                                 task, "error")));
             }
-            cluster.clock.runUntil(34_000);
+            cluster.runUntil(34_000);
             List<String> addresses =
                     cluster.controllers.stream().map(controller -> controller.userAddress).toList();
             long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
             boolean[] elected = {false};
-            CompoundFaults.onLeaderElected(
-                    cluster,
+            cluster.faults.onLeaderElected(
                     60_000,
                     () -> {
                         elected[0] = true;
-                        cluster.clock.schedule(
+                        cluster.after(
                                 replayDelayMillis,
                                 () -> cluster.network.replayRetainedHeartbeats(addresses));
                     });
-            FaultInjector.crashController(
-                    cluster,
-                    Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                    seed % 2 == 0 ? 300 : 9_000);
+            cluster.faults.crashController(
+                    Math.max(0, cluster.leaderIndex()), seed % 2 == 0 ? 300 : 9_000);
             cluster.expectFaultsUntil(60_000);
-            cluster.clock.runUntil(60_000);
+            cluster.runUntil(60_000);
             assertTrue(
                     elected[0] && cluster.network.replayedHeartbeats > 20,
                     staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
-            cluster.clock.runUntil(500_000);
+            cluster.runUntil(500_000);
             assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
             assertAllJobsFinished(cluster, 16);
         }
@@ -380,25 +364,17 @@
             JobSpec job =
                     JobFixtures.array(
                             i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 4, 1, 12);
-            cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 1_000L, job);
         }
-        cluster.clock.runUntil(14_000);
-        CompoundFaults.holdHeartbeats(cluster, 0.4, 6_000, 40_000);
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 10_000));
-        cluster.clock.schedule(
-                9_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 400));
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(14_000);
+        cluster.faults.holdHeartbeats(0.4, 6_000, 40_000);
+        cluster.faults.crashLeaderAfter(3_000, 10_000);
+        cluster.faults.crashLeaderAfter(9_000, 400);
+        cluster.runUntil(60_000);
         assertTrue(
                 cluster.network.releasedHeartbeats > 10,
                 "held: " + cluster.network.releasedHeartbeats);
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 24);
     }
 
@@ -416,25 +392,19 @@
         SimulatedCluster cluster = clusterWithReadyMachines(400 + fault.ordinal(), 3, 12);
         cluster.storeSettings = new Settings.StoreLimits(400, 60, 8, 12);
         cluster.start();
-        cluster.clock.runUntil(8_000);
+        cluster.runUntil(8_000);
         long firstRevision = cluster.store.revision();
         cluster.users.submitSingleTaskJobs(1_200, 250);
         if (fault == BackgroundFault.SLOW_STORE) {
             cluster.store.maxExtraLatencyMillis = 400;
-            cluster.clock.schedule(300_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+            cluster.after(300_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         } else if (fault == BackgroundFault.LEADER_CRASHES_TWICE) {
             for (long atMillis : new long[] {80_000, 200_000}) {
-                cluster.clock.schedule(
-                        atMillis,
-                        () ->
-                                FaultInjector.crashController(
-                                        cluster,
-                                        Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                        3_000));
+                cluster.faults.crashLeaderAfter(atMillis, 3_000);
             }
         }
         cluster.expectFaultsUntil(308_000);
-        cluster.clock.runUntil(340_000);
+        cluster.runUntil(340_000);
         long[] delaysMillis =
                 cluster.acceptanceDelayMillis.values().stream()
                         .mapToLong(delay -> delay)
@@ -460,7 +430,7 @@
                         && delaysMillis[delaysMillis.length * 99 / 100] < 12_000,
                 summary);
         assertTrue(commitsPerJob < 6 && cluster.network.maxOpenCalls < 250, summary);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 1_200);
         assertTrue(
                 cluster.jobsById.keySet().stream()
@@ -482,31 +452,27 @@
         cluster.start();
         for (int i = 1; i <= 16; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 80);
-            cluster.clock.schedule(2_000, () -> cluster.submit(job));
+            cluster.submitAfter(2_000, job);
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         int insideController =
-                seed % 2 == 0
-                        ? CompoundFaults.leaderIndex(cluster)
-                        : (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+                seed % 2 == 0 ? cluster.leaderIndex() : (cluster.leaderIndex() + 1) % 3;
         long busyMachines =
                 cluster.cloud.machines.values().stream()
                         .filter(worker -> worker.zone.equals("a") && !worker.tasks.isEmpty())
                         .count();
-        FaultInjector.partitionZone(cluster, "a", insideController, 45_000);
+        cluster.faults.partitionZone("a", insideController, 45_000);
         for (int i = 1; i <= 6; i++) {
-            String id = String.format("wk-%06d", i);
-            cluster.clock.schedule(i * 3_000L, () -> cluster.cancel(id));
+            String id = JobFixtures.id(i);
+            cluster.cancelAfter(i * 3_000L, id);
         }
         if (seed == 3) {
-            cluster.clock.schedule(
-                    20_000,
-                    () -> FaultInjector.crashController(cluster, (insideController + 1) % 3, 500));
+            cluster.faults.crashAfter(20_000, (insideController + 1) % 3, 500);
         }
-        cluster.clock.runUntil(64_000);
+        cluster.runUntil(64_000);
         assertTrue(busyMachines > 2, "machines in the zone: " + busyMachines);
-        assertNotEquals(insideController, CompoundFaults.leaderIndex(cluster));
-        cluster.clock.runUntil(600_000);
+        assertNotEquals(insideController, cluster.leaderIndex());
+        cluster.runUntil(600_000);
         assertAllJobsFinished(cluster, 16);
     }
 
@@ -526,27 +492,24 @@
                             4,
                             1,
                             25);
-            cluster.clock.schedule(2_000 + i * 3_500L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 3_500L, job);
             if (i % 4 == 0) {
-                cluster.clock.schedule(6_000 + i * 3_500L, () -> cluster.cancel(job.jobId()));
+                cluster.cancelAfter(6_000 + i * 3_500L, job.jobId());
             }
         }
         int[] elections = {0};
-        CompoundFaults.onLeaderElected(cluster, 200_000, () -> elections[0]++);
-        cluster.clock.schedule(
-                8_000, () -> CompoundFaults.changeLeadersRepeatedly(cluster, 11, 11_000));
+        cluster.faults.onLeaderElected(200_000, () -> elections[0]++);
+        cluster.after(8_000, () -> cluster.faults.changeLeadersRepeatedly(11, 11_000));
         if (seed % 2 == 0) {
-            cluster.clock.schedule(50_000, () -> CompoundFaults.storeOutage(cluster, 30_000));
+            cluster.after(50_000, () -> cluster.faults.storeOutage(30_000));
             for (int k = 0; k < 6; k++) {
                 int controller = k % 3;
-                cluster.clock.schedule(
-                        52_000 + k * 4_000L,
-                        () -> FaultInjector.crashController(cluster, controller, 300));
+                cluster.faults.crashAfter(52_000 + k * 4_000L, controller, 300);
             }
         }
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertTrue(elections[0] >= (seed % 2 == 0 ? 8 : 10), "leaders: " + elections[0]);
-        cluster.clock.runUntil(700_000);
+        cluster.runUntil(700_000);
         assertAllJobsFinished(cluster, 30);
     }
 
@@ -562,9 +525,9 @@
         for (int i = 1; i <= 14; i++) {
             JobSpec job =
                     JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 5, 1, i < 7 ? 60 : 12);
-            cluster.clock.schedule(i < 7 ? 2_000 : 15_000 + i * 2_000L, () -> cluster.submit(job));
+            cluster.submitAfter(i < 7 ? 2_000 : 15_000 + i * 2_000L, job);
         }
-        cluster.clock.runUntil(16_000);
+        cluster.runUntil(16_000);
         List<SimulatedWorker> unreachable =
                 cluster.cloud.machines.values().stream()
                         .filter(
@@ -573,16 +536,14 @@
                                                 && Integer.parseInt(worker.host.substring(2)) % 3
                                                         == 0)
                         .toList();
-        unreachable.forEach(
-                worker -> CompoundFaults.makeUnreachableOutbound(cluster, worker, 300_000));
+        unreachable.forEach(worker -> cluster.faults.makeUnreachableOutbound(worker, 300_000));
         cluster.cancel("wk-000001");
         cluster.cancel("wk-000002");
-        cluster.clock.schedule(2_000, () -> cluster.cancel("wk-000003"));
+        cluster.cancelAfter(2_000, "wk-000003");
         if (seed % 2 == 0) {
-            FaultInjector.crashController(
-                    cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 5_000);
+            cluster.faults.crashController(Math.max(0, cluster.leaderIndex()), 5_000);
         }
-        cluster.clock.runUntil(100_000);
+        cluster.runUntil(100_000);
         assertTrue(unreachable.size() >= 3);
         unreachable.forEach(
                 worker -> assertTrue(worker.released, worker.host + " reaches nobody and is kept"));
@@ -591,7 +552,7 @@
                     cluster.cancellationConfirmedAtMillis("wk-00000" + i) >= 0,
                     "job " + i + " was not told");
         }
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 14);
     }
 
@@ -605,20 +566,16 @@
     void quotaOfTasksEndedOnUnreachableMachinesIsReleased(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 30)),
-                        1);
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 30)), 1);
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
-        cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
+        cluster.setTeam("red", 0, 40);
         cluster.cloud.addRunningMachines("small", "a", 12);
         cluster.start();
         for (int i = 1; i <= 10; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 400);
-            cluster.clock.schedule(9_000 + i * 100L, () -> cluster.submit(job));
+            cluster.submitAfter(9_000 + i * 100L, job);
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         List<SimulatedWorker> unreachable =
                 cluster.cloud.machines.values().stream()
                         .filter(worker -> worker.up)
@@ -637,20 +594,19 @@
         assertTrue(
                 unreachable.size() == 10 && runningTasks > 24,
                 runningTasks + " tasks on " + unreachable.size());
-        unreachable.forEach(
-                worker -> CompoundFaults.makeUnreachableOutbound(cluster, worker, 125_000));
+        unreachable.forEach(worker -> cluster.faults.makeUnreachableOutbound(worker, 125_000));
         for (int i = 11; i <= 14; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 4, 1, 10);
-            cluster.clock.schedule(i * 100L, () -> cluster.submit(job));
+            cluster.submitAfter(i * 100L, job);
         }
-        cluster.clock.runUntil(20_000 + LONG_LEASE_MILLIS + 2_000 + 16_000);
+        cluster.runUntil(20_000 + LONG_LEASE_MILLIS + 2_000 + 16_000);
         assertEquals(10, unreachable.stream().filter(worker -> !worker.released).count());
         for (int i = 11; i <= 14; i++) {
             assertTrue(
                     cluster.taskStarts.containsKey("wk-0000" + i),
                     "job " + i + " waits for quota that nothing uses");
         }
-        cluster.clock.runUntil(1_500_000);
+        cluster.runUntil(1_500_000);
         assertAllJobsFinished(cluster, 14);
     }
 
@@ -681,12 +637,12 @@
                             i % 4 == 0,
                             true,
                             isGang ? 5 : 0);
-            cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 1_000L, job);
         }
         int[] lostMachines = {0};
         for (int k = 0; k < 6; k++) {
             int round = k;
-            cluster.clock.schedule(
+            cluster.after(
                     9_000 + k * 5_000L,
                     () ->
                             cluster.cloud.machines.values().stream()
@@ -706,23 +662,18 @@
                                                 if (round % 2 == 0) {
                                                     worker.crash();
                                                 } else {
-                                                    FaultInjector.partition(
-                                                            cluster,
+                                                    cluster.faults.partition(
                                                             ipOf(worker),
                                                             controllerIps(cluster),
                                                             25_000);
                                                 }
                                             }));
         }
-        cluster.clock.schedule(
-                18_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 500));
+        cluster.faults.crashLeaderAfter(18_000, 500);
         cluster.expectFaultsUntil(70_000);
-        cluster.clock.runUntil(70_000);
+        cluster.runUntil(70_000);
         assertTrue(lostMachines[0] >= 5, "lost: " + lostMachines[0]);
-        cluster.clock.runUntil(700_000);
+        cluster.runUntil(700_000);
         assertAllJobsFinished(cluster, 24);
     }
 
@@ -732,10 +683,7 @@
     void overloadOverSlowLinksServesUrgentJobsFirst(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 4)));
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 4)));
         cluster.submissionRetryMillis = 300_000;
         cluster.start();
         cluster.network.maxExtraLatencyMillis = 250 * (int) seed;
@@ -748,12 +696,12 @@
                             6,
                             2,
                             8);
-            cluster.clock.schedule(2_000 + i * 800L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 800L, job);
         }
         double[] maxCpusInUse = {0};
         long[] maxWaitingJobs = {0};
         for (int atMillis = 15_000; atMillis < 60_000; atMillis += 500) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () -> {
                         maxCpusInUse[0] =
@@ -773,14 +721,10 @@
                                                 .count());
                     });
         }
-        cluster.clock.schedule(
-                30_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 800));
-        cluster.clock.schedule(120_000, () -> cluster.network.maxExtraLatencyMillis = 0);
+        cluster.faults.crashLeaderAfter(30_000, 800);
+        cluster.after(120_000, () -> cluster.network.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(125_000);
-        cluster.clock.runUntil(120_000);
+        cluster.runUntil(120_000);
         assertTrue(
                 maxCpusInUse[0] >= 24 && maxWaitingJobs[0] >= 8,
                 "of 32 CPUs "
@@ -799,7 +743,7 @@
                                                         >= 0)
                         .count();
         assertTrue(startedUrgentJobs > 12, "urgent jobs begun: " + startedUrgentJobs);
-        cluster.clock.runUntil(900_000);
+        cluster.runUntil(900_000);
         assertAllJobsFinished(cluster, 36);
     }
 
@@ -817,15 +761,15 @@
             JobSpec job =
                     JobFixtures.array(
                             i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 3, 1, 40);
-            cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 300L, job);
         }
-        cluster.clock.runUntil(14_000);
+        cluster.runUntil(14_000);
         cluster.cancel("wk-000001");
         cluster.cancel("wk-000002");
         for (int i = 0; i < 3; i++) {
-            FaultInjector.crashController(cluster, i, 14_000 + i * 2_500L + seed * 1_000);
+            cluster.faults.crashController(i, 14_000 + i * 2_500L + seed * 1_000);
         }
-        cluster.clock.runUntil(27_000);
+        cluster.runUntil(27_000);
         assertTrue(
                 cluster.cloud.machines.values().stream()
                         .noneMatch(
@@ -838,7 +782,7 @@
         assertTrue(
                 cluster.controllers.stream()
                         .noneMatch(SimulatedCluster.SimulatedController::isAlive));
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 20);
         assertTrue(cluster.hasFinalStatus("wk-000001") && cluster.hasFinalStatus("wk-000002"));
     }
@@ -855,24 +799,18 @@
         cluster.start();
         for (int i = 1; i <= 24; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 4, 1, 120);
-            cluster.clock.schedule(2_000 + i * 100L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 100L, job);
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         cluster.users.consistencyProbes = true;
         cluster.users.cancelRunningJobs(14, seed % 2 == 0 ? 15_000 : 35_000);
         if (seed > 2) {
-            cluster.clock.schedule(
-                    1_000,
-                    () ->
-                            FaultInjector.crashController(
-                                    cluster,
-                                    Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                    4_000));
+            cluster.faults.crashLeaderAfter(1_000, 4_000);
         }
         assertEquals(14, cluster.users.massCancelledCount);
         assertEquals(
                 8, cluster.cloud.machines.values().stream().filter(worker -> worker.hung).count());
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 24);
     }
 
@@ -889,12 +827,12 @@
             cluster.start();
             for (int i = 1; i <= 12; i++) {
                 JobSpec redJob = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 9, 2, 400);
-                cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(redJob));
+                cluster.submitAfter(2_000 + i * 200L, redJob);
                 JobSpec blueJob =
                         JobFixtures.array(100 + i, "blue", JobSpec.Priority.NORMAL, 8, 2, 100);
-                cluster.clock.schedule(2_100 + i * 200L, () -> cluster.submit(blueJob));
+                cluster.submitAfter(2_100 + i * 200L, blueJob);
             }
-            cluster.clock.runUntil(1_800_000);
+            cluster.runUntil(1_800_000);
             if (!cluster.violations().isEmpty()) {
                 violationsBySeed.put(seed, cluster.violations());
             }
@@ -921,7 +859,7 @@
                                 9,
                                 2,
                                 20);
-                cluster.clock.schedule(2_000 + i * 300L, () -> cluster.submit(lowPriorityJob));
+                cluster.submitAfter(2_000 + i * 300L, lowPriorityJob);
             }
             JobSpec gang =
                     JobFixtures.job(
@@ -939,8 +877,8 @@
                             false,
                             true,
                             0);
-            cluster.clock.schedule(20_000, () -> cluster.submit(gang));
-            cluster.clock.runUntil(280_000);
+            cluster.submitAfter(20_000, gang);
+            cluster.runUntil(280_000);
             long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
             assertTrue(
                     startDelayMillis >= 0 && startDelayMillis < 200_000,
@@ -958,19 +896,19 @@
     @ValueSource(longs = {1, 2, 3})
     void schedulingCommitForJobCancelledElsewhereStartsNothing(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
-        cluster.teams.put("red", new Settings.Team("red", 0, 40, 0, 0));
+        cluster.setTeam("red", 0, 40);
         cluster.start();
-        cluster.clock.runUntil(9_000);
-        int ownController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
-        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
+        cluster.runUntil(9_000);
+        int ownController = (cluster.leaderIndex() + 1) % 3;
+        int otherController = (cluster.leaderIndex() + 2) % 3;
         // The team is at its limit by tasks that end at 20 s or a little later, so that the larger
         // job has no place until then.
         cluster.submit(
                 JobFixtures.array(1, "red", JobSpec.Priority.PRODUCTION, 40, 1, 16), ownController);
-        cluster.clock.runUntil(12_000);
+        cluster.runUntil(12_000);
         JobSpec largeJob = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 230, 0.2, 20);
         cluster.submit(largeJob, ownController);
-        cluster.clock.runUntil(13_000);
+        cluster.runUntil(13_000);
         assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
         cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, true);
         int[] attempts = {0};
@@ -981,14 +919,14 @@
                                         ? 1
                                         : 0;
         cluster.cancel(largeJob.jobId(), otherController);
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         assertTrue(
                 cluster.cancellationConfirmedAtMillis(largeJob.jobId()) >= 0
                         && cluster.cancellationConfirmedAtMillis(largeJob.jobId()) < 18_000,
                 "told at " + cluster.cancellationConfirmedAtMillis(largeJob.jobId()));
         assertTrue(attempts[0] > 0, "its own controller never tried");
         cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, false);
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
         assertAllJobsFinished(cluster, 2);
     }
@@ -1002,18 +940,18 @@
     void schedulingCommitWithMovedQuotaShareFails(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 18);
         cluster.start();
-        cluster.clock.runUntil(9_000);
-        int staleController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
-        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
+        cluster.runUntil(9_000);
+        int staleController = (cluster.leaderIndex() + 1) % 3;
+        int otherController = (cluster.leaderIndex() + 2) % 3;
         // The allowance comes to where the want is, and stays there when that has ended.
         cluster.submit(
                 JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 4), staleController);
-        cluster.clock.runUntil(30_000);
+        cluster.runUntil(30_000);
         assertTrue(cluster.hasFinalStatus("wk-000001"));
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
         cluster.submit(
                 JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 2, 60), otherController);
-        cluster.clock.runUntil(42_000);
+        cluster.runUntil(42_000);
         assertTrue(cpusInUse(cluster, "blue") > 20, "use: " + cpusInUse(cluster, "blue"));
         int[] attempts = {0};
         cluster.store.arrivalObserver =
@@ -1028,10 +966,10 @@
                                         : 0;
         cluster.submit(
                 JobFixtures.array(3, "blue", JobSpec.Priority.HIGH, 12, 1, 20), staleController);
-        cluster.clock.runUntil(50_000);
+        cluster.runUntil(50_000);
         assertTrue(attempts[0] > 0, "it never tried");
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, false);
-        cluster.clock.runUntil(300_000);
+        cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 3);
     }
 }
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -7,7 +7,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,18 +29,10 @@
                 new SimulatedCluster(
                         seed,
                         List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        5,
-                                        List.of("a", "b"),
-                                        machineCount)),
+                                SimulatedCloud.MachineType.small(
+                                        5, List.of("a", "b"), machineCount)),
                         controllerCount);
-        cluster.teams.put("red", new Settings.Team("red", 300, 400, 0, 0));
+        cluster.setTeam("red", 300, 400);
         cluster.cloud.addRunningMachines("small", "a", machineCount / 2);
         cluster.cloud.addRunningMachines("small", "b", machineCount / 2);
         return cluster;
@@ -107,17 +98,17 @@
                             ? JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 12, 2, 100)
                             : JobFixtures.array(
                                     i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 200);
-            cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 200L, job);
         }
-        cluster.clock.runUntil(40_000);
-        int oldLeader = CompoundFaults.leaderIndex(cluster);
+        cluster.runUntil(40_000);
+        int oldLeader = cluster.leaderIndex();
         long gapMillis = 500 + seed * 950;
-        CompoundFaults.refuseByStore(cluster, oldLeader, 14_000);
+        cluster.faults.refuseByStore(oldLeader, 14_000);
         String leaderName = cluster.controllers.get(oldLeader).name;
         Set<String> leaderHosts = machinesOf(cluster, leaderName);
         List<String> jobsElsewhere = new ArrayList<>();
         for (int i = 1; i <= 40; i++) {
-            String id = String.format("wk-%06d", i);
+            String id = JobFixtures.id(i);
             JsonNode record = cluster.store.value("a/j/" + id);
             boolean runsOnLeader =
                     leaderHosts.stream()
@@ -125,12 +116,10 @@
             if (record.path("c").asText().equals(leaderName) && !runsOnLeader) {
                 jobsElsewhere.add(id);
             }
-            cluster.clock.schedule(
-                    cluster.clock.random.nextLong(Math.min(gapMillis, 1_000)),
-                    () -> cluster.cancel(id));
+            cluster.cancelAfter(cluster.random().nextLong(Math.min(gapMillis, 1_000)), id);
         }
-        cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 64_000));
-        cluster.clock.runUntil(40_000 + gapMillis + 64_000);
+        cluster.after(gapMillis, () -> cluster.faults.storeOutage(64_000));
+        cluster.runUntil(40_000 + gapMillis + 64_000);
         long confirmedInGap =
                 cluster.jobsById.keySet().stream()
                         .filter(
@@ -152,7 +141,7 @@
                                                     <= 40_000 + gapMillis,
                                     id + " told at " + cluster.cancellationConfirmedAtMillis(id)));
         }
-        cluster.clock.runUntil(900_000);
+        cluster.runUntil(900_000);
         assertAllJobsFinished(cluster, 60);
         assertEquals(
                 40,
@@ -179,55 +168,43 @@
             for (int i = 1; i <= 30; i++) {
                 JobSpec job =
                         JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
-                cluster.clock.schedule(2_000 + i * 200L, () -> cluster.submit(job));
+                cluster.submitAfter(2_000 + i * 200L, job);
             }
-            cluster.clock.runUntil(30_000);
-            int oldLeader = CompoundFaults.leaderIndex(cluster);
+            cluster.runUntil(30_000);
+            int oldLeader = cluster.leaderIndex();
             long gapMillis = 2_000 + seed * 700;
-            CompoundFaults.refuseByStore(cluster, oldLeader, 14_000);
+            cluster.faults.refuseByStore(oldLeader, 14_000);
             for (int i = 1; i <= 20; i++) {
-                String id = String.format("wk-%06d", i);
-                cluster.clock.schedule(
-                        cluster.clock.random.nextLong(1_500), () -> cluster.cancel(id));
+                String id = JobFixtures.id(i);
+                cluster.cancelAfter(cluster.random().nextLong(1_500), id);
             }
-            cluster.clock.schedule(gapMillis, () -> CompoundFaults.storeOutage(cluster, 60_000));
+            cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
             switch (fault) {
                 case SECOND_CONTROLLER_REFUSED ->
-                        cluster.clock.schedule(
+                        cluster.after(
                                 gapMillis / 2,
-                                () ->
-                                        CompoundFaults.refuseByStore(
-                                                cluster, (oldLeader + 1) % 3, 12_000));
+                                () -> cluster.faults.refuseByStore((oldLeader + 1) % 3, 12_000));
                 case CONFIRMING_CONTROLLER_CRASH ->
-                        cluster.clock.schedule(
-                                gapMillis - 100,
-                                () ->
-                                        FaultInjector.crashController(
-                                                cluster, (oldLeader + 1) % 3, 300));
+                        cluster.faults.crashAfter(gapMillis - 100, (oldLeader + 1) % 3, 300);
                 case OLD_LEADER_RESTARTS_WITH_STORE ->
-                        cluster.clock.schedule(
-                                gapMillis + 59_800,
-                                () -> FaultInjector.crashController(cluster, oldLeader, 250));
+                        cluster.faults.crashAfter(gapMillis + 59_800, oldLeader, 250);
                 default ->
-                        cluster.clock.schedule(
+                        cluster.after(
                                 gapMillis + 75_000,
                                 () -> {
-                                    CompoundFaults.refuseByStore(
-                                            cluster,
-                                            Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                            14_000);
+                                    cluster.faults.refuseByStore(
+                                            Math.max(0, cluster.leaderIndex()), 14_000);
                                     cluster.cancel("wk-000021");
-                                    cluster.clock.schedule(
-                                            gapMillis,
-                                            () -> CompoundFaults.storeOutage(cluster, 60_000));
+                                    cluster.after(
+                                            gapMillis, () -> cluster.faults.storeOutage(60_000));
                                 });
             }
-            cluster.clock.runUntil(30_000 + gapMillis + 10);
+            cluster.runUntil(30_000 + gapMillis + 10);
             assertTrue(
                     cluster.jobsById.keySet().stream()
                             .anyMatch(id -> cluster.cancellationConfirmedAtMillis(id) >= 30_000),
                     fault + ": nobody was told in the gap");
-            cluster.clock.runUntil(500_000);
+            cluster.runUntil(500_000);
             assertAllJobsFinished(cluster, 30);
             assertTrue(
                     cluster.jobsById.keySet().stream()
@@ -247,7 +224,7 @@
     void delayedSchedulingCommitDoesNotExceedTeamLimit() {
         SimulatedCluster cluster = clusterWithReadyMachines(1, 1, 12);
         cluster.start();
-        cluster.clock.runUntil(8_000);
+        cluster.runUntil(8_000);
         ObjectNode[] delayed = {null};
         int[] status = {0};
         cluster.store.dropsTransaction =
@@ -256,30 +233,21 @@
                             && anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
                             && anyStartsWith(transaction.path("guards"), "path", "a/b/")) {
                         delayed[0] = transaction;
-                        cluster.clock.schedule(
+                        cluster.submitAfter(
                                 900,
-                                () ->
-                                        cluster.submit(
-                                                JobFixtures.array(
-                                                        2,
-                                                        "blue",
-                                                        JobSpec.Priority.HIGH,
-                                                        12,
-                                                        2,
-                                                        30)));
-                        cluster.clock.schedule(
-                                6_000, () -> commitDirectly(cluster, transaction, status));
+                                JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 12, 2, 30));
+                        cluster.after(6_000, () -> commitDirectly(cluster, transaction, status));
                         return true;
                     }
                     return false;
                 };
         cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 30));
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         assertTrue(
                 delayed[0] != null && cluster.taskStarts.getOrDefault("wk-000002", 0) == 12,
                 "the meeting: " + cluster.taskStarts);
         assertEquals(409, status[0]);
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertAllJobsFinished(cluster, 2);
     }
 
@@ -291,11 +259,7 @@
     void delayedScaleInCommitDoesNotReleaseMachineInUse() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        3,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)),
-                        1);
+                        3, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)), 1);
         cluster.start();
         int[] status = {0};
         cluster.store.dropsTransaction =
@@ -308,19 +272,15 @@
                             cluster.submit(
                                     JobFixtures.array(
                                             2, "red", JobSpec.Priority.NORMAL, 12, 2, 30));
-                            cluster.clock.schedule(
+                            cluster.after(
                                     5_000, () -> commitDirectly(cluster, transaction, status));
                             return true;
                         }
                     }
                     return false;
                 };
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
-        cluster.clock.runUntil(250_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10));
+        cluster.runUntil(250_000);
         assertEquals(409, status[0]);
         assertEquals(12, cluster.taskStarts.get("wk-000002"));
         assertAllJobsFinished(cluster, 2);
@@ -335,13 +295,13 @@
     void reassignedJobKeepsItsQuotaUse() {
         SimulatedCluster cluster = clusterWithReadyMachines(4, 3, 18);
         cluster.start();
-        cluster.clock.runUntil(8_000);
-        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        cluster.runUntil(8_000);
+        int lostController = (cluster.leaderIndex() + 1) % 3;
         cluster.submit(
                 JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 1, 300), lostController);
-        cluster.clock.runUntil(16_000);
+        cluster.runUntil(16_000);
         assertEquals(12, cluster.taskStarts.get("wk-000001"));
-        int leader = CompoundFaults.leaderIndex(cluster);
+        int leader = cluster.leaderIndex();
         int[] newOwner = {-1};
         cluster.store.arrivalObserver =
                 transaction -> {
@@ -357,7 +317,7 @@
                             for (int controller : new int[] {leader, newOwner[0]}) {
                                 cluster.store.setWatchDelayed(
                                         cluster.controllers.get(controller).ip, true);
-                                cluster.clock.schedule(
+                                cluster.after(
                                         2_500,
                                         () ->
                                                 cluster.store.setWatchDelayed(
@@ -375,10 +335,10 @@
                 };
         cluster.expectFaultsUntil(110_000);
         cluster.controllers.get(lostController).kill();
-        cluster.clock.runUntil(100_000);
+        cluster.runUntil(100_000);
         assertTrue(newOwner[0] >= 0 && newOwner[0] != leader, "the heir: " + newOwner[0]);
         cluster.controllers.get(lostController).start();
-        cluster.clock.runUntil(700_000);
+        cluster.runUntil(700_000);
         assertAllJobsFinished(cluster, 3);
     }
 
@@ -390,10 +350,7 @@
     void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        2,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+                        2, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 40)));
         cluster.start();
         List<ObjectNode> settlements = new ArrayList<>();
         cluster.store.arrivalObserver =
@@ -403,22 +360,18 @@
                         settlements.add(transaction);
                     }
                 };
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
-        cluster.clock.runUntil(60_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10));
+        cluster.runUntil(60_000);
         assertTrue(!settlements.isEmpty());
         long untilMillis = 60_000;
         while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/"))
                 && untilMillis < 400_000) {
-            cluster.clock.runUntil(untilMillis += 1_000);
+            cluster.runUntil(untilMillis += 1_000);
         }
         assertTrue(untilMillis < 400_000, "machines stayed: " + cluster.store.keys());
         int[] status = {0};
         commitDirectly(cluster, settlements.get(0), status);
-        cluster.clock.runUntil(untilMillis + 1_000);
+        cluster.runUntil(untilMillis + 1_000);
         assertEquals(409, status[0]);
         assertAllJobsFinished(cluster, 1);
     }
@@ -428,10 +381,7 @@
     void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        2,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 40)));
+                        2, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 40)));
         cluster.cloud.addRunningMachines("small", "a", 6);
         List<ObjectNode> registrations = new ArrayList<>();
         cluster.store.arrivalObserver =
@@ -441,17 +391,17 @@
                     }
                 };
         cluster.start();
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTrue(!registrations.isEmpty());
         long untilMillis = 60_000;
         while (cluster.store.keys().stream().anyMatch(key -> key.startsWith("a/m/"))
                 && untilMillis < 400_000) {
-            cluster.clock.runUntil(untilMillis += 1_000);
+            cluster.runUntil(untilMillis += 1_000);
         }
         assertTrue(untilMillis < 400_000, "machines stayed: " + cluster.store.keys());
         int[] status = {0};
         commitDirectly(cluster, registrations.get(0), status);
-        cluster.clock.runUntil(untilMillis + 1_000);
+        cluster.runUntil(untilMillis + 1_000);
         assertEquals(409, status[0]);
     }
 
@@ -465,28 +415,28 @@
     void jobSubmittedDuringPagedRelistIsReadCompletely(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 60);
         cluster.start();
-        cluster.clock.runUntil(12_000);
+        cluster.runUntil(12_000);
         cluster.store.maxPageSize = 3;
         for (int i = 1; i <= 12; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 220, 0.2, 15);
-            cluster.clock.schedule(i * 400L, () -> cluster.submit(job));
+            cluster.submitAfter(i * 400L, job);
         }
         int[] restarts = {0};
         for (int i = 0; i < 6; i++) {
             int controller = i % 3;
-            cluster.clock.schedule(
+            cluster.after(
                     1_000 + i * 3_500L,
                     () -> {
                         restarts[0]++;
-                        FaultInjector.crashController(cluster, controller, 100);
+                        cluster.faults.crashController(controller, 100);
                     });
         }
         cluster.store.maxExtraLatencyMillis = 60;
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         cluster.store.maxExtraLatencyMillis = 0;
         cluster.store.maxPageSize = 1_000;
         assertEquals(6, restarts[0]);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertAllJobsFinished(cluster, 12);
     }
 
@@ -502,30 +452,30 @@
         cluster.start();
         for (int i = 1; i <= 30; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 3, 1, 60);
-            cluster.clock.schedule(i < 20 ? 2_000 : 34_000 + i * 600L, () -> cluster.submit(job));
+            cluster.submitAfter(i < 20 ? 2_000 : 34_000 + i * 600L, job);
         }
-        cluster.clock.runUntil(30_000);
-        int oldLeader = CompoundFaults.leaderIndex(cluster);
+        cluster.runUntil(30_000);
+        int oldLeader = cluster.leaderIndex();
         List<String> otherIps = new ArrayList<>(List.of("10.2.0.1"));
         cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
         otherIps.remove(cluster.controllers.get(oldLeader).ip);
-        FaultInjector.partition(cluster, cluster.controllers.get(oldLeader).ip, otherIps, 40_000);
+        cluster.faults.partition(cluster.controllers.get(oldLeader).ip, otherIps, 40_000);
         for (int i = 1; i <= 10; i++) {
-            String id = String.format("wk-%06d", i);
-            cluster.clock.schedule(2_000 + i * 2_000L, () -> cluster.cancel(id));
+            String id = JobFixtures.id(i);
+            cluster.cancelAfter(2_000 + i * 2_000L, id);
         }
         for (int second = 1; second < 40; second++) {
-            String id = String.format("wk-%06d", 1 + second % 30);
-            cluster.clock.schedule(second * 1_000L, () -> cluster.query(id));
+            String id = JobFixtures.id(1 + second % 30);
+            cluster.queryAfter(second * 1_000L, id);
         }
-        cluster.clock.runUntil(66_000);
-        assertNotEquals(oldLeader, CompoundFaults.leaderIndex(cluster));
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(66_000);
+        assertNotEquals(oldLeader, cluster.leaderIndex());
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
         // What ran on the old leader's machines ran on: its successor called the workers away by
         // the addresses on record.
         for (int i = 11; i < 20; i++) {
-            assertEquals(3, cluster.taskStarts.get(String.format("wk-%06d", i)));
+            assertEquals(3, cluster.taskStarts.get(JobFixtures.id(i)));
         }
     }
 
@@ -541,28 +491,26 @@
         cluster.start();
         for (int i = 1; i <= 30; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2, 2, 40);
-            cluster.clock.schedule(2_000 + i * 900L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 900L, job);
         }
-        cluster.clock.schedule(30_000, () -> cluster.store.maxExtraLatencyMillis = 1_900);
-        cluster.clock.schedule(
+        cluster.after(30_000, () -> cluster.store.maxExtraLatencyMillis = 1_900);
+        cluster.after(
                 40_000,
-                () ->
-                        CompoundFaults.refuseByStore(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
-        cluster.clock.schedule(47_000, () -> CompoundFaults.storeOutage(cluster, 55_000));
-        cluster.clock.schedule(110_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+                () -> cluster.faults.refuseByStore(Math.max(0, cluster.leaderIndex()), 12_000));
+        cluster.after(47_000, () -> cluster.faults.storeOutage(55_000));
+        cluster.after(110_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(110_000);
         for (int i = 1; i <= 12; i++) {
-            String id = String.format("wk-%06d", i);
-            cluster.clock.schedule(31_000 + i * 2_000L, () -> cluster.cancel(id));
+            String id = JobFixtures.id(i);
+            cluster.cancelAfter(31_000 + i * 2_000L, id);
         }
-        cluster.clock.runUntil(47_000);
+        cluster.runUntil(47_000);
         long confirmedWhileSlow =
                 cluster.jobsById.keySet().stream()
                         .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
                         .count();
         assertTrue(confirmedWhileSlow > 0, "nobody was told while the store was slow");
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
     }
 
@@ -580,9 +528,9 @@
         for (int i = 1; i <= 14; i++) {
             JobSpec job =
                     JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, i < 7 ? 80 : 15);
-            cluster.clock.schedule(i < 7 ? 2_000 : 25_000 + i * 2_000L, () -> cluster.submit(job));
+            cluster.submitAfter(i < 7 ? 2_000 : 25_000 + i * 2_000L, job);
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         List<SimulatedWorker> unreachable =
                 cluster.cloud.machines.values().stream()
                         .filter(
@@ -591,15 +539,14 @@
                                                 && Integer.parseInt(worker.host.substring(2)) % 4
                                                         == 0)
                         .toList();
-        unreachable.forEach(
-                worker -> CompoundFaults.makeUnreachableInbound(cluster, worker, 400_000));
-        int oldLeader = CompoundFaults.leaderIndex(cluster);
-        FaultInjector.crashController(cluster, oldLeader, 15_000);
-        cluster.clock.runUntil(20_000 + 150_000);
+        unreachable.forEach(worker -> cluster.faults.makeUnreachableInbound(worker, 400_000));
+        int oldLeader = cluster.leaderIndex();
+        cluster.faults.crashController(oldLeader, 15_000);
+        cluster.runUntil(20_000 + 150_000);
         assertNotEquals(0, unreachable.size());
         unreachable.forEach(
                 worker -> assertTrue(worker.released, worker.host + " hears nobody and is kept"));
-        cluster.clock.runUntil(300_000);
+        cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 14);
         assertEquals(List.of(), cluster.serviceLevels().starved());
     }
@@ -616,9 +563,9 @@
         cluster.start();
         for (int i = 1; i <= 10; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 90);
-            cluster.clock.schedule(2_000, () -> cluster.submit(job));
+            cluster.submitAfter(2_000, job);
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         long durationMillis = seed % 2 == 0 ? 12_000 : 45_000;
         List<String> controllerIps = new ArrayList<>();
         cluster.controllers.forEach(controller -> controllerIps.add(controller.ip));
@@ -626,17 +573,16 @@
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             if (Integer.parseInt(worker.host.substring(2)) % 3 == 0 && !worker.tasks.isEmpty()) {
                 partitionedHosts.add(worker.host);
-                FaultInjector.partition(
-                        cluster,
+                cluster.faults.partition(
                         worker.address.substring(0, worker.address.indexOf(':')),
                         controllerIps,
                         durationMillis);
             }
         }
         assertNotEquals(Set.of(), partitionedHosts);
-        int oldLeader = CompoundFaults.leaderIndex(cluster);
-        FaultInjector.crashController(cluster, oldLeader, 3_000);
-        cluster.clock.runUntil(400_000);
+        int oldLeader = cluster.leaderIndex();
+        cluster.faults.crashController(oldLeader, 3_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 10);
     }
 
@@ -653,16 +599,15 @@
         cluster.start();
         for (int i = 1; i <= 8; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 100);
-            cluster.clock.schedule(2_000, () -> cluster.submit(job));
+            cluster.submitAfter(2_000, job);
         }
-        cluster.clock.runUntil(15_000);
+        cluster.runUntil(15_000);
         cluster.network.staleHeartbeatRate = 1;
         cluster.network.maxStaleHeartbeatDelayMillis = seed == 1 ? 45_000 : 9_000;
         cluster.expectFaultsUntil(130_000);
         // Machines change hands, by loss and by balance, so that copies reach those who had them.
-        FaultInjector.crashController(
-                cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 1_000);
-        cluster.clock.runUntil(25_000);
+        cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 1_000);
+        cluster.runUntil(25_000);
         long fencingToken = cluster.store.value("a/term").path("n").asLong();
         int[] stuckReports = {0};
         cluster.network.requestObserver =
@@ -675,7 +620,7 @@
                                                         .asBoolean()
                                         ? 1
                                         : 0;
-        cluster.clock.runUntil(85_000);
+        cluster.runUntil(85_000);
         assertTrue(
                 cluster.network.staleHeartbeatsSent > 100,
                 "copies: " + cluster.network.staleHeartbeatsSent);
@@ -684,7 +629,7 @@
                 "no machine changed hands");
         assertEquals(0, stuckReports[0], "machines were called stuck");
         cluster.network.staleHeartbeatRate = 0;
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 8);
     }
 
@@ -706,28 +651,20 @@
                             4,
                             2,
                             15);
-            cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 1_500L, job);
             if (i % 3 == 0) {
-                cluster.clock.schedule(6_000 + i * 1_500L, () -> cluster.cancel(job.jobId()));
+                cluster.cancelAfter(6_000 + i * 1_500L, job.jobId());
             }
         }
         cluster.network.commandHoldRate = 0.6;
-        cluster.clock.schedule(
-                15_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(
-                30_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 8_000));
-        cluster.clock.schedule(80_000, () -> cluster.network.commandHoldRate = 0);
+        cluster.faults.crashLeaderAfter(15_000, 300);
+        cluster.faults.crashLeaderAfter(30_000, 8_000);
+        cluster.after(80_000, () -> cluster.network.commandHoldRate = 0);
         cluster.expectFaultsUntil(95_000);
-        cluster.clock.runUntil(80_000);
+        cluster.runUntil(80_000);
         assertTrue(
                 cluster.network.heldCommandCount > 20, "held: " + cluster.network.heldCommandCount);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 24);
     }
 
@@ -752,13 +689,13 @@
                             high ? 8 : 24,
                             1,
                             high ? 4 : 20);
-            cluster.clock.schedule(2_000 + i * 1_000L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 1_000L, job);
         }
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTrue(
                 cluster.network.heldCommandCount > 30, "held: " + cluster.network.heldCommandCount);
         cluster.network.commandHoldRate = 0;
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertAllJobsFinished(cluster, 40);
     }
 
@@ -775,33 +712,31 @@
             JobSpec job =
                     JobFixtures.array(
                             i, i % 2 == 0 ? "red" : "blue", JobSpec.Priority.NORMAL, 5, 1, 20);
-            cluster.clock.schedule(2_000 + i * 1_500L, () -> cluster.submit(job));
+            cluster.submitAfter(2_000 + i * 1_500L, job);
         }
         cluster.store.delayedWriteRate = 0.2;
         Set<Integer> leaders = new HashSet<>();
         for (int k = 0; k < 5; k++) {
-            cluster.clock.schedule(
+            cluster.after(
                     10_000 + k * 9_000L,
                     () -> {
-                        leaders.add(CompoundFaults.leaderIndex(cluster));
-                        FaultInjector.crashController(
-                                cluster,
-                                Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                FaultInjector.quickRestartDelayMillis(cluster) + 3_000);
+                        leaders.add(cluster.leaderIndex());
+                        cluster.faults.crashController(
+                                Math.max(0, cluster.leaderIndex()),
+                                cluster.faults.quickRestartDelayMillis() + 3_000);
                     });
         }
-        cluster.clock.schedule(
+        cluster.after(
                 56_000,
                 () -> {
                     for (int i = 0; i < 3; i++) {
-                        FaultInjector.crashController(cluster, i, i == seed % 3 ? 200 : 6_000);
+                        cluster.faults.crashController(i, i == seed % 3 ? 200 : 6_000);
                     }
                 });
-        cluster.clock.schedule(
-                57_500, () -> FaultInjector.crashController(cluster, (int) (seed % 3), 200));
-        cluster.clock.schedule(70_000, () -> cluster.store.delayedWriteRate = 0);
+        cluster.faults.crashAfter(57_500, (int) (seed % 3), 200);
+        cluster.after(70_000, () -> cluster.store.delayedWriteRate = 0);
         cluster.expectFaultsUntil(90_000);
-        cluster.clock.runUntil(100_000);
+        cluster.runUntil(100_000);
         assertTrue(leaders.size() > 1, "leaders: " + leaders);
         assertTrue(
                 cluster.store.delayedWritesApplied > 0 && cluster.store.delayedWritesRejected > 0,
@@ -810,7 +745,7 @@
                         + " landed, "
                         + cluster.store.delayedWritesRejected
                         + " failed");
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
     }
 
@@ -825,15 +760,15 @@
         cluster.start();
         for (int i = 1; i <= 20; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2 + i % 2, 2, 50);
-            cluster.clock.schedule(2_000, () -> cluster.submit(job));
+            cluster.submitAfter(2_000, job);
         }
         int[] partlyCompletedJobs = {0};
         for (int second = 30; second < 80; second += 7) {
-            cluster.clock.schedule(
+            cluster.after(
                     second * 1000L,
                     () -> {
                         for (int i = 1; i <= 20; i++) {
-                            String id = String.format("wk-%06d", i);
+                            String id = JobFixtures.id(i);
                             long completedTasks =
                                     cluster.completedTasks.stream()
                                             .filter(task -> task.startsWith(id + "/"))
@@ -841,20 +776,17 @@
                             partlyCompletedJobs[0] +=
                                     completedTasks > 0 && completedTasks < 2 + i % 2 ? 1 : 0;
                         }
-                        FaultInjector.crashController(
-                                cluster,
-                                Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                cluster.clock.random.nextBoolean() ? 200 : 5_000);
+                        cluster.faults.crashController(
+                                Math.max(0, cluster.leaderIndex()),
+                                cluster.random().nextBoolean() ? 200 : 5_000);
                     });
         }
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertTrue(partlyCompletedJobs[0] > 5, "jobs in between: " + partlyCompletedJobs[0]);
         assertAllJobsFinished(cluster, 20);
         for (int i = 1; i <= 20; i++) {
             assertEquals(
-                    2 + i % 2,
-                    cluster.taskStarts.get(String.format("wk-%06d", i)),
-                    "starts of job " + i);
+                    2 + i % 2, cluster.taskStarts.get(JobFixtures.id(i)), "starts of job " + i);
         }
     }
 
@@ -866,9 +798,9 @@
     void controllerUnawareOfFirstPlacementsDoesNotConfirmCancellation() {
         SimulatedCluster cluster = clusterWithReadyMachines(6, 3, 18);
         cluster.start();
-        cluster.clock.runUntil(8_000);
-        int askedController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
-        int otherController = (CompoundFaults.leaderIndex(cluster) + 2) % 3;
+        cluster.runUntil(8_000);
+        int askedController = (cluster.leaderIndex() + 1) % 3;
+        int otherController = (cluster.leaderIndex() + 2) % 3;
         boolean[] met = {false, false};
         cluster.store.arrivalObserver =
                 t -> {
@@ -877,7 +809,7 @@
                         cluster.store.setWatchDelayed(
                                 cluster.controllers.get(askedController).ip, true);
                         cluster.cancel("wk-000001", askedController);
-                        cluster.clock.schedule(
+                        cluster.after(
                                 4_000,
                                 () ->
                                         cluster.store.setWatchDelayed(
@@ -889,7 +821,7 @@
                 JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 250, 0.2, 100),
                 otherController);
         for (int t = 8_000; t < 30_000; t += 10) {
-            cluster.clock.schedule(
+            cluster.after(
                     t - 8_000,
                     () ->
                             met[1] |=
@@ -903,7 +835,7 @@
                                                                                                     .SimulatedTask
                                                                                             ::occupiesMachine)));
         }
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTrue(
                 met[0] && cluster.taskStarts.get("wk-000001") > 0,
                 "the meeting: " + cluster.taskStarts);
@@ -921,23 +853,22 @@
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         long[] confirmationDelaysMillis = new long[41];
         for (int i = 1; i <= 40; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 6, 1, 30);
             int jobNumber = i;
-            cluster.clock.schedule(i * 1_000L, () -> cluster.submit(job));
-            cluster.clock.schedule(
+            cluster.submitAfter(i * 1_000L, job);
+            cluster.after(
                     i * 1_000L + 250,
                     () -> {
-                        confirmationDelaysMillis[jobNumber] = -cluster.clock.nowMillis();
+                        confirmationDelaysMillis[jobNumber] = -cluster.nowMillis();
                         cluster.cancel(job.jobId());
                     });
         }
-        cluster.clock.runUntil(100_000);
+        cluster.runUntil(100_000);
         for (int i = 1; i <= 40; i++) {
-            confirmationDelaysMillis[i] +=
-                    cluster.cancellationConfirmedAtMillis(String.format("wk-%06d", i));
+            confirmationDelaysMillis[i] += cluster.cancellationConfirmedAtMillis(JobFixtures.id(i));
         }
         java.util.Arrays.sort(confirmationDelaysMillis);
         assertTrue(
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -60,7 +60,7 @@
         } else if (args.length > 4) {
             traceJob(cluster, args[4]);
         }
-        cluster.clock.runUntil(1_000_000);
+        cluster.runUntil(1_000_000);
         printReport(cluster, profiles, jobClassById);
     }
 
@@ -235,10 +235,7 @@
     private static void setTeams(SimulatedCluster cluster, double scale, double[][] cpuLimits) {
         cluster.teams.clear();
         for (int i = 0; i < cpuLimits.length; i++) {
-            cluster.teams.put(
-                    "t" + (i + 1),
-                    new Settings.Team(
-                            "t" + (i + 1), cpuLimits[i][0] * scale, cpuLimits[i][1] * scale, 0, 0));
+            cluster.setTeam("t" + (i + 1), cpuLimits[i][0] * scale, cpuLimits[i][1] * scale);
         }
     }
 
@@ -253,7 +250,7 @@
     /** Arrivals over 500 s; the first class comes {@code burst} times as often for a minute. */
     private static Map<String, String> scheduleArrivals(
             SimulatedCluster cluster, List<JobProfile> profiles, double scale, double burst) {
-        SplittableRandom random = new SplittableRandom(cluster.clock.random.nextLong());
+        SplittableRandom random = new SplittableRandom(cluster.random().nextLong());
         Map<String, String> jobClassById = new TreeMap<>();
         int id = 0;
         for (JobProfile profile : profiles) {
@@ -278,7 +275,7 @@
                         (int) Math.max(1, drawLognormal(random, profile.taskCountQuantiles));
                 JobSpec job =
                         new JobSpec(
-                                String.format("wk-%06d", ++id),
+                                JobFixtures.id(++id),
                                 profile.name,
                                 profile.teams.get(random.nextInt(profile.teams.size())),
                                 JobSpec.Mode.ARRAY,
@@ -301,59 +298,51 @@
                                         ? runtimeSeconds * profile.deadlineFactor + 10
                                         : -1);
                 jobClassById.put(job.jobId(), profile.name);
-                cluster.clock.schedule((long) (second * 1000), () -> cluster.submit(job));
+                cluster.submitAfter((long) (second * 1000), job);
             }
         }
         return jobClassById;
     }
 
     private static void scheduleRestarts(SimulatedCluster cluster) {
-        cluster.clock.schedule(165_000, () -> cluster.store.setDown(true));
-        cluster.clock.schedule(180_000, () -> cluster.store.setDown(false));
+        cluster.after(165_000, () -> cluster.store.setDown(true));
+        cluster.after(180_000, () -> cluster.store.setDown(false));
         for (int i = 0; i < cluster.controllers.size(); i++) {
             int controller = i;
-            cluster.clock.schedule(
-                    187_000, () -> FaultInjector.crashController(cluster, controller, 300));
-            cluster.clock.schedule(
-                    222_000 + controller * 25_000L,
-                    () -> FaultInjector.crashController(cluster, controller, 300));
-            cluster.clock.schedule(
-                    371_000, () -> FaultInjector.crashController(cluster, controller, 300));
+            cluster.faults.crashAfter(187_000, controller, 300);
+            cluster.faults.crashAfter(222_000 + controller * 25_000L, controller, 300);
+            cluster.faults.crashAfter(371_000, controller, 300);
         }
     }
 
     private static void scheduleMachineLoss(SimulatedCluster cluster) {
-        cluster.clock.schedule(
+        cluster.after(
                 159_000,
                 () ->
-                        FaultInjector.partition(
-                                cluster,
-                                cluster.controllers.get(1).ip,
-                                List.of("10.2.0.1"),
-                                25_000));
-        cluster.clock.schedule(
+                        cluster.faults.partition(
+                                cluster.controllers.get(1).ip, List.of("10.2.0.1"), 25_000));
+        cluster.after(
                 251_000,
                 () -> {
                     for (int i = 0; i < 50; i++) {
-                        FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash);
+                        cluster.faults.onRandomMachine(SimulatedWorker::crash);
                     }
                 });
-        cluster.clock.schedule(
+        cluster.after(
                 266_000,
                 () -> {
                     for (int i = 0; i < cluster.controllers.size() - 1; i++) {
-                        FaultInjector.crashController(cluster, i, 300);
+                        cluster.faults.crashController(i, 300);
                     }
                 });
-        cluster.clock.schedule(
+        cluster.after(
                 300_000,
                 () -> {
                     for (int i = 0; i < 21; i++) {
-                        FaultInjector.onRandomMachine(
-                                cluster,
+                        cluster.faults.onRandomMachine(
                                 worker -> {
                                     worker.setHung(true);
-                                    cluster.clock.schedule(40_000, () -> worker.setHung(false));
+                                    cluster.after(40_000, () -> worker.setHung(false));
                                 });
                     }
                 });
@@ -376,7 +365,7 @@
                                 .append(",'match':{'jobClass':'")
                                 .append(profile.name)
                                 .append("'}}"));
-        cluster.clock.schedule(
+        cluster.after(
                 20_000,
                 () ->
                         OperatorRecordsTest.commandUntilAnswered(
@@ -385,7 +374,7 @@
                                 OperatorRecordsTest.json(
                                         "{'change':'c','classes':[" + classes + "]}"),
                                 new java.util.HashMap<>()));
-        cluster.clock.schedule(
+        cluster.after(
                 21_000,
                 () ->
                         OperatorRecordsTest.commandUntilAnswered(
@@ -398,16 +387,10 @@
                                         "{'jobClass':'" + profiles.get(0).name + "'}"),
                                 new java.util.HashMap<>()));
         for (long atMillis : new long[] {300_000, 400_000}) {
-            cluster.clock.schedule(
-                    atMillis,
-                    () ->
-                            FaultInjector.crashController(
-                                    cluster,
-                                    cluster.indexOfController(
-                                            cluster.store.value("a/lead").path("m").asText()),
-                                    300));
+            cluster.after(
+                    atMillis, () -> cluster.faults.crashController(cluster.leaderIndex(), 300));
         }
-        cluster.clock.schedule(
+        cluster.after(
                 999_000,
                 () ->
                         System.out.println(
@@ -423,7 +406,7 @@
     /** Prints now and then how a job and its team fare. */
     private static void traceJob(SimulatedCluster cluster, String id) {
         for (long atMillis = 20_000; atMillis < 560_000; atMillis += 20_000) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () -> {
                         JobSpec job = cluster.jobsById.get(id);
@@ -456,7 +439,7 @@
                         Object controllerNode = cluster.store.value("a/j/" + id).get("c");
                         cpusInUse.replaceAll((key, value) -> (double) Math.round(value));
                         System.out.println(
-                                cluster.clock.nowMillis() / 1000
+                                cluster.nowMillis() / 1000
                                         + " s: "
                                         + job.team()
                                         + " "
--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.config.OperatorSettings;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
 import java.io.IOException;
 import java.util.List;
@@ -80,20 +79,11 @@
                 new SimulatedCluster(
                         4711,
                         List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        5,
-                                        List.of("a", "b", "c"),
-                                        14),
+                                SimulatedCloud.MachineType.small(5, List.of("a", "b", "c"), 14),
                                 new SimulatedCloud.MachineType(
                                         "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 3)),
                         3);
-        cluster.teams.put("red", new Settings.Team("red", 40, 60, 2, 4));
+        cluster.setTeam("red", 40, 60, 2, 4);
         cluster.operatorSettings =
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(true, 20, 30, 0.1));
@@ -105,29 +95,26 @@
         users(cluster);
         operators(cluster);
         faults(cluster);
-        cluster.clock.runUntil(520_000);
+        cluster.runUntil(520_000);
         return capture;
     }
 
     private static void users(SimulatedCluster cluster) {
         for (int i = 1; i <= 45; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
+            JobSpec job = JobFixtures.randomJob(i, cluster.random());
             long at = 3_000 + i * 3_000L;
-            cluster.clock.schedule(at, () -> cluster.submit(job));
+            cluster.submitAfter(at, job);
             if (job.isService() || i % 6 == 0) {
-                cluster.clock.schedule(
-                        at + (job.isService() ? 150_000 : 9_000),
-                        () -> cluster.cancel(job.jobId()));
+                cluster.cancelAfter(at + (job.isService() ? 150_000 : 9_000), job.jobId());
             }
-            cluster.clock.schedule(
-                    at + 500, () -> cluster.query("wk-9" + job.jobId().substring(3)));
+            cluster.queryAfter(at + 500, "wk-9" + job.jobId().substring(3));
         }
         for (int i = 60; i < 80; i++) {
             JobSpec brief = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 1, 1, 1);
-            cluster.clock.schedule(80_000 + (i - 60) * 2_500L, () -> cluster.submit(brief));
+            cluster.submitAfter(80_000 + (i - 60) * 2_500L, brief);
         }
         JobSpec large = JobFixtures.array(50, "red", JobSpec.Priority.NORMAL, 450, 0.2, 15);
-        cluster.clock.schedule(20_000, () -> cluster.submit(large));
+        cluster.submitAfter(20_000, large);
         JobSpec due =
                 JobFixtures.job(
                         51,
@@ -144,31 +131,29 @@
                         false,
                         true,
                         5);
-        cluster.clock.schedule(
+        cluster.submitAfter(
                 25_000,
-                () ->
-                        cluster.submit(
-                                new JobSpec(
-                                        due.jobId(),
-                                        due.jobClass(),
-                                        due.team(),
-                                        due.mode(),
-                                        due.priority(),
-                                        due.taskCount(),
-                                        due.cpus(),
-                                        due.gpus(),
-                                        due.memoryGb(),
-                                        due.machineTypes(),
-                                        due.zone(),
-                                        due.zoneAffinity(),
-                                        due.zoneSpread(),
-                                        due.preemptible(),
-                                        due.image(),
-                                        due.imageSizeGb(),
-                                        due.runtimeSeconds(),
-                                        due.checkpointIntervalSeconds(),
-                                        due.checkpointSeconds(),
-                                        90)));
+                new JobSpec(
+                        due.jobId(),
+                        due.jobClass(),
+                        due.team(),
+                        due.mode(),
+                        due.priority(),
+                        due.taskCount(),
+                        due.cpus(),
+                        due.gpus(),
+                        due.memoryGb(),
+                        due.machineTypes(),
+                        due.zone(),
+                        due.zoneAffinity(),
+                        due.zoneSpread(),
+                        due.preemptible(),
+                        due.image(),
+                        due.imageSizeGb(),
+                        due.runtimeSeconds(),
+                        due.checkpointIntervalSeconds(),
+                        due.checkpointSeconds(),
+                        90));
         JobSpec model =
                 JobFixtures.job(
                         52,
@@ -185,10 +170,10 @@
                         true,
                         true,
                         0);
-        cluster.clock.schedule(28_000, () -> cluster.submit(model));
+        cluster.submitAfter(28_000, model);
         for (int t = 30; t < 200; t += 17) {
-            cluster.clock.schedule(t * 1000L, cluster.users::sendUnusualRequest);
-            cluster.clock.schedule(
+            cluster.after(t * 1000L, cluster.users::sendUnusualRequest);
+            cluster.after(
                     t * 1000L + 300,
                     () ->
                             cluster.network.call(
@@ -200,13 +185,13 @@
                                     1_000,
                                     (status, body, retry) -> {}));
         }
-        cluster.clock.schedule(40_000, () -> cluster.submit(large));
-        cluster.clock.schedule(41_000, () -> cluster.cancel("wk-977777"));
+        cluster.submitAfter(40_000, large);
+        cluster.cancelAfter(41_000, "wk-977777");
     }
 
     private static void ask(
             SimulatedCluster cluster, long at, int controller, String path, String body) {
-        cluster.clock.schedule(
+        cluster.after(
                 at,
                 () ->
                         cluster.sendOperatorCommand(
@@ -220,7 +205,7 @@
         ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
         transaction.putArray("then").addObject().put("put", key).set("value", value);
-        cluster.clock.schedule(
+        cluster.after(
                 at,
                 () ->
                         cluster.network.call(
@@ -267,7 +252,7 @@
                         .put(
                                 "t",
                                 "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}"));
-        cluster.clock.schedule(34_000, () -> FaultInjector.crashController(cluster, 2, 100));
+        cluster.faults.crashAfter(34_000, 2, 100);
         put(
                 cluster,
                 9_000,
@@ -350,7 +335,7 @@
             }
             ask(cluster, t * 1000L, c, "/ops/calendar/ledger", "{'name':'morning'}");
             ask(cluster, t * 1000L, c, "/ops/zones/plan", "{'lost':['a']}");
-            cluster.clock.schedule(
+            cluster.after(
                     t * 1000L,
                     () ->
                             cluster.acceptedJobs().stream()
@@ -368,89 +353,72 @@
     }
 
     private static void faults(SimulatedCluster cluster) {
-        cluster.clock.schedule(
-                45_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 12_000));
-        cluster.clock.schedule(70_000, () -> CompoundFaults.storeOutage(cluster, 8_000));
-        cluster.clock.schedule(85_000, () -> cluster.cloud.down = true);
-        cluster.clock.schedule(93_000, () -> cluster.cloud.down = false);
-        cluster.clock.schedule(
-                60_000,
-                () -> FaultInjector.onRandomMachine(cluster, m -> m.preemptionWarningSeconds = 25));
-        cluster.clock.schedule(
-                80_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-        cluster.clock.schedule(
+        cluster.faults.crashLeaderAfter(45_000, 12_000);
+        cluster.after(70_000, () -> cluster.faults.storeOutage(8_000));
+        cluster.after(85_000, () -> cluster.cloud.down = true);
+        cluster.after(93_000, () -> cluster.cloud.down = false);
+        cluster.after(
+                60_000, () -> cluster.faults.onRandomMachine(m -> m.preemptionWarningSeconds = 25));
+        cluster.after(80_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+        cluster.after(
                 95_000,
                 () ->
-                        FaultInjector.onRandomMachine(
-                                cluster,
-                                m -> CompoundFaults.makeUnreachableOutbound(cluster, m, 20_000)));
-        cluster.clock.schedule(
+                        cluster.faults.onRandomMachine(
+                                m -> cluster.faults.makeUnreachableOutbound(m, 20_000)));
+        cluster.after(
                 100_000,
                 () ->
-                        FaultInjector.onRandomMachine(
-                                cluster,
-                                m -> CompoundFaults.makeUnreachableInbound(cluster, m, 30_000)));
-        cluster.clock.schedule(
+                        cluster.faults.onRandomMachine(
+                                m -> cluster.faults.makeUnreachableInbound(m, 30_000)));
+        cluster.after(
                 105_000,
                 () ->
-                        FaultInjector.onRandomMachine(
-                                cluster,
+                        cluster.faults.onRandomMachine(
                                 m -> {
                                     m.setHung(true);
-                                    cluster.clock.schedule(15_000, () -> m.setHung(false));
+                                    cluster.after(15_000, () -> m.setHung(false));
                                 }));
-        cluster.clock.schedule(
-                110_000, () -> FaultInjector.onRandomMachine(cluster, m -> m.failsTasks = true));
-        cluster.clock.schedule(
+        cluster.after(110_000, () -> cluster.faults.onRandomMachine(m -> m.failsTasks = true));
+        cluster.after(
                 112_000,
-                () ->
-                        CompoundFaults.refuseByStore(
-                                cluster, (CompoundFaults.leaderIndex(cluster) + 1) % 3, 14_000));
+                () -> cluster.faults.refuseByStore((cluster.leaderIndex() + 1) % 3, 14_000));
         ask(cluster, 72_000, 0, "/ops/classes/apply", "{'change':'c5','classes':[]}");
         ask(cluster, 73_000, 1, "/ops/calendar/ledger", "{'name':'morning'}");
-        cluster.clock.schedule(115_000, () -> cluster.store.responseLossRate = 1);
+        cluster.after(115_000, () -> cluster.store.responseLossRate = 1);
         ask(
                 cluster,
                 115_500,
                 0,
                 "/ops/classes/apply",
                 "{'change':'c6','classes':[{'name':'six','rank':6}]}");
-        cluster.clock.schedule(118_000, () -> cluster.store.responseLossRate = 0);
-        cluster.clock.schedule(130_000, () -> cluster.store.responseLossRate = 0.2);
-        cluster.clock.schedule(140_000, () -> cluster.store.responseLossRate = 0);
-        cluster.clock.schedule(
-                150_000, () -> FaultInjector.partitionZone(cluster, "b", List.of(), 60_000));
+        cluster.after(118_000, () -> cluster.store.responseLossRate = 0);
+        cluster.after(130_000, () -> cluster.store.responseLossRate = 0.2);
+        cluster.after(140_000, () -> cluster.store.responseLossRate = 0);
+        cluster.after(150_000, () -> cluster.faults.partitionZone("b", List.of(), 60_000));
         for (int i = 0; i < 4; i++) {
             ask(cluster, 158_000 + i * 10_000L, 0, "/ops/zones/hold", "{'zone':'b','dryRun':true}");
             ask(cluster, 159_000 + i * 10_000L, i % 3, "/ops/zones/hold", "{'zone':'b'}");
             ask(cluster, 160_000 + i * 10_000L, 1, "/ops/zones/hold", "{'zone':'b'}");
             ask(cluster, 161_000 + i * 10_000L, 1, "/ops/zones/release", "{'zone':'b'}");
         }
-        cluster.clock.schedule(
+        cluster.after(
                 160_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, true));
-        cluster.clock.schedule(
+        cluster.after(
                 195_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, false));
-        cluster.clock.schedule(
+        cluster.after(
                 240_000,
                 () ->
                         cluster.cloud.machines.values().stream()
                                 .filter(m -> m.zone.equals("c"))
                                 .forEach(SimulatedWorker::crash));
-        cluster.clock.schedule(
-                300_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(310_000, () -> cluster.store.maxExtraLatencyMillis = 1_500);
-        cluster.clock.schedule(325_000, () -> cluster.store.maxExtraLatencyMillis = 0);
-        cluster.clock.schedule(
+        cluster.faults.crashLeaderAfter(300_000, 300);
+        cluster.after(310_000, () -> cluster.store.maxExtraLatencyMillis = 1_500);
+        cluster.after(325_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+        cluster.after(
                 310_000,
                 () -> {
                     for (int i = 0; i < 3; i++) {
-                        FaultInjector.crashController(cluster, i, 2_000 + i * 3_000L);
+                        cluster.faults.crashController(i, 2_000 + i * 3_000L);
                     }
                 });
         cluster.expectFaultsUntil(330_000);
--- a/src/test/java/io/quincelead/simulation/GoldenRefusalsTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenRefusalsTest.java
@@ -62,9 +62,9 @@
         for (String line : table) {
             String[] f = line.split("\t", -1);
             long from = f[0].equals("ready") ? 12_000 : f[0].equals("down") ? 400_000 : 0;
-            if (cluster.clock.nowMillis() < from) {
+            if (cluster.nowMillis() < from) {
                 cluster.store.setDown(f[0].equals("down"));
-                cluster.clock.runUntil(from + 12_000);
+                cluster.runUntil(from + 12_000);
             }
             out.add(
                     String.join("\t", f[0], f[1], f[2], f[3])
@@ -112,7 +112,7 @@
                     answer[0] = status + " " + retry + "\t" + (map == null ? "-" : map);
                 });
         while (answer[0] == null) {
-            cluster.clock.runUntil(cluster.clock.nowMillis() + 10);
+            cluster.runUntil(cluster.nowMillis() + 10);
         }
         return answer[0];
     }
--- a/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -36,8 +36,8 @@
         worker.tasks.put(task.name + "#" + attempt, task);
         cluster.onTaskStarted(worker, task, job);
         task.status = "running";
-        cluster.clock.schedule(1, () -> {});
-        cluster.clock.runUntil(cluster.clock.nowMillis() + 2);
+        cluster.after(1, () -> {});
+        cluster.runUntil(cluster.nowMillis() + 2);
         return task;
     }
 
@@ -143,7 +143,7 @@
                                         .put("nameId", job.jobId())
                                         .put("status", "cancelled")));
         cluster.cancel(job.jobId());
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTripped("ran_cancelled");
     }
 
@@ -167,7 +167,7 @@
     void forgottenJobIsDetected() {
         answerEverywhere(404, "");
         cluster.submit(plainJob());
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         assertTripped("forgotten");
     }
 
@@ -192,9 +192,9 @@
         cluster.expectFaultsUntil(40_000);
         cluster.submit(plainJob());
         cluster.submit(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 4, 2, 10));
-        cluster.clock.runUntil(114_000);
+        cluster.runUntil(114_000);
         assertEquals(Set.of(), cluster.violations());
-        cluster.clock.runUntil(120_000);
+        cluster.runUntil(120_000);
         assertEquals(Set.of("forgotten: wk-000001 got no answer for 75 s"), cluster.violations());
     }
 
@@ -212,21 +212,21 @@
                             2,
                             10));
         }
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         for (int i = 1; i <= 9; i++) {
-            String id = String.format("wk-%06d", i);
+            String id = JobFixtures.id(i);
             runTask(addMachine("a", true), cluster.jobsById.get(id), 0, 1);
             for (int k = 0; k < 4; k++) {
                 cluster.completedTasks.add(id + "/" + k);
             }
             cluster.checkAnswer(id, "done", null);
         }
-        cluster.clock.runUntil(239_000);
+        cluster.runUntil(239_000);
         assertEquals(
                 List.of("largest of class quick: 0.0 served", "team blue: 0.0 served"),
                 cluster.serviceLevels().starved());
         runTask(addMachine("a", true), cluster.jobsById.get("wk-000011"), 0, 1);
-        cluster.clock.runUntil(241_000);
+        cluster.runUntil(241_000);
         assertTrue(
                 cluster.serviceLevels()
                         .starved()
@@ -257,7 +257,7 @@
                 null,
                 1_000,
                 (status, body, retryAfterSeconds) -> {});
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertEquals(2, requests[0]);
     }
 
@@ -265,7 +265,7 @@
     void inventedJobIsDetected() {
         answerEverywhere(200, "running");
         cluster.query("wk-77");
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         assertTripped("invented");
     }
 
@@ -273,7 +273,7 @@
     void unfinishedJobReportedDoneIsDetected() {
         answerEverywhere(200, "done");
         cluster.submit(plainJob());
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         assertTripped("not_done");
     }
 
@@ -281,7 +281,7 @@
     void revokedFinalStatusIsDetected() {
         answerEverywhere(200, "cancelled");
         cluster.submit(plainJob());
-        cluster.clock.runUntil(20_000);
+        cluster.runUntil(20_000);
         assertTripped("went_back");
     }
 
@@ -298,7 +298,7 @@
                                                         .put("nameId", job.jobId())
                                                         .put("status", "cancelled"))));
         cluster.cancel(job.jobId());
-        cluster.clock.runUntil(cluster.clock.nowMillis() + 1_000);
+        cluster.runUntil(cluster.nowMillis() + 1_000);
         assertTrue(cluster.cancellationConfirmedAtMillis(job.jobId()) >= 0);
     }
 
@@ -342,13 +342,13 @@
                                                         .put("status", "running")
                                                         .put("done", done[0]))));
         cluster.submit(plainJob());
-        cluster.clock.runUntil(1_000);
+        cluster.runUntil(1_000);
         cluster.query("wk-000001", 0);
         done[0] = 2;
         cluster.checkAnswer(
                 "wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.query("wk-000001", 1);
-        cluster.clock.runUntil(1_100);
+        cluster.runUntil(1_100);
         assertTripped("older: wk-000001: 2 tasks are done, there were 3");
     }
 
@@ -368,7 +368,7 @@
         cluster.query("wk-000001", 0);
         cluster.checkAnswer(
                 "wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
-        cluster.clock.runUntil(500);
+        cluster.runUntil(500);
         assertEquals(Set.of(), cluster.violations());
     }
 
@@ -387,7 +387,7 @@
                 WireFormat.CBOR.encode(
                         plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)),
                 422);
-        cluster.clock.runUntil(500);
+        cluster.runUntil(500);
         assertTripped("accepted: wk-700001 can't run");
     }
 
@@ -398,7 +398,7 @@
                         cluster.network.setHandler(
                                 controller.userAddress, request -> request.respondError(422, "")));
         cluster.submitUnacceptable("wk-700001", new byte[] {1}, 400);
-        cluster.clock.runUntil(500);
+        cluster.runUntil(500);
         assertTripped("accepted: wk-700001 got 422 instead of 400");
         assertEquals(0, cluster.users.refusedCount);
     }
@@ -418,11 +418,11 @@
                                     }
                                 }));
         cluster.submit(plainJob());
-        cluster.clock.runUntil(500);
+        cluster.runUntil(500);
         assertEquals(Set.of(), cluster.violations());
         cluster.submit(plainJob());
         cluster.cancel("wk-000001");
-        cluster.clock.runUntil(900);
+        cluster.runUntil(900);
         assertEquals(
                 Set.of(
                         "forgotten: wk-000001 was accepted once more",
@@ -455,9 +455,9 @@
                             : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
-        cluster.clock.runUntil(99_000);
+        cluster.runUntil(99_000);
         assertEquals(Set.of(), cluster.violations());
-        cluster.clock.runUntil(103_000);
+        cluster.runUntil(103_000);
         assertEquals(Set.of("waiting: wk-000001 could go on since 11 s"), cluster.violations());
     }
 
@@ -472,11 +472,11 @@
         cluster.submit(many);
         for (int i = 0; i < 40; i++) {
             SimulatedWorker.SimulatedTask task = runTask(worker, many, i, 1);
-            cluster.clock.runUntil(cluster.clock.nowMillis() + 2_000);
+            cluster.runUntil(cluster.nowMillis() + 2_000);
             worker.tasks.remove(task.name + "#1");
-            cluster.clock.runUntil(cluster.clock.nowMillis() + 2_000);
+            cluster.runUntil(cluster.nowMillis() + 2_000);
         }
-        assertTrue(cluster.clock.nowMillis() > 150_000);
+        assertTrue(cluster.nowMillis() > 150_000);
         assertEquals(Set.of(), cluster.violations());
     }
 
@@ -502,7 +502,7 @@
                             : cluster.cloud.machines.get("i-" + machineCount);
             runTask(otherWorker, filling, i, 1);
         }
-        cluster.clock.runUntil(250_000);
+        cluster.runUntil(250_000);
         assertTrue(
                 cluster.startableSeconds(high.jobId()) > 200,
                 "high: " + cluster.startableSeconds(high.jobId()));
@@ -531,7 +531,7 @@
                                         .getBytes(java.nio.charset.StandardCharsets.UTF_8))),
                 1_000,
                 (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
-        cluster.clock.runUntil(2_000);
+        cluster.runUntil(2_000);
         assertEquals(0, status[0]);
         assertEquals(1, cluster.store.lostResponses);
         assertTrue(cluster.store.value("a/x") != null);
@@ -555,28 +555,28 @@
         SimulatedWorker worker = addMachine("a", true);
         cluster.network.heartbeatRetentionRate = 1;
         worker.boot();
-        cluster.clock.runUntil(4_500);
+        cluster.runUntil(4_500);
         int sent = requests[0];
         cluster.network.heartbeatRetentionRate = 0;
         cluster.network.replayRetainedHeartbeats(
                 cluster.controllers.stream().map(controller -> controller.userAddress).toList());
-        cluster.clock.runUntil(4_990);
+        cluster.runUntil(4_990);
         assertTrue(
                 sent > 3
                         && cluster.network.replayedHeartbeats >= 3 * sent
                         && cluster.network.replayedHeartbeats % 3 == 0,
                 sent + " sent, " + cluster.network.replayedHeartbeats + " arrived");
         cluster.network.heartbeatHoldRate = 1;
-        cluster.clock.runUntil(9_000);
+        cluster.runUntil(9_000);
         int requestsBefore = requests[0];
         cluster.network.heartbeatHoldRate = 0;
         cluster.network.releaseHeldHeartbeats();
-        cluster.clock.runUntil(9_450);
+        cluster.runUntil(9_450);
         assertTrue(
                 cluster.network.releasedHeartbeats > 0
                         && requests[0] >= requestsBefore + cluster.network.releasedHeartbeats);
         worker.unreachableOutbound = true;
-        cluster.clock.runUntil(15_000);
+        cluster.runUntil(15_000);
         int requestsWhileUnreachable = requests[0];
         int[] status = {0};
         cluster.network.call(
@@ -587,7 +587,7 @@
                 null,
                 1_000,
                 (responseStatus, responseBody, retryAfterSeconds) -> status[0] = responseStatus);
-        cluster.clock.runUntil(22_000);
+        cluster.runUntil(22_000);
         assertEquals(requestsWhileUnreachable, requests[0]);
         assertEquals(200, status[0]);
     }
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -8,6 +8,11 @@
 public final class JobFixtures {
     private JobFixtures() {}
 
+    /** The id of the job with this number. */
+    public static String id(int number) {
+        return String.format("wk-%06d", number);
+    }
+
     public static JobSpec array(
             int id,
             String team,
@@ -48,7 +53,7 @@
             boolean spot,
             double checkpointIntervalSeconds) {
         return new JobSpec(
-                String.format("wk-%06d", id),
+                id(id),
                 priority == JobSpec.Priority.BEST_EFFORT ? "slow" : "quick",
                 team,
                 mode,
--- a/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
+++ b/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
@@ -19,7 +19,7 @@
         cluster.start();
         scheduleJobs(cluster, machineCount, seconds);
         for (long second = 10; second <= seconds; second += 10) {
-            cluster.clock.runUntil(second * 1000);
+            cluster.runUntil(second * 1000);
             System.out.printf(
                     "%d s: %d machines, %d tasks begun, %d jobs open, broken %s%n",
                     second,
@@ -71,8 +71,8 @@
         cluster.storeSettings = new Settings.StoreLimits(600, 250, 8, 12);
         cluster.invariantChecksEnabled = false;
         double scale = machineCount / 742.0;
-        cluster.teams.put("red", new Settings.Team("red", 5_000 * scale, 12_000 * scale, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 2_700 * scale, 6_500 * scale, 0, 0));
+        cluster.setTeam("red", 5_000 * scale, 12_000 * scale);
+        cluster.setTeam("blue", 2_700 * scale, 6_500 * scale);
         return cluster;
     }
 
@@ -81,42 +81,42 @@
         double scale = machineCount / 742.0;
         int id = 0;
         for (double second = 2; second < seconds; second += 1 / (2.4 * scale)) {
-            int draw = cluster.clock.random.nextInt(24);
-            String team = cluster.clock.random.nextInt(3) == 0 ? "blue" : "red";
-            double variation = 0.7 + cluster.clock.random.nextDouble() * 0.6;
+            int draw = cluster.random().nextInt(24);
+            String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
+            double variation = 0.7 + cluster.random().nextDouble() * 0.6;
             JobSpec job =
                     draw < 12
                             ? JobFixtures.array(
                                     ++id,
                                     team,
                                     JobSpec.Priority.NORMAL,
-                                    20 + cluster.clock.random.nextInt(200),
+                                    20 + cluster.random().nextInt(200),
                                     variation,
-                                    6 + cluster.clock.random.nextInt(20))
+                                    6 + cluster.random().nextInt(20))
                             : draw < 21
                                     ? JobFixtures.array(
                                             ++id,
                                             team,
                                             JobSpec.Priority.HIGH,
-                                            4 + cluster.clock.random.nextInt(30),
+                                            4 + cluster.random().nextInt(30),
                                             variation,
-                                            15 + cluster.clock.random.nextInt(50))
+                                            15 + cluster.random().nextInt(50))
                                     : draw < 23
                                             ? JobFixtures.array(
                                                     ++id,
                                                     team,
                                                     JobSpec.Priority.BEST_EFFORT,
-                                                    10 + cluster.clock.random.nextInt(40),
+                                                    10 + cluster.random().nextInt(40),
                                                     4 * variation,
-                                                    50 + cluster.clock.random.nextInt(100))
+                                                    50 + cluster.random().nextInt(100))
                                             : JobFixtures.array(
                                                     ++id,
                                                     team,
                                                     JobSpec.Priority.NORMAL,
-                                                    40 + cluster.clock.random.nextInt(150),
+                                                    40 + cluster.random().nextInt(150),
                                                     2 * variation,
-                                                    30 + cluster.clock.random.nextInt(100));
-            cluster.clock.schedule((long) (second * 1000), () -> cluster.submit(job));
+                                                    30 + cluster.random().nextInt(100));
+            cluster.submitAfter((long) (second * 1000), job);
         }
     }
 }
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -143,7 +143,7 @@
                                 return false;
                             }
                             long revision = cluster.store.revision();
-                            cluster.clock.schedule(
+                            cluster.after(
                                     60,
                                     () ->
                                             laterWrites[0] +=
@@ -162,10 +162,8 @@
                                 int writer =
                                         name.startsWith("worker-") && name.length() == 8
                                                 ? cluster.indexOfController(name)
-                                                : Math.max(0, CompoundFaults.leaderIndex(cluster));
-                                cluster.clock.schedule(
-                                        2,
-                                        () -> FaultInjector.crashController(cluster, writer, 400));
+                                                : Math.max(0, cluster.leaderIndex());
+                                cluster.faults.crashAfter(2, writer, 400);
                             }
                             return true;
                         };
@@ -176,38 +174,24 @@
                             i == 5
                                     ? JobFixtures.array(
                                             i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
-                                    : JobFixtures.randomJob(i, cluster.clock.random);
-                    cluster.clock.schedule(4_000 + i * 2_000L, () -> cluster.submit(job));
+                                    : JobFixtures.randomJob(i, cluster.random());
+                    cluster.submitAfter(4_000 + i * 2_000L, job);
                     if (job.isService() || i % 5 == 0) {
-                        cluster.clock.schedule(
-                                7_000 + i * 2_000L + (job.isService() ? 30_000 : 0),
-                                () -> cluster.cancel(job.jobId()));
+                        cluster.cancelAfter(
+                                7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), job.jobId());
                     }
                 }
-                cluster.clock.schedule(
-                        25_000,
-                        () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-                cluster.clock.schedule(
+                cluster.after(25_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+                cluster.after(
                         30_000,
                         () ->
-                                FaultInjector.crashController(
-                                        cluster,
-                                        (CompoundFaults.leaderIndex(cluster) + 1) % 3,
-                                        15_000));
-                cluster.clock.schedule(
-                        55_000,
-                        () ->
-                                FaultInjector.crashController(
-                                        cluster,
-                                        Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                        500));
-                cluster.clock.schedule(
-                        62_000,
-                        () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-                cluster.clock.schedule(
-                        100_000, () -> cluster.store.dropsResponse = transaction -> false);
+                                cluster.faults.crashController(
+                                        (cluster.leaderIndex() + 1) % 3, 15_000));
+                cluster.faults.crashLeaderAfter(55_000, 500);
+                cluster.after(62_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+                cluster.after(100_000, () -> cluster.store.dropsResponse = transaction -> false);
                 cluster.expectFaultsUntil(100_000);
-                cluster.clock.runUntil(500_000);
+                cluster.runUntil(500_000);
                 assertTrue(occurrences[0] > 0, kind + ": none came");
                 assertEquals(
                         Set.of(),
@@ -258,9 +242,9 @@
         SimulatedCluster cluster = clusterWithReadyMachines(60 + step * 3 + variant, 4, 24);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
-        cluster.clock.runUntil(9_000);
-        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
-        int thirdController = (CompoundFaults.leaderIndex(cluster) + 2) % 4;
+        cluster.runUntil(9_000);
+        int lostController = (cluster.leaderIndex() + 1) % 4;
+        int thirdController = (cluster.leaderIndex() + 2) % 4;
         for (int i = 1; i <= 30; i++) {
             JobSpec job =
                     JobFixtures.array(
@@ -270,9 +254,9 @@
                             1 + i % 3,
                             1,
                             i % 3 == 0 ? 8 : 60);
-            cluster.clock.schedule(i * 60L, () -> cluster.submit(job, lostController));
+            cluster.submitAfter(i * 60L, job, lostController);
         }
-        cluster.clock.runUntil(16_000);
+        cluster.runUntil(16_000);
         Set<String> newOwners = new TreeSet<>();
         List<String> movedJobs = new ArrayList<>();
         int[] reassignments = {0};
@@ -302,35 +286,31 @@
                                                             .toList()
                                                     : List.of(0, 1, 2, 3);
                     for (int i = 1; i <= 18; i++) {
-                        String id = String.format("wk-%06d", i);
+                        String id = JobFixtures.id(i);
                         for (int controller : cancellingControllers) {
                             // Some arrive before the change that is on its way here, some with it,
                             // some after.
-                            cluster.clock.schedule(
-                                    i % 3 * 4L, () -> cluster.cancel(id, controller));
+                            cluster.cancelAfter(i % 3 * 4L, id, controller);
                         }
                     }
                     if (variant == 1) {
-                        cluster.clock.schedule(
+                        cluster.after(
                                 3,
                                 () ->
                                         newOwners.forEach(
                                                 newOwner ->
-                                                        FaultInjector.crashController(
-                                                                cluster,
+                                                        cluster.faults.crashController(
                                                                 cluster.indexOfController(newOwner),
                                                                 5_000)));
                     } else if (variant == 2) {
                         // It is back at once, and its heir's work goes to it in turn.
-                        cluster.clock.schedule(
-                                5, () -> cluster.controllers.get(lostController).start());
-                        cluster.clock.schedule(
+                        cluster.after(5, () -> cluster.controllers.get(lostController).start());
+                        cluster.after(
                                 6_000,
                                 () ->
                                         newOwners.forEach(
                                                 newOwner ->
-                                                        FaultInjector.crashController(
-                                                                cluster,
+                                                        cluster.faults.crashController(
                                                                 cluster.indexOfController(newOwner),
                                                                 9_000)));
                     }
@@ -338,28 +318,28 @@
         cluster.users.consistencyProbes = true;
         cluster.expectFaultsUntil(80_000);
         cluster.controllers.get(lostController).kill();
-        cluster.clock.schedule(
+        cluster.after(
                 45_000,
                 () -> {
                     if (!cluster.controllers.get(lostController).isAlive()) {
                         cluster.controllers.get(lostController).start();
                     }
                 });
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTrue(
                 reassignments[0] > 0 && !movedJobs.isEmpty(),
                 context + ": nothing was handed over");
         if (reassignments[0] <= step) {
             // Fewer changes sufficed: the cancellations then come after the last of them.
             for (int i = 1; i <= 18; i++) {
-                cluster.cancel(String.format("wk-%06d", i));
+                cluster.cancel(JobFixtures.id(i));
             }
         }
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertEquals(Set.of(), cluster.violations(), context);
         assertAllJobsFinished(cluster, 30);
         for (int i = 1; i <= 18; i++) {
-            assertTrue(cluster.hasFinalStatus(String.format("wk-%06d", i)), context + ": wk " + i);
+            assertTrue(cluster.hasFinalStatus(JobFixtures.id(i)), context + ": wk " + i);
         }
     }
 
@@ -374,8 +354,8 @@
         SimulatedCluster cluster = clusterWithReadyMachines(70 + seed, 4, 24);
         cluster.submissionRetryMillis = 200_000;
         cluster.start();
-        cluster.clock.runUntil(9_000);
-        int lostController = (CompoundFaults.leaderIndex(cluster) + 1) % 4;
+        cluster.runUntil(9_000);
+        int lostController = (cluster.leaderIndex() + 1) % 4;
         for (int i = 1; i <= 40; i++) {
             JobSpec job =
                     JobFixtures.array(
@@ -385,9 +365,9 @@
                             1 + i % 3,
                             1,
                             i % 3 == 0 ? 9 : 60);
-            cluster.clock.schedule(i * 50L, () -> cluster.submit(job, lostController));
+            cluster.submitAfter(i * 50L, job, lostController);
         }
-        cluster.clock.runUntil(16_000);
+        cluster.runUntil(16_000);
         cluster.controllers.get(lostController).kill();
         cluster.store.maxExtraLatencyMillis = 900;
         int[] overtakenWrites = {0};
@@ -423,26 +403,26 @@
                                             ? operation.path("put").asText().substring(4)
                                             : "";
                             if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
-                                cluster.clock.schedule(
+                                cluster.after(
                                         1,
                                         () ->
                                                 cluster.cancel(
                                                         id,
                                                         (lostController
                                                                         + 2
-                                                                        + cluster.clock.random
+                                                                        + cluster.random()
                                                                                 .nextInt(2))
                                                                 % 4));
                             }
                         }
                     }
                 };
-        cluster.clock.schedule(25_000, () -> cluster.store.maxExtraLatencyMillis = 0);
-        cluster.clock.schedule(30_000, cluster.controllers.get(lostController)::start);
+        cluster.after(25_000, () -> cluster.store.maxExtraLatencyMillis = 0);
+        cluster.after(30_000, cluster.controllers.get(lostController)::start);
         cluster.expectFaultsUntil(50_000);
-        cluster.clock.runUntil(50_000);
+        cluster.runUntil(50_000);
         assertTrue(overtakenWrites[0] > 0, "no hand-over was overtaken");
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 40);
     }
 
@@ -468,20 +448,19 @@
                             1 + i % 5,
                             1,
                             10);
-            cluster.clock.schedule(5_000 + i * 1_500L, () -> cluster.submit(job));
+            cluster.submitAfter(5_000 + i * 1_500L, job);
         }
         for (int k = 1; k <= 3; k++) {
-            cluster.clock.schedule(
+            cluster.after(
                     k * 15_000L,
                     () ->
-                            FaultInjector.crashController(
-                                    cluster,
-                                    Math.max(0, CompoundFaults.leaderIndex(cluster)),
-                                    FaultInjector.quickRestartDelayMillis(cluster)));
+                            cluster.faults.crashController(
+                                    Math.max(0, cluster.leaderIndex()),
+                                    cluster.faults.quickRestartDelayMillis()));
         }
-        cluster.clock.schedule(60_000, () -> cluster.store.responseLossRate = 0);
+        cluster.after(60_000, () -> cluster.store.responseLossRate = 0);
         cluster.expectFaultsUntil(65_000);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertTrue(cluster.store.lostResponses > 60, "lost: " + cluster.store.lostResponses);
         assertAllJobsFinished(cluster, 24);
     }
--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -8,7 +8,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -60,12 +59,12 @@
             ObjectNode body,
             Map<String, ObjectNode> answers) {
         cluster.sendOperatorCommand(
-                cluster.clock.random.nextInt(cluster.controllers.size()),
+                cluster.random().nextInt(cluster.controllers.size()),
                 path,
                 body,
                 (status, response) -> {
                     if (status == 0 || status == 503 || status == 409) {
-                        cluster.clock.schedule(
+                        cluster.after(
                                 700, () -> commandUntilAnswered(cluster, path, body, answers));
                     } else {
                         answers.put(path, response);
@@ -99,25 +98,23 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)),
+                        List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 6)),
                         5);
-        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+        cluster.setTeam("red", 0, 400);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
         int id = 0;
         for (int second = 3; second < 230; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 10, 1, 12);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         id = 500;
         for (int second = 125; second < 190; second += 5) {
             JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 4, 1, 8);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         if (calendar) {
-            cluster.clock.schedule(
+            cluster.after(
                     8_000,
                     () ->
                             commandUntilAnswered(
@@ -134,7 +131,7 @@
         List<Long> result = new ArrayList<>();
         for (int id = 501; id <= 513; id++) {
             long startDelayMillis =
-                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
+                    cluster.serviceLevels().firstStartDelayMillis(JobFixtures.id(id));
             result.add(startDelayMillis < 0 ? Long.MAX_VALUE : startDelayMillis);
         }
         return result;
@@ -163,7 +160,7 @@
     @Test
     void forecastsWaitInOrderWithoutCalendar() {
         SimulatedCluster cluster = morningCluster(1, false);
-        cluster.clock.runUntil(220_000);
+        cluster.runUntil(220_000);
         assertTrue(
                 forecastWaitsMillis(cluster).stream()
                                 .filter(delayMillis -> delayMillis > 25_000)
@@ -193,22 +190,18 @@
     })
     void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
         SimulatedCluster cluster = morningCluster(atMillis + crashCount, true);
-        cluster.clock.schedule(
+        cluster.after(
                 atMillis,
                 () -> {
                     if (crashCount == 1) {
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                restartDelayMillis);
+                        cluster.faults.crashController(cluster.leaderIndex(), restartDelayMillis);
                     } else {
                         for (int i = 0; i < crashCount; i++) {
-                            FaultInjector.crashController(cluster, i, restartDelayMillis);
+                            cluster.faults.crashController(i, restartDelayMillis);
                         }
                     }
                 });
-        cluster.clock.runUntil(420_000);
+        cluster.runUntil(420_000);
         assertEquals(Set.of(), cluster.violations());
         List<Long> waitsMillis = forecastWaitsMillis(cluster);
         long limitMillis = 14_000 + (crashCount > 1 ? restartDelayMillis + 6_000 : 6_000);
@@ -223,9 +216,9 @@
     @CsvSource({"115000, 10000", "214000, 12000"})
     void storeOutageAtWindowEdgesKeepsTheLedger(long atMillis, long durationMillis) {
         SimulatedCluster cluster = morningCluster(atMillis, true);
-        cluster.clock.schedule(atMillis, () -> cluster.store.setDown(true));
-        cluster.clock.schedule(atMillis + durationMillis, () -> cluster.store.setDown(false));
-        cluster.clock.runUntil(420_000);
+        cluster.after(atMillis, () -> cluster.store.setDown(true));
+        cluster.after(atMillis + durationMillis, () -> cluster.store.setDown(false));
+        cluster.runUntil(420_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "published", 13);
     }
@@ -234,21 +227,10 @@
     @Test
     void lateOccurrenceStaysMissed() {
         SimulatedCluster cluster = morningCluster(3, true);
-        cluster.clock.schedule(
-                200_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(
-                                        600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120)));
-        cluster.clock.schedule(
-                260_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(600_000);
+        cluster.submitAfter(
+                200_000, JobFixtures.array(600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120));
+        cluster.after(260_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "missed", 14);
         assertTrue(
@@ -266,7 +248,7 @@
     @Test
     void openOccurrenceCanBeMovedAndSkipped() {
         SimulatedCluster cluster = morningCluster(4, true);
-        cluster.clock.schedule(
+        cluster.after(
                 150_000,
                 () ->
                         commandUntilAnswered(
@@ -279,9 +261,9 @@
                                                 + timeOfDay(300_000)
                                                 + "'}"),
                                 new HashMap<>()));
-        cluster.clock.runUntil(240_000);
+        cluster.runUntil(240_000);
         assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertLedgerRecord(cluster, "published", 13);
         assertEquals(
                 SimulatedClock.EPOCH_MILLIS + 300_000,
@@ -289,7 +271,7 @@
                 1_000);
 
         SimulatedCluster skipCluster = morningCluster(5, true);
-        skipCluster.clock.schedule(
+        skipCluster.after(
                 150_000,
                 () ->
                         commandUntilAnswered(
@@ -297,7 +279,7 @@
                                 "/ops/calendar/skip",
                                 json("{'change':'s1','name':'morning','date':'" + DATE + "'}"),
                                 new HashMap<>()));
-        skipCluster.clock.runUntil(300_000);
+        skipCluster.runUntil(300_000);
         assertEquals(
                 "skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
         assertEquals(Map.of("z/oe/morning/" + DATE, 1), skipCluster.store.ledgerWrites);
@@ -311,14 +293,10 @@
     void machinesAreProvisionedBeforeTheWindowOpens() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        6,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)),
-                        5);
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+                        6, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 40)), 5);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.after(
                 8_000,
                 () ->
                         commandUntilAnswered(
@@ -326,7 +304,7 @@
                                 "/ops/calendar/add",
                                 calendarEntry("first", 60_000, 40, "{'owner':'blue'}"),
                                 new HashMap<>()));
-        cluster.clock.schedule(
+        cluster.after(
                 9_000,
                 () -> {
                     ObjectNode memory = WireFormat.newMap().put("through", 0);
@@ -352,22 +330,15 @@
                             calendarEntry("later", 400_000, 150, "{'owner':'blue'}"),
                             new HashMap<>());
                 });
-        cluster.clock.schedule(
-                100_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(200_000);
+        cluster.after(100_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(200_000);
         assertEquals(0, cluster.cloud.machines.size());
-        cluster.clock.runUntil(249_000);
+        cluster.runUntil(249_000);
         assertTrue(
                 cluster.cloud.machines.values().stream().filter(worker -> worker.up).count() >= 10,
                 "up: " + cluster.cloud.machines.size());
         assertTrue(cluster.cloud.machines.size() <= 13, "up: " + cluster.cloud.machines.size());
-        cluster.clock.runUntil(480_000);
+        cluster.runUntil(480_000);
         assertEquals(0, cluster.cloud.machines.size());
     }
 
@@ -435,37 +406,26 @@
         Map<String, ObjectNode> answers = new HashMap<>();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
-        cluster.clock.schedule(
+        cluster.after(
                 100_000,
                 () -> {
-                    FaultInjector.crashController(
-                            cluster,
-                            cluster.indexOfController(
-                                    cluster.store.value("a/lead").path("m").asText()),
-                            2_000);
+                    cluster.faults.crashController(cluster.leaderIndex(), 2_000);
                     commandUntilAnswered(
                             cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
                 });
         for (long millis = 95_000; millis < 200_000; millis += 900) {
-            cluster.clock.schedule(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
+            cluster.after(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        cluster.clock.schedule(
+        cluster.after(
                 135_000,
                 () ->
                         commandUntilAnswered(
                                 cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(
-                150_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(160_000);
+        cluster.after(150_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(160_000);
         assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
         assertEquals(1, cluster.store.value("a/oc/head").path("last").asLong());
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(
                 forecastWaitsMillis(cluster).stream().allMatch(millis -> millis < 25_000),
@@ -482,12 +442,12 @@
     void unreadableClassesFallBackToLastGoodRevision() {
         SimulatedCluster cluster = morningCluster(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
-        cluster.clock.schedule(
+        cluster.after(
                 20_000,
                 () ->
                         commandUntilAnswered(
                                 cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(
+        cluster.after(
                 30_000,
                 () ->
                         commandUntilAnswered(
@@ -495,7 +455,7 @@
                                 "/ops/classes/apply",
                                 json("{'change':'c2','classes':[{'name':'other','rank':5}]}"),
                                 answers));
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
         ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
@@ -514,12 +474,12 @@
                 1_000,
                 (status, body, retryAfterSeconds) -> assertEquals(200, status));
         // Only those that start now read it anew.
-        cluster.clock.schedule(1_000, () -> FaultInjector.crashController(cluster, 3, 100));
-        cluster.clock.runUntil(60_000);
+        cluster.faults.crashAfter(1_000, 3, 100);
+        cluster.runUntil(60_000);
         JsonNode head = cluster.store.value("a/oc/head");
         assertEquals(1, head.path("rules").asLong(), "" + head);
         assertEquals(2, head.path("refused").asLong(), "" + head);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
@@ -529,15 +489,11 @@
     void topRankedClassStarvesNobody() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        31,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)),
-                        5);
-        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+                        31, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 5)), 5);
+        cluster.setTeam("red", 0, 400);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.after(
                 6_000,
                 () ->
                         commandUntilAnswered(
@@ -549,16 +505,16 @@
         int id = 0;
         for (int second = 10; second < 400; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 8, 1, 10);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         for (int second = 20; second < 160; second += 20) {
             JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 6, 1, 10);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
-        cluster.clock.runUntil(401_000);
+        cluster.runUntil(401_000);
         for (int i = id; i > id - 7; i--) {
             long startDelayMillis =
-                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", i));
+                    cluster.serviceLevels().firstStartDelayMillis(JobFixtures.id(i));
             assertTrue(
                     startDelayMillis >= 0 && startDelayMillis < 240_000,
                     i + " began after " + startDelayMillis);
@@ -569,7 +525,7 @@
     @Test
     void nothingIsWrittenWithoutRecords() {
         SimulatedCluster cluster = morningCluster(41, false);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertTrue(
                 cluster.store.keys().stream()
                         .noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")),
@@ -584,7 +540,7 @@
     @Test
     void refusedCommandsAndDryRunsChangeNothing() {
         SimulatedCluster cluster = morningCluster(51, false);
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         Map<String, Integer> statuses = new HashMap<>();
         Map<String, ObjectNode> responses = new HashMap<>();
         Map<String, String> commands =
@@ -615,7 +571,7 @@
                 "/ops/classes/apply",
                 dryRun,
                 (responseStatus, response) -> responses.put("dry", response));
-        cluster.clock.runUntil(41_000);
+        cluster.runUntil(41_000);
         assertEquals(
                 Map.of(
                         "/ops/classes/apply",
@@ -656,16 +612,7 @@
                 new SimulatedCluster(
                         seed,
                         List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        5,
-                                        List.of("a", "b", "c"),
-                                        12),
+                                SimulatedCloud.MachineType.small(5, List.of("a", "b", "c"), 12),
                                 new SimulatedCloud.MachineType(
                                         "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)),
                         5);
@@ -675,16 +622,13 @@
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
-            long atMillis = 3_000 + cluster.clock.random.nextLong(120_000);
-            cluster.clock.schedule(atMillis, () -> cluster.submit(job));
-            if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
-                cluster.clock.schedule(
-                        atMillis
-                                + (job.isService()
-                                        ? 40_000
-                                        : cluster.clock.random.nextLong(30_000)),
-                        () -> cluster.cancel(job.jobId()));
+            JobSpec job = JobFixtures.randomJob(i, cluster.random());
+            long atMillis = 3_000 + cluster.random().nextLong(120_000);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(6) == 0) {
+                cluster.cancelAfter(
+                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
+                        job.jobId());
             }
         }
         int entryCount = 3;
@@ -693,13 +637,13 @@
             ObjectNode addCommand =
                     calendarEntry(
                             name,
-                            70_000 + cluster.clock.random.nextLong(120_000),
-                            20 + cluster.clock.random.nextInt(60),
-                            cluster.clock.random.nextBoolean()
+                            70_000 + cluster.random().nextLong(120_000),
+                            20 + cluster.random().nextInt(60),
+                            cluster.random().nextBoolean()
                                     ? "{'owner':'red'}"
                                     : "{'urgency':'normal'},{'mode':'ensemble'}");
-            cluster.clock.schedule(
-                    5_000 + cluster.clock.random.nextLong(15_000),
+            cluster.after(
+                    5_000 + cluster.random().nextLong(15_000),
                     () ->
                             commandUntilAnswered(
                                     cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
@@ -710,50 +654,47 @@
                             "{'change':'c"
                                     + i
                                     + "','classes':[{'name':'one','rank':"
-                                    + cluster.clock.random.nextInt(1000)
+                                    + cluster.random().nextInt(1000)
                                     + ",'match':{'owner':'"
-                                    + (cluster.clock.random.nextBoolean() ? "red" : "blue")
+                                    + (cluster.random().nextBoolean() ? "red" : "blue")
                                     + "'}},"
                                     + "{'name':'two','rank':"
-                                    + cluster.clock.random.nextInt(1000)
+                                    + cluster.random().nextInt(1000)
                                     + ",'match':{'urgency':'"
-                                    + (cluster.clock.random.nextBoolean()
-                                            ? "normal"
-                                            : "best_effort")
+                                    + (cluster.random().nextBoolean() ? "normal" : "best_effort")
                                     + "'},'keep':'"
                                     + List.of("protocol", "urgent", "never")
-                                            .get(cluster.clock.random.nextInt(3))
+                                            .get(cluster.random().nextInt(3))
                                     + "'}]}");
-            cluster.clock.schedule(
-                    10_000 + cluster.clock.random.nextLong(150_000),
+            cluster.after(
+                    10_000 + cluster.random().nextLong(150_000),
                     () ->
                             commandUntilAnswered(
                                     cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
         }
         for (int i = 0; i < 8; i++) {
-            boolean quick = cluster.clock.random.nextBoolean();
-            cluster.clock.schedule(
-                    8_000 + cluster.clock.random.nextLong(170_000),
+            boolean quick = cluster.random().nextBoolean();
+            cluster.after(
+                    8_000 + cluster.random().nextLong(170_000),
                     () -> {
                         if (quick) {
-                            FaultInjector.injectRandomQuickRestart(cluster);
+                            cluster.faults.injectRandomQuickRestart();
                         } else {
-                            FaultInjector.injectRandomFault(cluster);
+                            cluster.faults.injectRandomFault();
                         }
                     });
         }
         for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
-            cluster.clock.schedule(
-                    checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
+            cluster.after(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
-        cluster.clock.schedule(
+        cluster.after(
                 200_000,
                 () -> {
                     cluster.network.responseLossRate = 0;
                     cluster.network.duplicationRate = 0;
                 });
         cluster.expectFaultsUntil(385_000);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
