--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -6,7 +6,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,19 +24,15 @@
     private static void submitRandomJobs(
             SimulatedCluster cluster, int jobCount, long intervalMillis) {
         for (int i = 1; i <= jobCount; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
-            long atMillis = 3_000 + cluster.clock.random.nextLong(jobCount * intervalMillis);
-            cluster.clock.schedule(atMillis, () -> cluster.submit(job));
-            if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
-                cluster.clock.schedule(
-                        atMillis
-                                + (job.isService()
-                                        ? 40_000
-                                        : cluster.clock.random.nextLong(30_000)),
-                        () -> cluster.cancel(job.jobId()));
+            JobSpec job = JobFixtures.randomJob(i, cluster.random());
+            long atMillis = 3_000 + cluster.random().nextLong(jobCount * intervalMillis);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(6) == 0) {
+                cluster.cancelAfter(
+                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
+                        job.jobId());
             }
-            cluster.clock.schedule(
-                    atMillis + 500, () -> cluster.query("wk-9" + job.jobId().substring(3)));
+            cluster.queryAfter(atMillis + 500, "wk-9" + job.jobId().substring(3));
         }
     }
 
@@ -56,7 +51,7 @@
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.start();
         submitRandomJobs(cluster, 40, 2_000);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 40);
         assertTrue(cluster.store.largestValue < 8 * 1024);
         assertTrue(
@@ -90,13 +85,13 @@
         cluster.start();
         submitRandomJobs(cluster, 40, 3_000);
         for (int i = 0; i < 14; i++) {
-            cluster.clock.schedule(
-                    8_000 + cluster.clock.random.nextLong(150_000),
-                    () -> FaultInjector.injectRandomFault(cluster));
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomFault());
         }
-        cluster.clock.schedule(200_000, () -> cluster.network.responseLossRate = 0);
+        cluster.after(200_000, () -> cluster.network.responseLossRate = 0);
         cluster.expectFaultsUntil(200_000);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
     }
 
     /**
@@ -118,23 +113,23 @@
         cluster.start();
         submitRandomJobs(cluster, 40, 3_000);
         for (int i = 0; i < 12; i++) {
-            cluster.clock.schedule(
-                    8_000 + cluster.clock.random.nextLong(150_000),
-                    () -> FaultInjector.injectRandomQuickRestart(cluster));
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomQuickRestart());
         }
         for (int i = 0; i < 4; i++) {
-            cluster.clock.schedule(
-                    8_000 + cluster.clock.random.nextLong(150_000),
-                    () -> FaultInjector.injectRandomFault(cluster));
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomFault());
         }
-        cluster.clock.schedule(
+        cluster.after(
                 200_000,
                 () -> {
                     cluster.network.responseLossRate = 0;
                     cluster.network.duplicationRate = 0;
                 });
         cluster.expectFaultsUntil(380_000);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
     }
 
     /**
@@ -157,21 +152,12 @@
                 new SimulatedCluster(
                         seed,
                         List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        6,
-                                        List.of("a", "b", "c"),
-                                        60),
+                                SimulatedCloud.MachineType.small(6, List.of("a", "b", "c"), 60),
                                 new SimulatedCloud.MachineType(
                                         "gpu", 16, 4, 64, 5, 2, 8, List.of("a", "c"), 14)));
         cluster.workerLeaseMillis = 24_000;
-        cluster.teams.put("red", new Settings.Team("red", 150, 260, 16, 32));
-        cluster.teams.put("blue", new Settings.Team("blue", 90, 150, 8, 16));
+        cluster.setTeam("red", 150, 260, 16, 32);
+        cluster.setTeam("blue", 90, 150, 8, 16);
         for (String zone : List.of("a", "b", "c")) {
             cluster.cloud.addRunningMachines("small", zone, 9);
         }
@@ -179,7 +165,7 @@
         cluster.cloud.addRunningMachines("gpu", "c", 4);
         cluster.start();
         for (int i = 1; i <= 66; i++) {
-            String team = cluster.clock.random.nextInt(3) == 0 ? "blue" : "red";
+            String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
             JobSpec job =
                     switch (i % 3) {
                         case 0 ->
@@ -188,7 +174,7 @@
                                         team,
                                         JobSpec.Mode.STANDING,
                                         JobSpec.Priority.PRODUCTION,
-                                        List.of(3, 5, 8).get(cluster.clock.random.nextInt(3)),
+                                        List.of(3, 5, 8).get(cluster.random().nextInt(3)),
                                         1,
                                         0,
                                         0,
@@ -204,85 +190,76 @@
                                         team,
                                         JobSpec.Mode.ENSEMBLE,
                                         JobSpec.Priority.HIGH,
-                                        List.of(1, 2, 4).get(cluster.clock.random.nextInt(3)),
+                                        List.of(1, 2, 4).get(cluster.random().nextInt(3)),
                                         14,
                                         4,
-                                        5 + cluster.clock.random.nextInt(30),
+                                        5 + cluster.random().nextInt(30),
                                         null,
                                         null,
                                         true,
                                         false,
                                         false,
-                                        cluster.clock.random.nextBoolean() ? 10 : 0);
+                                        cluster.random().nextBoolean() ? 10 : 0);
                         default ->
                                 JobFixtures.array(
                                         i,
                                         team,
                                         JobSpec.Priority.BEST_EFFORT,
-                                        10 + cluster.clock.random.nextInt(240),
+                                        10 + cluster.random().nextInt(240),
                                         1,
-                                        5 + cluster.clock.random.nextInt(25));
+                                        5 + cluster.random().nextInt(25));
                     };
-            long atMillis = 2_000 + cluster.clock.random.nextLong(i < 25 ? 6_000 : 130_000);
-            cluster.clock.schedule(atMillis, () -> cluster.submit(job));
-            if (job.isService() || cluster.clock.random.nextInt(12) == 0) {
-                cluster.clock.schedule(
-                        atMillis + 5_000 + cluster.clock.random.nextLong(150_000),
-                        () -> cluster.cancel(job.jobId()));
+            long atMillis = 2_000 + cluster.random().nextLong(i < 25 ? 6_000 : 130_000);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(12) == 0) {
+                cluster.cancelAfter(
+                        atMillis + 5_000 + cluster.random().nextLong(150_000), job.jobId());
             }
         }
         for (int i = 0; i < 2; i++) {
-            int controller = cluster.clock.random.nextInt(3);
-            String zone = List.of("a", "b", "c").get(cluster.clock.random.nextInt(3));
-            cluster.clock.schedule(
-                    15_000 + 70_000L * i + cluster.clock.random.nextLong(30_000),
+            int controller = cluster.random().nextInt(3);
+            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
+            cluster.after(
+                    15_000 + 70_000L * i + cluster.random().nextLong(30_000),
                     () ->
-                            FaultInjector.partitionZone(
-                                    cluster,
-                                    zone,
-                                    controller,
-                                    20_000 + cluster.clock.random.nextLong(40_000)));
+                            cluster.faults.partitionZone(
+                                    zone, controller, 20_000 + cluster.random().nextLong(40_000)));
         }
         for (int i = 0; i < 8; i++) {
-            cluster.clock.schedule(
-                    12_000 + cluster.clock.random.nextLong(140_000),
-                    () -> FaultInjector.injectRandomFault(cluster));
+            cluster.after(
+                    12_000 + cluster.random().nextLong(140_000),
+                    () -> cluster.faults.injectRandomFault());
         }
-        cluster.clock.runUntil(900_000);
+        cluster.runUntil(900_000);
         return cluster;
     }
 
     private static SimulatedCluster clusterWithService(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 60)));
+                        seed, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 60)));
         cluster.workerLeaseMillis = 24_000;
-        cluster.teams.put("red", new Settings.Team("red", 400, 400, 0, 0));
+        cluster.setTeam("red", 400, 400);
         cluster.cloud.addRunningMachines("small", "a", 12);
         cluster.cloud.addRunningMachines("small", "b", 12);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.submitAfter(
                 8_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.job(
-                                        1,
-                                        "red",
-                                        JobSpec.Mode.STANDING,
-                                        JobSpec.Priority.PRODUCTION,
-                                        60,
-                                        1,
-                                        0,
-                                        0,
-                                        null,
-                                        null,
-                                        false,
-                                        true,
-                                        false,
-                                        0)));
+                JobFixtures.job(
+                        1,
+                        "red",
+                        JobSpec.Mode.STANDING,
+                        JobSpec.Priority.PRODUCTION,
+                        60,
+                        1,
+                        0,
+                        0,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0));
         return cluster;
     }
 
@@ -294,8 +271,8 @@
     @ValueSource(longs = {36, 37, 38})
     void servicesInPartitionedZoneKeepRunning(long seed) {
         SimulatedCluster cluster = clusterWithService(seed);
-        cluster.clock.schedule(20_000, () -> FaultInjector.partitionZone(cluster, "a", 0, 40_000));
-        cluster.clock.runUntil(120_000);
+        cluster.after(20_000, () -> cluster.faults.partitionZone("a", 0, 40_000));
+        cluster.runUntil(120_000);
         assertNoViolations(cluster);
         assertTrue(cluster.taskStarts.get("wk-000001") <= 63, "starts: " + cluster.taskStarts);
     }
@@ -307,17 +284,17 @@
     @Test
     void cancellationIsConfirmedOnlyAfterTasksAreGone() {
         SimulatedCluster cluster = clusterWithService(39);
-        cluster.clock.schedule(
+        cluster.after(
                 20_000,
                 () -> {
                     cluster.cloud.down = true;
-                    FaultInjector.partitionZone(cluster, "a", 0, 80_000);
+                    cluster.faults.partitionZone("a", 0, 80_000);
                 });
-        cluster.clock.schedule(25_000, () -> cluster.cancel("wk-000001"));
-        cluster.clock.schedule(110_000, () -> cluster.cloud.down = false);
-        cluster.clock.runUntil(95_000);
+        cluster.cancelAfter(25_000, "wk-000001");
+        cluster.after(110_000, () -> cluster.cloud.down = false);
+        cluster.runUntil(95_000);
         assertTrue(!cluster.wasToldFinalStatus("wk-000001", "cancelled"));
-        cluster.clock.runUntil(130_000);
+        cluster.runUntil(130_000);
         assertNoViolations(cluster);
         assertTrue(cluster.wasToldFinalStatus("wk-000001", "cancelled"));
     }
@@ -326,14 +303,9 @@
     void tasksOfDeadMachineRestartElsewhereAfterItsRelease() {
         SimulatedCluster cluster = new SimulatedCluster(3);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 30)));
-        cluster.clock.schedule(
-                25_000, () -> FaultInjector.onRandomMachine(cluster, SimulatedWorker::crash));
-        cluster.clock.runUntil(200_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 30));
+        cluster.after(25_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+        cluster.runUntil(200_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -341,21 +313,16 @@
     void resumedMachineNeverRunsTasksStartedElsewhere() {
         SimulatedCluster cluster = new SimulatedCluster(4);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 40)));
-        cluster.clock.schedule(
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 40));
+        cluster.after(
                 20_000,
                 () ->
-                        FaultInjector.onRandomMachine(
-                                cluster,
+                        cluster.faults.onRandomMachine(
                                 worker -> {
                                     worker.setHung(true);
-                                    cluster.clock.schedule(9_000, () -> worker.setHung(false));
+                                    cluster.after(9_000, () -> worker.setHung(false));
                                 }));
-        cluster.clock.runUntil(250_000);
+        cluster.runUntil(250_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -363,16 +330,10 @@
     void cancelledJobOnHungMachineEndsInTime() {
         SimulatedCluster cluster = new SimulatedCluster(5);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 8, 2, 300)));
-        cluster.clock.schedule(
-                25_000,
-                () -> FaultInjector.onRandomMachine(cluster, worker -> worker.setHung(true)));
-        cluster.clock.schedule(26_000, () -> cluster.cancel("wk-000001"));
-        cluster.clock.runUntil(200_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 8, 2, 300));
+        cluster.after(25_000, () -> cluster.faults.onRandomMachine(worker -> worker.setHung(true)));
+        cluster.cancelAfter(26_000, "wk-000001");
+        cluster.runUntil(200_000);
         assertNoViolations(cluster);
         assertTrue(cluster.wasToldFinalStatus("wk-000001", "cancelled"));
     }
@@ -381,25 +342,14 @@
     void higherPriorityPreemptsLowerPriority() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        6,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+                        6, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(
-                                        1, "red", JobSpec.Priority.BEST_EFFORT, 12, 2, 300)));
-        cluster.clock.schedule(
-                40_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 6, 2, 10)));
-        cluster.clock.runUntil(90_000);
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 12, 2, 300));
+        cluster.submitAfter(40_000, JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 6, 2, 10));
+        cluster.runUntil(90_000);
         assertTrue(cluster.wasToldFinalStatus("wk-000002", "done"));
-        cluster.clock.runUntil(1_500_000);
+        cluster.runUntil(1_500_000);
         assertAllJobsFinished(cluster, 2);
     }
 
@@ -411,23 +361,12 @@
     void quotaGuaranteesDoNotCausePreemptionLoops() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        10,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+                        10, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 30, 2, 40)));
-        cluster.clock.schedule(
-                30_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(
-                                        2, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 40)));
-        cluster.clock.runUntil(500_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 30, 2, 40));
+        cluster.submitAfter(
+                30_000, JobFixtures.array(2, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 40));
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 2);
         assertTrue(
                 cluster.taskStarts.get("wk-000001") + cluster.taskStarts.get("wk-000002") < 45,
@@ -444,12 +383,9 @@
     void burstsOfUrgentJobsStarveNoClass(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 3)));
-        cluster.teams.put("red", new Settings.Team("red", 12, 40, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 12, 24, 0, 0));
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 3)));
+        cluster.setTeam("red", 12, 40);
+        cluster.setTeam("blue", 12, 24);
         cluster.start();
         Map<JobSpec.Priority, List<String>> submittedIds = new TreeMap<>();
         int id = 0;
@@ -461,9 +397,9 @@
                                 ++id,
                                 "red",
                                 JobSpec.Priority.NORMAL,
-                                6 + cluster.clock.random.nextInt(4),
+                                6 + cluster.random().nextInt(4),
                                 2,
-                                8 + cluster.clock.random.nextInt(4)));
+                                8 + cluster.random().nextInt(4)));
             }
             if (second % 60 < 20 && second % 4 == 0) {
                 arrivals.add(
@@ -471,7 +407,7 @@
                                 ++id,
                                 "red",
                                 JobSpec.Priority.HIGH,
-                                3 + cluster.clock.random.nextInt(3),
+                                3 + cluster.random().nextInt(3),
                                 2,
                                 5));
             }
@@ -483,10 +419,10 @@
                 submittedIds
                         .computeIfAbsent(job.priority(), key -> new ArrayList<>())
                         .add(job.jobId());
-                cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+                cluster.submitAfter(second * 1000L, job);
             }
         }
-        cluster.clock.runUntil(280_000);
+        cluster.runUntil(280_000);
         Map<JobSpec.Priority, Double> servedShares = new TreeMap<>();
         submittedIds.forEach(
                 (priority, ids) ->
@@ -499,7 +435,7 @@
         assertTrue(
                 servedShares.values().stream().allMatch(share -> share >= 0.5),
                 "served: " + servedShares);
-        cluster.clock.runUntil(900_000);
+        cluster.runUntil(900_000);
         assertAllJobsFinished(cluster, id);
     }
 
@@ -513,12 +449,9 @@
     void largestJobsStartUnderContinuousSmallArrivals(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)));
-        cluster.teams.put("red", new Settings.Team("red", 8, 200, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 4, 60, 0, 0));
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 6)));
+        cluster.setTeam("red", 8, 200);
+        cluster.setTeam("blue", 4, 60);
         cluster.start();
         int id = 0;
         for (int second = 3; second < 420; second += 2) {
@@ -527,16 +460,16 @@
                             ++id,
                             "red",
                             JobSpec.Priority.NORMAL,
-                            10 + cluster.clock.random.nextInt(6),
+                            10 + cluster.random().nextInt(6),
                             1,
-                            10 + cluster.clock.random.nextInt(6));
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+                            10 + cluster.random().nextInt(6));
+            cluster.submitAfter(second * 1000L, job);
         }
         List<String> largeJobIds = new ArrayList<>();
         for (JobSpec.Priority priority : JobSpec.Priority.values()) {
             JobSpec job = JobFixtures.array(++id, "blue", priority, 8, 4, 20);
             largeJobIds.add(job.jobId());
-            cluster.clock.schedule(60_000, () -> cluster.submit(job));
+            cluster.submitAfter(60_000, job);
         }
         JobSpec gang =
                 JobFixtures.job(
@@ -555,8 +488,8 @@
                         true,
                         0);
         largeJobIds.add(gang.jobId());
-        cluster.clock.schedule(60_000, () -> cluster.submit(gang));
-        cluster.clock.runUntil(420_000);
+        cluster.submitAfter(60_000, gang);
+        cluster.runUntil(420_000);
         assertNoViolations(cluster);
         for (String jobId : largeJobIds) {
             long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(jobId);
@@ -578,11 +511,11 @@
     @Test
     void zoneSpreadServicesGetMachinesInSeveralZones() {
         SimulatedCluster cluster = clusterWithThreeZones(81);
-        cluster.clock.runUntil(80_000);
+        cluster.runUntil(80_000);
         assertNoViolations(cluster);
         int replicas = 0;
         for (int i = 1; i <= 12; i++) {
-            replicas += cluster.taskStarts.getOrDefault(String.format("wk-%06d", i), 0);
+            replicas += cluster.taskStarts.getOrDefault(JobFixtures.id(i), 0);
         }
         assertEquals(72, replicas);
         Map<String, Long> byZone =
@@ -607,22 +540,12 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        12,
-                                        List.of("a", "b", "c"),
-                                        300)),
+                        List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b", "c"), 300)),
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
-        cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
+        cluster.setTeam("red", 400, 1_200);
+        cluster.setTeam("blue", 100, 600);
         cluster.start();
         for (int i = 1; i <= 12; i++) {
             JobSpec job =
@@ -641,11 +564,11 @@
                             i % 2 == 0,
                             false,
                             0);
-            cluster.clock.schedule(3_000, () -> cluster.submit(job));
+            cluster.submitAfter(3_000, job);
         }
         for (int i = 13; i < 60; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.clock.schedule(4_000 + (i - 13) * 3_500L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + (i - 13) * 3_500L, job);
         }
         return cluster;
     }
@@ -669,20 +592,19 @@
         SimulatedCluster cluster = new SimulatedCluster(91);
         cluster.start();
         submitRandomJobs(cluster, 20, 2_000);
-        cluster.clock.runUntil(10_000);
+        cluster.runUntil(10_000);
         ObjectNode[] delayed = {null};
         cluster.store.dropsTransaction =
                 transaction -> {
                     if (delayed[0] == null && puts(transaction, "a/n/worker-1")) {
                         delayed[0] = transaction;
-                        cluster.clock.schedule(
-                                0, () -> FaultInjector.crashController(cluster, 1, 100));
+                        cluster.faults.crashAfter(0, 1, 100);
                         return true;
                     }
                     return false;
                 };
-        FaultInjector.crashController(cluster, 1, 100);
-        cluster.clock.runUntil(12_500);
+        cluster.faults.crashController(1, 100);
+        cluster.runUntil(12_500);
         long successorLeaseId = cluster.store.value("a/n/worker-1").path("g").asLong();
         cluster.network.call(
                 "10.0.0.2:0",
@@ -692,9 +614,9 @@
                 WireFormat.CBOR.encode(delayed[0]),
                 1_000,
                 (status, body, retryAfterSeconds) -> {});
-        cluster.clock.runUntil(30_000);
+        cluster.runUntil(30_000);
         assertEquals(successorLeaseId, cluster.store.value("a/n/worker-1").path("g").asLong());
-        cluster.clock.runUntil(300_000);
+        cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 20);
     }
 
@@ -713,12 +635,8 @@
                         requests.add(transaction);
                     }
                 };
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10)));
-        cluster.clock.runUntil(60_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10));
+        cluster.runUntil(60_000);
         assertTrue(!requests.isEmpty());
         cluster.store.arrivalObserver = transaction -> {};
         for (ObjectNode transaction : List.copyOf(requests)) {
@@ -731,11 +649,11 @@
                     1_000,
                     (status, body, retryAfterSeconds) -> assertEquals(409, status));
         }
-        cluster.clock.runUntil(61_000);
+        cluster.runUntil(61_000);
         assertTrue(
                 cluster.store.keys().stream().noneMatch(key -> key.startsWith("a/r/")),
                 "" + cluster.store.keys());
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -747,29 +665,22 @@
     void quickControllerRestartMovesNoTask() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        93,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 40)));
-        cluster.teams.put("red", new Settings.Team("red", 320, 320, 0, 0));
+                        93, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 40)));
+        cluster.setTeam("red", 320, 320);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 100, 2, 200)));
-        cluster.clock.runUntil(60_000);
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 100, 2, 200));
+        cluster.runUntil(60_000);
         long initialToken = cluster.store.value("a/term").path("n").asLong();
         for (int i = 0; i < 5; i++) {
-            cluster.clock.schedule(
-                    i * 2_000L, () -> FaultInjector.crashController(cluster, 1, 100));
+            cluster.faults.crashAfter(i * 2_000L, 1, 100);
         }
-        cluster.clock.runUntil(90_000);
+        cluster.runUntil(90_000);
         assertEquals(100, cluster.taskStarts.get("wk-000001"));
         assertTrue(
                 cluster.store.value("a/term").path("n").asLong() - initialToken < 30,
                 "terms: " + (cluster.store.value("a/term").path("n").asLong() - initialToken));
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -782,13 +693,13 @@
         cluster.start();
         for (int i = 1; i <= 10; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 2, 1, 2 + i % 5);
-            cluster.clock.schedule(3_000, () -> cluster.submit(job));
+            cluster.submitAfter(3_000, job);
         }
         for (long atMillis = 4_000; atMillis < 60_000; atMillis += 7) {
             int i = (int) (atMillis / 7 % 10) + 1;
-            cluster.clock.schedule(atMillis, () -> cluster.query(String.format("wk-%06d", i)));
+            cluster.queryAfter(atMillis, JobFixtures.id(i));
         }
-        cluster.clock.runUntil(120_000);
+        cluster.runUntil(120_000);
         assertAllJobsFinished(cluster, 10);
     }
 
@@ -798,15 +709,13 @@
         cluster.start();
         for (int i = 1; i <= 12; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.NORMAL, 8, 2, 12);
-            cluster.clock.schedule(3_000 + i * 700L, () -> cluster.submit(job));
+            cluster.submitAfter(3_000 + i * 700L, job);
         }
         for (int i = 0; i < 6; i++) {
             int controller = i % 3;
-            cluster.clock.schedule(
-                    15_000 + i * 12_000L,
-                    () -> FaultInjector.crashController(cluster, controller, 3_000));
+            cluster.faults.crashAfter(15_000 + i * 12_000L, controller, 3_000);
         }
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 12);
     }
 
@@ -814,14 +723,11 @@
     void largeJobIsSplitOverManyRecords() {
         SimulatedCluster cluster = new SimulatedCluster(8);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1_500, 1, 2)));
-        cluster.clock.runUntil(900_000);
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1_500, 1, 2));
+        cluster.runUntil(900_000);
         assertAllJobsFinished(cluster, 1);
-        cluster.clock.runUntil(920_000);
+        cluster.runUntil(920_000);
         for (String key : cluster.store.keys()) {
             assertTrue(!key.startsWith("a/t/") && !key.startsWith("a/j/"), "left behind: " + key);
         }
@@ -836,12 +742,9 @@
     void largeClusterKeepsInvariantsWhileControllersFail() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        31,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 260)));
-        cluster.teams.put("red", new Settings.Team("red", 600, 1_200, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 400, 900, 0, 0));
+                        31, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 260)));
+        cluster.setTeam("red", 600, 1_200);
+        cluster.setTeam("blue", 400, 900);
         cluster.start();
         for (int i = 1; i <= 70; i++) {
             JobSpec job =
@@ -852,24 +755,24 @@
                             20 + 7 * (i % 9),
                             2,
                             20 + i % 25);
-            cluster.clock.schedule(3_000 + i * 1_500L, () -> cluster.submit(job));
+            cluster.submitAfter(3_000 + i * 1_500L, job);
         }
         int[] maxMachines = {0};
         for (int second = 10; second < 200; second += 5) {
-            cluster.clock.schedule(
+            cluster.after(
                     second * 1000L,
                     () -> maxMachines[0] = Math.max(maxMachines[0], cluster.cloud.machines.size()));
         }
-        cluster.clock.schedule(40_000, () -> FaultInjector.crashController(cluster, 0, 3_000));
-        cluster.clock.schedule(
+        cluster.faults.crashAfter(40_000, 0, 3_000);
+        cluster.after(
                 60_000,
                 () -> {
-                    FaultInjector.crashController(cluster, 1, 12_000);
-                    FaultInjector.crashController(cluster, 2, 12_000);
+                    cluster.faults.crashController(1, 12_000);
+                    cluster.faults.crashController(2, 12_000);
                 });
-        cluster.clock.schedule(90_000, () -> cluster.store.setDown(true));
-        cluster.clock.schedule(100_000, () -> cluster.store.setDown(false));
-        cluster.clock.runUntil(500_000);
+        cluster.after(90_000, () -> cluster.store.setDown(true));
+        cluster.after(100_000, () -> cluster.store.setDown(false));
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 70);
         assertTrue(maxMachines[0] >= 200, "machines: " + maxMachines[0]);
         assertTrue(
@@ -885,30 +788,20 @@
     void schedulingCycleToleratesAdvancingClock() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        34,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 60)));
+                        34, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 60)));
         cluster.clock.computationTakesTime = true;
-        cluster.teams.put("red", new Settings.Team("red", 480, 480, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 480, 480, 0, 0));
+        cluster.setTeam("red", 480, 480);
+        cluster.setTeam("blue", 480, 480);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(
-                                        1, "red", JobSpec.Priority.BEST_EFFORT, 300, 1, 90)));
-        cluster.clock.schedule(
-                8_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 180, 1, 120)));
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 300, 1, 90));
+        cluster.submitAfter(
+                8_000, JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 180, 1, 120));
         for (int i = 3; i < 40; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 10, 1, 15);
-            cluster.clock.schedule(20_000 + i * 900L, () -> cluster.submit(job));
+            cluster.submitAfter(20_000 + i * 900L, job);
         }
-        cluster.clock.runUntil(700_000);
+        cluster.runUntil(700_000);
         assertAllJobsFinished(cluster, 39);
     }
 
@@ -920,21 +813,18 @@
     void bootingMachineGetsNoTasksAndIsNotDeclaredLost() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        32,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 30, List.of("a"), 30)));
-        cluster.teams.put("red", new Settings.Team("red", 100, 240, 0, 0));
+                        32, List.of(SimulatedCloud.MachineType.small(30, List.of("a"), 30)));
+        cluster.setTeam("red", 100, 240);
         cluster.start();
         for (int i = 1; i <= 6; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 20, 2, 40);
-            cluster.clock.schedule(3_000 + i * 3_000L, () -> cluster.submit(job));
+            cluster.submitAfter(3_000 + i * 3_000L, job);
         }
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         assertTrue(
                 cluster.cloud.rentedMachineCount() <= 30,
                 "rented: " + cluster.cloud.rentedMachineCount());
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 6);
     }
 
@@ -946,28 +836,19 @@
     void tasksOfControllerPartitionedFromStoreKeepRunning() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        33,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 12)));
-        cluster.teams.put("red", new Settings.Team("red", 96, 96, 0, 0));
+                        33, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 12)));
+        cluster.setTeam("red", 96, 96);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 40, 2, 120)));
-        cluster.clock.schedule(
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 40, 2, 120));
+        cluster.after(
                 45_000,
                 () ->
-                        FaultInjector.partition(
-                                cluster,
-                                cluster.controllers.get(1).ip,
-                                List.of("10.2.0.1"),
-                                30_000));
-        cluster.clock.runUntil(100_000);
+                        cluster.faults.partition(
+                                cluster.controllers.get(1).ip, List.of("10.2.0.1"), 30_000));
+        cluster.runUntil(100_000);
         assertTrue(cluster.taskStarts.get("wk-000001") <= 48, "starts: " + cluster.taskStarts);
-        cluster.clock.runUntil(500_000);
+        cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -979,34 +860,29 @@
     void runningClusterIsRegisteredWithFewRecords() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        35,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 300)));
-        cluster.teams.put("red", new Settings.Team("red", 900, 900, 0, 0));
+                        35, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 300)));
+        cluster.setTeam("red", 900, 900);
         cluster.cloud.addRunningMachines("small", "a", 80);
         cluster.cloud.addRunningMachines("small", "b", 70);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.submitAfter(
                 2_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.job(
-                                        1,
-                                        "red",
-                                        JobSpec.Mode.STANDING,
-                                        JobSpec.Priority.PRODUCTION,
-                                        800,
-                                        1,
-                                        0,
-                                        0,
-                                        null,
-                                        null,
-                                        false,
-                                        true,
-                                        false,
-                                        0)));
-        cluster.clock.runUntil(12_000);
+                JobFixtures.job(
+                        1,
+                        "red",
+                        JobSpec.Mode.STANDING,
+                        JobSpec.Priority.PRODUCTION,
+                        800,
+                        1,
+                        0,
+                        0,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        0));
+        cluster.runUntil(12_000);
         assertNoViolations(cluster);
         assertEquals(800, cluster.taskStarts.get("wk-000001"));
         assertTrue(
@@ -1023,18 +899,11 @@
     void jobWhoseOnlyMachineFailsTasksGetsAnotherMachine() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        41,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a"), 3)));
+                        41, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 2, 10)));
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 2, 10));
         for (long atMillis = 4_000; atMillis < 40_000; atMillis += 100) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () ->
                             cluster.cloud
@@ -1045,7 +914,7 @@
                                                     worker.failsTasks |=
                                                             worker.host.equals("i-000001")));
         }
-        cluster.clock.runUntil(300_000);
+        cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 1);
         assertTrue(
                 cluster.taskStarts.get("wk-000001") > 4,
@@ -1056,20 +925,12 @@
     void jobFailingEverywhereDoesNotQuarantineTheFleet() {
         SimulatedCluster cluster = new SimulatedCluster(9);
         cluster.start();
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10)));
-        cluster.clock.schedule(
-                3_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(2, "blue", JobSpec.Priority.NORMAL, 30, 2, 10)));
-        cluster.clock.schedule(
-                12_000,
-                () -> FaultInjector.onRandomMachine(cluster, worker -> worker.failsTasks = true));
-        cluster.clock.runUntil(400_000);
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10));
+        cluster.submitAfter(
+                3_000, JobFixtures.array(2, "blue", JobSpec.Priority.NORMAL, 30, 2, 10));
+        cluster.after(
+                12_000, () -> cluster.faults.onRandomMachine(worker -> worker.failsTasks = true));
+        cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 2);
     }
 }
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -41,16 +41,14 @@
                             ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 250, 0.2, 8)
                             : JobFixtures.array(
                                     i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 4, 1, 4);
-            cluster.clock.schedule(4_000 + i * 900L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + i * 900L, job);
         }
         for (int i = 0; i < 16; i++) {
             String ip = cluster.controllers.get(i % 3).ip;
-            cluster.clock.schedule(
-                    4_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, true));
-            cluster.clock.schedule(
-                    6_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, false));
+            cluster.after(4_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, true));
+            cluster.after(6_000 + i * 2_400L, () -> cluster.store.setWatchDelayed(ip, false));
         }
-        cluster.clock.runUntil(60_000);
+        cluster.runUntil(60_000);
         cluster.store.responseLossRate = 0;
         assertTrue(
                 cluster.users.probeCount > 60
@@ -64,7 +62,7 @@
         assertTrue(
                 seed % 2 != 0 || cluster.store.lostResponses > 20,
                 "answers lost: " + cluster.store.lostResponses);
-        cluster.clock.runUntil(300_000);
+        cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 40);
     }
 
@@ -78,13 +76,13 @@
     void staleControllerAnswersFromItsLinearizableRead(int tasks) {
         SimulatedCluster cluster = clusterWithReadyMachines(7, 3, 24);
         cluster.start();
-        cluster.clock.runUntil(8_000);
-        int staleController = (CompoundFaults.leaderIndex(cluster) + 1) % 3;
+        cluster.runUntil(8_000);
+        int staleController = (cluster.leaderIndex() + 1) % 3;
         cluster.submit(
                 JobFixtures.array(
                         1, "red", JobSpec.Priority.NORMAL, tasks, tasks > 100 ? 0.2 : 2, 20),
                 (staleController + 1) % 3);
-        cluster.clock.runUntil(16_000);
+        cluster.runUntil(16_000);
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, true);
         int[] missedWrites = {0};
         cluster.store.commitObserver =
@@ -97,12 +95,12 @@
                                         : 0;
         for (int t = 0; t < 40_000; t += 100) {
             int controller = t / 100 % 3;
-            cluster.clock.schedule(t, () -> cluster.query("wk-000001", controller));
+            cluster.queryAfter(t, "wk-000001", controller);
         }
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         assertTrue(missedWrites[0] > 3, "changes that it didn't hear of: " + missedWrites[0]);
         cluster.store.setWatchDelayed(cluster.controllers.get(staleController).ip, false);
-        cluster.clock.runUntil(120_000);
+        cluster.runUntil(120_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -144,7 +142,7 @@
         for (int seed = 1; seed <= 6; seed++) {
             SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
             cluster.start();
-            cluster.clock.runUntil(8_000);
+            cluster.runUntil(8_000);
             int[] occurrences = {0};
             cluster.store.dropsResponse =
                     transaction -> {
@@ -155,19 +153,16 @@
                             for (int controller = 0; controller < 3; controller++) {
                                 int askedController = controller;
                                 for (int delayMillis : new int[] {0, 3, 20, 150}) {
-                                    cluster.clock.schedule(
-                                            delayMillis,
-                                            () -> cluster.query("wk-000001", askedController));
-                                    cluster.clock.schedule(
+                                    cluster.queryAfter(delayMillis, "wk-000001", askedController);
+                                    cluster.after(
                                             delayMillis,
                                             () ->
                                                     cluster.submit(
                                                             cluster.jobsById.get("wk-000001"),
                                                             askedController));
                                 }
-                                cluster.clock.schedule(
-                                        5 + controller * 40L,
-                                        () -> cluster.cancel("wk-000001", askedController));
+                                cluster.cancelAfter(
+                                        5 + controller * 40L, "wk-000001", askedController);
                             }
                         }
                         return true;
@@ -183,12 +178,12 @@
             cluster.submit(job, seed % 3);
             // The last task ends 2 to 6 s after it began.
             int submittingController = seed % 3;
-            cluster.clock.schedule(
+            cluster.cancelAfter(
                     step == CommitStep.CANCELLATION ? 700 * seed : 60_000,
-                    () -> cluster.cancel("wk-000001", submittingController));
-            cluster.clock.schedule(
-                    20_000, () -> cluster.store.dropsResponse = transaction -> false);
-            cluster.clock.runUntil(120_000);
+                    "wk-000001",
+                    submittingController);
+            cluster.after(20_000, () -> cluster.store.dropsResponse = transaction -> false);
+            cluster.runUntil(120_000);
             assertTrue(occurrences[0] > 0, "the meeting");
             assertAllJobsFinished(cluster, 1);
             assertTrue(cluster.hasFinalStatus("wk-000001"));
@@ -209,9 +204,9 @@
         for (int i = 1; i <= 40; i++) {
             JobSpec job =
                     JobFixtures.array(i, "red", JobSpec.Priority.values()[i % 4], 1 + i % 3, 1, 3);
-            cluster.clock.schedule(4_000 + i * 500L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + i * 500L, job);
         }
-        cluster.clock.runUntil(120_000);
+        cluster.runUntil(120_000);
         assertTrue(
                 cluster.users.cancelledAtCompletionCount > 15,
                 "at the end: " + cluster.users.cancelledAtCompletionCount);
@@ -235,16 +230,12 @@
         cluster.start();
         for (int i = 1; i <= 20; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 10);
-            cluster.clock.schedule(4_000 + i * 1_500L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + i * 1_500L, job);
         }
-        cluster.clock.schedule(6_000, () -> cluster.users.sendUnusualRequests(100, 60_000));
-        cluster.clock.schedule(
-                15_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster, Math.max(0, CompoundFaults.leaderIndex(cluster)), 300));
-        cluster.clock.schedule(25_000, () -> CompoundFaults.storeOutage(cluster, 10_000));
-        cluster.clock.runUntil(200_000);
+        cluster.after(6_000, () -> cluster.users.sendUnusualRequests(100, 60_000));
+        cluster.faults.crashLeaderAfter(15_000, 300);
+        cluster.after(25_000, () -> cluster.faults.storeOutage(10_000));
+        cluster.runUntil(200_000);
         assertTrue(
                 cluster.users.refusedCount > 150 && cluster.users.unusualRequestCount > 30,
                 cluster.users.refusedCount
@@ -264,10 +255,10 @@
     void resubmissionOfKnownJobIsAnsweredWithItsStatus() {
         SimulatedCluster cluster = clusterWithReadyMachines(3, 3, 12);
         cluster.start();
-        cluster.clock.runUntil(8_000);
+        cluster.runUntil(8_000);
         JobSpec job = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 2, 1, 30);
         cluster.submit(job, 0);
-        cluster.clock.runUntil(9_000);
+        cluster.runUntil(9_000);
         ObjectNode incomplete = job.encode();
         incomplete.remove("vcpus");
         List<ObjectNode> bodies =
@@ -301,7 +292,7 @@
         submitAndAwait(cluster, 1, incomplete, status, response);
         assertEquals(503, status[0]);
         cluster.store.setDown(false);
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         assertAllJobsFinished(cluster, 1);
     }
 
@@ -323,6 +314,6 @@
                     response[0] = io.quincelead.transport.WireFormat.CBOR.decodeMap(responseBody);
                     assertTrue(responseStatus != 503 || retryAfterSeconds > 0, "no Retry-After");
                 });
-        cluster.clock.runUntil(cluster.clock.nowMillis() + 2_500);
+        cluster.runUntil(cluster.nowMillis() + 2_500);
     }
 }
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -34,7 +34,7 @@
 
     void onSubmitted(JobSpec job) {
         submittedJobs.put(job.jobId(), job);
-        submittedAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
+        submittedAtMillis.putIfAbsent(job.jobId(), cluster.nowMillis());
     }
 
     long submittedAtMillis(String id) {
@@ -42,10 +42,10 @@
     }
 
     void onTaskStarted(JobSpec job, String task) {
-        firstStartAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
+        firstStartAtMillis.putIfAbsent(job.jobId(), cluster.nowMillis());
         Set<String> tasks = startedTasks.computeIfAbsent(job.jobId(), key -> new HashSet<>());
         if (tasks.add(task) && tasks.size() * 2 >= job.taskCount()) {
-            halfStartedAtMillis.putIfAbsent(job.jobId(), cluster.clock.nowMillis());
+            halfStartedAtMillis.putIfAbsent(job.jobId(), cluster.nowMillis());
         }
     }
 
@@ -122,7 +122,7 @@
                         });
         for (JobSpec job : submittedJobs.values()) {
             long startDelayMillis =
-                    firstStartAtMillis.getOrDefault(job.jobId(), cluster.clock.nowMillis())
+                    firstStartAtMillis.getOrDefault(job.jobId(), cluster.nowMillis())
                             - submittedAtMillis.get(job.jobId());
             if (!cluster.isCancellationRequested(job.jobId())
                     && startDelayMillis > firstStartLimitMillis) {
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -23,7 +23,12 @@
             double spotPrice,
             double bootSeconds,
             List<String> zones,
-            int capacity) {}
+            int capacity) {
+        /** The usual machine of tests: 8 CPUs, 32 GB, no GPUs. */
+        static MachineType small(double bootSeconds, List<String> zones, int capacity) {
+            return new MachineType("small", 8, 0, 32, 0.4, 0.15, bootSeconds, zones, capacity);
+        }
+    }
 
     private record InventorySnapshot(long takenAtMillis, ArrayNode hosts) {}
 
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -1,5 +1,6 @@
 package io.quincelead.simulation;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.app.Controller;
 import io.quincelead.cluster.JobSpec;
@@ -13,6 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.SplittableRandom;
 
 /**
  * Real controllers among stand-ins, in simulated time, with every rule of the protocol checked
@@ -90,6 +92,10 @@
     public final SimulatedNetwork network;
     public final SimulatedStore store;
     public final SimulatedCloud cloud;
+
+    /** Makes things go wrong. */
+    final FaultInjector faults = new FaultInjector(this);
+
     public final List<SimulatedController> controllers = new ArrayList<>();
     public final Map<String, Settings.Team> teams = new LinkedHashMap<>();
     public final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
@@ -154,8 +160,7 @@
         this(
                 seed,
                 List.of(
-                        new SimulatedCloud.MachineType(
-                                "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 8),
+                        SimulatedCloud.MachineType.small(5, List.of("a", "b"), 8),
                         new SimulatedCloud.MachineType(
                                 "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)));
     }
@@ -221,6 +226,79 @@
         return -1;
     }
 
+    /** The leader's place among the controllers; -1: nobody leads. */
+    int leaderIndex() {
+        JsonNode leader = store.value("a/lead");
+        return leader == null ? -1 : indexOfController(leader.path("m").asText());
+    }
+
+    // ---- what a scenario is written with
+
+    /** Simulated milliseconds since the start. */
+    long nowMillis() {
+        return clock.nowMillis();
+    }
+
+    /** The one source of random numbers of the simulation. */
+    SplittableRandom random() {
+        return clock.random;
+    }
+
+    /** Does this so many ms from now. */
+    void after(long delayMillis, Runnable action) {
+        clock.schedule(delayMillis, action);
+    }
+
+    /** Plays what is due until then, in ms since the start. */
+    void runUntil(long untilMillis) {
+        clock.runUntil(untilMillis);
+    }
+
+    /** Submits so many ms from now, at any controller. */
+    void submitAfter(long delayMillis, JobSpec job) {
+        after(delayMillis, () -> submit(job));
+    }
+
+    /** Submits so many ms from now, at this controller. */
+    void submitAfter(long delayMillis, JobSpec job, int controller) {
+        after(delayMillis, () -> submit(job, controller));
+    }
+
+    /** Cancels so many ms from now, at any controller. */
+    void cancelAfter(long delayMillis, String id) {
+        after(delayMillis, () -> cancel(id));
+    }
+
+    /** Cancels so many ms from now, at this controller. */
+    void cancelAfter(long delayMillis, String id, int controller) {
+        after(delayMillis, () -> cancel(id, controller));
+    }
+
+    /** Asks for a job so many ms from now, wherever its user asks. */
+    void queryAfter(long delayMillis, String id) {
+        after(delayMillis, () -> query(id));
+    }
+
+    /** Asks this controller for a job so many ms from now. */
+    void queryAfter(long delayMillis, String id, int controller) {
+        after(delayMillis, () -> query(id, controller));
+    }
+
+    /** A team's guaranteed and maximum CPUs; it has no GPUs. */
+    void setTeam(String name, double guaranteedCpus, double maxCpus) {
+        setTeam(name, guaranteedCpus, maxCpus, 0, 0);
+    }
+
+    /** A team's guaranteed and maximum CPUs and GPUs. */
+    void setTeam(
+            String name,
+            double guaranteedCpus,
+            double maxCpus,
+            double guaranteedGpus,
+            double maxGpus) {
+        teams.put(name, new Settings.Team(name, guaranteedCpus, maxCpus, guaranteedGpus, maxGpus));
+    }
+
     JobSpec jobOfTask(String task) {
         return jobsById.get(task.substring(0, task.indexOf('/')));
     }
--- a/src/test/java/io/quincelead/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -49,10 +49,9 @@
     void onAccepted(JobSpec job) {
         if (cancelAtOnceRate > 0
                 && !job.isService()
-                && cluster.clock.random.nextDouble() < cancelAtOnceRate) {
+                && cluster.random().nextDouble() < cancelAtOnceRate) {
             cancelledAtOnceCount++;
-            cluster.clock.schedule(
-                    cluster.clock.random.nextLong(30), () -> cluster.cancel(job.jobId()));
+            cluster.cancelAfter(cluster.random().nextLong(30), job.jobId());
         }
         probe(job.jobId());
     }
@@ -71,10 +70,9 @@
         }
         if (cancelAtCompletionRate > 0
                 && cluster.acceptedJobs().contains(job.jobId())
-                && cluster.clock.random.nextDouble() < cancelAtCompletionRate) {
+                && cluster.random().nextDouble() < cancelAtCompletionRate) {
             cancelledAtCompletionCount++;
-            cluster.clock.schedule(
-                    cluster.clock.random.nextLong(20), () -> cluster.cancel(job.jobId()));
+            cluster.cancelAfter(cluster.random().nextLong(20), job.jobId());
         }
         probe(job.jobId());
     }
@@ -88,11 +86,9 @@
         for (int i = 0; i < cluster.controllers.size(); i++) {
             int controller = i;
             for (int k = 0; k < 3; k++) {
-                cluster.clock.schedule(
-                        cluster.clock.random.nextLong(60), () -> cluster.query(id, controller));
+                cluster.queryAfter(cluster.random().nextLong(60), id, controller);
             }
-            cluster.clock.schedule(
-                    cluster.clock.random.nextLong(60), () -> cluster.submit(job, controller));
+            cluster.submitAfter(cluster.random().nextLong(60), job, controller);
         }
     }
 
@@ -124,12 +120,9 @@
         }
         List<String> chosen = runningJobs.subList(0, Math.min(count, runningJobs.size()));
         massCancelledCount += chosen.size();
-        chosen.forEach(
-                id ->
-                        cluster.clock.schedule(
-                                cluster.clock.random.nextLong(200), () -> cluster.cancel(id)));
+        chosen.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
         if (hangMillis > 0) {
-            cluster.expectFaultsUntil(cluster.clock.nowMillis() + hangMillis);
+            cluster.expectFaultsUntil(cluster.nowMillis() + hangMillis);
             cluster.cloud.machines.values().stream()
                     .filter(
                             worker ->
@@ -148,7 +141,7 @@
                     .forEach(
                             worker -> {
                                 worker.setHung(true);
-                                cluster.clock.schedule(hangMillis, () -> worker.setHung(false));
+                                cluster.after(hangMillis, () -> worker.setHung(false));
                             });
         }
     }
@@ -161,11 +154,11 @@
                 JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 3, 1, 5)
                         .encode()
                         .put("nameId", id);
-        switch (cluster.clock.random.nextInt(7)) {
+        switch (cluster.random().nextInt(7)) {
             case 0 ->
                     accepted.stream()
                             .filter(acceptedId -> !cluster.hasFinalStatus(acceptedId))
-                            .skip(cluster.clock.random.nextInt(3))
+                            .skip(cluster.random().nextInt(3))
                             .findFirst()
                             .ifPresent(
                                     acceptedId -> {
@@ -175,7 +168,7 @@
             case 1 ->
                     accepted.stream()
                             .filter(acceptedId -> cluster.wasToldFinalStatus(acceptedId, "done"))
-                            .skip(cluster.clock.random.nextInt(3))
+                            .skip(cluster.random().nextInt(3))
                             .findFirst()
                             .ifPresent(
                                     acceptedId -> {
@@ -197,7 +190,7 @@
             case 5 -> {
                 job.remove(
                         List.of("vcpus", "members", "owner", "mode", "container")
-                                .get(cluster.clock.random.nextInt(5)));
+                                .get(cluster.random().nextInt(5)));
                 cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job), 400);
             }
             default ->
@@ -208,7 +201,7 @@
 
     void sendUnusualRequests(long intervalMillis, long durationMillis) {
         for (long atMillis = 0; atMillis < durationMillis; atMillis += intervalMillis) {
-            cluster.clock.schedule(atMillis, this::sendUnusualRequest);
+            cluster.after(atMillis, this::sendUnusualRequest);
         }
     }
 
@@ -226,11 +219,10 @@
                             1,
                             1,
                             2 + i % 6);
-            cluster.clock.schedule(i * intervalMillis, () -> cluster.submit(job));
+            cluster.submitAfter(i * intervalMillis, job);
             if (i % 4 == 3) {
-                cluster.clock.schedule(
-                        i * intervalMillis + cluster.clock.random.nextLong(3_000),
-                        () -> cluster.cancel(job.jobId()));
+                cluster.cancelAfter(
+                        i * intervalMillis + cluster.random().nextLong(3_000), job.jobId());
             }
         }
     }
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -96,7 +96,7 @@
                 if (!t.hasEnded()) {
                     JobSpec job = cluster.jobOfTask(t.name);
                     presentTasks.add(t.name);
-                    lastSightings.put(t, new TaskSighting(worker, job, cluster.clock.nowMillis()));
+                    lastSightings.put(t, new TaskSighting(worker, job, cluster.nowMillis()));
                     tasksByZone
                             .computeIfAbsent(job.jobId(), key -> new HashMap<>())
                             .merge(worker.zone, 1, Integer::sum);
@@ -105,7 +105,7 @@
         }
         lastSightings
                 .values()
-                .removeIf(t -> cluster.clock.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
+                .removeIf(t -> cluster.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
         for (TaskSighting t : lastSightings.values()) {
             double[] usage = usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]);
             usage[0] += t.job.cpus();
@@ -139,7 +139,7 @@
                                 : 0,
                         Integer::sum);
             }
-            if (cluster.clock.nowMillis() <= faultsEndAtMillis) {
+            if (cluster.nowMillis() <= faultsEndAtMillis) {
                 continue;
             }
             boolean startable =
@@ -155,9 +155,8 @@
                 startableSinceMillis.remove(id);
                 continue;
             }
-            long sinceMillis =
-                    startableSinceMillis.computeIfAbsent(id, key -> cluster.clock.nowMillis());
-            if (cluster.clock.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis)
+            long sinceMillis = startableSinceMillis.computeIfAbsent(id, key -> cluster.nowMillis());
+            if (cluster.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis)
                     > WAIT_LIMIT_MILLIS) {
                 cluster.recordViolation(
                         "waiting", id + " could go on since " + sinceMillis / 1000 + " s");
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -2,7 +2,6 @@
 
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.config.OperatorSettings;
-import io.quincelead.config.Settings;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -23,23 +22,13 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         Long.parseLong(args[2]),
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        25,
-                                        List.of("a", "b", "c"),
-                                        400)),
+                        List.of(SimulatedCloud.MachineType.small(25, List.of("a", "b", "c"), 400)),
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
         cluster.imageFetchGbPerSecond = 4;
-        cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
+        cluster.setTeam("red", 400, 1_200);
+        cluster.setTeam("blue", 100, 600);
         cluster.operatorSettings =
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(recoveryEnabled, 30, 12, 5));
@@ -84,13 +73,13 @@
                             0,
                             0,
                             -1);
-            cluster.clock.schedule(3_000, () -> cluster.submit(job));
+            cluster.submitAfter(3_000, job);
         }
         for (int i = 13; i < 140; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.clock.schedule(4_000 + (i - 13) * 3_500L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + (i - 13) * 3_500L, job);
         }
-        cluster.clock.runUntil(200_000);
+        cluster.runUntil(200_000);
         Map<String, Integer> initialReplicas = runningReplicas(cluster);
         Map<String, Long> machinesByZone = new TreeMap<>();
         cluster.cloud.machines.values().forEach(m -> machinesByZone.merge(m.zone, 1L, Long::sum));
@@ -107,14 +96,14 @@
                     .filter(m -> m.zone.equals(lostZone))
                     .forEach(SimulatedWorker::crash);
         } else {
-            FaultInjector.partitionZone(cluster, lostZone, List.of(1), 90_000);
+            cluster.faults.partitionZone(lostZone, List.of(1), 90_000);
         }
         Map<String, Integer> checksWithoutReplica = new HashMap<>();
         double[] replicaChecks = new double[2];
         long[] lastIncompleteMillis = {-1};
         for (long offsetMillis = 500; offsetMillis <= 200_000; offsetMillis += 500) {
             long atMillis = offsetMillis;
-            cluster.clock.schedule(
+            cluster.after(
                     offsetMillis,
                     () -> {
                         Map<String, Integer> replicas = runningReplicas(cluster);
@@ -134,7 +123,7 @@
                         }
                     });
         }
-        cluster.clock.runUntil(400_500);
+        cluster.runUntil(400_500);
         System.out.printf(
                 "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
                     + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
@@ -159,7 +148,7 @@
     private static Map<String, Integer> runningReplicas(SimulatedCluster cluster) {
         Map<String, Integer> result = new TreeMap<>();
         for (int i = 1; i <= 12; i++) {
-            result.put(String.format("wk-%06d", i), 0);
+            result.put(JobFixtures.id(i), 0);
         }
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
--- a/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -7,7 +7,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.config.OperatorSettings;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +24,7 @@
     private static final int MODELS = 12;
 
     private static String modelId(int model) {
-        return String.format("wk-%06d", model);
+        return JobFixtures.id(model);
     }
 
     /**
@@ -36,22 +35,12 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        12,
-                                        List.of("a", "b", "c"),
-                                        300)),
+                        List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b", "c"), 300)),
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
-        cluster.teams.put("red", new Settings.Team("red", 400, 1_200, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 100, 600, 0, 0));
+        cluster.setTeam("red", 400, 1_200);
+        cluster.setTeam("blue", 100, 600);
         cluster.operatorSettings =
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(recoveryEnabled, 20, 30, 0.1));
@@ -73,11 +62,11 @@
                             i % 2 == 0,
                             false,
                             0);
-            cluster.clock.schedule(3_000, () -> cluster.submit(job));
+            cluster.submitAfter(3_000, job);
         }
         for (int i = MODELS + 1; i < 60; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.clock.schedule(4_000 + (i - MODELS - 1) * 3_500L, () -> cluster.submit(job));
+            cluster.submitAfter(4_000 + (i - MODELS - 1) * 3_500L, job);
         }
         return cluster;
     }
@@ -122,20 +111,18 @@
     @ValueSource(strings = {"none", "leader", "two", "all"})
     void zoneLossLeavesEveryModelServing(String crashing) {
         SimulatedCluster cluster = clusterWithThreeZones(81, true);
-        cluster.clock.runUntil(85_000);
+        cluster.runUntil(85_000);
         runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertTrue(
                                         byZone.size() >= 2 && replicaCount(byZone) == 6,
                                         model + " " + byZone));
-        cluster.clock.schedule(5_000, () -> crashZone(cluster, "a"));
-        cluster.clock.schedule(
+        cluster.after(5_000, () -> crashZone(cluster, "a"));
+        cluster.after(
                 5_500,
                 () -> {
-                    int leader =
-                            cluster.indexOfController(
-                                    cluster.store.value("a/lead").path("m").asText());
+                    int leader = cluster.leaderIndex();
                     for (int i = 0; i < cluster.controllers.size(); i++) {
                         boolean crashes =
                                 crashing.equals("all")
@@ -143,14 +130,13 @@
                                         || crashing.equals("two")
                                                 && (i == leader || i == (leader + 1) % 5);
                         if (crashes) {
-                            FaultInjector.crashController(
-                                    cluster, i, crashing.equals("all") ? 100 : 3_000);
+                            cluster.faults.crashController(i, crashing.equals("all") ? 100 : 3_000);
                         }
                     }
                 });
         int[] minReplicas = {99};
         for (long atMillis = 6_000; atMillis < 100_000; atMillis += 1_000) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () ->
                             minReplicas[0] =
@@ -161,7 +147,7 @@
                                                     .min()
                                                     .orElse(0)));
         }
-        cluster.clock.runUntil(150_000);
+        cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 1, "least replicas of a model: " + minReplicas[0]);
         runningReplicas(cluster)
@@ -177,12 +163,12 @@
     @Test
     void oneReplicaOfEveryModelComesFirst() {
         SimulatedCluster cluster = clusterWithThreeZones(82, true);
-        cluster.clock.runUntil(90_000);
+        cluster.runUntil(90_000);
         List.of("a", "b", "c").forEach(z -> crashZone(cluster, z));
         int[] maxReplicas = {0};
         boolean[] allServing = {false};
         for (long atMillis = 500; atMillis < 120_000; atMillis += 250) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () -> {
                         Map<String, Map<String, Integer>> replicas = runningReplicas(cluster);
@@ -199,7 +185,7 @@
                         }
                     });
         }
-        cluster.clock.runUntil(220_000);
+        cluster.runUntil(220_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(allServing[0]);
         assertTrue(
@@ -219,18 +205,18 @@
     @CsvSource({"none, 40000", "one, 40000", "leader, 40000", "one, 1000", "none, 30000"})
     void partitionedZoneKeepsItsPlacements(String inside, long durationMillis) {
         SimulatedCluster cluster = clusterWithThreeZones(83, true);
-        cluster.clock.runUntil(90_000);
-        int leader = cluster.indexOfController(cluster.store.value("a/lead").path("m").asText());
+        cluster.runUntil(90_000);
+        int leader = cluster.leaderIndex();
         List<Integer> insideControllers =
                 inside.equals("none")
                         ? List.of()
                         : inside.equals("leader") ? List.of(leader) : List.of((leader + 1) % 5);
-        FaultInjector.partitionZone(cluster, "b", insideControllers, durationMillis);
+        cluster.faults.partitionZone("b", insideControllers, durationMillis);
         List<String> states = new ArrayList<>();
         for (long atMillis = 1_000; atMillis < 100_000; atMillis += 1_000) {
-            cluster.clock.schedule(atMillis, () -> states.add(zoneState(cluster, "b")));
+            cluster.after(atMillis, () -> states.add(zoneState(cluster, "b")));
         }
-        cluster.clock.runUntil(260_000);
+        cluster.runUntil(260_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(!states.contains("lost"), "" + states);
         int starts = 0;
@@ -253,10 +239,10 @@
     @Test
     void releasedZoneIsLost() {
         SimulatedCluster cluster = clusterWithThreeZones(84, true);
-        cluster.clock.runUntil(90_000);
-        FaultInjector.partitionZone(cluster, "b", List.of(1), 120_000);
+        cluster.runUntil(90_000);
+        cluster.faults.partitionZone("b", List.of(1), 120_000);
         Map<String, ObjectNode> answers = new HashMap<>();
-        cluster.clock.schedule(
+        cluster.after(
                 30_000,
                 () ->
                         OperatorRecordsTest.commandUntilAnswered(
@@ -264,7 +250,7 @@
                                 "/ops/zones/release",
                                 OperatorRecordsTest.json("{'change':'r1','zone':'b'}"),
                                 answers));
-        cluster.clock.runUntil(175_000);
+        cluster.runUntil(175_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(
                 Set.of("lost", "returning", "settled").contains(zoneState(cluster, "b")),
@@ -273,7 +259,7 @@
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(6, replicaCount(byZone), model + " " + byZone));
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertEquals(Set.of(), cluster.violations());
     }
 
@@ -281,7 +267,7 @@
     @Test
     void classSetsZonePatience() {
         SimulatedCluster cluster = clusterWithThreeZones(85, true);
-        cluster.clock.schedule(
+        cluster.after(
                 10_000,
                 () ->
                         OperatorRecordsTest.commandUntilAnswered(
@@ -291,9 +277,9 @@
                                         "{'change':'c1','classes':[{'name':'models','rank':10,"
                                             + "'match':{'mode':'standing'},'zonePatienceS':25}]}"),
                                 new HashMap<>()));
-        cluster.clock.runUntil(90_000);
-        FaultInjector.partitionZone(cluster, "b", List.of(), 120_000);
-        cluster.clock.runUntil(150_000);
+        cluster.runUntil(90_000);
+        cluster.faults.partitionZone("b", List.of(), 120_000);
+        cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
         runningReplicas(cluster)
                 .forEach(
@@ -311,13 +297,13 @@
     @Test
     void zoneSpreadIsRestoredGradually() {
         SimulatedCluster cluster = clusterWithThreeZones(86, true);
-        cluster.clock.runUntil(90_000);
+        cluster.runUntil(90_000);
         crashZone(cluster, "a");
         int[] minReplicas = {99};
-        cluster.clock.runUntil(140_000);
+        cluster.runUntil(140_000);
         int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
         for (long atMillis = 0; atMillis < 300_000; atMillis += 500) {
-            cluster.clock.schedule(
+            cluster.after(
                     atMillis,
                     () ->
                             minReplicas[0] =
@@ -328,7 +314,7 @@
                                                     .min()
                                                     .orElse(0)));
         }
-        cluster.clock.runUntil(440_000);
+        cluster.runUntil(440_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 5, "least replicas of a model: " + minReplicas[0]);
         assertTrue(startsBefore > 0);
@@ -347,7 +333,7 @@
     @Test
     void recoveryPlanIsShownWithoutSideEffects() {
         SimulatedCluster cluster = clusterWithThreeZones(87, true);
-        cluster.clock.runUntil(90_000);
+        cluster.runUntil(90_000);
         long revision = cluster.store.revision();
         int replicasInZoneA =
                 runningReplicas(cluster).values().stream()
@@ -358,7 +344,7 @@
         request.putArray("lost").add("a");
         cluster.sendOperatorCommand(
                 2, "/ops/zones/plan", request, (status, response) -> plan[0] = response);
-        cluster.clock.runUntil(90_100);
+        cluster.runUntil(90_100);
         assertEquals(replicasInZoneA, plan[0].path("list").size(), "" + plan[0]);
         assertTrue(cluster.store.revision() - revision < 20);
         plan[0].path("list")
@@ -383,8 +369,8 @@
     static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
         SimulatedCluster cluster = clusterWithThreeZones(seed, true);
         cluster.network.responseLossRate = 0.002;
-        if (cluster.clock.random.nextBoolean()) {
-            cluster.clock.schedule(
+        if (cluster.random().nextBoolean()) {
+            cluster.after(
                     12_000,
                     () ->
                             OperatorRecordsTest.commandUntilAnswered(
@@ -392,29 +378,28 @@
                                     "/ops/classes/apply",
                                     OperatorRecordsTest.json(
                                             "{'change':'c1','classes':[{'name':'models','rank':"
-                                                    + cluster.clock.random.nextInt(1000)
+                                                    + cluster.random().nextInt(1000)
                                                     + ",'match':{'mode':'standing'},'zonePatienceS':"
-                                                    + (10 + cluster.clock.random.nextInt(60))
+                                                    + (10 + cluster.random().nextInt(60))
                                                     + ",'zoneSpare':"
-                                                    + cluster.clock.random.nextInt(2) * 0.5
+                                                    + cluster.random().nextInt(2) * 0.5
                                                     + "}]}"),
                                     new HashMap<>()));
         }
         for (int i = 0; i < 3; i++) {
-            String zone = List.of("a", "b", "c").get(cluster.clock.random.nextInt(3));
-            int insideController = cluster.clock.random.nextInt(7);
+            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
+            int insideController = cluster.random().nextInt(7);
             long durationMillis =
-                    List.of(1_000L, 30_000L, 70_000L).get(cluster.clock.random.nextInt(3));
-            boolean crashes = cluster.clock.random.nextInt(3) == 0;
-            cluster.clock.schedule(
-                    60_000 + 60_000L * i + cluster.clock.random.nextLong(30_000),
+                    List.of(1_000L, 30_000L, 70_000L).get(cluster.random().nextInt(3));
+            boolean crashes = cluster.random().nextInt(3) == 0;
+            cluster.after(
+                    60_000 + 60_000L * i + cluster.random().nextLong(30_000),
                     () -> {
                         if (crashes) {
                             crashZone(cluster, zone);
-                            cluster.expectFaultsUntil(cluster.clock.nowMillis() + 60_000);
+                            cluster.expectFaultsUntil(cluster.nowMillis() + 60_000);
                         } else {
-                            FaultInjector.partitionZone(
-                                    cluster,
+                            cluster.faults.partitionZone(
                                     zone,
                                     insideController < 5 ? List.of(insideController) : List.of(),
                                     durationMillis);
@@ -422,33 +407,32 @@
                     });
         }
         for (int i = 0; i < 5; i++) {
-            cluster.clock.schedule(
-                    60_000 + cluster.clock.random.nextLong(190_000),
+            cluster.after(
+                    60_000 + cluster.random().nextLong(190_000),
                     () -> {
                         JsonNode leaderRecord = cluster.store.value("a/lead");
-                        switch (cluster.clock.random.nextInt(6)) {
+                        switch (cluster.random().nextInt(6)) {
                             case 0 -> cluster.cloud.down = true;
-                            case 1 -> FaultInjector.injectRandomFault(cluster);
+                            case 1 -> cluster.faults.injectRandomFault();
                             default -> {
                                 if (leaderRecord != null) {
-                                    FaultInjector.crashController(
-                                            cluster,
+                                    cluster.faults.crashController(
                                             cluster.indexOfController(
                                                     leaderRecord.path("m").asText()),
-                                            cluster.clock.random.nextBoolean() ? 100 : 4_000);
+                                            cluster.random().nextBoolean() ? 100 : 4_000);
                                 }
                             }
                         }
-                        cluster.clock.schedule(15_000, () -> cluster.cloud.down = false);
+                        cluster.after(15_000, () -> cluster.cloud.down = false);
                     });
         }
         for (int i = 1; i <= MODELS; i += 3) {
             String jobId = modelId(i);
-            cluster.clock.schedule(380_000, () -> cluster.cancel(jobId));
+            cluster.cancelAfter(380_000, jobId);
         }
-        cluster.clock.schedule(270_000, () -> cluster.network.responseLossRate = 0);
+        cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
         cluster.expectFaultsUntil(330_000);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         problems.addAll(cluster.serviceLevels().starved());
