--- a/src/test/java/io/quincelead/scheduler/QueuePassTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueuePassTest.java
@@ -146,21 +146,16 @@
             for (int i = 1 + random.nextInt(60); i > 0; i--) {
                 waiting.add(
                         cluster.addWaitingJob(
-                                JobFixtures.job(
-                                        ++id,
-                                        "red",
-                                        JobSpec.Mode.ARRAY,
-                                        JobSpec.Priority.NORMAL,
-                                        1 + random.nextInt(12),
-                                        0.5 + random.nextInt(20) / 2.0,
-                                        0,
-                                        10 + random.nextInt(50),
-                                        random.nextInt(4) == 0 ? List.of("big") : null,
-                                        null,
-                                        false,
-                                        false,
-                                        true,
-                                        0)));
+                                JobFixtures.arrayJob(
+                                                ++id,
+                                                "red",
+                                                JobSpec.Priority.NORMAL,
+                                                1 + random.nextInt(12))
+                                        .cpus(0.5 + random.nextInt(20) / 2.0)
+                                        .runtimeSeconds(10 + random.nextInt(50))
+                                        .machineTypes(
+                                                random.nextInt(4) == 0 ? List.of("big") : null)
+                                        .build()));
             }
             SchedulingPlan plan = cluster.newPlan(10_000);
             cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -623,20 +623,18 @@
             boolean isGang = i % 3 == 0;
             JobSpec job =
                     JobFixtures.job(
-                            i,
-                            "red",
-                            isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY,
-                            JobSpec.Priority.NORMAL,
-                            4,
-                            2,
-                            0,
-                            20,
-                            null,
-                            i % 4 == 1 ? "a" : null,
-                            i % 4 > 1,
-                            i % 4 == 0,
-                            true,
-                            isGang ? 5 : 0);
+                                    i,
+                                    "red",
+                                    isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY,
+                                    JobSpec.Priority.NORMAL,
+                                    4)
+                            .cpus(2)
+                            .runtimeSeconds(20)
+                            .zone(i % 4 == 1 ? "a" : null)
+                            .zoneAffinity(i % 4 > 1)
+                            .zoneSpread(i % 4 == 0)
+                            .checkpointIntervalSeconds(isGang ? 5 : 0)
+                            .build();
             cluster.submitAfter(2_000 + i * 1_000L, job);
         }
         int[] lostMachines = {0};
@@ -862,21 +860,10 @@
                 cluster.submitAfter(2_000 + i * 300L, lowPriorityJob);
             }
             JobSpec gang =
-                    JobFixtures.job(
-                            50,
-                            "blue",
-                            JobSpec.Mode.ENSEMBLE,
-                            JobSpec.Priority.PRODUCTION,
-                            9,
-                            2,
-                            0,
-                            20,
-                            null,
-                            null,
-                            false,
-                            false,
-                            true,
-                            0);
+                    JobFixtures.gang(50, "blue", JobSpec.Priority.PRODUCTION, 9)
+                            .cpus(2)
+                            .runtimeSeconds(20)
+                            .build();
             cluster.submitAfter(20_000, gang);
             cluster.runUntil(280_000);
             long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -274,29 +274,26 @@
                 int taskCount =
                         (int) Math.max(1, drawLognormal(random, profile.taskCountQuantiles));
                 JobSpec job =
-                        new JobSpec(
-                                JobFixtures.id(++id),
-                                profile.name,
-                                profile.teams.get(random.nextInt(profile.teams.size())),
-                                JobSpec.Mode.ARRAY,
-                                profile.priority,
-                                taskCount,
-                                Math.min(4, profile.cpus * (0.85 + 0.3 * random.nextDouble())),
-                                0,
-                                profile.memoryGb,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                profile.name + random.nextInt(8),
-                                profile.imageGb,
-                                runtimeSeconds * (0.7 + 0.6 * random.nextDouble()),
-                                profile.checkpointIntervalSeconds,
-                                profile.checkpointIntervalSeconds > 0 ? 3 : 0,
-                                profile.deadlineFactor > 0
-                                        ? runtimeSeconds * profile.deadlineFactor + 10
-                                        : -1);
+                        JobFixtures.arrayJob(
+                                        ++id,
+                                        profile.teams.get(random.nextInt(profile.teams.size())),
+                                        profile.priority,
+                                        taskCount)
+                                .jobClass(profile.name)
+                                .cpus(
+                                        Math.min(
+                                                4,
+                                                profile.cpus * (0.85 + 0.3 * random.nextDouble())))
+                                .memoryGb(profile.memoryGb)
+                                .image(profile.name + random.nextInt(8), profile.imageGb)
+                                .runtimeSeconds(runtimeSeconds * (0.7 + 0.6 * random.nextDouble()))
+                                .checkpointIntervalSeconds(profile.checkpointIntervalSeconds)
+                                .checkpointSeconds(3)
+                                .deadlineSeconds(
+                                        profile.deadlineFactor > 0
+                                                ? runtimeSeconds * profile.deadlineFactor + 10
+                                                : -1)
+                                .build();
                 jobClassById.put(job.jobId(), profile.name);
                 cluster.submitAfter((long) (second * 1000), job);
             }
@@ -368,24 +365,22 @@
         cluster.after(
                 20_000,
                 () ->
-                        OperatorRecordsTest.commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                OperatorRecordsTest.json(
-                                        "{'change':'c','classes':[" + classes + "]}"),
-                                new java.util.HashMap<>()));
+                                OperatorCommands.json(
+                                        "{'change':'c','classes':[" + classes + "]}")));
         cluster.after(
                 21_000,
                 () ->
-                        OperatorRecordsTest.commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/calendar/add",
-                                OperatorRecordsTest.calendarEntry(
+                                OperatorCommands.calendarEntry(
                                         "morning",
                                         420_000,
                                         150,
-                                        "{'jobClass':'" + profiles.get(0).name + "'}"),
-                                new java.util.HashMap<>()));
+                                        "{'jobClass':'" + profiles.get(0).name + "'}")));
         for (long atMillis : new long[] {300_000, 400_000}) {
             cluster.after(
                     atMillis, () -> cluster.faults.crashController(cluster.leaderIndex(), 300));
--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -116,60 +116,20 @@
         JobSpec large = JobFixtures.array(50, "red", JobSpec.Priority.NORMAL, 450, 0.2, 15);
         cluster.submitAfter(20_000, large);
         JobSpec due =
-                JobFixtures.job(
-                        51,
-                        "blue",
-                        JobSpec.Mode.ARRAY,
-                        JobSpec.Priority.HIGH,
-                        2,
-                        1,
-                        0,
-                        10,
-                        List.of("small", "big"),
-                        "a",
-                        false,
-                        false,
-                        true,
-                        5);
-        cluster.submitAfter(
-                25_000,
-                new JobSpec(
-                        due.jobId(),
-                        due.jobClass(),
-                        due.team(),
-                        due.mode(),
-                        due.priority(),
-                        due.taskCount(),
-                        due.cpus(),
-                        due.gpus(),
-                        due.memoryGb(),
-                        due.machineTypes(),
-                        due.zone(),
-                        due.zoneAffinity(),
-                        due.zoneSpread(),
-                        due.preemptible(),
-                        due.image(),
-                        due.imageSizeGb(),
-                        due.runtimeSeconds(),
-                        due.checkpointIntervalSeconds(),
-                        due.checkpointSeconds(),
-                        90));
+                JobFixtures.arrayJob(51, "blue", JobSpec.Priority.HIGH, 2)
+                        .cpus(1)
+                        .runtimeSeconds(10)
+                        .machineTypes(List.of("small", "big"))
+                        .zone("a")
+                        .checkpointIntervalSeconds(5)
+                        .deadlineSeconds(90)
+                        .build();
+        cluster.submitAfter(25_000, due);
         JobSpec model =
-                JobFixtures.job(
-                        52,
-                        "red",
-                        JobSpec.Mode.STANDING,
-                        JobSpec.Priority.PRODUCTION,
-                        6,
-                        1,
-                        0,
-                        0,
-                        null,
-                        null,
-                        false,
-                        true,
-                        true,
-                        0);
+                JobFixtures.service(52, "red", JobSpec.Priority.PRODUCTION, 6)
+                        .cpus(1)
+                        .zoneSpread(true)
+                        .build();
         cluster.submitAfter(28_000, model);
         for (int t = 30; t < 200; t += 17) {
             cluster.after(t * 1000L, cluster.users::sendUnusualRequest);
@@ -197,7 +157,7 @@
                         cluster.sendOperatorCommand(
                                 controller,
                                 path,
-                                OperatorRecordsTest.json(body),
+                                OperatorCommands.json(body),
                                 (status, out) -> {}));
     }
 
@@ -265,7 +225,7 @@
                 10_000,
                 0,
                 "/ops/calendar/add",
-                OperatorRecordsTest.calendarEntry(
+                OperatorCommands.calendarEntry(
                                 "morning",
                                 130_000,
                                 60,
@@ -276,14 +236,14 @@
                 10_500,
                 1,
                 "/ops/calendar/add",
-                OperatorRecordsTest.calendarEntry("noon", 330_000, 250, "{'urgency':'high'}")
+                OperatorCommands.calendarEntry("noon", 330_000, 250, "{'urgency':'high'}")
                         .toString());
         ask(
                 cluster,
                 11_000,
                 1,
                 "/ops/calendar/add",
-                OperatorRecordsTest.calendarEntry("dates", 330_000, 250, "{}")
+                OperatorCommands.calendarEntry("dates", 330_000, 250, "{}")
                         .put("dryRun", true)
                         .toString());
         ask(
--- a/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -71,21 +71,11 @@
     void wrongMachineTypeIsDetected() {
         runTask(
                 addMachine("a", true),
-                JobFixtures.job(
-                        1,
-                        "red",
-                        JobSpec.Mode.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        2,
-                        1,
-                        0,
-                        5,
-                        List.of("big"),
-                        null,
-                        false,
-                        false,
-                        true,
-                        0),
+                JobFixtures.arrayJob(1, "red", JobSpec.Priority.NORMAL, 2)
+                        .cpus(1)
+                        .runtimeSeconds(5)
+                        .machineTypes(List.of("big"))
+                        .build(),
                 0,
                 1);
         assertTripped("wrong_place");
@@ -94,21 +84,11 @@
     @Test
     void violatedZoneAffinityIsDetected() {
         JobSpec job =
-                JobFixtures.job(
-                        1,
-                        "red",
-                        JobSpec.Mode.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        2,
-                        1,
-                        0,
-                        5,
-                        null,
-                        null,
-                        true,
-                        false,
-                        true,
-                        0);
+                JobFixtures.arrayJob(1, "red", JobSpec.Priority.NORMAL, 2)
+                        .cpus(1)
+                        .runtimeSeconds(5)
+                        .zoneAffinity(true)
+                        .build();
         runTask(addMachine("a", true), job, 0, 1);
         runTask(addMachine("b", true), job, 1, 1);
         assertTripped("wrong_place");
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -20,147 +20,202 @@
             int taskCount,
             double cpus,
             double runtimeSeconds) {
-        return job(
-                id,
-                team,
-                JobSpec.Mode.ARRAY,
-                priority,
-                taskCount,
-                cpus,
-                0,
-                runtimeSeconds,
-                null,
-                null,
-                false,
-                false,
-                true,
-                0);
+        return arrayJob(id, team, priority, taskCount)
+                .cpus(cpus)
+                .runtimeSeconds(runtimeSeconds)
+                .build();
     }
 
-    public static JobSpec job(
-            int id,
-            String team,
-            JobSpec.Mode mode,
-            JobSpec.Priority priority,
-            int taskCount,
-            double cpus,
-            double gpus,
-            double runtimeSeconds,
-            List<String> machineTypes,
-            String zone,
-            boolean zoneAffinity,
-            boolean zoneSpread,
-            boolean spot,
-            double checkpointIntervalSeconds) {
-        return new JobSpec(
-                id(id),
-                priority == JobSpec.Priority.BEST_EFFORT ? "slow" : "quick",
-                team,
-                mode,
-                priority,
-                taskCount,
-                cpus,
-                gpus,
-                cpus * 2,
-                machineTypes,
-                zone,
-                zoneAffinity,
-                zoneSpread,
-                spot,
-                "img-1",
-                0.5,
-                mode == JobSpec.Mode.STANDING ? 0 : runtimeSeconds,
-                checkpointIntervalSeconds,
-                checkpointIntervalSeconds > 0 ? 2 : 0,
-                -1);
+    /** An array of independent tasks. */
+    public static Builder arrayJob(int id, String team, JobSpec.Priority priority, int taskCount) {
+        return job(id, team, JobSpec.Mode.ARRAY, priority, taskCount);
+    }
+
+    /** Tasks that run together or not at all. */
+    public static Builder gang(int id, String team, JobSpec.Priority priority, int taskCount) {
+        return job(id, team, JobSpec.Mode.ENSEMBLE, priority, taskCount);
+    }
+
+    /** Replicas that run until they are cancelled. */
+    public static Builder service(int id, String team, JobSpec.Priority priority, int taskCount) {
+        return job(id, team, JobSpec.Mode.STANDING, priority, taskCount);
+    }
+
+    /** Any job; what isn't stated is the least that a job may ask for. */
+    public static Builder job(
+            int id, String team, JobSpec.Mode mode, JobSpec.Priority priority, int taskCount) {
+        return new Builder(id, team, mode, priority, taskCount);
+    }
+
+    /** A job under construction; two GB of memory go with each CPU. */
+    public static final class Builder {
+        private final int id;
+        private final String team;
+        private final JobSpec.Mode mode;
+        private final JobSpec.Priority priority;
+        private final int taskCount;
+        private String jobClass;
+        private double cpus = 1;
+        private double gpus;
+        private double memoryGb = -1;
+        private double runtimeSeconds;
+        private List<String> machineTypes;
+        private String zone;
+        private boolean zoneAffinity;
+        private boolean zoneSpread;
+        private boolean preemptible = true;
+        private double checkpointIntervalSeconds;
+        private double checkpointSeconds = 2;
+        private String image = "img-1";
+        private double imageGb = 0.5;
+        private double deadlineSeconds = -1;
+
+        private Builder(
+                int id, String team, JobSpec.Mode mode, JobSpec.Priority priority, int taskCount) {
+            this.id = id;
+            this.team = team;
+            this.mode = mode;
+            this.priority = priority;
+            this.taskCount = taskCount;
+            this.jobClass = priority == JobSpec.Priority.BEST_EFFORT ? "slow" : "quick";
+        }
+
+        public Builder jobClass(String value) {
+            jobClass = value;
+            return this;
+        }
+
+        public Builder cpus(double value) {
+            cpus = value;
+            return this;
+        }
+
+        public Builder gpus(double value) {
+            gpus = value;
+            return this;
+        }
+
+        public Builder memoryGb(double value) {
+            memoryGb = value;
+            return this;
+        }
+
+        public Builder runtimeSeconds(double value) {
+            runtimeSeconds = value;
+            return this;
+        }
+
+        public Builder machineTypes(List<String> value) {
+            machineTypes = value;
+            return this;
+        }
+
+        public Builder zone(String value) {
+            zone = value;
+            return this;
+        }
+
+        public Builder zoneAffinity(boolean value) {
+            zoneAffinity = value;
+            return this;
+        }
+
+        public Builder zoneSpread(boolean value) {
+            zoneSpread = value;
+            return this;
+        }
+
+        public Builder preemptible(boolean value) {
+            preemptible = value;
+            return this;
+        }
+
+        public Builder checkpointIntervalSeconds(double value) {
+            checkpointIntervalSeconds = value;
+            return this;
+        }
+
+        public Builder checkpointSeconds(double value) {
+            checkpointSeconds = value;
+            return this;
+        }
+
+        public Builder image(String name, double sizeGb) {
+            image = name;
+            imageGb = sizeGb;
+            return this;
+        }
+
+        public Builder deadlineSeconds(double value) {
+            deadlineSeconds = value;
+            return this;
+        }
+
+        public JobSpec build() {
+            return new JobSpec(
+                    JobFixtures.id(id),
+                    jobClass,
+                    team,
+                    mode,
+                    priority,
+                    taskCount,
+                    cpus,
+                    gpus,
+                    memoryGb < 0 ? cpus * 2 : memoryGb,
+                    machineTypes,
+                    zone,
+                    zoneAffinity,
+                    zoneSpread,
+                    preemptible,
+                    image,
+                    imageGb,
+                    mode == JobSpec.Mode.STANDING ? 0 : runtimeSeconds,
+                    checkpointIntervalSeconds,
+                    checkpointIntervalSeconds > 0 ? checkpointSeconds : 0,
+                    deadlineSeconds);
+        }
     }
 
-    /** A job of any kind that the test world can run. */
+    /** A job of any kind that the default simulated cluster can run. */
     public static JobSpec randomJob(int id, SplittableRandom random) {
         JobSpec.Priority priority = JobSpec.Priority.values()[random.nextInt(4)];
         String team = random.nextBoolean() ? "red" : "blue";
         double run = 2 + random.nextInt(25);
         return switch (random.nextInt(8)) {
             case 0 ->
-                    job(
-                            id,
-                            team,
-                            JobSpec.Mode.ENSEMBLE,
-                            priority,
-                            2 + random.nextInt(4),
-                            2,
-                            0,
-                            run,
-                            null,
-                            null,
-                            random.nextBoolean(),
-                            false,
-                            true,
-                            random.nextBoolean() ? 5 : 0);
+                    gang(id, team, priority, 2 + random.nextInt(4))
+                            .cpus(2)
+                            .runtimeSeconds(run)
+                            .zoneAffinity(random.nextBoolean())
+                            .checkpointIntervalSeconds(random.nextBoolean() ? 5 : 0)
+                            .build();
             case 1 ->
-                    job(
-                            id,
-                            team,
-                            JobSpec.Mode.STANDING,
-                            priority,
-                            2 + random.nextInt(2),
-                            1,
-                            0,
-                            0,
-                            null,
-                            null,
-                            false,
-                            true,
-                            random.nextBoolean(),
-                            0);
+                    service(id, team, priority, 2 + random.nextInt(2))
+                            .cpus(1)
+                            .zoneSpread(true)
+                            .preemptible(random.nextBoolean())
+                            .build();
             case 2 ->
-                    job(
-                            id,
-                            team,
-                            JobSpec.Mode.ARRAY,
-                            priority,
-                            1 + random.nextInt(3),
-                            1,
-                            1,
-                            run,
-                            List.of("big"),
-                            null,
-                            false,
-                            false,
-                            true,
-                            0);
+                    arrayJob(id, team, priority, 1 + random.nextInt(3))
+                            .cpus(1)
+                            .gpus(1)
+                            .runtimeSeconds(run)
+                            .machineTypes(List.of("big"))
+                            .build();
             case 3 ->
-                    job(
-                            id,
-                            team,
-                            JobSpec.Mode.ARRAY,
-                            priority,
-                            1 + random.nextInt(6),
-                            2,
-                            0,
-                            run,
-                            null,
-                            "b",
-                            false,
-                            false,
-                            false,
-                            5);
+                    arrayJob(id, team, priority, 1 + random.nextInt(6))
+                            .cpus(2)
+                            .runtimeSeconds(run)
+                            .zone("b")
+                            .preemptible(false)
+                            .checkpointIntervalSeconds(5)
+                            .build();
             case 4 ->
-                    job(
-                            id,
-                            team,
-                            JobSpec.Mode.ARRAY,
-                            priority,
-                            1 + random.nextInt(5),
-                            1,
-                            0,
-                            run,
-                            null,
-                            null,
-                            true,
-                            false,
-                            true,
-                            0);
+                    arrayJob(id, team, priority, 1 + random.nextInt(5))
+                            .cpus(1)
+                            .runtimeSeconds(run)
+                            .zoneAffinity(true)
+                            .build();
             default ->
                     array(id, team, priority, 1 + random.nextInt(20), 1 + random.nextInt(3), run);
         };
--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -5,11 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.transport.WireFormat;
-import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -25,71 +23,11 @@
  * happened is on record once.
  */
 class OperatorRecordsTest {
-    private static final ObjectMapper JSON = new ObjectMapper();
-
     /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
     private static final long PUBLICATION_MILLIS = 220_000;
 
     private static final long WINDOW_OPENS_MILLIS = 120_000;
 
-    static ObjectNode json(String text) {
-        try {
-            return (ObjectNode) JSON.readTree(text.replace('\'', '"'));
-        } catch (java.io.IOException e) {
-            throw new IllegalArgumentException(e);
-        }
-    }
-
-    private static String timeOfDay(long simulatedMillis) {
-        return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis)
-                .toString()
-                .substring(11, 19);
-    }
-
-    private static final String DATE =
-            Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
-
-    /**
-     * Repeats a command, at any controller, until it is answered with something else than "later":
-     * as an operator would.
-     */
-    static void commandUntilAnswered(
-            SimulatedCluster cluster,
-            String path,
-            ObjectNode body,
-            Map<String, ObjectNode> answers) {
-        cluster.sendOperatorCommand(
-                cluster.random().nextInt(cluster.controllers.size()),
-                path,
-                body,
-                (status, response) -> {
-                    if (status == 0 || status == 503 || status == 409) {
-                        cluster.after(
-                                700, () -> commandUntilAnswered(cluster, path, body, answers));
-                    } else {
-                        answers.put(path, response);
-                        assertEquals(200, status, "" + response);
-                    }
-                });
-    }
-
-    static ObjectNode calendarEntry(
-            String name, long publicationMillis, double leadSeconds, String covers) {
-        return json(
-                "{'change':'add-"
-                        + name
-                        + "','entry':{'name':'"
-                        + name
-                        + "','time':'"
-                        + timeOfDay(publicationMillis)
-                        + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
-                        + "'covers':["
-                        + covers
-                        + "],'leadS':"
-                        + leadSeconds
-                        + ",'graceS':20}}");
-    }
-
     /**
      * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s,
      * the window opens at 120 s. Forecasts come from 125 to 190 s.
@@ -117,12 +55,14 @@
             cluster.after(
                     8_000,
                     () ->
-                            commandUntilAnswered(
+                            OperatorCommands.commandUntilAnswered(
                                     cluster,
                                     "/ops/calendar/add",
-                                    calendarEntry(
-                                            "morning", PUBLICATION_MILLIS, 100, "{'owner':'blue'}"),
-                                    new HashMap<>()));
+                                    OperatorCommands.calendarEntry(
+                                            "morning",
+                                            PUBLICATION_MILLIS,
+                                            100,
+                                            "{'owner':'blue'}")));
         }
         return cluster;
     }
@@ -138,10 +78,11 @@
     }
 
     private static void assertLedgerRecord(SimulatedCluster cluster, String state, int jobCount) {
-        JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + DATE);
+        JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + OperatorCommands.DATE);
         assertNotNull(
                 ledgerRecord,
-                "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
+                "the ledger has no record; live: "
+                        + cluster.store.value("a/ok/o/morning/" + OperatorCommands.DATE));
         assertEquals(state, ledgerRecord.path("st").asText(), "" + ledgerRecord);
         assertEquals(jobCount, ledgerRecord.path("n").asInt(), "" + ledgerRecord);
         assertEquals(
@@ -234,11 +175,12 @@
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "missed", 14);
         assertTrue(
-                cluster.store.value("z/oe/morning/" + DATE).path("last").asLong()
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("last").asLong()
                         > SimulatedClock.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
         assertTrue(
-                cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2,
-                "" + cluster.store.value("z/oe/morning/" + DATE));
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("leaders").size()
+                        >= 2,
+                "" + cluster.store.value("z/oe/morning/" + OperatorCommands.DATE));
     }
 
     /**
@@ -251,38 +193,47 @@
         cluster.after(
                 150_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/calendar/move",
-                                json(
+                                OperatorCommands.json(
                                         "{'change':'m1','name':'morning','date':'"
-                                                + DATE
+                                                + OperatorCommands.DATE
                                                 + "','time':'"
-                                                + timeOfDay(300_000)
-                                                + "'}"),
-                                new HashMap<>()));
+                                                + OperatorCommands.timeOfDay(300_000)
+                                                + "'}")));
         cluster.runUntil(240_000);
-        assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
+        assertEquals(
+                "open",
+                cluster.store.value("a/ok/o/morning/" + OperatorCommands.DATE).path("st").asText());
         cluster.runUntil(400_000);
         assertLedgerRecord(cluster, "published", 13);
         assertEquals(
                 SimulatedClock.EPOCH_MILLIS + 300_000,
-                cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(),
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("pub").asLong(),
                 1_000);
 
         SimulatedCluster skipCluster = morningCluster(5, true);
         skipCluster.after(
                 150_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 skipCluster,
                                 "/ops/calendar/skip",
-                                json("{'change':'s1','name':'morning','date':'" + DATE + "'}"),
-                                new HashMap<>()));
+                                OperatorCommands.json(
+                                        "{'change':'s1','name':'morning','date':'"
+                                                + OperatorCommands.DATE
+                                                + "'}")));
         skipCluster.runUntil(300_000);
         assertEquals(
-                "skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
-        assertEquals(Map.of("z/oe/morning/" + DATE, 1), skipCluster.store.ledgerWrites);
+                "skipped",
+                skipCluster
+                        .store
+                        .value("z/oe/morning/" + OperatorCommands.DATE)
+                        .path("st")
+                        .asText());
+        assertEquals(
+                Map.of("z/oe/morning/" + OperatorCommands.DATE, 1), skipCluster.store.ledgerWrites);
     }
 
     /**
@@ -299,11 +250,11 @@
         cluster.after(
                 8_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/calendar/add",
-                                calendarEntry("first", 60_000, 40, "{'owner':'blue'}"),
-                                new HashMap<>()));
+                                OperatorCommands.calendarEntry(
+                                        "first", 60_000, 40, "{'owner':'blue'}")));
         cluster.after(
                 9_000,
                 () -> {
@@ -324,11 +275,11 @@
                             WireFormat.CBOR.encode(transaction),
                             1_000,
                             (status, body, retryAfterSeconds) -> assertEquals(200, status));
-                    commandUntilAnswered(
+                    OperatorCommands.commandUntilAnswered(
                             cluster,
                             "/ops/calendar/add",
-                            calendarEntry("later", 400_000, 150, "{'owner':'blue'}"),
-                            new HashMap<>());
+                            OperatorCommands.calendarEntry(
+                                    "later", 400_000, 150, "{'owner':'blue'}"));
                 });
         cluster.after(100_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
         cluster.runUntil(200_000);
@@ -346,55 +297,6 @@
             "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
                 + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
-    /**
-     * The orders of waiting jobs as each controller has them, by the generations that they were
-     * made of.
-     */
-    private static void compareQueueOrders(
-            SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
-        for (int i = 0; i < cluster.controllers.size(); i++) {
-            if (cluster.controllers.get(i).isAlive()) {
-                cluster.sendOperatorCommand(
-                        i,
-                        "/ops/queue",
-                        WireFormat.newMap(),
-                        (status, response) -> {
-                            if (status == 200) {
-                                // Ranks by class and calendar, job by job: what these generations
-                                // say of a job is the same wherever it is asked.
-                                response.path("list")
-                                        .forEach(
-                                                job -> {
-                                                    String key =
-                                                            response.path("classes")
-                                                                    + "/"
-                                                                    + response.path("calendar")
-                                                                    + "/"
-                                                                    + job.path("job").asText();
-                                                    String ranks =
-                                                            job.path("rank")
-                                                                    + " "
-                                                                    + job.path("class")
-                                                                    + " "
-                                                                    + job.path("covered");
-                                                    String previousRanks =
-                                                            knownRanks.putIfAbsent(key, ranks);
-                                                    assertTrue(
-                                                            previousRanks == null
-                                                                    || previousRanks.equals(ranks),
-                                                            key
-                                                                    + ": "
-                                                                    + previousRanks
-                                                                    + " and "
-                                                                    + ranks);
-                                                    compared[0] += previousRanks == null ? 0 : 1;
-                                                });
-                            }
-                        });
-            }
-        }
-    }
-
     /**
      * Classes are proposed while the leader is lost; whoever leads next puts them in force, and a
      * repeat takes effect once.
@@ -410,17 +312,25 @@
                 100_000,
                 () -> {
                     cluster.faults.crashController(cluster.leaderIndex(), 2_000);
-                    commandUntilAnswered(
-                            cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
+                    OperatorCommands.commandUntilAnswered(
+                            cluster,
+                            "/ops/classes/apply",
+                            OperatorCommands.json(CLASSES_COMMAND),
+                            answers);
                 });
         for (long millis = 95_000; millis < 200_000; millis += 900) {
-            cluster.after(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
+            cluster.after(
+                    millis,
+                    () -> RandomScenarios.compareQueueOrders(cluster, knownRanks, compared));
         }
         cluster.after(
                 135_000,
                 () ->
-                        commandUntilAnswered(
-                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+                        OperatorCommands.commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                OperatorCommands.json(CLASSES_COMMAND),
+                                answers));
         cluster.after(150_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
         cluster.runUntil(160_000);
         assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
@@ -445,15 +355,19 @@
         cluster.after(
                 20_000,
                 () ->
-                        commandUntilAnswered(
-                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
+                        OperatorCommands.commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                OperatorCommands.json(CLASSES_COMMAND),
+                                answers));
         cluster.after(
                 30_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                json("{'change':'c2','classes':[{'name':'other','rank':5}]}"),
+                                OperatorCommands.json(
+                                        "{'change':'c2','classes':[{'name':'other','rank':5}]}"),
                                 answers));
         cluster.runUntil(40_000);
         assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
@@ -496,12 +410,11 @@
         cluster.after(
                 6_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                json(
-                                        "{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"),
-                                new HashMap<>()));
+                                OperatorCommands.json(
+                                        "{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}")));
         int id = 0;
         for (int second = 10; second < 400; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 8, 1, 10);
@@ -560,12 +473,12 @@
                         cluster.sendOperatorCommand(
                                 1,
                                 path,
-                                json(body),
+                                OperatorCommands.json(body),
                                 (responseStatus, response) -> {
                                     statuses.put(path, responseStatus);
                                     responses.put(path, response);
                                 }));
-        ObjectNode dryRun = json(CLASSES_COMMAND).put("dryRun", true);
+        ObjectNode dryRun = OperatorCommands.json(CLASSES_COMMAND).put("dryRun", true);
         cluster.sendOperatorCommand(
                 2,
                 "/ops/classes/apply",
@@ -603,127 +516,6 @@
     // the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
-        assertEquals("", playRandomScenario(seed).problems());
-    }
-
-    /** Plays a random day; what is wrong with it, in words. */
-    static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
-        SimulatedCluster cluster =
-                new SimulatedCluster(
-                        seed,
-                        List.of(
-                                SimulatedCloud.MachineType.small(5, List.of("a", "b", "c"), 12),
-                                new SimulatedCloud.MachineType(
-                                        "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)),
-                        5);
-        cluster.network.responseLossRate = 0.003;
-        cluster.network.duplicationRate = 0.01;
-        cluster.start();
-        Map<String, String> knownRanks = new HashMap<>();
-        int[] compared = {0};
-        for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.random());
-            long atMillis = 3_000 + cluster.random().nextLong(120_000);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(6) == 0) {
-                cluster.cancelAfter(
-                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
-                        job.jobId());
-            }
-        }
-        int entryCount = 3;
-        for (int i = 0; i < entryCount; i++) {
-            String name = "e" + i;
-            ObjectNode addCommand =
-                    calendarEntry(
-                            name,
-                            70_000 + cluster.random().nextLong(120_000),
-                            20 + cluster.random().nextInt(60),
-                            cluster.random().nextBoolean()
-                                    ? "{'owner':'red'}"
-                                    : "{'urgency':'normal'},{'mode':'ensemble'}");
-            cluster.after(
-                    5_000 + cluster.random().nextLong(15_000),
-                    () ->
-                            commandUntilAnswered(
-                                    cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
-        }
-        for (int i = 0; i < 4; i++) {
-            ObjectNode applyCommand =
-                    json(
-                            "{'change':'c"
-                                    + i
-                                    + "','classes':[{'name':'one','rank':"
-                                    + cluster.random().nextInt(1000)
-                                    + ",'match':{'owner':'"
-                                    + (cluster.random().nextBoolean() ? "red" : "blue")
-                                    + "'}},"
-                                    + "{'name':'two','rank':"
-                                    + cluster.random().nextInt(1000)
-                                    + ",'match':{'urgency':'"
-                                    + (cluster.random().nextBoolean() ? "normal" : "best_effort")
-                                    + "'},'keep':'"
-                                    + List.of("protocol", "urgent", "never")
-                                            .get(cluster.random().nextInt(3))
-                                    + "'}]}");
-            cluster.after(
-                    10_000 + cluster.random().nextLong(150_000),
-                    () ->
-                            commandUntilAnswered(
-                                    cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
-        }
-        for (int i = 0; i < 8; i++) {
-            boolean quick = cluster.random().nextBoolean();
-            cluster.after(
-                    8_000 + cluster.random().nextLong(170_000),
-                    () -> {
-                        if (quick) {
-                            cluster.faults.injectRandomQuickRestart();
-                        } else {
-                            cluster.faults.injectRandomFault();
-                        }
-                    });
-        }
-        for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
-            cluster.after(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
-        }
-        cluster.after(
-                200_000,
-                () -> {
-                    cluster.network.responseLossRate = 0;
-                    cluster.network.duplicationRate = 0;
-                });
-        cluster.expectFaultsUntil(385_000);
-        cluster.runUntil(600_000);
-        List<String> problems = new ArrayList<>(cluster.violations());
-        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
-        // the team's production and high work.
-        problems.addAll(cluster.serviceLevels().starved(300_000));
-        cluster.store.ledgerWrites.forEach(
-                (key, count) -> {
-                    if (count != 1) {
-                        problems.add(key + " written " + count + " times");
-                    }
-                });
-        for (int i = 0; i < entryCount; i++) {
-            JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + DATE);
-            if (ledgerRecord == null) {
-                problems.add(
-                        "e"
-                                + i
-                                + " is not in the ledger: "
-                                + cluster.store.value("a/ok/o/e" + i + "/" + DATE));
-            } else if (ledgerRecord.path("n").asInt()
-                    != ledgerRecord.path("done").asInt()
-                            + ledgerRecord.path("cancelled").asInt()
-                            + ledgerRecord.path("unfinished").asInt()) {
-                problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
-            }
-        }
-        if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
-            problems.add("classes " + cluster.store.value("a/oc/head"));
-        }
-        return new ScenarioRunner.ScenarioResult(cluster, String.join("; ", problems));
+        assertEquals("", RandomScenarios.playOperatorRecords(seed).problems());
     }
 }
--- /dev/null
+++ b/src/test/java/io/quincelead/simulation/RandomScenarios.java
@@ -0,0 +1,411 @@
+package io.quincelead.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.cluster.JobSpec;
+import io.quincelead.transport.WireFormat;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Scenarios drawn at random by their seeds; tests play some seeds, the scenario runner any. */
+final class RandomScenarios {
+    private RandomScenarios() {}
+
+    /**
+     * Submits jobs over the first part of the day, cancels some, and asks for jobs that nobody has.
+     */
+    static void submitRandomJobs(SimulatedCluster cluster, int jobCount, long intervalMillis) {
+        for (int i = 1; i <= jobCount; i++) {
+            JobSpec job = JobFixtures.randomJob(i, cluster.random());
+            long atMillis = 3_000 + cluster.random().nextLong(jobCount * intervalMillis);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(6) == 0) {
+                cluster.cancelAfter(
+                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
+                        job.jobId());
+            }
+            cluster.queryAfter(atMillis + 500, "wk-9" + job.jobId().substring(3));
+        }
+    }
+
+    /** Everything at once, at random; see the test for what that is. */
+    static void playRandomFaults(SimulatedCluster cluster) {
+        cluster.network.responseLossRate = 0.003;
+        cluster.cloud.bootFailureRate = 0.05;
+        cluster.start();
+        submitRandomJobs(cluster, 40, 3_000);
+        for (int i = 0; i < 14; i++) {
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomFault());
+        }
+        cluster.after(200_000, () -> cluster.network.responseLossRate = 0);
+        cluster.expectFaultsUntil(200_000);
+        cluster.runUntil(600_000);
+    }
+
+    /** Controllers that are back at once, while copies of old messages arrive. */
+    static void playQuickRestarts(SimulatedCluster cluster) {
+        cluster.network.responseLossRate = 0.003;
+        cluster.network.duplicationRate = 0.02;
+        cluster.start();
+        submitRandomJobs(cluster, 40, 3_000);
+        for (int i = 0; i < 12; i++) {
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomQuickRestart());
+        }
+        for (int i = 0; i < 4; i++) {
+            cluster.after(
+                    8_000 + cluster.random().nextLong(150_000),
+                    () -> cluster.faults.injectRandomFault());
+        }
+        cluster.after(
+                200_000,
+                () -> {
+                    cluster.network.responseLossRate = 0;
+                    cluster.network.duplicationRate = 0;
+                });
+        cluster.expectFaultsUntil(380_000);
+        cluster.runUntil(600_000);
+    }
+
+    /** A full cluster of three zones in which zones are partitioned and all else goes wrong. */
+    static SimulatedCluster playOverload(long seed) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                SimulatedCloud.MachineType.small(6, List.of("a", "b", "c"), 60),
+                                new SimulatedCloud.MachineType(
+                                        "gpu", 16, 4, 64, 5, 2, 8, List.of("a", "c"), 14)));
+        cluster.workerLeaseMillis = 24_000;
+        cluster.setTeam("red", 150, 260, 16, 32);
+        cluster.setTeam("blue", 90, 150, 8, 16);
+        for (String zone : List.of("a", "b", "c")) {
+            cluster.cloud.addRunningMachines("small", zone, 9);
+        }
+        cluster.cloud.addRunningMachines("gpu", "a", 4);
+        cluster.cloud.addRunningMachines("gpu", "c", 4);
+        cluster.start();
+        for (int i = 1; i <= 66; i++) {
+            String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
+            JobSpec job =
+                    switch (i % 3) {
+                        case 0 ->
+                                JobFixtures.service(
+                                                i,
+                                                team,
+                                                JobSpec.Priority.PRODUCTION,
+                                                List.of(3, 5, 8).get(cluster.random().nextInt(3)))
+                                        .cpus(1)
+                                        .zoneSpread(true)
+                                        .preemptible(false)
+                                        .build();
+                        case 1 ->
+                                JobFixtures.gang(
+                                                i,
+                                                team,
+                                                JobSpec.Priority.HIGH,
+                                                List.of(1, 2, 4).get(cluster.random().nextInt(3)))
+                                        .cpus(14)
+                                        .gpus(4)
+                                        .runtimeSeconds(5 + cluster.random().nextInt(30))
+                                        .zoneAffinity(true)
+                                        .preemptible(false)
+                                        .checkpointIntervalSeconds(
+                                                cluster.random().nextBoolean() ? 10 : 0)
+                                        .build();
+                        default ->
+                                JobFixtures.array(
+                                        i,
+                                        team,
+                                        JobSpec.Priority.BEST_EFFORT,
+                                        10 + cluster.random().nextInt(240),
+                                        1,
+                                        5 + cluster.random().nextInt(25));
+                    };
+            long atMillis = 2_000 + cluster.random().nextLong(i < 25 ? 6_000 : 130_000);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(12) == 0) {
+                cluster.cancelAfter(
+                        atMillis + 5_000 + cluster.random().nextLong(150_000), job.jobId());
+            }
+        }
+        for (int i = 0; i < 2; i++) {
+            int controller = cluster.random().nextInt(3);
+            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
+            cluster.after(
+                    15_000 + 70_000L * i + cluster.random().nextLong(30_000),
+                    () ->
+                            cluster.faults.partitionZone(
+                                    zone, controller, 20_000 + cluster.random().nextLong(40_000)));
+        }
+        for (int i = 0; i < 8; i++) {
+            cluster.after(
+                    12_000 + cluster.random().nextLong(140_000),
+                    () -> cluster.faults.injectRandomFault());
+        }
+        cluster.runUntil(900_000);
+        return cluster;
+    }
+
+    /**
+     * The orders of waiting jobs as each controller has them, by the generations that they were
+     * made of.
+     */
+    static void compareQueueOrders(
+            SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
+        for (int i = 0; i < cluster.controllers.size(); i++) {
+            if (cluster.controllers.get(i).isAlive()) {
+                cluster.sendOperatorCommand(
+                        i,
+                        "/ops/queue",
+                        WireFormat.newMap(),
+                        (status, response) -> {
+                            if (status == 200) {
+                                // Ranks by class and calendar, job by job: what these generations
+                                // say of a job is the same wherever it is asked.
+                                response.path("list")
+                                        .forEach(
+                                                job -> {
+                                                    String key =
+                                                            response.path("classes")
+                                                                    + "/"
+                                                                    + response.path("calendar")
+                                                                    + "/"
+                                                                    + job.path("job").asText();
+                                                    String ranks =
+                                                            job.path("rank")
+                                                                    + " "
+                                                                    + job.path("class")
+                                                                    + " "
+                                                                    + job.path("covered");
+                                                    String previousRanks =
+                                                            knownRanks.putIfAbsent(key, ranks);
+                                                    assertTrue(
+                                                            previousRanks == null
+                                                                    || previousRanks.equals(ranks),
+                                                            key
+                                                                    + ": "
+                                                                    + previousRanks
+                                                                    + " and "
+                                                                    + ranks);
+                                                    compared[0] += previousRanks == null ? 0 : 1;
+                                                });
+                            }
+                        });
+            }
+        }
+    }
+
+    /** Plays a random day; what is wrong with it, in words. */
+    static ScenarioResult playOperatorRecords(long seed) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(
+                                SimulatedCloud.MachineType.small(5, List.of("a", "b", "c"), 12),
+                                new SimulatedCloud.MachineType(
+                                        "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)),
+                        5);
+        cluster.network.responseLossRate = 0.003;
+        cluster.network.duplicationRate = 0.01;
+        cluster.start();
+        Map<String, String> knownRanks = new HashMap<>();
+        int[] compared = {0};
+        for (int i = 1; i <= 40; i++) {
+            JobSpec job = JobFixtures.randomJob(i, cluster.random());
+            long atMillis = 3_000 + cluster.random().nextLong(120_000);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(6) == 0) {
+                cluster.cancelAfter(
+                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
+                        job.jobId());
+            }
+        }
+        int entryCount = 3;
+        for (int i = 0; i < entryCount; i++) {
+            String name = "e" + i;
+            ObjectNode addCommand =
+                    OperatorCommands.calendarEntry(
+                            name,
+                            70_000 + cluster.random().nextLong(120_000),
+                            20 + cluster.random().nextInt(60),
+                            cluster.random().nextBoolean()
+                                    ? "{'owner':'red'}"
+                                    : "{'urgency':'normal'},{'mode':'ensemble'}");
+            cluster.after(
+                    5_000 + cluster.random().nextLong(15_000),
+                    () ->
+                            OperatorCommands.commandUntilAnswered(
+                                    cluster, "/ops/calendar/add", addCommand));
+        }
+        for (int i = 0; i < 4; i++) {
+            ObjectNode applyCommand =
+                    OperatorCommands.json(
+                            "{'change':'c"
+                                    + i
+                                    + "','classes':[{'name':'one','rank':"
+                                    + cluster.random().nextInt(1000)
+                                    + ",'match':{'owner':'"
+                                    + (cluster.random().nextBoolean() ? "red" : "blue")
+                                    + "'}},"
+                                    + "{'name':'two','rank':"
+                                    + cluster.random().nextInt(1000)
+                                    + ",'match':{'urgency':'"
+                                    + (cluster.random().nextBoolean() ? "normal" : "best_effort")
+                                    + "'},'keep':'"
+                                    + List.of("protocol", "urgent", "never")
+                                            .get(cluster.random().nextInt(3))
+                                    + "'}]}");
+            cluster.after(
+                    10_000 + cluster.random().nextLong(150_000),
+                    () ->
+                            OperatorCommands.commandUntilAnswered(
+                                    cluster, "/ops/classes/apply", applyCommand));
+        }
+        for (int i = 0; i < 8; i++) {
+            boolean quick = cluster.random().nextBoolean();
+            cluster.after(
+                    8_000 + cluster.random().nextLong(170_000),
+                    () -> {
+                        if (quick) {
+                            cluster.faults.injectRandomQuickRestart();
+                        } else {
+                            cluster.faults.injectRandomFault();
+                        }
+                    });
+        }
+        for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
+            cluster.after(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
+        }
+        cluster.after(
+                200_000,
+                () -> {
+                    cluster.network.responseLossRate = 0;
+                    cluster.network.duplicationRate = 0;
+                });
+        cluster.expectFaultsUntil(385_000);
+        cluster.runUntil(600_000);
+        List<String> problems = new ArrayList<>(cluster.violations());
+        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
+        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
+        // the team's production and high work.
+        problems.addAll(cluster.serviceLevels().starved(300_000));
+        cluster.store.ledgerWrites.forEach(
+                (key, count) -> {
+                    if (count != 1) {
+                        problems.add(key + " written " + count + " times");
+                    }
+                });
+        for (int i = 0; i < entryCount; i++) {
+            JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + OperatorCommands.DATE);
+            if (ledgerRecord == null) {
+                problems.add(
+                        "e"
+                                + i
+                                + " is not in the ledger: "
+                                + cluster.store.value(
+                                        "a/ok/o/e" + i + "/" + OperatorCommands.DATE));
+            } else if (ledgerRecord.path("n").asInt()
+                    != ledgerRecord.path("done").asInt()
+                            + ledgerRecord.path("cancelled").asInt()
+                            + ledgerRecord.path("unfinished").asInt()) {
+                problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
+            }
+        }
+        if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
+            problems.add("classes " + cluster.store.value("a/oc/head"));
+        }
+        return new ScenarioResult(cluster, String.join("; ", problems));
+    }
+
+    /**
+     * A random day: zones die, are cut, come back, while leaders end at every step, the cloud and
+     * the store have trouble; what is wrong, in words.
+     */
+    static ScenarioResult playZoneLoss(long seed) {
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(seed, true);
+        cluster.network.responseLossRate = 0.002;
+        if (cluster.random().nextBoolean()) {
+            cluster.after(
+                    12_000,
+                    () ->
+                            OperatorCommands.commandUntilAnswered(
+                                    cluster,
+                                    "/ops/classes/apply",
+                                    OperatorCommands.json(
+                                            "{'change':'c1','classes':[{'name':'models','rank':"
+                                                    + cluster.random().nextInt(1000)
+                                                    + ",'match':{'mode':'standing'},'zonePatienceS':"
+                                                    + (10 + cluster.random().nextInt(60))
+                                                    + ",'zoneSpare':"
+                                                    + cluster.random().nextInt(2) * 0.5
+                                                    + "}]}")));
+        }
+        for (int i = 0; i < 3; i++) {
+            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
+            int insideController = cluster.random().nextInt(7);
+            long durationMillis =
+                    List.of(1_000L, 30_000L, 70_000L).get(cluster.random().nextInt(3));
+            boolean crashes = cluster.random().nextInt(3) == 0;
+            cluster.after(
+                    60_000 + 60_000L * i + cluster.random().nextLong(30_000),
+                    () -> {
+                        if (crashes) {
+                            ZoneModels.crashZone(cluster, zone);
+                            cluster.expectFaultsUntil(cluster.nowMillis() + 60_000);
+                        } else {
+                            cluster.faults.partitionZone(
+                                    zone,
+                                    insideController < 5 ? List.of(insideController) : List.of(),
+                                    durationMillis);
+                        }
+                    });
+        }
+        for (int i = 0; i < 5; i++) {
+            cluster.after(
+                    60_000 + cluster.random().nextLong(190_000),
+                    () -> {
+                        JsonNode leaderRecord = cluster.store.value("a/lead");
+                        switch (cluster.random().nextInt(6)) {
+                            case 0 -> cluster.cloud.down = true;
+                            case 1 -> cluster.faults.injectRandomFault();
+                            default -> {
+                                if (leaderRecord != null) {
+                                    cluster.faults.crashController(
+                                            cluster.indexOfController(
+                                                    leaderRecord.path("m").asText()),
+                                            cluster.random().nextBoolean() ? 100 : 4_000);
+                                }
+                            }
+                        }
+                        cluster.after(15_000, () -> cluster.cloud.down = false);
+                    });
+        }
+        for (int i = 1; i <= ZoneModels.MODELS; i += 3) {
+            String jobId = ZoneModels.modelId(i);
+            cluster.cancelAfter(380_000, jobId);
+        }
+        cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
+        cluster.expectFaultsUntil(330_000);
+        cluster.runUntil(600_000);
+        List<String> problems = new ArrayList<>(cluster.violations());
+        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
+        problems.addAll(cluster.serviceLevels().starved());
+        ZoneModels.runningReplicas(cluster)
+                .forEach(
+                        (model, byZone) -> {
+                            int modelNumber = Integer.parseInt(model.substring(3));
+                            if (ZoneModels.replicaCount(byZone) != (modelNumber % 3 == 1 ? 0 : 6)) {
+                                problems.add(model + " has " + byZone);
+                            }
+                        });
+        return new ScenarioResult(cluster, String.join("; ", problems));
+    }
+}
--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -18,23 +18,6 @@
 
 /** Days of real controllers in the simulated world. Every rule is checked after every event. */
 class RandomizedScenarioTest {
-    /**
-     * Submits jobs over the first part of the day, cancels some, and asks for jobs that nobody has.
-     */
-    private static void submitRandomJobs(
-            SimulatedCluster cluster, int jobCount, long intervalMillis) {
-        for (int i = 1; i <= jobCount; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.random());
-            long atMillis = 3_000 + cluster.random().nextLong(jobCount * intervalMillis);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(6) == 0) {
-                cluster.cancelAfter(
-                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
-                        job.jobId());
-            }
-            cluster.queryAfter(atMillis + 500, "wk-9" + job.jobId().substring(3));
-        }
-    }
 
     private static void assertNoViolations(SimulatedCluster cluster) {
         assertEquals(Set.of(), cluster.violations());
@@ -50,7 +33,7 @@
     void faultFreeScenarioFinishesAllJobs() {
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.start();
-        submitRandomJobs(cluster, 40, 2_000);
+        RandomScenarios.submitRandomJobs(cluster, 40, 2_000);
         cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 40);
         assertTrue(cluster.store.largestValue < 8 * 1024);
@@ -75,25 +58,10 @@
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 190, 213, 423, 771, 803})
     void randomFaultsKeepInvariantsAndRecover(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
-        playRandomFaults(cluster);
+        RandomScenarios.playRandomFaults(cluster);
         assertAllJobsFinished(cluster, 40);
     }
 
-    static void playRandomFaults(SimulatedCluster cluster) {
-        cluster.network.responseLossRate = 0.003;
-        cluster.cloud.bootFailureRate = 0.05;
-        cluster.start();
-        submitRandomJobs(cluster, 40, 3_000);
-        for (int i = 0; i < 14; i++) {
-            cluster.after(
-                    8_000 + cluster.random().nextLong(150_000),
-                    () -> cluster.faults.injectRandomFault());
-        }
-        cluster.after(200_000, () -> cluster.network.responseLossRate = 0);
-        cluster.expectFaultsUntil(200_000);
-        cluster.runUntil(600_000);
-    }
-
     /**
      * Processes that are back in a fraction of a second, also in the middle of elections, while
      * copies of old messages arrive.
@@ -102,36 +70,11 @@
     @ValueSource(longs = {7001, 7002, 7003, 7004})
     void quickRestartsAndDuplicatedMessagesKeepInvariants(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
-        playQuickRestarts(cluster);
+        RandomScenarios.playQuickRestarts(cluster);
         assertAllJobsFinished(cluster, 40);
         assertEquals(List.of(), cluster.serviceLevels().starved());
     }
 
-    static void playQuickRestarts(SimulatedCluster cluster) {
-        cluster.network.responseLossRate = 0.003;
-        cluster.network.duplicationRate = 0.02;
-        cluster.start();
-        submitRandomJobs(cluster, 40, 3_000);
-        for (int i = 0; i < 12; i++) {
-            cluster.after(
-                    8_000 + cluster.random().nextLong(150_000),
-                    () -> cluster.faults.injectRandomQuickRestart());
-        }
-        for (int i = 0; i < 4; i++) {
-            cluster.after(
-                    8_000 + cluster.random().nextLong(150_000),
-                    () -> cluster.faults.injectRandomFault());
-        }
-        cluster.after(
-                200_000,
-                () -> {
-                    cluster.network.responseLossRate = 0;
-                    cluster.network.duplicationRate = 0;
-                });
-        cluster.expectFaultsUntil(380_000);
-        cluster.runUntil(600_000);
-    }
-
     /**
      * A cluster that is up at the start, in three zones: services spread over them, gangs in one
      * zone on the few machines with GPUs, low work in what is left; then zones are cut and
@@ -141,99 +84,12 @@
     // 55, 59: two gangs each held half of a team's GPU allowance, for ever.
     @ValueSource(longs = {51, 55, 59})
     void overloadWithZonePartitionsKeepsInvariantsAndRecovers(long seed) {
-        SimulatedCluster cluster = playOverload(seed);
+        SimulatedCluster cluster = RandomScenarios.playOverload(seed);
         assertNoViolations(cluster);
         assertEquals(66, cluster.acceptedJobCount());
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    static SimulatedCluster playOverload(long seed) {
-        SimulatedCluster cluster =
-                new SimulatedCluster(
-                        seed,
-                        List.of(
-                                SimulatedCloud.MachineType.small(6, List.of("a", "b", "c"), 60),
-                                new SimulatedCloud.MachineType(
-                                        "gpu", 16, 4, 64, 5, 2, 8, List.of("a", "c"), 14)));
-        cluster.workerLeaseMillis = 24_000;
-        cluster.setTeam("red", 150, 260, 16, 32);
-        cluster.setTeam("blue", 90, 150, 8, 16);
-        for (String zone : List.of("a", "b", "c")) {
-            cluster.cloud.addRunningMachines("small", zone, 9);
-        }
-        cluster.cloud.addRunningMachines("gpu", "a", 4);
-        cluster.cloud.addRunningMachines("gpu", "c", 4);
-        cluster.start();
-        for (int i = 1; i <= 66; i++) {
-            String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
-            JobSpec job =
-                    switch (i % 3) {
-                        case 0 ->
-                                JobFixtures.job(
-                                        i,
-                                        team,
-                                        JobSpec.Mode.STANDING,
-                                        JobSpec.Priority.PRODUCTION,
-                                        List.of(3, 5, 8).get(cluster.random().nextInt(3)),
-                                        1,
-                                        0,
-                                        0,
-                                        null,
-                                        null,
-                                        false,
-                                        true,
-                                        false,
-                                        0);
-                        case 1 ->
-                                JobFixtures.job(
-                                        i,
-                                        team,
-                                        JobSpec.Mode.ENSEMBLE,
-                                        JobSpec.Priority.HIGH,
-                                        List.of(1, 2, 4).get(cluster.random().nextInt(3)),
-                                        14,
-                                        4,
-                                        5 + cluster.random().nextInt(30),
-                                        null,
-                                        null,
-                                        true,
-                                        false,
-                                        false,
-                                        cluster.random().nextBoolean() ? 10 : 0);
-                        default ->
-                                JobFixtures.array(
-                                        i,
-                                        team,
-                                        JobSpec.Priority.BEST_EFFORT,
-                                        10 + cluster.random().nextInt(240),
-                                        1,
-                                        5 + cluster.random().nextInt(25));
-                    };
-            long atMillis = 2_000 + cluster.random().nextLong(i < 25 ? 6_000 : 130_000);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(12) == 0) {
-                cluster.cancelAfter(
-                        atMillis + 5_000 + cluster.random().nextLong(150_000), job.jobId());
-            }
-        }
-        for (int i = 0; i < 2; i++) {
-            int controller = cluster.random().nextInt(3);
-            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
-            cluster.after(
-                    15_000 + 70_000L * i + cluster.random().nextLong(30_000),
-                    () ->
-                            cluster.faults.partitionZone(
-                                    zone, controller, 20_000 + cluster.random().nextLong(40_000)));
-        }
-        for (int i = 0; i < 8; i++) {
-            cluster.after(
-                    12_000 + cluster.random().nextLong(140_000),
-                    () -> cluster.faults.injectRandomFault());
-        }
-        cluster.runUntil(900_000);
-        return cluster;
-    }
-
     private static SimulatedCluster clusterWithService(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
@@ -245,21 +101,11 @@
         cluster.start();
         cluster.submitAfter(
                 8_000,
-                JobFixtures.job(
-                        1,
-                        "red",
-                        JobSpec.Mode.STANDING,
-                        JobSpec.Priority.PRODUCTION,
-                        60,
-                        1,
-                        0,
-                        0,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0));
+                JobFixtures.service(1, "red", JobSpec.Priority.PRODUCTION, 60)
+                        .cpus(1)
+                        .zoneSpread(true)
+                        .preemptible(false)
+                        .build());
         return cluster;
     }
 
@@ -472,21 +318,10 @@
             cluster.submitAfter(60_000, job);
         }
         JobSpec gang =
-                JobFixtures.job(
-                        ++id,
-                        "blue",
-                        JobSpec.Mode.ENSEMBLE,
-                        JobSpec.Priority.BEST_EFFORT,
-                        3,
-                        4,
-                        0,
-                        20,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        0);
+                JobFixtures.gang(++id, "blue", JobSpec.Priority.BEST_EFFORT, 3)
+                        .cpus(4)
+                        .runtimeSeconds(20)
+                        .build();
         largeJobIds.add(gang.jobId());
         cluster.submitAfter(60_000, gang);
         cluster.runUntil(420_000);
@@ -549,21 +384,11 @@
         cluster.start();
         for (int i = 1; i <= 12; i++) {
             JobSpec job =
-                    JobFixtures.job(
-                            i,
-                            "red",
-                            JobSpec.Mode.STANDING,
-                            JobSpec.Priority.PRODUCTION,
-                            6,
-                            3,
-                            0,
-                            0,
-                            null,
-                            null,
-                            false,
-                            i % 2 == 0,
-                            false,
-                            0);
+                    JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
+                            .cpus(3)
+                            .zoneSpread(i % 2 == 0)
+                            .preemptible(false)
+                            .build();
             cluster.submitAfter(3_000, job);
         }
         for (int i = 13; i < 60; i++) {
@@ -591,7 +416,7 @@
     void delayedMemberAnnouncementDoesNotReplaceSuccessor() {
         SimulatedCluster cluster = new SimulatedCluster(91);
         cluster.start();
-        submitRandomJobs(cluster, 20, 2_000);
+        RandomScenarios.submitRandomJobs(cluster, 20, 2_000);
         cluster.runUntil(10_000);
         ObjectNode[] delayed = {null};
         cluster.store.dropsTransaction =
@@ -867,21 +692,11 @@
         cluster.start();
         cluster.submitAfter(
                 2_000,
-                JobFixtures.job(
-                        1,
-                        "red",
-                        JobSpec.Mode.STANDING,
-                        JobSpec.Priority.PRODUCTION,
-                        800,
-                        1,
-                        0,
-                        0,
-                        null,
-                        null,
-                        false,
-                        true,
-                        false,
-                        0));
+                JobFixtures.service(1, "red", JobSpec.Priority.PRODUCTION, 800)
+                        .cpus(1)
+                        .zoneSpread(true)
+                        .preemptible(false)
+                        .build());
         cluster.runUntil(12_000);
         assertNoViolations(cluster);
         assertEquals(800, cluster.taskStarts.get("wk-000001"));
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -21,9 +21,6 @@
  * what went wrong goes to standard error, and any failure makes the exit status 1.
  */
 public final class ScenarioRunner {
-    /** A scenario that was played, and what is wrong with it, in words; empty if nothing is. */
-    record ScenarioResult(SimulatedCluster cluster, String problems) {}
-
     private record Scenario(String kind, long seed) {}
 
     private ScenarioRunner() {}
@@ -80,27 +77,27 @@
 
     private static boolean playAndReport(String scenario, long seed) {
         ScenarioResult result = play(scenario, seed);
-        System.out.println(scenario + "\t" + seed + "\t" + result.cluster.network.history.finish());
-        if (!result.problems.isEmpty()) {
-            System.err.println(scenario + " " + seed + ": " + result.problems);
+        System.out.println(scenario + "\t" + seed + "\t" + result.cluster().network.history.finish());
+        if (!result.problems().isEmpty()) {
+            System.err.println(scenario + " " + seed + ": " + result.problems());
         }
-        return result.problems.isEmpty();
+        return result.problems().isEmpty();
     }
 
     private static ScenarioResult play(String scenario, long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         switch (scenario) {
             case "operators" -> {
-                return OperatorRecordsTest.playRandomScenario(seed);
+                return RandomScenarios.playOperatorRecords(seed);
             }
             case "zones" -> {
-                return ZoneRecoveryTest.playRandomScenario(seed);
+                return RandomScenarios.playZoneLoss(seed);
             }
-            case "flood" -> cluster = RandomizedScenarioTest.playOverload(seed);
-            case "quick" -> RandomizedScenarioTest.playQuickRestarts(cluster);
+            case "flood" -> cluster = RandomScenarios.playOverload(seed);
+            case "quick" -> RandomScenarios.playQuickRestarts(cluster);
             case "meetings" -> CompoundFaults.playAllKinds(cluster);
             case "first" -> CompoundFaults.playInitialKinds(cluster);
-            case "rough" -> RandomizedScenarioTest.playRandomFaults(cluster);
+            case "rough" -> RandomScenarios.playRandomFaults(cluster);
             default -> throw new IllegalArgumentException("no such kind of scenario: " + scenario);
         }
         List<String> starved =
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -35,44 +35,14 @@
         cluster.start();
         double[] imageGb = {8, 14, 24, 40, 70, 140};
         for (int i = 1; i <= 12; i++) {
-            JobSpec template =
-                    JobFixtures.job(
-                            i,
-                            "red",
-                            JobSpec.Mode.STANDING,
-                            JobSpec.Priority.PRODUCTION,
-                            6,
-                            3,
-                            0,
-                            0,
-                            null,
-                            null,
-                            false,
-                            i % 4 == 0,
-                            true,
-                            0);
             JobSpec job =
-                    new JobSpec(
-                            template.jobId(),
-                            "model",
-                            template.team(),
-                            template.mode(),
-                            template.priority(),
-                            6,
-                            3,
-                            0,
-                            6,
-                            null,
-                            null,
-                            false,
-                            template.zoneSpread(),
-                            true,
-                            "w-" + i,
-                            imageGb[i % 6],
-                            0,
-                            0,
-                            0,
-                            -1);
+                    JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
+                            .jobClass("model")
+                            .cpus(3)
+                            .memoryGb(6)
+                            .zoneSpread(i % 4 == 0)
+                            .image("w-" + i, imageGb[i % 6])
+                            .build();
             cluster.submitAfter(3_000, job);
         }
         for (int i = 13; i < 140; i++) {
--- a/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -3,17 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quincelead.cluster.JobSpec;
-import io.quincelead.config.OperatorSettings;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,88 +17,6 @@
 
 /** A zone that is lost and comes back, with controllers that fail at every step of it. */
 class ZoneRecoveryTest {
-    private static final int MODELS = 12;
-
-    private static String modelId(int model) {
-        return JobFixtures.id(model);
-    }
-
-    /**
-     * Three zones, 5 controllers, 12 models of 6 replicas, every other one scattered, low work
-     * beside.
-     */
-    private static SimulatedCluster clusterWithThreeZones(long seed, boolean recoveryEnabled) {
-        SimulatedCluster cluster =
-                new SimulatedCluster(
-                        seed,
-                        List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b", "c"), 300)),
-                        5);
-        cluster.heartbeatIntervalMillis = 3_000;
-        cluster.workerLeaseMillis = 17_500;
-        cluster.setTeam("red", 400, 1_200);
-        cluster.setTeam("blue", 100, 600);
-        cluster.operatorSettings =
-                OperatorSettings.DEFAULTS.withZoneRecovery(
-                        new OperatorSettings.ZoneRecovery(recoveryEnabled, 20, 30, 0.1));
-        cluster.start();
-        for (int i = 1; i <= MODELS; i++) {
-            JobSpec job =
-                    JobFixtures.job(
-                            i,
-                            "red",
-                            JobSpec.Mode.STANDING,
-                            JobSpec.Priority.PRODUCTION,
-                            6,
-                            3,
-                            0,
-                            0,
-                            null,
-                            null,
-                            false,
-                            i % 2 == 0,
-                            false,
-                            0);
-            cluster.submitAfter(3_000, job);
-        }
-        for (int i = MODELS + 1; i < 60; i++) {
-            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.submitAfter(4_000 + (i - MODELS - 1) * 3_500L, job);
-        }
-        return cluster;
-    }
-
-    /** Replicas that run, by model and zone. */
-    private static Map<String, Map<String, Integer>> runningReplicas(SimulatedCluster cluster) {
-        Map<String, Map<String, Integer>> result = new TreeMap<>();
-        for (int i = 1; i <= MODELS; i++) {
-            result.put(modelId(i), new TreeMap<>());
-        }
-        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
-            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                String jobId = task.name.substring(0, task.name.indexOf('/'));
-                if (task.status.equals("running") && result.containsKey(jobId) && !worker.dead) {
-                    result.get(jobId).merge(worker.zone, 1, Integer::sum);
-                }
-            }
-        }
-        return result;
-    }
-
-    private static int replicaCount(Map<String, Integer> byZone) {
-        return byZone.values().stream().mapToInt(count -> count).sum();
-    }
-
-    private static void crashZone(SimulatedCluster cluster, String zone) {
-        cluster.cloud.machines.values().stream()
-                .filter(worker -> worker.zone.equals(zone))
-                .forEach(SimulatedWorker::crash);
-    }
-
-    private static String zoneState(SimulatedCluster cluster, String zone) {
-        JsonNode record = cluster.store.value("a/oz/" + zone);
-        return record == null ? "up" : record.path("st").asText();
-    }
-
     /**
      * Once a model was whole in one zone and gone with it; now each has replicas left, and what is
      * lost is back soon after the evidence.
@@ -110,15 +24,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"none", "leader", "two", "all"})
     void zoneLossLeavesEveryModelServing(String crashing) {
-        SimulatedCluster cluster = clusterWithThreeZones(81, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(81, true);
         cluster.runUntil(85_000);
-        runningReplicas(cluster)
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertTrue(
-                                        byZone.size() >= 2 && replicaCount(byZone) == 6,
+                                        byZone.size() >= 2 && ZoneModels.replicaCount(byZone) == 6,
                                         model + " " + byZone));
-        cluster.after(5_000, () -> crashZone(cluster, "a"));
+        cluster.after(5_000, () -> ZoneModels.crashZone(cluster, "a"));
         cluster.after(
                 5_500,
                 () -> {
@@ -142,44 +56,47 @@
                             minReplicas[0] =
                                     Math.min(
                                             minReplicas[0],
-                                            runningReplicas(cluster).values().stream()
-                                                    .mapToInt(ZoneRecoveryTest::replicaCount)
+                                            ZoneModels.runningReplicas(cluster).values().stream()
+                                                    .mapToInt(ZoneModels::replicaCount)
                                                     .min()
                                                     .orElse(0)));
         }
         cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 1, "least replicas of a model: " + minReplicas[0]);
-        runningReplicas(cluster)
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
-                                assertEquals(6, replicaCount(byZone), model + " " + byZone));
+                                assertEquals(
+                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
         assertTrue(
-                Set.of("lost", "returning", "settled").contains(zoneState(cluster, "a")),
-                zoneState(cluster, "a"));
+                Set.of("lost", "returning", "settled").contains(ZoneModels.zoneState(cluster, "a")),
+                ZoneModels.zoneState(cluster, "a"));
     }
 
     /** Everything is gone: one replica of every model is back before any model has many. */
     @Test
     void oneReplicaOfEveryModelComesFirst() {
-        SimulatedCluster cluster = clusterWithThreeZones(82, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(82, true);
         cluster.runUntil(90_000);
-        List.of("a", "b", "c").forEach(z -> crashZone(cluster, z));
+        List.of("a", "b", "c").forEach(z -> ZoneModels.crashZone(cluster, z));
         int[] maxReplicas = {0};
         boolean[] allServing = {false};
         for (long atMillis = 500; atMillis < 120_000; atMillis += 250) {
             cluster.after(
                     atMillis,
                     () -> {
-                        Map<String, Map<String, Integer>> replicas = runningReplicas(cluster);
+                        Map<String, Map<String, Integer>> replicas =
+                                ZoneModels.runningReplicas(cluster);
                         allServing[0] |=
-                                replicas.values().stream().allMatch(z -> replicaCount(z) > 0);
+                                replicas.values().stream()
+                                        .allMatch(z -> ZoneModels.replicaCount(z) > 0);
                         if (!allServing[0]) {
                             maxReplicas[0] =
                                     Math.max(
                                             maxReplicas[0],
                                             replicas.values().stream()
-                                                    .mapToInt(ZoneRecoveryTest::replicaCount)
+                                                    .mapToInt(ZoneModels::replicaCount)
                                                     .max()
                                                     .orElse(0));
                         }
@@ -191,10 +108,11 @@
         assertTrue(
                 maxReplicas[0] <= 2,
                 "replicas of one model while another had none: " + maxReplicas[0]);
-        runningReplicas(cluster)
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
-                                assertEquals(6, replicaCount(byZone), model + " " + byZone));
+                                assertEquals(
+                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
     }
 
     /**
@@ -204,7 +122,7 @@
     @ParameterizedTest
     @CsvSource({"none, 40000", "one, 40000", "leader, 40000", "one, 1000", "none, 30000"})
     void partitionedZoneKeepsItsPlacements(String inside, long durationMillis) {
-        SimulatedCluster cluster = clusterWithThreeZones(83, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(83, true);
         cluster.runUntil(90_000);
         int leader = cluster.leaderIndex();
         List<Integer> insideControllers =
@@ -214,22 +132,23 @@
         cluster.faults.partitionZone("b", insideControllers, durationMillis);
         List<String> states = new ArrayList<>();
         for (long atMillis = 1_000; atMillis < 100_000; atMillis += 1_000) {
-            cluster.after(atMillis, () -> states.add(zoneState(cluster, "b")));
+            cluster.after(atMillis, () -> states.add(ZoneModels.zoneState(cluster, "b")));
         }
         cluster.runUntil(260_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(!states.contains("lost"), "" + states);
         int starts = 0;
-        for (int i = 1; i <= MODELS; i++) {
-            starts += cluster.taskStarts.getOrDefault(modelId(i), 0);
+        for (int i = 1; i <= ZoneModels.MODELS; i++) {
+            starts += cluster.taskStarts.getOrDefault(ZoneModels.modelId(i), 0);
         }
         // With five controllers a worker's lease is too short to look for its owner among them: cut
         // for longer, tasks end by their leases.
         assertTrue(starts <= (durationMillis > 17_500 ? 72 + 36 : 72 + 4), "starts: " + starts);
-        runningReplicas(cluster)
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
-                                assertEquals(6, replicaCount(byZone), model + " " + byZone));
+                                assertEquals(
+                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
     }
 
     /**
@@ -238,27 +157,28 @@
      */
     @Test
     void releasedZoneIsLost() {
-        SimulatedCluster cluster = clusterWithThreeZones(84, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(84, true);
         cluster.runUntil(90_000);
         cluster.faults.partitionZone("b", List.of(1), 120_000);
         Map<String, ObjectNode> answers = new HashMap<>();
         cluster.after(
                 30_000,
                 () ->
-                        OperatorRecordsTest.commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/zones/release",
-                                OperatorRecordsTest.json("{'change':'r1','zone':'b'}"),
+                                OperatorCommands.json("{'change':'r1','zone':'b'}"),
                                 answers));
         cluster.runUntil(175_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(
-                Set.of("lost", "returning", "settled").contains(zoneState(cluster, "b")),
-                zoneState(cluster, "b"));
-        runningReplicas(cluster)
+                Set.of("lost", "returning", "settled").contains(ZoneModels.zoneState(cluster, "b")),
+                ZoneModels.zoneState(cluster, "b"));
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
-                                assertEquals(6, replicaCount(byZone), model + " " + byZone));
+                                assertEquals(
+                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
         cluster.runUntil(400_000);
         assertEquals(Set.of(), cluster.violations());
     }
@@ -266,27 +186,27 @@
     /** A class states how long its replicas may be left in a zone that is cut off. */
     @Test
     void classSetsZonePatience() {
-        SimulatedCluster cluster = clusterWithThreeZones(85, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(85, true);
         cluster.after(
                 10_000,
                 () ->
-                        OperatorRecordsTest.commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                OperatorRecordsTest.json(
+                                OperatorCommands.json(
                                         "{'change':'c1','classes':[{'name':'models','rank':10,"
-                                            + "'match':{'mode':'standing'},'zonePatienceS':25}]}"),
-                                new HashMap<>()));
+                                            + "'match':{'mode':'standing'},'zonePatienceS':25}]}")));
         cluster.runUntil(90_000);
         cluster.faults.partitionZone("b", List.of(), 120_000);
         cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
-        runningReplicas(cluster)
+        ZoneModels.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
                                         6,
-                                        replicaCount(byZone) - byZone.getOrDefault("b", 0),
+                                        ZoneModels.replicaCount(byZone)
+                                                - byZone.getOrDefault("b", 0),
                                         model + " " + byZone));
     }
 
@@ -296,9 +216,9 @@
      */
     @Test
     void zoneSpreadIsRestoredGradually() {
-        SimulatedCluster cluster = clusterWithThreeZones(86, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(86, true);
         cluster.runUntil(90_000);
-        crashZone(cluster, "a");
+        ZoneModels.crashZone(cluster, "a");
         int[] minReplicas = {99};
         cluster.runUntil(140_000);
         int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
@@ -309,8 +229,8 @@
                             minReplicas[0] =
                                     Math.min(
                                             minReplicas[0],
-                                            runningReplicas(cluster).values().stream()
-                                                    .mapToInt(ZoneRecoveryTest::replicaCount)
+                                            ZoneModels.runningReplicas(cluster).values().stream()
+                                                    .mapToInt(ZoneModels::replicaCount)
                                                     .min()
                                                     .orElse(0)));
         }
@@ -318,12 +238,14 @@
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 5, "least replicas of a model: " + minReplicas[0]);
         assertTrue(startsBefore > 0);
-        Map<String, Map<String, Integer>> replicas = runningReplicas(cluster);
+        Map<String, Map<String, Integer>> replicas = ZoneModels.runningReplicas(cluster);
         long modelsInZoneA =
                 replicas.values().stream()
                         .filter(byZone -> byZone.getOrDefault("a", 0) >= 1)
                         .count();
-        assertTrue(modelsInZoneA >= MODELS - 1, "" + replicas + " " + zoneState(cluster, "a"));
+        assertTrue(
+                modelsInZoneA >= ZoneModels.MODELS - 1,
+                "" + replicas + " " + ZoneModels.zoneState(cluster, "a"));
     }
 
     /**
@@ -332,11 +254,11 @@
      */
     @Test
     void recoveryPlanIsShownWithoutSideEffects() {
-        SimulatedCluster cluster = clusterWithThreeZones(87, true);
+        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(87, true);
         cluster.runUntil(90_000);
         long revision = cluster.store.revision();
         int replicasInZoneA =
-                runningReplicas(cluster).values().stream()
+                ZoneModels.runningReplicas(cluster).values().stream()
                         .mapToInt(byZone -> byZone.getOrDefault("a", 0))
                         .sum();
         ObjectNode[] plan = {null};
@@ -359,91 +281,6 @@
     @ParameterizedTest
     @ValueSource(longs = {201, 202, 203, 204})
     void randomScenarioWithZoneLossKeepsInvariants(long seed) {
-        assertEquals("", playRandomScenario(seed).problems());
-    }
-
-    /**
-     * A random day: zones die, are cut, come back, while leaders end at every step, the cloud and
-     * the store have trouble; what is wrong, in words.
-     */
-    static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
-        SimulatedCluster cluster = clusterWithThreeZones(seed, true);
-        cluster.network.responseLossRate = 0.002;
-        if (cluster.random().nextBoolean()) {
-            cluster.after(
-                    12_000,
-                    () ->
-                            OperatorRecordsTest.commandUntilAnswered(
-                                    cluster,
-                                    "/ops/classes/apply",
-                                    OperatorRecordsTest.json(
-                                            "{'change':'c1','classes':[{'name':'models','rank':"
-                                                    + cluster.random().nextInt(1000)
-                                                    + ",'match':{'mode':'standing'},'zonePatienceS':"
-                                                    + (10 + cluster.random().nextInt(60))
-                                                    + ",'zoneSpare':"
-                                                    + cluster.random().nextInt(2) * 0.5
-                                                    + "}]}"),
-                                    new HashMap<>()));
-        }
-        for (int i = 0; i < 3; i++) {
-            String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
-            int insideController = cluster.random().nextInt(7);
-            long durationMillis =
-                    List.of(1_000L, 30_000L, 70_000L).get(cluster.random().nextInt(3));
-            boolean crashes = cluster.random().nextInt(3) == 0;
-            cluster.after(
-                    60_000 + 60_000L * i + cluster.random().nextLong(30_000),
-                    () -> {
-                        if (crashes) {
-                            crashZone(cluster, zone);
-                            cluster.expectFaultsUntil(cluster.nowMillis() + 60_000);
-                        } else {
-                            cluster.faults.partitionZone(
-                                    zone,
-                                    insideController < 5 ? List.of(insideController) : List.of(),
-                                    durationMillis);
-                        }
-                    });
-        }
-        for (int i = 0; i < 5; i++) {
-            cluster.after(
-                    60_000 + cluster.random().nextLong(190_000),
-                    () -> {
-                        JsonNode leaderRecord = cluster.store.value("a/lead");
-                        switch (cluster.random().nextInt(6)) {
-                            case 0 -> cluster.cloud.down = true;
-                            case 1 -> cluster.faults.injectRandomFault();
-                            default -> {
-                                if (leaderRecord != null) {
-                                    cluster.faults.crashController(
-                                            cluster.indexOfController(
-                                                    leaderRecord.path("m").asText()),
-                                            cluster.random().nextBoolean() ? 100 : 4_000);
-                                }
-                            }
-                        }
-                        cluster.after(15_000, () -> cluster.cloud.down = false);
-                    });
-        }
-        for (int i = 1; i <= MODELS; i += 3) {
-            String jobId = modelId(i);
-            cluster.cancelAfter(380_000, jobId);
-        }
-        cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
-        cluster.expectFaultsUntil(330_000);
-        cluster.runUntil(600_000);
-        List<String> problems = new ArrayList<>(cluster.violations());
-        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        problems.addAll(cluster.serviceLevels().starved());
-        runningReplicas(cluster)
-                .forEach(
-                        (model, byZone) -> {
-                            int modelNumber = Integer.parseInt(model.substring(3));
-                            if (replicaCount(byZone) != (modelNumber % 3 == 1 ? 0 : 6)) {
-                                problems.add(model + " has " + byZone);
-                            }
-                        });
-        return new ScenarioRunner.ScenarioResult(cluster, String.join("; ", problems));
+        assertEquals("", RandomScenarios.playZoneLoss(seed).problems());
     }
 }
