--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -1,8 +1,8 @@
 package io.quincelead.simulation;
 
-import static io.quincelead.simulation.CompoundFaultTest.anyStartsWith;
-import static io.quincelead.simulation.CompoundFaultTest.assertAllJobsFinished;
-import static io.quincelead.simulation.CompoundFaultTest.clusterWithReadyMachines;
+import static io.quincelead.simulation.ClusterAssertions.assertAllJobsFinished;
+import static io.quincelead.simulation.CompoundFaultFixtures.anyStartsWith;
+import static io.quincelead.simulation.CompoundFaultFixtures.clusterWithReadyMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -77,7 +77,8 @@
 
     private static boolean playAndReport(String scenario, long seed) {
         ScenarioResult result = play(scenario, seed);
-        System.out.println(scenario + "\t" + seed + "\t" + result.cluster().network.history.finish());
+        System.out.println(
+                scenario + "\t" + seed + "\t" + result.cluster().network.history.finish());
         if (!result.problems().isEmpty()) {
             System.err.println(scenario + " " + seed + ": " + result.problems());
         }
--- /dev/null
+++ b/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
@@ -0,0 +1,366 @@
+package io.quincelead.simulation;
+
+import static io.quincelead.simulation.ClusterAssertions.assertAllJobsFinished;
+import static io.quincelead.simulation.ClusterAssertions.assertNoViolations;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.quincelead.cluster.JobSpec;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What is placed, preempted and provisioned, and in which order, by a whole cluster. */
+class SchedulingScenarioTest {
+    @Test
+    void higherPriorityPreemptsLowerPriority() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        6, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
+        cluster.start();
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 12, 2, 300));
+        cluster.submitAfter(40_000, JobFixtures.array(2, "blue", JobSpec.Priority.HIGH, 6, 2, 10));
+        cluster.runUntil(90_000);
+        assertTrue(cluster.wasToldFinalStatus("wk-000002", "done"));
+        cluster.runUntil(1_500_000);
+        assertAllJobsFinished(cluster, 2);
+    }
+
+    /**
+     * A low job within its team's guarantee and a normal one beyond its own once displaced each
+     * other for ever.
+     */
+    @Test
+    void quotaGuaranteesDoNotCausePreemptionLoops() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        10, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
+        cluster.start();
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 30, 2, 40));
+        cluster.submitAfter(
+                30_000, JobFixtures.array(2, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 40));
+        cluster.runUntil(500_000);
+        assertAllJobsFinished(cluster, 2);
+        assertTrue(
+                cluster.taskStarts.get("wk-000001") + cluster.taskStarts.get("wk-000002") < 45,
+                "starts: " + cluster.taskStarts);
+    }
+
+    /**
+     * Bursts of urgent work over a stream of normal work that alone nearly fills the cluster, and
+     * low work that its team is guaranteed. Low work once came after all normal work, also that of
+     * a team far beyond its guarantee, and hardly any of it was done.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {61, 62, 63})
+    void burstsOfUrgentJobsStarveNoClass(long seed) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 3)));
+        cluster.setTeam("red", 12, 40);
+        cluster.setTeam("blue", 12, 24);
+        cluster.start();
+        Map<JobSpec.Priority, List<String>> submittedIds = new TreeMap<>();
+        int id = 0;
+        for (int second = 3; second < 240; second++) {
+            List<JobSpec> arrivals = new ArrayList<>();
+            if (second % 6 == 0) {
+                arrivals.add(
+                        JobFixtures.array(
+                                ++id,
+                                "red",
+                                JobSpec.Priority.NORMAL,
+                                6 + cluster.random().nextInt(4),
+                                2,
+                                8 + cluster.random().nextInt(4)));
+            }
+            if (second % 60 < 20 && second % 4 == 0) {
+                arrivals.add(
+                        JobFixtures.array(
+                                ++id,
+                                "red",
+                                JobSpec.Priority.HIGH,
+                                3 + cluster.random().nextInt(3),
+                                2,
+                                5));
+            }
+            if (second % 20 == 0) {
+                arrivals.add(
+                        JobFixtures.array(++id, "blue", JobSpec.Priority.BEST_EFFORT, 4, 2, 12));
+            }
+            for (JobSpec job : arrivals) {
+                submittedIds
+                        .computeIfAbsent(job.priority(), key -> new ArrayList<>())
+                        .add(job.jobId());
+                cluster.submitAfter(second * 1000L, job);
+            }
+        }
+        cluster.runUntil(280_000);
+        Map<JobSpec.Priority, Double> servedShares = new TreeMap<>();
+        submittedIds.forEach(
+                (priority, ids) ->
+                        servedShares.put(
+                                priority,
+                                ids.stream()
+                                                .filter(i -> cluster.wasToldFinalStatus(i, "done"))
+                                                .count()
+                                        / (double) ids.size()));
+        assertTrue(
+                servedShares.values().stream().allMatch(share -> share >= 0.5),
+                "served: " + servedShares);
+        cluster.runUntil(900_000);
+        assertAllJobsFinished(cluster, id);
+    }
+
+    /**
+     * A full cluster under endless small arrivals, and one large job of each class whose tasks take
+     * half a machine. Small tasks once took each part of a machine as it came free, and the large
+     * ones began when the flood was over.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {71, 72})
+    void largestJobsStartUnderContinuousSmallArrivals(long seed) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 6)));
+        cluster.setTeam("red", 8, 200);
+        cluster.setTeam("blue", 4, 60);
+        cluster.start();
+        int id = 0;
+        for (int second = 3; second < 420; second += 2) {
+            JobSpec job =
+                    JobFixtures.array(
+                            ++id,
+                            "red",
+                            JobSpec.Priority.NORMAL,
+                            10 + cluster.random().nextInt(6),
+                            1,
+                            10 + cluster.random().nextInt(6));
+            cluster.submitAfter(second * 1000L, job);
+        }
+        List<String> largeJobIds = new ArrayList<>();
+        for (JobSpec.Priority priority : JobSpec.Priority.values()) {
+            JobSpec job = JobFixtures.array(++id, "blue", priority, 8, 4, 20);
+            largeJobIds.add(job.jobId());
+            cluster.submitAfter(60_000, job);
+        }
+        JobSpec gang =
+                JobFixtures.gang(++id, "blue", JobSpec.Priority.BEST_EFFORT, 3)
+                        .cpus(4)
+                        .runtimeSeconds(20)
+                        .build();
+        largeJobIds.add(gang.jobId());
+        cluster.submitAfter(60_000, gang);
+        cluster.runUntil(420_000);
+        assertNoViolations(cluster);
+        for (String jobId : largeJobIds) {
+            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(jobId);
+            assertTrue(
+                    startDelayMillis >= 0 && startDelayMillis < 240_000,
+                    jobId + " began after " + startDelayMillis + " ms");
+            assertTrue(
+                    cluster.serviceLevels().halfStartedDelayMillis(jobId) >= 0
+                            && cluster.serviceLevels().halfStartedDelayMillis(jobId) < 300_000,
+                    jobId + " half after " + cluster.serviceLevels().halfStartedDelayMillis(jobId));
+        }
+    }
+
+    /**
+     * Services that are to be scattered over zones, and low work beside them. All machines were
+     * once rented in the first zone, so half of the replicas never ran, and everything was gone
+     * with that zone.
+     */
+    @Test
+    void zoneSpreadServicesGetMachinesInSeveralZones() {
+        SimulatedCluster cluster = clusterWithThreeZones(81);
+        cluster.runUntil(80_000);
+        assertNoViolations(cluster);
+        int replicas = 0;
+        for (int i = 1; i <= 12; i++) {
+            replicas += cluster.taskStarts.getOrDefault(JobFixtures.id(i), 0);
+        }
+        assertEquals(72, replicas);
+        Map<String, Long> byZone =
+                cluster.cloud.machines.values().stream()
+                        .collect(
+                                java.util.stream.Collectors.groupingBy(
+                                        worker -> worker.zone,
+                                        TreeMap::new,
+                                        java.util.stream.Collectors.counting()));
+        assertEquals(3, byZone.size(), "machines by zone: " + byZone);
+        assertTrue(
+                byZone.values().stream().mapToLong(count -> count).max().orElse(0)
+                        <= cluster.cloud.machines.size() * 0.5,
+                "machines by zone: " + byZone);
+    }
+
+    /**
+     * Three zones, 5 controllers, 12 services of 6 replicas, every other one scattered, low work
+     * beside.
+     */
+    private static SimulatedCluster clusterWithThreeZones(long seed) {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        seed,
+                        List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b", "c"), 300)),
+                        5);
+        cluster.heartbeatIntervalMillis = 3_000;
+        cluster.workerLeaseMillis = 17_500;
+        cluster.setTeam("red", 400, 1_200);
+        cluster.setTeam("blue", 100, 600);
+        cluster.start();
+        for (int i = 1; i <= 12; i++) {
+            JobSpec job =
+                    JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
+                            .cpus(3)
+                            .zoneSpread(i % 2 == 0)
+                            .preemptible(false)
+                            .build();
+            cluster.submitAfter(3_000, job);
+        }
+        for (int i = 13; i < 60; i++) {
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
+            cluster.submitAfter(4_000 + (i - 13) * 3_500L, job);
+        }
+        return cluster;
+    }
+
+    /**
+     * A busy controller's clock moves on from one look to the next, in a round too; urgent work
+     * displaces other work meanwhile.
+     */
+    @Test
+    void schedulingCycleToleratesAdvancingClock() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        34, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 60)));
+        cluster.clock.computationTakesTime = true;
+        cluster.setTeam("red", 480, 480);
+        cluster.setTeam("blue", 480, 480);
+        cluster.start();
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 300, 1, 90));
+        cluster.submitAfter(
+                8_000, JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 180, 1, 120));
+        for (int i = 3; i < 40; i++) {
+            JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 10, 1, 15);
+            cluster.submitAfter(20_000 + i * 900L, job);
+        }
+        cluster.runUntil(700_000);
+        assertAllJobsFinished(cluster, 39);
+    }
+
+    /**
+     * The leader once placed on machines that were granted while booting; their silence then cost
+     * them.
+     */
+    @Test
+    void bootingMachineGetsNoTasksAndIsNotDeclaredLost() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        32, List.of(SimulatedCloud.MachineType.small(30, List.of("a"), 30)));
+        cluster.setTeam("red", 100, 240);
+        cluster.start();
+        for (int i = 1; i <= 6; i++) {
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 20, 2, 40);
+            cluster.submitAfter(3_000 + i * 3_000L, job);
+        }
+        cluster.runUntil(60_000);
+        assertTrue(
+                cluster.cloud.rentedMachineCount() <= 30,
+                "rented: " + cluster.cloud.rentedMachineCount());
+        cluster.runUntil(400_000);
+        assertAllJobsFinished(cluster, 6);
+    }
+
+    /**
+     * Hundreds of machines are up before the service is: each once cost a record, and nothing ran
+     * for a minute.
+     */
+    @Test
+    void runningClusterIsRegisteredWithFewRecords() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        35, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 300)));
+        cluster.setTeam("red", 900, 900);
+        cluster.cloud.addRunningMachines("small", "a", 80);
+        cluster.cloud.addRunningMachines("small", "b", 70);
+        cluster.start();
+        cluster.submitAfter(
+                2_000,
+                JobFixtures.service(1, "red", JobSpec.Priority.PRODUCTION, 800)
+                        .cpus(1)
+                        .zoneSpread(true)
+                        .preemptible(false)
+                        .build());
+        cluster.runUntil(12_000);
+        assertNoViolations(cluster);
+        assertEquals(800, cluster.taskStarts.get("wk-000001"));
+        assertTrue(
+                cluster.store.keys().stream().filter(key -> key.startsWith("a/m/")).count() <= 20,
+                "records: " + cluster.store.keys());
+        assertEquals(150, cluster.cloud.rentedMachineCount());
+    }
+
+    /**
+     * The one machine that a job may run on failed everything, and since nothing else ran there,
+     * the job was blamed for ever.
+     */
+    @Test
+    void jobWhoseOnlyMachineFailsTasksGetsAnotherMachine() {
+        SimulatedCluster cluster =
+                new SimulatedCluster(
+                        41, List.of(SimulatedCloud.MachineType.small(5, List.of("a"), 3)));
+        cluster.start();
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 2, 10));
+        for (long atMillis = 4_000; atMillis < 40_000; atMillis += 100) {
+            cluster.after(
+                    atMillis,
+                    () ->
+                            cluster.cloud
+                                    .machines
+                                    .values()
+                                    .forEach(
+                                            worker ->
+                                                    worker.failsTasks |=
+                                                            worker.host.equals("i-000001")));
+        }
+        cluster.runUntil(300_000);
+        assertAllJobsFinished(cluster, 1);
+        assertTrue(
+                cluster.taskStarts.get("wk-000001") > 4,
+                "it failed at first: " + cluster.taskStarts);
+    }
+
+    @Test
+    void jobFailingEverywhereDoesNotQuarantineTheFleet() {
+        SimulatedCluster cluster = new SimulatedCluster(9);
+        cluster.start();
+        cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 4, 2, 10));
+        cluster.submitAfter(
+                3_000, JobFixtures.array(2, "blue", JobSpec.Priority.NORMAL, 30, 2, 10));
+        cluster.after(
+                12_000, () -> cluster.faults.onRandomMachine(worker -> worker.failsTasks = true));
+        cluster.runUntil(400_000);
+        assertAllJobsFinished(cluster, 2);
+    }
+
+    @Test
+    void largeJobIsSplitOverManyRecords() {
+        SimulatedCluster cluster = new SimulatedCluster(8);
+        cluster.start();
+        cluster.submitAfter(
+                3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1_500, 1, 2));
+        cluster.runUntil(900_000);
+        assertAllJobsFinished(cluster, 1);
+        cluster.runUntil(920_000);
+        for (String key : cluster.store.keys()) {
+            assertTrue(!key.startsWith("a/t/") && !key.startsWith("a/j/"), "left behind: " + key);
+        }
+    }
+}
