--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -18,8 +18,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
+import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -36,107 +39,108 @@
         UNREACHABLE_OUTBOUND
     }
 
+    static Stream<Arguments> faultsAndSeeds() {
+        return ScenarioArguments.withSeeds(MachineFault.values(), 4);
+    }
+
     /**
      * Every team is at its limit, half of its jobs are cancelled, the machines that run them can't
      * be asked, and the leader changes: what runs there counts until there is evidence, and is free
      * again within the time that silence is borne.
      */
     @ParameterizedTest
-    @EnumSource(MachineFault.class)
-    void quotaOfCancelledTasksOnFaultyMachinesIsReleased(MachineFault fault) {
-        for (int seed = 1; seed <= 4; seed++) {
-            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
-            cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
-            cluster.setTeam("red", 20, 40);
-            cluster.start();
-            // Both teams are at their limits with long tasks; as much again waits.
-            for (int i = 1; i <= 40; i++) {
-                JobSpec job =
-                        JobFixtures.array(
-                                i,
-                                i % 2 == 0 ? "red" : "blue",
-                                JobSpec.Priority.NORMAL,
-                                4,
-                                1,
-                                i <= 20 ? 300 : 20);
-                cluster.submitAfter(2_000 + i * 100L, job);
-            }
-            cluster.runUntil(30_000);
-            assertTrue(
-                    cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21,
-                    "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
-            Set<String> cancelled = new HashSet<>();
-            for (SimulatedWorker worker : cluster.cloud.machines.values()) {
-                for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                    if (task.occupiesMachine() && cancelled.size() < 10) {
-                        cancelled.add(cluster.jobOfTask(task.name).jobId());
-                    }
+    @MethodSource("faultsAndSeeds")
+    void quotaOfCancelledTasksOnFaultyMachinesIsReleased(MachineFault fault, int seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
+        cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+        cluster.setTeam("red", 20, 40);
+        cluster.start();
+        // Both teams are at their limits with long tasks; as much again waits.
+        for (int i = 1; i <= 40; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.NORMAL,
+                            4,
+                            1,
+                            i <= 20 ? 300 : 20);
+            cluster.submitAfter(2_000 + i * 100L, job);
+        }
+        cluster.runUntil(30_000);
+        assertTrue(
+                cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21,
+                "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
+        Set<String> cancelled = new HashSet<>();
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+                if (task.occupiesMachine() && cancelled.size() < 10) {
+                    cancelled.add(cluster.jobOfTask(task.name).jobId());
                 }
             }
-            long durationMillis = fault == MachineFault.HUNG ? 20_000 : 60_000;
-            int[] faultyMachines = {0};
-            for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
-                if (worker.tasks.values().stream()
-                                .anyMatch(
-                                        task ->
-                                                cancelled.contains(
-                                                        cluster.jobOfTask(task.name).jobId()))
-                        && faultyMachines[0] < 8) {
-                    faultyMachines[0]++;
-                    switch (fault) {
-                        case PARTITIONED ->
-                                cluster.faults.partition(
-                                        ipOf(worker), controllerIps(cluster), durationMillis);
-                        case UNREACHABLE_INBOUND ->
-                                cluster.faults.makeUnreachableInbound(worker, durationMillis);
-                        case UNREACHABLE_OUTBOUND ->
-                                cluster.faults.makeUnreachableOutbound(worker, durationMillis);
-                        default -> {
-                            worker.setHung(true);
-                            cluster.after(durationMillis, () -> worker.setHung(false));
-                        }
+        }
+        long durationMillis = fault == MachineFault.HUNG ? 20_000 : 60_000;
+        int[] faultyMachines = {0};
+        for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
+            if (worker.tasks.values().stream()
+                            .anyMatch(
+                                    task ->
+                                            cancelled.contains(
+                                                    cluster.jobOfTask(task.name).jobId()))
+                    && faultyMachines[0] < 8) {
+                faultyMachines[0]++;
+                switch (fault) {
+                    case PARTITIONED ->
+                            cluster.faults.partition(
+                                    ipOf(worker), controllerIps(cluster), durationMillis);
+                    case UNREACHABLE_INBOUND ->
+                            cluster.faults.makeUnreachableInbound(worker, durationMillis);
+                    case UNREACHABLE_OUTBOUND ->
+                            cluster.faults.makeUnreachableOutbound(worker, durationMillis);
+                    default -> {
+                        worker.setHung(true);
+                        cluster.after(durationMillis, () -> worker.setHung(false));
                     }
                 }
             }
-            assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
-            int oldLeader = cluster.leaderIndex();
-            cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
-            cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
-            cluster.expectFaultsUntil(30_000 + durationMillis);
-            // The lease, its slack, the new leader and a round: from then on others of the team run
-            // there.
-            cluster.runUntil(30_000 + 75_000);
-            assertTrue(
-                    cancelled.stream()
-                            .allMatch(
-                                    id ->
-                                            cluster.wasToldFinalStatus(id, "cancelled")
-                                                    || cluster.wasToldFinalStatus(id, "done")),
-                    fault + ": not all were told");
-            // Red's waiting jobs are short: they have all run in the room that came free. Blue has
-            // enough long ones to be at its limit still.
-            long startedJobs =
-                    cluster.jobsById.values().stream()
-                            .filter(
-                                    job ->
-                                            job.team().equals("red")
-                                                    && cluster.serviceLevels()
-                                                                    .firstStartDelayMillis(
-                                                                            job.jobId())
-                                                            >= 0)
-                            .count();
-            assertTrue(
-                    startedJobs == 20 && cpusInUse(cluster, "blue") > 19,
-                    fault
-                            + ", seed "
-                            + seed
-                            + ": "
-                            + startedJobs
-                            + " of red begun, blue uses "
-                            + cpusInUse(cluster, "blue"));
-            cluster.runUntil(900_000);
-            assertAllJobsFinished(cluster, 40);
         }
+        assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
+        int oldLeader = cluster.leaderIndex();
+        cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
+        cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
+        cluster.expectFaultsUntil(30_000 + durationMillis);
+        // The lease, its slack, the new leader and a round: from then on others of the team run
+        // there.
+        cluster.runUntil(30_000 + 75_000);
+        assertTrue(
+                cancelled.stream()
+                        .allMatch(
+                                id ->
+                                        cluster.wasToldFinalStatus(id, "cancelled")
+                                                || cluster.wasToldFinalStatus(id, "done")),
+                fault + ": not all were told");
+        // Red's waiting jobs are short: they have all run in the room that came free. Blue has
+        // enough long ones to be at its limit still.
+        long startedJobs =
+                cluster.jobsById.values().stream()
+                        .filter(
+                                job ->
+                                        job.team().equals("red")
+                                                && cluster.serviceLevels()
+                                                                .firstStartDelayMillis(job.jobId())
+                                                        >= 0)
+                        .count();
+        assertTrue(
+                startedJobs == 20 && cpusInUse(cluster, "blue") > 19,
+                fault
+                        + ", seed "
+                        + seed
+                        + ": "
+                        + startedJobs
+                        + " of red begun, blue uses "
+                        + cpusInUse(cluster, "blue"));
+        cluster.runUntil(900_000);
+        assertAllJobsFinished(cluster, 40);
     }
 
     private static Set<String> machinesOnTwoRecords(SimulatedCluster cluster) {
@@ -181,65 +185,67 @@
         }
     }
 
+    static Stream<Arguments> lastWritesAndSeeds() {
+        return ScenarioArguments.withSeeds(LastLeaderWrite.values(), 5);
+    }
+
     /**
      * Machines are up within two seconds and get work at once, writes lag, and the leader's last
      * change is each of those that brought them.
      */
     @ParameterizedTest
-    @EnumSource(LastLeaderWrite.class)
-    void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(LastLeaderWrite lastWrite) {
-        for (int seed = 1; seed <= 5; seed++) {
-            SimulatedCluster cluster = new SimulatedCluster(200 + seed);
-            cluster.submissionRetryMillis = 200_000;
-            cluster.cloud.fastBoots = true;
-            cluster.start();
-            cluster.runUntil(7_000);
-            cluster.store.delayedWriteRate = 0.25;
-            int[] occurrences = {0};
-            Set<String> duplicateHosts = new HashSet<>();
-            cluster.store.commitObserver =
-                    transaction -> {
-                        if (anyStartsWith(transaction.path("then"), "put", "a/m/")) {
-                            duplicateHosts.addAll(machinesOnTwoRecords(cluster));
-                        }
-                        if (lastWrite.matcher.test(transaction)
-                                && occurrences[0]++ % 3 == 0
-                                && occurrences[0] < 8) {
-                            cluster.after(
-                                    occurrences[0] % 2,
-                                    () ->
-                                            cluster.faults.crashController(
-                                                    Math.max(0, cluster.leaderIndex()),
-                                                    300 + 900L * (occurrences[0] % 4)));
-                        }
-                    };
-            for (int i = 1; i <= 20; i++) {
-                JobSpec job =
-                        JobFixtures.array(
-                                i,
-                                i % 2 == 0 ? "red" : "blue",
-                                JobSpec.Priority.values()[i % 4],
-                                3,
-                                2,
-                                8);
-                cluster.submitAfter(i * 1_200L, job);
-            }
-            cluster.after(45_000, () -> cluster.store.delayedWriteRate = 0);
-            cluster.expectFaultsUntil(65_000);
-            cluster.runUntil(60_000);
-            assertTrue(occurrences[0] > 0, lastWrite + ", seed " + seed + ": none");
-            cluster.runUntil(500_000);
-            assertEquals(Set.of(), cluster.violations(), lastWrite + ", seed " + seed);
-            assertAllJobsFinished(cluster, 20);
-            assertTrue(
-                    cluster.cloud.rentedMachineCount() < 60,
-                    "rented: " + cluster.cloud.rentedMachineCount());
-            assertEquals(0, cluster.cloud.machines.size(), "machines that nobody returned");
-            assertEquals(
-                    Set.of(),
-                    duplicateHosts,
-                    lastWrite + ", seed " + seed + ": machines on two records");
+    @MethodSource("lastWritesAndSeeds")
+    void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(LastLeaderWrite lastWrite, int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(200 + seed);
+        cluster.submissionRetryMillis = 200_000;
+        cluster.cloud.fastBoots = true;
+        cluster.start();
+        cluster.runUntil(7_000);
+        cluster.store.delayedWriteRate = 0.25;
+        int[] occurrences = {0};
+        Set<String> duplicateHosts = new HashSet<>();
+        cluster.store.commitObserver =
+                transaction -> {
+                    if (anyStartsWith(transaction.path("then"), "put", "a/m/")) {
+                        duplicateHosts.addAll(machinesOnTwoRecords(cluster));
+                    }
+                    if (lastWrite.matcher.test(transaction)
+                            && occurrences[0]++ % 3 == 0
+                            && occurrences[0] < 8) {
+                        cluster.after(
+                                occurrences[0] % 2,
+                                () ->
+                                        cluster.faults.crashController(
+                                                Math.max(0, cluster.leaderIndex()),
+                                                300 + 900L * (occurrences[0] % 4)));
+                    }
+                };
+        for (int i = 1; i <= 20; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.values()[i % 4],
+                            3,
+                            2,
+                            8);
+            cluster.submitAfter(i * 1_200L, job);
         }
+        cluster.after(45_000, () -> cluster.store.delayedWriteRate = 0);
+        cluster.expectFaultsUntil(65_000);
+        cluster.runUntil(60_000);
+        assertTrue(occurrences[0] > 0, lastWrite + ", seed " + seed + ": none");
+        cluster.runUntil(500_000);
+        assertEquals(Set.of(), cluster.violations(), lastWrite + ", seed " + seed);
+        assertAllJobsFinished(cluster, 20);
+        assertTrue(
+                cluster.cloud.rentedMachineCount() < 60,
+                "rented: " + cluster.cloud.rentedMachineCount());
+        assertEquals(0, cluster.cloud.machines.size(), "machines that nobody returned");
+        assertEquals(
+                Set.of(),
+                duplicateHosts,
+                lastWrite + ", seed " + seed + ": machines on two records");
     }
 
     /** Of what the old reports are that arrive. */
@@ -249,91 +255,89 @@
         ATTEMPT
     }
 
+    static Stream<Arguments> staleElementsAndSeeds() {
+        return ScenarioArguments.withSeeds(StaleElement.values(), 6);
+    }
+
     /**
      * Old reports reach every controller as a leader begins: before its first grant, while it
      * claims, and after that.
      */
     @ParameterizedTest
-    @EnumSource(StaleElement.class)
-    void staleHeartbeatsAtFailoverAreNoEvidence(StaleElement staleElement) {
-        for (int seed = 1; seed <= 6; seed++) {
-            SimulatedCluster cluster = clusterWithReadyMachines(300 + seed, 3, 14);
-            cluster.heartbeatIntervalMillis = 2_000;
-            cluster.start();
-            for (int i = 1; i <= 16; i++) {
-                JobSpec job =
-                        JobFixtures.array(
-                                i,
-                                i % 2 == 0 ? "red" : "blue",
-                                staleElement == StaleElement.ATTEMPT && i % 2 == 0
-                                        ? JobSpec.Priority.BEST_EFFORT
-                                        : JobSpec.Priority.NORMAL,
-                                5,
-                                1,
-                                40);
-                cluster.submitAfter(2_000 + i * 300L, job);
-            }
-            cluster.runUntil(10_000);
-            cluster.network.heartbeatRetentionRate = 0.5;
-            cluster.runUntil(16_000);
-            cluster.network.heartbeatRetentionRate = 0;
-            switch (staleElement) {
-                // Machines change hands and get a new term.
-                case FENCING_TOKEN ->
-                        cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 12_000);
-                // They lose their sessions with all that they run.
-                case AGENT_EPOCH ->
-                        cluster.cloud.machines.values().stream()
-                                .limit(6)
-                                .toList()
-                                .forEach(
-                                        worker ->
-                                                cluster.faults.partition(
-                                                        ipOf(worker),
-                                                        controllerIps(cluster),
-                                                        12_000));
-                // Their tasks fail and begin again.
-                default ->
-                        cluster.cloud.machines.values().stream()
-                                .filter(worker -> !worker.tasks.isEmpty())
-                                .limit(5)
-                                .toList()
-                                .forEach(
-                                        worker ->
-                                                worker.tasks.values().stream()
-                                                        .filter(
-                                                                SimulatedWorker.SimulatedTask
-                                                                        ::occupiesMachine)
-                                                        .toList()
-                                                        .forEach(
-                                                                task ->
-                                                                        worker.endTask(
-                                                                                task, "error")));
-            }
-            cluster.runUntil(34_000);
-            List<String> addresses =
-                    cluster.controllers.stream().map(controller -> controller.userAddress).toList();
-            long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
-            boolean[] elected = {false};
-            cluster.faults.onLeaderElected(
-                    60_000,
-                    () -> {
-                        elected[0] = true;
-                        cluster.after(
-                                replayDelayMillis,
-                                () -> cluster.network.replayRetainedHeartbeats(addresses));
-                    });
-            cluster.faults.crashController(
-                    Math.max(0, cluster.leaderIndex()), seed % 2 == 0 ? 300 : 9_000);
-            cluster.expectFaultsUntil(60_000);
-            cluster.runUntil(60_000);
-            assertTrue(
-                    elected[0] && cluster.network.replayedHeartbeats > 20,
-                    staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
-            cluster.runUntil(500_000);
-            assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
-            assertAllJobsFinished(cluster, 16);
+    @MethodSource("staleElementsAndSeeds")
+    void staleHeartbeatsAtFailoverAreNoEvidence(StaleElement staleElement, int seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(300 + seed, 3, 14);
+        cluster.heartbeatIntervalMillis = 2_000;
+        cluster.start();
+        for (int i = 1; i <= 16; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            staleElement == StaleElement.ATTEMPT && i % 2 == 0
+                                    ? JobSpec.Priority.BEST_EFFORT
+                                    : JobSpec.Priority.NORMAL,
+                            5,
+                            1,
+                            40);
+            cluster.submitAfter(2_000 + i * 300L, job);
         }
+        cluster.runUntil(10_000);
+        cluster.network.heartbeatRetentionRate = 0.5;
+        cluster.runUntil(16_000);
+        cluster.network.heartbeatRetentionRate = 0;
+        switch (staleElement) {
+            // Machines change hands and get a new term.
+            case FENCING_TOKEN ->
+                    cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 12_000);
+            // They lose their sessions with all that they run.
+            case AGENT_EPOCH ->
+                    cluster.cloud.machines.values().stream()
+                            .limit(6)
+                            .toList()
+                            .forEach(
+                                    worker ->
+                                            cluster.faults.partition(
+                                                    ipOf(worker), controllerIps(cluster), 12_000));
+            // Their tasks fail and begin again.
+            default ->
+                    cluster.cloud.machines.values().stream()
+                            .filter(worker -> !worker.tasks.isEmpty())
+                            .limit(5)
+                            .toList()
+                            .forEach(
+                                    worker ->
+                                            worker.tasks.values().stream()
+                                                    .filter(
+                                                            SimulatedWorker.SimulatedTask
+                                                                    ::occupiesMachine)
+                                                    .toList()
+                                                    .forEach(
+                                                            task -> worker.endTask(task, "error")));
+        }
+        cluster.runUntil(34_000);
+        List<String> addresses =
+                cluster.controllers.stream().map(controller -> controller.userAddress).toList();
+        long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
+        boolean[] elected = {false};
+        cluster.faults.onLeaderElected(
+                60_000,
+                () -> {
+                    elected[0] = true;
+                    cluster.after(
+                            replayDelayMillis,
+                            () -> cluster.network.replayRetainedHeartbeats(addresses));
+                });
+        cluster.faults.crashController(
+                Math.max(0, cluster.leaderIndex()), seed % 2 == 0 ? 300 : 9_000);
+        cluster.expectFaultsUntil(60_000);
+        cluster.runUntil(60_000);
+        assertTrue(
+                elected[0] && cluster.network.replayedHeartbeats > 20,
+                staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
+        cluster.runUntil(500_000);
+        assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
+        assertAllJobsFinished(cluster, 16);
     }
 
     /** A report is held up until a new leader has acted, and then arrives there. */
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -16,7 +16,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -103,61 +106,62 @@
         SECOND_REFUSAL_AND_OUTAGE
     }
 
+    static Stream<Arguments> additionalFaultsAndSeeds() {
+        return ScenarioArguments.withSeeds(AdditionalFault.values(), 10);
+    }
+
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void cancellationsBetweenLeaderRefusalAndStoreOutageSurviveAnAdditionalFault(long seed) {
-        for (AdditionalFault fault : AdditionalFault.values()) {
-            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-            cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
-            cluster.start();
-            for (int i = 1; i <= 30; i++) {
-                JobSpec job =
-                        JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
-                cluster.submitAfter(2_000 + i * 200L, job);
-            }
-            cluster.runUntil(30_000);
-            int oldLeader = cluster.leaderIndex();
-            long gapMillis = 2_000 + seed * 700;
-            cluster.faults.refuseByStore(oldLeader, 14_000);
-            for (int i = 1; i <= 20; i++) {
-                String id = JobFixtures.id(i);
-                cluster.cancelAfter(cluster.random().nextLong(1_500), id);
-            }
-            cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
-            switch (fault) {
-                case SECOND_CONTROLLER_REFUSED ->
-                        cluster.after(
-                                gapMillis / 2,
-                                () -> cluster.faults.refuseByStore((oldLeader + 1) % 3, 12_000));
-                case CONFIRMING_CONTROLLER_CRASH ->
-                        cluster.faults.crashAfter(gapMillis - 100, (oldLeader + 1) % 3, 300);
-                case OLD_LEADER_RESTARTS_WITH_STORE ->
-                        cluster.faults.crashAfter(gapMillis + 59_800, oldLeader, 250);
-                default ->
-                        cluster.after(
-                                gapMillis + 75_000,
-                                () -> {
-                                    cluster.faults.refuseByStore(
-                                            Math.max(0, cluster.leaderIndex()), 14_000);
-                                    cluster.cancel("wk-000021");
-                                    cluster.after(
-                                            gapMillis, () -> cluster.faults.storeOutage(60_000));
-                                });
-            }
-            cluster.runUntil(30_000 + gapMillis + 10);
-            assertTrue(
-                    cluster.jobsById.keySet().stream()
-                            .anyMatch(id -> cluster.cancellationConfirmedAtMillis(id) >= 30_000),
-                    fault + ": nobody was told in the gap");
-            cluster.runUntil(500_000);
-            assertAllJobsFinished(cluster, 30);
-            assertTrue(
-                    cluster.jobsById.keySet().stream()
-                                    .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
-                                    .count()
-                            >= 20,
-                    fault + ": not all were told");
+    @MethodSource("additionalFaultsAndSeeds")
+    void cancellationsBetweenLeaderRefusalAndStoreOutageSurviveAnAdditionalFault(
+            AdditionalFault fault, int seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
+        cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
+        cluster.start();
+        for (int i = 1; i <= 30; i++) {
+            JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 150);
+            cluster.submitAfter(2_000 + i * 200L, job);
         }
+        cluster.runUntil(30_000);
+        int oldLeader = cluster.leaderIndex();
+        long gapMillis = 2_000 + seed * 700;
+        cluster.faults.refuseByStore(oldLeader, 14_000);
+        for (int i = 1; i <= 20; i++) {
+            String id = JobFixtures.id(i);
+            cluster.cancelAfter(cluster.random().nextLong(1_500), id);
+        }
+        cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
+        switch (fault) {
+            case SECOND_CONTROLLER_REFUSED ->
+                    cluster.after(
+                            gapMillis / 2,
+                            () -> cluster.faults.refuseByStore((oldLeader + 1) % 3, 12_000));
+            case CONFIRMING_CONTROLLER_CRASH ->
+                    cluster.faults.crashAfter(gapMillis - 100, (oldLeader + 1) % 3, 300);
+            case OLD_LEADER_RESTARTS_WITH_STORE ->
+                    cluster.faults.crashAfter(gapMillis + 59_800, oldLeader, 250);
+            default ->
+                    cluster.after(
+                            gapMillis + 75_000,
+                            () -> {
+                                cluster.faults.refuseByStore(
+                                        Math.max(0, cluster.leaderIndex()), 14_000);
+                                cluster.cancel("wk-000021");
+                                cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
+                            });
+        }
+        cluster.runUntil(30_000 + gapMillis + 10);
+        assertTrue(
+                cluster.jobsById.keySet().stream()
+                        .anyMatch(id -> cluster.cancellationConfirmedAtMillis(id) >= 30_000),
+                fault + ": nobody was told in the gap");
+        cluster.runUntil(500_000);
+        assertAllJobsFinished(cluster, 30);
+        assertTrue(
+                cluster.jobsById.keySet().stream()
+                                .filter(id -> cluster.cancellationConfirmedAtMillis(id) >= 0)
+                                .count()
+                        >= 20,
+                fault + ": not all were told");
     }
 
     /**
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -11,12 +11,16 @@
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -119,96 +123,84 @@
         CRASHES
     }
 
+    static Stream<Arguments> commitsWritersAndSeeds() {
+        return ScenarioArguments.withSeeds(CommitKind.values(), WriterFate.values(), 3);
+    }
+
     /**
      * A day on which all of these happen: jobs of all kinds, cancellations, machines that come, go,
      * hang and die, and controllers that end. The first answers of one kind are lost, and so is
      * every second one after that; the writer goes on or ends.
      */
     @ParameterizedTest
-    @EnumSource(CommitKind.class)
-    void committedWriteWithLostResponseIsSettled(CommitKind kind) {
-        for (WriterFate writerFate : WriterFate.values()) {
-            for (int seed = 1; seed <= 3; seed++) {
-                SimulatedCluster cluster = new SimulatedCluster(40 + seed);
-                cluster.submissionRetryMillis = 200_000;
-                int[] occurrences = {0};
-                int[] laterWrites = {0};
-                cluster.store.dropsResponse =
-                        transaction -> {
-                            if (!kind.matcher.test(transaction)) {
-                                return false;
-                            }
-                            occurrences[0]++;
-                            if (occurrences[0] > 4 && occurrences[0] % 2 == 0) {
-                                return false;
-                            }
-                            long revision = cluster.store.revision();
-                            cluster.after(
-                                    60,
-                                    () ->
-                                            laterWrites[0] +=
-                                                    cluster.store.revision() > revision + 1
-                                                            ? 1
-                                                            : 0);
-                            if (writerFate == WriterFate.CRASHES
-                                    && occurrences[0] % 3 == 1
-                                    && occurrences[0] < 10) {
-                                // The member that wrote it: whoever of them the records name; the
-                                // leader where nobody is named.
-                                String name =
-                                        transaction
-                                                .toString()
-                                                .replaceAll("(?s).*(worker-\\d).*", "$1");
-                                int writer =
-                                        name.startsWith("worker-") && name.length() == 8
-                                                ? cluster.indexOfController(name)
-                                                : Math.max(0, cluster.leaderIndex());
-                                cluster.faults.crashAfter(2, writer, 400);
-                            }
-                            return true;
-                        };
-                cluster.start();
-                cluster.users.consistencyProbes = true;
-                for (int i = 1; i <= 30; i++) {
-                    JobSpec job =
-                            i == 5
-                                    ? JobFixtures.array(
-                                            i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
-                                    : JobFixtures.randomJob(i, cluster.random());
-                    cluster.submitAfter(4_000 + i * 2_000L, job);
-                    if (job.isService() || i % 5 == 0) {
-                        cluster.cancelAfter(
-                                7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), job.jobId());
+    @MethodSource("commitsWritersAndSeeds")
+    void committedWriteWithLostResponseIsSettled(CommitKind kind, WriterFate writerFate, int seed) {
+        SimulatedCluster cluster = new SimulatedCluster(40 + seed);
+        cluster.submissionRetryMillis = 200_000;
+        int[] occurrences = {0};
+        int[] laterWrites = {0};
+        cluster.store.dropsResponse =
+                transaction -> {
+                    if (!kind.matcher.test(transaction)) {
+                        return false;
+                    }
+                    occurrences[0]++;
+                    if (occurrences[0] > 4 && occurrences[0] % 2 == 0) {
+                        return false;
+                    }
+                    long revision = cluster.store.revision();
+                    cluster.after(
+                            60,
+                            () ->
+                                    laterWrites[0] +=
+                                            cluster.store.revision() > revision + 1 ? 1 : 0);
+                    if (writerFate == WriterFate.CRASHES
+                            && occurrences[0] % 3 == 1
+                            && occurrences[0] < 10) {
+                        // The member that wrote it: whoever of them the records name; the
+                        // leader where nobody is named.
+                        String name =
+                                transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
+                        int writer =
+                                name.startsWith("worker-") && name.length() == 8
+                                        ? cluster.indexOfController(name)
+                                        : Math.max(0, cluster.leaderIndex());
+                        cluster.faults.crashAfter(2, writer, 400);
                     }
-                }
-                cluster.after(25_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
-                cluster.after(
-                        30_000,
-                        () ->
-                                cluster.faults.crashController(
-                                        (cluster.leaderIndex() + 1) % 3, 15_000));
-                cluster.faults.crashLeaderAfter(55_000, 500);
-                cluster.after(62_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
-                cluster.after(100_000, () -> cluster.store.dropsResponse = transaction -> false);
-                cluster.expectFaultsUntil(100_000);
-                cluster.runUntil(500_000);
-                assertTrue(occurrences[0] > 0, kind + ": none came");
-                assertEquals(
-                        Set.of(),
-                        cluster.violations(),
-                        kind + ", " + writerFate + ", seed " + seed);
-                assertEquals(
-                        List.of(),
-                        cluster.unfinishedJobs(),
-                        kind + ", " + writerFate + ", seed " + seed);
-                assertEquals(30, cluster.acceptedJobCount());
-                long busyMachines =
-                        cluster.cloud.machines.values().stream()
-                                .filter(worker -> !worker.released && !worker.tasks.isEmpty())
-                                .count();
-                assertEquals(0, busyMachines, "machines with tasks at the end");
+                    return true;
+                };
+        cluster.start();
+        cluster.users.consistencyProbes = true;
+        for (int i = 1; i <= 30; i++) {
+            JobSpec job =
+                    i == 5
+                            ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
+                            : JobFixtures.randomJob(i, cluster.random());
+            cluster.submitAfter(4_000 + i * 2_000L, job);
+            if (job.isService() || i % 5 == 0) {
+                cluster.cancelAfter(
+                        7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), job.jobId());
             }
         }
+        cluster.after(25_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+        cluster.after(
+                30_000,
+                () -> cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 15_000));
+        cluster.faults.crashLeaderAfter(55_000, 500);
+        cluster.after(62_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
+        cluster.after(100_000, () -> cluster.store.dropsResponse = transaction -> false);
+        cluster.expectFaultsUntil(100_000);
+        cluster.runUntil(500_000);
+        assertTrue(occurrences[0] > 0, kind + ": none came");
+        assertEquals(Set.of(), cluster.violations(), kind + ", " + writerFate + ", seed " + seed);
+        assertEquals(
+                List.of(), cluster.unfinishedJobs(), kind + ", " + writerFate + ", seed " + seed);
+        assertEquals(30, cluster.acceptedJobCount());
+        long busyMachines =
+                cluster.cloud.machines.values().stream()
+                        .filter(worker -> !worker.released && !worker.tasks.isEmpty())
+                        .count();
+        assertEquals(0, busyMachines, "machines with tasks at the end");
     }
 
     /**
@@ -222,22 +214,23 @@
         ALL_CONTROLLERS
     }
 
+    static Stream<Arguments> targetsStepsAndVariants() {
+        return Arrays.stream(CancellationTarget.values())
+                .flatMap(
+                        target ->
+                                IntStream.range(0, 12)
+                                        .mapToObj(i -> Arguments.of(target, i / 3, i % 3)));
+    }
+
     /**
      * One controller's work changes hands while its jobs are cancelled: before, between and after
      * the commits that move them, at the old controller (as it is back), at the new one, at a third
      * and at all; then the heir ends too, or the work goes back.
      */
     @ParameterizedTest
-    @EnumSource(CancellationTarget.class)
-    void cancellationsDuringReassignmentTakeEffect(CancellationTarget target) {
-        for (int step = 0; step < 4; step++) {
-            for (int variant = 0; variant < 3; variant++) {
-                cancelAtReassignmentStep(target, step, variant);
-            }
-        }
-    }
-
-    private static void cancelAtReassignmentStep(CancellationTarget target, int step, int variant) {
+    @MethodSource("targetsStepsAndVariants")
+    void cancellationsDuringReassignmentTakeEffect(
+            CancellationTarget target, int step, int variant) {
         String context = target + ", step " + step + ", besides " + variant;
         SimulatedCluster cluster = clusterWithReadyMachines(60 + step * 3 + variant, 4, 24);
         cluster.submissionRetryMillis = 200_000;
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -1,6 +1,7 @@
 package io.quincelead.simulation;
 
 import static io.quincelead.simulation.ClusterAssertions.assertAllJobsFinished;
+import static io.quincelead.simulation.ClusterAssertions.assertNoViolations;
 import static io.quincelead.simulation.CompoundFaultFixtures.anyStartsWith;
 import static io.quincelead.simulation.CompoundFaultFixtures.clusterWithReadyMachines;
 import static io.quincelead.simulation.CompoundFaultFixtures.cpusInUse;
@@ -8,11 +9,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.quincelead.cluster.JobSpec;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -93,61 +91,55 @@
      * holds the allowance, and there is room in another's block for one or two. It once waited for
      * as long as the others ran.
      */
-    @Test
-    void teamAtItsLimitUsesSmallFreeCapacityOfOtherShards() {
-        Map<Long, Set<String>> violationsBySeed = new HashMap<>();
-        for (long seed = 1; seed <= 10; seed++) {
-            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 30);
-            cluster.start();
-            for (int i = 1; i <= 12; i++) {
-                JobSpec redJob = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 9, 2, 400);
-                cluster.submitAfter(2_000 + i * 200L, redJob);
-                JobSpec blueJob =
-                        JobFixtures.array(100 + i, "blue", JobSpec.Priority.NORMAL, 8, 2, 100);
-                cluster.submitAfter(2_100 + i * 200L, blueJob);
-            }
-            cluster.runUntil(1_800_000);
-            if (!cluster.violations().isEmpty()) {
-                violationsBySeed.put(seed, cluster.violations());
-            }
-            assertEquals(List.of(), cluster.unfinishedJobs());
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
+    void teamAtItsLimitUsesSmallFreeCapacityOfOtherShards(long seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 30);
+        cluster.start();
+        for (int i = 1; i <= 12; i++) {
+            JobSpec redJob = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 9, 2, 400);
+            cluster.submitAfter(2_000 + i * 200L, redJob);
+            JobSpec blueJob =
+                    JobFixtures.array(100 + i, "blue", JobSpec.Priority.NORMAL, 8, 2, 100);
+            cluster.submitAfter(2_100 + i * 200L, blueJob);
         }
-        assertEquals(Map.of(), violationsBySeed);
+        cluster.runUntil(1_800_000);
+        assertNoViolations(cluster);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /**
      * An urgent gang that needs most of what its team may use comes together though single tasks of
      * lower work fit into less.
      */
-    @Test
-    void urgentGangOfATeamAtItsLimitStarts() {
-        for (long seed = 1; seed <= 4; seed++) {
-            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
-            cluster.start();
-            for (int i = 1; i <= 40; i++) {
-                JobSpec lowPriorityJob =
-                        JobFixtures.array(
-                                i,
-                                "blue",
-                                i % 2 == 0 ? JobSpec.Priority.NORMAL : JobSpec.Priority.BEST_EFFORT,
-                                9,
-                                2,
-                                20);
-                cluster.submitAfter(2_000 + i * 300L, lowPriorityJob);
-            }
-            JobSpec gang =
-                    JobFixtures.gang(50, "blue", JobSpec.Priority.PRODUCTION, 9)
-                            .cpus(2)
-                            .runtimeSeconds(20)
-                            .build();
-            cluster.submitAfter(20_000, gang);
-            cluster.runUntil(280_000);
-            long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
-            assertTrue(
-                    startDelayMillis >= 0 && startDelayMillis < 200_000,
-                    "seed " + seed + ": began after " + startDelayMillis + " ms");
-            assertEquals(Set.of(), cluster.violations());
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void urgentGangOfATeamAtItsLimitStarts(long seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
+        cluster.start();
+        for (int i = 1; i <= 40; i++) {
+            JobSpec lowPriorityJob =
+                    JobFixtures.array(
+                            i,
+                            "blue",
+                            i % 2 == 0 ? JobSpec.Priority.NORMAL : JobSpec.Priority.BEST_EFFORT,
+                            9,
+                            2,
+                            20);
+            cluster.submitAfter(2_000 + i * 300L, lowPriorityJob);
         }
+        JobSpec gang =
+                JobFixtures.gang(50, "blue", JobSpec.Priority.PRODUCTION, 9)
+                        .cpus(2)
+                        .runtimeSeconds(20)
+                        .build();
+        cluster.submitAfter(20_000, gang);
+        cluster.runUntil(280_000);
+        long startDelayMillis = cluster.serviceLevels().firstStartDelayMillis(gang.jobId());
+        assertTrue(
+                startDelayMillis >= 0 && startDelayMillis < 200_000,
+                "seed " + seed + ": began after " + startDelayMillis + " ms");
+        assertEquals(Set.of(), cluster.violations());
     }
 
     /**
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -12,9 +12,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -132,62 +134,63 @@
         }
     }
 
+    static Stream<Arguments> stepsAndSeeds() {
+        return ScenarioArguments.withSeeds(CommitStep.values(), 6);
+    }
+
     /**
      * A submission or a cancellation meets the end that it asks about at each step, whose answer
      * gets lost; both are repeated elsewhere.
      */
     @ParameterizedTest
-    @EnumSource(CommitStep.class)
-    void requestOvertakenByCompletionIsAnsweredWithTheFinalStatus(CommitStep step) {
-        for (int seed = 1; seed <= 6; seed++) {
-            SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
-            cluster.start();
-            cluster.runUntil(8_000);
-            int[] occurrences = {0};
-            cluster.store.dropsResponse =
-                    transaction -> {
-                        if (!step.matcher.test(transaction)) {
-                            return false;
-                        }
-                        if (occurrences[0]++ == 0) {
-                            for (int controller = 0; controller < 3; controller++) {
-                                int askedController = controller;
-                                for (int delayMillis : new int[] {0, 3, 20, 150}) {
-                                    cluster.queryAfter(delayMillis, "wk-000001", askedController);
-                                    cluster.after(
-                                            delayMillis,
-                                            () ->
-                                                    cluster.submit(
-                                                            cluster.jobsById.get("wk-000001"),
-                                                            askedController));
-                                }
-                                cluster.cancelAfter(
-                                        5 + controller * 40L, "wk-000001", askedController);
+    @MethodSource("stepsAndSeeds")
+    void requestOvertakenByCompletionIsAnsweredWithTheFinalStatus(CommitStep step, int seed) {
+        SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 12);
+        cluster.start();
+        cluster.runUntil(8_000);
+        int[] occurrences = {0};
+        cluster.store.dropsResponse =
+                transaction -> {
+                    if (!step.matcher.test(transaction)) {
+                        return false;
+                    }
+                    if (occurrences[0]++ == 0) {
+                        for (int controller = 0; controller < 3; controller++) {
+                            int askedController = controller;
+                            for (int delayMillis : new int[] {0, 3, 20, 150}) {
+                                cluster.queryAfter(delayMillis, "wk-000001", askedController);
+                                cluster.after(
+                                        delayMillis,
+                                        () ->
+                                                cluster.submit(
+                                                        cluster.jobsById.get("wk-000001"),
+                                                        askedController));
                             }
+                            cluster.cancelAfter(5 + controller * 40L, "wk-000001", askedController);
                         }
-                        return true;
-                    };
-            JobSpec job =
-                    JobFixtures.array(
-                            1,
-                            "red",
-                            seed % 2 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL,
-                            2,
-                            1,
-                            4);
-            cluster.submit(job, seed % 3);
-            // The last task ends 2 to 6 s after it began.
-            int submittingController = seed % 3;
-            cluster.cancelAfter(
-                    step == CommitStep.CANCELLATION ? 700 * seed : 60_000,
-                    "wk-000001",
-                    submittingController);
-            cluster.after(20_000, () -> cluster.store.dropsResponse = transaction -> false);
-            cluster.runUntil(120_000);
-            assertTrue(occurrences[0] > 0, "the meeting");
-            assertAllJobsFinished(cluster, 1);
-            assertTrue(cluster.hasFinalStatus("wk-000001"));
-        }
+                    }
+                    return true;
+                };
+        JobSpec job =
+                JobFixtures.array(
+                        1,
+                        "red",
+                        seed % 2 == 0 ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL,
+                        2,
+                        1,
+                        4);
+        cluster.submit(job, seed % 3);
+        // The last task ends 2 to 6 s after it began.
+        int submittingController = seed % 3;
+        cluster.cancelAfter(
+                step == CommitStep.CANCELLATION ? 700 * seed : 60_000,
+                "wk-000001",
+                submittingController);
+        cluster.after(20_000, () -> cluster.store.dropsResponse = transaction -> false);
+        cluster.runUntil(120_000);
+        assertTrue(occurrences[0] > 0, "the meeting");
+        assertAllJobsFinished(cluster, 1);
+        assertTrue(cluster.hasFinalStatus("wk-000001"));
     }
 
     /**
