--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -203,7 +203,7 @@
                     JobFixtures.job(
                                     i,
                                     "red",
-                                    isGang ? JobSpec.Mode.ENSEMBLE : JobSpec.Mode.ARRAY,
+                                    isGang ? JobSpec.Mode.GANG : JobSpec.Mode.ARRAY,
                                     JobSpec.Priority.NORMAL,
                                     4)
                             .cpus(2)
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -33,12 +33,12 @@
 
     /** Tasks that run together or not at all. */
     public static Builder gang(int id, String team, JobSpec.Priority priority, int taskCount) {
-        return job(id, team, JobSpec.Mode.ENSEMBLE, priority, taskCount);
+        return job(id, team, JobSpec.Mode.GANG, priority, taskCount);
     }
 
     /** Replicas that run until they are cancelled. */
     public static Builder service(int id, String team, JobSpec.Priority priority, int taskCount) {
-        return job(id, team, JobSpec.Mode.STANDING, priority, taskCount);
+        return job(id, team, JobSpec.Mode.SERVICE, priority, taskCount);
     }
 
     /** Any job; what isn't stated is the least that a job may ask for. */
@@ -169,7 +169,7 @@
                     preemptible,
                     image,
                     imageGb,
-                    mode == JobSpec.Mode.STANDING ? 0 : runtimeSeconds,
+                    mode == JobSpec.Mode.SERVICE ? 0 : runtimeSeconds,
                     checkpointIntervalSeconds,
                     checkpointIntervalSeconds > 0 ? checkpointSeconds : 0,
                     deadlineSeconds);
