--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,10 +1,14 @@
 package io.quincelead.app;
 
+import io.quincelead.api.ApiCluster;
+import io.quincelead.api.ApiStore;
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
+import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
+import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
@@ -37,9 +41,12 @@
 import io.quincelead.worker.MisroutedWorker;
 import io.quincelead.worker.ShardWorker;
 import io.quincelead.worker.WorkerGateway;
+import io.quincelead.zone.MachineVisibility;
 import io.quincelead.zone.ZoneOperatorApi;
 import io.quincelead.zone.ZoneRecoveryController;
+import io.quincelead.zone.ZoneView;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -119,16 +126,11 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        membershipLease,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        watchCache,
-                        store,
+                        new WorkerGateway.StoreAccess(membershipLease, watchCache, store),
+                        new WorkerGateway.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog, zones),
                         transport,
                         policy,
-                        zones,
                         new WorkerGateway.Callbacks() {
                             @Override
                             public void onMisroutedWorker(MisroutedWorker stray) {
@@ -150,24 +152,26 @@
                                 return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
+        ClusterView clusterView =
+                new ClusterView(
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        constrainedDemand,
+                        policy);
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
                         settings,
                         operatorSettings,
                         new StoreAccess(membershipLease, watchCache, store),
-                        new ClusterView(
-                                clusterMembership,
-                                jobs,
-                                machines,
-                                machineTypeCatalog,
-                                imageCaches,
-                                constrainedDemand,
-                                policy),
+                        clusterView,
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
-        ZoneRecoveryController.MachineVisibility machineVisibility =
-                new ZoneRecoveryController.MachineVisibility() {
+        MachineVisibility machineVisibility =
+                new MachineVisibility() {
                     @Override
                     public Boolean isBooting(String host) {
                         return clusterMembership.ownerOf(host) == null
@@ -185,6 +189,7 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
+        ZoneView zoneView = new ZoneView(clusterView, watchCache, zones, machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -198,52 +203,25 @@
                             operatorSettings.zoneRecovery(),
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
-                            watchCache,
-                            store,
-                            jobs,
-                            clusterMembership,
-                            machines,
-                            machineTypeCatalog,
-                            imageCaches,
-                            zones,
-                            policy,
+                            zoneView,
                             leader,
-                            machineVisibility);
+                            store);
         }
         autoscaler =
                 new Autoscaler(
                         loop,
+                        transport,
                         settings,
                         operatorSettings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        leader,
-                        transport,
-                        this::isBooting,
-                        this::recordTaskTermination,
-                        constrainedDemand,
-                        policy,
-                        zones,
-                        zoneRecoveryController == null
-                                ? Map::of
-                                : zoneRecoveryController::rebalanceDemand);
+                        clusterView,
+                        new LeaderStore(leader, membershipLease, store, watchCache),
+                        autoscalerCallbacks(zones, zoneRecoveryController));
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
                         loop,
-                        settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        groupCommitter,
-                        clusterMembership,
-                        jobs,
-                        machineTypeCatalog,
+                        new ApiStore(membershipLease, watchCache, store, groupCommitter),
+                        new ApiCluster(settings, clusterMembership, jobs, machineTypeCatalog),
                         policy,
                         schedulingCycle::admit);
         new PolicyReconciler(
@@ -279,17 +257,7 @@
                     }
                 });
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(
-                operatorSettings.zoneRecovery().enabled(),
-                watchCache,
-                jobs,
-                machines,
-                machineTypeCatalog,
-                imageCaches,
-                zones,
-                policy,
-                operatorApi,
-                machineVisibility);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
         watchCache.addChangeListener(
                 () -> {
@@ -307,6 +275,32 @@
         watchCache.start();
     }
 
+    /** {@code zoneRecovery} is null when zone recovery is turned off. */
+    private Autoscaler.Callbacks autoscalerCallbacks(
+            ZoneTable zones, ZoneRecoveryController zoneRecovery) {
+        return new Autoscaler.Callbacks() {
+            @Override
+            public Boolean isBooting(String ownerId, String host) {
+                return Controller.this.isBooting(ownerId, host);
+            }
+
+            @Override
+            public void onTaskTerminated(Placement placement) {
+                recordTaskTermination(placement);
+            }
+
+            @Override
+            public boolean isZoneUnavailable(String zone) {
+                return zones.isUnavailable(zone);
+            }
+
+            @Override
+            public Map<String, List<JobSpec>> rebalanceDemand() {
+                return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
+            }
+        };
+    }
+
     private void recordTaskTermination(Placement placement) {
         schedulingCycle.onTaskTerminated(placement);
         if (placement.job.isCompleteByEvidence()) {
