--- a/src/test/java/io/quincelead/scheduler/UnsatisfiableDemandsTest.java
+++ b/src/test/java/io/quincelead/scheduler/UnsatisfiableDemandsTest.java
@@ -13,21 +13,12 @@
 
     private static JobSpec demand(
             JobSpec.Priority priority, double cpus, List<String> machineTypes, String zone) {
-        return JobFixtures.job(
-                1,
-                "red",
-                JobSpec.Mode.ARRAY,
-                priority,
-                1,
-                cpus,
-                0,
-                10,
-                machineTypes,
-                zone,
-                false,
-                false,
-                true,
-                0);
+        return JobFixtures.arrayJob(1, "red", priority, 1)
+                .cpus(cpus)
+                .runtimeSeconds(10)
+                .machineTypes(machineTypes)
+                .zone(zone)
+                .build();
     }
 
     private static JobSpec cpus(double cpus) {
