--- a/src/main/java/io/quincelead/cli/ControllerClient.java
+++ b/src/main/java/io/quincelead/cli/ControllerClient.java
@@ -4,9 +4,11 @@
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.CliConstants;
 import io.quincelead.transport.HttpClient;
+import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
 import io.quincelead.transport.XnioEventLoop;
 import java.io.File;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -17,12 +19,13 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
+import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import picocli.CommandLine;
 
-/** Asks any controller that answers. */
+/** Sends one request to the first controller that can answer it. */
 final class ControllerClient {
-    /** Where controllers listen for each other. */
+    /** Where controllers listen for each other, as the command line says. */
     static final class ControllerAddresses {
         @CommandLine.Option(
                 names = "--at",
@@ -35,63 +38,77 @@
                 paramLabel = "FILE",
                 description = "The platform's settings (TOML), which name the controllers.")
         private File settingsFile;
+
+        /** All stated addresses, in the order in which they are tried; never empty. */
+        private List<String> resolve() throws Settings.InvalidSettingsException {
+            List<String> resolved = new ArrayList<>(addresses);
+            if (settingsFile != null) {
+                Settings settings = Settings.load(settingsFile);
+                resolved.add(settings.clusterListenAddress());
+                resolved.addAll(settings.peerAddresses().values());
+            }
+            if (resolved.isEmpty()) {
+                throw new Settings.InvalidSettingsException(
+                        "--at or --config is required, to know where the controllers are");
+            }
+            return resolved;
+        }
     }
 
-    /** Status and body of an answer. */
+    /**
+     * A controller's response.
+     *
+     * @param status HTTP status
+     * @param body the JSON map in its body
+     */
     record Response(int status, ObjectNode body) {}
 
-    private ControllerClient() {}
+    private final HttpClient client;
+    private final List<String> addresses;
+    private final String path;
+    private final byte[] body;
+    private final CompletableFuture<Response> response;
+
+    private ControllerClient(
+            HttpClient client,
+            List<String> addresses,
+            String path,
+            byte[] body,
+            CompletableFuture<Response> response) {
+        this.client = client;
+        this.addresses = addresses;
+        this.path = path;
+        this.body = body;
+        this.response = response;
+    }
 
     /**
-     * The first answer of a controller that is ready; null if none answers. Only what was surely
-     * not carried out is asked of the next one.
+     * The first response of a controller that is ready, else the last of one that isn't. A response
+     * that leaves a change's outcome unknown is returned; the next controller isn't asked then.
+     *
+     * @return null if no controller answers in time
+     * @throws Settings.InvalidSettingsException if no address is stated, the settings can't be read
+     *     or no connections can be made
      */
     static Response send(ControllerAddresses options, String path, ObjectNode body)
             throws Settings.InvalidSettingsException {
-        List<String> addresses = new ArrayList<>(options.addresses);
-        if (options.settingsFile != null) {
-            Settings settings = Settings.load(options.settingsFile);
-            addresses.add(settings.clusterListenAddress());
-            addresses.addAll(settings.peerAddresses().values());
-        }
-        if (addresses.isEmpty()) {
-            throw new Settings.InvalidSettingsException(
-                    "--at or --config is required, to know where the controllers are");
-        }
-        XnioWorker worker;
-        try {
-            worker =
-                    Xnio.getInstance()
-                            .createWorker(
-                                    OptionMap.builder()
-                                            .set(Options.WORKER_IO_THREADS, 1)
-                                            .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                                            .set(Options.THREAD_DAEMON, true)
-                                            .getMap());
-        } catch (java.io.IOException e) {
-            throw new Settings.InvalidSettingsException(
-                    "no connections can be made: " + e.getMessage());
-        }
+        List<String> addresses = options.resolve();
+        XnioWorker worker = createWorker();
         try {
+            XnioIoThread thread = worker.getIoThread();
             CompletableFuture<Response> response = new CompletableFuture<>();
-            worker.getIoThread()
-                    .execute(
-                            () -> {
-                                HttpClient client =
-                                        new HttpClient(
-                                                new XnioEventLoop(worker.getIoThread()),
-                                                worker.getIoThread(),
-                                                Set.copyOf(addresses),
-                                                1);
-                                sendToNext(
-                                        client,
-                                        addresses,
-                                        0,
-                                        path,
-                                        WireFormat.JSON.encode(body),
-                                        response,
-                                        null);
-                            });
+            thread.execute(
+                    () -> {
+                        HttpClient client =
+                                new HttpClient(
+                                        new XnioEventLoop(thread),
+                                        thread,
+                                        Set.copyOf(addresses),
+                                        1);
+                        byte[] encoded = WireFormat.JSON.encode(body);
+                        new ControllerClient(client, addresses, path, encoded, response)
+                                .tryAddress(0, null);
+                    });
             return response.get(
                     addresses.size() * 2 * CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS,
                     TimeUnit.MILLISECONDS);
@@ -102,14 +119,27 @@
         }
     }
 
-    private static void sendToNext(
-            HttpClient client,
-            List<String> addresses,
-            int index,
-            String path,
-            byte[] body,
-            CompletableFuture<Response> response,
-            Response fallback) {
+    private static XnioWorker createWorker() throws Settings.InvalidSettingsException {
+        OptionMap options =
+                OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.THREAD_DAEMON, true)
+                        .getMap();
+        try {
+            return Xnio.getInstance().createWorker(options);
+        } catch (IOException e) {
+            throw new Settings.InvalidSettingsException(
+                    "no connections can be made: " + e.getMessage());
+        }
+    }
+
+    /**
+     * Asks the controller at {@code index} and, while none gives an answer to keep, those after it.
+     *
+     * @param fallback what the last controller that wasn't ready said; null: none has said anything
+     */
+    private void tryAddress(int index, Response fallback) {
         if (index == addresses.size()) {
             response.complete(fallback);
             return;
@@ -121,28 +151,23 @@
                 WireFormat.JSON,
                 body,
                 CliConstants.OPERATOR_COMMAND_TIMEOUT_MILLIS,
-                (status, bytes) -> {
-                    ObjectNode responseBody = WireFormat.JSON.decodeMap(bytes);
-                    boolean retryable =
-                            status == 503
-                                    && responseBody != null
-                                    && !responseBody.path("unknown").asBoolean();
-                    if (status == 0 || retryable || responseBody == null) {
-                        // An answer that didn't come may have been carried out: the next one knows
-                        // the change by its id.
-                        sendToNext(
-                                client,
-                                addresses,
-                                index + 1,
-                                path,
-                                body,
-                                response,
-                                responseBody == null
-                                        ? fallback
-                                        : new Response(status, responseBody));
-                    } else {
-                        response.complete(new Response(status, responseBody));
-                    }
-                });
+                (status, bytes) -> onResponse(index, fallback, status, bytes));
+    }
+
+    private void onResponse(int index, Response fallback, int status, byte[] bytes) {
+        ObjectNode responseBody = WireFormat.JSON.decodeMap(bytes);
+        if (responseBody == null) {
+            // The request may have been carried out all the same: the next controller knows the
+            // change by its id.
+            tryAddress(index + 1, fallback);
+            return;
+        }
+        Response received = new Response(status, responseBody);
+        boolean notReady = status == 503 && !responseBody.path("unknown").asBoolean();
+        if (status == Transport.NO_RESPONSE || notReady) {
+            tryAddress(index + 1, received);
+        } else {
+            response.complete(received);
+        }
     }
 }
--- a/src/main/java/io/quincelead/cli/ResponsePrinter.java
+++ b/src/main/java/io/quincelead/cli/ResponsePrinter.java
@@ -10,46 +10,50 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Prints an answer for people: single values a line each, lists as tables. */
+/** Prints a response for people: single values a line each, lists as tables. */
 final class ResponsePrinter {
     private static final Set<String> EPOCH_MILLIS_FIELDS =
             Set.of("pub", "last", "open", "closed", "since");
 
     private ResponsePrinter() {}
 
+    /**
+     * Prints all fields of a response.
+     *
+     * @param columns the fields of its {@code list} that are printed, in order
+     */
     static void print(ObjectNode response, List<String> columns, PrintWriter out) {
         for (Iterator<Map.Entry<String, JsonNode>> fields = response.fields(); fields.hasNext(); ) {
             Map.Entry<String, JsonNode> field = fields.next();
-            if (field.getKey().equals("list")) {
-                printTable(field.getValue(), columns, out);
-            } else if (field.getValue().isArray()
-                    && !field.getValue().isEmpty()
-                    && field.getValue().get(0).isObject()) {
-                out.println(field.getKey() + ":");
-                List<String> fieldNames = new ArrayList<>();
-                field.getValue().get(0).fieldNames().forEachRemaining(fieldNames::add);
-                printTable(field.getValue(), fieldNames, out);
-            } else if (field.getValue().isObject()) {
-                out.println(field.getKey() + ":");
-                field.getValue()
-                        .fields()
-                        .forEachRemaining(
-                                g ->
-                                        out.println(
-                                                "  "
-                                                        + (g.getKey().isEmpty()
-                                                                ? "(no class)"
-                                                                : g.getKey())
-                                                        + "  "
-                                                        + formatCell(g.getKey(), g.getValue())));
-            } else if (field.getValue().isArray()) {
-                field.getValue().forEach(v -> out.println(field.getKey() + ": " + v.asText()));
-            } else {
-                out.println(field.getKey() + ": " + formatCell(field.getKey(), field.getValue()));
-            }
+            printField(field.getKey(), field.getValue(), columns, out);
         }
     }
 
+    private static void printField(
+            String name, JsonNode value, List<String> columns, PrintWriter out) {
+        if (name.equals("list")) {
+            printTable(value, columns, out);
+        } else if (value.isArray() && !value.isEmpty() && value.get(0).isObject()) {
+            out.println(name + ":");
+            List<String> fieldNames = new ArrayList<>();
+            value.get(0).fieldNames().forEachRemaining(fieldNames::add);
+            printTable(value, fieldNames, out);
+        } else if (value.isObject()) {
+            out.println(name + ":");
+            value.fields()
+                    .forEachRemaining(entry -> printEntry(entry.getKey(), entry.getValue(), out));
+        } else if (value.isArray()) {
+            value.forEach(element -> out.println(name + ": " + element.asText()));
+        } else {
+            out.println(name + ": " + formatCell(name, value));
+        }
+    }
+
+    private static void printEntry(String name, JsonNode value, PrintWriter out) {
+        String label = name.isEmpty() ? "(no class)" : name;
+        out.println("  " + label + "  " + formatCell(name, value));
+    }
+
     private static void printTable(JsonNode rows, List<String> columns, PrintWriter out) {
         List<List<String>> lines = new ArrayList<>(List.of(columns));
         rows.forEach(
