--- /dev/null
+++ b/src/main/java/io/quincelead/policy/CalendarReconciler.java
@@ -0,0 +1,331 @@
+package io.quincelead.policy;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.config.constants.PolicyConstants;
+import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreKeys;
+import io.quincelead.store.Transaction;
+import io.quincelead.store.WatchCache;
+import java.time.LocalDate;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Decides the leader's changes of the calendar's records: plans occurrences, opens them, gives
+ * their verdict and closes them into the ledger. Methods that return a transaction return null when
+ * there is nothing to change.
+ */
+final class CalendarReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(CalendarReconciler.class);
+    private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+    private static final List<String> NONE_COUNTED = List.of();
+
+    private final EventLoop loop;
+    private final WatchCache watchCache;
+    private final PolicyRecords records;
+    private final PolicyReconciler.Leadership leadership;
+    private final CoveredJobCounter counter;
+    private final Map<String, Long> countsWrittenAtMillis = new HashMap<>();
+
+    /** Keys of the ledger that turned out to exist, so their occurrences aren't planned again. */
+    private final Set<String> knownLedgerKeys = new HashSet<>();
+
+    private long plannedAtMillis = LONG_AGO_MILLIS;
+    private long plannedVersion = -1;
+
+    CalendarReconciler(
+            EventLoop loop,
+            WatchCache watchCache,
+            PolicyRecords records,
+            PolicyReconciler.Leadership leadership,
+            CoveredJobCounter counter) {
+        this.loop = loop;
+        this.watchCache = watchCache;
+        this.records = records;
+        this.leadership = leadership;
+        this.counter = counter;
+    }
+
+    /** The next change that the leader should make. */
+    Transaction nextChange() {
+        counter.dropUnreferencedCompletions();
+        for (ScheduledOccurrence occurrence : records.occurrences().values()) {
+            Transaction txn = advance(occurrence);
+            if (txn != null) {
+                return txn;
+            }
+        }
+        Transaction planned = planNextOccurrence();
+        return planned != null ? planned : removeUnreferencedCompletion();
+    }
+
+    /** Forgets what only a leader keeps. */
+    void forgetProgress() {
+        counter.forgetCompletions();
+        countsWrittenAtMillis.clear();
+    }
+
+    /** Takes the keys on which a change of this class failed. */
+    void onConflict(Collection<String> failedKeys) {
+        failedKeys.stream()
+                .filter(key -> key.startsWith(StoreKeys.LEDGER_PREFIX))
+                .forEach(knownLedgerKeys::add);
+    }
+
+    // ---- planning
+
+    private Transaction planNextOccurrence() {
+        boolean due =
+                loop.nowMillis() - plannedAtMillis
+                        >= PolicyConstants.OCCURRENCE_PLANNING_INTERVAL_MILLIS;
+        if (!due && plannedVersion == records.version()) {
+            return null;
+        }
+        for (CalendarEntry entry : records.entries().values()) {
+            Transaction txn = planNextOccurrence(entry);
+            if (txn != null) {
+                return txn;
+            }
+        }
+        // All are planned: a thousand entries need not be gone through each time.
+        plannedAtMillis = loop.nowMillis();
+        plannedVersion = records.version();
+        return null;
+    }
+
+    /** Puts the entry's next occurrence on record, counted from the last that is closed. */
+    private Transaction planNextOccurrence(CalendarEntry entry) {
+        long nowMillis = loop.wallClockMillis();
+        long closedThroughMillis = records.historyOf(entry.name()).closedThroughMillis();
+        long fromMillis =
+                Math.max(
+                        Math.max(closedThroughMillis, entry.effectiveFromMillis()),
+                        nowMillis - PolicyConstants.LOOK_BACK_MILLIS);
+        long leadMillis = (long) (entry.leadSeconds() * 1000);
+        long toMillis = nowMillis + leadMillis + PolicyConstants.PLAN_AHEAD_MILLIS;
+        for (CalendarEntry.Publication publication :
+                entry.publicationsBetween(fromMillis, toMillis)) {
+            ScheduledOccurrence occurrence = ScheduledOccurrence.planned(entry, publication);
+            if (!records.occurrences().containsKey(occurrence.key())
+                    && !knownLedgerKeys.contains(occurrence.ledgerKey())) {
+                occurrence.addLeaderTerm(leadership.term());
+                String entryKey = StoreKeys.CALENDAR_ENTRY_PREFIX + entry.name();
+                return leadership
+                        .newTransaction()
+                        .requireRevision(occurrence.storeKey(), 0)
+                        .requireRevision(occurrence.ledgerKey(), 0)
+                        .requireRevision(entryKey, watchCache.modRevision(entryKey))
+                        .put(occurrence.storeKey(), OccurrenceCodec.encode(occurrence));
+            }
+        }
+        return null;
+    }
+
+    // ---- the way of an occurrence from its plan to the ledger
+
+    private Transaction advance(ScheduledOccurrence current) {
+        ScheduledOccurrence occurrence = current.copy();
+        LocalDate date = LocalDate.parse(occurrence.date);
+        if (occurrence.isBeforeVerdict()) {
+            Transaction change = followEntry(occurrence, date);
+            if (change != null) {
+                return change;
+            }
+        }
+        return switch (occurrence.state()) {
+            case PLANNED -> openWhenDue(occurrence);
+            case OPEN -> giveVerdictWhenDue(occurrence);
+            case PUBLISHED, MISSED -> closeWhenDue(occurrence);
+            case SKIPPED -> close(occurrence, NONE_COUNTED);
+            case CLOSED -> null;
+        };
+    }
+
+    /** Before the verdict an occurrence follows changes of its entry. */
+    private Transaction followEntry(ScheduledOccurrence occurrence, LocalDate date) {
+        CalendarEntry entry = records.entries().get(occurrence.entryName);
+        if (entry == null || entry.skippedDates().contains(date) || !entry.isScheduledOn(date)) {
+            occurrence.transitionTo(ScheduledOccurrence.State.SKIPPED);
+            return write(occurrence, true, NONE_COUNTED);
+        }
+        if (entry.publicationMillis(date) != occurrence.publicationMillis()) {
+            occurrence.reschedule(entry, date);
+            return write(occurrence, true, NONE_COUNTED);
+        }
+        return null;
+    }
+
+    private Transaction openWhenDue(ScheduledOccurrence occurrence) {
+        if (loop.wallClockMillis() < occurrence.opensAtMillis()) {
+            return null;
+        }
+        List<String> countedCompletions = new ArrayList<>();
+        counter.updateCounts(occurrence, countedCompletions);
+        occurrence.transitionTo(ScheduledOccurrence.State.OPEN);
+        return write(occurrence, true, countedCompletions);
+    }
+
+    private Transaction giveVerdictWhenDue(ScheduledOccurrence occurrence) {
+        List<String> countedCompletions = new ArrayList<>();
+        boolean changed = counter.updateCounts(occurrence, countedCompletions);
+        long nowMillis = loop.wallClockMillis();
+        long verdictDueMillis =
+                occurrence.publicationMillis() + PolicyConstants.VERDICT_DELAY_MILLIS;
+        boolean verdictDue = nowMillis >= verdictDueMillis;
+        boolean graceElapsed =
+                nowMillis >= Math.max(occurrence.graceEndsAtMillis(), verdictDueMillis);
+        boolean allCompleted = occurrence.openJobIds().isEmpty();
+        if (verdictDue && (allCompleted || graceElapsed)) {
+            boolean inTime =
+                    allCompleted
+                            && occurrence.counts().lastDoneMillis()
+                                    <= occurrence.graceEndsAtMillis();
+            occurrence.transitionTo(
+                    inTime
+                            ? ScheduledOccurrence.State.PUBLISHED
+                            : ScheduledOccurrence.State.MISSED);
+            LOG.info(
+                    "{} of {} is {}: {} covered jobs, {} done, {} open",
+                    occurrence.entryName,
+                    occurrence.date,
+                    inTime ? "published" : "missed",
+                    occurrence.counts().jobs(),
+                    occurrence.counts().done(),
+                    occurrence.openJobIds().size());
+            return write(occurrence, true, countedCompletions);
+        }
+        return writeCountsWhenDue(occurrence, changed, countedCompletions);
+    }
+
+    private Transaction closeWhenDue(ScheduledOccurrence occurrence) {
+        List<String> countedCompletions = new ArrayList<>();
+        boolean changed = counter.updateCounts(occurrence, countedCompletions);
+        if (occurrence.openJobIds().isEmpty()
+                || loop.wallClockMillis()
+                        >= occurrence.publicationMillis()
+                                + PolicyConstants.OCCURRENCE_CLOSE_DELAY_MILLIS) {
+            return close(occurrence, countedCompletions);
+        }
+        return writeCountsWhenDue(occurrence, changed, countedCompletions);
+    }
+
+    /** Counts alone are written at most once in an interval. */
+    private Transaction writeCountsWhenDue(
+            ScheduledOccurrence occurrence, boolean changed, List<String> countedCompletions) {
+        if (!changed) {
+            return null;
+        }
+        long writtenAtMillis =
+                countsWrittenAtMillis.getOrDefault(occurrence.storeKey(), LONG_AGO_MILLIS);
+        if (loop.nowMillis() - writtenAtMillis < PolicyConstants.MIN_COUNT_RECORD_INTERVAL_MILLIS) {
+            return null;
+        }
+        countsWrittenAtMillis.put(occurrence.storeKey(), loop.nowMillis());
+        return write(occurrence, false, countedCompletions);
+    }
+
+    // ---- transactions
+
+    /**
+     * Writes an occurrence, on condition that its record is as it was read.
+     *
+     * @param priorityChanged whether its state or time has changed, and with it the calendar's
+     *     generation
+     * @param countedCompletions ids of the jobs whose uncounted completions it has counted now
+     */
+    private Transaction write(
+            ScheduledOccurrence occurrence,
+            boolean priorityChanged,
+            List<String> countedCompletions) {
+        occurrence.addLeaderTerm(leadership.term());
+        Transaction txn =
+                newOccurrenceTransaction(occurrence)
+                        .put(occurrence.storeKey(), OccurrenceCodec.encode(occurrence));
+        if (priorityChanged) {
+            advanceCalendarGeneration(txn);
+        }
+        return removeCounted(txn, occurrence, countedCompletions);
+    }
+
+    /**
+     * The one final record of an occurrence: into the ledger, out of the live ones, and remembered
+     * with its peak, in one transaction.
+     */
+    private Transaction close(ScheduledOccurrence occurrence, List<String> countedCompletions) {
+        occurrence.addLeaderTerm(leadership.term());
+        String historyKey = StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName;
+        boolean skipped = occurrence.state() == ScheduledOccurrence.State.SKIPPED;
+        // The ledger keeps the verdict, so its record is made before the last transition.
+        ObjectNode finalRecord = OccurrenceCodec.encodeFinal(occurrence, loop.wallClockMillis());
+        occurrence.transitionTo(ScheduledOccurrence.State.CLOSED);
+        EntryHistory history =
+                records.historyOf(occurrence.entryName).withClosed(occurrence, skipped);
+        Transaction txn =
+                newOccurrenceTransaction(occurrence)
+                        .remove(occurrence.storeKey())
+                        .requireRevision(occurrence.ledgerKey(), 0)
+                        .put(occurrence.ledgerKey(), finalRecord)
+                        .requireRevision(historyKey, watchCache.modRevision(historyKey))
+                        .put(historyKey, CalendarCodec.encodeHistory(history));
+        advanceCalendarGeneration(txn);
+        return removeCounted(txn, occurrence, countedCompletions);
+    }
+
+    private Transaction newOccurrenceTransaction(ScheduledOccurrence occurrence) {
+        return leadership
+                .newTransaction()
+                .requireRevision(
+                        occurrence.storeKey(), watchCache.modRevision(occurrence.storeKey()));
+    }
+
+    private void advanceCalendarGeneration(Transaction txn) {
+        CalendarHead next = records.calendarHead().next();
+        txn.requireRevision(
+                        StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD))
+                .put(StoreKeys.CALENDAR_HEAD, CalendarCodec.encodeHead(next));
+    }
+
+    /**
+     * Removes the occurrence from the completions that it has counted, and those left with none.
+     */
+    private Transaction removeCounted(
+            Transaction txn, ScheduledOccurrence occurrence, List<String> countedCompletions) {
+        for (String jobId : countedCompletions) {
+            String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + jobId;
+            UncountedCompletion remainder =
+                    records.uncountedCompletions().get(jobId).countedBy(occurrence.key());
+            txn.requireRevision(key, watchCache.modRevision(key));
+            if (remainder.occurrenceKeys().isEmpty()) {
+                txn.remove(key);
+            } else {
+                txn.put(key, CalendarCodec.encodeCompletion(remainder));
+            }
+        }
+        return txn;
+    }
+
+    /** Removes a completion whose occurrences are all closed. */
+    private Transaction removeUnreferencedCompletion() {
+        for (Map.Entry<String, UncountedCompletion> completion :
+                records.uncountedCompletions().entrySet()) {
+            boolean referenced =
+                    completion.getValue().occurrenceKeys().stream()
+                            .anyMatch(records.occurrences()::containsKey);
+            if (!referenced) {
+                String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + completion.getKey();
+                return leadership
+                        .newTransaction()
+                        .requireRevision(key, watchCache.modRevision(key))
+                        .remove(key);
+            }
+        }
+        return null;
+    }
+}
--- a/src/main/java/io/quincelead/policy/EffectivePriority.java
+++ b/src/main/java/io/quincelead/policy/EffectivePriority.java
@@ -4,9 +4,12 @@
 import io.quincelead.config.constants.PolicyConstants;
 
 /**
- * What operators' records say of a job's place among waiting work. {@code rank}: of its class, the
- * smaller the earlier. {@code publicationMs}: of the open window that covers it, in ms since 1970;
- * 0: none. {@code jobClass} and {@code occurrence} say where each comes from; null: from nowhere.
+ * What operators' records say of a job's place among waiting work.
+ *
+ * @param jobClass the job's priority class; null: none matches it
+ * @param rank of the class, the smaller the earlier
+ * @param occurrence whose window is open and covers the job; null: none does
+ * @param publicationMillis when the occurrence's publication is due, in ms since 1970; 0: none
  */
 public record EffectivePriority(
         JobClass jobClass, int rank, ScheduledOccurrence occurrence, long publicationMillis) {
@@ -15,13 +18,14 @@
         return publicationMillis > 0;
     }
 
+    /** Whom the job's running tasks may be preempted for. */
     public JobClass.PreemptionProtection preemptionProtection() {
         return jobClass == null
                 ? JobClass.PreemptionProtection.PROTOCOL
                 : jobClass.preemptionProtection();
     }
 
-    /** The urgency by which the job is ordered, as a number, the smaller the earlier. */
+    /** The priority by which the job is ordered, as a number, the smaller the earlier. */
     public int orderingPriority(JobSpec spec) {
         int ownPriority = spec.priority().ordinal();
         return jobClass == null
@@ -34,13 +38,14 @@
                 };
     }
 
-    /** Seconds within which the job should have begun. */
+    /** Seconds within which the job should have started its first tasks. */
     public double startWithinSeconds() {
         return jobClass == null
                 ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
                 : jobClass.startWithinSeconds();
     }
 
+    /** Part of the job's tasks, 0 to 1, that should have started by then. */
     double minStartedShare() {
         return jobClass == null
                 ? PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION
--- a/src/main/java/io/quincelead/policy/InvalidRecordException.java
+++ b/src/main/java/io/quincelead/policy/InvalidRecordException.java
@@ -5,6 +5,10 @@
     private static final long serialVersionUID = 1L;
 
     InvalidRecordException(String path, String requirement) {
-        super(path + ": " + requirement, null, false, false);
+        this(path, requirement, null);
+    }
+
+    InvalidRecordException(String path, String requirement, Throwable cause) {
+        super(path + ": " + requirement, cause, false, false);
     }
 }
--- a/src/main/java/io/quincelead/policy/JobSelector.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -1,9 +1,6 @@
 package io.quincelead.policy;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -11,36 +8,18 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Which jobs an operators' rule is about: all that agree in each stated field; null: any. */
+/**
+ * Which jobs an operators' rule is about: all that agree in each stated field.
+ *
+ * @param jobClass the job class that users state; null: any
+ * @param team null: any
+ * @param priority null: any
+ * @param mode null: any
+ */
 public record JobSelector(
         String jobClass, String team, JobSpec.Priority priority, JobSpec.Mode mode) {
-    private static final Set<String> FIELDS = Set.of("jobClass", "owner", "urgency", "mode");
-
-    static JobSelector decode(JsonNode node, String path) throws InvalidRecordException {
-        RecordFieldReader fields = new RecordFieldReader(node, path, FIELDS);
-        return new JobSelector(
-                fields.readText("jobClass", false),
-                fields.readText("owner", false),
-                fields.readEnum("urgency", JobSpec.Priority.class, null),
-                fields.readEnum("mode", JobSpec.Mode.class, null));
-    }
-
-    ObjectNode encode() {
-        ObjectNode node = WireFormat.newMap();
-        if (jobClass != null) {
-            node.put("jobClass", jobClass);
-        }
-        if (team != null) {
-            node.put("owner", team);
-        }
-        if (priority != null) {
-            node.put("urgency", priority.name().toLowerCase(Locale.ROOT));
-        }
-        if (mode != null) {
-            node.put("mode", mode.name().toLowerCase(Locale.ROOT));
-        }
-        return node;
-    }
+    /** Matches every job. */
+    static final JobSelector ANY = new JobSelector(null, null, null, null);
 
     boolean matches(JobSpec spec) {
         return matchesValues(spec.jobClass(), spec.team(), spec.priority(), spec.mode());
@@ -57,6 +36,7 @@
                 && (mode == null || mode == candidateMode);
     }
 
+    /** Whether each job that the other matches is matched here too. */
     private boolean subsumes(JobSelector other) {
         return (jobClass == null || jobClass.equals(other.jobClass))
                 && (team == null || team.equals(other.team))
--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this
- * build doesn't know are refused: a rule half understood would be enforced otherwise here than
- * elsewhere.
+ * Reads the fields of a map in an operators' record; errors name the field's path and what is
+ * allowed. Fields that this build doesn't know are refused: a rule half understood would be
+ * enforced otherwise here than elsewhere.
  */
 final class RecordFieldReader {
     private final JsonNode node;
@@ -38,6 +38,10 @@
         return new InvalidRecordException(path + "." + field, requirement);
     }
 
+    InvalidRecordException invalid(String field, String requirement, Throwable cause) {
+        return new InvalidRecordException(path + "." + field, requirement, cause);
+    }
+
     boolean has(String field) {
         return node.hasNonNull(field);
     }
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -1,24 +1,24 @@
 package io.quincelead.policy;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.store.StoreKeys;
-import io.quincelead.transport.WireFormat;
-import java.util.ArrayList;
+import java.time.LocalDate;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 
 /**
- * One publication of an entry as it stands on record, from before its window opens until it is
- * closed; then the ledger has it. The record holds what it covers, so that a change of the entry
+ * One publication of a calendar entry as it stands on record, from before its window opens until it
+ * is closed; then the ledger has it. The record holds what it covers, so that a change of the entry
  * never changes what an occurrence under way is about.
  */
 public final class ScheduledOccurrence {
-    /** States; {@link PolicyReconciler} alone changes them, by {@link #transitionTo}. */
+    /**
+     * States, whose names in lower case are on record; {@link CalendarReconciler} alone changes
+     * them, by {@link #transitionTo}.
+     */
     public enum State {
         /** Its window hasn't opened. */
         PLANNED,
@@ -34,29 +34,21 @@
         CLOSED
     }
 
+    /** Name of the calendar entry. */
     public final String entryName;
-    public final String date;
-    private State state;
-    long publicationMillis;
-    long opensAtMillis;
-    final double graceSeconds;
-    final List<JobSelector> selectors;
-
-    /** Covered jobs that have been counted and aren't known to be over. */
-    final Set<String> openJobIds = new LinkedHashSet<>();
 
-    int jobCount;
-    int doneCount;
-    int cancelledCount;
-
-    /** When the last covered job was done, in ms since 1970; 0: none yet. */
-    long lastDoneMillis;
-
-    /** CPUs that covered work used at its peak. */
-    double peakCpus;
+    /** Date of the publication in the entry's time zone, as in {@code 2027-01-31}. */
+    public final String date;
 
-    /** Terms of the leaders that have written it. */
-    final Set<Long> leaderTerms = new LinkedHashSet<>();
+    private State state;
+    private long publicationMillis;
+    private long opensAtMillis;
+    private final double graceSeconds;
+    private final List<JobSelector> selectors;
+    private final Set<String> openJobIds = new LinkedHashSet<>();
+    private final Set<String> openJobIdsView = Collections.unmodifiableSet(openJobIds);
+    private OccurrenceCounts counts = OccurrenceCounts.NONE;
+    private final Set<Long> leaderTerms = new LinkedHashSet<>();
 
     ScheduledOccurrence(
             String entryName,
@@ -72,7 +64,7 @@
         this.publicationMillis = publicationMillis;
         this.opensAtMillis = opensAtMillis;
         this.graceSeconds = graceSeconds;
-        this.selectors = selectors;
+        this.selectors = List.copyOf(selectors);
     }
 
     static ScheduledOccurrence planned(CalendarEntry entry, CalendarEntry.Publication publication) {
@@ -81,11 +73,34 @@
                 publication.date().toString(),
                 State.PLANNED,
                 publication.epochMillis(),
-                publication.epochMillis() - (long) (entry.leadSeconds() * 1000),
+                entry.opensAtMillis(publication.epochMillis()),
                 entry.graceSeconds(),
                 entry.selectors());
     }
 
+    /** The same with nothing shared, to be changed without a trace in the original. */
+    ScheduledOccurrence copy() {
+        ScheduledOccurrence copy =
+                new ScheduledOccurrence(
+                        entryName,
+                        date,
+                        state,
+                        publicationMillis,
+                        opensAtMillis,
+                        graceSeconds,
+                        selectors);
+        copy.restore(counts, openJobIds, leaderTerms);
+        return copy;
+    }
+
+    /** Sets what was counted before. */
+    void restore(OccurrenceCounts counted, Collection<String> openJobs, Collection<Long> terms) {
+        counts = counted;
+        openJobIds.addAll(openJobs);
+        leaderTerms.addAll(terms);
+    }
+
+    /** The occurrence's state. */
     public State state() {
         return state;
     }
@@ -93,6 +108,8 @@
     /**
      * Verdicts are absorbing: what is published is never missed afterwards, nor the other way
      * round.
+     *
+     * @throws IllegalStateException if the state can't follow the one before
      */
     void transitionTo(State next) {
         boolean allowed =
@@ -112,108 +129,115 @@
         state = next;
     }
 
+    /** Whether no verdict was given: operators can still move or skip the publication. */
+    boolean isBeforeVerdict() {
+        return state == State.PLANNED || state == State.OPEN;
+    }
+
+    /** What names it among all occurrences: the entry and the date. */
+    String key() {
+        return entryName + "/" + date;
+    }
+
     String storeKey() {
-        return StoreKeys.OCCURRENCE_PREFIX + entryName + "/" + date;
+        return StoreKeys.OCCURRENCE_PREFIX + key();
     }
 
     String ledgerKey() {
-        return StoreKeys.LEDGER_PREFIX + entryName + "/" + date;
+        return StoreKeys.LEDGER_PREFIX + key();
     }
 
+    /** When covered work is due, in ms since 1970. */
     public long publicationMillis() {
         return publicationMillis;
     }
 
+    /** When its window opens, in ms since 1970. */
     public long opensAtMillis() {
         return opensAtMillis;
     }
 
-    /** Whether a job of such a kind, accepted then, is covered while the window is open. */
+    /** Seconds after the publication in which covered work still counts as in time. */
+    double graceSeconds() {
+        return graceSeconds;
+    }
+
+    /** When covered work has to be done, grace included, in ms since 1970. */
+    long graceEndsAtMillis() {
+        return publicationMillis + (long) (graceSeconds * 1000);
+    }
+
+    List<JobSelector> selectors() {
+        return selectors;
+    }
+
+    /** Covered jobs that have been counted and aren't known to have completed. */
+    Set<String> openJobIds() {
+        return openJobIdsView;
+    }
+
+    OccurrenceCounts counts() {
+        return counts;
+    }
+
+    /** Terms of the leaders that have written it. */
+    Set<Long> leaderTerms() {
+        return Collections.unmodifiableSet(leaderTerms);
+    }
+
+    /**
+     * Whether it covers a job.
+     *
+     * @param acceptedAtMillis when the job was accepted, in ms since 1970
+     */
     public boolean covers(JobSpec spec, long acceptedAtMillis) {
         return acceptedAtMillis <= publicationMillis
                 && selectors.stream().anyMatch(m -> m.matches(spec));
     }
 
-    /** Whether covered work ranks ahead now: from the opening until everything is closed. */
+    /** Whether covered work ranks ahead now: from the opening until the occurrence is closed. */
     public boolean raisesPriority() {
         return state == State.OPEN || state == State.PUBLISHED || state == State.MISSED;
     }
 
-    static ScheduledOccurrence decode(String entryName, String date, JsonNode node)
-            throws InvalidRecordException {
-        State state;
-        try {
-            state = State.valueOf(node.path("st").asText().toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new InvalidRecordException("st", "unknown state " + node.path("st"));
-        }
-        List<JobSelector> selectors = new ArrayList<>();
-        for (JsonNode selectorNode : node.path("cov")) {
-            selectors.add(JobSelector.decode(selectorNode, "cov"));
-        }
-        ScheduledOccurrence occurrence =
-                new ScheduledOccurrence(
-                        entryName,
-                        date,
-                        state,
-                        node.path("pub").asLong(),
-                        node.path("open").asLong(),
-                        node.path("grace").asDouble(),
-                        selectors);
-        node.path("ids").forEach(id -> occurrence.openJobIds.add(id.asText()));
-        occurrence.jobCount = node.path("n").asInt();
-        occurrence.doneCount = node.path("done").asInt();
-        occurrence.cancelledCount = node.path("cancelled").asInt();
-        occurrence.lastDoneMillis = node.path("last").asLong();
-        occurrence.peakCpus = node.path("peak").asDouble();
-        node.path("leaders").forEach(t -> occurrence.leaderTerms.add(t.asLong()));
-        return occurrence;
+    /** Whether no job's priority differs between the two; counts may. */
+    boolean hasSamePriorityEffect(ScheduledOccurrence other) {
+        return state == other.state
+                && publicationMillis == other.publicationMillis
+                && selectors.equals(other.selectors);
     }
 
-    ScheduledOccurrence copy() {
-        ScheduledOccurrence occurrence =
-                new ScheduledOccurrence(
-                        entryName,
-                        date,
-                        state,
-                        publicationMillis,
-                        opensAtMillis,
-                        graceSeconds,
-                        selectors);
-        occurrence.openJobIds.addAll(openJobIds);
-        occurrence.jobCount = jobCount;
-        occurrence.doneCount = doneCount;
-        occurrence.cancelledCount = cancelledCount;
-        occurrence.lastDoneMillis = lastDoneMillis;
-        occurrence.peakCpus = peakCpus;
-        occurrence.leaderTerms.addAll(leaderTerms);
-        return occurrence;
-    }
-
-    ObjectNode encode() {
-        ObjectNode node = encodeSummary();
-        ArrayNode selectorNodes = node.putArray("cov");
-        selectors.forEach(m -> selectorNodes.add(m.encode()));
-        ArrayNode jobIdNodes = node.putArray("ids");
-        openJobIds.forEach(jobIdNodes::add);
-        return node;
-    }
-
-    /** What the ledger keeps. */
-    ObjectNode encodeSummary() {
-        ObjectNode node =
-                WireFormat.newMap()
-                        .put("st", state.name().toLowerCase(Locale.ROOT))
-                        .put("pub", publicationMillis)
-                        .put("open", opensAtMillis)
-                        .put("grace", graceSeconds)
-                        .put("n", jobCount)
-                        .put("done", doneCount)
-                        .put("cancelled", cancelledCount)
-                        .put("last", lastDoneMillis)
-                        .put("peak", peakCpus);
-        ArrayNode termNodes = node.putArray("leaders");
-        leaderTerms.forEach(termNodes::add);
-        return node;
+    /** Follows the entry to its publication of that day. A window that is open stays open. */
+    void reschedule(CalendarEntry entry, LocalDate day) {
+        publicationMillis = entry.publicationMillis(day);
+        opensAtMillis = entry.opensAtMillis(publicationMillis);
+    }
+
+    void addLeaderTerm(long term) {
+        leaderTerms.add(term);
+    }
+
+    void addOpenJob(String jobId) {
+        openJobIds.add(jobId);
+        counts = counts.plusJob();
+    }
+
+    void completeOpenJob(String jobId, JobCompletion completion) {
+        openJobIds.remove(jobId);
+        counts = counts.plusCompletion(completion);
+    }
+
+    /** Counts a job that wasn't seen before it completed. */
+    void addCompletedJob(JobCompletion completion) {
+        counts = counts.plusJob().plusCompletion(completion);
+    }
+
+    /** Notes the CPUs that covered work uses now; says whether that is a new peak. */
+    boolean notePeak(double usedCpus) {
+        if (usedCpus <= counts.peakCpus()) {
+            return false;
+        }
+        counts = counts.withPeakCpus(usedCpus);
+        return true;
     }
 }
--- a/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
@@ -28,13 +28,13 @@
         return assertThrows(
                         InvalidRecordException.class,
                         () ->
-                                PriorityClasses.decode(
+                                PriorityClassesCodec.decode(
                                         json("{'classes':[" + classes + "]}"), 1, "f.json"))
                 .getMessage();
     }
 
     private static CalendarEntry entry(String rest) throws InvalidRecordException {
-        return CalendarEntry.decode(
+        return CalendarCodec.decodeEntry(
                 json("{'name':'e','zone':'America/Toronto','covers':[{}]," + rest + "}"), "entry");
     }
 
@@ -80,7 +80,7 @@
                         .contains("classes[3].match"));
         assertEquals(
                 2,
-                PriorityClasses.decode(
+                PriorityClassesCodec.decode(
                                 json(
                                         "{'classes':[{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2}]}"),
                                 1,
@@ -92,18 +92,19 @@
     @Test
     void encodedRecordsDecodeToEqualValues() throws InvalidRecordException {
         PriorityClasses c =
-                PriorityClasses.decode(
+                PriorityClassesCodec.decode(
                         json(
                                 "{'classes':[{'name':'a','rank':1,'match':{'owner':'x','urgency':'high'},'keep':'urgent','passes':'normal','beginWithinS':60,"
                                     + "'leastShare':0.25,'zonePatienceS':30,'zoneSpare':0.5}]}"),
                         1,
                         "f");
-        assertEquals(c.all(), PriorityClasses.decode(c.encode(), 1, "f").all());
+        assertEquals(
+                c.all(), PriorityClassesCodec.decode(PriorityClassesCodec.encode(c), 1, "f").all());
         CalendarEntry e =
                 entry("'time':'06:30','days':['mon','fri'],'leadS':600,'graceS':60")
                         .withSkippedDate(LocalDate.parse("2026-12-04"))
                         .withMovedTime(LocalDate.parse("2026-12-07"), LocalTime.parse("07:00"));
-        assertEquals(e, CalendarEntry.decode(e.encode(), "e"));
+        assertEquals(e, CalendarCodec.decodeEntry(CalendarCodec.encodeEntry(e), "e"));
     }
 
     /** On 14 March 2027 clocks go from 02:00 to 03:00, on 7 November from 02:00 back to 01:00. */
@@ -146,7 +147,7 @@
         assertThrows(
                 InvalidRecordException.class,
                 () ->
-                        CalendarEntry.decode(
+                        CalendarCodec.decodeEntry(
                                 json(
                                         "{'name':'e','time':'05:00','zone':'Lake/Huron','days':['mon'],'covers':[{}]}"),
                                 "entry"));
