--- a/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
+++ b/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
@@ -8,12 +8,14 @@
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.WireFormat;
 import io.quincelead.transport.XnioEventLoop;
+import java.io.IOException;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
+import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
 /**
@@ -21,51 +23,68 @@
  * so that the classes of a real start are loaded and the build can archive them.
  */
 final class ClassDataArchiveTraining {
-    private ClassDataArchiveTraining() {}
+    private static final String SETTINGS =
+            """
+            member = "r"
+            domain = "z"
+            listen = "127.0.0.1:%d"
+            cluster_listen = "127.0.0.1:%d"
+            [external]
+            cloud = "127.0.0.1:%d"
+            state = "127.0.0.1:%d"
+            [settings]
+            count = 1
+            zones = ["z"]
+            [[settings.teams]]
+            name = "t"
+            cpus = 1.0
+            cpus_max = 2.0
+            [[settings.objectives]]
+            kind = "wait"
+            class = "c"
+            within_s = 2.0
+            share = 0.9
+            [settings.workers]
+            report_s = 1.0
+            lease_s = 10.0
+            cancel_s = 40.0
+            [settings.state]
+            rps = 100.0
+            write_rps = 50.0
+            value_kb = 8.0
+            txn_ops = 12
+            [settings.cloud]
+            rps = 2.0
+            [settings.limits]
+            max_connections = 100
+            """;
 
-    static void run() throws Exception {
+    private static final int CALL_TIMEOUT_MILLIS = 2_000;
+    private static final long START_MILLIS = 1_500;
+    private static final long SETTLE_MILLIS = 500;
+
+    private final HttpClient client;
+    private final CountDownLatch responses = new CountDownLatch(4);
+
+    private ClassDataArchiveTraining(HttpClient client) {
+        this.client = client;
+    }
+
+    /**
+     * Starts the controller, calls it and returns; the caller ends the process.
+     *
+     * @throws IOException if no ports are free or no I/O thread can be made
+     * @throws InterruptedException if the thread is interrupted while it waits
+     */
+    static void run() throws IOException, InterruptedException, Settings.InvalidSettingsException {
         int userPort = Main.freePort();
         int peerPort = Main.freePort();
         int externalPort = Main.freePort();
-        String toml =
-                """
-                member = "r"
-                domain = "z"
-                listen = "127.0.0.1:%d"
-                cluster_listen = "127.0.0.1:%d"
-                [external]
-                cloud = "127.0.0.1:%d"
-                state = "127.0.0.1:%d"
-                [settings]
-                count = 1
-                zones = ["z"]
-                [[settings.teams]]
-                name = "t"
-                cpus = 1.0
-                cpus_max = 2.0
-                [[settings.objectives]]
-                kind = "wait"
-                class = "c"
-                within_s = 2.0
-                share = 0.9
-                [settings.workers]
-                report_s = 1.0
-                lease_s = 10.0
-                cancel_s = 40.0
-                [settings.state]
-                rps = 100.0
-                write_rps = 50.0
-                value_kb = 8.0
-                txn_ops = 12
-                [settings.cloud]
-                rps = 2.0
-                [settings.limits]
-                max_connections = 100
-                """
-                        .formatted(userPort, peerPort, externalPort, externalPort);
+        String toml = SETTINGS.formatted(userPort, peerPort, externalPort, externalPort);
         Settings settings = Settings.read(new TomlMapper().readTree(toml), "rehearsal");
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+        XnioIoThread thread = worker.getIoThread();
         new HttpServer(
                         worker,
                         "127.0.0.1:" + externalPort,
@@ -73,54 +92,36 @@
                         ClassDataArchiveTraining::respondAsStore)
                 .start();
         Main.start(settings, OperatorSettings.DEFAULTS);
-        HttpClient client =
-                new HttpClient(
-                        new XnioEventLoop(worker.getIoThread()), worker.getIoThread(), Set.of(), 8);
+        HttpClient client = new HttpClient(new XnioEventLoop(thread), thread, Set.of(), 8);
+        Thread.sleep(START_MILLIS);
+        ClassDataArchiveTraining training = new ClassDataArchiveTraining(client);
+        thread.execute(() -> training.callController(userPort, peerPort));
+        training.responses.await(5, TimeUnit.SECONDS);
+        Thread.sleep(SETTLE_MILLIS);
+    }
+
+    private void callController(int userPort, int peerPort) {
         byte[] submission =
                 WireFormat.CBOR.encode(WireFormat.newMap().put("nameId", "wk-1").put("vcpus", 1.5));
-        Thread.sleep(1500);
-        CountDownLatch responses = new CountDownLatch(4);
-        worker.getIoThread()
-                .execute(
-                        () -> {
-                            client.call(
-                                    "127.0.0.1:" + userPort,
-                                    "GET",
-                                    "/ready",
-                                    WireFormat.CBOR,
-                                    null,
-                                    2000,
-                                    (status, body) -> responses.countDown());
-                            client.call(
-                                    "127.0.0.1:" + userPort,
-                                    "POST",
-                                    "/v2/runs",
-                                    WireFormat.CBOR,
-                                    submission,
-                                    2000,
-                                    (status, body) -> responses.countDown());
-                            client.call(
-                                    "127.0.0.1:" + userPort,
-                                    "POST",
-                                    "/v1/report",
-                                    WireFormat.CBOR,
-                                    submission,
-                                    2000,
-                                    (status, body) -> responses.countDown());
-                            client.call(
-                                    "127.0.0.1:" + peerPort,
-                                    "POST",
-                                    "/peer/news",
-                                    WireFormat.JSON,
-                                    WireFormat.JSON.encode(WireFormat.newMap().put("from", "x")),
-                                    2000,
-                                    (status, body) -> responses.countDown());
-                        });
-        responses.await(5, TimeUnit.SECONDS);
-        Thread.sleep(500);
+        byte[] status = WireFormat.JSON.encode(WireFormat.newMap().put("from", "x"));
+        call(userPort, "GET", "/ready", WireFormat.CBOR, null);
+        call(userPort, "POST", "/v2/runs", WireFormat.CBOR, submission);
+        call(userPort, "POST", "/v1/report", WireFormat.CBOR, submission);
+        call(peerPort, "POST", "/peer/news", WireFormat.JSON, status);
+    }
+
+    private void call(int port, String method, String path, WireFormat format, byte[] body) {
+        client.call(
+                "127.0.0.1:" + port,
+                method,
+                path,
+                format,
+                body,
+                CALL_TIMEOUT_MILLIS,
+                (status, response) -> responses.countDown());
     }
 
-    /** A store with nothing in it that grants holds, so the start goes as far as a real one. */
+    /** A store with nothing in it that grants leases, so the start goes as far as a real one. */
     private static void respondAsStore(IncomingRequest request) {
         if (request.path.equals("/holds") || request.path.endsWith("/touch")) {
             request.respond(200, WireFormat.newMap().put("grant", 1));
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -8,11 +8,10 @@
 import io.quincelead.transport.HttpServer;
 import io.quincelead.transport.XnioEventLoop;
 import java.io.File;
+import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
@@ -24,7 +23,7 @@
 import org.xnio.XnioWorker;
 import picocli.CommandLine;
 
-/** The command line. */
+/** The program: checks settings, starts a controller, or passes on to the operators' commands. */
 @CommandLine.Command(
         name = "quincelead",
         mixinStandardHelpOptions = true,
@@ -37,6 +36,13 @@
             "Exit: 1 when settings can't be used, 2 for a wrong command line."
         })
 public final class Main implements Callable<Integer> {
+    /** Stands for no exit code: the controller runs. */
+    private static final int KEEP_RUNNING = -1;
+
+    /** First words of operators' commands, known without loading them. */
+    public static final Set<String> OPERATOR_COMMANDS =
+            Set.of("classes", "calendar", "zones", "explain");
+
     @CommandLine.Option(
             names = "--config",
             paramLabel = "FILE",
@@ -60,6 +66,7 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
+    /** Runs the command line; a controller goes on running after it returns. */
     public static void main(String[] args) {
         configureLogging();
         if (args.length > 0 && OPERATOR_COMMANDS.contains(args[0])) {
@@ -72,12 +79,7 @@
         }
     }
 
-    private static final int KEEP_RUNNING = -1;
-
-    /** First words of operators' commands, known without loading them. */
-    public static final Set<String> OPERATOR_COMMANDS =
-            Set.of("classes", "calendar", "zones", "explain");
-
+    /** Must run before the first logger is made. */
     private static void configureLogging() {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         if (!Set.of("error", "info", "debug").contains(level)) {
@@ -121,9 +123,12 @@
         return KEEP_RUNNING;
     }
 
-    /** Starts a controller on real sockets. */
-    static void start(Settings settings, OperatorSettings operatorSettings) throws Exception {
-        Logger log = LoggerFactory.getLogger(Main.class);
+    /**
+     * Starts a controller on real sockets.
+     *
+     * @throws IOException if its I/O thread can't be made
+     */
+    static void start(Settings settings, OperatorSettings operatorSettings) throws IOException {
         XnioWorker worker =
                 Xnio.getInstance()
                         .createWorker(
@@ -135,75 +140,51 @@
                                         .set(Options.THREAD_DAEMON, false)
                                         .getMap());
         XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-        int maxConnections = settings.processLimits().maxConnections();
-        Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
-        criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
-        int maxSharedConnections =
-                Math.max(
-                        1,
-                        (int)
-                                (maxConnections
-                                        * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION));
-        int maxServerConnections =
-                Math.max(
-                        maxConnections / 2,
-                        maxConnections
-                                - maxSharedConnections
-                                - criticalAddresses.size()
-                                        * TransportConstants.MAX_CONNECTIONS_PER_ADDRESS
-                                - TransportConstants.MAX_PEER_CONNECTIONS
-                                - TransportConstants.RESERVED_CONNECTIONS);
+        ConnectionLimits limits = ConnectionLimits.of(settings);
         loop.runAfter(
                 0,
                 () -> {
-                    Controller controller =
-                            new Controller(
+                    HttpClient client =
+                            new HttpClient(
                                     loop,
-                                    new HttpClient(
-                                            loop,
-                                            worker.getIoThread(),
-                                            criticalAddresses,
-                                            maxSharedConnections),
-                                    settings,
-                                    operatorSettings);
+                                    worker.getIoThread(),
+                                    limits.criticalAddresses(),
+                                    limits.maxSharedConnections());
+                    Controller controller =
+                            new Controller(loop, client, settings, operatorSettings);
                     // Servers are started off the loop: binding waits for the accept thread.
                     Thread starter =
                             new Thread(
-                                    () -> {
-                                        try {
-                                            new HttpServer(
-                                                            worker,
-                                                            settings.listenAddress(),
-                                                            maxServerConnections,
-                                                            controller::handle)
-                                                    .start();
-                                            new HttpServer(
-                                                            worker,
-                                                            settings.clusterListenAddress(),
-                                                            TransportConstants.MAX_PEER_CONNECTIONS,
-                                                            controller::handlePeerRequest)
-                                                    .start();
-                                            log.info(
-                                                    "{} serves on {} and {}",
-                                                    settings.memberId(),
-                                                    settings.listenAddress(),
-                                                    settings.clusterListenAddress());
-                                        } catch (RuntimeException e) {
-                                            log.error(
-                                                    "can't listen on {} or {}: {}",
-                                                    settings.listenAddress(),
-                                                    settings.clusterListenAddress(),
-                                                    e.getMessage());
-                                            System.exit(1);
-                                        }
-                                    },
+                                    () -> startServers(worker, controller, settings, limits),
                                     "starter");
                     starter.start();
                 });
     }
 
-    /** A free port on loopback, for the rehearsal. */
-    static int freePort() throws Exception {
+    private static void startServers(
+            XnioWorker worker, Controller controller, Settings settings, ConnectionLimits limits) {
+        Logger log = LoggerFactory.getLogger(Main.class);
+        String address = settings.listenAddress();
+        String peerAddress = settings.clusterListenAddress();
+        try {
+            new HttpServer(worker, address, limits.maxServerConnections(), controller::handle)
+                    .start();
+            new HttpServer(
+                            worker,
+                            peerAddress,
+                            TransportConstants.MAX_PEER_CONNECTIONS,
+                            controller::handlePeerRequest)
+                    .start();
+            log.info("{} serves on {} and {}", settings.memberId(), address, peerAddress);
+        } catch (RuntimeException e) {
+            // Undertow wraps what binding throws; a controller that can't listen is of no use.
+            log.error("can't listen on {} or {}: {}", address, peerAddress, e.getMessage());
+            System.exit(1);
+        }
+    }
+
+    /** A free port on loopback, for a start without settings of its own. */
+    static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket()) {
             socket.bind(new InetSocketAddress("127.0.0.1", 0));
             return socket.getLocalPort();
--- a/src/main/java/io/quincelead/transport/BodyReader.java
+++ b/src/main/java/io/quincelead/transport/BodyReader.java
@@ -17,10 +17,12 @@
     private final ByteArrayOutputStream body;
 
     /**
-     * @param buffer takes what one reading brings until it is copied, in the same turn of the loop:
-     *     one serves all bodies
-     * @param length bytes stated by the sender, a hint; negative: none
-     * @param most bytes; a larger body fails
+     * @param buffer takes what one reading brings until it is copied, in the same task of the event
+     *     loop: one serves all bodies
+     * @param expectedBytes length stated by the sender, a hint; negative: none
+     * @param maxBytes a larger body fails
+     * @param onComplete gets the whole body
+     * @param onFailure gets why the body can't be read
      */
     BodyReader(
             ByteBuffer buffer,
--- a/src/main/java/io/quincelead/transport/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -45,7 +45,7 @@
     private final Set<String> criticalAddresses;
     private final int maxSharedConnections;
 
-    /** Connections to all targets that aren't core, attempts among them. */
+    /** Connections to all targets that aren't critical, attempts among them. */
     private int sharedConnections;
 
     /**
@@ -59,8 +59,12 @@
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     /**
-     * {@code core}: addresses that are always called; {@code most}: connections to all others
-     * together.
+     * A client without connections.
+     *
+     * @param thread the event loop's
+     * @param criticalAddresses addresses that the service can't do without; each has connections of
+     *     its own
+     * @param maxSharedConnections connections to all other addresses together
      */
     public HttpClient(
             EventLoop loop,
@@ -130,7 +134,7 @@
         final String address;
         final String method;
         final String path;
-        final WireFormat codec;
+        final WireFormat format;
         final byte[] body;
         final ResponseHandler responseHandler;
         CallState state = CallState.WAITING;
@@ -141,13 +145,13 @@
                 String address,
                 String method,
                 String path,
-                WireFormat codec,
+                WireFormat format,
                 byte[] body,
                 ResponseHandler responseHandler) {
             this.address = address;
             this.method = method;
             this.path = path;
-            this.codec = codec;
+            this.format = format;
             this.body = body;
             this.responseHandler = responseHandler;
         }
@@ -193,7 +197,7 @@
         }
     }
 
-    /** Connections to all targets that aren't core, attempts among them. */
+    /** Connections to all targets that aren't critical, attempts among them. */
     int sharedConnectionCount() {
         return sharedConnections;
     }
@@ -203,7 +207,10 @@
         sharedConnections -= target.critical ? 0 : 1;
     }
 
-    /** Makes room for one more connection: the longest unused one is closed, whoever's it is. */
+    /**
+     * Makes room for one more shared connection, closing the longest unused one, whatever its
+     * target; says whether there is room.
+     */
     private boolean ensureSharedCapacity() {
         while (sharedConnections >= maxSharedConnections) {
             IdleConnection oldest = idleByAge.pollFirst();
@@ -220,6 +227,7 @@
         return true;
     }
 
+    /** Tries again for targets that had to wait until a shared connection is free. */
     private void dispatchStalledCalls() {
         if (!stalledAddresses.isEmpty()) {
             List<String> addresses = new ArrayList<>(stalledAddresses);
@@ -238,13 +246,13 @@
             String address,
             String method,
             String path,
-            WireFormat codec,
+            WireFormat format,
             byte[] body,
             long timeoutMillis,
             ResponseHandler responseHandler) {
         Target target =
                 targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
-        Call call = new Call(address, method, path, codec, body, responseHandler);
+        Call call = new Call(address, method, path, format, body, responseHandler);
         if (target.waitingCalls.size() >= TransportConstants.MAX_WAITING_CALLS_PER_ADDRESS) {
             loop.runAfter(0, () -> responseHandler.onResponse(NO_RESPONSE, null));
             return;
@@ -281,6 +289,7 @@
                 && target.openConnections + recentAttempts < maxConnections;
     }
 
+    /** Sends waiting calls on idle connections, and makes connections for the others. */
     private void dispatchCalls(Target target) {
         while (!target.waitingCalls.isEmpty()) {
             IdleConnection idle = target.idleConnections.pollLast();
@@ -343,7 +352,7 @@
                 new ClientRequest().setMethod(new HttpString(call.method)).setPath(call.path);
         request.getRequestHeaders().put(Headers.HOST, call.address);
         if (call.body != null) {
-            request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.codec.contentType());
+            request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.format.contentType());
             request.getRequestHeaders()
                     .put(Headers.CONTENT_LENGTH, Integer.toString(call.body.length));
         }
--- a/src/main/java/io/quincelead/transport/HttpServer.java
+++ b/src/main/java/io/quincelead/transport/HttpServer.java
@@ -9,6 +9,7 @@
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
 import java.nio.ByteBuffer;
+import java.util.Collections;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.Map;
@@ -28,6 +29,13 @@
     private final int nearLimitThreshold;
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
+    /**
+     * Prepares the server; {@link #start} opens its socket.
+     *
+     * @param worker with one I/O thread, on which the handler runs
+     * @param address host and port to listen on
+     * @param maxConnections further ones wait in the backlog
+     */
     public HttpServer(
             XnioWorker worker,
             String address,
@@ -63,6 +71,11 @@
                         .build();
     }
 
+    /**
+     * Opens the socket; not to be called on the event loop, since binding waits for another thread.
+     *
+     * @throws RuntimeException if the address can't be bound
+     */
     public void start() {
         undertow.start();
     }
@@ -140,14 +153,14 @@
                     exchange.getQueryParameters().entrySet()) {
                 parameters.put(parameter.getKey(), parameter.getValue().getFirst());
             }
-            return parameters;
+            return Collections.unmodifiableMap(parameters);
         }
 
         @Override
         protected void sendResponse(
-                int status, WireFormat codec, byte[] body, int retryAfterSeconds) {
+                int status, WireFormat format, byte[] body, int retryAfterSeconds) {
             exchange.setStatusCode(status);
-            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, codec.contentType());
+            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, format.contentType());
             if (retryAfterSeconds > 0) {
                 exchange.getResponseHeaders()
                         .put(Headers.RETRY_AFTER, Integer.toString(retryAfterSeconds));
--- a/src/main/java/io/quincelead/transport/RateLimiter.java
+++ b/src/main/java/io/quincelead/transport/RateLimiter.java
@@ -2,10 +2,7 @@
 
 import io.quincelead.eventloop.EventLoop;
 
-/**
- * A token bucket with a burst of one second's worth, kept a little below what the other side
- * allows.
- */
+/** A token bucket: bounds the rate of calls to a service below what it allows. */
 public final class RateLimiter {
     private final EventLoop loop;
     private double ratePerSecond;
@@ -15,6 +12,12 @@
     private double tokens;
     private long refilledAtMillis;
 
+    /**
+     * A full bucket.
+     *
+     * @param ratePerSecond tokens that come back in a second
+     * @param burstSeconds how many seconds' tokens it holds; at least one token
+     */
     public RateLimiter(EventLoop loop, double ratePerSecond, double burstSeconds) {
         this.loop = loop;
         this.ratePerSecond = ratePerSecond;
@@ -25,7 +28,7 @@
         this.refilledAtMillis = loop.nowMillis();
     }
 
-    /** Lets the rate move between these. */
+    /** Sets the bounds of {@link #scaleRate}; returns this. */
     public RateLimiter withRateBounds(double minPerSecond, double maxPerSecond) {
         minRatePerSecond = minPerSecond;
         maxRatePerSecond = Math.max(minPerSecond, maxPerSecond);
@@ -47,6 +50,7 @@
         refilledAtMillis = nowMillis;
     }
 
+    /** Takes tokens if there are enough, or the bucket is full; says whether it did. */
     public boolean tryTake(double amount) {
         refill();
         if (tokens < Math.min(amount, capacity)) {
@@ -56,26 +60,26 @@
         return true;
     }
 
-    /** Takes what a call that can't wait needs, even into debt. */
+    /** Takes tokens for a call that can't wait, even into debt. */
     public void takeUnconditionally(double amount) {
         refill();
         tokens -= amount;
     }
 
-    /** What can be taken now; below zero while in debt. */
+    /** Tokens that can be taken now; below zero while in debt. */
     public double availableTokens() {
         refill();
         return tokens;
     }
 
-    /** ms until {@code n} can be taken. */
+    /** Milliseconds until {@link #tryTake} succeeds, if nothing is taken before; 0: now. */
     public long millisUntilAvailable(double amount) {
         refill();
         double missing = Math.min(amount, capacity) - tokens;
         return missing <= 0 ? 0 : (long) Math.ceil(missing / ratePerSecond * 1000);
     }
 
-    /** The other side says we are over its limit. */
+    /** Empties the bucket: the service says that its limit is passed. */
     public void drain() {
         tokens = Math.min(tokens, 0);
     }
--- a/src/main/java/io/quincelead/transport/WireFormat.java
+++ b/src/main/java/io/quincelead/transport/WireFormat.java
@@ -10,9 +10,12 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** CBOR for users, workers, cloud and state; JSON between controllers. */
+/** The forms of messages bodies. */
 public enum WireFormat {
+    /** Used with users, workers, the cloud and the state service. */
     CBOR(new CBORMapper(), "application/cbor"),
+
+    /** Used between controllers and with operators. */
     JSON(new ObjectMapper(), "application/json");
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -24,20 +27,23 @@
         this.contentType = contentType;
     }
 
+    /** Value of the header Content-Type. */
     public String contentType() {
         return contentType;
     }
 
+    /** The bytes of a value. */
     public byte[] encode(JsonNode node) {
         try {
             return mapper.writeValueAsBytes(node);
         } catch (IOException e) {
+            // Nothing is written to but memory, so it is the node that can't be encoded.
             throw new UncheckedIOException(e);
         }
     }
 
     /**
-     * The map in a body, or null if the body is anything else: malformed input is never an
+     * The map in a body; null if the body is null or anything else: malformed input is never an
      * exception.
      */
     public ObjectNode decodeMap(byte[] body) {
@@ -48,19 +54,26 @@
             JsonNode root = mapper.readTree(parser);
             return root instanceof ObjectNode object && parser.nextToken() == null ? object : null;
         } catch (IOException | RuntimeException e) {
+            // The parsers throw either on input of the right damage.
             return null;
         }
     }
 
-    /** Reads a body piece by piece; the caller closes it. */
+    /**
+     * Reads a body piece by piece; the caller closes the parser.
+     *
+     * @throws IOException if the body doesn't begin as the format does
+     */
     public JsonParser createParser(byte[] body) throws IOException {
         return mapper.createParser(body);
     }
 
+    /** A new map without fields. */
     public static ObjectNode newMap() {
         return NODES.objectNode();
     }
 
+    /** A new list without elements. */
     public static ArrayNode newList() {
         return NODES.arrayNode();
     }
