--- a/src/main/java/io/quincelead/policy/JobSelector.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -5,7 +5,6 @@
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 
 /**
@@ -103,10 +102,10 @@
             parts.add("team " + team);
         }
         if (priority != null) {
-            parts.add(priority.name().toLowerCase(Locale.ROOT));
+            parts.add(priority.wireName());
         }
         if (mode != null) {
-            parts.add(mode.name().toLowerCase(Locale.ROOT));
+            parts.add(mode.wireName());
         }
         return parts.isEmpty() ? "all jobs" : String.join(", ", parts);
     }
--- a/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
+++ b/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
@@ -159,8 +159,9 @@
         return new JobSelector(
                 fields.readText("jobClass", false),
                 fields.readText("owner", false),
-                fields.readEnum("urgency", JobSpec.Priority.class, null),
-                fields.readEnum("mode", JobSpec.Mode.class, null));
+                fields.readEnum(
+                        "urgency", JobSpec.Priority.values(), JobSpec.Priority::wireName, null),
+                fields.readEnum("mode", JobSpec.Mode.values(), JobSpec.Mode::wireName, null));
     }
 
     static ObjectNode encodeSelector(JobSelector selector) {
@@ -172,10 +173,10 @@
             node.put("owner", selector.team());
         }
         if (selector.priority() != null) {
-            node.put("urgency", selector.priority().name().toLowerCase(Locale.ROOT));
+            node.put("urgency", selector.priority().wireName());
         }
         if (selector.mode() != null) {
-            node.put("mode", selector.mode().name().toLowerCase(Locale.ROOT));
+            node.put("mode", selector.mode().wireName());
         }
         return node;
     }
