--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -48,8 +48,8 @@
 import java.util.Map;
 
 /**
- * One controller: the slices, wired. It knows no sockets and no clocks but the loop's and the
- * transport's.
+ * One controller: makes its parts, connects them and routes requests to them. It knows no sockets
+ * and no clocks but the event loop's and the transport's.
  */
 public final class Controller {
     private final Settings settings;
@@ -64,6 +64,12 @@
     private final OperatorApi operatorApi;
     private final Autoscaler autoscaler;
 
+    /**
+     * Makes a controller and has it join the cluster.
+     *
+     * @param loop runs everything the controller does
+     * @param transport calls other hosts; its responses come on the loop
+     */
     public Controller(
             EventLoop loop,
             Transport transport,
@@ -134,27 +140,7 @@
                         transport,
                         policy,
                         zones,
-                        new WorkerGateway.Callbacks() {
-                            @Override
-                            public void onMisroutedWorker(MisroutedWorker stray) {
-                                peerMessenger.reportMisroutedWorker(stray);
-                            }
-
-                            @Override
-                            public void requestCycle() {
-                                Controller.this.schedulingCycle.requestCycle();
-                            }
-
-                            @Override
-                            public void onTaskTerminated(Placement p) {
-                                recordTaskTermination(p);
-                            }
-
-                            @Override
-                            public boolean isCyclePending() {
-                                return Controller.this.schedulingCycle.isCyclePending();
-                            }
-                        });
+                        workerCallbacks());
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
@@ -171,25 +157,6 @@
                                 policy),
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
-        MachineVisibility machineVisibility =
-                new MachineVisibility() {
-                    @Override
-                    public Boolean isBooting(String host) {
-                        return clusterMembership.ownerOf(host) == null
-                                ? null
-                                : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
-                    }
-
-                    @Override
-                    public boolean isReachable(String host) {
-                        ShardWorker own = workerGateway.worker(host);
-                        return own != null
-                                ? own.isSchedulable()
-                                : clusterMembership.ownerOf(host) != null
-                                        && peerMessenger.isReportedSchedulable(
-                                                clusterMembership.ownerOf(host), host);
-                    }
-                };
         ZoneView zoneView =
                 new ZoneView(
                         watchCache,
@@ -199,7 +166,7 @@
                         imageCaches,
                         zones,
                         policy,
-                        machineVisibility);
+                        machineVisibility());
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -255,43 +222,11 @@
                 store,
                 jobs,
                 policy,
-                new PolicyReconciler.Leadership() {
-                    @Override
-                    public boolean isLeader() {
-                        return leader.isLeading();
-                    }
-
-                    @Override
-                    public Transaction newTransaction() {
-                        return leader.newTransaction();
-                    }
-
-                    @Override
-                    public long term() {
-                        return clusterMembership.leaderRecord() == null
-                                ? 0
-                                : clusterMembership.leaderRecord().fencingToken();
-                    }
-
-                    @Override
-                    public Collection<String> activeMemberIds() {
-                        return clusterMembership.members().stream()
-                                .map(ClusterMembership.Member::memberId)
-                                .toList();
-                    }
-                });
+                policyLeadership(leader));
         operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
         new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
         new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
-        watchCache.addChangeListener(
-                () -> {
-                    ClusterMembership.Member ownNode =
-                            clusterMembership.member(settings.memberId());
-                    membershipLease.verifyMemberRecord(
-                            ownNode == null ? 0 : ownNode.leaseId(), watchCache.storeRevision());
-                    schedulingCycle.requestCycleIfNeeded();
-                    workerGateway.dispatchPendingCommands();
-                });
+        watchCache.addChangeListener(this::onRecordsChanged);
         loop.runEvery(
                 SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS,
                 schedulingCycle::requestCycleIfNeeded);
@@ -299,6 +234,87 @@
         watchCache.start();
     }
 
+    private void onRecordsChanged() {
+        ClusterMembership.Member ownMember = clusterMembership.member(settings.memberId());
+        membershipLease.verifyMemberRecord(
+                ownMember == null ? 0 : ownMember.leaseId(), watchCache.storeRevision());
+        schedulingCycle.requestCycleIfNeeded();
+        workerGateway.dispatchPendingCommands();
+    }
+
+    private WorkerGateway.Callbacks workerCallbacks() {
+        return new WorkerGateway.Callbacks() {
+            @Override
+            public void onMisroutedWorker(MisroutedWorker worker) {
+                peerMessenger.reportMisroutedWorker(worker);
+            }
+
+            @Override
+            public void requestCycle() {
+                schedulingCycle.requestCycle();
+            }
+
+            @Override
+            public void onTaskTerminated(Placement placement) {
+                recordTaskTermination(placement);
+            }
+
+            @Override
+            public boolean isCyclePending() {
+                return schedulingCycle.isCyclePending();
+            }
+        };
+    }
+
+    private MachineVisibility machineVisibility() {
+        return new MachineVisibility() {
+            @Override
+            public Boolean isBooting(String host) {
+                return clusterMembership.ownerOf(host) == null
+                        ? null
+                        : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
+            }
+
+            @Override
+            public boolean isReachable(String host) {
+                ShardWorker worker = workerGateway.worker(host);
+                return worker != null
+                        ? worker.isSchedulable()
+                        : clusterMembership.ownerOf(host) != null
+                                && peerMessenger.isReportedSchedulable(
+                                        clusterMembership.ownerOf(host), host);
+            }
+        };
+    }
+
+    private PolicyReconciler.Leadership policyLeadership(Leader leader) {
+        return new PolicyReconciler.Leadership() {
+            @Override
+            public boolean isLeader() {
+                return leader.isLeading();
+            }
+
+            @Override
+            public Transaction newTransaction() {
+                return leader.newTransaction();
+            }
+
+            @Override
+            public long term() {
+                return clusterMembership.leaderRecord() == null
+                        ? 0
+                        : clusterMembership.leaderRecord().fencingToken();
+            }
+
+            @Override
+            public Collection<String> activeMemberIds() {
+                return clusterMembership.members().stream()
+                        .map(ClusterMembership.Member::memberId)
+                        .toList();
+            }
+        };
+    }
+
     /** {@code zoneRecovery} is null when zone recovery is turned off. */
     private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
         return new Autoscaler.Callbacks() {
@@ -349,7 +365,7 @@
         return shardWorker == null ? null : shardWorker.isBooting();
     }
 
-    /** Users, workers and health checks. */
+    /** Answers a request of a user, a worker or a health check. */
     public void handle(IncomingRequest request) {
         switch (request.path) {
             case "/ready" -> {
@@ -372,7 +388,7 @@
         }
     }
 
-    /** Other controllers. */
+    /** Answers a request of another controller or an operator. */
     public void handlePeerRequest(IncomingRequest request) {
         if (request.method.equals("POST") && operatorApi.handles(request.path)) {
             operatorApi.handle(request);
--- a/src/main/java/io/quincelead/policy/JobClass.java
+++ b/src/main/java/io/quincelead/policy/JobClass.java
@@ -29,29 +29,50 @@
         double minShareAfterZoneLoss) {
     /**
      * Whose work its running tasks may be preempted for. It only narrows what the protocol allows.
-     * The names in lower case are in operators' files and on record.
      */
     public enum PreemptionProtection {
         /** Whatever the protocol allows. */
-        PROTOCOL,
+        PROTOCOL("protocol"),
         /** Production and high work alone. */
-        URGENT,
+        URGENT("urgent"),
         /** Nobody's; drains and cancellations apart. */
-        NEVER
+        NEVER("never");
+
+        private final String wireName;
+
+        PreemptionProtection(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in operators' files and on record. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
      * Up to which priority its waiting jobs are ordered as if they had it; what they may preempt
-     * stays as it is. The names in lower case are in operators' files and on record.
+     * stays as it is.
      */
     public enum OrderingPriority {
         /** By their own priority. */
-        NONE,
+        NONE("none"),
         /** At least as normal work. */
-        NORMAL,
+        NORMAL("normal"),
         /** At least as high work. */
-        HIGH,
+        HIGH("high"),
         /** As production work. */
-        PRODUCTION
+        PRODUCTION("production");
+
+        private final String wireName;
+
+        OrderingPriority(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in operators' files and on record. */
+        public String wireName() {
+            return wireName;
+        }
     }
 }
--- a/src/main/java/io/quincelead/policy/OccurrenceCodec.java
+++ b/src/main/java/io/quincelead/policy/OccurrenceCodec.java
@@ -19,6 +19,7 @@
      */
     static ScheduledOccurrence decode(String entryName, String date, JsonNode node)
             throws InvalidRecordException {
+        // Any case is accepted.
         ScheduledOccurrence.State state;
         try {
             state =
@@ -73,7 +74,7 @@
         OccurrenceCounts counts = occurrence.counts();
         ObjectNode node =
                 WireFormat.newMap()
-                        .put("st", occurrence.state().name().toLowerCase(Locale.ROOT))
+                        .put("st", occurrence.state().wireName())
                         .put("pub", occurrence.publicationMillis())
                         .put("open", occurrence.opensAtMillis())
                         .put("grace", occurrence.graceSeconds())
--- a/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
+++ b/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
@@ -10,7 +10,6 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
@@ -116,10 +115,14 @@
                 fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION),
                 fields.readEnum(
                         "keep",
-                        JobClass.PreemptionProtection.class,
+                        JobClass.PreemptionProtection.values(),
+                        JobClass.PreemptionProtection::wireName,
                         JobClass.PreemptionProtection.PROTOCOL),
                 fields.readEnum(
-                        "passes", JobClass.OrderingPriority.class, JobClass.OrderingPriority.NONE),
+                        "passes",
+                        JobClass.OrderingPriority.values(),
+                        JobClass.OrderingPriority::wireName,
+                        JobClass.OrderingPriority.NONE),
                 fields.readNumber("zonePatienceS", 0, 86_400, -1),
                 fields.readNumber("zoneSpare", 0, 1, 0));
     }
@@ -134,10 +137,10 @@
                 .put("beginWithinS", jobClass.startWithinSeconds())
                 .put("leastShare", jobClass.minStartedShare());
         if (jobClass.preemptionProtection() != JobClass.PreemptionProtection.PROTOCOL) {
-            node.put("keep", jobClass.preemptionProtection().name().toLowerCase(Locale.ROOT));
+            node.put("keep", jobClass.preemptionProtection().wireName());
         }
         if (jobClass.orderingPriority() != JobClass.OrderingPriority.NONE) {
-            node.put("passes", jobClass.orderingPriority().name().toLowerCase(Locale.ROOT));
+            node.put("passes", jobClass.orderingPriority().wireName());
         }
         if (jobClass.unreachableZonePatienceSeconds() >= 0) {
             node.put("zonePatienceS", jobClass.unreachableZonePatienceSeconds());
--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -5,7 +5,6 @@
 import java.util.Arrays;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import java.util.function.Function;
 
@@ -107,16 +106,6 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
-    /** Reads a constant by its name in lower case; the default where the field is missing. */
-    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue)
-            throws InvalidRecordException {
-        return readEnum(
-                field,
-                type.getEnumConstants(),
-                constant -> constant.name().toLowerCase(Locale.ROOT),
-                defaultValue);
-    }
-
     /**
      * Reads one of the constants by its name in records; the default where the field is missing.
      */
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -15,23 +15,31 @@
  * never changes what an occurrence under way is about.
  */
 public final class ScheduledOccurrence {
-    /**
-     * States, whose names in lower case are on record; {@link CalendarReconciler} alone changes
-     * them, by {@link #transitionTo}.
-     */
+    /** States; {@link CalendarReconciler} alone changes them, by {@link #transitionTo}. */
     public enum State {
         /** Its window hasn't opened. */
-        PLANNED,
+        PLANNED("planned"),
         /** Covered work is due by the publication and ranks ahead of routine work. */
-        OPEN,
+        OPEN("open"),
         /** All covered work was done by the publication and its grace. */
-        PUBLISHED,
+        PUBLISHED("published"),
         /** Some wasn't. */
-        MISSED,
+        MISSED("missed"),
         /** Operators took the day out before a verdict. */
-        SKIPPED,
+        SKIPPED("skipped"),
         /** In the ledger. */
-        CLOSED
+        CLOSED("closed");
+
+        private final String wireName;
+
+        State(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name on record. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** Name of the calendar entry. */
