--- a/src/test/java/io/quincelead/app/PackagedJarIT.java
+++ b/src/test/java/io/quincelead/app/PackagedJarIT.java
@@ -6,6 +6,7 @@
 import com.sun.net.httpserver.HttpServer;
 import io.quincelead.transport.WireFormat;
 import java.io.File;
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -23,10 +24,38 @@
  * says "not now" at once.
  */
 class PackagedJarIT {
+    private static final String SETTINGS =
+            """
+            member = "worker-0"
+            domain = "a"
+            listen = "127.0.0.1:%d"
+            cluster_listen = "127.0.0.1:%d"
+            [external]
+            cloud = "127.0.0.1:%d"
+            state = "127.0.0.1:%d"
+            [settings]
+            count = 1
+            [[settings.teams]]
+            name = "red"
+            cpus_max = 7.0
+            [settings.workers]
+            report_s = 1.0
+            lease_s = 10.0
+            cancel_s = 40.0
+            [settings.state]
+            rps = 200.0
+            write_rps = 80.0
+            value_kb = 8.0
+            txn_ops = 12
+            [settings.cloud]
+            rps = 2.0
+            [settings.limits]
+            max_connections = 100
+            """;
+
     @TempDir Path dir;
 
-    @Test
-    void packagedJarStartsAndServesRequests() throws Exception {
+    private static HttpServer startFailingStore() throws IOException {
         HttpServer failingStore =
                 HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         failingStore.createContext(
@@ -43,51 +72,50 @@
                             return thread;
                         }));
         failingStore.start();
+        return failingStore;
+    }
+
+    private Process startJar(Path settings) throws IOException {
+        String java = ProcessHandle.current().info().command().orElse("java");
+        return new ProcessBuilder(
+                        java,
+                        "-Xmx64m",
+                        "-jar",
+                        "target/quincelead.jar",
+                        "--config",
+                        settings.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(new File(dir.toFile(), "log"))
+                .start();
+    }
+
+    /** The first status of the readiness check; 0: none within 15 s. */
+    private static int pollReadiness(HttpClient http, URI base) throws Exception {
+        int ready = 0;
+        for (int i = 0; i < 150 && ready == 0; i++) {
+            try {
+                ready =
+                        http.send(
+                                        HttpRequest.newBuilder(base.resolve("/ready")).build(),
+                                        HttpResponse.BodyHandlers.discarding())
+                                .statusCode();
+            } catch (IOException e) {
+                Thread.sleep(100);
+            }
+        }
+        return ready;
+    }
+
+    @Test
+    void packagedJarStartsAndServesRequests() throws Exception {
+        HttpServer failingStore = startFailingStore();
         int externalPort = failingStore.getAddress().getPort();
         int port = Main.freePort();
         Path settings =
                 Files.writeString(
                         dir.resolve("s.toml"),
-                        """
-                        member = "worker-0"
-                        domain = "a"
-                        listen = "127.0.0.1:%d"
-                        cluster_listen = "127.0.0.1:%d"
-                        [external]
-                        cloud = "127.0.0.1:%d"
-                        state = "127.0.0.1:%d"
-                        [settings]
-                        count = 1
-                        [[settings.teams]]
-                        name = "red"
-                        cpus_max = 7.0
-                        [settings.workers]
-                        report_s = 1.0
-                        lease_s = 10.0
-                        cancel_s = 40.0
-                        [settings.state]
-                        rps = 200.0
-                        write_rps = 80.0
-                        value_kb = 8.0
-                        txn_ops = 12
-                        [settings.cloud]
-                        rps = 2.0
-                        [settings.limits]
-                        max_connections = 100
-                        """
-                                .formatted(port, Main.freePort(), externalPort, externalPort));
-        String java = ProcessHandle.current().info().command().orElse("java");
-        Process process =
-                new ProcessBuilder(
-                                java,
-                                "-Xmx64m",
-                                "-jar",
-                                "target/quincelead.jar",
-                                "--config",
-                                settings.toString())
-                        .redirectErrorStream(true)
-                        .redirectOutput(new File(dir.toFile(), "log"))
-                        .start();
+                        SETTINGS.formatted(port, Main.freePort(), externalPort, externalPort));
+        Process process = startJar(settings);
         try (var closing =
                 new AutoCloseable() {
                     @Override
@@ -98,19 +126,7 @@
                 }) {
             HttpClient http = HttpClient.newHttpClient();
             URI base = URI.create("http://127.0.0.1:" + port);
-            int ready = 0;
-            for (int i = 0; i < 150 && ready == 0; i++) {
-                try {
-                    ready =
-                            http.send(
-                                            HttpRequest.newBuilder(base.resolve("/ready")).build(),
-                                            HttpResponse.BodyHandlers.discarding())
-                                    .statusCode();
-                } catch (java.io.IOException e) {
-                    Thread.sleep(100);
-                }
-            }
-            assertEquals(503, ready);
+            assertEquals(503, pollReadiness(http, base));
             byte[] oversizedBody = new byte[70 * 1024];
             assertEquals(
                     400,
--- a/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
+++ b/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
@@ -116,16 +116,10 @@
         }
     }
 
-    /**
-     * Calls to many workers, some of which never answer, share few connections; the store is
-     * reached all the same.
-     */
-    @Test
-    void callsToWorkersShareBoundedConnections() throws Exception {
-        Set<String> seen = new HashSet<>();
-        AtomicInteger most = new AtomicInteger();
+    /** Starts servers of which every third never responds; gives their ports. */
+    private List<Integer> startServers(int count) throws IOException {
         List<Integer> ports = new ArrayList<>();
-        for (int i = 0; i < 12; i++) {
+        for (int i = 0; i < count; i++) {
             int port = freePort();
             ports.add(port);
             boolean silent = i % 3 == 0;
@@ -140,24 +134,37 @@
                             })
                     .start();
         }
-        EventLoop loop =
-                new EventLoop() {
-                    @Override
-                    public long nowMillis() {
-                        return System.nanoTime() / 1_000_000;
-                    }
+        return ports;
+    }
 
-                    @Override
-                    public long wallClockMillis() {
-                        return nowMillis();
-                    }
+    private EventLoop eventLoop() {
+        return new EventLoop() {
+            @Override
+            public long nowMillis() {
+                return System.nanoTime() / 1_000_000;
+            }
+
+            @Override
+            public long wallClockMillis() {
+                return nowMillis();
+            }
 
-                    @Override
-                    public void runAfter(long ms, Runnable task) {
-                        worker.getIoThread()
-                                .executeAfter(task, Math.max(ms, 1), TimeUnit.MILLISECONDS);
-                    }
-                };
+            @Override
+            public void runAfter(long ms, Runnable task) {
+                worker.getIoThread().executeAfter(task, Math.max(ms, 1), TimeUnit.MILLISECONDS);
+            }
+        };
+    }
+
+    /**
+     * Calls to many workers, some of which never answer, share few connections; the store is
+     * reached all the same.
+     */
+    @Test
+    void callsToWorkersShareBoundedConnections() throws Exception {
+        Set<String> seen = new HashSet<>();
+        AtomicInteger most = new AtomicInteger();
+        List<Integer> ports = startServers(12);
         String store = "127.0.0.1:" + ports.get(1);
         CountDownLatch answered = new CountDownLatch(48);
         AtomicInteger good = new AtomicInteger();
@@ -166,7 +173,8 @@
                 .execute(
                         () -> {
                             HttpClient client =
-                                    new HttpClient(loop, worker.getIoThread(), Set.of(store), 5);
+                                    new HttpClient(
+                                            eventLoop(), worker.getIoThread(), Set.of(store), 5);
                             for (int round = 0; round < 4; round++) {
                                 for (int port : ports) {
                                     client.call(
