--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -5,14 +5,13 @@
 import java.util.Arrays;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import java.util.function.Function;
 
 /**
- * Reads a map of an operators' record and names the place of whatever is wrong. Fields that this
- * build doesn't know are refused: a rule half understood would be enforced otherwise here than
- * elsewhere.
+ * Reads the fields of a map in an operators' record; errors name the field's path and what is
+ * allowed. Fields that this build doesn't know are refused: a rule half understood would be
+ * enforced otherwise here than elsewhere.
  */
 final class RecordFieldReader {
     private final JsonNode node;
@@ -39,6 +38,10 @@
         return new InvalidRecordException(path + "." + field, requirement);
     }
 
+    InvalidRecordException invalid(String field, String requirement, Throwable cause) {
+        return new InvalidRecordException(path + "." + field, requirement, cause);
+    }
+
     boolean has(String field) {
         return node.hasNonNull(field);
     }
@@ -103,16 +106,6 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
-    /** Reads a constant by its name in lower case; the default where the field is missing. */
-    <E extends Enum<E>> E readEnum(String field, Class<E> type, E defaultValue)
-            throws InvalidRecordException {
-        return readEnum(
-                field,
-                type.getEnumConstants(),
-                constant -> constant.name().toLowerCase(Locale.ROOT),
-                defaultValue);
-    }
-
     /**
      * Reads one of the constants by its name in records; the default where the field is missing.
      */
--- a/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -127,35 +127,28 @@
                 yield transaction.encode().path("then").get(0).path("value");
             }
             case "a/oz/" -> zones.get(rest).encode();
-            case "a/oc/head" -> PolicyReconciler.encodeClassesHead(policy.classesHead());
+            case "a/oc/head" -> PriorityClassesCodec.encodeHead(policy.records().classesHead());
             case "a/oc/p/" ->
-                    WireFormat.newMap()
-                            .put(
-                                    "t",
-                                    policy.loadGeneration(Long.parseLong(entry))
-                                            .encodeParts()
-                                            .get(0));
+                    PriorityClassesCodec.encodePart(
+                            PriorityClassesCodec.encodeParts(
+                                            policy.records().loadGeneration(Long.parseLong(entry)))
+                                    .get(0));
             case "a/oc/x/" ->
-                    WireFormat.newMap().put("g", policy.unreadableGenerationByMember().get(rest));
-            case "a/ok/head" -> {
-                List<String> changes = policy.calendarHead().recentChangeIds();
-                yield new Policy.CalendarHead(policy.calendarGeneration() - 1, changes)
-                        .encodeNext(null);
-            }
-            case "a/ok/e/" -> policy.entries().get(rest).encode();
-            case "a/ok/o/" -> policy.occurrences().get(rest).encode();
-            case "a/ok/m/" -> {
-                ObjectNode n =
-                        WireFormat.newMap()
-                                .put("through", policy.historyOf(rest).closedThroughMillis());
-                policy.historyOf(rest).peakCpus().forEach(n.putArray("cpus")::add);
-                yield n;
-            }
-            case "a/ok/s/" -> policy.uncountedCompletions().get(rest);
+                    PriorityClassesCodec.encodeUnreadable(
+                            policy.records().unreadableGenerationByMember().get(rest));
+            case "a/ok/head" -> CalendarCodec.encodeHead(policy.records().calendarHead());
+            case "a/ok/e/" -> CalendarCodec.encodeEntry(policy.records().entries().get(rest));
+            case "a/ok/o/" -> OccurrenceCodec.encode(policy.records().occurrences().get(rest));
+            case "a/ok/m/" -> CalendarCodec.encodeHistory(policy.records().historyOf(rest));
+            case "a/ok/s/" ->
+                    CalendarCodec.encodeCompletion(
+                            policy.records().uncountedCompletions().get(rest));
             case "z/oe/" ->
-                    ScheduledOccurrence.decode(
-                                    entry, rest.substring(rest.indexOf('/') + 1), row.map())
-                            .encodeSummary()
+                    OccurrenceCodec.encodeSummary(
+                                    OccurrenceCodec.decode(
+                                            entry,
+                                            rest.substring(rest.indexOf('/') + 1),
+                                            row.map()))
                             .put("closed", row.map().path("closed").asLong())
                             .put("unfinished", row.map().path("unfinished").asInt());
             default -> throw new IllegalArgumentException(kind);
