--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -6,6 +6,7 @@
 import io.quincelead.autoscaler.Autoscaler;
 import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ClusterRecords;
 import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
 import io.quincelead.cluster.JobSpec;
@@ -29,9 +30,9 @@
 import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
-import io.quincelead.scheduler.StoreAccess;
 import io.quincelead.store.GroupCommitter;
 import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.store.StoreClient;
 import io.quincelead.store.Transaction;
 import io.quincelead.store.WatchCache;
@@ -111,13 +112,15 @@
         loop.runEvery(
                 AutoscalerConstants.INVENTORY_INTERVAL_MILLIS,
                 imageCaches::pruneUnrecordedMachines);
+        StoreAccess storeAccess = new StoreAccess(membershipLease, watchCache, store);
+        ClusterRecords clusterRecords =
+                new ClusterRecords(clusterMembership, jobs, machines, machineTypeCatalog, zones);
         Leader leader =
                 new Leader(
                         loop,
                         settings,
-                        new Leader.StoreAccess(store, watchCache, membershipLease),
-                        new Leader.ClusterRecords(
-                                clusterMembership, jobs, machines, machineTypeCatalog),
+                        storeAccess,
+                        clusterRecords,
                         policy,
                         this::hasOpenProvisioningRequests);
         peerMessenger =
@@ -132,9 +135,8 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        new WorkerGateway.StoreAccess(membershipLease, watchCache, store),
-                        new WorkerGateway.ClusterRecords(
-                                clusterMembership, jobs, machines, machineTypeCatalog, zones),
+                        storeAccess,
+                        clusterRecords,
                         transport,
                         policy,
                         workerCallbacks());
@@ -152,7 +154,7 @@
                         loop,
                         settings,
                         operatorSettings,
-                        new StoreAccess(membershipLease, watchCache, store),
+                        storeAccess,
                         clusterView,
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -1,15 +1,14 @@
 package io.quincelead.leadership;
 
 import io.quincelead.cluster.ClusterMembership;
-import io.quincelead.cluster.JobTable;
-import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.MachineTypeCatalog;
+import io.quincelead.cluster.ClusterRecords;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.LeadershipConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
 import io.quincelead.store.IndeterminateWriteFence;
 import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.store.StoreClient;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
@@ -43,16 +42,6 @@
 
     private long quotaDistributedAtMillis;
 
-    /** The store, this process's view of it, and its lease there. */
-    public record StoreAccess(StoreClient store, WatchCache watchCache, MembershipLease lease) {}
-
-    /** The records that the leader's decisions rest on, as the watch cache has them. */
-    public record ClusterRecords(
-            ClusterMembership membership,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog catalog) {}
-
     /**
      * Starts as a follower; the first cycle is due one interval later.
      *
@@ -69,10 +58,10 @@
         this.eventLoop = eventLoop;
         membershipLease = access.lease();
         watchCache = access.watchCache();
-        store = access.store();
+        store = access.client();
         membership = records.membership();
         maxRecordLength = (int) (settings.storeLimits().maxValueKb() * 1024);
-        ShardCapacity capacity = new ShardCapacity(records.machines(), records.catalog());
+        ShardCapacity capacity = new ShardCapacity(records.machines(), records.machineTypes());
         shardAssigner =
                 new ShardAssigner(
                         eventLoop,
--- a/src/main/java/io/quincelead/scheduler/LeaderEscalation.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderEscalation.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.Job;
 import io.quincelead.config.Settings;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.store.Transaction;
 
 /** Hands jobs that don't fit this controller's shard to the leader. */
@@ -54,7 +55,7 @@
             requireCurrent(transaction, shard.storeKey());
         }
         if (shardRewritten) {
-            transaction.put(shard.storeKey(), shard.encode(), storeAccess.membership().leaseId());
+            transaction.put(shard.storeKey(), shard.encode(), storeAccess.lease().leaseId());
         }
     }
 
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -12,6 +12,7 @@
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.store.IndeterminateWriteFence;
 import io.quincelead.store.MembershipLease;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.store.StoreClient;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
@@ -94,7 +95,7 @@
             Runnable onCycleSettled) {
         this.loop = loop;
         this.memberId = settings.memberId();
-        this.membership = storeAccess.membership();
+        this.membership = storeAccess.lease();
         this.watchCache = storeAccess.watchCache();
         this.store = storeAccess.client();
         this.shards = cluster.shards();
--- a/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
+++ b/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.ClusterMembership;
 import io.quincelead.cluster.MachineEdits;
 import io.quincelead.cluster.MachineTable;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,12 +16,11 @@
 final class LostWorkerRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(LostWorkerRecorder.class);
 
-    private final WorkerGateway.StoreAccess store;
+    private final StoreAccess store;
     private final ClusterMembership membership;
     private final MachineTable machines;
 
-    LostWorkerRecorder(
-            WorkerGateway.StoreAccess store, ClusterMembership membership, MachineTable machines) {
+    LostWorkerRecorder(StoreAccess store, ClusterMembership membership, MachineTable machines) {
         this.store = store;
         this.membership = membership;
         this.machines = machines;
@@ -39,7 +39,7 @@
         Transaction transaction =
                 new Transaction()
                         .requireRevision(
-                                shard.storeKey(), store.cache().modRevision(shard.storeKey()));
+                                shard.storeKey(), store.watchCache().modRevision(shard.storeKey()));
         MachineEdits edits = machines.beginEdits(transaction);
         List<ShardWorker> leaving = new ArrayList<>();
         for (Map.Entry<ShardWorker, String> candidate : lost.entrySet()) {
@@ -65,7 +65,8 @@
                         transaction,
                         outcome -> {
                             if (outcome.result() == Transaction.Result.COMMITTED) {
-                                store.cache().applyCommitted(transaction, outcome.storeRevision());
+                                store.watchCache()
+                                        .applyCommitted(transaction, outcome.storeRevision());
                                 return;
                             }
                             leaving.stream()
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -5,6 +5,7 @@
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
@@ -26,7 +27,7 @@
 
     private final EventLoop loop;
     private final Settings settings;
-    private final WorkerGateway.StoreAccess store;
+    private final StoreAccess store;
     private final ClusterMembership membership;
     private final Transport transport;
     private final Consumer<MisroutedWorker> leaderNotifier;
@@ -46,7 +47,7 @@
     MisroutedWorkers(
             EventLoop loop,
             Settings settings,
-            WorkerGateway.StoreAccess store,
+            StoreAccess store,
             ClusterMembership membership,
             Transport transport,
             Consumer<MisroutedWorker> leaderNotifier) {
@@ -98,7 +99,7 @@
     /** Answers a worker that isn't of our shard. */
     void handleHeartbeat(IncomingRequest request, Heartbeat heartbeat) {
         String host = heartbeat.host;
-        if (!store.cache().isSynced() || !store.lease().isMember()) {
+        if (!store.watchCache().isSynced() || !store.lease().isMember()) {
             request.respondRetryLater(503, "not ready");
             return;
         }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -7,6 +7,7 @@
 import io.quincelead.cluster.Placement;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.transport.WireFormat;
 import java.util.Map;
 
@@ -16,15 +17,11 @@
  */
 final class WorkerCommands {
     private final EventLoop loop;
-    private final WorkerGateway.StoreAccess store;
+    private final StoreAccess store;
     private final ClusterMembership membership;
     private final JobTable jobs;
 
-    WorkerCommands(
-            EventLoop loop,
-            WorkerGateway.StoreAccess store,
-            ClusterMembership membership,
-            JobTable jobs) {
+    WorkerCommands(EventLoop loop, StoreAccess store, ClusterMembership membership, JobTable jobs) {
         this.loop = loop;
         this.store = store;
         this.membership = membership;
@@ -92,7 +89,7 @@
         if (placement.isTerminated()
                 || !isWanted(placement)
                 || worker.phase() != ShardWorker.Phase.FENCED
-                || store.cache().storeRevision() < worker.grantRevision) {
+                || store.watchCache().storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what earlier owners of that
             // machine recorded: a start by such a record could be of a task that has been placed
             // elsewhere since.
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -1,5 +1,6 @@
 package io.quincelead.worker;
 
+import io.quincelead.cluster.ClusterRecords;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
@@ -36,10 +37,7 @@
     private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
     WorkerFailureDetector(
-            EventLoop loop,
-            Settings settings,
-            WorkerGateway.ClusterRecords records,
-            Policy policy) {
+            EventLoop loop, Settings settings, ClusterRecords records, Policy policy) {
         this.policy = policy;
         this.zones = records.zones();
         this.loop = loop;
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -2,19 +2,16 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import io.quincelead.cluster.ClusterMembership;
+import io.quincelead.cluster.ClusterRecords;
 import io.quincelead.cluster.JobTable;
 import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
-import io.quincelead.cluster.ZoneTable;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.TransportConstants;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.store.MembershipLease;
-import io.quincelead.store.StoreClient;
-import io.quincelead.store.WatchCache;
+import io.quincelead.store.StoreAccess;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
@@ -49,31 +46,6 @@
         boolean isCyclePending();
     }
 
-    /**
-     * The ways in which the gateway reaches the store.
-     *
-     * @param lease this controller's membership lease
-     * @param cache the watched copy of the store
-     * @param client commits transactions
-     */
-    public record StoreAccess(MembershipLease lease, WatchCache cache, StoreClient client) {}
-
-    /**
-     * The records that the gateway reads.
-     *
-     * @param membership the controllers, and the machines granted to each
-     * @param jobs the open jobs and their placements
-     * @param machines the machines on record
-     * @param machineTypes the machine types that can be had
-     * @param zones the states of the zones
-     */
-    public record ClusterRecords(
-            ClusterMembership membership,
-            JobTable jobs,
-            MachineTable machines,
-            MachineTypeCatalog machineTypes,
-            ZoneTable zones) {}
-
     private final EventLoop loop;
     private final Settings settings;
     private final StoreAccess store;
@@ -172,7 +144,7 @@
                             }
                             return revoked;
                         });
-        long grantRevision = store.cache().modRevision(shard.storeKey());
+        long grantRevision = store.watchCache().modRevision(shard.storeKey());
         for (Map.Entry<String, Long> grant : fencingTokens.entrySet()) {
             if (!workers.containsKey(grant.getKey())) {
                 addWorker(grant.getKey(), grant.getValue(), grantRevision);
