--- a/src/main/java/io/quincelead/api/JobCancellations.java
+++ b/src/main/java/io/quincelead/api/JobCancellations.java
@@ -95,7 +95,9 @@
         Transaction transaction =
                 new Transaction()
                         .requireRevision(job.storeKey(), store.cache().modRevision(job.storeKey()))
-                        .put(job.storeKey(), job.encode(job.controllerId, loop.wallClockMillis()));
+                        .put(
+                                job.storeKey(),
+                                job.encode(job.controllerId(), loop.wallClockMillis()));
         store.committer()
                 .submit(
                         transaction,
--- a/src/main/java/io/quincelead/api/JobCompletion.java
+++ b/src/main/java/io/quincelead/api/JobCompletion.java
@@ -64,8 +64,8 @@
 
     /** Whether this controller completes the job; the leader does so for members that are gone. */
     private boolean isOurs(Job job) {
-        return job.controllerId.equals(cluster.settings().memberId())
-                || cluster.membership().member(job.controllerId) == null && cluster.isLeader();
+        return job.controllerId().equals(cluster.settings().memberId())
+                || cluster.membership().member(job.controllerId()) == null && cluster.isLeader();
     }
 
     /** Moves one terminated job to its final key, unless that is under way. */
--- a/src/main/java/io/quincelead/policy/ClassesOperations.java
+++ b/src/main/java/io/quincelead/policy/ClassesOperations.java
@@ -95,7 +95,7 @@
             tally.jobs++;
             tally.waitingTasks += job.waitingTaskCount();
             tally.runningTasks += job.possiblyRunningTaskCount();
-            long waitedMillis = loop.wallClockMillis() - job.acceptedAtEpochMillis;
+            long waitedMillis = loop.wallClockMillis() - job.acceptedAtEpochMillis();
             if (!job.isCancelled()
                     && job.completedTaskCount() + job.possiblyRunningTaskCount() == 0
                     && waitedMillis > priority.startWithinSeconds() * 1000) {
--- a/src/main/java/io/quincelead/policy/CoveredJobCounter.java
+++ b/src/main/java/io/quincelead/policy/CoveredJobCounter.java
@@ -50,7 +50,7 @@
         boolean changed = false;
         double usedCpus = 0;
         for (Job job : jobs.all()) {
-            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                 usedCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
                 if (!occurrence.openJobIds().contains(job.spec.jobId())
                         && occurrence.openJobIds().size() < PolicyConstants.MAX_COVERED_OPEN_JOBS) {
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -98,7 +98,7 @@
         ScheduledOccurrence first = null;
         for (ScheduledOccurrence occurrence : records.priorityOccurrences()) {
             if ((first == null || occurrence.publicationMillis() < first.publicationMillis())
-                    && occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+                    && occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                 first = occurrence;
             }
         }
@@ -197,7 +197,7 @@
     private List<ScheduledOccurrence> occurrencesCovering(Job job) {
         List<ScheduledOccurrence> covering = new ArrayList<>();
         for (ScheduledOccurrence occurrence : records.priorityOccurrences()) {
-            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis)) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
                 covering.add(occurrence);
             }
         }
@@ -246,7 +246,7 @@
     private static double requestedCpus(ScheduledOccurrence occurrence, Collection<Job> jobs) {
         double cpus = 0;
         for (Job job : jobs) {
-            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis) && !job.isCancelled()) {
+            if (occurrence.covers(job.spec, job.acceptedAtEpochMillis()) && !job.isCancelled()) {
                 cpus += (job.possiblyRunningTaskCount() + job.waitingTaskCount()) * job.spec.cpus();
             }
         }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -112,9 +112,9 @@
                 && (Heartbeat.isNewer(
                                 worker.heartbeatAgentEpoch,
                                 worker.heartbeatSerial,
-                                placement.startSentAgentEpoch,
-                                placement.startSentSerial)
-                        || worker.agentEpoch > placement.startSentAgentEpoch);
+                                placement.startSentAgentEpoch(),
+                                placement.startSentSerial())
+                        || worker.agentEpoch > placement.startSentAgentEpoch());
     }
 
     private void reconcileTask(
@@ -129,10 +129,10 @@
         if (!reported.isTerminated()) {
             placement.transitionTo(Placement.Phase.OBSERVED);
             if (reported.status.equals(Heartbeat.STATUS_RUNNING)
-                    && placement.runningSinceMillis == 0) {
-                placement.runningSinceMillis = loop.nowMillis();
+                    && placement.runningSinceMillis() == 0) {
+                placement.recordRunningSince(loop.nowMillis());
             }
-            placement.reportedState = reported.status;
+            placement.recordReportedState(reported.status);
             return;
         }
         reconcileTerminatedTask(worker, placement, reported.exitReason);
@@ -162,8 +162,7 @@
                 placement.transitionTo(Placement.Phase.COMPLETED);
                 worker.consecutiveFailures = 0;
                 worker.failedJobIds.clear();
-                job.consecutiveFailures = 0;
-                job.successCount++;
+                job.recordSuccess();
                 callbacks.onTaskTerminated(placement);
             }
             case "error" -> {
@@ -184,7 +183,7 @@
                 }
             }
             case "unknown" -> {
-                job.notBeforeMillis = loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS;
+                job.postponeStarts(loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS);
                 terminate(worker, placement, "refused (unknown) by");
             }
             default -> terminate(worker, placement, "stopped (" + exitReason + ") on");
@@ -209,18 +208,17 @@
     private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
-        job.consecutiveFailures++;
-        job.failedHosts.add(worker.host);
+        job.recordFailure(worker.host);
         // Completions that other controllers saw count too: this process may be new.
-        if (job.successCount == 0
+        if (job.successCount() == 0
                 && job.completedTaskCount() == 0
-                && job.consecutiveFailures >= 2
+                && job.consecutiveFailures() >= 2
                 && worker.failedJobIds.size() == 1) {
             // Where it has failed often and on no other machine, nothing will ever show whose fault
             // it is: the machine is declared lost, once.
             boolean failsOnlyHere =
-                    job.failedHosts.size() == 1
-                            && job.consecutiveFailures
+                    job.failedHostCount() == 1
+                            && job.consecutiveFailures()
                                     >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
             worker.consecutiveFailures =
                     failsOnlyHere
@@ -229,13 +227,13 @@
                                     worker.consecutiveFailures,
                                     WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
         }
-        if (job.consecutiveFailures >= 2) {
+        if (job.consecutiveFailures() >= 2) {
             long pauseMillis =
                     WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS
-                            << Math.min(job.consecutiveFailures - 2, 10);
-            job.notBeforeMillis =
+                            << Math.min(job.consecutiveFailures() - 2, 10);
+            job.postponeStarts(
                     loop.nowMillis()
-                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS);
+                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS));
         }
     }
 }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -45,9 +45,8 @@
                             && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                         WorkerMessageCodec.addStart(
                                 commands, placement.taskName(), placement.attempt);
-                        placement.transitionTo(Placement.Phase.START_SENT);
-                        placement.startSentAgentEpoch = worker.heartbeatAgentEpoch;
-                        placement.startSentSerial = worker.heartbeatSerial;
+                        placement.recordStartSent(
+                                worker.heartbeatAgentEpoch, worker.heartbeatSerial);
                     }
                 }
             }
@@ -65,11 +64,11 @@
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable =
                     placement.phase() == Placement.Phase.OBSERVED
-                            && !placement.reportedState.equals(Heartbeat.STATUS_SAVING);
+                            && !placement.reportedState().equals(Heartbeat.STATUS_SAVING);
             if (!isWanted(placement)
                     && (stoppable || placement.phase() == Placement.Phase.RECORDED)
-                    && (placement.killSentAtMillis == 0
-                            || now - placement.killSentAtMillis
+                    && (placement.killSentAtMillis() == 0
+                            || now - placement.killSentAtMillis()
                                     > WorkerConstants.KILL_RETRY_MILLIS)) {
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
@@ -78,7 +77,7 @@
                             placement.taskName(),
                             placement.attempt,
                             graceSeconds(placement));
-                    placement.killSentAtMillis = now;
+                    placement.recordKillSent(now);
                 }
             }
         }
--- a/src/main/java/io/quincelead/zone/ServiceRebalancer.java
+++ b/src/main/java/io/quincelead/zone/ServiceRebalancer.java
@@ -137,7 +137,7 @@
                                 * 1000;
         return !replica.stopRequested
                 && !replica.isTerminated()
-                && eventLoop.nowMillis() - replica.recordSeenAtMillis
+                && eventLoop.nowMillis() - replica.recordSeenAtMillis()
                         >= ZoneConstants.REPLICA_STEADY_AFTER_MILLIS + fetchMillis;
     }
 
@@ -162,7 +162,7 @@
      * it, and has free capacity for one task of the job. The leader places its jobs on all shards.
      */
     boolean hasFreeCapacity(Job job, String zone) {
-        boolean isLeadersJob = job.controllerId.equals(view.cluster().shards().leaderId());
+        boolean isLeadersJob = job.controllerId().equals(view.cluster().shards().leaderId());
         for (MachineTable.Machine machine : view.cluster().machines().all()) {
             MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
             if (machine.zone().equals(zone)
@@ -172,8 +172,8 @@
                     && MachineTypeCatalog.isAllowed(job.spec, machine.machineType())
                     && (job.spec.preemptible() || !machine.spot())
                     && (isLeadersJob
-                            || job.controllerId.equals(
-                                    view.cluster().shards().ownerOf(machine.host())))
+                            || job.controllerId()
+                                    .equals(view.cluster().shards().ownerOf(machine.host())))
                     && view.visibility().isReachable(machine.host())
                     && fits(job.spec, machineType, view.cluster().jobs().loadOf(machine.host()))) {
                 return true;
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.TaskStatePage;
+import io.quincelead.cluster.TaskStatePageEdit;
 import io.quincelead.cluster.ZoneTable;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.constants.RecordConstants;
@@ -146,7 +147,7 @@
                 int taskIndex = move.replica().taskIndex;
                 TaskStatePage page =
                         move.job().page(taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
-                TaskStatePage.Edit edit = page.edit();
+                TaskStatePageEdit edit = page.edit();
                 edit.requestStop(taskIndex);
                 movedAtMillis = eventLoop.nowMillis();
                 LOG.info(
