--- a/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
@@ -43,7 +43,7 @@
         return false;
     }
 
-    /** The machines of a controller's block. */
+    /** The machines of a controller's shard. */
     static Set<String> machinesOf(SimulatedCluster cluster, String controllerName) {
         JsonNode shard = cluster.store.value("a/b/" + controllerName);
         Set<String> result = new HashSet<>();
--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * More troubles that meet (docs/design/meetings.md): each test brings its meeting about and says
- * that it came about.
+ * More faults that coincide (docs/design/meetings.md): each test brings its faults about and
+ * asserts that they coincided.
  */
 class CompoundFaultInteractionTest {
 
@@ -109,7 +109,8 @@
         cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
         cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
         cluster.expectFaultsUntil(30_000 + durationMillis);
-        // The lease, its slack, the new leader and a round: from then on others of the team run
+        // The lease, its slack, the new leader and a scheduling cycle: from then on others of the
+        // team run
         // there.
         cluster.runUntil(30_000 + 75_000);
         assertTrue(
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Troubles that meet (docs/design/meetings.md): each test brings its meeting about and says that it
- * came about.
+ * Faults that coincide (docs/design/meetings.md): each test brings its faults about and asserts
+ * that they coincided.
  */
 class CompoundFaultTest {
     /**
@@ -423,7 +423,7 @@
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Two or three of all troubles, 0 to 10 s apart, three times a day. */
+    /** Two or three of all faults, 0 to 10 s apart, three times in a scenario. */
     @ParameterizedTest
     @ValueSource(
             longs = {
@@ -438,11 +438,12 @@
         assertEquals(List.of(), CompoundFaults.starvedDespiteCapacity(cluster));
     }
 
-    /** Two or three of the first kinds, 0 to 10 s apart, three times a day. */
+    /** Two or three of the first kinds, 0 to 10 s apart, three times in a scenario. */
     @ParameterizedTest
-    // 20559: while the store was slow, a controller inherited a lost one's job; a round of its own
+    // 20559: while the store was slow, a controller inherited a lost one's job; a scheduling cycle
+    // of its own
     // that knew nothing of the job's use landed
-    // after it, within the allowance, and the leader's next split counted only one of the two.
+    // after it, within the quota share, and the leader's next split counted only one of the two.
     @ValueSource(
             longs = {
                 20559, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21,
--- a/src/test/java/io/quincelead/simulation/CompoundFaults.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaults.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Troubles that meet: each of the kinds that broke rules on real machines, alone or drawn together
- * a few seconds apart.
+ * Faults that coincide: each of the kinds that broke rules on real machines, alone or drawn
+ * together a few seconds apart.
  */
 final class CompoundFaults {
     private CompoundFaults() {}
@@ -216,6 +216,7 @@
             case REPEATED_LEADER_CHANGES ->
                     cluster.faults.changeLeadersRepeatedly(
                             5, 1_000 + cluster.random().nextLong(8_000));
+            default -> throw new IllegalArgumentException("an unknown kind of fault: " + kind);
         }
     }
 
@@ -230,8 +231,8 @@
     }
 
     /**
-     * s. Who could have begun for so long and did not is left behind; less is what a gap between
-     * two tasks of a team at its limit looks like.
+     * s. Who could have begun for so long and did not is starved; less is what a gap between two
+     * tasks of a team at its limit looks like.
      */
     private static final int STARTABLE_LIMIT_SECONDS = 45;
 
@@ -251,8 +252,8 @@
     }
 
     /**
-     * Who was left behind, though the time in which the store was down is not counted: nothing
-     * begins without it.
+     * Who was starved, though the time in which the store was down is not counted: nothing begins
+     * without it.
      */
     static List<String> starved(SimulatedCluster cluster) {
         return cluster.serviceLevels()
@@ -262,8 +263,8 @@
     }
 
     /**
-     * Three times on a day, two or three kinds meet, 0 to 10 s apart; users submit, cancel and ask
-     * all the while.
+     * Three times in a scenario, two or three kinds meet, 0 to 10 s apart; users submit, cancel and
+     * ask all the while.
      */
     static void playInitialKinds(SimulatedCluster cluster) {
         play(cluster, 0, INITIAL_KIND_COUNT);
--- a/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
+++ b/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
@@ -25,9 +25,9 @@
  */
 class DelayedWriteTest {
     /**
-     * A round that got no answer lands seconds later, after a newer one that gave its team's room
-     * to somebody else. Its guards spoke of its own job and of the block alone, which no later
-     * round had changed: a team once passed its limit.
+     * A scheduling cycle that got no answer lands seconds later, after a newer one that gave its
+     * team's room to somebody else. Its preconditions spoke of its own job and of the shard alone,
+     * which no later cycle had changed: a team once passed its limit.
      */
     @Test
     void delayedSchedulingCommitDoesNotExceedTeamLimit() {
@@ -62,7 +62,7 @@
 
     /**
      * The return of an idle machine got no answer and was carried out when work ran there again, of
-     * which its guards knew nothing.
+     * which its preconditions knew nothing.
      */
     @Test
     void delayedScaleInCommitDoesNotReleaseMachineInUse() {
@@ -96,7 +96,7 @@
     }
 
     /**
-     * A lost controller's job, given to one whose watch is late: that one used its allowance once
+     * A lost controller's job, given to one whose watch is late: that one used its quota share once
      * more beside what it had inherited, and the leader's next split counted only the one or the
      * other. A team passed its limit.
      */
@@ -152,8 +152,8 @@
     }
 
     /**
-     * A copy of a rental's settling came when its machines had long gone: the record they shared,
-     * of which there was none again, came back.
+     * A copy of a provisioning request's settling came when its machines had long gone: the record
+     * they shared, of which there was none again, came back.
      */
     @Test
     void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
@@ -185,7 +185,7 @@
         assertAllJobsFinished(cluster, 1);
     }
 
-    /** The same of a taking-in of machines that nobody had rented. */
+    /** The same of a taking-in of machines that nobody had provisioned. */
     @Test
     void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
         SimulatedCluster cluster =
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What goes wrong on the days of the test world. */
+/** What goes wrong in scenarios of the simulated cluster. */
 final class FaultInjector {
     private final SimulatedCluster cluster;
 
@@ -199,7 +199,7 @@
         CANDIDACY_COMMITTED,
         /** It has just heard that it leads. */
         ELECTED,
-        /** Its first change of a block is on its way. */
+        /** Its first change of a shard is on its way. */
         FIRST_GRANT
     }
 
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 
 /**
- * Days as large as the users' fleets and larger, with their mix of classes and their troubles,
+ * Scenarios as large as the users' fleets and larger, with their mix of classes and their faults,
  * judged by what they accept: {@code FleetScenario counter|lakes restart|loss|calm TIMES SEED
  * [JOB|records]}. Not a test: it prints, by class and by its largest tenth, the times to the first
- * start, to the start of half, and the share served, and whoever was left behind.
+ * start, to the start of half, and the share served, and whoever was starved.
  */
 public final class FleetScenario {
     private FleetScenario() {}
--- a/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
+++ b/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
@@ -5,9 +5,8 @@
 import java.util.List;
 
 /**
- * A large simulated day without troubles, for profiles of the controllers: {@code
- * LargeClusterScenario MACHINES SECONDS}. Not a test; run with a recorder such as {@code
- * -XX:StartFlightRecording}.
+ * A large simulation without faults, for profiles of the controllers: {@code LargeClusterScenario
+ * MACHINES SECONDS}. Not a test; run with a recorder such as {@code -XX:StartFlightRecording}.
  */
 public final class LargeClusterScenario {
     private LargeClusterScenario() {}
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -25,8 +25,8 @@
 
 /**
  * A change is carried out at once and only its answer is lost, while others read what it wrote and
- * act on it (docs/design/meetings.md); and cancellations at each step of a hand-over, which is made
- * of such changes.
+ * act on it (docs/design/meetings.md); and cancellations at each step of a reassignment, which is
+ * made of such changes.
  */
 class LostResponseTest {
     private static boolean removes(ObjectNode transaction, String prefix) {
@@ -51,7 +51,7 @@
         return false;
     }
 
-    /** Every kind of commit, by what it writes and what it is guarded by. */
+    /** Every kind of commit, by what it writes and what it is conditional on. */
     private enum CommitKind {
         SCHEDULING_CYCLE(
                 transaction ->
@@ -128,9 +128,9 @@
     }
 
     /**
-     * A day on which all of these happen: jobs of all kinds, cancellations, machines that come, go,
-     * hang and die, and controllers that end. The first answers of one kind are lost, and so is
-     * every second one after that; the writer goes on or ends.
+     * A scenario in which all of these happen: jobs of all kinds, cancellations, machines that
+     * come, go, hang and die, and controllers that end. The first answers of one kind are lost, and
+     * so is every second one after that; the writer goes on or ends.
      */
     @ParameterizedTest
     @MethodSource("commitsWritersAndSeeds")
@@ -204,8 +204,8 @@
     }
 
     /**
-     * Where the cancellations come in: just before the change of the hand-over is carried out, or
-     * at once after, at one step of it.
+     * Where the cancellations come in: just before the change of the reassignment is carried out,
+     * or at once after, at one step of it.
      */
     private enum CancellationTarget {
         OLD_OWNER,
@@ -225,7 +225,7 @@
     /**
      * One controller's work changes hands while its jobs are cancelled: before, between and after
      * the commits that move them, at the old controller (as it is back), at the new one, at a third
-     * and at all; then the heir ends too, or the work goes back.
+     * and at all; then the new owner ends too, or the work goes back.
      */
     @ParameterizedTest
     @MethodSource("targetsStepsAndVariants")
@@ -296,7 +296,7 @@
                                                                 cluster.indexOfController(newOwner),
                                                                 5_000)));
                     } else if (variant == 2) {
-                        // It is back at once, and its heir's work goes to it in turn.
+                        // It is back at once, and its new owner's work goes to it in turn.
                         cluster.after(5, () -> cluster.controllers.get(lostController).start());
                         cluster.after(
                                 6_000,
@@ -337,9 +337,9 @@
     }
 
     /**
-     * The store takes its time: cancellations and ends are recorded between a hand-over's plan and
-     * its landing, which must not undo them, as it rewrites the jobs' records as its writer knew
-     * them.
+     * The store takes its time: cancellations and ends are recorded between a reassignment's plan
+     * and its landing, which must not undo them, as it rewrites the jobs' records as its writer
+     * knew them.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -23,7 +23,7 @@
  * happened is on record once.
  */
 class OperatorRecordsTest {
-    /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
+    /** ms of the simulation at which the morning is published; its window opens 100 s before. */
     private static final long PUBLICATION_MILLIS = 220_000;
 
     private static final long WINDOW_OPENS_MILLIS = 120_000;
@@ -434,7 +434,7 @@
         }
     }
 
-    /** No record: nothing is written, and rounds order as they did. */
+    /** No record: nothing is written, and scheduling cycles order as they did. */
     @Test
     void nothingIsWrittenWithoutRecords() {
         SimulatedCluster cluster = morningCluster(41, false);
@@ -508,11 +508,11 @@
     }
 
     /**
-     * Everything at once: classes that change, a calendar, and all troubles of a rough or a quick
+     * Everything at once: classes that change, a calendar, and all faults of a rough or a quick
      * day.
      */
     @ParameterizedTest
-    // 103: a late gang saved up its team's allowance for ever, for services held what it needed;
+    // 103: a late gang saved up its team's quota share for ever, for services held what it needed;
     // the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -88,8 +88,8 @@
 
     /**
      * A team at its limit: one task of it waits at a controller whose machines are full and that
-     * holds the allowance, and there is room in another's block for one or two. It once waited for
-     * as long as the others ran.
+     * holds the quota share, and there is room in another's shard for one or two. It once waited
+     * for as long as the others ran.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
@@ -144,8 +144,8 @@
 
     /**
      * A larger job, whose tasks are in records of their own, is cancelled and ended by another
-     * controller while its own one hears nothing and finds room for it: the round is guarded by the
-     * job's record too, or tasks of a cancelled job would start.
+     * controller while its own one hears nothing and finds room for it: the scheduling cycle is
+     * conditional on the job's record too, or tasks of a cancelled job would start.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -187,8 +187,8 @@
     }
 
     /**
-     * A controller that hears nothing has room left by an allowance that has gone to another: its
-     * round is guarded by its block.
+     * A controller that hears nothing has room left by a quota share that has gone to another: its
+     * cycle is conditional on its shard.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -198,7 +198,7 @@
         cluster.runUntil(9_000);
         int staleController = (cluster.leaderIndex() + 1) % 3;
         int otherController = (cluster.leaderIndex() + 2) % 3;
-        // The allowance comes to where the want is, and stays there when that has ended.
+        // The quota share comes to where the want is, and stays there when that has ended.
         cluster.submit(
                 JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 4), staleController);
         cluster.runUntil(30_000);
--- a/src/test/java/io/quincelead/simulation/RandomScenarios.java
+++ b/src/test/java/io/quincelead/simulation/RandomScenarios.java
@@ -16,7 +16,8 @@
     private RandomScenarios() {}
 
     /**
-     * Submits jobs over the first part of the day, cancels some, and asks for jobs that nobody has.
+     * Submits jobs over the first part of the scenario, cancels some, and asks for jobs that nobody
+     * has.
      */
     static void submitRandomJobs(SimulatedCluster cluster, int jobCount, long intervalMillis) {
         for (int i = 1; i <= jobCount; i++) {
@@ -155,8 +156,8 @@
     }
 
     /**
-     * The orders of waiting jobs as each controller has them, by the generations that they were
-     * made of.
+     * The orders of waiting jobs as each controller has them, by the revisions that they were made
+     * of.
      */
     static void compareQueueOrders(
             SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
@@ -168,7 +169,7 @@
                         WireFormat.newMap(),
                         (status, response) -> {
                             if (status == 200) {
-                                // Ranks by class and calendar, job by job: what these generations
+                                // Ranks by class and calendar, job by job: what these revisions
                                 // say of a job is the same wherever it is asked.
                                 response.path("list")
                                         .forEach(
@@ -203,7 +204,7 @@
         }
     }
 
-    /** Plays a random day; what is wrong with it, in words. */
+    /** Plays a random scenario; what is wrong with it, in words. */
     static ScenarioResult playOperatorRecords(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
@@ -294,7 +295,7 @@
         cluster.runUntil(600_000);
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
+        // Faults go on for 200 s, and teams are small: low work at its team's limit waits behind
         // the team's production and high work.
         problems.addAll(cluster.serviceLevels().starved(300_000));
         cluster.store.ledgerWrites.forEach(
@@ -326,8 +327,8 @@
     }
 
     /**
-     * A random day: zones die, are cut, come back, while leaders end at every step, the cloud and
-     * the store have trouble; what is wrong, in words.
+     * A random scenario: zones die, are cut, come back, while leaders end at every step, the cloud
+     * and the store fail; what is wrong, in words.
      */
     static ScenarioResult playZoneLoss(long seed) {
         SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(seed, true);
--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days of real controllers in the simulated world. Every rule is checked after every event. */
+/**
+ * Scenarios of real controllers in the simulated cluster. Every rule is checked after every event.
+ */
 class RandomizedScenarioTest {
 
     @Test
@@ -32,9 +34,10 @@
      * dead and sick machines.
      */
     @ParameterizedTest
-    // 15: evidence that came while a round was being committed was forgotten once nothing else
+    // 15: evidence that came while a scheduling cycle was being committed was forgotten once
+    // nothing else
     // waited. 19: an urgent gang
-    // never got its team's allowance, which was split evenly with a large low job. 423: two
+    // never got its team's quota share, which was split evenly with a large low job. 423: two
     // controllers passed machines to
     // each other for ever, each taking the workers' way to the other for being stuck.
     // 771: a machine was granted while its return was being recorded, and never released. 803:
@@ -63,10 +66,10 @@
     /**
      * A cluster that is up at the start, in three zones: services spread over them, gangs in one
      * zone on the few machines with GPUs, low work in what is left; then zones are cut and
-     * everything else goes wrong as on a rough day.
+     * everything else goes wrong as in a scenario of random faults.
      */
     @ParameterizedTest
-    // 55, 59: two gangs each held half of a team's GPU allowance, for ever.
+    // 55, 59: two gangs each held half of a team's GPU quota share, for ever.
     @ValueSource(longs = {51, 55, 59})
     void overloadWithZonePartitionsKeepsInvariantsAndRecovers(long seed) {
         SimulatedCluster cluster = RandomScenarios.playOverload(seed);
--- a/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
@@ -171,8 +171,8 @@
     }
 
     /**
-     * Services that are to be scattered over zones, and low work beside them. All machines were
-     * once rented in the first zone, so half of the replicas never ran, and everything was gone
+     * Services that are to be spread over zones, and low work beside them. All machines were once
+     * provisioned in the first zone, so half of the replicas never ran, and everything was gone
      * with that zone.
      */
     @Test
@@ -200,7 +200,7 @@
     }
 
     /**
-     * Three zones, 5 controllers, 12 services of 6 replicas, every other one scattered, low work
+     * Three zones, 5 controllers, 12 services of 6 replicas, every other one spread, low work
      * beside.
      */
     private static SimulatedCluster clusterWithThreeZones(long seed) {
@@ -231,8 +231,8 @@
     }
 
     /**
-     * A busy controller's clock moves on from one look to the next, in a round too; urgent work
-     * displaces other work meanwhile.
+     * A busy controller's clock moves on from one look to the next, in a scheduling cycle too;
+     * urgent work displaces other work meanwhile.
      */
     @Test
     void schedulingCycleToleratesAdvancingClock() {
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 
 /**
- * How a day served its users, by the strictest reading of what they ask: half or more of each
+ * How a scenario served its users, by the strictest reading of what they ask: half or more of each
  * class, of each team and of the largest tenth of each class (by tasks; at least one job), and a
  * first task on a machine within 240 s of the first attempt to submit. Jobs that their users
  * cancelled don't count. A service is served when half of its replicas have run.
@@ -105,7 +105,7 @@
         return result;
     }
 
-    /** Whoever was left behind, in words. */
+    /** Whoever was starved, in words. */
     public List<String> starved() {
         return starved(FIRST_START_LIMIT_MILLIS);
     }
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -51,7 +51,7 @@
 
     private int lastInstanceNumber;
 
-    /** Machines ever rented. */
+    /** Machines ever provisioned. */
     public int rentedMachineCount() {
         return lastInstanceNumber;
     }
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -208,7 +208,7 @@
         faultsEndAtMillis = Math.max(faultsEndAtMillis, untilMillis);
     }
 
-    /** How each class, team and size was served, and who was left behind. */
+    /** How each class, team and size was served, and who was starved. */
     public ServiceLevelChecker serviceLevels() {
         return serviceLevels;
     }
@@ -511,9 +511,8 @@
     }
 
     /**
-     * Once all troubles are over, each accepted job that its user didn't cancel is known: judged
-     * job by job, for a question that is never answered doesn't become better by what others are
-     * told.
+     * Once all faults are over, each accepted job that its user didn't cancel is known: judged job
+     * by job, for a question that is never answered doesn't become better by what others are told.
      */
     private void checkUnansweredJobs() {
         for (String id : acceptedJobs) {
--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -37,18 +37,18 @@
     public double duplicationRate;
 
     /**
-     * Share of the workers' reports of which a copy arrives again, from 2 s to well over a lease
+     * Share of the workers' heartbeats of which a copy arrives again, from 2 s to well over a lease
      * later.
      */
     public double staleHeartbeatRate;
 
     public int maxStaleHeartbeatDelayMillis = 45_000;
 
-    /** Share of the workers' reports of which a copy is kept for whoever leads next. */
+    /** Share of the workers' heartbeats of which a copy is kept for whoever leads next. */
     public double heartbeatRetentionRate;
 
     /**
-     * Share of the workers' reports that are held up themselves until {@link
+     * Share of the workers' heartbeats that are held up themselves until {@link
      * #releaseHeldHeartbeats}.
      */
     public double heartbeatHoldRate;
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -13,10 +13,10 @@
 
 /** A stand-in for one machine and its worker, written from the protocol. */
 public final class SimulatedWorker {
-    /** A task on the machine, or one that has ended there. */
-    /** ms. gang_wait_s of the settings that the world hands over. */
+    /** ms. gang_wait_s of the settings that the cluster hands out. */
     static final long GANG_WAIT_MILLIS = 45_000;
 
+    /** A task on the machine, or one that has ended there. */
     public static final class SimulatedTask {
         final String name;
         final long attempt;
--- a/src/test/java/io/quincelead/simulation/SingleFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/SingleFaultTest.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Outside, all machines of a zone that was cut off were once given up; inside, only the
+     * Outside, all machines of a zone that was cut off were once declared lost; inside, only the
      * controller's own were kept alive.
      */
     @ParameterizedTest
@@ -123,7 +123,7 @@
     /**
      * A process ends while its announcement is on its way, and its successor is in before that
      * arrives. The record of the member then once named the dead process's hold and went with it:
-     * the successor held a block, led nobody and was counted as lost for good.
+     * the successor held a shard, led nobody and was counted as lost for good.
      */
     @Test
     void delayedMemberAnnouncementDoesNotReplaceSuccessor() {
@@ -159,8 +159,8 @@
     }
 
     /**
-     * The record of a rental that was settled long ago was once made again by a copy of its change:
-     * its machines came back as ghosts.
+     * The record of a provisioning request that was settled long ago was once made again by a copy
+     * of its change: its machines came back as ghosts.
      */
     @Test
     void duplicatedProvisioningRequestIsNotRecordedAgain() {
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -8,7 +8,7 @@
 
 /**
  * Who waits though there is room, by what is on the machines, never by the service's own books:
- * once troubles are over, no job waits for 90 s while a machine that fits has room and its team is
+ * once faults are over, no job waits for 90 s while a machine that fits has room and its team is
  * under its limit.
  */
 final class StarvationChecker {
@@ -17,8 +17,8 @@
 
     /**
      * Looks, one a second: a place counts as free once it has been so for as long, which is what
-     * passing it on takes (the report that shows the end, a round, the report that takes the start
-     * along). A team at its limit whose tasks follow each other is not under it.
+     * passing it on takes (the report that shows the end, a scheduling cycle, the report that takes
+     * the start along). A team at its limit whose tasks follow each other is not under it.
      */
     private static final int HANDOVER_CHECKS = 5;
 
@@ -82,7 +82,7 @@
         return startableSeconds.getOrDefault(id, 0);
     }
 
-    /** Looks at everything; called every second. Troubles are over at {@code calmFrom}. */
+    /** Looks at everything; called every second. Faults are over at {@code calmFrom}. */
     void check(long faultsEndAtMillis) {
         Map<String, MachineFreeCapacity> freeCapacity = new HashMap<>();
         Map<String, double[]> usageByTeam = new HashMap<>();
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -9,10 +9,10 @@
 
 /**
  * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off
- * SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on cheap machines of 8
- * CPUs beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica,
+ * SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on spot machines of 8 CPUs
+ * beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica,
  * replicas' up-time, time to the last one back, GB fetched, low tasks started again, machines
- * rented.
+ * provisioned.
  */
 public final class ZoneLossScenario {
     private ZoneLossScenario() {}
--- a/src/test/java/io/quincelead/simulation/ZoneModels.java
+++ b/src/test/java/io/quincelead/simulation/ZoneModels.java
@@ -19,8 +19,7 @@
     }
 
     /**
-     * Three zones, 5 controllers, 12 models of 6 replicas, every other one scattered, low work
-     * beside.
+     * Three zones, 5 controllers, 12 models of 6 replicas, every other one spread, low work beside.
      */
     static SimulatedCluster clusterWithThreeZones(long seed, boolean recoveryEnabled) {
         SimulatedCluster cluster =
