--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -50,7 +50,7 @@
             if (!job.isCancelled()
                     && job.pendingTaskCount() > 0
                     && job.spec.isUnconstrained()
-                    && nowMillis >= job.notBeforeMillis) {
+                    && nowMillis >= job.notBeforeMillis()) {
                 double placeableCpus = placeableCpus(job, usedCpusByTeam, pendingCpusByTeam);
                 pendingCpusByTeam.merge(job.spec.team(), placeableCpus, Double::sum);
                 addPendingWork(job, placeableCpus, wallClockMillis, workByDeadline);
@@ -89,7 +89,7 @@
             for (Placement placement : page.placements) {
                 if (!placement.isTerminated()) {
                     sumCpus += spec.cpus();
-                    double elapsedSeconds = (nowMillis - placement.recordSeenAtMillis) / 1000.0;
+                    double elapsedSeconds = (nowMillis - placement.recordSeenAtMillis()) / 1000.0;
                     // A service never ends; a task that overran its estimate has some time left.
                     double remainingSeconds =
                             spec.isService()
