--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -6,18 +6,13 @@
 import io.quincelead.autoscaler.Autoscaler;
 import io.quincelead.autoscaler.LeaderStore;
 import io.quincelead.cluster.ClusterMembership;
-import io.quincelead.cluster.ClusterRecords;
-import io.quincelead.cluster.ConstrainedDemand;
 import io.quincelead.cluster.ImageCaches;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.cluster.JobTable;
-import io.quincelead.cluster.MachineTable;
-import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.Placement;
 import io.quincelead.cluster.ZoneTable;
 import io.quincelead.config.OperatorSettings;
 import io.quincelead.config.Settings;
-import io.quincelead.config.constants.AutoscalerConstants;
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.config.constants.WorkerConstants;
 import io.quincelead.eventloop.EventLoop;
@@ -26,16 +21,12 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
-import io.quincelead.scheduler.ClusterView;
 import io.quincelead.scheduler.Collaborators;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
 import io.quincelead.store.GroupCommitter;
-import io.quincelead.store.MembershipLease;
 import io.quincelead.store.StoreAccess;
-import io.quincelead.store.StoreClient;
 import io.quincelead.store.Transaction;
-import io.quincelead.store.WatchCache;
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
@@ -56,13 +47,11 @@
  */
 public final class Controller {
     private final Settings settings;
-    private final MembershipLease membershipLease;
-    private final WatchCache watchCache;
+    private final ClusterState state;
+    private final ClusterMembership membership;
     private final WorkerGateway workerGateway;
     private final UserApi userApi;
     private final PeerMessenger peerMessenger;
-    private final JobTable jobs;
-    private final ClusterMembership clusterMembership;
     private final SchedulingCycle schedulingCycle;
     private final OperatorApi operatorApi;
     private final Autoscaler autoscaler;
@@ -79,55 +68,23 @@
             Settings settings,
             OperatorSettings operatorSettings) {
         this.settings = settings;
-        StoreClient store = new StoreClient(loop, transport, settings);
-        watchCache =
-                new WatchCache(
-                        loop,
-                        store,
-                        settings.storeLimits().requestsPerSecond() / settings.controllerCount());
-        membershipLease =
-                new MembershipLease(
-                        loop,
-                        store,
-                        settings.memberId(),
-                        settings.clusterListenAddress(),
-                        MembershipLease.leaseMillis(
-                                operatorSettings.shardLeaseSeconds(),
-                                settings.workerTimings().leaseSeconds()));
-        clusterMembership = new ClusterMembership(settings, watchCache);
-        jobs = new JobTable(loop, watchCache);
-        Policy policy = new Policy(watchCache);
-        ZoneTable zones = new ZoneTable(watchCache);
-        ConstrainedDemand constrainedDemand = new ConstrainedDemand(loop, jobs);
-        MachineTable machines = new MachineTable(watchCache);
-        MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog(watchCache);
-        ImageCaches imageCaches =
-                new ImageCaches(
-                        machines,
-                        label ->
-                                machineTypeCatalog.get(label) == null
-                                        ? 0
-                                        : machineTypeCatalog.get(label).localDiskGb());
-        jobs.onPlacementRecorded(p -> imageCaches.recordUse(p.host, p.job.spec));
-        loop.runEvery(
-                AutoscalerConstants.INVENTORY_INTERVAL_MILLIS,
-                imageCaches::pruneUnrecordedMachines);
-        StoreAccess storeAccess = new StoreAccess(membershipLease, watchCache, store);
-        ClusterRecords clusterRecords =
-                new ClusterRecords(clusterMembership, jobs, machines, machineTypeCatalog, zones);
+        state = new ClusterState(loop, transport, settings, operatorSettings);
+        membership = state.records().membership();
+        StoreAccess store = state.store();
+        Policy policy = state.policy();
         Leader leader =
                 new Leader(
                         loop,
                         settings,
-                        storeAccess,
-                        clusterRecords,
+                        store,
+                        state.records(),
                         policy,
                         this::hasOpenProvisioningRequests);
         peerMessenger =
                 new PeerMessenger(
                         loop,
                         settings,
-                        clusterMembership,
+                        membership,
                         transport,
                         leader::onMisroutedWorker,
                         this::localWorkers);
@@ -135,87 +92,122 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        storeAccess,
-                        clusterRecords,
+                        store,
+                        state.records(),
                         transport,
                         policy,
                         workerCallbacks());
-        ClusterView clusterView =
-                new ClusterView(
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        constrainedDemand,
-                        policy);
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
                         settings,
                         operatorSettings,
-                        storeAccess,
-                        clusterView,
+                        store,
+                        state.view(),
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
-        ZoneView zoneView = new ZoneView(clusterView, watchCache, zones, machineVisibility());
-        ZoneRecoveryController zoneRecoveryController = null;
-        if (operatorSettings.zoneRecovery().enabled()) {
-            machines.trackLargeImages(
-                    host ->
-                            imageCaches.largeImages(
-                                    host, operatorSettings.zoneRecovery().heavyImageGb()),
-                    imageCaches::mergeRecorded);
-            zoneRecoveryController =
-                    new ZoneRecoveryController(
-                            loop,
-                            operatorSettings.zoneRecovery(),
-                            settings.workerTimings().leaseSeconds() * 1000
-                                    + WorkerConstants.SILENCE_SLACK_MILLIS,
-                            zoneView,
-                            leader,
-                            store);
-        }
+        ZoneView zoneView = newZoneView();
         autoscaler =
                 new Autoscaler(
                         loop,
                         transport,
                         settings,
                         operatorSettings,
-                        clusterView,
-                        new LeaderStore(leader, membershipLease, store, watchCache),
-                        autoscalerCallbacks(zones, zoneRecoveryController));
-        GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
-        userApi =
-                new UserApi(
-                        loop,
-                        new ApiStore(membershipLease, watchCache, store, groupCommitter),
-                        new ApiCluster(settings, clusterMembership, jobs, machineTypeCatalog),
-                        policy,
-                        schedulingCycle::admit);
+                        state.view(),
+                        new LeaderStore(leader, store.lease(), store.client(), store.watchCache()),
+                        autoscalerCallbacks(
+                                newZoneRecovery(loop, operatorSettings, zoneView, leader)));
+        userApi = newUserApi(loop);
+        operatorApi = newOperatorApi(loop, leader);
+        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
+        new QueueExplainer(loop, settings, membership, state.records().jobs(), policy, operatorApi);
+        start(loop);
+    }
+
+    /** The parts are complete: follows the records, schedules and joins the cluster. */
+    private void start(EventLoop loop) {
+        state.store().watchCache().addChangeListener(this::onRecordsChanged);
+        loop.runEvery(
+                SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS,
+                schedulingCycle::requestCycleIfNeeded);
+        state.store().lease().start();
+        state.store().watchCache().start();
+    }
+
+    private ZoneView newZoneView() {
+        return new ZoneView(
+                state.view(),
+                state.store().watchCache(),
+                state.records().zones(),
+                machineVisibility());
+    }
+
+    /** Returns null where zone recovery is turned off. */
+    private ZoneRecoveryController newZoneRecovery(
+            EventLoop loop, OperatorSettings operatorSettings, ZoneView zoneView, Leader leader) {
+        OperatorSettings.ZoneRecovery zoneRecovery = operatorSettings.zoneRecovery();
+        if (!zoneRecovery.enabled()) {
+            return null;
+        }
+        ImageCaches imageCaches = state.view().imageCaches();
+        state.records()
+                .machines()
+                .trackLargeImages(
+                        host -> imageCaches.largeImages(host, zoneRecovery.heavyImageGb()),
+                        imageCaches::mergeRecorded);
+        return new ZoneRecoveryController(
+                loop,
+                zoneRecovery,
+                settings.workerTimings().leaseSeconds() * 1000
+                        + WorkerConstants.SILENCE_SLACK_MILLIS,
+                zoneView,
+                leader,
+                state.store().client());
+    }
+
+    private UserApi newUserApi(EventLoop loop) {
+        StoreAccess store = state.store();
+        GroupCommitter groupCommitter =
+                new GroupCommitter(loop, store.client(), store.watchCache());
+        return new UserApi(
+                loop,
+                new ApiStore(store.lease(), store.watchCache(), store.client(), groupCommitter),
+                new ApiCluster(
+                        settings,
+                        membership,
+                        state.records().jobs(),
+                        state.records().machineTypes()),
+                state.policy(),
+                schedulingCycle::admit);
+    }
+
+    private OperatorApi newOperatorApi(EventLoop loop, Leader leader) {
+        StoreAccess store = state.store();
+        JobTable jobs = state.records().jobs();
         new PolicyReconciler(
                 loop,
                 settings.memberId(),
-                watchCache,
-                store,
+                store.watchCache(),
+                store.client(),
                 jobs,
-                policy,
+                state.policy(),
                 policyLeadership(leader));
-        operatorApi = new OperatorApi(loop, settings.memberId(), watchCache, store, jobs, policy);
-        new ZoneOperatorApi(operatorSettings.zoneRecovery().enabled(), zoneView, operatorApi);
-        new QueueExplainer(loop, settings, clusterMembership, jobs, policy, operatorApi);
-        watchCache.addChangeListener(this::onRecordsChanged);
-        loop.runEvery(
-                SchedulerConstants.IDLE_CYCLE_INTERVAL_MILLIS,
-                schedulingCycle::requestCycleIfNeeded);
-        membershipLease.start();
-        watchCache.start();
+        return new OperatorApi(
+                loop,
+                settings.memberId(),
+                store.watchCache(),
+                store.client(),
+                jobs,
+                state.policy());
     }
 
     private void onRecordsChanged() {
-        ClusterMembership.Member ownMember = clusterMembership.member(settings.memberId());
-        membershipLease.verifyMemberRecord(
-                ownMember == null ? 0 : ownMember.leaseId(), watchCache.storeRevision());
+        ClusterMembership.Member ownMember = membership.member(settings.memberId());
+        state.store()
+                .lease()
+                .verifyMemberRecord(
+                        ownMember == null ? 0 : ownMember.leaseId(),
+                        state.store().watchCache().storeRevision());
         schedulingCycle.requestCycleIfNeeded();
         workerGateway.dispatchPendingCommands();
     }
@@ -248,9 +240,9 @@
         return new MachineVisibility() {
             @Override
             public Boolean isBooting(String host) {
-                return clusterMembership.ownerOf(host) == null
+                return membership.ownerOf(host) == null
                         ? null
-                        : Controller.this.isBooting(clusterMembership.ownerOf(host), host);
+                        : Controller.this.isBooting(membership.ownerOf(host), host);
             }
 
             @Override
@@ -258,9 +250,9 @@
                 ShardWorker worker = workerGateway.worker(host);
                 return worker != null
                         ? worker.isSchedulable()
-                        : clusterMembership.ownerOf(host) != null
+                        : membership.ownerOf(host) != null
                                 && peerMessenger.isReportedSchedulable(
-                                        clusterMembership.ownerOf(host), host);
+                                        membership.ownerOf(host), host);
             }
         };
     }
@@ -279,14 +271,14 @@
 
             @Override
             public long term() {
-                return clusterMembership.leaderRecord() == null
+                return membership.leaderRecord() == null
                         ? 0
-                        : clusterMembership.leaderRecord().fencingToken();
+                        : membership.leaderRecord().fencingToken();
             }
 
             @Override
             public Collection<String> activeMemberIds() {
-                return clusterMembership.members().stream()
+                return membership.members().stream()
                         .map(ClusterMembership.Member::memberId)
                         .toList();
             }
@@ -294,8 +286,8 @@
     }
 
     /** {@code zoneRecovery} is null when zone recovery is turned off. */
-    private Autoscaler.Callbacks autoscalerCallbacks(
-            ZoneTable zones, ZoneRecoveryController zoneRecovery) {
+    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+        ZoneTable zones = state.records().zones();
         return new Autoscaler.Callbacks() {
             @Override
             public Boolean isBooting(String ownerId, String host) {
