--- a/src/main/java/io/quincelead/api/ApiCodec.java
+++ b/src/main/java/io/quincelead/api/ApiCodec.java
@@ -39,7 +39,7 @@
         return WireFormat.newMap().put("s", status).put("n", completedTasks);
     }
 
-    /** The response that tells a final state, from the store's answer to a read of its record. */
+    /** The response that tells a final state, from the store's response to a read of its record. */
     static ObjectNode finalStatusOf(String jobId, JsonNode read) {
         JsonNode record = read.path("value");
         return encodeFinalStatus(jobId, record.path("s").asText(), record.path("n").asInt());
@@ -56,7 +56,7 @@
         return TaskStatePage.TaskCounts.of(read.path("value").path("k"));
     }
 
-    /** Whether the store's answer to a listing has the expected form. */
+    /** Whether the store's response to a listing has the expected form. */
     static boolean isListing(JsonNode listing) {
         return listing.path("items").isArray();
     }
--- a/src/main/java/io/quincelead/api/ApiResponses.java
+++ b/src/main/java/io/quincelead/api/ApiResponses.java
@@ -16,12 +16,12 @@
         request.respondError(NOT_FOUND, NO_SUCH_JOB);
     }
 
-    /** 503: the state of the cluster has not been read yet, or the lease is in doubt. */
+    /** 503: the state of the cluster has not been read yet, or the lease may have expired. */
     static void notReady(IncomingRequest request) {
         request.respondRetryLater(503, "not ready");
     }
 
-    /** 503: the store gave no answer, or none that can be relied on. */
+    /** 503: the store gave no response, or none that can be relied on. */
     static void storeUnavailable(IncomingRequest request) {
         request.respondRetryLater(503, "the state service does not answer");
     }
--- a/src/main/java/io/quincelead/api/JobCancellations.java
+++ b/src/main/java/io/quincelead/api/JobCancellations.java
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Cancels a job, or repeats the answer where it is cancelled already. The answer is the final
-     * state, "done" included; 503 where it can't be given in time, so that the user asks again.
+     * Cancels a job, or repeats the response where it is cancelled already. The response is the
+     * final state, "done" included; 503 where it can't be given in time, so that the user asks
+     * again.
      */
     void cancel(String jobId, IncomingRequest request) {
         ObjectNode cached = finalStates.cached(jobId);
--- a/src/main/java/io/quincelead/api/JobCompletion.java
+++ b/src/main/java/io/quincelead/api/JobCompletion.java
@@ -117,7 +117,7 @@
                         });
     }
 
-    /** Adds the job's separate pages to the transaction, as far as it has room for them. */
+    /** Adds the job's separate pages to the transaction, as far as they fit. */
     private void requireAndRemovePages(Job job, Transaction transaction) {
         int maxOperations = store.client().maxTransactionOperations();
         List<String> keys = TaskPageKeys.of(job);
--- a/src/main/java/io/quincelead/api/JobQueries.java
+++ b/src/main/java/io/quincelead/api/JobQueries.java
@@ -168,7 +168,7 @@
     }
 
     /**
-     * All keys that an answer is made of: the job's own record, and its task state pages where
+     * All keys that a response is made of: the job's own record, and its task state pages where
      * these are separate records.
      */
     private BarrierCheck barrierCheck(PendingQuery query) {
@@ -200,16 +200,15 @@
         } else if (unchanged && check.job != null && jobs.get(query.jobId) == check.job) {
             query.request.respond(200, check.job.encodeStatus());
         } else {
-            // Changed since, or it was completed elsewhere while the barrier was in flight: it is
-            // on record under
-            // one key or the other.
+            // Changed since, or completed elsewhere while the barrier was in flight: it is on
+            // record under one key or the other.
             readFromStore(query);
         }
     }
 
     /**
-     * The watch cache is behind on this job, so the answer is made of its records themselves. Jobs
-     * move to their final key, never back.
+     * The watch cache is behind on this job, so the response is made of its records themselves.
+     * Jobs move to their final key, never back.
      */
     private void readFromStore(PendingQuery query) {
         store.client()
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -20,13 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's dealings with the cloud: rents machines ahead of demand, and returns those that are
+ * Scale-out and scale-in by the leader: rents machines ahead of demand, and returns those that are
  * idle, failed or unexpected. Every controller has one; only the leader's acts.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
-    /** A boot is counted as over after this many times its nominal time when nobody reports it. */
+    /**
+     * A boot is counted as completed after this many times its nominal time when nobody reports it.
+     */
     private static final double ASSUMED_BOOT_FACTOR = 1.2;
 
     private final EventLoop eventLoop;
--- a/src/main/java/io/quincelead/autoscaler/CapacityBackoff.java
+++ b/src/main/java/io/quincelead/autoscaler/CapacityBackoff.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Which offerings the cloud has refused of late for want of capacity. Each refusal soon after the
+ * Which offerings the cloud has refused recently for want of capacity. Each refusal soon after the
  * last pause of an offering doubles its pause, up to a maximum.
  */
 final class CapacityBackoff {
--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -130,7 +130,7 @@
         if (status == 429) {
             rateLimiter.drain();
         }
-        // The answer to a release has no body.
+        // The response to a release has no body.
         boolean isUnreadable = status == 200 && body == null && !path.endsWith("/release");
         onBody.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, body);
     }
--- a/src/main/java/io/quincelead/autoscaler/CloudCodec.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudCodec.java
@@ -10,13 +10,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The messages of the cloud's protocol. What is missing in an answer is empty, false or 0. */
+/** The messages of the cloud's protocol. What is missing in a response is empty, false or 0. */
 final class CloudCodec {
     private static final Logger LOG = LoggerFactory.getLogger(CloudCodec.class);
 
     private CloudCodec() {}
 
-    /** Whether the answer with status 200 is a catalog at all. */
+    /** Whether the response with status 200 is a catalog at all. */
     static boolean isCatalog(ObjectNode response) {
         return response.path("shapes").isArray();
     }
@@ -63,7 +63,7 @@
                 .put("howMany", request.machineCount());
     }
 
-    /** Reads the answer to a request; {@code response} may be null unless the status is 200. */
+    /** Reads the response to a request; {@code response} may be null unless the status is 200. */
     static ProvisioningResult decodeResult(int status, ObjectNode response) {
         if (status == 200 && response.path("hosts").isArray()) {
             List<String> hosts = new ArrayList<>();
--- a/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Whether a machine of this offering that is only kept for demand of late should be returned:
+     * Whether a machine of this offering that is only kept for recent demand should be returned:
      * the cloud lacks machines for work that can't use this one.
      */
     boolean shouldYieldToStarvedWork(InstanceOffering offering) {
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -103,7 +103,7 @@
         return sumCpus;
     }
 
-    /** CPUs of the job's pending tasks, as far as its team's limit leaves room for them. */
+    /** CPUs of the job's pending tasks, as far as they fit its team's limit. */
     private double placeableCpus(
             Job job, Map<String, Double> usedCpusByTeam, Map<String, Double> pendingCpusByTeam) {
         String team = job.spec.team();
--- a/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -134,7 +134,7 @@
     }
 
     /**
-     * The machines of a zone may fail together: what one transaction has no room for is looked at
+     * The machines of a zone may fail together: what does not fit one transaction is looked at
      * again at once.
      */
     private void readAgainSoon() {
--- a/src/main/java/io/quincelead/autoscaler/MachineChanges.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -45,7 +45,7 @@
      * nothing more is placed there.
      *
      * @param reason for the log
-     * @return false when the transaction has no room for it, or its owner's membership isn't known
+     * @return false when it does not fit the transaction, or its owner's membership isn't known
      */
     boolean addReturn(MachineTable.Machine machine, String reason) {
         if (!fits(2, 2)) {
--- a/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
@@ -56,7 +56,7 @@
         eventLoop.runEvery(AutoscalerConstants.RELEASE_INTERVAL_MILLIS, this::releaseMarked);
     }
 
-    /** Whether the cloud has said of late that the machine is gone, though it may be listed. */
+    /** Whether the cloud has said recently that the machine is gone, though it may be listed. */
     boolean wasReleased(String host) {
         return releasedAtMillisByHost.containsKey(host);
     }
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -37,7 +37,7 @@
     private final CapacityBackoff capacityBackoff;
     private final Map<String, ProvisioningRequest> openRequests = new LinkedHashMap<>();
 
-    /** Names that were submitted and wait for their answer, or for their next turn. */
+    /** Names that were submitted and wait for their response, or to be submitted again. */
     private final Set<String> requestsInFlight = new HashSet<>();
 
     private long lastRequestNumber;
@@ -99,7 +99,7 @@
         return Collections.unmodifiableCollection(openRequests.values());
     }
 
-    /** Whether the cloud said of late that it has no more machines of this offering. */
+    /** Whether the cloud said recently that it has no more machines of this offering. */
     boolean isRefused(InstanceOffering offering) {
         return capacityBackoff.isPaused(offering.id());
     }
@@ -110,8 +110,8 @@
      */
     void provision(Map<InstanceOffering, Integer> purchases) {
         Transaction transaction = leaderStore.newTransaction();
-        // A copy of this write, minutes later, would record requests again whose machines are long
-        // gone: the counter's revision forbids it.
+        // A duplicate of this write, applied minutes later, would record requests again whose
+        // machines are long gone: the counter's revision forbids it.
         leaderStore
                 .requireUnchanged(transaction, StoreKeys.PROVISIONING_REQUEST_COUNTER)
                 .put(
@@ -154,7 +154,7 @@
                 Math.min(machineCount, AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST));
     }
 
-    /** Submits a recorded request to the cloud, unless it was and has no answer yet. */
+    /** Submits a recorded request to the cloud, unless it was and has no response yet. */
     void submit(ProvisioningRequest request) {
         if (!leaderStore.leader().isLeading()
                 || !leaderStore.leader().areWritesSettled()
@@ -165,8 +165,8 @@
     }
 
     private void onResult(ProvisioningRequest request, ProvisioningResult result) {
-        // Settled once: carried out late, after the machines have gone again, it would bring their
-        // records back.
+        // Applied only while the request is on record: later, after the machines have gone again,
+        // it would bring their records back.
         String recordKey = StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name();
         if (leaderStore.watchCache().modRevision(recordKey) == 0) {
             requestsInFlight.remove(request.name());
@@ -229,7 +229,7 @@
                         outcome -> {
                             leaderStore.onOutcome(transaction, outcome);
                             // Unless it was committed, the record stands and the same name is
-                            // submitted again; the answer will be the same.
+                            // submitted again; the response will be the same.
                             eventLoop.runAfter(
                                     StoreConstants.RETRY_DELAY_MILLIS,
                                     () -> requestsInFlight.remove(request.name()));
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -50,7 +50,7 @@
      * cordons, all in one transaction.
      *
      * @param readyMachines the machines that are up; sorted anew in place
-     * @param shouldYieldToStarvedWork whether a machine that is only kept for demand of late should
+     * @param shouldYieldToStarvedWork whether a machine that is only kept for recent demand should
      *     go, because the cloud lacks machines for work that waits now
      */
     void returnExcess(
@@ -81,9 +81,9 @@
         double spareSpotCpus =
                 capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
         readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
-        // Spot machines stay while on-demand ones take tasks: those go first, even if they take
-        // longer
-        // to run empty.
+        // Spot machines stay while on-demand ones take tasks: the latter go first, even if they
+        // take
+        // longer to run empty.
         boolean hasUncordonedOnDemandMachine =
                 readyMachines.stream().anyMatch(machine -> !machine.spot() && !machine.cordoned());
         for (MachineTable.Machine machine : readyMachines) {
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Whether an idle machine stays because constrained work of late could use it. The demand
+     * Whether an idle machine stays because recent constrained work could use it. The demand
      * forecast knows nothing of such work.
      */
     private boolean isKeptForConstrainedWork(
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Whether a machine of this offering that is only kept for demand of late should be returned,
+     * Whether a machine of this offering that is only kept for recent demand should be returned,
      * because the cloud lacks machines for work that can't use this one; as of the last plan.
      */
     boolean shouldYieldToStarvedWork(InstanceOffering offering) {
--- a/src/main/java/io/quincelead/cli/ControllerClient.java
+++ b/src/main/java/io/quincelead/cli/ControllerClient.java
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Asks the controller at {@code index} and, while none gives an answer to keep, those after it.
+     * Asks the controller at {@code index} and, while none gives a final response, those after it.
      *
      * @param fallback what the last controller that wasn't ready said; null: none has said anything
      */
--- a/src/main/java/io/quincelead/cli/ExplainCommand.java
+++ b/src/main/java/io/quincelead/cli/ExplainCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** The command that explains a job's place in the queue. */
+/** The command that explains a job's position in the queue. */
 @Command(
         name = "explain",
         description = "Why a job is where it is in the queue.",
--- a/src/main/java/io/quincelead/cli/OperatorCli.java
+++ b/src/main/java/io/quincelead/cli/OperatorCli.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The operators' command line: each command asks one controller, in JSON, and prints its answer.
+ * The operators' command line: each command asks one controller, in JSON, and prints its response.
  */
 @Command(
         name = "quincelead",
--- a/src/main/java/io/quincelead/cli/OperatorCommand.java
+++ b/src/main/java/io/quincelead/cli/OperatorCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** One command: a request to any controller, and its answer as a table or as JSON. */
+/** One command: a request to any controller, and the response as a table or as JSON. */
 abstract class OperatorCommand implements Callable<Integer> {
     private static final int EXIT_DONE = 0;
     private static final int EXIT_UNUSABLE_INPUT = 1;
@@ -32,7 +32,8 @@
 
     /**
      * @param path where controllers serve the command
-     * @param columns fields of the answer's list that are printed, in order; none if it has no list
+     * @param columns fields of the response's list that are printed, in order; none if it has no
+     *     list
      */
     OperatorCommand(String path, String... columns) {
         this.path = path;
--- a/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -87,7 +87,7 @@
 
     /**
      * CPUs that constrained work of high priority without GPUs would ask for in this time, at the
-     * rate of late.
+     * recent rate.
      */
     public double expectedUrgentCpus(double withinSeconds) {
         decay();
@@ -113,13 +113,13 @@
         return false;
     }
 
-    /** Whether constrained work of late could run on such a machine. */
+    /** Whether recent constrained work could run on such a machine. */
     public boolean isInDemand(
             MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return hasRecentDemand(machineType, zone, spot, false);
     }
 
-    /** Whether work of late needs the GPUs of such a machine: other work should leave it alone. */
+    /** Whether recent work needs the GPUs of such a machine: other work should leave it alone. */
     public boolean isGpuInDemand(
             MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return machineType.gpus() > 0 && hasRecentDemand(machineType, zone, spot, true);
--- a/src/main/java/io/quincelead/cluster/MachineEdits.java
+++ b/src/main/java/io/quincelead/cluster/MachineEdits.java
@@ -31,7 +31,7 @@
 
     /**
      * Adds a machine that runs but is on no record. Alike ones share a record: a whole cluster may
-     * be found up at once.
+     * be found running at once.
      */
     public void addUnexpected(
             String host,
@@ -51,8 +51,9 @@
         put(
                 new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis)
                         .withAddress(address));
-        // The record may be gone again when a copy of this transaction lands: its precondition of 0
-        // would then hold, and bring back machines that are gone. This key's revision prevents it.
+        // The record may be gone again when a duplicate of this transaction is applied: its
+        // precondition of 0 would then hold, and bring back machines that are gone. This key's
+        // revision prevents it.
         transaction
                 .requireRevision(
                         StoreKeys.UNEXPECTED_MACHINE_INTAKE,
--- a/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
+++ b/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
@@ -17,7 +17,7 @@
 
 /**
  * The stored form of machines that share a record: {@code k} machine type, {@code s} zone, {@code
- * p} spot, {@code r} time of the rental, {@code h} the machines; and, each left out where it is
+ * p} spot, {@code r} time of provisioning, {@code h} the machines; and, each left out where it is
  * empty, {@code a} their addresses, {@code x} those being released, {@code q} those cordoned,
  * {@code w} their large images with the size in GB.
  */
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Encodes machines of one record; they agree in machine type, zone, spot and time of the
-     * rental.
+     * Encodes machines of one record; they agree in machine type, zone, spot and time of
+     * provisioning.
      *
      * @param machines at least one
      * @param largeImagesOf the large images of a machine with their GB; empty where it has none
--- a/src/main/java/io/quincelead/cluster/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -17,9 +17,9 @@
 import java.util.function.Function;
 
 /**
- * The machines on record, from the rental until the cloud has confirmed their release, as the watch
- * cache has them. Machines that were rented together share a record, so that a large scale-out, a
- * wave of losses or a wave of returns costs few changes.
+ * The machines on record, from provisioning until the cloud has confirmed their release, as the
+ * watch cache has them. Machines that were provisioned together share a record, so that a large
+ * scale-out, a wave of losses or a wave of returns costs few changes.
  */
 public final class MachineTable {
     /**
@@ -28,7 +28,7 @@
      * @param groupId names the record that it shares
      * @param address null until the cloud's list has shown it: a new owner can then show its worker
      *     the new fencing token at once
-     * @param rentedAtEpochMillis wall-clock time of the rental, or of its discovery if unexpected
+     * @param rentedAtEpochMillis wall-clock time of provisioning, or of its discovery if unexpected
      * @param releasing recorded before the release is requested, so a successor requests it again
      * @param cordoned gets no new tasks
      */
@@ -42,7 +42,7 @@
             long rentedAtEpochMillis,
             boolean releasing,
             boolean cordoned) {
-        /** A machine just rented. */
+        /** A machine just provisioned. */
         public Machine(
                 String host,
                 String groupId,
--- a/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
+++ b/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
@@ -19,9 +19,9 @@
      * A machine type.
      *
      * @param name as the cloud calls it
-     * @param localDiskGb room for images, shared by all tasks of a machine
+     * @param localDiskGb space for images, shared by all tasks of a machine
      * @param imagePullGbPerSecond how fast images are fetched, shared likewise
-     * @param bootSeconds the usual time from the rental until the worker reports
+     * @param bootSeconds the usual time from provisioning until the worker's first heartbeat
      * @param zones where it can be rented
      */
     public record MachineType(
@@ -102,7 +102,7 @@
         machineTypes.put(machineType.name(), machineType);
     }
 
-    /** Whether some allowed machine could ever have room for one task of the job. */
+    /** Whether some allowed machine could ever have capacity for one task of the job. */
     public boolean canEverFit(JobSpec spec) {
         return machineTypes.values().stream()
                 .anyMatch(
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -18,7 +18,7 @@
     /** Tells this start of the task from its others; never used twice. */
     public final long attempt;
 
-    /** Whether the task is to be stopped to make room or to drain its machine. */
+    /** Whether the task is to be stopped to free capacity or to drain its machine. */
     public final boolean stopRequested;
 
     /** What this process has observed; changed by {@link #transitionTo} and a change of owner. */
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -13,9 +13,9 @@
 public final class ZoneTable {
     /** States of a zone; the {@code ZoneHealthEvaluator} alone decides them. */
     public enum State {
-        /** Its machines report. New work and new machines go there. */
+        /** Heartbeats of its machines arrive. New work and new machines go there. */
         UP,
-        /** Hardly a machine reports. None is rented there; nothing is concluded. */
+        /** Heartbeats of hardly any machine arrive. None is rented there; nothing is concluded. */
         DOUBTFUL,
         /**
          * Unreachable for longer than its workers' lease; its tasks may go on inside. They keep
@@ -27,9 +27,14 @@
          * elsewhere.
          */
         LOST,
-        /** Machines report there again. They get what waits; nothing is moved there. */
+        /**
+         * Heartbeats arrive from there again. Its machines get pending tasks; nothing is moved
+         * there.
+         */
         RETURNING,
-        /** It has been up since for its settling time. Zone spread is restored by moves. */
+        /**
+         * It has been up since for its settling time. Zone spread is restored by moving replicas.
+         */
         SETTLED
     }
 
@@ -47,8 +52,8 @@
      * A zone's record.
      *
      * @param sinceEpochMillis wall-clock time at which it came into the state
-     * @param machineCountWhenDoubted machines that it had when it was first doubted
-     * @param recentLossCount how often it was lost of late
+     * @param machineCountWhenDoubted machines that it had when it first became doubtful
+     * @param recentLossCount how often it was lost recently
      * @param reason the evidence for the state, in words
      */
     public record Zone(
--- a/src/main/java/io/quincelead/config/Settings.java
+++ b/src/main/java/io/quincelead/config/Settings.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * The settings file that the platform hands over (TOML), checked once at the start. Unknown fields
- * of the file are ignored; all collections are unmodifiable.
+ * The settings file that the platform provides (TOML), checked once at the start. Unknown fields of
+ * the file are ignored; all collections are unmodifiable.
  *
  * @param memberId this controller's name (file: {@code member})
  * @param zone this controller's zone (file: {@code domain})
--- a/src/main/java/io/quincelead/config/constants/LeadershipConstants.java
+++ b/src/main/java/io/quincelead/config/constants/LeadershipConstants.java
@@ -12,8 +12,8 @@
     public static final long SHARD_ASSIGNMENT_BATCH_MILLIS = 30;
 
     /**
-     * Unexpected machines whose heartbeats arrive within this time are taken in together, on shared
-     * records; the cloud's list shows most of them first.
+     * Unexpected machines whose heartbeats arrive within this time are registered together, on
+     * shared records; the cloud's list shows most of them first.
      */
     public static final long UNEXPECTED_MACHINE_BATCH_MILLIS = 4_000;
 
--- a/src/main/java/io/quincelead/config/constants/LeaseConstants.java
+++ b/src/main/java/io/quincelead/config/constants/LeaseConstants.java
@@ -6,7 +6,7 @@
  */
 public final class LeaseConstants {
     /**
-     * Allowance for clock drift as a fraction of a lease's time. Steady clocks drift by 0.05%; both
+     * Margin for clock drift as a fraction of a lease's time. Steady clocks drift by 0.05%; both
      * ends may be off, and a lease must never be taken for longer than it is.
      */
     public static final double CLOCK_DRIFT_FRACTION = 0.002;
--- a/src/main/java/io/quincelead/config/constants/TransportConstants.java
+++ b/src/main/java/io/quincelead/config/constants/TransportConstants.java
@@ -9,8 +9,8 @@
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * Largest response, in bytes, accepted from another service: room for the largest responses of
-     * the store, which are 512 KiB of listed items or an unbounded watch response.
+     * Largest response, in bytes, accepted from another service: enough for the largest responses
+     * of the store, which are 512 KiB of listed items or an unbounded watch response.
      */
     public static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
--- a/src/main/java/io/quincelead/config/constants/package-info.java
+++ b/src/main/java/io/quincelead/config/constants/package-info.java
@@ -3,7 +3,7 @@
  * the reason for its value in its comment.
  *
  * <p>Owned state: none. Numbers that an operator may want to change belong in {@link
- * io.quincelead.config.OperatorSettings}, numbers that the platform hands over in {@link
+ * io.quincelead.config.OperatorSettings}, numbers that the platform provides in {@link
  * io.quincelead.config.Settings}. These classes must not contain logic.
  */
 package io.quincelead.config.constants;
--- a/src/main/java/io/quincelead/leadership/JobReassigner.java
+++ b/src/main/java/io/quincelead/leadership/JobReassigner.java
@@ -37,7 +37,7 @@
         this.jobs = jobs;
     }
 
-    /** Adds as many jobs' moves as fit the transaction and the store's rate limit. */
+    /** Adds as many jobs' reassignments as fit the transaction and the store's rate limit. */
     void reassign(Transaction transaction) {
         List<String> liveMembers =
                 membership.shards().stream()
--- a/src/main/java/io/quincelead/leadership/QuotaShares.java
+++ b/src/main/java/io/quincelead/leadership/QuotaShares.java
@@ -98,8 +98,8 @@
         double[] finalTarget = targetStages[targetStages.length - 1];
         double[] nextShares = new double[memberCount];
         for (int i = 0; i < memberCount; i++) {
-            // Ends of tasks may be recorded late and the use on record pass the limit for a while;
-            // nobody's share rises by that.
+            // Terminations of tasks may be recorded late and the use on record pass the limit for a
+            // while; nobody's share rises by that.
             double most = committedTotal > limit + 1e-6 ? currentShares[i] : usable(i);
             nextShares[i] = Math.min(finalTarget[i], most);
         }
--- a/src/main/java/io/quincelead/leadership/ShardAssigner.java
+++ b/src/main/java/io/quincelead/leadership/ShardAssigner.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Notes a misrouted worker for the next {@link #assign}; one too many is dropped, it will
-     * report again.
+     * Notes a misrouted worker for the next {@link #assign}; one too many is dropped: it will send
+     * another heartbeat.
      *
      * @return whether its machine is on record and waits for an owner
      */
@@ -72,7 +72,7 @@
         return membership.ownerOf(worker.host()) == null && machines.get(worker.host()) != null;
     }
 
-    /** Forgets all misrouted workers: they report to the next leader. */
+    /** Forgets all misrouted workers: the next leader will be notified of them again. */
     void clearMisroutedWorkers() {
         misroutedWorkers.clear();
     }
@@ -172,7 +172,8 @@
     }
 
     /**
-     * The machine is assigned by a later cycle, once on record; until then it goes on reporting.
+     * The machine is assigned by a later cycle, once on record; until then it goes on sending
+     * heartbeats.
      */
     private void register(MachineEdits edits, MisroutedWorker worker) {
         registeredAtMillis = eventLoop.nowMillis();
--- a/src/main/java/io/quincelead/peer/PeerMessenger.java
+++ b/src/main/java/io/quincelead/peer/PeerMessenger.java
@@ -17,7 +17,7 @@
 import java.util.function.Supplier;
 
 /**
- * Sends the leader word of misrouted workers and the status of this controller's machines, and
+ * Notifies the leader of misrouted workers and of the status of this controller's machines, and
  * takes the same from others. All of it is advice: no safety rule depends on what travels here.
  */
 public final class PeerMessenger {
@@ -93,22 +93,22 @@
     }
 
     /**
-     * Whether the leader has taken this controller's status of late: without it, the leader places
+     * Whether the leader has taken this controller's status recently: without it, the leader places
      * nothing on this controller's machines.
      */
     public boolean isAcknowledgedByLeader() {
         return eventLoop.nowMillis() - acknowledgedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
     }
 
-    /** Whether the machine's owner reported of late that it may get tasks. */
+    /** Whether the machine's owner reported recently that it may get tasks. */
     public boolean isReportedSchedulable(String owner, String host) {
         PeerStatus status = validStatus(owner);
         return status != null && status.schedulableHosts().contains(host);
     }
 
     /**
-     * Whether the machine's owner reported of late that it has not come up yet; null without such a
-     * report, or where {@code owner} is null.
+     * Whether the machine's owner reported recently that it has not come up yet; null without such
+     * a report, or where {@code owner} is null.
      */
     public Boolean reportedBooting(String owner, String host) {
         PeerStatus status = validStatus(owner);
@@ -117,7 +117,7 @@
 
     /**
      * Brings a misrouted worker to the leader's notice, once: a lost message isn't repeated, for
-     * the worker reports again.
+     * the worker sends further heartbeats.
      */
     public void reportMisroutedWorker(MisroutedWorker worker) {
         if (settings.memberId().equals(membership.leaderId())) {
--- a/src/main/java/io/quincelead/peer/PeerStatus.java
+++ b/src/main/java/io/quincelead/peer/PeerStatus.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * What a controller told of its shard's machines. They are named one by one, for a machine that was
+ * What a controller said of its shard's machines. They are named one by one, for a machine that was
  * assigned since isn't known to be up.
  *
  * @param receivedAtMillis when it arrived, by the event loop's clock
  * @param leaseId the sender's membership lease; 0: its member record wasn't known to it
  * @param sequence rises with every status of one process
  * @param schedulableHosts machines that may get tasks
- * @param bootingHosts machines whose worker hasn't reported yet
+ * @param bootingHosts machines whose worker hasn't sent a heartbeat yet
  */
 record PeerStatus(
         long receivedAtMillis,
--- a/src/main/java/io/quincelead/policy/CalendarEntry.java
+++ b/src/main/java/io/quincelead/policy/CalendarEntry.java
@@ -49,7 +49,7 @@
         Set<LocalDate> skippedDates,
         Map<LocalDate, LocalTime> movedTimes,
         long effectiveFromMillis) {
-    /** The sets and maps are taken over as they are and handed out as views. */
+    /** The sets and maps are taken over as they are and returned as views. */
     public CalendarEntry {
         weekdays = Collections.unmodifiableSet(weekdays);
         dates = Collections.unmodifiableSet(dates);
--- a/src/main/java/io/quincelead/policy/CoveredJobCounter.java
+++ b/src/main/java/io/quincelead/policy/CoveredJobCounter.java
@@ -97,7 +97,7 @@
         return changed;
     }
 
-    /** A covered job's record is gone: how it completed stands in its final one. */
+    /** A covered job's record is gone: its final record says how it completed. */
     private void readCompletion(String jobId) {
         if (readsInFlight.size() >= PolicyConstants.MAX_CONCURRENT_FINAL_STATE_READS
                 || !readsInFlight.add(jobId)) {
--- a/src/main/java/io/quincelead/policy/EffectivePriority.java
+++ b/src/main/java/io/quincelead/policy/EffectivePriority.java
@@ -4,7 +4,7 @@
 import io.quincelead.config.constants.PolicyConstants;
 
 /**
- * What operators' records say of a job's place among waiting work.
+ * A job's position among waiting work by the operators' records.
  *
  * @param jobClass the job's priority class; null: none matches it
  * @param rank of the class, the smaller the earlier
--- a/src/main/java/io/quincelead/policy/OperatorApi.java
+++ b/src/main/java/io/quincelead/policy/OperatorApi.java
@@ -29,7 +29,7 @@
         void handle(ObjectNode body, Responder responder);
     }
 
-    /** Where a command's answer goes, once. */
+    /** Where a command's response goes, once. */
     public interface Responder {
         /**
          * Answers with an HTTP status and a body, to which it is added who answers and by which
@@ -57,7 +57,7 @@
     /**
      * Serves the commands on classes and calendar.
      *
-     * @param memberId this controller's id, told in each answer
+     * @param memberId this controller's id, told in each response
      */
     public OperatorApi(
             EventLoop loop,
@@ -124,7 +124,7 @@
     /**
      * Commits a change and answers what came of it.
      *
-     * @param successBody the answer if the transaction is committed
+     * @param successBody the response if the transaction is committed
      */
     public void commit(Transaction txn, Responder responder, ObjectNode successBody) {
         store.commit(
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -75,7 +75,7 @@
     }
 
     /**
-     * The job's place among waiting work. Of two open windows that cover it, the one that is
+     * The job's position among waiting work. Of two open windows that cover it, the one that is
      * published first counts.
      */
     public EffectivePriority priorityOf(Job job) {
--- a/src/main/java/io/quincelead/policy/PolicyReconciler.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -9,11 +9,11 @@
 import java.util.Collection;
 
 /**
- * The leader's part with operators' records: puts proposed classes in force, takes back what a
- * controller can't read, and keeps the calendar's occurrences and ledger. Every change has the
- * leader's key and the revisions it was decided from as preconditions, and one change is made at a
- * time, so whoever leads goes on where the last leader stopped. A controller that can't read the
- * classes in force says so on record, whoever leads.
+ * The leader's control loop over operators' records: puts proposed classes in force, takes back
+ * what a controller can't read, and keeps the calendar's occurrences and ledger. Every change has
+ * the leader's key and the revisions it was decided from as preconditions, and one change is made
+ * at a time, so whoever leads goes on where the last leader stopped. A controller that can't read
+ * the classes in force says so on record, whoever leads.
  */
 public final class PolicyReconciler {
     /** The leadership, as this controller has it. */
@@ -24,7 +24,7 @@
         /** A new transaction that is carried out only while this controller leads. */
         Transaction newTransaction();
 
-        /** The leader's term; 0: there is no leader. */
+        /** The leader's fencing token; 0: there is no leader. */
         long term();
 
         /** Ids of the controllers that are members now. */
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -114,8 +114,7 @@
     }
 
     /**
-     * Verdicts are absorbing: what is published is never missed afterwards, nor the other way
-     * round.
+     * Verdicts are absorbing: what is published is never missed afterwards, nor the reverse.
      *
      * @throws IllegalStateException if the state can't follow the one before
      */
@@ -188,7 +187,7 @@
         return counts;
     }
 
-    /** Terms of the leaders that have written it. */
+    /** Fencing tokens of the leaders that have written it. */
     Set<Long> leaderTerms() {
         return Collections.unmodifiableSet(leaderTerms);
     }
--- a/src/main/java/io/quincelead/scheduler/CandidateFinder.java
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds the machines with room for a job's tasks, with their fitness for the TEBAS pass. */
+/**
+ * Finds the machines with free capacity for a job's tasks, with their fitness for the TEBAS pass.
+ */
 final class CandidateFinder {
     private final OperatorSettings operatorSettings;
     private final ImageCaches imageCaches;
@@ -23,9 +25,9 @@
     }
 
     /**
-     * The machines with room for a task of the job, by zone.
+     * The machines with free capacity for a task of the job, by zone.
      *
-     * @param tier of the job's place in the queue
+     * @param tier of the job's position in the queue
      * @param anywhere also on machines that should be left to others
      * @param ownShardOnly only on machines of the own shard
      * @param tasksByHost tasks of the job that have been assigned already
--- a/src/main/java/io/quincelead/scheduler/DrainReservations.java
+++ b/src/main/java/io/quincelead/scheduler/DrainReservations.java
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Reserves the machines that will soonest have room for so many tasks. For a gang, whose tasks
-     * start together, also those that have some room now.
+     * Reserves the machines that will soonest have free capacity for so many tasks. For a gang,
+     * whose tasks start together, also those that have some free capacity now.
      *
-     * @param tier of the job's place in the queue: work of smaller tiers may still go there
+     * @param tier of the job's position in the queue: work of smaller tiers may still go there
      */
     void reserve(JobSpec spec, int tier, int tasks) {
         int maxMachines =
--- a/src/main/java/io/quincelead/scheduler/EnteringJobs.java
+++ b/src/main/java/io/quincelead/scheduler/EnteringJobs.java
@@ -36,7 +36,7 @@
         return waiting.size();
     }
 
-    /** Whether the job may wait here: there is room, and it does not wait already. */
+    /** Whether the job may wait here: the queue is not full, and it does not wait already. */
     boolean accepts(Job job) {
         return waiting.size() < StoreConstants.MAX_WAITING_COMMITS
                 && waiting.stream()
--- a/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 
 /**
- * Whether jobs that found no room in this controller's shard should go to the leader. Remembers
- * from cycle to cycle how long each has been stuck here.
+ * Whether jobs that found no free capacity in this controller's shard should be escalated to the
+ * leader. Remembers from cycle to cycle how long each has been stuck here.
  */
 final class EscalationPolicy {
-    /** A machine of another shard that had room for a job at each scan since then. */
+    /** A machine of another shard that had free capacity for a job at each scan since then. */
     private record LastingRoom(String host, long sinceMillis) {}
 
     private final EventLoop loop;
@@ -50,7 +50,9 @@
         /** Machines of other shards, by pool; read when first needed. */
         private Map<MachinePool.Key, MachinePool> otherPools;
 
-        /** Tasks that other shards had room for, by demands for which that was too little. */
+        /**
+         * Tasks that other shards had free capacity for, by demands for which that was too little.
+         */
         private final Map<JobSpec, Integer> tasksFound = new HashMap<>();
 
         private Decisions(SchedulingPlan plan) {
@@ -77,10 +79,11 @@
 
         /**
          * A job whose machine types this shard hasn't got goes at once; any other one when it has
-         * waited here for a while and other shards have room that this one lacks. Without the
-         * second condition a full cluster would escalate every job to the leader, which would then
-         * place all work alone. Little room counts when it lasts: it is left over by a team at its
-         * limit whose quota share lay with controllers without room, for as long as tasks run.
+         * waited here for a while and other shards have free capacity that this one lacks. Without
+         * the second condition a full cluster would escalate every job to the leader, which would
+         * then place all work alone. A little free capacity counts when it lasts: it is left over
+         * by a team at its limit whose quota share lay with controllers without free capacity, for
+         * as long as tasks run.
          */
         boolean shouldEscalate(Job job) {
             JobSpec spec = job.spec;
@@ -161,8 +164,8 @@
         }
 
         /**
-         * Room for one serves one: all that wait here would otherwise go to the leader for it. What
-         * best-effort work leaves to urgent arrivals lasts, too, and isn't for it.
+         * Free capacity for one job serves one: all that wait here would otherwise go to the leader
+         * for it. What best-effort work leaves to urgent arrivals lasts, too, and isn't for it.
          */
         private boolean claimLastingRoom(JobSpec spec, LastingRoom room) {
             boolean leavesReserve =
--- a/src/main/java/io/quincelead/scheduler/JobExplanation.java
+++ b/src/main/java/io/quincelead/scheduler/JobExplanation.java
@@ -6,7 +6,7 @@
 /**
  * Why a job is where it is in the queue.
  *
- * @param ownRank its place for all its tasks
+ * @param ownRank its position for all its tasks
  * @param classSource where its priority class comes from
  * @param rankSource where its rank comes from
  * @param tierName as operators know it
@@ -15,8 +15,8 @@
  * @param ageSeconds since it was accepted
  * @param entitledTasks that should have started by now
  * @param waitsFor what it waits for; "nothing" if no task waits
- * @param firstAhead the first places before its own
- * @param placesAhead how many places are before its own; 0 if no task waits
+ * @param firstAhead the first positions before its own
+ * @param placesAhead how many positions are before its own; 0 if no task waits
  */
 record JobExplanation(
         QueueOrder.RankedJob ownRank,
--- a/src/main/java/io/quincelead/scheduler/LeaderEscalation.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderEscalation.java
@@ -6,7 +6,7 @@
 import io.quincelead.store.StoreAccess;
 import io.quincelead.store.Transaction;
 
-/** Hands jobs that don't fit this controller's shard to the leader. */
+/** Escalates jobs that don't fit this controller's shard to the leader. */
 final class LeaderEscalation {
     private final StoreAccess storeAccess;
     private final ClusterMembership shards;
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Adds to the plan's transaction what hands its jobs to the leader, as far as that has room.
+     * Adds to the plan's transaction what escalates its jobs to the leader, as far as that fits.
      * What their tasks use moves with them, out of this shard's quota shares and in the same
      * transaction, so the sum of all quota shares and uses can't pass a team's limit.
      */
--- a/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
@@ -12,13 +12,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Leaves room in the own shard to work that comes first and that the leader is placing. */
+/**
+ * Leaves free capacity of the own shard to work that comes first and that the leader is placing.
+ */
 final class LeaderPrecedence {
     private final EventLoop loop;
     private final ClusterView cluster;
     private final List<JobSpec> demandsAtLeader = new ArrayList<>();
 
-    /** Since when there has been room here for a job that waits at the leader. */
+    /** Since when there has been free capacity here for a job that waits at the leader. */
     private final Map<Job, Long> roomSinceMillis = new HashMap<>();
 
     LeaderPrecedence(EventLoop loop, ClusterView cluster) {
@@ -53,8 +55,8 @@
 
     /**
      * Closes the pools where such work could go to work of later tiers. A leader that hasn't used
-     * the room within {@link SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it; waiting on
-     * would idle the shard.
+     * the free capacity within {@link SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it;
+     * waiting longer would idle the shard.
      */
     void leaveRoomToLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         roomSinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
--- a/src/main/java/io/quincelead/scheduler/MachinePool.java
+++ b/src/main/java/io/quincelead/scheduler/MachinePool.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Machines of one plan that every job sees alike: of one type, in one zone, rented one way. */
+/**
+ * Machines of one plan that every job sees alike: of one type, in one zone, and all spot or all
+ * on-demand.
+ */
 final class MachinePool {
     /** What the machines of a pool have in common. */
     record Key(String machineTypeName, String zone, boolean spot) {}
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -30,8 +30,8 @@
     private final boolean spreadsServices;
 
     /**
-     * Demands that no machine had any room for: on those that suit, and as a last resort on all
-     * that are allowed.
+     * Demands that no machine had any free capacity for: on those that suit, and as a last resort
+     * on all that are allowed.
      */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
 
@@ -51,7 +51,7 @@
      * Places what fits.
      *
      * @param anywhere as a last resort also on machines that should be left to others
-     * @return how many tasks of those this place in the queue is for were not placed
+     * @return how many tasks of those this position in the queue is for were not placed
      */
     int place(QueueOrder.RankedJob ranked, boolean anywhere) {
         Job job = ranked.job();
@@ -104,12 +104,17 @@
         return tasks;
     }
 
-    /** Drains machines for tasks that found no room, so that smaller ones don't take it. */
+    /**
+     * Drains machines for tasks that found no free capacity, so that smaller ones don't take it.
+     */
     void reserveMachines(QueueOrder.RankedJob ranked, int tasks) {
         drainReservations.reserve(ranked.job().spec, ranked.tier(), tasks);
     }
 
-    /** The zones where the job may have more tasks: room made elsewhere is of no use to it. */
+    /**
+     * The zones where the job may have more tasks: free capacity gained elsewhere is of no use to
+     * it.
+     */
     Predicate<String> allowedZones(Job job) {
         return zoneOccupancy.allowedZones(job);
     }
@@ -159,7 +164,8 @@
     }
 
     /**
-     * The roomiest zone first; a job with zone affinity stays in the zone that it has started in.
+     * The zone with the most free capacity first; a job with zone affinity stays in the zone that
+     * it has started in.
      */
     private int assignZoneByZone(
             Job job,
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -20,8 +20,8 @@
 import java.util.function.Predicate;
 
 /**
- * Makes room for a job by stopping work that it may preempt, as little of it and at as small a loss
- * as will do. Made for one plan.
+ * Frees capacity for a job by stopping work that it may preempt, as little of it and at as small a
+ * loss as will do. Made for one plan.
  */
 final class Preemption {
     private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
@@ -39,7 +39,7 @@
     private final SchedulingPlan plan;
     private final PreemptionRules rules;
 
-    /** Whether stopped tasks should share records, for writes are short. */
+    /** Whether stopped tasks should share records, for writes are scarce. */
     private final boolean shareRecords;
 
     /** Made when needed. */
@@ -67,12 +67,12 @@
     }
 
     /**
-     * Makes room for tasks of the job that this plan did not place: first counts what is being
+     * Frees capacity for tasks of the job that this plan did not place: first counts what is being
      * stopped anyway, then stops more, the cheapest first.
      *
-     * @param unplaced tasks that need room
+     * @param unplaced tasks that need capacity
      * @param zoneAllowed zones where the job may have more tasks
-     * @return how many tasks will find no room all the same
+     * @return how many tasks will find no free capacity all the same
      */
     int makeRoom(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
         JobSpec spec = ranked.job().spec;
@@ -106,7 +106,9 @@
         }
     }
 
-    /** Claims what tasks that are being stopped will leave; returns how many still need room. */
+    /**
+     * Claims what tasks that are being stopped will leave; returns how many still need capacity.
+     */
     private int claimUpcomingCapacity(
             QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
         JobSpec spec = ranked.job().spec;
@@ -131,7 +133,7 @@
         return tasks;
     }
 
-    /** Stops candidates until all have room; returns how many still need it. */
+    /** Stops candidates until all have capacity; returns how many still need it. */
     private int stopCheapestFirst(
             QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
         Job job = ranked.job();
@@ -160,7 +162,7 @@
             if (!stopAll(toStop, machine)) {
                 break;
             }
-            // The room this leaves may be more than the job needs.
+            // The capacity this frees may be more than the job needs.
             unsatisfiable.clear();
             unsatisfiableWithinGuarantee.clear();
             stillNeeded -= claim(machine, job.spec, stillNeeded);
@@ -183,7 +185,7 @@
     /**
      * The task and as many others of its machine, the cheapest first, as must go before one of the
      * job fits there; empty if all of them aren't enough. Taken one by one over all machines, many
-     * would be stopped and each leave room too small for anybody but its like.
+     * would be stopped and each free too little for any task but one of its own size.
      */
     private List<Placement> fewestToStop(
             Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
@@ -231,7 +233,7 @@
         return edit == null || edit.isRunning(placement.taskIndex);
     }
 
-    /** Stops all of them, or what the transaction has room for; false if that isn't all. */
+    /** Stops all of them, or as many as fit the transaction; false if that isn't all. */
     private boolean stopAll(List<Placement> toStop, FreeCapacity machine) {
         for (Placement placement : toStop) {
             TaskStatePageEdit edit = plan.edit(placement);
--- a/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -7,8 +7,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Tasks that could be preempted to make room, cheapest first. Sorted only as far as somebody looks:
- * few are ever needed.
+ * Tasks that could be preempted to free capacity, cheapest first. Sorted only as far as somebody
+ * looks: few are ever needed.
  */
 final class PreemptionCandidates {
     /**
@@ -17,7 +17,7 @@
      * @param machine the machine it runs on
      * @param lostCpuSeconds work that stopping it would lose
      * @param starving whether its job has no more tasks started than it needs not to starve
-     * @param sequence its place among equals
+     * @param sequence its position among equals
      */
     record Candidate(
             Placement placement,
@@ -30,9 +30,9 @@
     private final List<Candidate> sorted = new ArrayList<>();
 
     /**
-     * @param urgent whether the room is waited for: a task that first writes a checkpoint would
-     *     keep it longer than one that just ends
-     * @param shareRecords whether those stopped should share records, for writes are short
+     * @param urgent whether urgent work waits for the capacity: a task that first writes a
+     *     checkpoint would keep it longer than one that just ends
+     * @param shareRecords whether those stopped should share records, for writes are scarce
      */
     PreemptionCandidates(List<Candidate> candidates, boolean urgent, boolean shareRecords) {
         remaining =
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -56,8 +56,8 @@
 
     /**
      * For a guarantee the protocol lets us stop work of any priority. We stop only work that comes
-     * after this job in the queue: more urgent work would take the room back at once, and the two
-     * would preempt each other without end. For the same reason a job within its own team's
+     * after this job in the queue: more urgent work would take the capacity back at once, and the
+     * two would preempt each other without end. For the same reason a job within its own team's
      * guarantee is left alone, though that team runs more than that besides.
      */
     private boolean isSurplusOfSamePriority(Job forJob, Placement placement) {
@@ -104,7 +104,7 @@
                 1);
     }
 
-    /** Whether its room is about to come free by itself. */
+    /** Whether its capacity is about to become free by itself. */
     boolean isNearlyDone(Placement placement) {
         JobSpec spec = placement.job.spec;
         double ranSeconds =
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -133,7 +133,7 @@
                 : "its class's objective, or twice its estimate";
     }
 
-    /** The name by which operators know the tier of the job's place in the queue. */
+    /** The name by which operators know the tier of the job's position in the queue. */
     static String tierName(QueueOrder.RankedJob ranked) {
         int tier = ranked.orderingTier();
         String name;
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -51,16 +51,16 @@
     }
 
     /**
-     * A job and what its place in the queue depends on. One job may have several places, each for
-     * some of its tasks.
+     * A job and what its position in the queue depends on. One job may have several positions, each
+     * for some of its tasks.
      *
      * @param priority ordinal of its own priority, the smaller the more urgent
      * @param withinGuarantee whether its team is guaranteed what it needs
      * @param deadlineUnreachable whether its deadline has passed by more than its run time
      * @param slackSeconds until it has to start to be done in time; negative when that has passed
-     * @param starving whether this place is only for tasks that are overdue to start
-     * @param firstStart whether none of its tasks has started, and this place is for the first
-     * @param maxTasks of the job for which this place is
+     * @param starving whether this position is only for tasks that are overdue to start
+     * @param firstStart whether none of its tasks has started, and this position is for the first
+     * @param maxTasks of the job for which this position is
      * @param effectivePriority what the operators' records make of it
      * @param replicaRank among services: 0 for the first replica of one that has none, else the
      *     larger the more it has; 1 for other jobs
@@ -120,7 +120,7 @@
                     + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
-        /** The same job's place for so many tasks that are overdue to start. */
+        /** The same job's position for so many tasks that are overdue to start. */
         RankedJob asStarving(boolean atFirstStart, int tasks) {
             return new RankedJob(
                     job,
@@ -193,8 +193,8 @@
 
     /**
      * Whether running work comes before waiting work by the operators' records. It isn't preempted
-     * then, whatever the protocol allows: it would take the room back at once, and the two would
-     * take turns without end.
+     * then, whatever the protocol allows: it would take the capacity back at once, and the two
+     * would take turns without end.
      */
     static boolean precedes(RankedJob running, RankedJob waiting) {
         int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
@@ -207,7 +207,7 @@
     }
 
     /**
-     * The places in the queue of the jobs that wait, in order.
+     * The positions in the queue of the jobs that wait, in order.
      *
      * @param replicasTakeTurns whether services get one replica each before any gets a second
      * @param wallMillis milliseconds since 1970
@@ -235,7 +235,7 @@
         return queue;
     }
 
-    /** Adds the job's places for the tasks that are overdue to start, if there are any. */
+    /** Adds the job's positions for the tasks that are overdue to start, if there are any. */
     private static void addOverdueTasks(
             List<RankedJob> queue, RankedJob ranked, int entitledTasks) {
         JobSpec spec = ranked.job.spec;
@@ -285,7 +285,7 @@
     }
 
     /**
-     * The job's place in the queue for all its tasks.
+     * The job's position in the queue for all its tasks.
      *
      * @param wallNowMillis milliseconds since 1970
      */
--- a/src/main/java/io/quincelead/scheduler/QueuePass.java
+++ b/src/main/java/io/quincelead/scheduler/QueuePass.java
@@ -55,7 +55,7 @@
         this.unservedJobs = new UnservedJobs(loop, cluster.jobs());
     }
 
-    /** Whether work of this controller waited for room at the last pass. */
+    /** Whether work of this controller waited for free capacity at the last pass. */
     boolean hasWorkWaiting() {
         return workWaiting;
     }
@@ -213,8 +213,8 @@
     }
 
     /**
-     * Whether best-effort work is placed in this pass: while writes are short, only now and then;
-     * its room gathers meanwhile.
+     * Whether best-effort work is placed in this pass: while writes are scarce, only now and then;
+     * capacity for it gathers meanwhile.
      */
     private boolean takeBestEffortTurn() {
         boolean due = loop.nowMillis() >= bestEffortAtMillis;
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Walks once over the ranked jobs, first to last: places what fits, makes room by preemption where
- * that is allowed, and says which jobs should go to the leader. Made for one plan.
+ * Walks once over the ranked jobs, first to last: places what fits, frees capacity by preemption
+ * where that is allowed, and says which jobs should be escalated to the leader. Made for one plan.
  */
 final class QueueWalk {
     /**
@@ -63,12 +63,12 @@
                 continue;
             }
             if (!terminationsRecorded && bestEffort && !ranked.starving()) {
-                // Where writes are short, urgent work comes before the record of terminations, and
+                // Where writes are scarce, urgent work comes before the record of terminations, and
                 // that before best-effort work.
                 terminationsRecorded = true;
                 terminations.recordDue(plan);
             }
-            // Where writes are short, guaranteed work would take all records of every cycle.
+            // Where writes are scarce, guaranteed work would take all records of every cycle.
             int reservedRecords =
                     ranked.tier() == QueueOrder.TIER_GUARANTEED ? starvingRecordBudget : 0;
             if (plan.isFull(reservedRecords) && !plan.containsRecordOf(job)) {
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Starving work gets its turn, but where writes are short it does not take those that urgent
+     * Starving work gets its turn, but where writes are scarce it does not take those that urgent
      * work needs next.
      */
     private boolean mustYield(Job job, boolean bestEffort) {
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -169,8 +169,8 @@
 
     /** Something changed: a cycle follows, together with whatever else comes until then. */
     public void requestCycle() {
-        // Jobs that are being submitted aren't kept waiting, nor what a full transaction had no
-        // room for; all else gathers longer while writes are short, and shares records.
+        // Jobs that are being submitted aren't kept waiting, nor what did not fit a full
+        // transaction; all else gathers longer while writes are scarce, and shares records.
         requestCycleAfterGap(
                 lastPlanTruncated || !enteringJobs.isEmpty()
                         ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS
@@ -306,7 +306,7 @@
             return makePlan(writeBudget, admitted);
         } catch (RuntimeException failure) {
             // Any defect, and it goes on as it is; but it must not end all cycles: this one is
-            // abandoned, and the next event finds the machine idle.
+            // abandoned, and the next event finds the cycle idle.
             transitionTo(Phase.IDLE);
             enteringJobs.respond(
                     admitted, new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -38,7 +38,7 @@
     /**
      * What tasks of this controller's jobs use by team: those on record, less the terminations that
      * this very transaction puts on record. A termination that is only known here doesn't count:
-     * were the machine to change hands before it is on record, the record would entitle the new
+     * were the machine to change owners before it is on record, the record would entitle the new
      * owner to start the task again, beside what took its place.
      */
     final Map<String, TeamUsage> ownUsage = new HashMap<>();
@@ -49,7 +49,7 @@
      */
     final Map<String, TeamUsage> totalUsage = new HashMap<>();
 
-    /** Jobs that should go to the leader. */
+    /** Jobs that should be escalated to the leader. */
     final List<Job> jobsToEscalate = new ArrayList<>();
 
     /** Jobs that this cycle would record for the first time. */
@@ -167,8 +167,8 @@
     }
 
     /**
-     * The edit of a page, with the terminations known by evidence; null when the transaction has no
-     * room for one more.
+     * The edit of a page, with the terminations known by evidence; null when one more does not fit
+     * the transaction.
      */
     TaskStatePageEdit edit(Job job, int pageIndex) {
         TaskStatePage page = job.page(pageIndex);
--- a/src/main/java/io/quincelead/scheduler/Tebas.java
+++ b/src/main/java/io/quincelead/scheduler/Tebas.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Assigns up to {@code tasks} tasks to the machines; returns how many found no room.
+     * Assigns up to {@code tasks} tasks to the machines; returns how many found no free capacity.
      *
      * @param beta machines in a group, as the paper calls it
      */
@@ -72,8 +72,8 @@
         if (machineCount == 0 || tasks <= 0) {
             return tasks;
         }
-        // Each member with room takes a task at least, so the first sweep of a small job ends
-        // within the first machines.
+        // Each member with free capacity takes a task at least, so the first sweep of a small job
+        // ends within the first machines.
         List<CandidateMachine> sorted = fittestFirst(machines, tasks);
         int groupCount = Math.max(1, machineCount / beta);
         int groupSize = machineCount / groupCount;
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -39,7 +39,7 @@
     /**
      * Notes a termination. It may get on record later, gathered with others of its page, unless
      * somebody else waits for it: the task's next start, another controller, or the leader for the
-     * room it leaves.
+     * capacity it frees.
      *
      * @param leaderCouldUseRoom whether work that waits at the leader could go to the machine
      * @return whether it should be recorded at once
@@ -48,7 +48,7 @@
         Job job = placement.job;
         boolean ownJob = job.controllerId().equals(memberId);
         boolean gone = placement.phase() == Placement.Phase.GONE;
-        // Preempted best-effort work can wait for its next placement while writes are short; other
+        // Preempted best-effort work can wait for its next placement while writes are scarce; other
         // work wants it at once.
         boolean canWait =
                 gone
--- a/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
+++ b/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Demands for which a cycle found no room. Room only shrinks while a cycle is planned, so a job
- * that asks for as much or more, and may go to no other machines, finds none either and need not be
- * tried. Most waiting jobs are alike.
+ * Demands for which a cycle found no free capacity. Free capacity only shrinks while a cycle is
+ * planned, so a job that asks for as much or more, and may go to no other machines, finds none
+ * either and need not be tried. Most waiting jobs are alike.
  */
 final class UnsatisfiableDemands {
     private final List<JobSpec> minimalDemands = new ArrayList<>();
 
-    /** Whether a demand no larger than this one has found no room. */
+    /** Whether a demand no larger than this one has found no free capacity. */
     boolean covers(JobSpec spec) {
         for (JobSpec known : minimalDemands) {
             if (isAtLeastAsDemanding(spec, known)) {
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -217,7 +217,7 @@
 
     /**
      * Backpressure from 0 (none) to 1: how much this controller's writes have been delayed or
-     * throttled of late. Work that can wait then waits longer and shares writes.
+     * throttled recently. Work that can wait then waits longer and shares writes.
      */
     public double backpressure() {
         return backpressure;
--- a/src/main/java/io/quincelead/store/StoreCodec.java
+++ b/src/main/java/io/quincelead/store/StoreCodec.java
@@ -137,8 +137,7 @@
     }
 
     /**
-     * Hands over the changes of a watch response one by one; changes of an unknown form are
-     * skipped.
+     * Delivers the changes of a watch response one by one; changes of an unknown form are skipped.
      *
      * @return whether there were any, known or not
      */
--- a/src/main/java/io/quincelead/store/StoreKeys.java
+++ b/src/main/java/io/quincelead/store/StoreKeys.java
@@ -45,8 +45,8 @@
     public static final String PROVISIONING_REQUEST_COUNTER = "a/rn";
 
     /**
-     * Changed with each intake of unexpected machines, so that a duplicate of that transaction
-     * fails on its precondition.
+     * Changed with each registration of unexpected machines, so that a duplicate of that
+     * transaction fails on its precondition.
      */
     public static final String UNEXPECTED_MACHINE_INTAKE = "a/ti";
 
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -17,9 +17,9 @@
 
 /**
  * Follows the live keys of the store by one watch, so that changes arrive in the store's own order,
- * and hands each key's value to the listener of its prefix. Own commits are applied as soon as they
- * are confirmed; an older change of a key that the watch brings afterwards is ignored by its mod
- * revision.
+ * and passes each key's value to the listener of its prefix. Own commits are applied as soon as
+ * they are confirmed; an older change of a key that the watch brings afterwards is ignored by its
+ * mod revision.
  */
 public final class WatchCache {
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
--- a/src/main/java/io/quincelead/transport/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Whom we call. Connections are made for the target, not for a call: one that comes late serves
-     * whatever waits then.
+     * An address that is called. Connections are made for the target, not for a call: one that is
+     * established late serves whatever waits then.
      */
     private static final class Target {
         final String address;
@@ -101,11 +101,11 @@
         final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
         final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
 
-        /** Connections that stand. */
+        /** Connections that are established. */
         int openConnections;
 
         /**
-         * When attempts began that have neither come about nor failed; to a silent machine that
+         * When the attempts began that have neither succeeded nor failed; to a silent machine that
          * takes minutes.
          */
         final ArrayDeque<Long> connectAttemptsSinceMillis = new ArrayDeque<>();
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Makes room for one more shared connection, closing the longest unused one, whatever its
-     * target; says whether there is room.
+     * Makes one more shared connection possible, closing the longest unused one, whatever its
+     * target; says whether it is.
      */
     private boolean ensureSharedCapacity() {
         while (sharedConnections >= maxSharedConnections) {
--- a/src/main/java/io/quincelead/transport/WireFormat.java
+++ b/src/main/java/io/quincelead/transport/WireFormat.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The forms of messages bodies. */
+/** The encodings of message bodies. */
 public enum WireFormat {
     /** Used with users, workers, the cloud and the state service. */
     CBOR(new CBORMapper(), "application/cbor"),
--- a/src/main/java/io/quincelead/worker/MisroutedWorker.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorker.java
@@ -9,7 +9,8 @@
  * @param zone its zone; empty if unknown
  * @param spot whether the cloud may take the machine back
  * @param reportsTo the member ID of the controller that gets its heartbeats
- * @param ownedElsewhere whether another controller owns it, and it keeps coming all the same
+ * @param ownedElsewhere whether another controller owns it, and its heartbeats keep arriving here
+ *     all the same
  * @param fencingToken the token of that owner's grant; 0 without an owner
  */
 public record MisroutedWorker(
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -33,12 +33,12 @@
     private final Consumer<MisroutedWorker> leaderNotifier;
     private final Map<String, Sighting> misrouted = new HashMap<>();
 
-    /** Workers of others that are answered here while the store can't be reached. */
+    /** Workers of other shards that are answered here while the store can't be reached. */
     private final Map<String, Sighting> keptAlive = new HashMap<>();
 
     /**
      * Agent epoch and serial of the newest heartbeat of each host that came here: an older one is a
-     * copy, or was held up on its way.
+     * duplicate, or was delayed on its way.
      */
     private final Map<String, long[]> newestHeartbeats = new HashMap<>();
 
@@ -60,7 +60,7 @@
     }
 
     /**
-     * The machine is ours no longer; these are the agent epoch and serial of its last heartbeat.
+     * The machine has left our shard; these are the agent epoch and serial of its last heartbeat.
      */
     void onWorkerReleased(String host, long agentEpoch, long serial) {
         newestHeartbeats.put(host, new long[] {agentEpoch, serial});
@@ -161,9 +161,9 @@
     }
 
     /**
-     * Reports the worker to the leader if it hears us and is still where that heartbeat says it is.
-     * One that hears nobody tries all controllers in turn, and would be passed around for ever; a
-     * heartbeat that was held up speaks of long ago.
+     * Reports the worker to the leader if it gets our responses and is still where that heartbeat
+     * says it is. One that is unreachable inbound tries all controllers in turn, and would be
+     * passed around for ever; a delayed heartbeat says nothing of the present.
      */
     private void probeWorker(MisroutedWorker worker, Heartbeat heartbeat) {
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -133,7 +133,7 @@
         return missedStarts >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
     }
 
-    /** Whether it has sent heartbeats for that long without showing that it hears us. */
+    /** Whether it has sent heartbeats for that long without showing that it gets our responses. */
     boolean isUnreachableInboundFor(long millis) {
         return isUnreachableInbound()
                 ? loop.nowMillis() - missedSinceMillis > millis
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -53,7 +53,7 @@
         if (heartbeat.reclaimNoticeSeconds >= 0) {
             if (worker.reclaimNoticeSeconds < 0) {
                 LOG.info(
-                        "machine {} will be taken back in {} s",
+                        "machine {} is reclaimed in {} s",
                         worker.host,
                         heartbeat.reclaimNoticeSeconds);
                 callbacks.requestCycle();
@@ -192,7 +192,7 @@
 
     private void terminate(ShardWorker worker, Placement placement, String reason) {
         LOG.debug(
-                "task {} try {} {} {}",
+                "task {} attempt {} {} {}",
                 placement.taskName(),
                 placement.attempt,
                 reason,
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -71,7 +71,8 @@
                 continue;
             }
             boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
-            // When a zone can be reached again, each of its machines has its time anew.
+            // When a zone can be reached again, the silence timeout of each of its machines starts
+            // anew.
             long silenceMillis =
                     now
                             - (zoneUnreachable
@@ -115,8 +116,8 @@
     }
 
     /**
-     * Zones of which hardly a machine can be heard here, or hears us: the network is at fault, not
-     * the machines.
+     * Zones of which hardly a machine can be heard here, or gets our responses: the network is at
+     * fault, not the machines.
      */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
         long heardSinceMillis =
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -183,7 +183,7 @@
 
     /**
      * Shows the worker our fencing token at once, so that nothing from before can start there, and
-     * learns what it runs. Later it asks whether the worker hears us.
+     * learns what it runs. Later it asks whether the worker gets our responses.
      */
     private void sendClaim(ShardWorker worker) {
         if (workers.get(worker.host) == worker
@@ -219,9 +219,8 @@
         }
         misroutedWorkers.onWorkerAtOwner(host);
         if (worker.isStale(heartbeat)) {
-            // A copy, or one that was held up: nobody waits for the response, and starts in it
-            // would
-            // count as sent.
+            // A duplicate, or one that was delayed: nobody waits for the response, and starts in it
+            // would count as sent.
             request.respond(200, WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken));
             return;
         }
@@ -237,8 +236,7 @@
         worker.deferredRequest = request;
         long now = loop.nowMillis();
         if (request.isNearConnectionLimit()) {
-            // Connections are scarce: this one is given back, and the worker opens a new one for
-            // its
+            // Connections are scarce: this one is closed, and the worker opens a new one for its
             // next heartbeat.
             request.closeConnectionAfterResponse();
         }
@@ -344,16 +342,15 @@
                             || status != 200 && status != 409) {
                         return;
                     }
-                    // Also a refusal is the worker's word: a higher agent epoch that knows our
-                    // token
-                    // proves that what the earlier one ran has terminated.
+                    // A refusal is evidence, too: a higher agent epoch that knows our token proves
+                    // that what the earlier one ran has terminated.
                     statusReconciler.reconcile(worker, response, false);
                     if (status == 200) {
                         worker.recordCommandAccepted();
                     } else if (response.agentEpoch > agentEpoch
                             && worker.phase() == ShardWorker.Phase.CLAIMING) {
-                        // Nothing was executed; the worker's newer agent epoch is claimed under its
-                        // own number.
+                        // Nothing was executed; the worker's newer agent epoch is claimed by a
+                        // message that names it.
                         sendClaim(worker);
                     }
                     changedHosts.add(worker.host);
--- a/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
+++ b/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
@@ -16,7 +16,7 @@
     /**
      * @param silenceThresholdMillis longer silence is that of a machine that is dead, hung or cut
      *     off
-     * @param baseSettleMillis how long a zone that came back must hold until work is moved to it
+     * @param baseSettleMillis how long a zone that came back must stay up until work is moved to it
      */
     ZoneHealthEvaluator(double silenceThresholdMillis, double baseSettleMillis) {
         this.silenceThresholdMillis = silenceThresholdMillis;
@@ -60,7 +60,7 @@
     }
 
     /**
-     * A zone that is cut off is never lost by time: only by the cloud's word, or its answer to a
+     * A zone that is cut off is never lost by time: only by the cloud's list, or its response to a
      * release that somebody decided.
      */
     private Zone afterCut(Zone zone, ZoneObservation observation, long nowMillis) {
@@ -72,7 +72,7 @@
 
     /**
      * With no machine left there that could be reachable, new machines are tried when it has been
-     * lost for as long as it must hold.
+     * lost for as long as it must then stay up.
      */
     private Zone afterLoss(Zone zone, ZoneObservation observation, long nowMillis) {
         long lostMillis = nowMillis - zone.sinceEpochMillis();
@@ -114,7 +114,7 @@
                 : zone;
     }
 
-    /** The time for which a zone that came back must hold doubles with each recent loss. */
+    /** The time for which a zone that came back must stay up doubles with each recent loss. */
     double requiredSettleMillis(Zone zone) {
         return Math.min(
                 ZoneConstants.MAX_SETTLE_MILLIS,
@@ -140,7 +140,7 @@
                         + " of "
                         + zone.machineCountWhenDoubted()
                         + " machines are gone by the cloud's word",
-                // An order to release holds for the rest of the zone's machines too; an order to
+                // An order to release applies to the rest of the zone's machines too; an order to
                 // hold has no use any more.
                 zone.operatorOrder() == OperatorOrder.RELEASE
                         ? OperatorOrder.RELEASE
--- a/src/main/java/io/quincelead/zone/ZoneObservation.java
+++ b/src/main/java/io/quincelead/zone/ZoneObservation.java
@@ -6,10 +6,10 @@
  * What is seen of a zone's machines at one time.
  *
  * @param machineCount machines on record there that are up, or were
- * @param knownCount those of them whose owners were heard of late
+ * @param knownCount those of them whose owners were heard recently
  * @param reachableCount those of the known ones whose heartbeats reach their owners
- * @param remainingCount machines that the zone had when it was first doubted and that are still on
- *     record; while it is up, all of them
+ * @param remainingCount machines that the zone had when it first became doubtful and that are still
+ *     on record; while it is up, all of them
  * @param otherZonesReachable whether other zones are heard, so that the fault isn't the observer's
  */
 record ZoneObservation(
--- a/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The operators' requests about zones and their answers. */
+/** The operators' requests about zones and the responses. */
 final class ZoneOperatorCodec {
     /** A zone as operators see it, with its machines on record and those that are reachable. */
     record ZoneStatus(ZoneTable.Zone zone, long machineCount, long reachableCount) {}
@@ -62,7 +62,7 @@
         return response;
     }
 
-    /** The answer to an order; {@code state}: what came of it, in words. */
+    /** The response to an order; {@code state}: what came of it, in words. */
     static ObjectNode encodeOrder(int replicasInside, ZoneTable.OperatorOrder order, String state) {
         return WireFormat.newMap()
                 .put("replicasInside", replicasInside)
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's care for zones: records their states, and restores the spread of services when a
+ * Zone recovery by the leader: records their states, and restores the spread of services when a
  * zone that came back has settled, by moves at a stated pace. One change is made at a time; each
  * has the preconditions that this controller still leads and that the records it was decided from
  * are unchanged.
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
@@ -11,7 +11,7 @@
 
 /**
  * Which services recover first after a loss, and where their capacity comes from. It is computed
- * from what is handed in, and touches nothing else.
+ * from what is passed in, and touches nothing else.
  *
  * <p>Order: by class rank, then one replica of every service before any second, then by the
  * fraction that is up, then those covered by an open window. Capacity, in this order: free capacity
--- a/src/main/java/io/quincelead/zone/package-info.java
+++ b/src/main/java/io/quincelead/zone/package-info.java
@@ -8,7 +8,7 @@
  *
  * <p>Owned state: the zone records in the store. In memory, only when the last move was made.
  *
- * <p>Must not: take a zone for lost by time, without evidence of its machines' end; conclude
+ * <p>Must not: take a zone for lost by time, without evidence that its machines are gone; conclude
  * anything about a zone when no other zone is heard; start tasks; stop one other than by its
  * record, or more than one replica of a service at a time.
  */
