--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -1,5 +1,7 @@
 package io.quincelead.app;
 
+import io.quincelead.api.ApiCluster;
+import io.quincelead.api.ApiStore;
 import io.quincelead.api.UserApi;
 import io.quincelead.autoscaler.Autoscaler;
 import io.quincelead.autoscaler.LeaderStore;
@@ -124,16 +126,11 @@
                 new WorkerGateway(
                         loop,
                         settings,
-                        membershipLease,
-                        clusterMembership,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        watchCache,
-                        store,
+                        new WorkerGateway.StoreAccess(membershipLease, watchCache, store),
+                        new WorkerGateway.ClusterRecords(
+                                clusterMembership, jobs, machines, machineTypeCatalog, zones),
                         transport,
                         policy,
-                        zones,
                         new WorkerGateway.Callbacks() {
                             @Override
                             public void onMisroutedWorker(MisroutedWorker stray) {
@@ -155,20 +152,22 @@
                                 return Controller.this.schedulingCycle.isCyclePending();
                             }
                         });
+        ClusterView clusterView =
+                new ClusterView(
+                        clusterMembership,
+                        jobs,
+                        machines,
+                        machineTypeCatalog,
+                        imageCaches,
+                        constrainedDemand,
+                        policy);
         schedulingCycle =
                 new SchedulingCycle(
                         loop,
                         settings,
                         operatorSettings,
                         new StoreAccess(membershipLease, watchCache, store),
-                        new ClusterView(
-                                clusterMembership,
-                                jobs,
-                                machines,
-                                machineTypeCatalog,
-                                imageCaches,
-                                constrainedDemand,
-                                policy),
+                        clusterView,
                         new Collaborators(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
         MachineVisibility machineVisibility =
@@ -190,16 +189,7 @@
                                                 clusterMembership.ownerOf(host), host);
                     }
                 };
-        ZoneView zoneView =
-                new ZoneView(
-                        watchCache,
-                        jobs,
-                        machines,
-                        machineTypeCatalog,
-                        imageCaches,
-                        zones,
-                        policy,
-                        machineVisibility);
+        ZoneView zoneView = new ZoneView(clusterView, watchCache, zones, machineVisibility);
         ZoneRecoveryController zoneRecoveryController = null;
         if (operatorSettings.zoneRecovery().enabled()) {
             machines.trackLargeImages(
@@ -214,7 +204,6 @@
                             settings.workerTimings().leaseSeconds() * 1000
                                     + WorkerConstants.SILENCE_SLACK_MILLIS,
                             zoneView,
-                            clusterMembership,
                             leader,
                             store);
         }
@@ -224,28 +213,15 @@
                         transport,
                         settings,
                         operatorSettings,
-                        new io.quincelead.autoscaler.ClusterView(
-                                clusterMembership,
-                                jobs,
-                                machines,
-                                machineTypeCatalog,
-                                zones,
-                                constrainedDemand,
-                                policy),
+                        clusterView,
                         new LeaderStore(leader, membershipLease, store, watchCache),
-                        autoscalerCallbacks(zoneRecoveryController));
+                        autoscalerCallbacks(zones, zoneRecoveryController));
         GroupCommitter groupCommitter = new GroupCommitter(loop, store, watchCache);
         userApi =
                 new UserApi(
                         loop,
-                        settings,
-                        membershipLease,
-                        watchCache,
-                        store,
-                        groupCommitter,
-                        clusterMembership,
-                        jobs,
-                        machineTypeCatalog,
+                        new ApiStore(membershipLease, watchCache, store, groupCommitter),
+                        new ApiCluster(settings, clusterMembership, jobs, machineTypeCatalog),
                         policy,
                         schedulingCycle::admit);
         new PolicyReconciler(
@@ -300,7 +276,8 @@
     }
 
     /** {@code zoneRecovery} is null when zone recovery is turned off. */
-    private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
+    private Autoscaler.Callbacks autoscalerCallbacks(
+            ZoneTable zones, ZoneRecoveryController zoneRecovery) {
         return new Autoscaler.Callbacks() {
             @Override
             public Boolean isBooting(String ownerId, String host) {
@@ -312,6 +289,11 @@
                 recordTaskTermination(placement);
             }
 
+            @Override
+            public boolean isZoneUnavailable(String zone) {
+                return zones.isUnavailable(zone);
+            }
+
             @Override
             public Map<String, List<JobSpec>> rebalanceDemand() {
                 return zoneRecovery == null ? Map.of() : zoneRecovery.rebalanceDemand();
--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -5,12 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.JobSpec;
-import io.quincelead.config.Settings;
 import io.quincelead.transport.WireFormat;
-import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -26,71 +23,11 @@
  * happened is on record once.
  */
 class OperatorRecordsTest {
-    private static final ObjectMapper JSON = new ObjectMapper();
-
     /** ms of the simulated day at which the morning is published; its window opens 100 s before. */
     private static final long PUBLICATION_MILLIS = 220_000;
 
     private static final long WINDOW_OPENS_MILLIS = 120_000;
 
-    static ObjectNode json(String text) {
-        try {
-            return (ObjectNode) JSON.readTree(text.replace('\'', '"'));
-        } catch (java.io.IOException e) {
-            throw new IllegalArgumentException(e);
-        }
-    }
-
-    private static String timeOfDay(long simulatedMillis) {
-        return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis)
-                .toString()
-                .substring(11, 19);
-    }
-
-    private static final String DATE =
-            Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
-
-    /**
-     * Repeats a command, at any controller, until it is answered with something else than "later":
-     * as an operator would.
-     */
-    static void commandUntilAnswered(
-            SimulatedCluster cluster,
-            String path,
-            ObjectNode body,
-            Map<String, ObjectNode> answers) {
-        cluster.sendOperatorCommand(
-                cluster.clock.random.nextInt(cluster.controllers.size()),
-                path,
-                body,
-                (status, response) -> {
-                    if (status == 0 || status == 503 || status == 409) {
-                        cluster.clock.schedule(
-                                700, () -> commandUntilAnswered(cluster, path, body, answers));
-                    } else {
-                        answers.put(path, response);
-                        assertEquals(200, status, "" + response);
-                    }
-                });
-    }
-
-    static ObjectNode calendarEntry(
-            String name, long publicationMillis, double leadSeconds, String covers) {
-        return json(
-                "{'change':'add-"
-                        + name
-                        + "','entry':{'name':'"
-                        + name
-                        + "','time':'"
-                        + timeOfDay(publicationMillis)
-                        + "','zone':'UTC','days':['mon','tue','wed','thu','fri','sat','sun'],"
-                        + "'covers':["
-                        + covers
-                        + "],'leadS':"
-                        + leadSeconds
-                        + ",'graceS':20}}");
-    }
-
     /**
      * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s,
      * the window opens at 120 s. Forecasts come from 125 to 190 s.
@@ -99,33 +36,33 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 6)),
+                        List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 6)),
                         5);
-        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+        cluster.setTeam("red", 0, 400);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
         int id = 0;
         for (int second = 3; second < 230; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 10, 1, 12);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         id = 500;
         for (int second = 125; second < 190; second += 5) {
             JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 4, 1, 8);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         if (calendar) {
-            cluster.clock.schedule(
+            cluster.after(
                     8_000,
                     () ->
-                            commandUntilAnswered(
+                            OperatorCommands.commandUntilAnswered(
                                     cluster,
                                     "/ops/calendar/add",
-                                    calendarEntry(
-                                            "morning", PUBLICATION_MILLIS, 100, "{'owner':'blue'}"),
-                                    new HashMap<>()));
+                                    OperatorCommands.calendarEntry(
+                                            "morning",
+                                            PUBLICATION_MILLIS,
+                                            100,
+                                            "{'owner':'blue'}")));
         }
         return cluster;
     }
@@ -134,17 +71,18 @@
         List<Long> result = new ArrayList<>();
         for (int id = 501; id <= 513; id++) {
             long startDelayMillis =
-                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", id));
+                    cluster.serviceLevels().firstStartDelayMillis(JobFixtures.id(id));
             result.add(startDelayMillis < 0 ? Long.MAX_VALUE : startDelayMillis);
         }
         return result;
     }
 
     private static void assertLedgerRecord(SimulatedCluster cluster, String state, int jobCount) {
-        JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + DATE);
+        JsonNode ledgerRecord = cluster.store.value("z/oe/morning/" + OperatorCommands.DATE);
         assertNotNull(
                 ledgerRecord,
-                "the ledger has no record; live: " + cluster.store.value("a/ok/o/morning/" + DATE));
+                "the ledger has no record; live: "
+                        + cluster.store.value("a/ok/o/morning/" + OperatorCommands.DATE));
         assertEquals(state, ledgerRecord.path("st").asText(), "" + ledgerRecord);
         assertEquals(jobCount, ledgerRecord.path("n").asInt(), "" + ledgerRecord);
         assertEquals(
@@ -163,7 +101,7 @@
     @Test
     void forecastsWaitInOrderWithoutCalendar() {
         SimulatedCluster cluster = morningCluster(1, false);
-        cluster.clock.runUntil(220_000);
+        cluster.runUntil(220_000);
         assertTrue(
                 forecastWaitsMillis(cluster).stream()
                                 .filter(delayMillis -> delayMillis > 25_000)
@@ -193,22 +131,18 @@
     })
     void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
         SimulatedCluster cluster = morningCluster(atMillis + crashCount, true);
-        cluster.clock.schedule(
+        cluster.after(
                 atMillis,
                 () -> {
                     if (crashCount == 1) {
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                restartDelayMillis);
+                        cluster.faults.crashController(cluster.leaderIndex(), restartDelayMillis);
                     } else {
                         for (int i = 0; i < crashCount; i++) {
-                            FaultInjector.crashController(cluster, i, restartDelayMillis);
+                            cluster.faults.crashController(i, restartDelayMillis);
                         }
                     }
                 });
-        cluster.clock.runUntil(420_000);
+        cluster.runUntil(420_000);
         assertEquals(Set.of(), cluster.violations());
         List<Long> waitsMillis = forecastWaitsMillis(cluster);
         long limitMillis = 14_000 + (crashCount > 1 ? restartDelayMillis + 6_000 : 6_000);
@@ -223,9 +157,9 @@
     @CsvSource({"115000, 10000", "214000, 12000"})
     void storeOutageAtWindowEdgesKeepsTheLedger(long atMillis, long durationMillis) {
         SimulatedCluster cluster = morningCluster(atMillis, true);
-        cluster.clock.schedule(atMillis, () -> cluster.store.setDown(true));
-        cluster.clock.schedule(atMillis + durationMillis, () -> cluster.store.setDown(false));
-        cluster.clock.runUntil(420_000);
+        cluster.after(atMillis, () -> cluster.store.setDown(true));
+        cluster.after(atMillis + durationMillis, () -> cluster.store.setDown(false));
+        cluster.runUntil(420_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "published", 13);
     }
@@ -234,29 +168,19 @@
     @Test
     void lateOccurrenceStaysMissed() {
         SimulatedCluster cluster = morningCluster(3, true);
-        cluster.clock.schedule(
-                200_000,
-                () ->
-                        cluster.submit(
-                                JobFixtures.array(
-                                        600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120)));
-        cluster.clock.schedule(
-                260_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(600_000);
+        cluster.submitAfter(
+                200_000, JobFixtures.array(600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120));
+        cluster.after(260_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertLedgerRecord(cluster, "missed", 14);
         assertTrue(
-                cluster.store.value("z/oe/morning/" + DATE).path("last").asLong()
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("last").asLong()
                         > SimulatedClock.EPOCH_MILLIS + PUBLICATION_MILLIS + 20_000);
         assertTrue(
-                cluster.store.value("z/oe/morning/" + DATE).path("leaders").size() >= 2,
-                "" + cluster.store.value("z/oe/morning/" + DATE));
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("leaders").size()
+                        >= 2,
+                "" + cluster.store.value("z/oe/morning/" + OperatorCommands.DATE));
     }
 
     /**
@@ -266,41 +190,50 @@
     @Test
     void openOccurrenceCanBeMovedAndSkipped() {
         SimulatedCluster cluster = morningCluster(4, true);
-        cluster.clock.schedule(
+        cluster.after(
                 150_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/calendar/move",
-                                json(
+                                OperatorCommands.json(
                                         "{'change':'m1','name':'morning','date':'"
-                                                + DATE
+                                                + OperatorCommands.DATE
                                                 + "','time':'"
-                                                + timeOfDay(300_000)
-                                                + "'}"),
-                                new HashMap<>()));
-        cluster.clock.runUntil(240_000);
-        assertEquals("open", cluster.store.value("a/ok/o/morning/" + DATE).path("st").asText());
-        cluster.clock.runUntil(400_000);
+                                                + OperatorCommands.timeOfDay(300_000)
+                                                + "'}")));
+        cluster.runUntil(240_000);
+        assertEquals(
+                "open",
+                cluster.store.value("a/ok/o/morning/" + OperatorCommands.DATE).path("st").asText());
+        cluster.runUntil(400_000);
         assertLedgerRecord(cluster, "published", 13);
         assertEquals(
                 SimulatedClock.EPOCH_MILLIS + 300_000,
-                cluster.store.value("z/oe/morning/" + DATE).path("pub").asLong(),
+                cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("pub").asLong(),
                 1_000);
 
         SimulatedCluster skipCluster = morningCluster(5, true);
-        skipCluster.clock.schedule(
+        skipCluster.after(
                 150_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 skipCluster,
                                 "/ops/calendar/skip",
-                                json("{'change':'s1','name':'morning','date':'" + DATE + "'}"),
-                                new HashMap<>()));
-        skipCluster.clock.runUntil(300_000);
+                                OperatorCommands.json(
+                                        "{'change':'s1','name':'morning','date':'"
+                                                + OperatorCommands.DATE
+                                                + "'}")));
+        skipCluster.runUntil(300_000);
         assertEquals(
-                "skipped", skipCluster.store.value("z/oe/morning/" + DATE).path("st").asText());
-        assertEquals(Map.of("z/oe/morning/" + DATE, 1), skipCluster.store.ledgerWrites);
+                "skipped",
+                skipCluster
+                        .store
+                        .value("z/oe/morning/" + OperatorCommands.DATE)
+                        .path("st")
+                        .asText());
+        assertEquals(
+                Map.of("z/oe/morning/" + OperatorCommands.DATE, 1), skipCluster.store.ledgerWrites);
     }
 
     /**
@@ -311,22 +244,18 @@
     void machinesAreProvisionedBeforeTheWindowOpens() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        6,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 12, List.of("a", "b"), 40)),
-                        5);
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+                        6, List.of(SimulatedCloud.MachineType.small(12, List.of("a", "b"), 40)), 5);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.after(
                 8_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/calendar/add",
-                                calendarEntry("first", 60_000, 40, "{'owner':'blue'}"),
-                                new HashMap<>()));
-        cluster.clock.schedule(
+                                OperatorCommands.calendarEntry(
+                                        "first", 60_000, 40, "{'owner':'blue'}")));
+        cluster.after(
                 9_000,
                 () -> {
                     ObjectNode memory = WireFormat.newMap().put("through", 0);
@@ -346,28 +275,21 @@
                             WireFormat.CBOR.encode(transaction),
                             1_000,
                             (status, body, retryAfterSeconds) -> assertEquals(200, status));
-                    commandUntilAnswered(
+                    OperatorCommands.commandUntilAnswered(
                             cluster,
                             "/ops/calendar/add",
-                            calendarEntry("later", 400_000, 150, "{'owner':'blue'}"),
-                            new HashMap<>());
+                            OperatorCommands.calendarEntry(
+                                    "later", 400_000, 150, "{'owner':'blue'}"));
                 });
-        cluster.clock.schedule(
-                100_000,
-                () ->
-                        FaultInjector.crashController(
-                                cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(200_000);
+        cluster.after(100_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(200_000);
         assertEquals(0, cluster.cloud.machines.size());
-        cluster.clock.runUntil(249_000);
+        cluster.runUntil(249_000);
         assertTrue(
                 cluster.cloud.machines.values().stream().filter(worker -> worker.up).count() >= 10,
                 "up: " + cluster.cloud.machines.size());
         assertTrue(cluster.cloud.machines.size() <= 13, "up: " + cluster.cloud.machines.size());
-        cluster.clock.runUntil(480_000);
+        cluster.runUntil(480_000);
         assertEquals(0, cluster.cloud.machines.size());
     }
 
@@ -375,55 +297,6 @@
             "{'change':'c1','classes':[{'name':'storm','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent'},"
                 + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
-    /**
-     * The orders of waiting jobs as each controller has them, by the generations that they were
-     * made of.
-     */
-    private static void compareQueueOrders(
-            SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
-        for (int i = 0; i < cluster.controllers.size(); i++) {
-            if (cluster.controllers.get(i).isAlive()) {
-                cluster.sendOperatorCommand(
-                        i,
-                        "/ops/queue",
-                        WireFormat.newMap(),
-                        (status, response) -> {
-                            if (status == 200) {
-                                // Ranks by class and calendar, job by job: what these generations
-                                // say of a job is the same wherever it is asked.
-                                response.path("list")
-                                        .forEach(
-                                                job -> {
-                                                    String key =
-                                                            response.path("classes")
-                                                                    + "/"
-                                                                    + response.path("calendar")
-                                                                    + "/"
-                                                                    + job.path("job").asText();
-                                                    String ranks =
-                                                            job.path("rank")
-                                                                    + " "
-                                                                    + job.path("class")
-                                                                    + " "
-                                                                    + job.path("covered");
-                                                    String previousRanks =
-                                                            knownRanks.putIfAbsent(key, ranks);
-                                                    assertTrue(
-                                                            previousRanks == null
-                                                                    || previousRanks.equals(ranks),
-                                                            key
-                                                                    + ": "
-                                                                    + previousRanks
-                                                                    + " and "
-                                                                    + ranks);
-                                                    compared[0] += previousRanks == null ? 0 : 1;
-                                                });
-                            }
-                        });
-            }
-        }
-    }
-
     /**
      * Classes are proposed while the leader is lost; whoever leads next puts them in force, and a
      * repeat takes effect once.
@@ -435,37 +308,34 @@
         Map<String, ObjectNode> answers = new HashMap<>();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
-        cluster.clock.schedule(
+        cluster.after(
                 100_000,
                 () -> {
-                    FaultInjector.crashController(
+                    cluster.faults.crashController(cluster.leaderIndex(), 2_000);
+                    OperatorCommands.commandUntilAnswered(
                             cluster,
-                            cluster.indexOfController(
-                                    cluster.store.value("a/lead").path("m").asText()),
-                            2_000);
-                    commandUntilAnswered(
-                            cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers);
+                            "/ops/classes/apply",
+                            OperatorCommands.json(CLASSES_COMMAND),
+                            answers);
                 });
         for (long millis = 95_000; millis < 200_000; millis += 900) {
-            cluster.clock.schedule(millis, () -> compareQueueOrders(cluster, knownRanks, compared));
+            cluster.after(
+                    millis,
+                    () -> RandomScenarios.compareQueueOrders(cluster, knownRanks, compared));
         }
-        cluster.clock.schedule(
+        cluster.after(
                 135_000,
                 () ->
-                        commandUntilAnswered(
-                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(
-                150_000,
-                () ->
-                        FaultInjector.crashController(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
-                                cluster.indexOfController(
-                                        cluster.store.value("a/lead").path("m").asText()),
-                                100));
-        cluster.clock.runUntil(160_000);
+                                "/ops/classes/apply",
+                                OperatorCommands.json(CLASSES_COMMAND),
+                                answers));
+        cluster.after(150_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
+        cluster.runUntil(160_000);
         assertEquals(1, cluster.store.value("a/oc/head").path("rules").asLong());
         assertEquals(1, cluster.store.value("a/oc/head").path("last").asLong());
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(
                 forecastWaitsMillis(cluster).stream().allMatch(millis -> millis < 25_000),
@@ -482,20 +352,24 @@
     void unreadableClassesFallBackToLastGoodRevision() {
         SimulatedCluster cluster = morningCluster(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
-        cluster.clock.schedule(
+        cluster.after(
                 20_000,
                 () ->
-                        commandUntilAnswered(
-                                cluster, "/ops/classes/apply", json(CLASSES_COMMAND), answers));
-        cluster.clock.schedule(
+                        OperatorCommands.commandUntilAnswered(
+                                cluster,
+                                "/ops/classes/apply",
+                                OperatorCommands.json(CLASSES_COMMAND),
+                                answers));
+        cluster.after(
                 30_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                json("{'change':'c2','classes':[{'name':'other','rank':5}]}"),
+                                OperatorCommands.json(
+                                        "{'change':'c2','classes':[{'name':'other','rank':5}]}"),
                                 answers));
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         assertEquals(2, cluster.store.value("a/oc/head").path("rules").asLong());
         ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
@@ -514,12 +388,12 @@
                 1_000,
                 (status, body, retryAfterSeconds) -> assertEquals(200, status));
         // Only those that start now read it anew.
-        cluster.clock.schedule(1_000, () -> FaultInjector.crashController(cluster, 3, 100));
-        cluster.clock.runUntil(60_000);
+        cluster.faults.crashAfter(1_000, 3, 100);
+        cluster.runUntil(60_000);
         JsonNode head = cluster.store.value("a/oc/head");
         assertEquals(1, head.path("rules").asLong(), "" + head);
         assertEquals(2, head.path("refused").asLong(), "" + head);
-        cluster.clock.runUntil(600_000);
+        cluster.runUntil(600_000);
         assertEquals(Set.of(), cluster.violations());
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
@@ -529,36 +403,31 @@
     void topRankedClassStarvesNobody() {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        31,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small", 8, 0, 32, 0.4, 0.15, 5, List.of("a", "b"), 5)),
-                        5);
-        cluster.teams.put("red", new Settings.Team("red", 0, 400, 0, 0));
-        cluster.teams.put("blue", new Settings.Team("blue", 0, 400, 0, 0));
+                        31, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 5)), 5);
+        cluster.setTeam("red", 0, 400);
+        cluster.setTeam("blue", 0, 400);
         cluster.start();
-        cluster.clock.schedule(
+        cluster.after(
                 6_000,
                 () ->
-                        commandUntilAnswered(
+                        OperatorCommands.commandUntilAnswered(
                                 cluster,
                                 "/ops/classes/apply",
-                                json(
-                                        "{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}"),
-                                new HashMap<>()));
+                                OperatorCommands.json(
+                                        "{'change':'c1','classes':[{'name':'flood','rank':0,'match':{'owner':'red'}}]}")));
         int id = 0;
         for (int second = 10; second < 400; second += 2) {
             JobSpec job = JobFixtures.array(++id, "red", JobSpec.Priority.NORMAL, 8, 1, 10);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
         for (int second = 20; second < 160; second += 20) {
             JobSpec job = JobFixtures.array(++id, "blue", JobSpec.Priority.NORMAL, 6, 1, 10);
-            cluster.clock.schedule(second * 1000L, () -> cluster.submit(job));
+            cluster.submitAfter(second * 1000L, job);
         }
-        cluster.clock.runUntil(401_000);
+        cluster.runUntil(401_000);
         for (int i = id; i > id - 7; i--) {
             long startDelayMillis =
-                    cluster.serviceLevels().firstStartDelayMillis(String.format("wk-%06d", i));
+                    cluster.serviceLevels().firstStartDelayMillis(JobFixtures.id(i));
             assertTrue(
                     startDelayMillis >= 0 && startDelayMillis < 240_000,
                     i + " began after " + startDelayMillis);
@@ -569,7 +438,7 @@
     @Test
     void nothingIsWrittenWithoutRecords() {
         SimulatedCluster cluster = morningCluster(41, false);
-        cluster.clock.runUntil(400_000);
+        cluster.runUntil(400_000);
         assertTrue(
                 cluster.store.keys().stream()
                         .noneMatch(key -> key.startsWith("a/o") || key.startsWith("z/oe")),
@@ -584,7 +453,7 @@
     @Test
     void refusedCommandsAndDryRunsChangeNothing() {
         SimulatedCluster cluster = morningCluster(51, false);
-        cluster.clock.runUntil(40_000);
+        cluster.runUntil(40_000);
         Map<String, Integer> statuses = new HashMap<>();
         Map<String, ObjectNode> responses = new HashMap<>();
         Map<String, String> commands =
@@ -604,18 +473,18 @@
                         cluster.sendOperatorCommand(
                                 1,
                                 path,
-                                json(body),
+                                OperatorCommands.json(body),
                                 (responseStatus, response) -> {
                                     statuses.put(path, responseStatus);
                                     responses.put(path, response);
                                 }));
-        ObjectNode dryRun = json(CLASSES_COMMAND).put("dryRun", true);
+        ObjectNode dryRun = OperatorCommands.json(CLASSES_COMMAND).put("dryRun", true);
         cluster.sendOperatorCommand(
                 2,
                 "/ops/classes/apply",
                 dryRun,
                 (responseStatus, response) -> responses.put("dry", response));
-        cluster.clock.runUntil(41_000);
+        cluster.runUntil(41_000);
         assertEquals(
                 Map.of(
                         "/ops/classes/apply",
@@ -647,142 +516,6 @@
     // the rest of the team stood still.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
-        assertEquals("", playRandomScenario(seed).problems());
-    }
-
-    /** Plays a random day; what is wrong with it, in words. */
-    static ScenarioRunner.ScenarioResult playRandomScenario(long seed) {
-        SimulatedCluster cluster =
-                new SimulatedCluster(
-                        seed,
-                        List.of(
-                                new SimulatedCloud.MachineType(
-                                        "small",
-                                        8,
-                                        0,
-                                        32,
-                                        0.4,
-                                        0.15,
-                                        5,
-                                        List.of("a", "b", "c"),
-                                        12),
-                                new SimulatedCloud.MachineType(
-                                        "big", 16, 4, 64, 1.0, 0.4, 8, List.of("a", "b"), 4)),
-                        5);
-        cluster.network.responseLossRate = 0.003;
-        cluster.network.duplicationRate = 0.01;
-        cluster.start();
-        Map<String, String> knownRanks = new HashMap<>();
-        int[] compared = {0};
-        for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.clock.random);
-            long atMillis = 3_000 + cluster.clock.random.nextLong(120_000);
-            cluster.clock.schedule(atMillis, () -> cluster.submit(job));
-            if (job.isService() || cluster.clock.random.nextInt(6) == 0) {
-                cluster.clock.schedule(
-                        atMillis
-                                + (job.isService()
-                                        ? 40_000
-                                        : cluster.clock.random.nextLong(30_000)),
-                        () -> cluster.cancel(job.jobId()));
-            }
-        }
-        int entryCount = 3;
-        for (int i = 0; i < entryCount; i++) {
-            String name = "e" + i;
-            ObjectNode addCommand =
-                    calendarEntry(
-                            name,
-                            70_000 + cluster.clock.random.nextLong(120_000),
-                            20 + cluster.clock.random.nextInt(60),
-                            cluster.clock.random.nextBoolean()
-                                    ? "{'owner':'red'}"
-                                    : "{'urgency':'normal'},{'mode':'ensemble'}");
-            cluster.clock.schedule(
-                    5_000 + cluster.clock.random.nextLong(15_000),
-                    () ->
-                            commandUntilAnswered(
-                                    cluster, "/ops/calendar/add", addCommand, new HashMap<>()));
-        }
-        for (int i = 0; i < 4; i++) {
-            ObjectNode applyCommand =
-                    json(
-                            "{'change':'c"
-                                    + i
-                                    + "','classes':[{'name':'one','rank':"
-                                    + cluster.clock.random.nextInt(1000)
-                                    + ",'match':{'owner':'"
-                                    + (cluster.clock.random.nextBoolean() ? "red" : "blue")
-                                    + "'}},"
-                                    + "{'name':'two','rank':"
-                                    + cluster.clock.random.nextInt(1000)
-                                    + ",'match':{'urgency':'"
-                                    + (cluster.clock.random.nextBoolean()
-                                            ? "normal"
-                                            : "best_effort")
-                                    + "'},'keep':'"
-                                    + List.of("protocol", "urgent", "never")
-                                            .get(cluster.clock.random.nextInt(3))
-                                    + "'}]}");
-            cluster.clock.schedule(
-                    10_000 + cluster.clock.random.nextLong(150_000),
-                    () ->
-                            commandUntilAnswered(
-                                    cluster, "/ops/classes/apply", applyCommand, new HashMap<>()));
-        }
-        for (int i = 0; i < 8; i++) {
-            boolean quick = cluster.clock.random.nextBoolean();
-            cluster.clock.schedule(
-                    8_000 + cluster.clock.random.nextLong(170_000),
-                    () -> {
-                        if (quick) {
-                            FaultInjector.injectRandomQuickRestart(cluster);
-                        } else {
-                            FaultInjector.injectRandomFault(cluster);
-                        }
-                    });
-        }
-        for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
-            cluster.clock.schedule(
-                    checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
-        }
-        cluster.clock.schedule(
-                200_000,
-                () -> {
-                    cluster.network.responseLossRate = 0;
-                    cluster.network.duplicationRate = 0;
-                });
-        cluster.expectFaultsUntil(385_000);
-        cluster.clock.runUntil(600_000);
-        List<String> problems = new ArrayList<>(cluster.violations());
-        cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        // Troubles go on for 200 s, and teams are small: low work at its team's limit waits behind
-        // the team's production and high work.
-        problems.addAll(cluster.serviceLevels().starved(300_000));
-        cluster.store.ledgerWrites.forEach(
-                (key, count) -> {
-                    if (count != 1) {
-                        problems.add(key + " written " + count + " times");
-                    }
-                });
-        for (int i = 0; i < entryCount; i++) {
-            JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + DATE);
-            if (ledgerRecord == null) {
-                problems.add(
-                        "e"
-                                + i
-                                + " is not in the ledger: "
-                                + cluster.store.value("a/ok/o/e" + i + "/" + DATE));
-            } else if (ledgerRecord.path("n").asInt()
-                    != ledgerRecord.path("done").asInt()
-                            + ledgerRecord.path("cancelled").asInt()
-                            + ledgerRecord.path("unfinished").asInt()) {
-                problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
-            }
-        }
-        if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
-            problems.add("classes " + cluster.store.value("a/oc/head"));
-        }
-        return new ScenarioRunner.ScenarioResult(cluster, String.join("; ", problems));
+        assertEquals("", RandomScenarios.playOperatorRecords(seed).problems());
     }
 }
