--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -151,7 +151,8 @@
             scaleInController.returnExcess(
                     readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
         }
-        // While machines on no record report here, nothing is rented: they may be what is missing.
+        // While heartbeats of machines on no record arrive here, nothing is rented: they may be
+        // what is missing.
         if (!committer.isBusy() && !leaderStore.leader().hasUnregisteredMachines()) {
             Map<InstanceOffering, Integer> purchases =
                     scaleOutPlanner.planScaleOut(demand, capacity);
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Whether machines that are on no record report here: until they are registered, nothing should
-     * be provisioned.
+     * Whether heartbeats of machines that are on no record arrive here: until they are registered,
+     * nothing should be provisioned.
      */
     public boolean hasUnregisteredMachines() {
         return shardAssigner.hasUnregisteredMachines();
--- a/src/main/java/io/quincelead/leadership/ShardAssigner.java
+++ b/src/main/java/io/quincelead/leadership/ShardAssigner.java
@@ -87,7 +87,7 @@
                 && watchCache.storeRevision() >= watchCache.modRevision(StoreKeys.LEADER);
     }
 
-    /** Whether workers of machines that are on no record report here. */
+    /** Whether heartbeats of machines that are on no record arrive here. */
     boolean hasUnregisteredMachines() {
         return misroutedWorkers.keySet().stream().anyMatch(host -> machines.get(host) == null);
     }
@@ -148,9 +148,9 @@
     }
 
     /**
-     * Moves a machine to the member its worker reports to, unless its owner changed since: a worker
-     * that was redirected just before its machine was assigned finds its owner by itself, and a
-     * report about an earlier fencing token is out of date.
+     * Moves a machine to the member that gets its worker's heartbeats, unless its owner changed
+     * since: a worker that was redirected just before its machine was assigned finds its owner by
+     * itself, and a notice about an earlier fencing token is out of date.
      */
     private void moveToReachableMember(ShardUpdate update, MisroutedWorker worker, String owner) {
         String host = worker.host();
--- a/src/main/java/io/quincelead/scheduler/CandidateFinder.java
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -118,8 +118,8 @@
                 spec.isService()
                         ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS
                         : Math.max(spec.runtimeSeconds(), 1);
-        // Where workers report seldom, which of them can be told soon matters as well to work that
-        // should start at once.
+        // Where heartbeats are rare, which workers can be sent a start soon matters as well to work
+        // that should start at once.
         return clockFactor * runSeconds / (runSeconds + pullSeconds + waitSeconds);
     }
 }
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -305,7 +305,7 @@
         try {
             return makePlan(writeBudget, admitted);
         } catch (RuntimeException failure) {
-            // Any defect, and it goes on as it is; but it must not end all cycles: this one is
+            // Any defect is rethrown as it is; but it must not end all cycles: this one is
             // abandoned, and the next event finds the cycle idle.
             transitionTo(Phase.IDLE);
             enteringJobs.respond(
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkers.java
@@ -21,7 +21,8 @@
  */
 final class MisroutedWorkers {
     /**
-     * Since when a machine has been reporting here though it is granted elsewhere under this token.
+     * Since when a machine's heartbeats have arrived here though it is granted elsewhere under this
+     * token.
      */
     private record Sighting(long fencingToken, long sinceMillis) {}
 
