--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -270,7 +270,7 @@
             }
 
             @Override
-            public long term() {
+            public long fencingToken() {
                 return membership.leaderRecord() == null
                         ? 0
                         : membership.leaderRecord().fencingToken();
--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -91,16 +91,16 @@
     /**
      * Releases machines.
      *
-     * @param onAnswer gets true when the cloud has confirmed that all of them are gone; false says
+     * @param onResponse gets true when the cloud has confirmed that all of them are gone; false says
      *     nothing
      */
-    void release(List<String> hosts, Consumer<Boolean> onAnswer) {
+    void release(List<String> hosts, Consumer<Boolean> onResponse) {
         call(
                 "POST",
                 "/rentals/release",
                 CloudCodec.encodeRelease(hosts),
                 true,
-                (status, body) -> onAnswer.accept(status == 200));
+                (status, body) -> onResponse.accept(status == 200));
     }
 
     private void call(
--- a/src/main/java/io/quincelead/policy/CalendarReconciler.java
+++ b/src/main/java/io/quincelead/policy/CalendarReconciler.java
@@ -115,7 +115,7 @@
             ScheduledOccurrence occurrence = ScheduledOccurrence.planned(entry, publication);
             if (!records.occurrences().containsKey(occurrence.key())
                     && !knownLedgerKeys.contains(occurrence.ledgerKey())) {
-                occurrence.addLeaderTerm(leadership.term());
+                occurrence.addLeaderToken(leadership.fencingToken());
                 String entryKey = StoreKeys.CALENDAR_ENTRY_PREFIX + entry.name();
                 return leadership
                         .newTransaction()
@@ -244,7 +244,7 @@
             ScheduledOccurrence occurrence,
             boolean priorityChanged,
             List<String> countedCompletions) {
-        occurrence.addLeaderTerm(leadership.term());
+        occurrence.addLeaderToken(leadership.fencingToken());
         Transaction txn =
                 newOccurrenceTransaction(occurrence)
                         .put(occurrence.storeKey(), OccurrenceCodec.encode(occurrence));
@@ -259,7 +259,7 @@
      * with its peak, in one transaction.
      */
     private Transaction close(ScheduledOccurrence occurrence, List<String> countedCompletions) {
-        occurrence.addLeaderTerm(leadership.term());
+        occurrence.addLeaderToken(leadership.fencingToken());
         String historyKey = StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName;
         boolean skipped = occurrence.state() == ScheduledOccurrence.State.SKIPPED;
         // The ledger keeps the verdict, so its record is made before the last transition.
--- a/src/main/java/io/quincelead/policy/OccurrenceCodec.java
+++ b/src/main/java/io/quincelead/policy/OccurrenceCodec.java
@@ -43,8 +43,8 @@
                         selectors);
         List<String> openJobIds = new ArrayList<>();
         node.path("ids").forEach(id -> openJobIds.add(id.asText()));
-        List<Long> leaderTerms = new ArrayList<>();
-        node.path("leaders").forEach(term -> leaderTerms.add(term.asLong()));
+        List<Long> leaderTokens = new ArrayList<>();
+        node.path("leaders").forEach(token -> leaderTokens.add(token.asLong()));
         occurrence.restore(
                 new OccurrenceCounts(
                         node.path("n").asInt(),
@@ -53,7 +53,7 @@
                         node.path("last").asLong(),
                         node.path("peak").asDouble()),
                 openJobIds,
-                leaderTerms);
+                leaderTokens);
         return occurrence;
     }
 
@@ -83,8 +83,8 @@
                         .put("cancelled", counts.cancelled())
                         .put("last", counts.lastDoneMillis())
                         .put("peak", counts.peakCpus());
-        ArrayNode termNodes = node.putArray("leaders");
-        occurrence.leaderTerms().forEach(termNodes::add);
+        ArrayNode tokenNodes = node.putArray("leaders");
+        occurrence.leaderTokens().forEach(tokenNodes::add);
         return node;
     }
 
--- a/src/main/java/io/quincelead/policy/PolicyReconciler.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -25,7 +25,7 @@
         Transaction newTransaction();
 
         /** The leader's fencing token; 0: there is no leader. */
-        long term();
+        long fencingToken();
 
         /** Ids of the controllers that are members now. */
         Collection<String> activeMemberIds();
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -56,7 +56,7 @@
     private final Set<String> openJobIds = new LinkedHashSet<>();
     private final Set<String> openJobIdsView = Collections.unmodifiableSet(openJobIds);
     private OccurrenceCounts counts = OccurrenceCounts.NONE;
-    private final Set<Long> leaderTerms = new LinkedHashSet<>();
+    private final Set<Long> leaderTokens = new LinkedHashSet<>();
 
     ScheduledOccurrence(
             String entryName,
@@ -97,7 +97,7 @@
                         opensAtMillis,
                         graceSeconds,
                         selectors);
-        copy.restore(counts, openJobIds, leaderTerms);
+        copy.restore(counts, openJobIds, leaderTokens);
         return copy;
     }
 
@@ -105,7 +105,7 @@
     void restore(OccurrenceCounts counted, Collection<String> openJobs, Collection<Long> terms) {
         counts = counted;
         openJobIds.addAll(openJobs);
-        leaderTerms.addAll(terms);
+        leaderTokens.addAll(terms);
     }
 
     /** The occurrence's state. */
@@ -188,8 +188,8 @@
     }
 
     /** Fencing tokens of the leaders that have written it. */
-    Set<Long> leaderTerms() {
-        return Collections.unmodifiableSet(leaderTerms);
+    Set<Long> leaderTokens() {
+        return Collections.unmodifiableSet(leaderTokens);
     }
 
     /**
@@ -220,8 +220,8 @@
         opensAtMillis = entry.opensAtMillis(publicationMillis);
     }
 
-    void addLeaderTerm(long term) {
-        leaderTerms.add(term);
+    void addLeaderToken(long fencingToken) {
+        leaderTokens.add(fencingToken);
     }
 
     void addOpenJob(String jobId) {
--- a/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
@@ -15,12 +15,12 @@
  */
 final class EscalationPolicy {
     /** A machine of another shard that had free capacity for a job at each scan since then. */
-    private record LastingRoom(String host, long sinceMillis) {}
+    private record LastingCapacity(String host, long sinceMillis) {}
 
     private final EventLoop loop;
     private final CapacityReader capacityReader;
     private final Map<Job, Long> stuckSinceMillis = new HashMap<>();
-    private final Map<Job, LastingRoom> lastingRoomByJob = new HashMap<>();
+    private final Map<Job, LastingCapacity> lastingCapacityByJob = new HashMap<>();
 
     /** When other shards' free capacity may be scanned again. */
     private long nextScanMillis;
@@ -33,7 +33,7 @@
     /** No job waits: none is stuck. */
     void clear() {
         stuckSinceMillis.clear();
-        lastingRoomByJob.clear();
+        lastingCapacityByJob.clear();
     }
 
     Decisions decisionsFor(SchedulingPlan plan) {
@@ -74,7 +74,7 @@
         /** Jobs that are no longer stuck start anew when they are again. */
         void forgetPlacedJobs() {
             stuckSinceMillis.keySet().retainAll(stuckJobs);
-            lastingRoomByJob.keySet().retainAll(stuckJobs);
+            lastingCapacityByJob.keySet().retainAll(stuckJobs);
         }
 
         /**
@@ -103,7 +103,7 @@
             }
             nextScanMillis =
                     loop.nowMillis() + SchedulerConstants.OTHER_SHARDS_CHECK_INTERVAL_MILLIS;
-            return hasRoomElsewhere(job);
+            return hasCapacityElsewhere(job);
         }
 
         /**
@@ -122,16 +122,16 @@
             return loop.nowMillis() - sinceMillis;
         }
 
-        private boolean hasRoomElsewhere(Job job) {
+        private boolean hasCapacityElsewhere(Job job) {
             JobSpec spec = job.spec;
             int minTasks = Math.min(job.pendingTaskCount(), SchedulerConstants.MIN_ESCALATED_TASKS);
-            if (isKnownToLackRoom(spec, minTasks)) {
+            if (isKnownToLackCapacity(spec, minTasks)) {
                 return false;
             }
             int tasksElsewhere = 0;
-            String hostWithRoom = null;
-            boolean roomLasts = false;
-            LastingRoom previous = lastingRoomByJob.get(job);
+            String hostWithCapacity = null;
+            boolean capacityLasts = false;
+            LastingCapacity previous = lastingCapacityByJob.get(job);
             for (MachinePool pool : otherPools().values()) {
                 for (FreeCapacity machine : pool.machinesIf(pool.allows(spec))) {
                     int capacity = machine.taskCapacity(spec);
@@ -139,21 +139,22 @@
                     if (tasksElsewhere >= minTasks) {
                         return true;
                     }
-                    hostWithRoom = capacity > 0 ? machine.host : hostWithRoom;
-                    roomLasts |=
+                    hostWithCapacity = capacity > 0 ? machine.host : hostWithCapacity;
+                    capacityLasts |=
                             capacity > 0 && previous != null && previous.host.equals(machine.host);
                 }
             }
             tasksFound.put(spec, tasksElsewhere);
-            if (hostWithRoom == null) {
-                lastingRoomByJob.remove(job);
-            } else if (!roomLasts) {
-                lastingRoomByJob.put(job, new LastingRoom(hostWithRoom, loop.nowMillis()));
+            if (hostWithCapacity == null) {
+                lastingCapacityByJob.remove(job);
+            } else if (!capacityLasts) {
+                lastingCapacityByJob.put(
+                        job, new LastingCapacity(hostWithCapacity, loop.nowMillis()));
             }
-            return roomLasts && claimLastingRoom(spec, previous);
+            return capacityLasts && claimLastingCapacity(spec, previous);
         }
 
-        private boolean isKnownToLackRoom(JobSpec spec, int minTasks) {
+        private boolean isKnownToLackCapacity(JobSpec spec, int minTasks) {
             for (Map.Entry<JobSpec, Integer> entry : tasksFound.entrySet()) {
                 if (entry.getValue() < minTasks
                         && UnsatisfiableDemands.isAtLeastAsDemanding(spec, entry.getKey())) {
@@ -167,17 +168,17 @@
          * Free capacity for one job serves one: all that wait here would otherwise go to the leader
          * for it. What best-effort work leaves to urgent arrivals lasts, too, and isn't for it.
          */
-        private boolean claimLastingRoom(JobSpec spec, LastingRoom room) {
+        private boolean claimLastingCapacity(JobSpec spec, LastingCapacity capacity) {
             boolean leavesReserve =
                     spec.priority() == JobSpec.Priority.BEST_EFFORT
                             && spec.isUnconstrained()
                             && plan.reservedCpus > 0;
             if (leavesReserve
-                    || loop.nowMillis() - room.sinceMillis
+                    || loop.nowMillis() - capacity.sinceMillis
                             < SchedulerConstants.ESCALATE_TO_LASTING_CAPACITY_AFTER_MILLIS) {
                 return false;
             }
-            lastingRoomByJob.clear();
+            lastingCapacityByJob.clear();
             return true;
         }
 
--- a/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
+++ b/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
@@ -63,14 +63,14 @@
                         .put("controller", job.controllerId())
                         .put("waitsFor", explanation.waitsFor());
         ArrayNode ahead = response.putArray("ahead");
-        for (QueueOrder.RankedJob ranked : explanation.firstAhead()) {
+        for (QueueOrder.RankedJob ranked : explanation.firstJobsAhead()) {
             ahead.addObject()
                     .put("job", ranked.job().spec.jobId())
                     .put("tier", QueueExplainer.tierName(ranked))
                     .put("rank", ranked.effectivePriority().rank())
                     .put("waiting", ranked.job().waitingTaskCount());
         }
-        return response.put("jobsAhead", explanation.placesAhead());
+        return response.put("jobsAhead", explanation.jobsAheadCount());
     }
 
     private static String className(EffectivePriority priority) {
--- a/src/main/java/io/quincelead/scheduler/JobExplanation.java
+++ b/src/main/java/io/quincelead/scheduler/JobExplanation.java
@@ -15,8 +15,8 @@
  * @param ageSeconds since it was accepted
  * @param entitledTasks that should have started by now
  * @param waitsFor what it waits for; "nothing" if no task waits
- * @param firstAhead the first positions before its own
- * @param placesAhead how many positions are before its own; 0 if no task waits
+ * @param firstJobsAhead the first positions before its own
+ * @param jobsAheadCount how many positions are before its own; 0 if no task waits
  */
 record JobExplanation(
         QueueOrder.RankedJob ownRank,
@@ -28,5 +28,5 @@
         double ageSeconds,
         int entitledTasks,
         String waitsFor,
-        List<QueueOrder.RankedJob> firstAhead,
-        int placesAhead) {}
+        List<QueueOrder.RankedJob> firstJobsAhead,
+        int jobsAheadCount) {}
--- a/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
@@ -21,7 +21,7 @@
     private final List<JobSpec> demandsAtLeader = new ArrayList<>();
 
     /** Since when there has been free capacity here for a job that waits at the leader. */
-    private final Map<Job, Long> roomSinceMillis = new HashMap<>();
+    private final Map<Job, Long> capacitySinceMillis = new HashMap<>();
 
     LeaderPrecedence(EventLoop loop, ClusterView cluster) {
         this.loop = loop;
@@ -58,17 +58,17 @@
      * the free capacity within {@link SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it;
      * waiting longer would idle the shard.
      */
-    void leaveRoomToLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
-        roomSinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
+    void reserveCapacityForLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
+        capacitySinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
         UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
         for (Job job : jobsAtLeader) {
             JobSpec spec = job.spec;
-            boolean hasRoom = !unsatisfiable.covers(spec) && hasRoomFor(plan, spec);
-            if (!hasRoom) {
+            boolean hasCapacity = !unsatisfiable.covers(spec) && hasCapacityFor(plan, spec);
+            if (!hasCapacity) {
                 unsatisfiable.add(spec);
-                roomSinceMillis.remove(job);
+                capacitySinceMillis.remove(job);
             } else if (loop.nowMillis()
-                            - roomSinceMillis.computeIfAbsent(job, j -> loop.nowMillis())
+                            - capacitySinceMillis.computeIfAbsent(job, j -> loop.nowMillis())
                     > SchedulerConstants.LEADER_PRECEDENCE_MILLIS) {
                 continue;
             }
@@ -80,7 +80,7 @@
         }
     }
 
-    private static boolean hasRoomFor(SchedulingPlan plan, JobSpec spec) {
+    private static boolean hasCapacityFor(SchedulingPlan plan, JobSpec spec) {
         for (MachinePool pool : plan.pools.values()) {
             for (FreeCapacity machine : pool.machinesIf(pool.allows(spec))) {
                 if (machine.hasFreeCapacity() && machine.taskCapacity(spec) > 0) {
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -74,7 +74,7 @@
      * @param zoneAllowed zones where the job may have more tasks
      * @return how many tasks will find no free capacity all the same
      */
-    int makeRoom(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
+    int freeCapacityFor(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
         JobSpec spec = ranked.job().spec;
         int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
         if (needed <= 0
--- a/src/main/java/io/quincelead/scheduler/QueuePass.java
+++ b/src/main/java/io/quincelead/scheduler/QueuePass.java
@@ -103,7 +103,7 @@
                                 .expectedUrgentCpus(SchedulerConstants.CONSTRAINED_RESERVE_SECONDS)
                         / (plan.leading ? 1 : Math.max(1, cluster.shards().shards().size()));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(cluster.jobs().jobsOldestFirst());
-        leaderPrecedence.leaveRoomToLeader(plan, jobsAtLeader);
+        leaderPrecedence.reserveCapacityForLeader(plan, jobsAtLeader);
         walkQueue(plan, candidates, terminations);
     }
 
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -139,7 +139,7 @@
         starvingRecords += !alreadyInPlan && plan.containsRecordOf(job) ? 1 : 0;
         placer.reserveMachines(ranked, stillUnplaced);
         quotaSaving.saveFor(ranked, stillUnplaced);
-        preemption.makeRoom(ranked, stillUnplaced, placer.allowedZones(job));
+        preemption.freeCapacityFor(ranked, stillUnplaced, placer.allowedZones(job));
     }
 
     private void helpUnplaced(QueueOrder.RankedJob ranked, int unplaced) {
@@ -153,12 +153,13 @@
             // too little for a gang.
             quotaSaving.saveFor(ranked, unplaced);
         }
-        int withoutRoom = preemption.makeRoom(ranked, unplaced, placer.allowedZones(job));
+        int withoutCapacity =
+                preemption.freeCapacityFor(ranked, unplaced, placer.allowedZones(job));
         // What is kept for others' GPUs serves work that nothing else has served for long: empty,
         // it would serve nobody.
         boolean unservedTooLong = conditions.gpusInDemand && unservedJobs.isUnservedTooLong(job);
         int stillUnplaced = unplaced;
-        if (withoutRoom > 0
+        if (withoutCapacity > 0
                 && (ranked.priority() == JobSpec.Priority.PRODUCTION.ordinal()
                         || waitedLong
                         || unservedTooLong)) {
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -41,10 +41,10 @@
      * somebody else waits for it: the task's next start, another controller, or the leader for the
      * capacity it frees.
      *
-     * @param leaderCouldUseRoom whether work that waits at the leader could go to the machine
+     * @param leaderCouldUseCapacity whether work that waits at the leader could go to the machine
      * @return whether it should be recorded at once
      */
-    boolean add(Placement placement, boolean leaderCouldUseRoom) {
+    boolean add(Placement placement, boolean leaderCouldUseCapacity) {
         Job job = placement.job;
         boolean ownJob = job.controllerId().equals(memberId);
         boolean gone = placement.phase() == Placement.Phase.GONE;
@@ -58,7 +58,7 @@
         boolean urgent = gone && !canWait || job.spec.isGang() || job.isCancelled();
         int pageIndex = placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE;
         boolean awaitedElsewhere =
-                leaderCouldUseRoom
+                leaderCouldUseCapacity
                         || !ownJob
                                 && job.page(pageIndex).placements.stream()
                                         .allMatch(Placement::isTerminated);
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -54,12 +54,12 @@
      * When its last heartbeat came or, before any, its first response to a command: a machine that
      * only responds gets no start and reaches nobody.
      */
-    long lastHeardAtMillis;
+    long lastContactAtMillis;
 
     long lastHeartbeatAtMillis;
 
     /** Whether anything came from it under this token: before, it may still be booting. */
-    boolean everHeard;
+    boolean everContacted;
 
     long lastClaimAtMillis;
     double reclaimNoticeSeconds = -1;
@@ -82,7 +82,7 @@
     Map<String, Heartbeat.ReportedAttempt> reportedTasks = Map.of();
     IncomingRequest deferredRequest;
     long deferredUntilMillis;
-    boolean heldForFutureStart;
+    boolean deferredForFutureStart;
 
     /**
      * A machine that has just been granted.
@@ -105,7 +105,7 @@
         this.host = host;
         this.fencingToken = fencingToken;
         this.grantRevision = grantRevision;
-        this.lastHeardAtMillis = loop.nowMillis();
+        this.lastContactAtMillis = loop.nowMillis();
     }
 
     Phase phase() {
@@ -155,7 +155,7 @@
      */
     boolean isHeartbeatOverdue() {
         return phase == Phase.FENCED
-                && loop.nowMillis() - lastHeardAtMillis > silenceTimeoutMillis / 2;
+                && loop.nowMillis() - lastContactAtMillis > silenceTimeoutMillis / 2;
     }
 
     /** It has carried out a direct command. */
@@ -183,7 +183,7 @@
                 && reclaimNoticeSeconds < 0
                 && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES
                 && loop.nowMillis() >= fullUntilMillis
-                && loop.nowMillis() - lastHeardAtMillis < silenceTimeoutMillis / 2;
+                && loop.nowMillis() - lastContactAtMillis < silenceTimeoutMillis / 2;
     }
 
     /** Seconds until a start can be sent to it; 0 while a heartbeat response is deferred. */
@@ -210,6 +210,6 @@
 
     /** Whether nothing shows that it ever came up: no message, no placement. */
     public boolean isBooting() {
-        return !everHeard && jobs.placementsOn(host).isEmpty();
+        return !everContacted && jobs.placementsOn(host).isEmpty();
     }
 }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -45,11 +45,11 @@
             worker.heartbeatAgentEpoch = agentEpoch;
             worker.heartbeatSerial = serial;
         }
-        worker.lastHeardAtMillis =
-                isHeartbeatRequest || !worker.everHeard
+        worker.lastContactAtMillis =
+                isHeartbeatRequest || !worker.everContacted
                         ? loop.nowMillis()
-                        : worker.lastHeardAtMillis;
-        worker.everHeard = true;
+                        : worker.lastContactAtMillis;
+        worker.everContacted = true;
         if (heartbeat.reclaimNoticeSeconds >= 0) {
             if (worker.reclaimNoticeSeconds < 0) {
                 LOG.info(
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -76,9 +76,9 @@
             long silenceMillis =
                     now
                             - (zoneUnreachable
-                                    ? worker.lastHeardAtMillis
+                                    ? worker.lastContactAtMillis
                                     : Math.max(
-                                            worker.lastHeardAtMillis,
+                                            worker.lastContactAtMillis,
                                             zoneUnreachableAtMillis.getOrDefault(
                                                     zoneOf(worker), Long.MIN_VALUE)));
             if (worker.isBooting()) {
@@ -132,8 +132,8 @@
                 int[] counts = countsByZone.computeIfAbsent(zoneOf(worker), zone -> new int[2]);
                 counts[0]++;
                 counts[1] +=
-                        worker.everHeard
-                                        && worker.lastHeardAtMillis >= heardSinceMillis
+                        worker.everContacted
+                                        && worker.lastContactAtMillis >= heardSinceMillis
                                         && !worker.isUnreachableInboundFor(
                                                 loop.nowMillis() - heardSinceMillis)
                                 ? 1
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -240,25 +240,25 @@
             // next heartbeat.
             request.closeConnectionAfterResponse();
         }
-        boolean holdOpen =
+        boolean defer =
                 fresh
                         && worker.isSchedulable()
                         && store.lease().isValid()
                         && !request.isNearConnectionLimit();
-        worker.heldForFutureStart = holdOpen;
+        worker.deferredForFutureStart = defer;
         worker.deferredUntilMillis =
                 now
                         + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit()
                                 ? WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS
                                 : 0);
-        if (holdOpen) {
+        if (defer) {
             worker.deferredUntilMillis =
                     Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
         }
         if (worker.deferredUntilMillis <= now || workerCommands.hasCommands(worker)) {
             sendDeferredResponse(worker);
         } else {
-            if (!holdOpen) {
+            if (!defer) {
                 awaitingCycle.add(worker);
             }
             deferredResponses.schedule(worker, request);
@@ -309,7 +309,10 @@
         changedHosts.clear();
         if (!callbacks.isCyclePending()) {
             awaitingCycle.stream()
-                    .filter(worker -> worker.deferredRequest != null && !worker.heldForFutureStart)
+                    .filter(
+                            worker ->
+                                    worker.deferredRequest != null
+                                            && !worker.deferredForFutureStart)
                     .forEach(this::sendDeferredResponse);
             awaitingCycle.clear();
         }
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -126,7 +126,7 @@
                         jobs.loadOf("i-1")));
 
         new Preemption(loop, settings, jobs, plan, false, policy)
-                .makeRoom(
+                .freeCapacityFor(
                         new QueueOrder.RankedJob(
                                 jobs.get("wk-000002"),
                                 JobSpec.Priority.HIGH.ordinal(),
