--- a/src/test/java/io/quincelead/app/PackageDependencyTest.java
+++ b/src/test/java/io/quincelead/app/PackageDependencyTest.java
@@ -11,7 +11,7 @@
 
 /**
  * The direction of dependencies, and who may touch sockets, threads and the system's clock: see the
- * picture in docs/design.md.
+ * table in docs/architecture.md.
  */
 class PackageDependencyTest {
     /** Each may use those before it, none those behind it. */
