--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -179,6 +179,14 @@
     }
 
     private static void operators(SimulatedCluster cluster) {
+        applyPriorityClasses(cluster);
+        addCalendarEntries(cluster);
+        changeCalendar(cluster);
+        askForOverviews(cluster);
+    }
+
+    /** Changes of the priority classes, one of them by a later version; then its reader ends. */
+    private static void applyPriorityClasses(SimulatedCluster cluster) {
         String classes =
                 "[{'name':'storm','description':'first','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent','passes':'normal','beginWithinS':60,'leastShare':0.25},"
                     + "{'name':'models','rank':20,'match':{'mode':'standing'},'zonePatienceS':25,'zoneSpare':0.5},{'name':'rest','rank':800,'match':{'jobClass':'slow'},'keep':'never'}]";
@@ -213,6 +221,9 @@
                                 "t",
                                 "{\"classes\":[{\"name\":\"x\",\"rank\":1,\"fromTheFuture\":true}]}"));
         cluster.faults.crashAfter(34_000, 2, 100);
+    }
+
+    private static void addCalendarEntries(SimulatedCluster cluster) {
         put(
                 cluster,
                 9_000,
@@ -253,6 +264,9 @@
                 "/ops/calendar/add",
                 "{'change':'y1','entry':{'name':'yearly','time':'06:30','zone':'America/Toronto','dates':['2027-01-31','--02-29'],'covers':[{'owner':'red'}],"
                     + "'skipped':['2027-01-31'],'moved':{'2028-02-29':'07:15'}}}");
+    }
+
+    private static void changeCalendar(SimulatedCluster cluster) {
         String date =
                 java.time.Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS)
                         .toString()
@@ -280,6 +294,10 @@
                 "/ops/calendar/skip",
                 "{'change':'s1','name':'noon','date':'" + date + "'}");
         ask(cluster, 460_000, 1, "/ops/calendar/remove", "{'change':'r1','name':'yearly'}");
+    }
+
+    /** Every question operators have, to each controller in turn. */
+    private static void askForOverviews(SimulatedCluster cluster) {
         for (int t = 15; t < 500; t += 23) {
             int c = t % 3;
             for (String path :
@@ -295,28 +313,41 @@
             }
             ask(cluster, t * 1000L, c, "/ops/calendar/ledger", "{'name':'morning'}");
             ask(cluster, t * 1000L, c, "/ops/zones/plan", "{'lost':['a']}");
-            cluster.after(
-                    t * 1000L,
-                    () ->
-                            cluster.acceptedJobs().stream()
-                                    .filter(id -> !cluster.hasFinalStatus(id))
-                                    .limit(3)
-                                    .toList()
-                                    .forEach(
-                                            id ->
-                                                    cluster.sendOperatorCommand(
-                                                            c,
-                                                            "/ops/explain",
-                                                            WireFormat.newMap().put("job", id),
-                                                            (status, out) -> {})));
+            cluster.after(t * 1000L, () -> askWhyJobsWait(cluster, c));
         }
     }
 
+    private static void askWhyJobsWait(SimulatedCluster cluster, int controller) {
+        cluster.acceptedJobs().stream()
+                .filter(id -> !cluster.hasFinalStatus(id))
+                .limit(3)
+                .toList()
+                .forEach(
+                        id ->
+                                cluster.sendOperatorCommand(
+                                        controller,
+                                        "/ops/explain",
+                                        WireFormat.newMap().put("job", id),
+                                        (status, out) -> {}));
+    }
+
     private static void faults(SimulatedCluster cluster) {
+        stopLeaderStoreAndCloud(cluster);
+        breakMachines(cluster);
+        refuseAndLoseStoreResponses(cluster);
+        cutZoneOff(cluster);
+        loseZoneAndControllers(cluster);
+        cluster.expectFaultsUntil(330_000);
+    }
+
+    private static void stopLeaderStoreAndCloud(SimulatedCluster cluster) {
         cluster.faults.crashLeaderAfter(45_000, 12_000);
         cluster.after(70_000, () -> cluster.faults.storeOutage(8_000));
         cluster.after(85_000, () -> cluster.cloud.down = true);
         cluster.after(93_000, () -> cluster.cloud.down = false);
+    }
+
+    private static void breakMachines(SimulatedCluster cluster) {
         cluster.after(
                 60_000, () -> cluster.faults.onRandomMachine(m -> m.preemptionWarningSeconds = 25));
         cluster.after(80_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
@@ -339,6 +370,10 @@
                                     cluster.after(15_000, () -> m.setHung(false));
                                 }));
         cluster.after(110_000, () -> cluster.faults.onRandomMachine(m -> m.failsTasks = true));
+    }
+
+    /** Operators' commands come while the store refuses a controller or its answers get lost. */
+    private static void refuseAndLoseStoreResponses(SimulatedCluster cluster) {
         cluster.after(
                 112_000,
                 () -> cluster.faults.refuseByStore((cluster.leaderIndex() + 1) % 3, 14_000));
@@ -354,6 +389,10 @@
         cluster.after(118_000, () -> cluster.store.responseLossRate = 0);
         cluster.after(130_000, () -> cluster.store.responseLossRate = 0.2);
         cluster.after(140_000, () -> cluster.store.responseLossRate = 0);
+    }
+
+    /** A zone is cut off, held and released by operators, while one controller hears nothing. */
+    private static void cutZoneOff(SimulatedCluster cluster) {
         cluster.after(150_000, () -> cluster.faults.partitionZone("b", List.of(), 60_000));
         for (int i = 0; i < 4; i++) {
             ask(cluster, 158_000 + i * 10_000L, 0, "/ops/zones/hold", "{'zone':'b','dryRun':true}");
@@ -365,6 +404,9 @@
                 160_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, true));
         cluster.after(
                 195_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, false));
+    }
+
+    private static void loseZoneAndControllers(SimulatedCluster cluster) {
         cluster.after(
                 240_000,
                 () ->
@@ -381,6 +423,5 @@
                         cluster.faults.crashController(i, 2_000 + i * 3_000L);
                     }
                 });
-        cluster.expectFaultsUntil(330_000);
     }
 }
