--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -55,63 +55,21 @@
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.setTeam("red", 20, 40);
         cluster.start();
-        // Both teams are at their limits with long tasks; as much again waits.
-        for (int i = 1; i <= 40; i++) {
-            JobSpec job =
-                    JobFixtures.array(
-                            i,
-                            i % 2 == 0 ? "red" : "blue",
-                            JobSpec.Priority.NORMAL,
-                            4,
-                            1,
-                            i <= 20 ? 300 : 20);
-            cluster.submitAfter(2_000 + i * 100L, job);
-        }
+        submitLongThenShortJobs(cluster);
         cluster.runUntil(30_000);
         assertTrue(
                 cpusInUse(cluster, "red") > 35 && cpusInUse(cluster, "blue") > 21,
                 "use: " + cpusInUse(cluster, "red") + ", " + cpusInUse(cluster, "blue"));
-        Set<String> cancelled = new HashSet<>();
-        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
-            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                if (task.occupiesMachine() && cancelled.size() < 10) {
-                    cancelled.add(cluster.jobOfTask(task.name).jobId());
-                }
-            }
-        }
+        Set<String> cancelled = firstRunningJobs(cluster, 10);
         long durationMillis = fault == MachineFault.HUNG ? 20_000 : 60_000;
-        int[] faultyMachines = {0};
-        for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
-            if (worker.tasks.values().stream()
-                            .anyMatch(
-                                    task ->
-                                            cancelled.contains(
-                                                    cluster.jobOfTask(task.name).jobId()))
-                    && faultyMachines[0] < 8) {
-                faultyMachines[0]++;
-                switch (fault) {
-                    case PARTITIONED ->
-                            cluster.faults.partition(
-                                    ipOf(worker), controllerIps(cluster), durationMillis);
-                    case UNREACHABLE_INBOUND ->
-                            cluster.faults.makeUnreachableInbound(worker, durationMillis);
-                    case UNREACHABLE_OUTBOUND ->
-                            cluster.faults.makeUnreachableOutbound(worker, durationMillis);
-                    default -> {
-                        worker.setHung(true);
-                        cluster.after(durationMillis, () -> worker.setHung(false));
-                    }
-                }
-            }
-        }
-        assertTrue(faultyMachines[0] >= 3, "machines: " + faultyMachines[0]);
+        int faultyMachines = breakMachinesOf(cluster, cancelled, fault, durationMillis);
+        assertTrue(faultyMachines >= 3, "machines: " + faultyMachines);
         int oldLeader = cluster.leaderIndex();
         cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
         cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
         cluster.expectFaultsUntil(30_000 + durationMillis);
         // The lease, its slack, the new leader and a scheduling cycle: from then on others of the
-        // team run
-        // there.
+        // team run there.
         cluster.runUntil(30_000 + 75_000);
         assertTrue(
                 cancelled.stream()
@@ -122,15 +80,7 @@
                 fault + ": not all were told");
         // Red's waiting jobs are short: they have all run in the room that came free. Blue has
         // enough long ones to be at its limit still.
-        long startedJobs =
-                cluster.jobsById.values().stream()
-                        .filter(
-                                job ->
-                                        job.team().equals("red")
-                                                && cluster.serviceLevels()
-                                                                .firstStartDelayMillis(job.jobId())
-                                                        >= 0)
-                        .count();
+        long startedJobs = startedJobCount(cluster, "red");
         assertTrue(
                 startedJobs == 20 && cpusInUse(cluster, "blue") > 19,
                 fault
@@ -144,6 +94,78 @@
         assertAllJobsFinished(cluster, 40);
     }
 
+    /** Both teams are at their limits with long tasks; as much again waits. */
+    private static void submitLongThenShortJobs(SimulatedCluster cluster) {
+        for (int i = 1; i <= 40; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.NORMAL,
+                            4,
+                            1,
+                            i <= 20 ? 300 : 20);
+            cluster.submitAfter(2_000 + i * 100L, job);
+        }
+    }
+
+    private static Set<String> firstRunningJobs(SimulatedCluster cluster, int maxCount) {
+        Set<String> running = new HashSet<>();
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+                if (task.occupiesMachine() && running.size() < maxCount) {
+                    running.add(cluster.jobOfTask(task.name).jobId());
+                }
+            }
+        }
+        return running;
+    }
+
+    /** Up to eight machines with tasks of those jobs suffer it; returns how many do. */
+    private static int breakMachinesOf(
+            SimulatedCluster cluster, Set<String> jobs, MachineFault fault, long durationMillis) {
+        int faultyMachines = 0;
+        for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
+            if (worker.tasks.values().stream()
+                            .anyMatch(task -> jobs.contains(cluster.jobOfTask(task.name).jobId()))
+                    && faultyMachines < 8) {
+                faultyMachines++;
+                breakMachine(cluster, worker, fault, durationMillis);
+            }
+        }
+        return faultyMachines;
+    }
+
+    private static void breakMachine(
+            SimulatedCluster cluster,
+            SimulatedWorker worker,
+            MachineFault fault,
+            long durationMillis) {
+        switch (fault) {
+            case PARTITIONED ->
+                    cluster.faults.partition(ipOf(worker), controllerIps(cluster), durationMillis);
+            case UNREACHABLE_INBOUND ->
+                    cluster.faults.makeUnreachableInbound(worker, durationMillis);
+            case UNREACHABLE_OUTBOUND ->
+                    cluster.faults.makeUnreachableOutbound(worker, durationMillis);
+            default -> {
+                worker.setHung(true);
+                cluster.after(durationMillis, () -> worker.setHung(false));
+            }
+        }
+    }
+
+    private static long startedJobCount(SimulatedCluster cluster, String team) {
+        return cluster.jobsById.values().stream()
+                .filter(
+                        job ->
+                                job.team().equals(team)
+                                        && cluster.serviceLevels()
+                                                        .firstStartDelayMillis(job.jobId())
+                                                >= 0)
+                .count();
+    }
+
     private static Set<String> machinesOnTwoRecords(SimulatedCluster cluster) {
         Set<String> seen = new HashSet<>();
         Set<String> duplicates = new HashSet<>();
@@ -287,6 +309,34 @@
         cluster.network.heartbeatRetentionRate = 0.5;
         cluster.runUntil(16_000);
         cluster.network.heartbeatRetentionRate = 0;
+        outdate(cluster, staleElement);
+        cluster.runUntil(34_000);
+        List<String> addresses =
+                cluster.controllers.stream().map(controller -> controller.userAddress).toList();
+        long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
+        boolean[] elected = {false};
+        cluster.faults.onLeaderElected(
+                60_000,
+                () -> {
+                    elected[0] = true;
+                    cluster.after(
+                            replayDelayMillis,
+                            () -> cluster.network.replayRetainedHeartbeats(addresses));
+                });
+        cluster.faults.crashController(
+                Math.max(0, cluster.leaderIndex()), seed % 2 == 0 ? 300 : 9_000);
+        cluster.expectFaultsUntil(60_000);
+        cluster.runUntil(60_000);
+        assertTrue(
+                elected[0] && cluster.network.replayedHeartbeats > 20,
+                staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
+        cluster.runUntil(500_000);
+        assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
+        assertAllJobsFinished(cluster, 16);
+    }
+
+    /** Makes old what the reports retained so far say of that element. */
+    private static void outdate(SimulatedCluster cluster, StaleElement staleElement) {
         switch (staleElement) {
             // Machines change hands and get a new term.
             case FENCING_TOKEN ->
@@ -316,29 +366,6 @@
                                                     .forEach(
                                                             task -> worker.endTask(task, "error")));
         }
-        cluster.runUntil(34_000);
-        List<String> addresses =
-                cluster.controllers.stream().map(controller -> controller.userAddress).toList();
-        long replayDelayMillis = seed % 3 == 0 ? 0 : seed % 3 == 1 ? 250 : 3_000;
-        boolean[] elected = {false};
-        cluster.faults.onLeaderElected(
-                60_000,
-                () -> {
-                    elected[0] = true;
-                    cluster.after(
-                            replayDelayMillis,
-                            () -> cluster.network.replayRetainedHeartbeats(addresses));
-                });
-        cluster.faults.crashController(
-                Math.max(0, cluster.leaderIndex()), seed % 2 == 0 ? 300 : 9_000);
-        cluster.expectFaultsUntil(60_000);
-        cluster.runUntil(60_000);
-        assertTrue(
-                elected[0] && cluster.network.replayedHeartbeats > 20,
-                staleElement + ": " + cluster.network.replayedHeartbeats + " arrived");
-        cluster.runUntil(500_000);
-        assertEquals(Set.of(), cluster.violations(), staleElement + ", seed " + seed);
-        assertAllJobsFinished(cluster, 16);
     }
 
     /** A report is held up until a new leader has acted, and then arrives there. */
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -52,18 +52,10 @@
         int oldLeader = cluster.leaderIndex();
         long gapMillis = 500 + seed * 950;
         cluster.faults.refuseByStore(oldLeader, 14_000);
-        String leaderName = cluster.controllers.get(oldLeader).name;
-        Set<String> leaderHosts = machinesOf(cluster, leaderName);
-        List<String> jobsElsewhere = new ArrayList<>();
+        List<String> jobsElsewhere =
+                jobsWithoutTaskOnOwnMachines(cluster, cluster.controllers.get(oldLeader).name);
         for (int i = 1; i <= 40; i++) {
             String id = JobFixtures.id(i);
-            JsonNode record = cluster.store.value("a/j/" + id);
-            boolean runsOnLeader =
-                    leaderHosts.stream()
-                            .anyMatch(host -> record.path("k").path("p").asText().contains(host));
-            if (record.path("c").asText().equals(leaderName) && !runsOnLeader) {
-                jobsElsewhere.add(id);
-            }
             cluster.cancelAfter(cluster.random().nextLong(Math.min(gapMillis, 1_000)), id);
         }
         cluster.after(gapMillis, () -> cluster.faults.storeOutage(64_000));
@@ -98,6 +90,24 @@
                         .count());
     }
 
+    /** Of the first 40 jobs those that the controller owns and none of its machines runs. */
+    private static List<String> jobsWithoutTaskOnOwnMachines(
+            SimulatedCluster cluster, String controllerName) {
+        Set<String> ownHosts = machinesOf(cluster, controllerName);
+        List<String> result = new ArrayList<>();
+        for (int i = 1; i <= 40; i++) {
+            String id = JobFixtures.id(i);
+            JsonNode record = cluster.store.value("a/j/" + id);
+            boolean runsOnOwnMachine =
+                    ownHosts.stream()
+                            .anyMatch(host -> record.path("k").path("p").asText().contains(host));
+            if (record.path("c").asText().equals(controllerName) && !runsOnOwnMachine) {
+                result.add(id);
+            }
+        }
+        return result;
+    }
+
     /** What else happens in the gap. */
     private enum AdditionalFault {
         SECOND_CONTROLLER_REFUSED,
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -157,31 +157,13 @@
                     if (writerFate == WriterFate.CRASHES
                             && occurrences[0] % 3 == 1
                             && occurrences[0] < 10) {
-                        // The member that wrote it: whoever of them the records name; the
-                        // leader where nobody is named.
-                        String name =
-                                transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
-                        int writer =
-                                name.startsWith("worker-") && name.length() == 8
-                                        ? cluster.indexOfController(name)
-                                        : Math.max(0, cluster.leaderIndex());
-                        cluster.faults.crashAfter(2, writer, 400);
+                        cluster.faults.crashAfter(2, writerOf(cluster, transaction), 400);
                     }
                     return true;
                 };
         cluster.start();
         cluster.users.consistencyProbes = true;
-        for (int i = 1; i <= 30; i++) {
-            JobSpec job =
-                    i == 5
-                            ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
-                            : JobFixtures.randomJob(i, cluster.random());
-            cluster.submitAfter(4_000 + i * 2_000L, job);
-            if (job.isService() || i % 5 == 0) {
-                cluster.cancelAfter(
-                        7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), job.jobId());
-            }
-        }
+        submitJobsOfAllKinds(cluster);
         cluster.after(25_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
         cluster.after(
                 30_000,
@@ -203,6 +185,32 @@
         assertEquals(0, busyMachines, "machines with tasks at the end");
     }
 
+    /**
+     * The controller that wrote it: whoever of them the records name; the leader where nobody is
+     * named.
+     */
+    private static int writerOf(SimulatedCluster cluster, ObjectNode transaction) {
+        String name = transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
+        return name.startsWith("worker-") && name.length() == 8
+                ? cluster.indexOfController(name)
+                : Math.max(0, cluster.leaderIndex());
+    }
+
+    /** 30 jobs, one of them large; services and every fifth job are cancelled. */
+    private static void submitJobsOfAllKinds(SimulatedCluster cluster) {
+        for (int i = 1; i <= 30; i++) {
+            JobSpec job =
+                    i == 5
+                            ? JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 230, 0.2, 5)
+                            : JobFixtures.randomJob(i, cluster.random());
+            cluster.submitAfter(4_000 + i * 2_000L, job);
+            if (job.isService() || i % 5 == 0) {
+                cluster.cancelAfter(
+                        7_000 + i * 2_000L + (job.isService() ? 30_000 : 0), job.jobId());
+            }
+        }
+    }
+
     /**
      * Where the cancellations come in: just before the change of the reassignment is carried out,
      * or at once after, at one step of it.
@@ -214,6 +222,109 @@
         ALL_CONTROLLERS
     }
 
+    /** How many of the moved controller's jobs are cancelled. */
+    private static final int CANCELLED_JOBS = 18;
+
+    /** Watches reassignments on their way to the store; at one of them the cancellations come. */
+    private static final class ReassignmentCancellations {
+        private final SimulatedCluster cluster;
+        private final CancellationTarget target;
+        private final int step;
+        private final int variant;
+        private final int lostController;
+        private final int thirdController;
+        private final Set<String> newOwners = new TreeSet<>();
+        private final List<String> movedJobs = new ArrayList<>();
+        private int reassignments;
+
+        ReassignmentCancellations(
+                SimulatedCluster cluster,
+                CancellationTarget target,
+                int step,
+                int variant,
+                int lostController,
+                int thirdController) {
+            this.cluster = cluster;
+            this.target = target;
+            this.step = step;
+            this.variant = variant;
+            this.lostController = lostController;
+            this.thirdController = thirdController;
+        }
+
+        void onArrival(ObjectNode transaction) {
+            if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+                return;
+            }
+            int current = reassignments++;
+            for (JsonNode operation : transaction.path("then")) {
+                if (operation.path("put").asText().startsWith("a/j/")) {
+                    newOwners.add(operation.path("value").path("c").asText());
+                    movedJobs.add(operation.path("put").asText().substring(4));
+                }
+            }
+            if (current != step) {
+                return;
+            }
+            cancelJobs();
+            if (variant == 1) {
+                cluster.after(3, () -> crashNewOwners(5_000));
+            } else if (variant == 2) {
+                // It is back at once, and its new owner's work goes to it in turn.
+                cluster.after(5, () -> cluster.controllers.get(lostController).start());
+                cluster.after(6_000, () -> crashNewOwners(9_000));
+            }
+        }
+
+        private void cancelJobs() {
+            List<Integer> cancellingControllers = cancellingControllers();
+            for (int i = 1; i <= CANCELLED_JOBS; i++) {
+                String id = JobFixtures.id(i);
+                for (int controller : cancellingControllers) {
+                    // Some arrive before the change that is on its way here, some with it,
+                    // some after.
+                    cluster.cancelAfter(i % 3 * 4L, id, controller);
+                }
+            }
+        }
+
+        private List<Integer> cancellingControllers() {
+            return switch (target) {
+                case THIRD_CONTROLLER -> List.of(thirdController);
+                case OLD_OWNER -> List.of(lostController);
+                case NEW_OWNER -> newOwners.stream().map(cluster::indexOfController).toList();
+                case ALL_CONTROLLERS -> List.of(0, 1, 2, 3);
+            };
+        }
+
+        private void crashNewOwners(long restartDelayMillis) {
+            newOwners.forEach(
+                    newOwner ->
+                            cluster.faults.crashController(
+                                    cluster.indexOfController(newOwner), restartDelayMillis));
+        }
+    }
+
+    /** Jobs of two teams for one controller; every third is over after {@code shortSeconds}. */
+    private static void submitShortAndLongJobs(
+            SimulatedCluster cluster,
+            int controller,
+            int count,
+            long intervalMillis,
+            int shortSeconds) {
+        for (int i = 1; i <= count; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            i,
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.NORMAL,
+                            1 + i % 3,
+                            1,
+                            i % 3 == 0 ? shortSeconds : 60);
+            cluster.submitAfter(i * intervalMillis, job, controller);
+        }
+    }
+
     static Stream<Arguments> targetsStepsAndVariants() {
         return Arrays.stream(CancellationTarget.values())
                 .flatMap(
@@ -238,76 +349,12 @@
         cluster.runUntil(9_000);
         int lostController = (cluster.leaderIndex() + 1) % 4;
         int thirdController = (cluster.leaderIndex() + 2) % 4;
-        for (int i = 1; i <= 30; i++) {
-            JobSpec job =
-                    JobFixtures.array(
-                            i,
-                            i % 2 == 0 ? "red" : "blue",
-                            JobSpec.Priority.NORMAL,
-                            1 + i % 3,
-                            1,
-                            i % 3 == 0 ? 8 : 60);
-            cluster.submitAfter(i * 60L, job, lostController);
-        }
+        submitShortAndLongJobs(cluster, lostController, 30, 60, 8);
         cluster.runUntil(16_000);
-        Set<String> newOwners = new TreeSet<>();
-        List<String> movedJobs = new ArrayList<>();
-        int[] reassignments = {0};
-        cluster.store.arrivalObserver =
-                transaction -> {
-                    if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                        return;
-                    }
-                    int current = reassignments[0]++;
-                    for (JsonNode operation : transaction.path("then")) {
-                        if (operation.path("put").asText().startsWith("a/j/")) {
-                            newOwners.add(operation.path("value").path("c").asText());
-                            movedJobs.add(operation.path("put").asText().substring(4));
-                        }
-                    }
-                    if (current != step) {
-                        return;
-                    }
-                    List<Integer> cancellingControllers =
-                            target == CancellationTarget.THIRD_CONTROLLER
-                                    ? List.of(thirdController)
-                                    : target == CancellationTarget.OLD_OWNER
-                                            ? List.of(lostController)
-                                            : target == CancellationTarget.NEW_OWNER
-                                                    ? newOwners.stream()
-                                                            .map(cluster::indexOfController)
-                                                            .toList()
-                                                    : List.of(0, 1, 2, 3);
-                    for (int i = 1; i <= 18; i++) {
-                        String id = JobFixtures.id(i);
-                        for (int controller : cancellingControllers) {
-                            // Some arrive before the change that is on its way here, some with it,
-                            // some after.
-                            cluster.cancelAfter(i % 3 * 4L, id, controller);
-                        }
-                    }
-                    if (variant == 1) {
-                        cluster.after(
-                                3,
-                                () ->
-                                        newOwners.forEach(
-                                                newOwner ->
-                                                        cluster.faults.crashController(
-                                                                cluster.indexOfController(newOwner),
-                                                                5_000)));
-                    } else if (variant == 2) {
-                        // It is back at once, and its new owner's work goes to it in turn.
-                        cluster.after(5, () -> cluster.controllers.get(lostController).start());
-                        cluster.after(
-                                6_000,
-                                () ->
-                                        newOwners.forEach(
-                                                newOwner ->
-                                                        cluster.faults.crashController(
-                                                                cluster.indexOfController(newOwner),
-                                                                9_000)));
-                    }
-                };
+        ReassignmentCancellations cancellations =
+                new ReassignmentCancellations(
+                        cluster, target, step, variant, lostController, thirdController);
+        cluster.store.arrivalObserver = cancellations::onArrival;
         cluster.users.consistencyProbes = true;
         cluster.expectFaultsUntil(80_000);
         cluster.controllers.get(lostController).kill();
@@ -320,18 +367,18 @@
                 });
         cluster.runUntil(60_000);
         assertTrue(
-                reassignments[0] > 0 && !movedJobs.isEmpty(),
+                cancellations.reassignments > 0 && !cancellations.movedJobs.isEmpty(),
                 context + ": nothing was handed over");
-        if (reassignments[0] <= step) {
+        if (cancellations.reassignments <= step) {
             // Fewer changes sufficed: the cancellations then come after the last of them.
-            for (int i = 1; i <= 18; i++) {
+            for (int i = 1; i <= CANCELLED_JOBS; i++) {
                 cluster.cancel(JobFixtures.id(i));
             }
         }
         cluster.runUntil(500_000);
         assertEquals(Set.of(), cluster.violations(), context);
         assertAllJobsFinished(cluster, 30);
-        for (int i = 1; i <= 18; i++) {
+        for (int i = 1; i <= CANCELLED_JOBS; i++) {
             assertTrue(cluster.hasFinalStatus(JobFixtures.id(i)), context + ": wk " + i);
         }
     }
@@ -349,65 +396,19 @@
         cluster.start();
         cluster.runUntil(9_000);
         int lostController = (cluster.leaderIndex() + 1) % 4;
-        for (int i = 1; i <= 40; i++) {
-            JobSpec job =
-                    JobFixtures.array(
-                            i,
-                            i % 2 == 0 ? "red" : "blue",
-                            JobSpec.Priority.NORMAL,
-                            1 + i % 3,
-                            1,
-                            i % 3 == 0 ? 9 : 60);
-            cluster.submitAfter(i * 50L, job, lostController);
-        }
+        submitShortAndLongJobs(cluster, lostController, 40, 50, 9);
         cluster.runUntil(16_000);
         cluster.controllers.get(lostController).kill();
         cluster.store.maxExtraLatencyMillis = 900;
         int[] overtakenWrites = {0};
         cluster.store.arrivalObserver =
-                transaction -> {
-                    if (CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                        for (JsonNode operation : transaction.path("then")) {
-                            JsonNode current = cluster.store.value(operation.path("put").asText());
-                            boolean isJobRecord = operation.path("put").asText().startsWith("a/j/");
-                            overtakenWrites[0] +=
-                                    isJobRecord
-                                                    && (current == null
-                                                            || current.has("x")
-                                                                    && !operation
-                                                                            .path("value")
-                                                                            .has("x"))
-                                            ? 1
-                                            : 0;
-                        }
-                    }
-                };
+                transaction -> overtakenWrites[0] += countOvertakenJobWrites(cluster, transaction);
         cluster.users.consistencyProbes = true;
-        // As the change is sent, its jobs are cancelled at others: of two requests to a slow store
-        // either may be carried out first.
         cluster.network.requestObserver =
                 (path, body) -> {
-                    ObjectNode transaction =
-                            path.equals("/commit") ? WireFormat.CBOR.decodeMap(body) : null;
-                    if (transaction != null && CommitKind.REASSIGNMENT.matcher.test(transaction)) {
-                        for (JsonNode operation : transaction.path("then")) {
-                            String id =
-                                    operation.path("put").asText().startsWith("a/j/")
-                                            ? operation.path("put").asText().substring(4)
-                                            : "";
-                            if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
-                                cluster.after(
-                                        1,
-                                        () ->
-                                                cluster.cancel(
-                                                        id,
-                                                        (lostController
-                                                                        + 2
-                                                                        + cluster.random()
-                                                                                .nextInt(2))
-                                                                % 4));
-                            }
-                        }
+                    if (path.equals("/commit")) {
+                        cancelReassignedJobs(
+                                cluster, lostController, WireFormat.CBOR.decodeMap(body));
                     }
                 };
         cluster.after(25_000, () -> cluster.store.maxExtraLatencyMillis = 0);
@@ -419,6 +420,45 @@
         assertAllJobsFinished(cluster, 40);
     }
 
+    /** Job records of a reassignment that meanwhile were removed, or marked as cancelled. */
+    private static int countOvertakenJobWrites(SimulatedCluster cluster, ObjectNode transaction) {
+        if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+            return 0;
+        }
+        int overtaken = 0;
+        for (JsonNode operation : transaction.path("then")) {
+            String key = operation.path("put").asText();
+            JsonNode current = cluster.store.value(key);
+            boolean isOvertaken =
+                    current == null || current.has("x") && !operation.path("value").has("x");
+            overtaken += key.startsWith("a/j/") && isOvertaken ? 1 : 0;
+        }
+        return overtaken;
+    }
+
+    /**
+     * As the change is sent, its jobs are cancelled at others: of two requests to a slow store
+     * either may be carried out first.
+     */
+    private static void cancelReassignedJobs(
+            SimulatedCluster cluster, int lostController, ObjectNode transaction) {
+        if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
+            return;
+        }
+        for (JsonNode operation : transaction.path("then")) {
+            String key = operation.path("put").asText();
+            String id = key.startsWith("a/j/") ? key.substring(4) : "";
+            if (!id.isEmpty() && !cluster.isCancellationRequested(id)) {
+                cluster.after(
+                        1,
+                        () ->
+                                cluster.cancel(
+                                        id,
+                                        (lostController + 2 + cluster.random().nextInt(2)) % 4));
+            }
+        }
+    }
+
     /**
      * Answers get lost while everybody reads and submits again, and leaders end: nothing is
      * accepted twice or forgotten.
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -47,17 +47,7 @@
                                 Math.max(
                                         maxCpusInUse[0],
                                         cpusInUse(cluster, "red") + cpusInUse(cluster, "blue"));
-                        maxWaitingJobs[0] =
-                                Math.max(
-                                        maxWaitingJobs[0],
-                                        cluster.acceptedJobs().stream()
-                                                .filter(
-                                                        id ->
-                                                                cluster.serviceLevels()
-                                                                                .firstStartDelayMillis(
-                                                                                        id)
-                                                                        < 0)
-                                                .count());
+                        maxWaitingJobs[0] = Math.max(maxWaitingJobs[0], waitingJobCount(cluster));
                     });
         }
         cluster.faults.crashLeaderAfter(30_000, 800);
@@ -72,20 +62,29 @@
                         + maxWaitingJobs[0]
                         + " jobs waiting");
         // What is urgent doesn't wait behind the rest.
-        long startedUrgentJobs =
-                cluster.jobsById.values().stream()
-                        .filter(
-                                job ->
-                                        job.priority().ordinal() <= 1
-                                                && cluster.serviceLevels()
-                                                                .firstStartDelayMillis(job.jobId())
-                                                        >= 0)
-                        .count();
+        long startedUrgentJobs = startedUrgentJobCount(cluster);
         assertTrue(startedUrgentJobs > 12, "urgent jobs begun: " + startedUrgentJobs);
         cluster.runUntil(900_000);
         assertAllJobsFinished(cluster, 36);
     }
 
+    private static long waitingJobCount(SimulatedCluster cluster) {
+        return cluster.acceptedJobs().stream()
+                .filter(id -> cluster.serviceLevels().firstStartDelayMillis(id) < 0)
+                .count();
+    }
+
+    private static long startedUrgentJobCount(SimulatedCluster cluster) {
+        return cluster.jobsById.values().stream()
+                .filter(
+                        job ->
+                                job.priority().ordinal() <= 1
+                                        && cluster.serviceLevels()
+                                                        .firstStartDelayMillis(job.jobId())
+                                                >= 0)
+                .count();
+    }
+
     /**
      * A team at its limit: one task of it waits at a controller whose machines are full and that
      * holds the quota share, and there is room in another's shard for one or two. It once waited
