--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * More faults that coincide (docs/design/meetings.md): each test brings its faults about and
+ * More faults that coincide (docs/design/compound-faults.md): each test brings its faults about and
  * asserts that they coincided.
  */
 class CompoundFaultInteractionTest {
--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Work and quota after faults of many machines, zones or all controllers (docs/design/meetings.md).
+ * Work and quota after faults of many machines, zones or all controllers (docs/design/compound-faults.md).
  */
 class CompoundFaultRecoveryTest {
     /**
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Faults that coincide (docs/design/meetings.md): each test brings its faults about and asserts
+ * Faults that coincide (docs/design/compound-faults.md): each test brings its faults about and asserts
  * that they coincided.
  */
 class CompoundFaultTest {
--- a/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
+++ b/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Writes that land late or twice, and controllers that know less than the store
- * (docs/design/meetings.md).
+ * (docs/design/compound-faults.md).
  */
 class DelayedWriteTest {
     /**
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -25,7 +25,7 @@
 
 /**
  * A change is carried out at once and only its answer is lost, while others read what it wrote and
- * act on it (docs/design/meetings.md); and cancellations at each step of a reassignment, which is
+ * act on it (docs/design/compound-faults.md); and cancellations at each step of a reassignment, which is
  * made of such changes.
  */
 class LostResponseTest {
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Teams at their limits and more work than the machines hold (docs/design/meetings.md). */
+/** Teams at their limits and more work than the machines hold (docs/design/compound-faults.md). */
 class OverloadTest {
     /** There is more work than room, urgent and not, and each packet takes up to half a second. */
     @ParameterizedTest
