--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -9,6 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
 /**
  * The network between hosts: delays messages, loses answers, and cuts pairs of hosts, holding
@@ -61,9 +63,29 @@
 
     public int releasedHeartbeats;
 
-    private record RetainedHeartbeat(String from, String path, byte[] body) {}
+    /** A request on its way; a copy of it is the same request again. */
+    private record Request(String from, String to, String method, String path, byte[] body) {
+        boolean isHeartbeat() {
+            return path.equals("/v1/report");
+        }
+
+        boolean isCommand() {
+            return path.equals("/orders");
+        }
+    }
+
+    /** ms by which a request and its answer are held up besides the latency of their packets. */
+    private record Delays(long requestMillis, long responseMillis) {
+        static final Delays NONE = new Delays(0, 0);
+    }
+
+    /** Copies of heartbeats kept at most for the next leader. */
+    private static final int MAX_RETAINED_HEARTBEATS = 400;
+
+    /** Whoever would hear the answer to a copy has given up or never asked. */
+    private static final ResponseHandler UNHEARD = (status, responseBody, retryAfterSeconds) -> {};
 
-    private final List<RetainedHeartbeat> retainedHeartbeats = new ArrayList<>();
+    private final List<Request> retainedHeartbeats = new ArrayList<>();
     private final List<Runnable> heldHeartbeats = new ArrayList<>();
 
     /** Share of direct commands that are held up for seconds, on their way or with their answer. */
@@ -81,7 +103,7 @@
     final HistoryDigest history = new HistoryDigest();
 
     /** Sees path and body of each request as it is sent. */
-    public java.util.function.BiConsumer<String, byte[]> requestObserver = (path, body) -> {};
+    public BiConsumer<String, byte[]> requestObserver = (path, body) -> {};
 
     /** Who sent what is being handled. */
     private String sender = "";
@@ -97,7 +119,7 @@
             byte[] responseBody) {}
 
     /** Sees each call once its caller has its response. */
-    public java.util.function.Consumer<Exchange> exchangeObserver = exchange -> {};
+    public Consumer<Exchange> exchangeObserver = exchange -> {};
 
     public SimulatedNetwork(SimulatedClock clock) {
         this.clock = clock;
@@ -168,6 +190,42 @@
 
     public int maxOpenCalls;
 
+    /** A call until its caller has its one answer, be it the timeout's. */
+    private final class PendingCall {
+        private final Request request;
+        private final ResponseHandler caller;
+        private boolean answered;
+
+        PendingCall(Request request, ResponseHandler caller) {
+            this.request = request;
+            this.caller = caller;
+        }
+
+        /** Only the first answer counts; status 0: the caller's time is up. */
+        void answer(int status, byte[] responseBody, int retryAfterSeconds) {
+            if (answered) {
+                return;
+            }
+            answered = true;
+            openCalls--;
+            history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
+            caller.onResponse(status, responseBody, retryAfterSeconds);
+            exchangeObserver.accept(
+                    new Exchange(
+                            request.to,
+                            request.method,
+                            request.path,
+                            request.body,
+                            status,
+                            retryAfterSeconds,
+                            responseBody));
+        }
+    }
+
+    /**
+     * Sends a request with the faults in force. The order of the steps is that of their random
+     * draws: another one would play other scenarios.
+     */
     public void call(
             String from,
             String to,
@@ -178,146 +236,106 @@
             ResponseHandler onResponse) {
         requestObserver.accept(path, body);
         history.call(clock.nowMillis(), from, to, method, path, body);
-        boolean[] answered = {false};
         maxOpenCalls = Math.max(maxOpenCalls, ++openCalls);
-        ResponseHandler respond =
-                (status, responseBody, retryAfterSeconds) -> {
-                    openCalls--;
-                    history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
-                    onResponse.onResponse(status, responseBody, retryAfterSeconds);
-                    exchangeObserver.accept(
-                            new Exchange(
-                                    to,
-                                    method,
-                                    path,
-                                    body,
-                                    status,
-                                    retryAfterSeconds,
-                                    responseBody));
-                };
-        clock.schedule(
-                timeoutMillis,
-                () -> {
-                    if (!answered[0]) {
-                        answered[0] = true;
-                        respond.onResponse(0, null, 0);
-                    }
-                });
+        Request request = new Request(from, to, method, path, body);
+        PendingCall call = new PendingCall(request, onResponse);
+        clock.schedule(timeoutMillis, () -> call.answer(0, null, 0));
+        maybeSendStaleCopy(request);
+        maybeRetain(request);
+        if (maybeHoldBack(request)) {
+            return;
+        }
+        Delays delays = drawDelays(request);
+        maybeDuplicate(request);
+        transmit(call, delays);
+    }
+
+    private void maybeSendStaleCopy(Request request) {
         if (staleHeartbeatRate > 0
-                && path.equals("/v1/report")
+                && request.isHeartbeat()
                 && clock.random.nextDouble() < staleHeartbeatRate) {
             staleHeartbeatsSent++;
             clock.schedule(
                     clock.random.nextInt(2_000, maxStaleHeartbeatDelayMillis),
-                    () ->
-                            deliver(
-                                    from,
-                                    to,
-                                    method,
-                                    path,
-                                    body,
-                                    (status, responseBody, retryAfterSeconds) -> {}));
+                    () -> deliver(request, UNHEARD));
         }
+    }
+
+    private void maybeRetain(Request request) {
         if (heartbeatRetentionRate > 0
-                && path.equals("/v1/report")
+                && request.isHeartbeat()
                 && clock.random.nextDouble() < heartbeatRetentionRate
-                && retainedHeartbeats.size() < 400) {
-            retainedHeartbeats.add(new RetainedHeartbeat(from, path, body));
+                && retainedHeartbeats.size() < MAX_RETAINED_HEARTBEATS) {
+            retainedHeartbeats.add(request);
         }
-        if (heartbeatHoldRate > 0
-                && path.equals("/v1/report")
-                && clock.random.nextDouble() < heartbeatHoldRate) {
-            heldHeartbeats.add(
-                    () ->
-                            deliver(
-                                    from,
-                                    to,
-                                    method,
-                                    path,
-                                    body,
-                                    (status, responseBody, retryAfterSeconds) -> {}));
-            return;
+    }
+
+    /** Whether the request itself is held up until {@link #releaseHeldHeartbeats}. */
+    private boolean maybeHoldBack(Request request) {
+        boolean heldBack =
+                heartbeatHoldRate > 0
+                        && request.isHeartbeat()
+                        && clock.random.nextDouble() < heartbeatHoldRate;
+        if (heldBack) {
+            heldHeartbeats.add(() -> deliver(request, UNHEARD));
         }
-        boolean isHeld =
+        return heldBack;
+    }
+
+    /** A direct command may be held up on its way, or its answer. */
+    private Delays drawDelays(Request request) {
+        boolean held =
                 commandHoldRate > 0
-                        && path.equals("/orders")
+                        && request.isCommand()
                         && clock.random.nextDouble() < commandHoldRate;
-        heldCommandCount += isHeld ? 1 : 0;
-        long requestDelayMillis =
-                isHeld && minCommandResponseDelayMillis == 0 && clock.random.nextBoolean()
-                        ? clock.random.nextInt(1_000, 9_000)
-                        : 0;
-        long responseDelayMillis =
-                !isHeld
-                        ? 0
-                        : minCommandResponseDelayMillis > 0
-                                ? minCommandResponseDelayMillis
-                                : clock.random.nextInt(0, 2_000);
+        if (!held) {
+            return Delays.NONE;
+        }
+        heldCommandCount++;
+        if (minCommandResponseDelayMillis > 0) {
+            return new Delays(0, minCommandResponseDelayMillis);
+        }
+        long requestMillis = clock.random.nextBoolean() ? clock.random.nextInt(1_000, 9_000) : 0;
+        return new Delays(requestMillis, clock.random.nextInt(0, 2_000));
+    }
+
+    private void maybeDuplicate(Request request) {
         if (duplicationRate > 0 && clock.random.nextDouble() < duplicationRate) {
-            clock.schedule(
-                    clock.random.nextInt(100, 180_000),
-                    () ->
-                            deliver(
-                                    from,
-                                    to,
-                                    method,
-                                    path,
-                                    body,
-                                    (status, responseBody, retryAfterSeconds) -> {}));
+            clock.schedule(clock.random.nextInt(100, 180_000), () -> deliver(request, UNHEARD));
         }
+    }
+
+    private void transmit(PendingCall call, Delays delays) {
+        Request request = call.request;
+        ResponseHandler returnPath =
+                (status, responseBody, retryAfterSeconds) -> {
+                    if (clock.random.nextDouble() < responseLossRate) {
+                        return;
+                    }
+                    Runnable arrival = () -> call.answer(status, responseBody, retryAfterSeconds);
+                    sendPacket(
+                            request.to,
+                            request.from,
+                            () -> runAfter(delays.responseMillis, arrival));
+                };
         sendPacket(
-                from,
-                to,
-                () ->
-                        runAfter(
-                                requestDelayMillis,
-                                () ->
-                                        deliver(
-                                                from,
-                                                to,
-                                                method,
-                                                path,
-                                                body,
-                                                (status, responseBody, retryAfterSeconds) -> {
-                                                    if (clock.random.nextDouble()
-                                                            < responseLossRate) {
-                                                        return;
-                                                    }
-                                                    sendPacket(
-                                                            to,
-                                                            from,
-                                                            () ->
-                                                                    runAfter(
-                                                                            responseDelayMillis,
-                                                                            () -> {
-                                                                                if (!answered[0]) {
-                                                                                    answered[0] =
-                                                                                            true;
-                                                                                    respond
-                                                                                            .onResponse(
-                                                                                                    status,
-                                                                                                    responseBody,
-                                                                                                    retryAfterSeconds);
-                                                                                }
-                                                                            }));
-                                                })));
+                request.from,
+                request.to,
+                () -> runAfter(delays.requestMillis, () -> deliver(request, returnPath)));
     }
 
     /** Brings a copy of each report that was kept to each of these addresses. */
     void replayRetainedHeartbeats(List<String> addresses) {
-        for (RetainedHeartbeat heartbeat : retainedHeartbeats) {
+        for (Request heartbeat : retainedHeartbeats) {
             for (String address : addresses) {
+                Request copy =
+                        new Request(
+                                heartbeat.from, address, "POST", heartbeat.path, heartbeat.body);
                 clock.schedule(
                         clock.random.nextInt(1, 400),
                         () -> {
                             replayedHeartbeats += handlersByAddress.containsKey(address) ? 1 : 0;
-                            deliver(
-                                    heartbeat.from,
-                                    address,
-                                    "POST",
-                                    heartbeat.path,
-                                    heartbeat.body,
-                                    (status, responseBody, retryAfterSeconds) -> {});
+                            deliver(copy, UNHEARD);
                         });
             }
         }
@@ -344,33 +362,19 @@
         return sender;
     }
 
-    private void deliver(
-            String from,
-            String to,
-            String method,
-            String path,
-            byte[] body,
-            ResponseHandler onResponse) {
-        RequestHandler handler = handlersByAddress.get(to);
+    private void deliver(Request request, ResponseHandler onResponse) {
+        RequestHandler handler = handlersByAddress.get(request.to);
         if (handler == null) {
             return;
         }
-        sender = hostOf(from);
-        Map<String, String> query = new HashMap<>();
-        int queryStart = path.indexOf('?');
-        if (queryStart >= 0) {
-            for (String parameter : path.substring(queryStart + 1).split("&")) {
-                query.put(
-                        parameter.substring(0, parameter.indexOf('=')),
-                        parameter.substring(parameter.indexOf('=') + 1));
-            }
-        }
+        sender = hostOf(request.from);
+        int queryStart = request.path.indexOf('?');
         handler.handle(
                 new IncomingRequest(
-                        method,
-                        queryStart < 0 ? path : path.substring(0, queryStart),
-                        query,
-                        body == null ? new byte[0] : body) {
+                        request.method,
+                        queryStart < 0 ? request.path : request.path.substring(0, queryStart),
+                        queryParameters(request.path, queryStart),
+                        request.body == null ? new byte[0] : request.body) {
                     @Override
                     protected void sendResponse(
                             int status, WireFormat codec, byte[] out, int retryAfterS) {
@@ -379,6 +383,17 @@
                 });
     }
 
+    private static Map<String, String> queryParameters(String path, int queryStart) {
+        Map<String, String> query = new HashMap<>();
+        if (queryStart >= 0) {
+            for (String parameter : path.substring(queryStart + 1).split("&")) {
+                int separator = parameter.indexOf('=');
+                query.put(parameter.substring(0, separator), parameter.substring(separator + 1));
+            }
+        }
+        return query;
+    }
+
     /** The transport of one process. */
     public Transport transportFor(String ip, SimulatedClock.SimulatedProcess process) {
         return (address, method, path, codec, body, timeoutMillis, reply) ->
