--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -7,6 +7,7 @@
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -73,7 +74,7 @@
     final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
     /** Images, by when they are here. */
-    private final Map<String, Long> imageReadyAtMillis = new java.util.HashMap<>();
+    private final Map<String, Long> imageReadyAtMillis = new HashMap<>();
 
     private final List<Runnable> suspendedActions = new ArrayList<>();
 
@@ -339,28 +340,7 @@
             }
             case "kill" -> {
                 if (task != null && !task.hasEnded()) {
-                    JobSpec job = cluster.jobOfTask(name);
-                    boolean checkpointsFirst =
-                            task.status.equals("running")
-                                    && job.checkpointIntervalSeconds() > 0
-                                    && command.path("drainS").asDouble() >= job.checkpointSeconds();
-                    if (checkpointsFirst) {
-                        task.status = "saving";
-                        clock.schedule(
-                                (long) (job.checkpointSeconds() * 1000),
-                                () ->
-                                        runUnlessHung(
-                                                () -> {
-                                                    if (tasks.get(taskKey(name, attempt)) == task
-                                                            && !task.hasEnded()) {
-                                                        task.checkpointStored = true;
-                                                        endTask(task, "halted");
-                                                    }
-                                                }));
-                    } else if (!task.status.equals("saving")
-                            || command.path("drainS").asDouble() == 0) {
-                        endTask(task, "halted");
-                    }
+                    killTask(task, command.path("drainS").asDouble());
                 }
             }
             case "clear" -> {
@@ -372,9 +352,59 @@
         }
     }
 
+    /** Ends a task, after a last checkpoint if it has one to save and the time for it. */
+    private void killTask(SimulatedTask task, double drainSeconds) {
+        JobSpec job = cluster.jobOfTask(task.name);
+        boolean checkpointsFirst =
+                task.status.equals("running")
+                        && job.checkpointIntervalSeconds() > 0
+                        && drainSeconds >= job.checkpointSeconds();
+        if (checkpointsFirst) {
+            task.status = "saving";
+            scheduleForTask(
+                    task,
+                    (long) (job.checkpointSeconds() * 1000),
+                    () -> {
+                        if (!task.hasEnded()) {
+                            task.checkpointStored = true;
+                            endTask(task, "halted");
+                        }
+                    });
+        } else if (!task.status.equals("saving") || drainSeconds == 0) {
+            endTask(task, "halted");
+        }
+    }
+
+    /** Runs later, unless the task is off the machine by then. */
+    private void scheduleForTask(SimulatedTask task, long delayMillis, Runnable action) {
+        clock.schedule(
+                delayMillis,
+                () ->
+                        runUnlessHung(
+                                () -> {
+                                    if (tasks.get(taskKey(task.name, task.attempt)) == task) {
+                                        action.run();
+                                    }
+                                }));
+    }
+
     private void startTask(String name, long attempt) {
         SimulatedTask task = new SimulatedTask(name, attempt);
         JobSpec job = cluster.jobOfTask(name);
+        String refusal = refusalReason(name, job);
+        tasks.put(taskKey(name, attempt), task);
+        if (refusal != null) {
+            endTask(task, refusal);
+        } else {
+            scheduleForTask(task, imageFetchMillis(job), () -> onImageFetched(task, job));
+        }
+    }
+
+    /** Why the machine, as it is, can't take the task; null if it can. */
+    private String refusalReason(String name, JobSpec job) {
+        if (job == null) {
+            return "unknown";
+        }
         double usedCpus = 0;
         double usedMemoryGb = 0;
         double usedGpus = 0;
@@ -388,76 +418,58 @@
                 alreadyHere |= otherTask.name.equals(name);
             }
         }
-        tasks.put(taskKey(name, attempt), task);
-        if (job == null) {
-            endTask(task, "unknown");
-        } else if (alreadyHere) {
-            endTask(task, "busy");
-        } else if (usedCpus + job.cpus() > machineType.cpus() + 1e-9
-                || usedMemoryGb + job.memoryGb() > machineType.memoryGb() + 1e-9
-                || usedGpus + job.gpus() > machineType.gpus() + 1e-9) {
-            endTask(task, "full");
+        if (alreadyHere) {
+            return "busy";
+        }
+        boolean fits =
+                usedCpus + job.cpus() <= machineType.cpus() + 1e-9
+                        && usedMemoryGb + job.memoryGb() <= machineType.memoryGb() + 1e-9
+                        && usedGpus + job.gpus() <= machineType.gpus() + 1e-9;
+        return fits ? null : "full";
+    }
+
+    private void onImageFetched(SimulatedTask task, JobSpec job) {
+        if (!task.status.equals("fetching")) {
+            return;
+        }
+        cluster.onTaskStarted(this, task, job);
+        heartbeatDue = true;
+        if (failsTasks) {
+            failSoon(task);
+        } else if (job.isGang() && cluster.completedTasks.contains(task.name)) {
+            endTask(task, "done");
+        } else if (job.isGang()) {
+            waitForGang(task, job);
         } else {
-            clock.schedule(
-                    imageFetchMillis(job),
-                    () ->
-                            runUnlessHung(
-                                    () -> {
-                                        if (tasks.get(taskKey(name, attempt)) == task
-                                                && task.status.equals("fetching")) {
-                                            cluster.onTaskStarted(this, task, job);
-                                            heartbeatDue = true;
-                                            if (failsTasks) {
-                                                task.status = "running";
-                                                clock.schedule(
-                                                        700,
-                                                        () ->
-                                                                runUnlessHung(
-                                                                        () -> {
-                                                                            if (tasks.get(
-                                                                                                    taskKey(
-                                                                                                            name,
-                                                                                                            attempt))
-                                                                                            == task
-                                                                                    && !task
-                                                                                            .hasEnded()) {
-                                                                                endTask(
-                                                                                        task,
-                                                                                        "error");
-                                                                            }
-                                                                        }));
-                                            } else if (job.isGang()
-                                                    && cluster.completedTasks.contains(task.name)) {
-                                                endTask(task, "done");
-                                            } else if (job.isGang()) {
-                                                task.status = "waiting";
-                                                clock.schedule(
-                                                        GANG_WAIT_MILLIS,
-                                                        () ->
-                                                                runUnlessHung(
-                                                                        () -> {
-                                                                            if (tasks.get(
-                                                                                                    taskKey(
-                                                                                                            name,
-                                                                                                            attempt))
-                                                                                            == task
-                                                                                    && task.status
-                                                                                            .equals(
-                                                                                                    "waiting")) {
-                                                                                endTask(
-                                                                                        task,
-                                                                                        "incomplete");
-                                                                            }
-                                                                        }));
-                                                cluster.startGangIfComplete(job);
-                                            } else {
-                                                beginRunning(task, job);
-                                            }
-                                        }
-                                    }));
+            beginRunning(task, job);
         }
     }
 
+    private void failSoon(SimulatedTask task) {
+        task.status = "running";
+        scheduleForTask(
+                task,
+                700,
+                () -> {
+                    if (!task.hasEnded()) {
+                        endTask(task, "error");
+                    }
+                });
+    }
+
+    private void waitForGang(SimulatedTask task, JobSpec job) {
+        task.status = "waiting";
+        scheduleForTask(
+                task,
+                GANG_WAIT_MILLIS,
+                () -> {
+                    if (task.status.equals("waiting")) {
+                        endTask(task, "incomplete");
+                    }
+                });
+        cluster.startGangIfComplete(job);
+    }
+
     /** A machine fetches an image once for all tasks that need it, and keeps it. */
     private long imageFetchMillis(JobSpec job) {
         if (cluster.imageFetchGbPerSecond <= 0) {
@@ -478,17 +490,15 @@
         task.status = "running";
         if (!job.isService()) {
             double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
-            clock.schedule(
+            scheduleForTask(
+                    task,
                     cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000),
-                    () ->
-                            runUnlessHung(
-                                    () -> {
-                                        if (tasks.get(taskKey(task.name, task.attempt)) == task
-                                                && task.status.equals("running")) {
-                                            cluster.onTaskCompleted(task, job);
-                                            endTask(task, "done");
-                                        }
-                                    }));
+                    () -> {
+                        if (task.status.equals("running")) {
+                            cluster.onTaskCompleted(task, job);
+                            endTask(task, "done");
+                        }
+                    });
         }
     }
 
