--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -82,86 +82,116 @@
         return startableSeconds.getOrDefault(id, 0);
     }
 
-    /** Looks at everything; called every second. Faults are over at {@code calmFrom}. */
+    /** What one look at the machines shows. */
+    private static final class Snapshot {
+        /** What is free on each healthy machine, by host. */
+        final Map<String, MachineFreeCapacity> freeCapacity = new HashMap<>();
+
+        /** CPUs and GPUs in use. */
+        final Map<String, double[]> usageByTeam = new HashMap<>();
+
+        /** Tasks of each job in each zone. */
+        final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
+
+        final Set<String> presentTasks = new HashSet<>();
+    }
+
+    /** Looks at everything; called every second. Faults are over at {@code faultsEndAtMillis}. */
     void check(long faultsEndAtMillis) {
-        Map<String, MachineFreeCapacity> freeCapacity = new HashMap<>();
-        Map<String, double[]> usageByTeam = new HashMap<>();
-        Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
-        Set<String> presentTasks = new HashSet<>();
+        Snapshot snapshot = new Snapshot();
+        recordPresentTasks(snapshot);
+        subtractSightedTasks(snapshot);
+        for (String id : cluster.acceptedJobs()) {
+            JobSpec job = cluster.jobsById.get(id);
+            if (cluster.serviceLevels().firstStartDelayMillis(id) < 0
+                    && !cluster.hasFinalStatus(id)) {
+                countIfStartable(job, snapshot);
+            }
+            if (cluster.nowMillis() > faultsEndAtMillis) {
+                checkWait(job, snapshot, faultsEndAtMillis);
+            }
+        }
+    }
+
+    private void recordPresentTasks(Snapshot snapshot) {
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             if (worker.isHealthy()) {
-                freeCapacity.put(worker.host, new MachineFreeCapacity(worker));
+                snapshot.freeCapacity.put(worker.host, new MachineFreeCapacity(worker));
             }
             for (SimulatedWorker.SimulatedTask t : worker.tasks.values()) {
                 if (!t.hasEnded()) {
                     JobSpec job = cluster.jobOfTask(t.name);
-                    presentTasks.add(t.name);
+                    snapshot.presentTasks.add(t.name);
                     lastSightings.put(t, new TaskSighting(worker, job, cluster.nowMillis()));
-                    tasksByZone
+                    snapshot.tasksByZone
                             .computeIfAbsent(job.jobId(), key -> new HashMap<>())
                             .merge(worker.zone, 1, Integer::sum);
                 }
             }
         }
+    }
+
+    /** Places of tasks that have just ended or gone count as taken too. */
+    private void subtractSightedTasks(Snapshot snapshot) {
         lastSightings
                 .values()
                 .removeIf(t -> cluster.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
         for (TaskSighting t : lastSightings.values()) {
-            double[] usage = usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]);
-            usage[0] += t.job.cpus();
-            usage[1] += t.job.gpus();
-            if (freeCapacity.containsKey(t.worker.host)) {
-                freeCapacity.get(t.worker.host).subtract(t.job);
+            addUsage(
+                    snapshot.usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]),
+                    t.job);
+            if (snapshot.freeCapacity.containsKey(t.worker.host)) {
+                snapshot.freeCapacity.get(t.worker.host).subtract(t.job);
             }
         }
-        for (String id : cluster.acceptedJobs()) {
-            JobSpec job = cluster.jobsById.get(id);
-            if (cluster.serviceLevels().firstStartDelayMillis(id) < 0
-                    && !cluster.hasFinalStatus(id)) {
-                double[] usageNotLessUrgent = new double[2];
-                for (TaskSighting t : lastSightings.values()) {
-                    if (t.job.team().equals(job.team())
-                            && t.job.priority().compareTo(job.priority()) <= 0) {
-                        usageNotLessUrgent[0] += t.job.cpus();
-                        usageNotLessUrgent[1] += t.job.gpus();
-                    }
-                }
-                startableSeconds.merge(
-                        id,
-                        !cluster.store.down
-                                        && canStart(
-                                                job,
-                                                job.taskCount(),
-                                                freeCapacity,
-                                                usageNotLessUrgent,
-                                                Map.of())
-                                ? 1
-                                : 0,
-                        Integer::sum);
-            }
-            if (cluster.nowMillis() <= faultsEndAtMillis) {
-                continue;
-            }
-            boolean startable =
-                    !cluster.hasFinalStatus(id)
-                            && !cluster.isCancellationRequested(id)
-                            && canStart(
-                                    job,
-                                    waitingTasks(job, presentTasks),
-                                    freeCapacity,
-                                    usageByTeam.getOrDefault(job.team(), new double[2]),
-                                    tasksByZone.getOrDefault(id, Map.of()));
-            if (!startable) {
-                startableSinceMillis.remove(id);
-                continue;
-            }
-            long sinceMillis = startableSinceMillis.computeIfAbsent(id, key -> cluster.nowMillis());
-            if (cluster.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis)
-                    > WAIT_LIMIT_MILLIS) {
-                cluster.recordViolation(
-                        "waiting", id + " could go on since " + sinceMillis / 1000 + " s");
+    }
+
+    private static void addUsage(double[] usage, JobSpec job) {
+        usage[0] += job.cpus();
+        usage[1] += job.gpus();
+    }
+
+    /** Adds a second if the job could start, were it not for less urgent work of its team. */
+    private void countIfStartable(JobSpec job, Snapshot snapshot) {
+        double[] usageNotLessUrgent = new double[2];
+        for (TaskSighting t : lastSightings.values()) {
+            if (t.job.team().equals(job.team())
+                    && t.job.priority().compareTo(job.priority()) <= 0) {
+                addUsage(usageNotLessUrgent, t.job);
             }
         }
+        boolean startable =
+                !cluster.store.down
+                        && canStart(
+                                job,
+                                job.taskCount(),
+                                snapshot.freeCapacity,
+                                usageNotLessUrgent,
+                                Map.of());
+        startableSeconds.merge(job.jobId(), startable ? 1 : 0, Integer::sum);
+    }
+
+    /** Records a violation if the job could have gone on for longer than the users' bound. */
+    private void checkWait(JobSpec job, Snapshot snapshot, long faultsEndAtMillis) {
+        String id = job.jobId();
+        boolean startable =
+                !cluster.hasFinalStatus(id)
+                        && !cluster.isCancellationRequested(id)
+                        && canStart(
+                                job,
+                                waitingTasks(job, snapshot.presentTasks),
+                                snapshot.freeCapacity,
+                                snapshot.usageByTeam.getOrDefault(job.team(), new double[2]),
+                                snapshot.tasksByZone.getOrDefault(id, Map.of()));
+        if (!startable) {
+            startableSinceMillis.remove(id);
+            return;
+        }
+        long sinceMillis = startableSinceMillis.computeIfAbsent(id, key -> cluster.nowMillis());
+        if (cluster.nowMillis() - Math.max(sinceMillis, faultsEndAtMillis) > WAIT_LIMIT_MILLIS) {
+            cluster.recordViolation(
+                    "waiting", id + " could go on since " + sinceMillis / 1000 + " s");
+        }
     }
 
     private int waitingTasks(JobSpec job, Set<String> presentTasks) {
