--- a/src/test/java/io/quincelead/simulation/SimulatedStore.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -6,10 +6,15 @@
 import io.quincelead.transport.IncomingRequest;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
 
 /** A stand-in for the state service, written from the protocol. */
 public final class SimulatedStore {
@@ -20,6 +25,9 @@
     private record Watch(
             String prefix, long afterRevision, IncomingRequest request, String clientIp) {}
 
+    /** Characters of JSON that a value has at most. */
+    private static final int MAX_VALUE_LENGTH = 8 * 1024;
+
     private final SimulatedClock clock;
     private final int maxOperations;
     private final TreeMap<String, VersionedValue> entries = new TreeMap<>();
@@ -40,10 +48,10 @@
     public long totalDownMillis;
 
     /** Controllers, by IP, that get 503 while the others are served; their open watches wait. */
-    private final java.util.Set<String> refusedClients = new java.util.HashSet<>();
+    private final Set<String> refusedClients = new HashSet<>();
 
     /** Controllers, by IP, whose watches are late though all else is served. */
-    private final java.util.Set<String> delayedWatchers = new java.util.HashSet<>();
+    private final Set<String> delayedWatchers = new HashSet<>();
 
     /**
      * Share of transactions that get no answer and are carried out 2 to 12 s later, after newer
@@ -60,10 +68,10 @@
     public int lostResponses;
 
     /** Which transactions are carried out at once without an answer, whatever their share. */
-    public java.util.function.Predicate<ObjectNode> dropsResponse = transaction -> false;
+    public Predicate<ObjectNode> dropsResponse = transaction -> false;
 
     /** Sees each transaction that has just been carried out. */
-    public java.util.function.Consumer<ObjectNode> commitObserver = transaction -> {};
+    public Consumer<ObjectNode> commitObserver = transaction -> {};
 
     /** How many of those were carried out, and how many failed by then. */
     public int delayedWritesApplied;
@@ -80,13 +88,12 @@
     public final Map<String, Integer> ledgerWrites = new HashMap<>();
 
     /** Which transactions get lost on their way, perhaps to arrive later. */
-    public java.util.function.Predicate<ObjectNode> dropsTransaction = transaction -> false;
+    public Predicate<ObjectNode> dropsTransaction = transaction -> false;
 
     /** Sees each transaction as it arrives, before anything is done with it. */
-    public java.util.function.Consumer<ObjectNode> arrivalObserver = transaction -> {};
+    public Consumer<ObjectNode> arrivalObserver = transaction -> {};
 
     public int largestValue;
-    public int largestTransaction;
 
     public SimulatedStore(SimulatedClock clock, int maxOperations) {
         this.clock = clock;
@@ -103,7 +110,7 @@
         return revision;
     }
 
-    public java.util.Collection<String> keys() {
+    public Collection<String> keys() {
         return entries.keySet();
     }
 
@@ -176,81 +183,100 @@
     }
 
     private void process(IncomingRequest request, String clientIp) {
-        if (request.path.equals("/watch") && !isUnavailableTo(clientIp)) {
-            Watch watch =
-                    new Watch(
-                            request.queryParameters.get("prefix"),
-                            Long.parseLong(request.queryParameters.get("after")),
-                            request,
-                            clientIp);
-            watches.add(watch);
-            clock.schedule(
-                    Long.parseLong(request.queryParameters.getOrDefault("holdMs", "0")),
-                    () -> {
-                        if (!isUnavailableTo(clientIp)
-                                && !delayedWatchers.contains(clientIp)
-                                && watches.remove(watch)) {
-                            answerWatch(watch, changesFor(watch));
-                        }
-                    });
-            notifyWatchers();
-            return;
-        }
         if (isUnavailableTo(clientIp)) {
             request.respondError(503, "trouble");
             return;
         }
+        if (request.path.equals("/watch")) {
+            openWatch(request, clientIp);
+            return;
+        }
         ObjectNode body =
                 request.method.equals("POST") ? WireFormat.CBOR.decodeMap(request.body) : null;
         if (request.path.equals("/holds")) {
-            long leaseId = ++lastLeaseId;
-            leaseDurationMillis.put(leaseId, body.path("lifeMs").asLong());
-            leaseExpiryMillis.put(leaseId, clock.nowMillis() + body.path("lifeMs").asLong());
-            request.respond(200, WireFormat.newMap().put("grant", leaseId));
+            openLease(request, body.path("lifeMs").asLong());
         } else if (request.path.startsWith("/holds/")) {
-            long leaseId = Long.parseLong(request.path.split("/")[2]);
-            if (!leaseExpiryMillis.containsKey(leaseId)) {
-                request.respond(404, WireFormat.newMap());
-            } else if (request.method.equals("DELETE")) {
-                endLease(leaseId);
-                request.respond(200, WireFormat.newMap());
-            } else {
-                leaseExpiryMillis.put(
-                        leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
-                request.respond(200, WireFormat.newMap());
-            }
+            renewOrEndLease(request, Long.parseLong(request.path.split("/")[2]));
         } else if (request.path.equals("/commit")) {
-            if (delayedWriteRate > 0
-                    && !body.path("then").isEmpty()
-                    && clock.random.nextDouble() < delayedWriteRate) {
-                commitLater(request, body, 2_000 + clock.random.nextLong(10_000));
-            } else if (dropsResponse.test(body)
-                    || responseLossRate > 0
-                            && !body.path("then").isEmpty()
-                            && clock.random.nextDouble() < responseLossRate) {
-                lostResponses++;
-                commit(requestWithoutResponse(), body);
-            } else {
-                commit(request, body);
-            }
+            commitWithFaults(request, body);
         } else if (request.path.equals("/store")) {
             list(request);
         } else {
-            VersionedValue entry = entries.get(request.path.substring("/store/".length()));
-            if (entry == null) {
-                request.respond(404, WireFormat.newMap().put("generation", revision));
-            } else {
-                ObjectNode response =
-                        WireFormat.newMap()
-                                .put("path", request.path.substring("/store/".length()))
-                                .put("stamp", entry.modRevision)
-                                .put("grant", entry.leaseId);
-                response.set("value", entry.value);
-                request.respond(200, response);
-            }
+            read(request, request.path.substring("/store/".length()));
         }
     }
 
+    private void openWatch(IncomingRequest request, String clientIp) {
+        Watch watch =
+                new Watch(
+                        request.queryParameters.get("prefix"),
+                        Long.parseLong(request.queryParameters.get("after")),
+                        request,
+                        clientIp);
+        watches.add(watch);
+        clock.schedule(
+                Long.parseLong(request.queryParameters.getOrDefault("holdMs", "0")),
+                () -> {
+                    if (!isUnavailableTo(clientIp)
+                            && !delayedWatchers.contains(clientIp)
+                            && watches.remove(watch)) {
+                        answerWatch(watch, changesFor(watch));
+                    }
+                });
+        notifyWatchers();
+    }
+
+    private void openLease(IncomingRequest request, long durationMillis) {
+        long leaseId = ++lastLeaseId;
+        leaseDurationMillis.put(leaseId, durationMillis);
+        leaseExpiryMillis.put(leaseId, clock.nowMillis() + durationMillis);
+        request.respond(200, WireFormat.newMap().put("grant", leaseId));
+    }
+
+    private void renewOrEndLease(IncomingRequest request, long leaseId) {
+        if (!leaseExpiryMillis.containsKey(leaseId)) {
+            request.respond(404, WireFormat.newMap());
+        } else if (request.method.equals("DELETE")) {
+            endLease(leaseId);
+            request.respond(200, WireFormat.newMap());
+        } else {
+            leaseExpiryMillis.put(leaseId, clock.nowMillis() + leaseDurationMillis.get(leaseId));
+            request.respond(200, WireFormat.newMap());
+        }
+    }
+
+    /** Carries a transaction out now, later, or without an answer. */
+    private void commitWithFaults(IncomingRequest request, ObjectNode body) {
+        if (delayedWriteRate > 0
+                && !body.path("then").isEmpty()
+                && clock.random.nextDouble() < delayedWriteRate) {
+            commitLater(request, body, 2_000 + clock.random.nextLong(10_000));
+        } else if (dropsResponse.test(body)
+                || responseLossRate > 0
+                        && !body.path("then").isEmpty()
+                        && clock.random.nextDouble() < responseLossRate) {
+            lostResponses++;
+            commit(requestWithoutResponse(), body);
+        } else {
+            commit(request, body);
+        }
+    }
+
+    private void read(IncomingRequest request, String key) {
+        VersionedValue entry = entries.get(key);
+        if (entry == null) {
+            request.respond(404, WireFormat.newMap().put("generation", revision));
+            return;
+        }
+        ObjectNode response =
+                WireFormat.newMap()
+                        .put("path", key)
+                        .put("stamp", entry.modRevision)
+                        .put("grant", entry.leaseId);
+        response.set("value", entry.value);
+        request.respond(200, response);
+    }
+
     /** Carries a transaction out after so many ms; nobody hears of it. */
     void commitLater(IncomingRequest request, ObjectNode body, long delayMillis) {
         clock.schedule(
@@ -313,68 +339,91 @@
         }
         arrivalObserver.accept(body);
         JsonNode operations = body.path("then");
-        if (operations.size() > maxOperations || body.path("guards").size() > 4 * maxOperations) {
+        requireWithinLimits(operations.size(), body.path("guards").size());
+        if (!checkOperations(operations)) {
+            request.respondError(400, "no such lease");
+            return;
+        }
+        ArrayNode failedKeys = failedPreconditions(body.path("guards"));
+        if (!failedKeys.isEmpty()) {
+            ObjectNode response = WireFormat.newMap().put("generation", revision);
+            response.set("failed", failedKeys);
+            request.respond(409, response);
+            return;
+        }
+        if (!operations.isEmpty()) {
+            revision++;
+        }
+        operations.forEach(this::apply);
+        request.respond(200, WireFormat.newMap().put("generation", revision));
+        notifyWatchers();
+        if (!operations.isEmpty()) {
+            commitObserver.accept(body);
+        }
+    }
+
+    /** A controller that sends more than the real service takes is at fault: the scenario ends. */
+    private void requireWithinLimits(int operationCount, int preconditionCount) {
+        if (operationCount > maxOperations || preconditionCount > 4 * maxOperations) {
             throw new IllegalStateException(
                     "a transaction over the limits: "
-                            + operations.size()
+                            + operationCount
                             + " changes, "
-                            + body.path("guards").size()
+                            + preconditionCount
                             + " guards");
         }
-        largestTransaction = Math.max(largestTransaction, operations.size());
+    }
+
+    /**
+     * Whether all leases that the operations name are alive; checks and notes the sizes of the
+     * values up to the first that isn't.
+     */
+    private boolean checkOperations(JsonNode operations) {
         for (JsonNode operation : operations) {
             if (operation.hasNonNull("grant")
                     && !leaseExpiryMillis.containsKey(operation.path("grant").asLong())) {
-                request.respondError(400, "no such lease");
-                return;
+                return false;
             }
             if (operation.has("put")) {
                 int size = operation.path("value").toString().length();
                 largestValue = Math.max(largestValue, size);
-                if (size > 8 * 1024) {
+                if (size > MAX_VALUE_LENGTH) {
                     throw new IllegalStateException("a value over the limit: " + size);
                 }
             }
         }
+        return true;
+    }
+
+    /** The keys whose mod revision isn't the required one; 0 requires that there is no such key. */
+    private ArrayNode failedPreconditions(JsonNode preconditions) {
         ArrayNode failedKeys = WireFormat.newList();
-        for (JsonNode precondition : body.path("guards")) {
-            VersionedValue entry = entries.get(precondition.path("path").asText());
+        for (JsonNode precondition : preconditions) {
+            String key = precondition.path("path").asText();
+            VersionedValue entry = entries.get(key);
             if ((entry == null ? 0 : entry.modRevision) != precondition.path("stamp").asLong()) {
-                failedKeys.add(precondition.path("path").asText());
+                failedKeys.add(key);
             }
         }
-        if (!failedKeys.isEmpty()) {
-            ObjectNode response = WireFormat.newMap().put("generation", revision);
-            response.set("failed", failedKeys);
-            request.respond(409, response);
-            return;
-        }
-        if (!operations.isEmpty()) {
-            revision++;
-        }
-        for (JsonNode operation : operations) {
-            if (operation.path("put").asText().startsWith("z/oe/")) {
-                ledgerWrites.merge(operation.path("put").asText(), 1, Integer::sum);
-            }
-            if (operation.has("put")) {
-                entries.put(
-                        operation.path("put").asText(),
-                        new VersionedValue(
-                                operation.path("value"),
-                                revision,
-                                operation.path("grant").asLong()));
-                changes.add(
-                        new StoreChange(
-                                revision, operation.path("put").asText(), operation.path("value")));
-            } else if (entries.remove(operation.path("remove").asText()) != null) {
-                changes.add(new StoreChange(revision, operation.path("remove").asText(), null));
+        return failedKeys;
+    }
+
+    /** Puts or removes one key at the present revision. */
+    private void apply(JsonNode operation) {
+        if (!operation.has("put")) {
+            String removedKey = operation.path("remove").asText();
+            if (entries.remove(removedKey) != null) {
+                changes.add(new StoreChange(revision, removedKey, null));
             }
+            return;
         }
-        request.respond(200, WireFormat.newMap().put("generation", revision));
-        notifyWatchers();
-        if (!operations.isEmpty()) {
-            commitObserver.accept(body);
+        String key = operation.path("put").asText();
+        JsonNode value = operation.path("value");
+        if (key.startsWith("z/oe/")) {
+            ledgerWrites.merge(key, 1, Integer::sum);
         }
+        entries.put(key, new VersionedValue(value, revision, operation.path("grant").asLong()));
+        changes.add(new StoreChange(revision, key, value));
     }
 
     private void notifyWatchers() {
