--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -17,6 +17,9 @@
     /** ms. gang_wait_s of the settings that the cluster hands out. */
     static final long GANG_WAIT_MILLIS = 45_000;
 
+    /** A heartbeat's answer that comes later than this counts as none. */
+    private static final long HEARTBEAT_TIMEOUT_MILLIS = 4_000;
+
     /** A task on the machine, or one that has ended there. */
     public static final class SimulatedTask {
         final String name;
@@ -214,21 +217,17 @@
         return node;
     }
 
+    /** A heartbeat under way: its number, when it was sent and the agent epoch it was sent in. */
+    private record SentHeartbeat(int number, long sentMillis, long agentEpoch) {}
+
     private void sendHeartbeat() {
         heartbeatInFlight = true;
         heartbeatDue = false;
         lastHeartbeatMillis = clock.nowMillis();
-        long sentMillis = clock.nowMillis();
-        long sentAgentEpoch = agentEpoch;
-        int number = ++heartbeatNumber;
+        SentHeartbeat heartbeat =
+                new SentHeartbeat(++heartbeatNumber, clock.nowMillis(), agentEpoch);
         if (unreachableOutbound) {
-            clock.schedule(
-                    500,
-                    () ->
-                            runUnlessHung(
-                                    () ->
-                                            onHeartbeatResponse(
-                                                    number, sentMillis, sentAgentEpoch, 0, null)));
+            timeOutAfter(500, heartbeat);
             return;
         }
         SimulatedCluster.SimulatedController controller = cluster.controllers.get(targetController);
@@ -238,52 +237,43 @@
                 "POST",
                 "/v1/report",
                 WireFormat.CBOR.encode(heartbeatBody()),
-                4000,
+                HEARTBEAT_TIMEOUT_MILLIS,
                 (status, responseBody, retryAfterSeconds) ->
-                        runUnlessHung(
-                                () -> {
-                                    if (number != heartbeatNumber) {
-                                        return;
-                                    }
-                                    if (unreachableInbound && status != 0) {
-                                        clock.schedule(
-                                                Math.max(
-                                                        0, 4000 - (clock.nowMillis() - sentMillis)),
-                                                () ->
-                                                        runUnlessHung(
-                                                                () ->
-                                                                        onHeartbeatResponse(
-                                                                                number,
-                                                                                sentMillis,
-                                                                                sentAgentEpoch,
-                                                                                0,
-                                                                                null)));
-                                        return;
-                                    }
-                                    onHeartbeatResponse(
-                                            number,
-                                            sentMillis,
-                                            sentAgentEpoch,
-                                            status,
-                                            responseBody);
-                                }));
+                        runUnlessHung(() -> receiveResponse(heartbeat, status, responseBody)));
+    }
+
+    private void timeOutAfter(long delayMillis, SentHeartbeat heartbeat) {
+        clock.schedule(
+                delayMillis, () -> runUnlessHung(() -> onHeartbeatResponse(heartbeat, 0, null)));
+    }
+
+    /** A machine that is unreachable inbound waits for its timeout whatever came back. */
+    private void receiveResponse(SentHeartbeat heartbeat, int status, byte[] responseBody) {
+        if (heartbeat.number != heartbeatNumber) {
+            return;
+        }
+        if (unreachableInbound && status != 0) {
+            long elapsedMillis = clock.nowMillis() - heartbeat.sentMillis;
+            timeOutAfter(Math.max(0, HEARTBEAT_TIMEOUT_MILLIS - elapsedMillis), heartbeat);
+            return;
+        }
+        onHeartbeatResponse(heartbeat, status, responseBody);
     }
 
-    private void onHeartbeatResponse(
-            int number, long sentMillis, long sentAgentEpoch, int status, byte[] responseBody) {
-        if (number != heartbeatNumber) {
+    private void onHeartbeatResponse(SentHeartbeat heartbeat, int status, byte[] responseBody) {
+        if (heartbeat.number != heartbeatNumber) {
             return;
         }
         heartbeatInFlight = false;
         ObjectNode response = WireFormat.CBOR.decodeMap(responseBody);
         if (status == 200 && response != null) {
-            if (clock.nowMillis() - sentMillis > 4000
-                    || sentAgentEpoch != agentEpoch
+            if (clock.nowMillis() - heartbeat.sentMillis > HEARTBEAT_TIMEOUT_MILLIS
+                    || heartbeat.agentEpoch != agentEpoch
                     || !response.has("epoch")
                     || response.path("epoch").asLong() < fencingToken) {
                 return;
             }
-            leaseStartMillis = sentMillis;
+            leaseStartMillis = heartbeat.sentMillis;
             adoptToken(response.path("epoch").asLong());
             response.path("orders").forEach(this::execute);
             return;
