--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -91,8 +91,8 @@
     /**
      * Releases machines.
      *
-     * @param onResponse gets true when the cloud has confirmed that all of them are gone; false says
-     *     nothing
+     * @param onResponse gets true when the cloud has confirmed that all of them are gone; false
+     *     says nothing
      */
     void release(List<String> hosts, Consumer<Boolean> onResponse) {
         call(
--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Work and quota after faults of many machines, zones or all controllers (docs/design/compound-faults.md).
+ * Work and quota after faults of many machines, zones or all controllers
+ * (docs/design/compound-faults.md).
  */
 class CompoundFaultRecoveryTest {
     /**
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Faults that coincide (docs/design/compound-faults.md): each test brings its faults about and asserts
- * that they coincided.
+ * Faults that coincide (docs/design/compound-faults.md): each test brings its faults about and
+ * asserts that they coincided.
  */
 class CompoundFaultTest {
     /**
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -25,8 +25,8 @@
 
 /**
  * A change is carried out at once and only its answer is lost, while others read what it wrote and
- * act on it (docs/design/compound-faults.md); and cancellations at each step of a reassignment, which is
- * made of such changes.
+ * act on it (docs/design/compound-faults.md); and cancellations at each step of a reassignment,
+ * which is made of such changes.
  */
 class LostResponseTest {
     private static boolean removes(ObjectNode transaction, String prefix) {
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users who look closely (docs/design/compound-faults.md): no controller tells anybody anything older than
- * what somebody has been told.
+ * Users who look closely (docs/design/compound-faults.md): no controller tells anybody anything
+ * older than what somebody has been told.
  */
 class ReadConsistencyTest {
     /**
