--- a/src/test/java/io/quincelead/simulation/CompoundFaults.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaults.java
@@ -3,6 +3,7 @@
 import io.quincelead.cluster.JobSpec;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 
 /**
  * Faults that coincide: each of the kinds that broke rules on real machines, alone or drawn
@@ -81,148 +82,186 @@
 
     static void inject(SimulatedCluster cluster, FaultKind kind) {
         long durationMillis = 3_000 + cluster.random().nextLong(30_000);
-        int leader = Math.max(0, cluster.leaderIndex());
-        String ip = cluster.controllers.get(leader).ip;
         cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis);
+        if (kind.ordinal() < INITIAL_KIND_COUNT) {
+            injectInitialKind(cluster, kind, durationMillis);
+        } else {
+            injectNewerKind(cluster, kind, durationMillis);
+        }
+    }
+
+    private static void injectInitialKind(
+            SimulatedCluster cluster, FaultKind kind, long durationMillis) {
+        FaultInjector faults = cluster.faults;
         switch (kind) {
-            case LEADER_PARTITIONED -> {
-                List<String> otherIps = new ArrayList<>(List.of("10.2.0.1"));
-                cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
-                otherIps.remove(ip);
-                cluster.faults.partition(ip, otherIps, durationMillis);
-            }
-            case DELAYED_WRITES -> {
-                cluster.store.delayedWriteRate = 0.05 + cluster.random().nextDouble() * 0.3;
-                cluster.after(durationMillis, () -> cluster.store.delayedWriteRate = 0);
-                cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 12_000);
-            }
+            case LEADER_PARTITIONED -> partitionLeader(cluster, durationMillis);
+            case DELAYED_WRITES -> delayWrites(cluster, durationMillis);
             case SLOW_STORE -> {
                 cluster.store.maxExtraLatencyMillis = 200 + cluster.random().nextLong(1_800);
                 cluster.after(durationMillis, () -> cluster.store.maxExtraLatencyMillis = 0);
             }
-            case LEADER_REFUSED_BY_STORE -> cluster.faults.refuseByStore(leader, durationMillis);
+            case LEADER_REFUSED_BY_STORE ->
+                    faults.refuseByStore(leaderOrFirst(cluster), durationMillis);
             case STORE_DOWN ->
-                    cluster.faults.storeOutage(durationMillis + cluster.random().nextLong(40_000));
-            case LEADER_CRASH ->
-                    cluster.faults.crashController(
-                            leader,
-                            cluster.random().nextBoolean()
-                                    ? cluster.faults.quickRestartDelayMillis()
-                                    : 2_000 + cluster.random().nextLong(20_000));
+                    faults.storeOutage(durationMillis + cluster.random().nextLong(40_000));
+            case LEADER_CRASH -> crashLeader(cluster);
             case MACHINES_PARTITIONED ->
                     forSomeMachines(
                             cluster,
-                            worker -> {
-                                List<String> controllerIps = new ArrayList<>();
-                                cluster.controllers.forEach(
-                                        controller -> controllerIps.add(controller.ip));
-                                cluster.faults.partition(
-                                        worker.address.substring(0, worker.address.indexOf(':')),
-                                        controllerIps,
-                                        durationMillis);
-                            });
+                            worker -> partitionFromControllers(cluster, worker, durationMillis));
             case MACHINES_UNREACHABLE_INBOUND ->
                     forSomeMachines(
                             cluster,
-                            worker ->
-                                    cluster.faults.makeUnreachableInbound(worker, durationMillis));
-            case STALE_HEARTBEATS -> {
-                cluster.network.staleHeartbeatRate = 0.05 + cluster.random().nextDouble() * 0.3;
-                cluster.after(durationMillis, () -> cluster.network.staleHeartbeatRate = 0);
-                cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 45_000);
-            }
-            case DELAYED_COMMANDS -> {
-                cluster.network.commandHoldRate = 0.2 + cluster.random().nextDouble() * 0.5;
-                cluster.after(durationMillis, () -> cluster.network.commandHoldRate = 0);
-                cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 14_000);
-            }
+                            worker -> faults.makeUnreachableInbound(worker, durationMillis));
+            case STALE_HEARTBEATS -> repeatStaleHeartbeats(cluster, durationMillis);
+            case DELAYED_COMMANDS -> delayCommands(cluster, durationMillis);
             case MACHINES_HANG ->
                     forSomeMachines(
                             cluster,
-                            worker -> {
-                                worker.setHung(true);
-                                cluster.after(
-                                        Math.min(durationMillis, 9_000),
-                                        () -> worker.setHung(false));
-                            });
-            case ALL_CONTROLLERS_CRASH -> {
-                int first = cluster.random().nextInt(cluster.controllers.size());
-                for (int i = 0; i < cluster.controllers.size(); i++) {
-                    cluster.faults.crashController(
-                            i,
-                            i == first
-                                    ? cluster.faults.quickRestartDelayMillis()
-                                    : 1_000 + cluster.random().nextLong(8_000));
-                }
-            }
+                            worker -> hang(cluster, worker, Math.min(durationMillis, 9_000)));
+            case ALL_CONTROLLERS_CRASH -> crashAllControllers(cluster);
+            default -> throw new IllegalArgumentException("an unknown kind of fault: " + kind);
+        }
+    }
+
+    private static void injectNewerKind(
+            SimulatedCluster cluster, FaultKind kind, long durationMillis) {
+        FaultInjector faults = cluster.faults;
+        SimulatedUsers users = cluster.users;
+        switch (kind) {
             case LOST_STORE_RESPONSES -> {
                 cluster.store.responseLossRate = 0.1 + cluster.random().nextDouble() * 0.5;
                 cluster.after(durationMillis, () -> cluster.store.responseLossRate = 0);
             }
-            case REPLAYED_HEARTBEATS ->
-                    cluster.faults.replayHeartbeats(0.3, durationMillis + 10_000);
+            case REPLAYED_HEARTBEATS -> faults.replayHeartbeats(0.3, durationMillis + 10_000);
             case HELD_HEARTBEATS ->
-                    cluster.faults.holdHeartbeats(
+                    faults.holdHeartbeats(
                             0.3, Math.min(durationMillis, 10_000), durationMillis + 10_000);
             case MACHINES_UNREACHABLE_OUTBOUND ->
                     forSomeMachines(
                             cluster,
-                            worker ->
-                                    cluster.faults.makeUnreachableOutbound(worker, durationMillis));
-            case CONSISTENCY_PROBES -> {
-                cluster.users.consistencyProbes = true;
-                cluster.users.cancelAtOnceRate = 0.2;
-                cluster.after(
-                        durationMillis,
-                        () -> {
-                            cluster.users.consistencyProbes = false;
-                            cluster.users.cancelAtOnceRate = 0;
-                        });
-            }
-            case UNACCEPTABLE_REQUESTS -> cluster.users.sendUnusualRequests(300, durationMillis);
-            case MASS_CANCELLATION -> cluster.users.cancelRunningJobs(12, 0);
+                            worker -> faults.makeUnreachableOutbound(worker, durationMillis));
+            case CONSISTENCY_PROBES -> probeConsistency(cluster, durationMillis);
+            case UNACCEPTABLE_REQUESTS -> users.sendUnusualRequests(300, durationMillis);
+            case MASS_CANCELLATION -> users.cancelRunningJobs(12, 0);
             case MASS_CANCELLATION_WITH_HANGS ->
-                    cluster.users.cancelRunningJobs(12, Math.min(durationMillis, 9_000));
+                    users.cancelRunningJobs(12, Math.min(durationMillis, 9_000));
             case CANCELLATION_AT_COMPLETION -> {
-                cluster.users.cancelAtCompletionRate = 0.6;
-                cluster.after(durationMillis, () -> cluster.users.cancelAtCompletionRate = 0);
+                users.cancelAtCompletionRate = 0.6;
+                cluster.after(durationMillis, () -> users.cancelAtCompletionRate = 0);
             }
             case FAST_BOOTS -> {
                 cluster.cloud.fastBoots = true;
                 cluster.after(durationMillis, () -> cluster.cloud.fastBoots = false);
             }
             case SINGLE_TASK_JOB_STREAM ->
-                    cluster.users.submitSingleTaskJobs((int) (durationMillis / 250), 250);
-            case SLOW_LINKS -> {
-                cluster.network.maxExtraLatencyMillis = 50 + cluster.random().nextInt(350);
-                cluster.after(durationMillis, () -> cluster.network.maxExtraLatencyMillis = 0);
-                for (int i = 0; i < 6; i++) {
-                    JobSpec job =
-                            JobFixtures.array(
-                                    cluster.users.nextJobNumber(),
-                                    i % 2 == 0 ? "red" : "blue",
-                                    JobSpec.Priority.values()[cluster.random().nextInt(4)],
-                                    12,
-                                    2,
-                                    12);
-                    cluster.submitAfter(cluster.random().nextLong(5_000), job);
-                }
-            }
+                    users.submitSingleTaskJobs((int) (durationMillis / 250), 250);
+            case SLOW_LINKS -> slowLinksUnderLoad(cluster, durationMillis);
             case ZONE_PARTITIONED ->
-                    cluster.faults.partitionZone(
+                    faults.partitionZone(
                             cluster.random().nextBoolean() ? "a" : "b",
                             cluster.random().nextInt(cluster.controllers.size()),
                             durationMillis);
             case REPEATED_LEADER_CHANGES ->
-                    cluster.faults.changeLeadersRepeatedly(
-                            5, 1_000 + cluster.random().nextLong(8_000));
+                    faults.changeLeadersRepeatedly(5, 1_000 + cluster.random().nextLong(8_000));
             default -> throw new IllegalArgumentException("an unknown kind of fault: " + kind);
         }
     }
 
+    /** The index of the leader; of the first controller if nobody leads. */
+    private static int leaderOrFirst(SimulatedCluster cluster) {
+        return Math.max(0, cluster.leaderIndex());
+    }
+
+    private static void partitionLeader(SimulatedCluster cluster, long durationMillis) {
+        String ip = cluster.controllers.get(leaderOrFirst(cluster)).ip;
+        List<String> otherIps = new ArrayList<>(List.of("10.2.0.1"));
+        cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
+        otherIps.remove(ip);
+        cluster.faults.partition(ip, otherIps, durationMillis);
+    }
+
+    private static void delayWrites(SimulatedCluster cluster, long durationMillis) {
+        cluster.store.delayedWriteRate = 0.05 + cluster.random().nextDouble() * 0.3;
+        cluster.after(durationMillis, () -> cluster.store.delayedWriteRate = 0);
+        cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 12_000);
+    }
+
+    private static void crashLeader(SimulatedCluster cluster) {
+        cluster.faults.crashController(
+                leaderOrFirst(cluster),
+                cluster.random().nextBoolean()
+                        ? cluster.faults.quickRestartDelayMillis()
+                        : 2_000 + cluster.random().nextLong(20_000));
+    }
+
+    private static void partitionFromControllers(
+            SimulatedCluster cluster, SimulatedWorker worker, long durationMillis) {
+        List<String> controllerIps = new ArrayList<>();
+        cluster.controllers.forEach(controller -> controllerIps.add(controller.ip));
+        cluster.faults.partition(FaultInjector.ipOf(worker), controllerIps, durationMillis);
+    }
+
+    private static void repeatStaleHeartbeats(SimulatedCluster cluster, long durationMillis) {
+        cluster.network.staleHeartbeatRate = 0.05 + cluster.random().nextDouble() * 0.3;
+        cluster.after(durationMillis, () -> cluster.network.staleHeartbeatRate = 0);
+        cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 45_000);
+    }
+
+    private static void delayCommands(SimulatedCluster cluster, long durationMillis) {
+        cluster.network.commandHoldRate = 0.2 + cluster.random().nextDouble() * 0.5;
+        cluster.after(durationMillis, () -> cluster.network.commandHoldRate = 0);
+        cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis + 14_000);
+    }
+
+    private static void hang(SimulatedCluster cluster, SimulatedWorker worker, long hangMillis) {
+        worker.setHung(true);
+        cluster.after(hangMillis, () -> worker.setHung(false));
+    }
+
+    /** Ends all controllers; one drawn at random is back at once, the others later. */
+    private static void crashAllControllers(SimulatedCluster cluster) {
+        int first = cluster.random().nextInt(cluster.controllers.size());
+        for (int i = 0; i < cluster.controllers.size(); i++) {
+            cluster.faults.crashController(
+                    i,
+                    i == first
+                            ? cluster.faults.quickRestartDelayMillis()
+                            : 1_000 + cluster.random().nextLong(8_000));
+        }
+    }
+
+    private static void probeConsistency(SimulatedCluster cluster, long durationMillis) {
+        cluster.users.consistencyProbes = true;
+        cluster.users.cancelAtOnceRate = 0.2;
+        cluster.after(
+                durationMillis,
+                () -> {
+                    cluster.users.consistencyProbes = false;
+                    cluster.users.cancelAtOnceRate = 0;
+                });
+    }
+
+    /** Slows all links, and submits more work than there is room for. */
+    private static void slowLinksUnderLoad(SimulatedCluster cluster, long durationMillis) {
+        cluster.network.maxExtraLatencyMillis = 50 + cluster.random().nextInt(350);
+        cluster.after(durationMillis, () -> cluster.network.maxExtraLatencyMillis = 0);
+        for (int i = 0; i < 6; i++) {
+            JobSpec job =
+                    JobFixtures.array(
+                            cluster.users.nextJobNumber(),
+                            i % 2 == 0 ? "red" : "blue",
+                            JobSpec.Priority.values()[cluster.random().nextInt(4)],
+                            12,
+                            2,
+                            12);
+            cluster.submitAfter(cluster.random().nextLong(5_000), job);
+        }
+    }
+
     /** A third of the machines that are up. */
     private static void forSomeMachines(
-            SimulatedCluster cluster, java.util.function.Consumer<SimulatedWorker> action) {
+            SimulatedCluster cluster, Consumer<SimulatedWorker> action) {
         for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
             if (worker.up && !worker.dead && cluster.random().nextInt(3) == 0) {
                 action.accept(worker);
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -33,39 +33,15 @@
                 cluster.store.setDown(true);
                 cluster.after(durationMillis, () -> cluster.store.setDown(false));
             }
-            case 3 ->
+            case 3 -> partition(randomControllerIp(), List.of("10.2.0.1"), durationMillis);
+            case 4 -> isolateController(randomControllerIp(), durationMillis);
+            case 5 ->
                     partition(
-                            cluster.controllers.get(cluster.random().nextInt(controllerCount)).ip,
-                            List.of("10.2.0.1"),
+                            randomControllerIp(),
+                            cluster.cloud.machines.values().stream()
+                                    .map(FaultInjector::ipOf)
+                                    .toList(),
                             durationMillis);
-            case 4 -> {
-                String ip = cluster.controllers.get(cluster.random().nextInt(controllerCount)).ip;
-                List<String> otherIps =
-                        new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
-                cluster.cloud
-                        .machines
-                        .values()
-                        .forEach(
-                                worker ->
-                                        otherIps.add(
-                                                worker.address.substring(
-                                                        0, worker.address.indexOf(':'))));
-                cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
-                otherIps.remove(ip);
-                partition(ip, otherIps, durationMillis);
-            }
-            case 5 -> {
-                String ip = cluster.controllers.get(cluster.random().nextInt(controllerCount)).ip;
-                partition(
-                        ip,
-                        cluster.cloud.machines.values().stream()
-                                .map(
-                                        worker ->
-                                                worker.address.substring(
-                                                        0, worker.address.indexOf(':')))
-                                .toList(),
-                        durationMillis);
-            }
             case 6 ->
                     onRandomMachine(
                             worker -> {
@@ -77,6 +53,23 @@
         }
     }
 
+    private String randomControllerIp() {
+        return cluster.controllers.get(cluster.random().nextInt(cluster.controllers.size())).ip;
+    }
+
+    static String ipOf(SimulatedWorker worker) {
+        return worker.address.substring(0, worker.address.indexOf(':'));
+    }
+
+    /** Cuts a controller off from everything else. */
+    private void isolateController(String ip, long durationMillis) {
+        List<String> otherIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
+        cluster.cloud.machines.values().forEach(worker -> otherIps.add(ipOf(worker)));
+        cluster.controllers.forEach(controller -> otherIps.add(controller.ip));
+        otherIps.remove(ip);
+        partition(ip, otherIps, durationMillis);
+    }
+
     void crashController(int controller, long restartDelayMillis) {
         if (cluster.controllers.get(controller).isAlive()) {
             cluster.controllers.get(controller).kill();
@@ -128,9 +121,7 @@
                 .forEach(
                         worker ->
                                 (worker.zone.equals(zone) ? insideIps : outsideIps)
-                                        .add(
-                                                worker.address.substring(
-                                                        0, worker.address.indexOf(':'))));
+                                        .add(ipOf(worker)));
         insideIps.forEach(
                 insideIp ->
                         outsideIps.forEach(
