--- a/src/test/java/io/quincelead/simulation/RandomScenarios.java
+++ b/src/test/java/io/quincelead/simulation/RandomScenarios.java
@@ -13,6 +13,11 @@
 
 /** Scenarios drawn at random by their seeds; tests play some seeds, the scenario runner any. */
 final class RandomScenarios {
+    /** Calendar entries and changes of classes of the scenario of operators' records. */
+    private static final int CALENDAR_ENTRY_COUNT = 3;
+
+    private static final int CLASS_CHANGE_COUNT = 4;
+
     private RandomScenarios() {}
 
     /**
@@ -21,16 +26,26 @@
      */
     static void submitRandomJobs(SimulatedCluster cluster, int jobCount, long intervalMillis) {
         for (int i = 1; i <= jobCount; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.random());
-            long atMillis = 3_000 + cluster.random().nextLong(jobCount * intervalMillis);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(6) == 0) {
-                cluster.cancelAfter(
-                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
-                        job.jobId());
-            }
-            cluster.queryAfter(atMillis + 500, "wk-9" + job.jobId().substring(3));
+            long atMillis = submitRandomJob(cluster, i, jobCount * intervalMillis);
+            cluster.queryAfter(atMillis + 500, "wk-9" + JobFixtures.id(i).substring(3));
+        }
+    }
+
+    /**
+     * Submits a job at a random moment of so many ms, and cancels it later if it is a service, and
+     * else sometimes; when it is submitted.
+     */
+    private static long submitRandomJob(
+            SimulatedCluster cluster, int jobNumber, long arrivalSpanMillis) {
+        JobSpec job = JobFixtures.randomJob(jobNumber, cluster.random());
+        long atMillis = 3_000 + cluster.random().nextLong(arrivalSpanMillis);
+        cluster.submitAfter(atMillis, job);
+        if (job.isService() || cluster.random().nextInt(6) == 0) {
+            cluster.cancelAfter(
+                    atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
+                    job.jobId());
         }
+        return atMillis;
     }
 
     /** Everything at once, at random; see the test for what that is. */
@@ -65,12 +80,7 @@
                     8_000 + cluster.random().nextLong(150_000),
                     () -> cluster.faults.injectRandomFault());
         }
-        cluster.after(
-                200_000,
-                () -> {
-                    cluster.network.responseLossRate = 0;
-                    cluster.network.duplicationRate = 0;
-                });
+        stopMessageFaultsAfter(cluster, 200_000);
         cluster.expectFaultsUntil(380_000);
         cluster.runUntil(600_000);
     }
@@ -93,50 +103,7 @@
         cluster.cloud.addRunningMachines("gpu", "a", 4);
         cluster.cloud.addRunningMachines("gpu", "c", 4);
         cluster.start();
-        for (int i = 1; i <= 66; i++) {
-            String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
-            JobSpec job =
-                    switch (i % 3) {
-                        case 0 ->
-                                JobFixtures.service(
-                                                i,
-                                                team,
-                                                JobSpec.Priority.PRODUCTION,
-                                                List.of(3, 5, 8).get(cluster.random().nextInt(3)))
-                                        .cpus(1)
-                                        .zoneSpread(true)
-                                        .preemptible(false)
-                                        .build();
-                        case 1 ->
-                                JobFixtures.gang(
-                                                i,
-                                                team,
-                                                JobSpec.Priority.HIGH,
-                                                List.of(1, 2, 4).get(cluster.random().nextInt(3)))
-                                        .cpus(14)
-                                        .gpus(4)
-                                        .runtimeSeconds(5 + cluster.random().nextInt(30))
-                                        .zoneAffinity(true)
-                                        .preemptible(false)
-                                        .checkpointIntervalSeconds(
-                                                cluster.random().nextBoolean() ? 10 : 0)
-                                        .build();
-                        default ->
-                                JobFixtures.array(
-                                        i,
-                                        team,
-                                        JobSpec.Priority.BEST_EFFORT,
-                                        10 + cluster.random().nextInt(240),
-                                        1,
-                                        5 + cluster.random().nextInt(25));
-                    };
-            long atMillis = 2_000 + cluster.random().nextLong(i < 25 ? 6_000 : 130_000);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(12) == 0) {
-                cluster.cancelAfter(
-                        atMillis + 5_000 + cluster.random().nextLong(150_000), job.jobId());
-            }
-        }
+        submitOverload(cluster);
         for (int i = 0; i < 2; i++) {
             int controller = cluster.random().nextInt(3);
             String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
@@ -155,6 +122,57 @@
         return cluster;
     }
 
+    /** Submits more work than fits, most of the first of it at once, and cancels some. */
+    private static void submitOverload(SimulatedCluster cluster) {
+        for (int i = 1; i <= 66; i++) {
+            JobSpec job = overloadJob(cluster, i);
+            long atMillis = 2_000 + cluster.random().nextLong(i < 25 ? 6_000 : 130_000);
+            cluster.submitAfter(atMillis, job);
+            if (job.isService() || cluster.random().nextInt(12) == 0) {
+                cluster.cancelAfter(
+                        atMillis + 5_000 + cluster.random().nextLong(150_000), job.jobId());
+            }
+        }
+    }
+
+    /** A spread service, a gang on GPUs of one zone, or a large array of low priority, in turn. */
+    private static JobSpec overloadJob(SimulatedCluster cluster, int jobNumber) {
+        String team = cluster.random().nextInt(3) == 0 ? "blue" : "red";
+        return switch (jobNumber % 3) {
+            case 0 ->
+                    JobFixtures.service(
+                                    jobNumber,
+                                    team,
+                                    JobSpec.Priority.PRODUCTION,
+                                    List.of(3, 5, 8).get(cluster.random().nextInt(3)))
+                            .cpus(1)
+                            .zoneSpread(true)
+                            .preemptible(false)
+                            .build();
+            case 1 ->
+                    JobFixtures.gang(
+                                    jobNumber,
+                                    team,
+                                    JobSpec.Priority.HIGH,
+                                    List.of(1, 2, 4).get(cluster.random().nextInt(3)))
+                            .cpus(14)
+                            .gpus(4)
+                            .runtimeSeconds(5 + cluster.random().nextInt(30))
+                            .zoneAffinity(true)
+                            .preemptible(false)
+                            .checkpointIntervalSeconds(cluster.random().nextBoolean() ? 10 : 0)
+                            .build();
+            default ->
+                    JobFixtures.array(
+                            jobNumber,
+                            team,
+                            JobSpec.Priority.BEST_EFFORT,
+                            10 + cluster.random().nextInt(240),
+                            1,
+                            5 + cluster.random().nextInt(25));
+        };
+    }
+
     /**
      * The orders of waiting jobs as each controller has them, by the revisions that they were made
      * of.
@@ -169,41 +187,35 @@
                         WireFormat.newMap(),
                         (status, response) -> {
                             if (status == 200) {
-                                // Ranks by class and calendar, job by job: what these revisions
-                                // say of a job is the same wherever it is asked.
-                                response.path("list")
-                                        .forEach(
-                                                job -> {
-                                                    String key =
-                                                            response.path("classes")
-                                                                    + "/"
-                                                                    + response.path("calendar")
-                                                                    + "/"
-                                                                    + job.path("job").asText();
-                                                    String ranks =
-                                                            job.path("rank")
-                                                                    + " "
-                                                                    + job.path("class")
-                                                                    + " "
-                                                                    + job.path("covered");
-                                                    String previousRanks =
-                                                            knownRanks.putIfAbsent(key, ranks);
-                                                    assertTrue(
-                                                            previousRanks == null
-                                                                    || previousRanks.equals(ranks),
-                                                            key
-                                                                    + ": "
-                                                                    + previousRanks
-                                                                    + " and "
-                                                                    + ranks);
-                                                    compared[0] += previousRanks == null ? 0 : 1;
-                                                });
+                                compareRanks(response, knownRanks, compared);
                             }
                         });
             }
         }
     }
 
+    /**
+     * Ranks by class and calendar, job by job: what these revisions say of a job is the same
+     * wherever it is asked.
+     */
+    private static void compareRanks(
+            JsonNode response, Map<String, String> knownRanks, int[] compared) {
+        for (JsonNode job : response.path("list")) {
+            String key =
+                    response.path("classes")
+                            + "/"
+                            + response.path("calendar")
+                            + "/"
+                            + job.path("job").asText();
+            String ranks = job.path("rank") + " " + job.path("class") + " " + job.path("covered");
+            String previousRanks = knownRanks.putIfAbsent(key, ranks);
+            assertTrue(
+                    previousRanks == null || previousRanks.equals(ranks),
+                    key + ": " + previousRanks + " and " + ranks);
+            compared[0] += previousRanks == null ? 0 : 1;
+        }
+    }
+
     /** Plays a random scenario; what is wrong with it, in words. */
     static ScenarioResult playOperatorRecords(long seed) {
         SimulatedCluster cluster =
@@ -217,20 +229,21 @@
         cluster.network.responseLossRate = 0.003;
         cluster.network.duplicationRate = 0.01;
         cluster.start();
-        Map<String, String> knownRanks = new HashMap<>();
-        int[] compared = {0};
         for (int i = 1; i <= 40; i++) {
-            JobSpec job = JobFixtures.randomJob(i, cluster.random());
-            long atMillis = 3_000 + cluster.random().nextLong(120_000);
-            cluster.submitAfter(atMillis, job);
-            if (job.isService() || cluster.random().nextInt(6) == 0) {
-                cluster.cancelAfter(
-                        atMillis + (job.isService() ? 40_000 : cluster.random().nextLong(30_000)),
-                        job.jobId());
-            }
+            submitRandomJob(cluster, i, 120_000);
         }
-        int entryCount = 3;
-        for (int i = 0; i < entryCount; i++) {
+        addCalendarEntries(cluster);
+        applyClassChanges(cluster);
+        scheduleFaultsAndQuickRestarts(cluster);
+        scheduleQueueOrderChecks(cluster);
+        stopMessageFaultsAfter(cluster, 200_000);
+        cluster.expectFaultsUntil(385_000);
+        cluster.runUntil(600_000);
+        return new ScenarioResult(cluster, String.join("; ", operatorRecordProblems(cluster)));
+    }
+
+    private static void addCalendarEntries(SimulatedCluster cluster) {
+        for (int i = 0; i < CALENDAR_ENTRY_COUNT; i++) {
             String name = "e" + i;
             ObjectNode addCommand =
                     OperatorCommands.calendarEntry(
@@ -246,7 +259,10 @@
                             OperatorCommands.commandUntilAnswered(
                                     cluster, "/ops/calendar/add", addCommand));
         }
-        for (int i = 0; i < 4; i++) {
+    }
+
+    private static void applyClassChanges(SimulatedCluster cluster) {
+        for (int i = 0; i < CLASS_CHANGE_COUNT; i++) {
             ObjectNode applyCommand =
                     OperatorCommands.json(
                             "{'change':'c"
@@ -270,6 +286,9 @@
                             OperatorCommands.commandUntilAnswered(
                                     cluster, "/ops/classes/apply", applyCommand));
         }
+    }
+
+    private static void scheduleFaultsAndQuickRestarts(SimulatedCluster cluster) {
         for (int i = 0; i < 8; i++) {
             boolean quick = cluster.random().nextBoolean();
             cluster.after(
@@ -282,29 +301,48 @@
                         }
                     });
         }
+    }
+
+    private static void scheduleQueueOrderChecks(SimulatedCluster cluster) {
+        Map<String, String> knownRanks = new HashMap<>();
+        int[] compared = {0};
         for (long checkAtMillis = 20_000; checkAtMillis < 200_000; checkAtMillis += 7_000) {
             cluster.after(checkAtMillis, () -> compareQueueOrders(cluster, knownRanks, compared));
         }
+    }
+
+    private static void stopMessageFaultsAfter(SimulatedCluster cluster, long delayMillis) {
         cluster.after(
-                200_000,
+                delayMillis,
                 () -> {
                     cluster.network.responseLossRate = 0;
                     cluster.network.duplicationRate = 0;
                 });
-        cluster.expectFaultsUntil(385_000);
-        cluster.runUntil(600_000);
+    }
+
+    private static List<String> operatorRecordProblems(SimulatedCluster cluster) {
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         // Faults go on for 200 s, and teams are small: low work at its team's limit waits behind
         // the team's production and high work.
         problems.addAll(cluster.serviceLevels().starved(300_000));
+        problems.addAll(ledgerProblems(cluster));
+        if (cluster.store.value("a/oc/head").path("last").asLong() != CLASS_CHANGE_COUNT) {
+            problems.add("classes " + cluster.store.value("a/oc/head"));
+        }
+        return problems;
+    }
+
+    /** Occurrences that are not in the ledger exactly once, or whose counts don't sum up. */
+    private static List<String> ledgerProblems(SimulatedCluster cluster) {
+        List<String> problems = new ArrayList<>();
         cluster.store.ledgerWrites.forEach(
                 (key, count) -> {
                     if (count != 1) {
                         problems.add(key + " written " + count + " times");
                     }
                 });
-        for (int i = 0; i < entryCount; i++) {
+        for (int i = 0; i < CALENDAR_ENTRY_COUNT; i++) {
             JsonNode ledgerRecord = cluster.store.value("z/oe/e" + i + "/" + OperatorCommands.DATE);
             if (ledgerRecord == null) {
                 problems.add(
@@ -320,10 +358,7 @@
                 problems.add("e" + i + " doesn't sum up: " + ledgerRecord);
             }
         }
-        if (cluster.store.value("a/oc/head").path("last").asLong() != 4) {
-            problems.add("classes " + cluster.store.value("a/oc/head"));
-        }
-        return new ScenarioResult(cluster, String.join("; ", problems));
+        return problems;
     }
 
     /**
@@ -334,21 +369,41 @@
         SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(seed, true);
         cluster.network.responseLossRate = 0.002;
         if (cluster.random().nextBoolean()) {
+            cluster.after(12_000, () -> applyModelClass(cluster));
+        }
+        scheduleZoneLosses(cluster);
+        for (int i = 0; i < 5; i++) {
             cluster.after(
-                    12_000,
-                    () ->
-                            OperatorCommands.commandUntilAnswered(
-                                    cluster,
-                                    "/ops/classes/apply",
-                                    OperatorCommands.json(
-                                            "{'change':'c1','classes':[{'name':'models','rank':"
-                                                    + cluster.random().nextInt(1000)
-                                                    + ",'match':{'mode':'standing'},'zonePatienceS':"
-                                                    + (10 + cluster.random().nextInt(60))
-                                                    + ",'zoneSpare':"
-                                                    + cluster.random().nextInt(2) * 0.5
-                                                    + "}]}")));
+                    60_000 + cluster.random().nextLong(190_000),
+                    () -> injectCloudOrLeaderFault(cluster));
+        }
+        for (int i = 1; i <= ZoneModels.MODELS; i += 3) {
+            String jobId = ZoneModels.modelId(i);
+            cluster.cancelAfter(380_000, jobId);
         }
+        cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
+        cluster.expectFaultsUntil(330_000);
+        cluster.runUntil(600_000);
+        return new ScenarioResult(cluster, String.join("; ", zoneLossProblems(cluster)));
+    }
+
+    /** Puts a class in force that holds all models, with random bounds for lost zones. */
+    private static void applyModelClass(SimulatedCluster cluster) {
+        OperatorCommands.commandUntilAnswered(
+                cluster,
+                "/ops/classes/apply",
+                OperatorCommands.json(
+                        "{'change':'c1','classes':[{'name':'models','rank':"
+                                + cluster.random().nextInt(1000)
+                                + ",'match':{'mode':'standing'},'zonePatienceS':"
+                                + (10 + cluster.random().nextInt(60))
+                                + ",'zoneSpare':"
+                                + cluster.random().nextInt(2) * 0.5
+                                + "}]}"));
+    }
+
+    /** Three times, a zone's machines crash or it is partitioned, with a controller or without. */
+    private static void scheduleZoneLosses(SimulatedCluster cluster) {
         for (int i = 0; i < 3; i++) {
             String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
             int insideController = cluster.random().nextInt(7);
@@ -369,33 +424,26 @@
                         }
                     });
         }
-        for (int i = 0; i < 5; i++) {
-            cluster.after(
-                    60_000 + cluster.random().nextLong(190_000),
-                    () -> {
-                        JsonNode leaderRecord = cluster.store.value("a/lead");
-                        switch (cluster.random().nextInt(6)) {
-                            case 0 -> cluster.cloud.down = true;
-                            case 1 -> cluster.faults.injectRandomFault();
-                            default -> {
-                                if (leaderRecord != null) {
-                                    cluster.faults.crashController(
-                                            cluster.indexOfController(
-                                                    leaderRecord.path("m").asText()),
-                                            cluster.random().nextBoolean() ? 100 : 4_000);
-                                }
-                            }
-                        }
-                        cluster.after(15_000, () -> cluster.cloud.down = false);
-                    });
-        }
-        for (int i = 1; i <= ZoneModels.MODELS; i += 3) {
-            String jobId = ZoneModels.modelId(i);
-            cluster.cancelAfter(380_000, jobId);
+    }
+
+    /** The cloud fails for 15 s, or anything does, or (mostly) the leader ends. */
+    private static void injectCloudOrLeaderFault(SimulatedCluster cluster) {
+        JsonNode leaderRecord = cluster.store.value("a/lead");
+        switch (cluster.random().nextInt(6)) {
+            case 0 -> cluster.cloud.down = true;
+            case 1 -> cluster.faults.injectRandomFault();
+            default -> {
+                if (leaderRecord != null) {
+                    cluster.faults.crashController(
+                            cluster.indexOfController(leaderRecord.path("m").asText()),
+                            cluster.random().nextBoolean() ? 100 : 4_000);
+                }
+            }
         }
-        cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
-        cluster.expectFaultsUntil(330_000);
-        cluster.runUntil(600_000);
+        cluster.after(15_000, () -> cluster.cloud.down = false);
+    }
+
+    private static List<String> zoneLossProblems(SimulatedCluster cluster) {
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         problems.addAll(cluster.serviceLevels().starved());
@@ -407,6 +455,6 @@
                                 problems.add(model + " has " + byZone);
                             }
                         });
-        return new ScenarioResult(cluster, String.join("; ", problems));
+        return problems;
     }
 }
