--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -1,5 +1,6 @@
 package io.quincelead.simulation;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.config.Settings;
 import java.util.ArrayList;
@@ -401,67 +402,65 @@
     /** Prints now and then how a job and its team fare. */
     private static void traceJob(SimulatedCluster cluster, String id) {
         for (long atMillis = 20_000; atMillis < 560_000; atMillis += 20_000) {
-            cluster.after(
-                    atMillis,
-                    () -> {
-                        JobSpec job = cluster.jobsById.get(id);
-                        if (job == null || cluster.store.value("a/j/" + id) == null) {
-                            return;
-                        }
-                        Map<String, Double> cpusInUse = new TreeMap<>();
-                        double freeCpus = 0;
-                        int machinesWithRoom = 0;
-                        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
-                            double usedCpus = 0;
-                            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                                if (!task.hasEnded()) {
-                                    JobSpec other =
-                                            cluster.jobsById.get(
-                                                    task.name.substring(0, task.name.indexOf('/')));
-                                    usedCpus += other.cpus();
-                                    cpusInUse.merge(
-                                            other.team() + " " + other.jobClass(),
-                                            other.cpus(),
-                                            Double::sum);
-                                }
-                            }
-                            freeCpus += worker.up ? worker.machineType.cpus() - usedCpus : 0;
-                            machinesWithRoom +=
-                                    worker.up && worker.machineType.cpus() - usedCpus >= job.cpus()
-                                            ? 1
-                                            : 0;
-                        }
-                        Object controllerNode = cluster.store.value("a/j/" + id).get("c");
-                        cpusInUse.replaceAll((key, value) -> (double) Math.round(value));
-                        System.out.println(
-                                cluster.nowMillis() / 1000
-                                        + " s: "
-                                        + job.team()
-                                        + " "
-                                        + job.cpus()
-                                        + " at "
-                                        + controllerNode
-                                        + " free "
-                                        + Math.round(freeCpus)
-                                        + ", rooms "
-                                        + machinesWithRoom
-                                        + ", use "
-                                        + cpusInUse
-                                        + " allowances "
-                                        + cluster.controllers.stream()
-                                                .map(
-                                                        controller ->
-                                                                cluster.store.value(
-                                                                        "a/b/" + controller.name))
-                                                .map(
-                                                        shard ->
-                                                                shard == null
-                                                                        ? null
-                                                                        : shard.path("al")
-                                                                                .path(job.team()))
-                                                .toList());
-                    });
+            cluster.after(atMillis, () -> printTrace(cluster, id));
+        }
+    }
+
+    /** Prints one line of a job that is unfinished; nothing else. */
+    private static void printTrace(SimulatedCluster cluster, String id) {
+        JobSpec job = cluster.jobsById.get(id);
+        if (job == null || cluster.store.value("a/j/" + id) == null) {
+            return;
         }
+        Map<String, Double> cpusInUse = new TreeMap<>();
+        double freeCpus = 0;
+        int machinesWithRoom = 0;
+        for (SimulatedWorker worker : cluster.cloud.machines.values()) {
+            double usedCpus = addCpusInUse(cluster, worker, cpusInUse);
+            freeCpus += worker.up ? worker.machineType.cpus() - usedCpus : 0;
+            machinesWithRoom +=
+                    worker.up && worker.machineType.cpus() - usedCpus >= job.cpus() ? 1 : 0;
+        }
+        Object controllerNode = cluster.store.value("a/j/" + id).get("c");
+        cpusInUse.replaceAll((key, value) -> (double) Math.round(value));
+        System.out.println(
+                cluster.nowMillis() / 1000
+                        + " s: "
+                        + job.team()
+                        + " "
+                        + job.cpus()
+                        + " at "
+                        + controllerNode
+                        + " free "
+                        + Math.round(freeCpus)
+                        + ", rooms "
+                        + machinesWithRoom
+                        + ", use "
+                        + cpusInUse
+                        + " allowances "
+                        + quotaSharesByController(cluster, job.team()));
+    }
+
+    /** Adds a machine's CPUs in use to their team and class; their sum. */
+    private static double addCpusInUse(
+            SimulatedCluster cluster, SimulatedWorker worker, Map<String, Double> cpusInUse) {
+        double usedCpus = 0;
+        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+            if (!task.hasEnded()) {
+                JobSpec job = cluster.jobsById.get(task.name.substring(0, task.name.indexOf('/')));
+                usedCpus += job.cpus();
+                cpusInUse.merge(job.team() + " " + job.jobClass(), job.cpus(), Double::sum);
+            }
+        }
+        return usedCpus;
+    }
+
+    /** A team's share in each controller's shard; null for a controller without one. */
+    private static List<JsonNode> quotaSharesByController(SimulatedCluster cluster, String team) {
+        return cluster.controllers.stream()
+                .map(controller -> cluster.store.value("a/b/" + controller.name))
+                .map(shard -> shard == null ? null : shard.path("al").path(team))
+                .toList();
     }
 
     private static String quantiles(List<Long> delaysMillis, int total) {
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 
 /**
@@ -17,11 +18,57 @@
 public final class ZoneLossScenario {
     private ZoneLossScenario() {}
 
+    private static final int MODEL_COUNT = 12;
+
+    private static final int REPLICAS_PER_MODEL = 6;
+
     public static void main(String[] args) {
-        boolean recoveryEnabled = args[1].equals("on");
+        SimulatedCluster cluster = createCluster(Long.parseLong(args[2]), args[1].equals("on"));
+        cluster.start();
+        submitModels(cluster);
+        submitLowWork(cluster);
+        cluster.runUntil(200_000);
+        Map<String, Long> machinesByZone = machinesByZone(cluster);
+        String lostZone =
+                machinesByZone.entrySet().stream()
+                        .max(Map.Entry.comparingByValue())
+                        .orElseThrow()
+                        .getKey();
+        Expense before = Expense.of(cluster);
+        ReplicaWatch watch = new ReplicaWatch(runningReplicas(cluster).keySet());
+        if (args[0].equals("dead")) {
+            cluster.cloud.machines.values().stream()
+                    .filter(worker -> worker.zone.equals(lostZone))
+                    .forEach(SimulatedWorker::crash);
+        } else {
+            cluster.faults.partitionZone(lostZone, List.of(1), 90_000);
+        }
+        watch.schedule(cluster);
+        cluster.runUntil(400_500);
+        Expense after = Expense.of(cluster);
+        System.out.printf(
+                "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
+                    + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
+                    + " GB; starts %d; rented %d; broken %s%n",
+                args[0],
+                args[1],
+                machinesByZone,
+                lostZone,
+                watch.modelsOnceWithoutReplica(),
+                watch.longestSecondsWithoutReplica(),
+                watch.totalSecondsWithoutReplica(),
+                watch.upShare(),
+                watch.lastIncompleteMillis / 1000.0,
+                after.fetchedGb - before.fetchedGb,
+                after.taskStarts - before.taskStarts,
+                after.rentedMachines - before.rentedMachines,
+                cluster.violations());
+    }
+
+    private static SimulatedCluster createCluster(long seed, boolean recoveryEnabled) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
-                        Long.parseLong(args[2]),
+                        seed,
                         List.of(SimulatedCloud.MachineType.small(25, List.of("a", "b", "c"), 400)),
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
@@ -32,11 +79,14 @@
         cluster.operatorSettings =
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(recoveryEnabled, 30, 12, 5));
-        cluster.start();
+        return cluster;
+    }
+
+    private static void submitModels(SimulatedCluster cluster) {
         double[] imageGb = {8, 14, 24, 40, 70, 140};
-        for (int i = 1; i <= 12; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             JobSpec job =
-                    JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
+                    JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, REPLICAS_PER_MODEL)
                             .jobClass("model")
                             .cpus(3)
                             .memoryGb(6)
@@ -45,79 +95,89 @@
                             .build();
             cluster.submitAfter(3_000, job);
         }
-        for (int i = 13; i < 140; i++) {
+    }
+
+    private static void submitLowWork(SimulatedCluster cluster) {
+        for (int i = MODEL_COUNT + 1; i < 140; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.submitAfter(4_000 + (i - 13) * 3_500L, job);
+            cluster.submitAfter(4_000 + (i - MODEL_COUNT - 1) * 3_500L, job);
         }
-        cluster.runUntil(200_000);
-        Map<String, Integer> initialReplicas = runningReplicas(cluster);
-        Map<String, Long> machinesByZone = new TreeMap<>();
-        cluster.cloud.machines.values().forEach(m -> machinesByZone.merge(m.zone, 1L, Long::sum));
-        String lostZone =
-                machinesByZone.entrySet().stream()
-                        .max(Map.Entry.comparingByValue())
-                        .orElseThrow()
-                        .getKey();
-        double fetchedBeforeGb = cluster.fetchedImageGb;
-        int rentedBefore = cluster.cloud.rentedMachineCount();
-        int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
-        if (args[0].equals("dead")) {
-            cluster.cloud.machines.values().stream()
-                    .filter(m -> m.zone.equals(lostZone))
-                    .forEach(SimulatedWorker::crash);
-        } else {
-            cluster.faults.partitionZone(lostZone, List.of(1), 90_000);
+    }
+
+    private static Map<String, Long> machinesByZone(SimulatedCluster cluster) {
+        Map<String, Long> result = new TreeMap<>();
+        cluster.cloud.machines.values().forEach(worker -> result.merge(worker.zone, 1L, Long::sum));
+        return result;
+    }
+
+    /** What the scenario has cost so far. */
+    private record Expense(double fetchedGb, int rentedMachines, int taskStarts) {
+        static Expense of(SimulatedCluster cluster) {
+            return new Expense(
+                    cluster.fetchedImageGb,
+                    cluster.cloud.rentedMachineCount(),
+                    cluster.taskStarts.values().stream().mapToInt(count -> count).sum());
         }
-        Map<String, Integer> checksWithoutReplica = new HashMap<>();
-        double[] replicaChecks = new double[2];
-        long[] lastIncompleteMillis = {-1};
-        for (long offsetMillis = 500; offsetMillis <= 200_000; offsetMillis += 500) {
-            long atMillis = offsetMillis;
-            cluster.after(
-                    offsetMillis,
-                    () -> {
-                        Map<String, Integer> replicas = runningReplicas(cluster);
-                        initialReplicas
-                                .keySet()
-                                .forEach(
-                                        m -> {
-                                            checksWithoutReplica.merge(
-                                                    m,
-                                                    replicas.getOrDefault(m, 0) == 0 ? 1 : 0,
-                                                    Integer::sum);
-                                            replicaChecks[0] += replicas.getOrDefault(m, 0);
-                                            replicaChecks[1] += 6;
-                                        });
-                        if (replicas.values().stream().mapToInt(count -> count).sum() < 72) {
-                            lastIncompleteMillis[0] = atMillis;
-                        }
-                    });
+    }
+
+    /** Counts running replicas twice a second from the loss of the zone on. */
+    private static final class ReplicaWatch {
+        private static final long INTERVAL_MILLIS = 500;
+
+        private final Set<String> models;
+        private final Map<String, Integer> checksWithoutReplica = new HashMap<>();
+        private double replicasSeen;
+        private double replicasWanted;
+
+        /** ms after the loss at which a replica was last missing; -1: never. */
+        private long lastIncompleteMillis = -1;
+
+        ReplicaWatch(Set<String> models) {
+            this.models = models;
+        }
+
+        void schedule(SimulatedCluster cluster) {
+            for (long delay = INTERVAL_MILLIS; delay <= 200_000; delay += INTERVAL_MILLIS) {
+                long delayMillis = delay;
+                cluster.after(delayMillis, () -> count(runningReplicas(cluster), delayMillis));
+            }
+        }
+
+        private void count(Map<String, Integer> replicas, long delayMillis) {
+            for (String model : models) {
+                int running = replicas.getOrDefault(model, 0);
+                checksWithoutReplica.merge(model, running == 0 ? 1 : 0, Integer::sum);
+                replicasSeen += running;
+                replicasWanted += REPLICAS_PER_MODEL;
+            }
+            if (replicas.values().stream().mapToInt(count -> count).sum()
+                    < MODEL_COUNT * REPLICAS_PER_MODEL) {
+                lastIncompleteMillis = delayMillis;
+            }
+        }
+
+        long modelsOnceWithoutReplica() {
+            return checksWithoutReplica.values().stream().filter(count -> count > 0).count();
+        }
+
+        double longestSecondsWithoutReplica() {
+            return checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
+                    / 2.0;
+        }
+
+        double totalSecondsWithoutReplica() {
+            return checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0;
+        }
+
+        double upShare() {
+            return replicasSeen / replicasWanted;
         }
-        cluster.runUntil(400_500);
-        System.out.printf(
-                "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
-                    + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
-                    + " GB; starts %d; rented %d; broken %s%n",
-                args[0],
-                args[1],
-                machinesByZone,
-                lostZone,
-                checksWithoutReplica.values().stream().filter(count -> count > 0).count(),
-                checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
-                        / 2.0,
-                checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0,
-                replicaChecks[0] / replicaChecks[1],
-                lastIncompleteMillis[0] / 1000.0,
-                cluster.fetchedImageGb - fetchedBeforeGb,
-                cluster.taskStarts.values().stream().mapToInt(count -> count).sum() - startsBefore,
-                cluster.cloud.rentedMachineCount() - rentedBefore,
-                cluster.violations());
     }
 
     /** Replicas that run on machines that are there, by model. */
     private static Map<String, Integer> runningReplicas(SimulatedCluster cluster) {
         Map<String, Integer> result = new TreeMap<>();
-        for (int i = 1; i <= 12; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             result.put(JobFixtures.id(i), 0);
         }
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
