--- a/src/main/java/io/quincelead/api/package-info.java
+++ b/src/main/java/io/quincelead/api/package-info.java
@@ -10,6 +10,7 @@
  * event loop.
  *
  * <p>What it must not do: decide where a task runs, talk to workers, or conclude that a task has
- * terminated. It answers 404 only after the store itself has shown that a job has no record.
+ * terminated. It answers 404 for a valid job id only after the store itself has shown that the job
+ * has no record.
  */
 package io.quincelead.api;
--- a/src/main/java/io/quincelead/autoscaler/package-info.java
+++ b/src/main/java/io/quincelead/autoscaler/package-info.java
@@ -5,9 +5,10 @@
  * work needs, rents machines ahead of demand, and returns those that are idle, failed or
  * unexpected.
  *
- * <p>Owned state: in the store, the open provisioning requests and their counter; it also changes
- * machine records and takes returned machines out of their shards. In memory, averages of the
- * arriving load, idle times, recent refusals and releases; a new leader begins them anew.
+ * <p>Owned state: in the store, the machine types, the open provisioning requests and their
+ * counter; it also changes machine records and takes returned machines out of their shards. In
+ * memory, the types' prices, averages of the arriving load, idle times, recent refusals and
+ * releases; a new leader begins them anew.
  *
  * <p>Must not: submit a provisioning request that is not on record, or use a name twice; take a
  * machine for gone without the cloud's confirmation of its release; conclude anything from absence
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -23,8 +23,8 @@
          */
         CUT,
         /**
-         * Most of its machines are gone, as the cloud's list shows. What ran there is placed
-         * elsewhere.
+         * Most of its machines are gone, as the cloud's list or its responses to releases show.
+         * What ran there is placed elsewhere.
          */
         LOST,
         /**
--- a/src/main/java/io/quincelead/cluster/package-info.java
+++ b/src/main/java/io/quincelead/cluster/package-info.java
@@ -6,8 +6,8 @@
  * (the {@code ...Codec} classes, the only ones that know the names of stored fields), and what this
  * process has observed of placements and jobs; the latter is never stored.
  *
- * <p>Decides nothing: it must not write to the store, send messages, keep time or use a package
- * above it. Changes are planned here ({@code TaskStatePageEdit}, {@code MachineEdits}) and
- * committed by those who decide; the tables change only when the store has confirmed.
+ * <p>Decides nothing: it must not write to the store, send messages, run anything by a timer or use
+ * a package above it. Changes are planned here ({@code TaskStatePageEdit}, {@code MachineEdits})
+ * and committed by those who decide; the tables change only when the store has confirmed.
  */
 package io.quincelead.cluster;
--- a/src/main/java/io/quincelead/policy/OperatorApi.java
+++ b/src/main/java/io/quincelead/policy/OperatorApi.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 
 /**
- * Answers operators' commands, in JSON, on any controller. Reading needs no leader. A change is one
- * transaction, with the generation it was decided from as a precondition and bearing the operator's
- * change id, so a repeat takes effect once; when the store doesn't answer, the outcome is told as
- * unknown, never as refused.
+ * Answers operators' commands, in JSON, on any controller. Neither reading nor changing needs a
+ * leader. A change is one transaction, with the records it was decided from as preconditions; one
+ * of classes or calendar bears the operator's change id, so a repeat takes effect once. When the
+ * store doesn't answer, the outcome is told as unknown, never as refused.
  */
 public final class OperatorApi {
     /** Answers one command. */
--- a/src/main/java/io/quincelead/scheduler/PlanEncoder.java
+++ b/src/main/java/io/quincelead/scheduler/PlanEncoder.java
@@ -12,8 +12,9 @@
 
 /**
  * Turns a plan's edits into its transaction. The preconditions are what make a cycle safe: the own
- * shard's revision (the fencing token), that of each job and page it touches, and for the leader
- * those of the leadership and of all shards.
+ * shard's revision (the fencing token), that of each job and page it touches, the generations of
+ * the operators' records it was planned by, and for the leader those of the leadership and of all
+ * shards.
  */
 final class PlanEncoder {
     private final WatchCache watchCache;
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -24,8 +24,9 @@
 
 /**
  * The scheduling cycle: each one gathers the evidence of terminated tasks, places waiting tasks and
- * commits all of it as one durable write, under preconditions on this controller's shard and on
- * each job and task state page it touches. No start leaves before the write is confirmed.
+ * commits all of it as one durable write, under preconditions on this controller's shard, on the
+ * operators' records in force and on each job and task state page it touches. No start leaves
+ * before the write is confirmed.
  *
  * <p>This class decides when a cycle runs and what follows its outcome; {@link QueuePass} decides
  * what is placed where, {@link PlanEncoder} and {@link LeaderEscalation} what is written.
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -10,7 +10,7 @@
 
 /**
  * This controller's membership: a lease in the store that it renews, and its member record attached
- * to it. Its shards and its leadership are attached to the same lease, so all of them expire
+ * to it. Its shard and its leadership are attached to the same lease, so all of them expire
  * together.
  */
 public final class MembershipLease {
--- a/src/main/java/io/quincelead/store/StoreKeys.java
+++ b/src/main/java/io/quincelead/store/StoreKeys.java
@@ -2,8 +2,8 @@
 
 /**
  * The layout of the store. Everything under {@code a/} is live and in every controller's watch
- * cache; final states are under {@code z/} and read on demand. A name that ends in {@code PREFIX}
- * is the common start of many keys; the others are whole keys.
+ * cache; final states and the ledger are under {@code z/} and read on demand. A name that ends in
+ * {@code PREFIX} is the common start of many keys; the others are whole keys.
  */
 public final class StoreKeys {
     private StoreKeys() {}
@@ -83,7 +83,7 @@
     /** Completions of covered jobs that no occurrence's record has counted yet: {@code <job>}. */
     public static final String UNCOUNTED_COMPLETION_PREFIX = "a/ok/s/";
 
-    /** Zones in any state but healthy. */
+    /** Zones in any state but up. */
     public static final String ZONE_PREFIX = "a/oz/";
 
     /** The ledger: what became of each occurrence, {@code <entry>/<date>}. */
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -25,7 +25,7 @@
 /**
  * Speaks with the workers of this controller's shard: takes their heartbeats as evidence, answers
  * with what the records say, and sends kills at once. It never decides where a task runs, and it
- * never concludes anything from time alone.
+ * never takes a task for terminated from time alone.
  */
 public final class WorkerGateway {
     /** What the rest of the controller does for the gateway. */
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -19,10 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Zone recovery by the leader: records their states, and restores the spread of services when a
- * zone that came back has settled, by moves at a stated pace. One change is made at a time; each
- * has the preconditions that this controller still leads and that the records it was decided from
- * are unchanged.
+ * Zone recovery by the leader: records zones' states, restores the spread of services when a zone
+ * that came back has settled, by moves at a stated pace, and records which large images machines
+ * have. One change is made at a time; each has the preconditions that this controller still leads
+ * and that the records it was decided from are unchanged.
  */
 public final class ZoneRecoveryController {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneRecoveryController.class);
