--- a/src/main/java/io/quincelead/api/JobSubmissions.java
+++ b/src/main/java/io/quincelead/api/JobSubmissions.java
@@ -80,7 +80,7 @@
                 || jobs.unfinishedTaskCount() + spec.taskCount() > ApiConstants.MAX_OPEN_TASKS;
     }
 
-    /** Has the job recorded by the next scheduling cycle or, if that does not take it, alone. */
+    /** Has the job recorded by the next scheduling cycle or, if that doesn't take it, at once. */
     private void recordJob(Job job, IncomingRequest request) {
         String jobId = job.spec.jobId();
         Transaction.OutcomeHandler onOutcome =
