--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -519,7 +519,7 @@
         }
         System.out.println("served " + cluster.serviceLevels().servedShares());
         System.out.println(
-                "left behind "
+                "starving "
                         + cluster.serviceLevels().starved().size()
                         + " "
                         + cluster.serviceLevels().starved().stream().limit(5).toList()
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -130,7 +130,7 @@
                                 + cluster.violations()
                                 + " open "
                                 + cluster.unfinishedJobs()
-                                + " left behind "
+                                + " starving "
                                 + starved);
     }
 }
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -148,7 +148,7 @@
     private final Set<String> violations = new HashSet<>();
     public final Map<String, Integer> taskStarts = new HashMap<>();
 
-    /** Off for measurements of large worlds: the checks look at every task after every event. */
+    /** Off for measurements of large clusters: the checks look at every task after every event. */
     public boolean invariantChecksEnabled = true;
 
     /** Tasks that began: only a beginning can take a team past its limit. */
