--- a/src/test/java/io/quincelead/store/StoreTestSettings.java
+++ b/src/test/java/io/quincelead/config/TestSettings.java
@@ -1,12 +1,11 @@
-package io.quincelead.store;
+package io.quincelead.config;
 
-import io.quincelead.config.Settings;
 import java.util.List;
 import java.util.Map;
 
 /** Settings of a lone controller on a small store. */
-final class StoreTestSettings {
-    static final Settings SETTINGS =
+public final class TestSettings {
+    public static final Settings LONE_CONTROLLER =
             new Settings(
                     "worker-0",
                     "a",
@@ -24,5 +23,5 @@
                     new Settings.CloudLimits(4, 4),
                     new Settings.ProcessLimits(1, 256, 500));
 
-    private StoreTestSettings() {}
+    private TestSettings() {}
 }
--- a/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -12,7 +12,7 @@
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 import io.quincelead.cluster.ZoneTable;
-import io.quincelead.config.Settings;
+import io.quincelead.config.TestSettings;
 import io.quincelead.simulation.GoldenTable;
 import io.quincelead.simulation.GoldenTable.Row;
 import io.quincelead.simulation.SimulatedClock;
@@ -21,7 +21,6 @@
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
@@ -39,24 +38,6 @@
      */
     private static final Set<String> WRITTEN_ONLY = Set.of("a/r/", "a/rn", "a/ti", "z/");
 
-    private static final Settings SETTINGS =
-            new Settings(
-                    "worker-0",
-                    "a",
-                    "10.0.0.1:8080",
-                    "10.0.0.1:8081",
-                    Map.of(),
-                    "10.2.0.2:1",
-                    "10.2.0.1:1",
-                    1,
-                    25,
-                    Map.of(),
-                    List.of(),
-                    new Settings.WorkerTimings(1, 10, 45, 6, 40),
-                    new Settings.StoreLimits(400, 200, 8, 12),
-                    new Settings.CloudLimits(4, 4),
-                    new Settings.ProcessLimits(1, 256, 500));
-
     private ClusterMembership membership;
     private MachineTypeCatalog catalog;
     private JobTable jobs;
@@ -90,9 +71,9 @@
                                         () -> reply.onResponse(200, WireFormat.CBOR.encode(page)));
                             }
                         },
-                        SETTINGS);
+                        TestSettings.LONE_CONTROLLER);
         WatchCache watchCache = new WatchCache(eventLoop, store, 400);
-        membership = new ClusterMembership(SETTINGS, watchCache);
+        membership = new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
         jobs = new JobTable(eventLoop, watchCache);
         machines = new MachineTable(watchCache);
         catalog = new MachineTypeCatalog(watchCache);
--- a/src/test/java/io/quincelead/store/GroupCommitterTest.java
+++ b/src/test/java/io/quincelead/store/GroupCommitterTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.config.TestSettings;
 import io.quincelead.simulation.SimulatedClock;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
@@ -39,7 +40,7 @@
                                             reply.onResponse(
                                                     status, WireFormat.CBOR.encode(response)));
                         },
-                        StoreTestSettings.SETTINGS);
+                        TestSettings.LONE_CONTROLLER);
         return new GroupCommitter(loop, store, new WatchCache(loop, store, 400));
     }
 
--- a/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
+++ b/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.config.TestSettings;
 import io.quincelead.simulation.SimulatedClock;
 import io.quincelead.transport.Transport;
 import io.quincelead.transport.WireFormat;
@@ -23,7 +24,7 @@
                     loop,
                     (address, method, path, codec, body, timeoutMillis, reply) ->
                             respond(path, reply),
-                    StoreTestSettings.SETTINGS);
+                    TestSettings.LONE_CONTROLLER);
     private final WatchCache watchCache = new WatchCache(loop, store, 400);
     private final IndeterminateWriteFence fence =
             new IndeterminateWriteFence(loop, store, watchCache, FENCE_KEY, this::rewrite);
--- a/src/test/java/io/quincelead/store/WatchCacheTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -4,6 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quincelead.config.TestSettings;
 import io.quincelead.simulation.SimulatedClock;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
@@ -37,7 +38,7 @@
                                 clock.schedule(1, () -> reply.onResponse(200, response));
                             }
                         },
-                        StoreTestSettings.SETTINGS);
+                        TestSettings.LONE_CONTROLLER);
         WatchCache watchCache = new WatchCache(loop, store, 400);
         watchCache.addPrefixListener(
                 "a/",
