--- a/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
+++ b/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
@@ -85,7 +85,7 @@
     @Benchmark
     public int runCycle() {
         SchedulingPlan plan = cluster.newPlan(12);
-        cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
         return plan.edits.size();
     }
 }
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -21,7 +21,7 @@
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
 import io.quincelead.policy.PolicyReconciler;
-import io.quincelead.scheduler.Collaborators;
+import io.quincelead.scheduler.ControllerComponents;
 import io.quincelead.scheduler.QueueExplainer;
 import io.quincelead.scheduler.SchedulingCycle;
 import io.quincelead.store.GroupCommitter;
@@ -104,7 +104,7 @@
                         operatorSettings,
                         store,
                         state.view(),
-                        new Collaborators(workerGateway, leader, peerMessenger),
+                        new ControllerComponents(workerGateway, leader, peerMessenger),
                         this::flushWorkerResponses);
         ZoneView zoneView = newZoneView();
         autoscaler =
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -221,7 +221,7 @@
 
     private boolean isBooting(MachineTable.Machine machine, MachineType machineType) {
         Boolean reportedBooting =
-                callbacks.isBooting(cluster.shards().ownerOf(machine.host()), machine.host());
+                callbacks.isBooting(cluster.membership().ownerOf(machine.host()), machine.host());
         return reportedBooting != null
                 ? reportedBooting
                 : rentedSeconds(machine) < machineType.bootSeconds() * ASSUMED_BOOT_FACTOR;
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -122,7 +122,7 @@
             Job job, double placeableCpus, long wallClockMillis, WorkByDeadline workByDeadline) {
         double runtimeSeconds = Math.max(1, job.spec.runtimeSeconds());
         double dueInSeconds =
-                queueOrder.rank(job, true, wallClockMillis).slackSeconds()
+                queueOrder.entryFor(job, true, wallClockMillis).slackSeconds()
                         + runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
         if (dueInSeconds < runtimeSeconds) {
             dueInSeconds = AutoscalerConstants.OVERDUE_DRAIN_SECONDS;
--- a/src/main/java/io/quincelead/autoscaler/MachineChanges.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -51,7 +51,7 @@
         if (!fits(2, 2)) {
             return false;
         }
-        ClusterMembership membership = cluster.shards();
+        ClusterMembership membership = cluster.membership();
         String ownerId = membership.ownerOf(machine.host());
         if (ownerId != null) {
             if (membership.member(ownerId) == null) {
--- a/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
@@ -83,7 +83,7 @@
         List<String> hosts = new ArrayList<>();
         MachineChanges cleanup = new MachineChanges(cluster, leaderStore);
         for (MachineTable.Machine machine : machines.all()) {
-            if (!machine.releasing() || cluster.shards().ownerOf(machine.host()) != null) {
+            if (!machine.releasing() || cluster.membership().ownerOf(machine.host()) != null) {
                 continue;
             }
             Long markRevision = markRevisionByReleasedHost.get(machine.host());
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -141,7 +141,7 @@
         // predecessors apart.
         String name =
                 "r-"
-                        + cluster.shards().leaderRecord().fencingToken()
+                        + cluster.membership().leaderRecord().fencingToken()
                         + "-"
                         + leaderStore.membershipLease().incarnation()
                         + "-"
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -67,10 +67,10 @@
      */
     Map<InstanceOffering, Integer> planScaleOut(CpuDemand demand, CapacityForecast capacity) {
         constrainedWork.begin(cluster.jobs());
-        List<QueueOrder.RankedJob> pendingJobs = pendingJobs();
+        List<QueueOrder.QueueEntry> pendingJobs = pendingJobs();
         PurchasePlan plan = new PurchasePlan();
         addExistingMachines(plan);
-        for (QueueOrder.RankedJob ranked : pendingJobs) {
+        for (QueueOrder.QueueEntry ranked : pendingJobs) {
             if (!ranked.job().spec.isUnconstrained()) {
                 constrainedWork.plan(ranked.job(), plan);
             }
@@ -83,14 +83,14 @@
     }
 
     /** The jobs with pending tasks, in the order of the queue. */
-    private List<QueueOrder.RankedJob> pendingJobs() {
+    private List<QueueOrder.QueueEntry> pendingJobs() {
         long nowMillis = eventLoop.nowMillis();
-        List<QueueOrder.RankedJob> pendingJobs = new ArrayList<>();
+        List<QueueOrder.QueueEntry> pendingJobs = new ArrayList<>();
         for (Job job : cluster.jobs().all()) {
             if (!job.isCancelled()
                     && job.pendingTaskCount() > 0
                     && nowMillis >= job.notBeforeMillis()) {
-                pendingJobs.add(queueOrder.rank(job, true, eventLoop.wallClockMillis()));
+                pendingJobs.add(queueOrder.entryFor(job, true, eventLoop.wallClockMillis()));
             }
         }
         pendingJobs.sort(QueueOrder.BY_QUEUE_ORDER);
--- a/src/main/java/io/quincelead/scheduler/EnteringJobs.java
+++ b/src/main/java/io/quincelead/scheduler/AdmissionQueue.java
@@ -15,15 +15,15 @@
  * Urgent jobs that are being submitted, in the order they came: the next cycle records them,
  * together with their first placements if there are any. Each one's handler is called exactly once.
  */
-final class EnteringJobs {
+final class AdmissionQueue {
     /** A job that waits to be recorded until {@code deadlineMillis} on the loop's clock. */
-    record EnteringJob(Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) {}
+    record Submission(Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) {}
 
     private final EventLoop loop;
     private final JobTable jobs;
-    private final ArrayDeque<EnteringJob> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Submission> waiting = new ArrayDeque<>();
 
-    EnteringJobs(EventLoop loop, JobTable jobs) {
+    AdmissionQueue(EventLoop loop, JobTable jobs) {
         this.loop = loop;
         this.jobs = jobs;
     }
@@ -44,7 +44,7 @@
     }
 
     void add(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome) {
-        waiting.addLast(new EnteringJob(job, loop.nowMillis() + patienceMillis, onOutcome));
+        waiting.addLast(new Submission(job, loop.nowMillis() + patienceMillis, onOutcome));
     }
 
     /** Rejects those that have waited longer than they were willing to. */
@@ -57,10 +57,10 @@
     }
 
     /** Takes out the first ones, at most {@code most}. */
-    List<EnteringJob> takeAtMost(int most) {
-        List<EnteringJob> taken = new ArrayList<>();
+    List<Submission> takeAtMost(int most) {
+        List<Submission> taken = new ArrayList<>();
         while (!waiting.isEmpty() && taken.size() < most) {
-            EnteringJob entry = waiting.pollFirst();
+            Submission entry = waiting.pollFirst();
             if (jobs.get(entry.job.spec.jobId()) == null) {
                 taken.add(entry);
             } else {
@@ -78,9 +78,9 @@
      * Tells the outcome of a cycle's transaction to the jobs that were in it. Those that a conflict
      * does not concern, and all when the store was too busy, wait for the next cycle instead.
      */
-    void respond(List<EnteringJob> taken, Transaction.Outcome outcome) {
+    void respond(List<Submission> taken, Transaction.Outcome outcome) {
         for (int i = taken.size() - 1; i >= 0; i--) {
-            EnteringJob entry = taken.get(i);
+            Submission entry = taken.get(i);
             if (outcome.result() == Transaction.Result.THROTTLED
                     || outcome.result() == Transaction.Result.CONFLICT
                             && !concerns(outcome, entry.job)) {
--- a/src/main/java/io/quincelead/scheduler/CandidateFinder.java
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -63,8 +63,14 @@
                 if (capacity > 0) {
                     boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
                     double fitness;
-                    if (urgent && machine.reachSeconds > 0) {
-                        fitness = fitness(spec, pool, clockFactor, hasImage, machine.reachSeconds);
+                    if (urgent && machine.startDelaySeconds > 0) {
+                        fitness =
+                                fitness(
+                                        spec,
+                                        pool,
+                                        clockFactor,
+                                        hasImage,
+                                        machine.startDelaySeconds);
                     } else {
                         fitness = hasImage ? fitnessWithImage : fitnessWithoutImage;
                     }
--- a/src/main/java/io/quincelead/scheduler/CapacityReader.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityReader.java
@@ -67,7 +67,7 @@
             if (machineStatus.isAcceptingTasks(candidate.owner, host)) {
                 FreeCapacity machine =
                         new FreeCapacity(host, pool, candidate.inOwnShard, jobs.loadOf(host));
-                machine.reachSeconds = urgent ? machineStatus.secondsToReach(host) : 0;
+                machine.startDelaySeconds = urgent ? machineStatus.startDelaySeconds(host) : 0;
                 plan.addMachine(machine);
             }
         }
@@ -76,12 +76,12 @@
     private void refreshUsableMachines(SchedulingPlan plan) {
         MachineTable machines = cluster.machines();
         if (seenMachinesVersion == machines.version()
-                && seenShardsVersion == cluster.shards().shardVersion()
+                && seenShardsVersion == cluster.membership().shardVersion()
                 && seenAsLeader == plan.leading) {
             return;
         }
         seenMachinesVersion = machines.version();
-        seenShardsVersion = cluster.shards().shardVersion();
+        seenShardsVersion = cluster.membership().shardVersion();
         seenAsLeader = plan.leading;
         usableMachines.clear();
         Map<String, Long> ownMachines = plan.shard.fencingTokensByHost();
@@ -100,7 +100,7 @@
     }
 
     private void addIfUsable(MachineTable.Machine machine, boolean inOwnShard) {
-        String owner = cluster.shards().ownerOf(machine.host());
+        String owner = cluster.membership().ownerOf(machine.host());
         if (!machine.releasing() && !machine.cordoned() && owner != null) {
             usableMachines
                     .computeIfAbsent(
@@ -117,7 +117,7 @@
         for (MachineTable.Machine machine : cluster.machines().all()) {
             MachineTypeCatalog.MachineType machineType =
                     cluster.machineTypes().get(machine.machineType());
-            if (cluster.shards().ownerOf(machine.host()) != null
+            if (cluster.membership().ownerOf(machine.host()) != null
                     && !ownShard.fencingTokensByHost().containsKey(machine.host())
                     && machineType != null
                     && !machine.releasing()
--- a/src/main/java/io/quincelead/scheduler/HoldBackTimer.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityWithholdingTimer.java
@@ -9,13 +9,13 @@
  * capacity is there again for the others when those tasks end. A task that is served elsewhere now
  * and then doesn't restart the time.
  */
-final class HoldBackTimer {
+final class CapacityWithholdingTimer {
     private static final long NOT_HELD_BACK = -1;
 
     private final EventLoop loop;
     private long heldBackSinceMillis = NOT_HELD_BACK;
 
-    HoldBackTimer(EventLoop loop) {
+    CapacityWithholdingTimer(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -24,27 +24,27 @@
      *
      * @param othersWait whether those wait now for whom the capacity is left: the time begins anew
      */
-    HoldBack begin(boolean othersWait) {
+    CapacityWithholding beginPass(boolean othersWait) {
         if (othersWait) {
-            clear();
+            reset();
         }
-        return new HoldBack(
+        return new CapacityWithholding(
                 heldBackSinceMillis != NOT_HELD_BACK
                         && loop.nowMillis() - heldBackSinceMillis
                                 >= SchedulerConstants.STARVING_AFTER_MILLIS);
     }
 
     /** That pass, over all waiting work, has ended. */
-    void end(HoldBack holdBack) {
+    void endPass(CapacityWithholding holdBack) {
         if (!holdBack.occurred()) {
-            clear();
+            reset();
         } else if (heldBackSinceMillis == NOT_HELD_BACK) {
             heldBackSinceMillis = loop.nowMillis();
         }
     }
 
     /** Nothing is held back. */
-    void clear() {
+    void reset() {
         heldBackSinceMillis = NOT_HELD_BACK;
     }
 }
--- a/src/main/java/io/quincelead/scheduler/ClusterView.java
+++ b/src/main/java/io/quincelead/scheduler/ClusterView.java
@@ -12,7 +12,7 @@
  * The cluster as this controller's watch cache shows it: what a scheduling cycle reads and never
  * writes. None of the components is null.
  *
- * @param shards members, shards and quota shares
+ * @param membership members, shards and quota shares
  * @param jobs unfinished jobs and their placements
  * @param machines machines on record
  * @param machineTypes machine types that the cloud offers
@@ -21,7 +21,7 @@
  * @param policy the operators' priority classes and calendar
  */
 public record ClusterView(
-        ClusterMembership shards,
+        ClusterMembership membership,
         JobTable jobs,
         MachineTable machines,
         MachineTypeCatalog machineTypes,
--- a/src/main/java/io/quincelead/scheduler/Collaborators.java
+++ b/src/main/java/io/quincelead/scheduler/ControllerComponents.java
@@ -12,4 +12,5 @@
  * @param leader whether this controller leads
  * @param messenger what other controllers last reported of their machines
  */
-public record Collaborators(WorkerGateway workerGateway, Leader leader, PeerMessenger messenger) {}
+public record ControllerComponents(
+        WorkerGateway workerGateway, Leader leader, PeerMessenger messenger) {}
--- a/src/main/java/io/quincelead/scheduler/LeaderEscalation.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationEncoder.java
@@ -7,12 +7,12 @@
 import io.quincelead.store.Transaction;
 
 /** Escalates jobs that don't fit this controller's shard to the leader. */
-final class LeaderEscalation {
+final class EscalationEncoder {
     private final StoreAccess storeAccess;
     private final ClusterMembership shards;
     private final Settings settings;
 
-    LeaderEscalation(StoreAccess storeAccess, ClusterMembership shards, Settings settings) {
+    EscalationEncoder(StoreAccess storeAccess, ClusterMembership shards, Settings settings) {
         this.storeAccess = storeAccess;
         this.shards = shards;
         this.settings = settings;
@@ -39,7 +39,7 @@
             if (!transaction.fits(2, 2, storeAccess.client().maxTransactionOperations())) {
                 break;
             }
-            if (plan.hasChangesOf(job) || plan.enteringJobs.contains(job)) {
+            if (plan.hasChangesOf(job) || plan.admittedJobs.contains(job)) {
                 // Its use changes in this very write; the next cycle knows it exactly.
                 continue;
             }
--- a/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
@@ -172,7 +172,7 @@
             boolean leavesReserve =
                     spec.priority() == JobSpec.Priority.BEST_EFFORT
                             && spec.isUnconstrained()
-                            && plan.reservedCpus > 0;
+                            && plan.urgentReserveCpus > 0;
             if (leavesReserve
                     || loop.nowMillis() - capacity.sinceMillis
                             < SchedulerConstants.ESCALATE_TO_LASTING_CAPACITY_AFTER_MILLIS) {
--- a/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
+++ b/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
@@ -24,10 +24,10 @@
         return request.path("job").asText();
     }
 
-    static ObjectNode encodeQueue(List<QueueOrder.RankedJob> queue) {
+    static ObjectNode encodeQueue(List<QueueOrder.QueueEntry> queue) {
         ObjectNode response = WireFormat.newMap();
         ArrayNode list = response.putArray("list");
-        for (QueueOrder.RankedJob ranked : queue) {
+        for (QueueOrder.QueueEntry ranked : queue) {
             EffectivePriority priority = ranked.effectivePriority();
             list.addObject()
                     .put("job", ranked.job().spec.jobId())
@@ -40,7 +40,7 @@
     }
 
     static ObjectNode encodeExplanation(JobExplanation explanation) {
-        QueueOrder.RankedJob ownRank = explanation.ownRank();
+        QueueOrder.QueueEntry ownRank = explanation.ownEntry();
         EffectivePriority priority = ownRank.effectivePriority();
         Job job = ownRank.job();
         ObjectNode response =
@@ -63,7 +63,7 @@
                         .put("controller", job.controllerId())
                         .put("waitsFor", explanation.waitsFor());
         ArrayNode ahead = response.putArray("ahead");
-        for (QueueOrder.RankedJob ranked : explanation.firstJobsAhead()) {
+        for (QueueOrder.QueueEntry ranked : explanation.firstJobsAhead()) {
             ahead.addObject()
                     .put("job", ranked.job().spec.jobId())
                     .put("tier", QueueExplainer.tierName(ranked))
--- a/src/main/java/io/quincelead/scheduler/FreeCapacity.java
+++ b/src/main/java/io/quincelead/scheduler/FreeCapacity.java
@@ -18,7 +18,7 @@
     int reservedForTier = Integer.MAX_VALUE;
 
     /** Seconds until its worker can be told of a start; 0 if that doesn't count. */
-    double reachSeconds;
+    double startDelaySeconds;
 
     private double freeCpus;
     private double freeMemoryGb;
--- a/src/main/java/io/quincelead/scheduler/JobExplanation.java
+++ b/src/main/java/io/quincelead/scheduler/JobExplanation.java
@@ -6,7 +6,7 @@
 /**
  * Why a job is where it is in the queue.
  *
- * @param ownRank its position for all its tasks
+ * @param ownEntry its position for all its tasks
  * @param classSource where its priority class comes from
  * @param rankSource where its rank comes from
  * @param tierName as operators know it
@@ -19,7 +19,7 @@
  * @param jobsAheadCount how many positions are before its own; 0 if no task waits
  */
 record JobExplanation(
-        QueueOrder.RankedJob ownRank,
+        QueueOrder.QueueEntry ownEntry,
         String classSource,
         String rankSource,
         String tierName,
@@ -28,5 +28,5 @@
         double ageSeconds,
         int entitledTasks,
         String waitsFor,
-        List<QueueOrder.RankedJob> firstJobsAhead,
+        List<QueueOrder.QueueEntry> firstJobsAhead,
         int jobsAheadCount) {}
--- a/src/main/java/io/quincelead/scheduler/LeaderPrecedence.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -15,7 +15,7 @@
 /**
  * Leaves free capacity of the own shard to work that comes first and that the leader is placing.
  */
-final class LeaderPrecedence {
+final class LeaderReservations {
     private final EventLoop loop;
     private final ClusterView cluster;
     private final List<JobSpec> demandsAtLeader = new ArrayList<>();
@@ -23,7 +23,7 @@
     /** Since when there has been free capacity here for a job that waits at the leader. */
     private final Map<Job, Long> capacitySinceMillis = new HashMap<>();
 
-    LeaderPrecedence(EventLoop loop, ClusterView cluster) {
+    LeaderReservations(EventLoop loop, ClusterView cluster) {
         this.loop = loop;
         this.cluster = cluster;
     }
--- a/src/main/java/io/quincelead/scheduler/MachinePool.java
+++ b/src/main/java/io/quincelead/scheduler/MachinePool.java
@@ -44,11 +44,11 @@
      * GPUs from those who need them.
      */
     boolean suits(JobSpec spec, int tier) {
-        return allows(spec) && maxTier >= tier && !isKeptFrom(spec);
+        return allows(spec) && maxTier >= tier && !isWithheldFrom(spec);
     }
 
     /** Whether the job could go there, but for those who need the GPUs. */
-    boolean isKeptFrom(JobSpec spec) {
+    boolean isWithheldFrom(JobSpec spec) {
         return gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null && allows(spec);
     }
 
--- a/src/main/java/io/quincelead/scheduler/MachineStatus.java
+++ b/src/main/java/io/quincelead/scheduler/MachineStatus.java
@@ -10,5 +10,5 @@
     boolean isAcceptingTasks(String owner, String host);
 
     /** Seconds until a start can leave for the machine. */
-    double secondsToReach(String host);
+    double startDelaySeconds(String host);
 }
--- a/src/main/java/io/quincelead/scheduler/OwnerDrains.java
+++ b/src/main/java/io/quincelead/scheduler/PeerDrainReservations.java
@@ -13,10 +13,10 @@
  * all shards, leaves alone what comes free there. Drains are on no record, so it derives them from
  * the jobs that wait, as their owners do.
  */
-final class OwnerDrains {
+final class PeerDrainReservations {
     private final ClusterView cluster;
 
-    OwnerDrains(ClusterView cluster) {
+    PeerDrainReservations(ClusterView cluster) {
         this.cluster = cluster;
     }
 
@@ -31,7 +31,8 @@
             if (!machine.inOwnShard) {
                 machinesByOwner
                         .computeIfAbsent(
-                                cluster.shards().ownerOf(machine.host), owner -> new ArrayList<>())
+                                cluster.membership().ownerOf(machine.host),
+                                owner -> new ArrayList<>())
                         .add(machine);
             }
         }
@@ -47,7 +48,7 @@
         Map<String, List<JobSpec>> overdueByOwner = new HashMap<>();
         for (Job job : cluster.jobs().jobsOldestFirst()) {
             boolean overdue =
-                    plan.entitledTasksOfStarving.containsKey(job)
+                    plan.entitledTasksByStarvingJob.containsKey(job)
                             && job.completedTaskCount() + job.placedTaskCount() == 0;
             if (!overdue || job.controllerId().equals(plan.shard.ownerId())) {
                 continue;
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -53,7 +53,7 @@
      * @param anywhere as a last resort also on machines that should be left to others
      * @return how many tasks of those this position in the queue is for were not placed
      */
-    int place(QueueOrder.RankedJob ranked, boolean anywhere) {
+    int place(QueueOrder.QueueEntry ranked, boolean anywhere) {
         Job job = ranked.job();
         JobSpec spec = job.spec;
         int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
@@ -87,7 +87,7 @@
     }
 
     /** As many of the wanted tasks as the quota share and the reserve for urgent work let in. */
-    private int permittedTasks(QueueOrder.RankedJob ranked, int wanted, boolean anywhere) {
+    private int permittedTasks(QueueOrder.QueueEntry ranked, int wanted, boolean anywhere) {
         JobSpec spec = ranked.job().spec;
         int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
         if (tasks <= 0
@@ -100,7 +100,7 @@
         double freeCpus = anywhere ? plan.freeCpus(true) : plan.freeCpus();
         int besideReserve =
                 Tebas.taskCapacity(
-                        freeCpus - plan.reservedCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0);
+                        freeCpus - plan.urgentReserveCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0);
         return Math.min(tasks, besideReserve);
     }
 
@@ -110,20 +110,20 @@
      *
      * @return how many tasks were placed
      */
-    int placeDespiteGpuDemand(QueueOrder.RankedJob ranked) {
+    int placeOnWithheldMachine(QueueOrder.QueueEntry ranked) {
         JobSpec spec = ranked.job().spec;
         boolean heldBack =
                 spec.isArray()
-                        && plan.gpuHoldBack.isOpen()
+                        && plan.gpuWithholding.canChange()
                         && plan.tasksWithinQuotaShare(spec) > 0
-                        && hasRoom(ranked, pool -> pool.isKeptFrom(spec));
-        if (!heldBack || !plan.gpuHoldBack.admitsTask()) {
+                        && hasRoom(ranked, pool -> pool.isWithheldFrom(spec));
+        if (!heldBack || !plan.gpuWithholding.tryAdmitTask()) {
             return 0;
         }
         return 1 - place(ranked.limitedTo(1), true);
     }
 
-    private boolean hasRoom(QueueOrder.RankedJob ranked, Predicate<MachinePool> allowed) {
+    private boolean hasRoom(QueueOrder.QueueEntry ranked, Predicate<MachinePool> allowed) {
         for (MachinePool pool : plan.pools.values()) {
             for (FreeCapacity machine : pool.machinesIf(allowed.test(pool))) {
                 if (ranked.tier() < machine.reservedForTier
@@ -138,7 +138,7 @@
     /**
      * Drains machines for tasks that found no free capacity, so that smaller ones don't take it.
      */
-    void reserveMachines(QueueOrder.RankedJob ranked, int tasks) {
+    void reserveMachines(QueueOrder.QueueEntry ranked, int tasks) {
         drainReservations.reserve(ranked.job().spec, ranked.tier(), tasks);
     }
 
--- a/src/main/java/io/quincelead/scheduler/PlanEncoder.java
+++ b/src/main/java/io/quincelead/scheduler/PlanEncoder.java
@@ -31,7 +31,7 @@
         boolean anyChange = false;
         for (Map.Entry<TaskStatePage, TaskStatePageEdit> entry : plan.edits.entrySet()) {
             TaskStatePageEdit edit = entry.getValue();
-            if (plan.enteringJobs.contains(edit.page().job)) {
+            if (plan.admittedJobs.contains(edit.page().job)) {
                 encodeEnteringJob(plan, edit);
                 anyChange |= edit.isChanged();
             } else if (edit.isChanged()) {
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -74,7 +74,7 @@
      * @param zoneAllowed zones where the job may have more tasks
      * @return how many tasks will find no free capacity all the same
      */
-    int freeCapacityFor(QueueOrder.RankedJob ranked, int unplaced, Predicate<String> zoneAllowed) {
+    int freeCapacityFor(QueueOrder.QueueEntry ranked, int unplaced, Predicate<String> zoneAllowed) {
         JobSpec spec = ranked.job().spec;
         int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
         if (needed <= 0
@@ -86,7 +86,7 @@
         return needed <= 0 ? needed : stopCheapestFirst(ranked, needed, zoneAllowed);
     }
 
-    private boolean isKnownUnsatisfiable(QueueOrder.RankedJob ranked) {
+    private boolean isKnownUnsatisfiable(QueueOrder.QueueEntry ranked) {
         JobSpec spec = ranked.job().spec;
         if (!ranked.withinGuarantee()) {
             return unsatisfiable.covers(spec);
@@ -95,7 +95,7 @@
         return ofTeam != null && ofTeam.covers(spec);
     }
 
-    private void rememberUnsatisfiable(QueueOrder.RankedJob ranked) {
+    private void rememberUnsatisfiable(QueueOrder.QueueEntry ranked) {
         JobSpec spec = ranked.job().spec;
         // What is stopped for one within its guarantee is more than another may stop.
         unsatisfiable.add(spec);
@@ -110,7 +110,7 @@
      * Claims what tasks that are being stopped will leave; returns how many still need capacity.
      */
     private int claimUpcomingCapacity(
-            QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
+            QueueOrder.QueueEntry ranked, int needed, Predicate<String> zoneAllowed) {
         JobSpec spec = ranked.job().spec;
         int tier = ranked.tier();
         int stillNeeded = needed;
@@ -135,7 +135,7 @@
 
     /** Stops candidates until all have capacity; returns how many still need it. */
     private int stopCheapestFirst(
-            QueueOrder.RankedJob ranked, int needed, Predicate<String> zoneAllowed) {
+            QueueOrder.QueueEntry ranked, int needed, Predicate<String> zoneAllowed) {
         Job job = ranked.job();
         PreemptionCandidates cheapestFirst = candidatesFor(job, ranked.withinGuarantee());
         Set<FreeCapacity> exhaustedMachines = new HashSet<>();
@@ -173,7 +173,7 @@
     /** Candidates were chosen for all jobs alike, and some have been stopped since. */
     private boolean isEligible(
             PreemptionCandidates.Candidate candidate,
-            QueueOrder.RankedJob ranked,
+            QueueOrder.QueueEntry ranked,
             Predicate<String> zoneAllowed) {
         MachinePool pool = candidate.machine().pool;
         return rules.mayPreempt(ranked.job(), candidate.placement(), ranked.withinGuarantee())
@@ -286,7 +286,8 @@
                                             placement,
                                             machine,
                                             rules.lostCpuSeconds(placement),
-                                            plan.entitledTasksOfStarving.containsKey(placement.job),
+                                            plan.entitledTasksByStarvingJob.containsKey(
+                                                    placement.job),
                                             found.size()));
                         }
                     }
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -40,7 +40,7 @@
         if (policy.isInForce() && !policyAllows(forJob, placement, withinGuarantee)) {
             return false;
         }
-        if (plan.entitledTasksOfStarving.containsKey(placement.job)
+        if (plan.entitledTasksByStarvingJob.containsKey(placement.job)
                 && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false)
                         >= QueueOrder.TIER_FIRST_START) {
             // The few tasks that keep a job from starving are stopped for urgent work alone: a
@@ -85,12 +85,12 @@
                 rankOf(
                         placement.job,
                         plan.jobsWithinGuarantee.contains(placement.job),
-                        plan.entitledTasksOfStarving.containsKey(placement.job)),
+                        plan.entitledTasksByStarvingJob.containsKey(placement.job)),
                 rankOf(forJob, withinGuarantee, false));
     }
 
-    private QueueOrder.RankedJob rankOf(Job job, boolean withinGuarantee, boolean starving) {
-        return new QueueOrder.RankedJob(
+    private QueueOrder.QueueEntry rankOf(Job job, boolean withinGuarantee, boolean starving) {
+        return new QueueOrder.QueueEntry(
                 job,
                 job.spec.priority().ordinal(),
                 withinGuarantee,
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -47,13 +47,13 @@
         operatorApi.register("/ops/queue", this::describeQueue);
     }
 
-    private List<QueueOrder.RankedJob> rankWaitingJobs() {
+    private List<QueueOrder.QueueEntry> rankWaitingJobs() {
         long wallMillis = loop.wallClockMillis();
         Set<Job> withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
-        List<QueueOrder.RankedJob> ranked = new ArrayList<>();
+        List<QueueOrder.QueueEntry> ranked = new ArrayList<>();
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.waitingTaskCount() > 0) {
-                ranked.add(queueOrder.rank(job, withinGuarantee.contains(job), wallMillis));
+                ranked.add(queueOrder.entryFor(job, withinGuarantee.contains(job), wallMillis));
             }
         }
         ranked.sort(QueueOrder.BY_QUEUE_ORDER);
@@ -63,7 +63,7 @@
     /** The waiting jobs in their order; of each, what operators' records make of it. */
     private void describeQueue(ObjectNode body, OperatorApi.Responder responder) {
         int limit = ExplanationCodec.decodeLimit(body);
-        List<QueueOrder.RankedJob> queue = rankWaitingJobs();
+        List<QueueOrder.QueueEntry> queue = rankWaitingJobs();
         responder.respondOk(
                 ExplanationCodec.encodeQueue(
                         queue.subList(0, Math.max(0, Math.min(limit, queue.size())))));
@@ -80,11 +80,11 @@
     }
 
     private JobExplanation explain(Job job) {
-        List<QueueOrder.RankedJob> queue = rankWaitingJobs();
+        List<QueueOrder.QueueEntry> queue = rankWaitingJobs();
         long wallMillis = loop.wallClockMillis();
         boolean withinGuarantee =
                 queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
-        QueueOrder.RankedJob ownRank = queueOrder.rank(job, withinGuarantee, wallMillis);
+        QueueOrder.QueueEntry ownRank = queueOrder.entryFor(job, withinGuarantee, wallMillis);
         double secondsLeft = secondsLeft(ownRank);
         int position = 0;
         while (position < queue.size() && queue.get(position).job() != job) {
@@ -112,13 +112,13 @@
                 : "generation " + policy.activeClasses().generation();
     }
 
-    private static double secondsLeft(QueueOrder.RankedJob ranked) {
+    private static double secondsLeft(QueueOrder.QueueEntry ranked) {
         return ranked.slackSeconds()
                 + ranked.job().spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
     }
 
     private static String deadlineSource(
-            QueueOrder.RankedJob ranked, double secondsLeft, long wallMillis) {
+            QueueOrder.QueueEntry ranked, double secondsLeft, long wallMillis) {
         EffectivePriority priority = ranked.effectivePriority();
         if (priority.isCovered()
                 && Math.abs(secondsLeft - (priority.publicationMillis() - wallMillis) / 1000.0)
@@ -134,7 +134,7 @@
     }
 
     /** The name by which operators know the tier of the job's position in the queue. */
-    static String tierName(QueueOrder.RankedJob ranked) {
+    static String tierName(QueueOrder.QueueEntry ranked) {
         int tier = ranked.orderingTier();
         String name;
         if (tier == JobSpec.Priority.PRODUCTION.ordinal()) {
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -32,7 +32,7 @@
     static final int TIER_STARVING = TIER_GUARANTEED + 1;
 
     /** The order of the queue: what comes first is placed first. Total over different jobs. */
-    public static final Comparator<RankedJob> BY_QUEUE_ORDER = QueueOrder::compare;
+    public static final Comparator<QueueEntry> BY_QUEUE_ORDER = QueueOrder::compare;
 
     private final Map<String, Double> objectiveSecondsByClass = new HashMap<>();
     private final Map<String, Settings.Team> teams;
@@ -65,7 +65,7 @@
      * @param replicaRank among services: 0 for the first replica of one that has none, else the
      *     larger the more it has; 1 for other jobs
      */
-    public record RankedJob(
+    public record QueueEntry(
             Job job,
             int priority,
             boolean withinGuarantee,
@@ -77,8 +77,8 @@
             EffectivePriority effectivePriority,
             double replicaRank) {
         /** The same with another rank among services, for so many tasks. */
-        RankedJob withReplicaRank(double rank, int tasks) {
-            return new RankedJob(
+        QueueEntry withReplicaRank(double rank, int tasks) {
+            return new QueueEntry(
                     job,
                     priority,
                     withinGuarantee,
@@ -92,7 +92,7 @@
         }
 
         /** The same position for so many tasks. */
-        RankedJob limitedTo(int tasks) {
+        QueueEntry limitedTo(int tasks) {
             return withReplicaRank(replicaRank, tasks);
         }
 
@@ -126,8 +126,8 @@
         }
 
         /** The same job's position for so many tasks that are overdue to start. */
-        RankedJob asStarving(boolean atFirstStart, int tasks) {
-            return new RankedJob(
+        QueueEntry asStarving(boolean atFirstStart, int tasks) {
+            return new QueueEntry(
                     job,
                     priority,
                     withinGuarantee,
@@ -155,7 +155,7 @@
                                 : priority + TIER_STARVING - TIER_FIRST_START + 1;
     }
 
-    private static int compare(RankedJob a, RankedJob b) {
+    private static int compare(QueueEntry a, QueueEntry b) {
         int result = Integer.compare(a.orderingTier(), b.orderingTier());
         if (result == 0
                 && (a.orderingTier() == TIER_STARVING || a.orderingTier() == TIER_FIRST_START)) {
@@ -184,7 +184,7 @@
      * What operators' records say, within a tier: priority, then open windows, then the rank of the
      * class.
      */
-    private static int compareEffectivePriority(RankedJob a, RankedJob b) {
+    private static int compareEffectivePriority(QueueEntry a, QueueEntry b) {
         int result = Integer.compare(a.orderingPriority(), b.orderingPriority());
         result =
                 result != 0
@@ -201,7 +201,7 @@
      * then, whatever the protocol allows: it would take the capacity back at once, and the two
      * would take turns without end.
      */
-    static boolean precedes(RankedJob running, RankedJob waiting) {
+    static boolean precedes(QueueEntry running, QueueEntry waiting) {
         int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
         return (result != 0 ? result : compareEffectivePriority(running, waiting)) < 0;
     }
@@ -212,11 +212,11 @@
      * @param replicasTakeTurns whether services get one replica each before any gets a second
      * @param wallMillis milliseconds since 1970
      */
-    List<RankedJob> queue(
+    List<QueueEntry> queue(
             List<Job> candidates, SchedulingPlan plan, boolean replicasTakeTurns, long wallMillis) {
-        List<RankedJob> queue = new ArrayList<>(candidates.size());
+        List<QueueEntry> queue = new ArrayList<>(candidates.size());
         for (Job job : candidates) {
-            RankedJob ranked = rank(job, plan.jobsWithinGuarantee.contains(job), wallMillis);
+            QueueEntry ranked = entryFor(job, plan.jobsWithinGuarantee.contains(job), wallMillis);
             if (replicasTakeTurns && job.spec.isService()) {
                 // One replica of every service before any second one; then those of which the
                 // largest part is missing.
@@ -229,7 +229,7 @@
                 }
             }
             queue.add(ranked);
-            addOverdueTasks(queue, ranked, plan.entitledTasksOfStarving.getOrDefault(job, 0));
+            addOverdueTasks(queue, ranked, plan.entitledTasksByStarvingJob.getOrDefault(job, 0));
         }
         queue.sort(BY_QUEUE_ORDER);
         return queue;
@@ -237,7 +237,7 @@
 
     /** Adds the job's positions for the tasks that are overdue to start, if there are any. */
     private static void addOverdueTasks(
-            List<RankedJob> queue, RankedJob ranked, int entitledTasks) {
+            List<QueueEntry> queue, QueueEntry ranked, int entitledTasks) {
         JobSpec spec = ranked.job.spec;
         int startedTasks = ranked.job.completedTaskCount() + ranked.job.possiblyRunningTaskCount();
         int overdueTasks = entitledTasks - startedTasks;
@@ -289,7 +289,7 @@
      *
      * @param wallNowMillis milliseconds since 1970
      */
-    public RankedJob rank(Job job, boolean withinGuarantee, long wallNowMillis) {
+    public QueueEntry entryFor(Job job, boolean withinGuarantee, long wallNowMillis) {
         double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis()) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
         double dueSeconds =
@@ -309,7 +309,7 @@
         }
         double slackSeconds =
                 secondsLeft - runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
-        return new RankedJob(
+        return new QueueEntry(
                 job,
                 job.spec.priority().ordinal(),
                 withinGuarantee,
--- a/src/main/java/io/quincelead/scheduler/QueuePass.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -19,7 +19,7 @@
  * the jobs, lets a {@link QueueWalk} place them, and remembers from pass to pass what has waited
  * how long.
  */
-final class QueuePass {
+final class QueueScheduler {
     private final EventLoop loop;
     private final Settings settings;
     private final OperatorSettings operatorSettings;
@@ -28,11 +28,11 @@
     private final QueueOrder queueOrder;
     private final QuotaReservations quotaReservations;
     private final CapacityReader capacityReader;
-    private final LeaderPrecedence leaderPrecedence;
-    private final OwnerDrains ownerDrains;
+    private final LeaderReservations leaderPrecedence;
+    private final PeerDrainReservations ownerDrains;
     private final EscalationPolicy escalationPolicy;
-    private final UnservedJobs unservedJobs;
-    private final HoldBackTimer gpuHoldBackTimer;
+    private final UnservedJobTracker unservedJobs;
+    private final CapacityWithholdingTimer gpuHoldBackTimer;
 
     /** When best-effort work may be placed again, in milliseconds on the loop's clock. */
     private long bestEffortAtMillis;
@@ -40,7 +40,7 @@
     private boolean workWaiting;
     private int largestGangPages;
 
-    QueuePass(
+    QueueScheduler(
             EventLoop loop,
             Settings settings,
             OperatorSettings operatorSettings,
@@ -61,11 +61,11 @@
                         cluster.machineTypes(),
                         cluster.policy());
         this.capacityReader = new CapacityReader(cluster, machineStatus);
-        this.leaderPrecedence = new LeaderPrecedence(loop, cluster);
-        this.ownerDrains = new OwnerDrains(cluster);
+        this.leaderPrecedence = new LeaderReservations(loop, cluster);
+        this.ownerDrains = new PeerDrainReservations(cluster);
         this.escalationPolicy = new EscalationPolicy(loop, capacityReader);
-        this.unservedJobs = new UnservedJobs(loop, cluster.jobs());
-        this.gpuHoldBackTimer = new HoldBackTimer(loop);
+        this.unservedJobs = new UnservedJobTracker(loop, cluster.jobs());
+        this.gpuHoldBackTimer = new CapacityWithholdingTimer(loop);
     }
 
     /** Whether work of this controller waited for free capacity at the last pass. */
@@ -95,7 +95,7 @@
         List<Job> jobsAtLeader = new ArrayList<>();
         collectWaitingJobs(plan, plan.leading ? null : leaderId, candidates, jobsAtLeader);
         collectStarvingJobs(plan);
-        candidates.addAll(plan.enteringJobs);
+        candidates.addAll(plan.admittedJobs);
         if (!cluster.policy().isReady()) {
             // The classes in force can't be read here: nothing is placed by others. Terminations go
             // on record all the same.
@@ -107,17 +107,17 @@
         if (!workWaiting) {
             escalationPolicy.clear();
             unservedJobs.clear();
-            gpuHoldBackTimer.clear();
+            gpuHoldBackTimer.reset();
             terminations.recordDue(plan);
             return;
         }
         capacityReader.collectFreeCapacity(plan, isAnyUrgent(candidates));
-        plan.reservedCpus =
+        plan.urgentReserveCpus =
                 cluster.constrainedDemand()
                                 .expectedUrgentCpus(SchedulerConstants.CONSTRAINED_RESERVE_SECONDS)
-                        / (plan.leading ? 1 : Math.max(1, cluster.shards().shards().size()));
-        plan.gpuHoldBack =
-                gpuHoldBackTimer.begin(isAnyOnGpus(candidates) || isAnyOnGpus(jobsAtLeader));
+                        / (plan.leading ? 1 : Math.max(1, cluster.membership().shards().size()));
+        plan.gpuWithholding =
+                gpuHoldBackTimer.beginPass(isAnyOnGpus(candidates) || isAnyOnGpus(jobsAtLeader));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(cluster.jobs().jobsOldestFirst());
         leaderPrecedence.reserveCapacityForLeader(plan, jobsAtLeader);
         if (plan.leading) {
@@ -179,7 +179,7 @@
             }
         }
         ClusterMembership.Shard leaderShard =
-                leaderId == null ? null : cluster.shards().shardOf(leaderId);
+                leaderId == null ? null : cluster.membership().shardOf(leaderId);
         jobsAtLeader.removeIf(
                 job ->
                         leaderShard == null
@@ -205,7 +205,7 @@
                             : cluster.policy().requiredStartedTaskCount(job, wallMillis);
             if (entitledTasks > 0
                     && job.completedTaskCount() + job.possiblyRunningTaskCount() <= entitledTasks) {
-                plan.entitledTasksOfStarving.put(job, entitledTasks);
+                plan.entitledTasksByStarvingJob.put(job, entitledTasks);
             }
         }
     }
@@ -213,7 +213,7 @@
     private void walkQueue(
             SchedulingPlan plan, List<Job> candidates, TerminationRecorder terminations) {
         long wallMillis = loop.wallClockMillis();
-        List<QueueOrder.RankedJob> queue =
+        List<QueueOrder.QueueEntry> queue =
                 queueOrder.queue(
                         candidates, plan, operatorSettings.zoneRecovery().enabled(), wallMillis);
         Placer placer = new Placer(operatorSettings, cluster, plan);
@@ -222,8 +222,8 @@
         Preemption preemption =
                 new Preemption(
                         loop, settings, cluster.jobs(), plan, storeUnderPressure, cluster.policy());
-        QuotaSaving quotaSaving =
-                new QuotaSaving(plan, cluster.jobs(), settings.memberId(), terminations);
+        QuotaAccumulator quotaSaving =
+                new QuotaAccumulator(plan, cluster.jobs(), settings.memberId(), terminations);
         reserveQuota(queue, quotaSaving, wallMillis);
         EscalationPolicy.Decisions escalation = escalationPolicy.decisionsFor(plan);
         boolean gpusInDemand = plan.pools.values().stream().anyMatch(pool -> pool.gpusInDemand);
@@ -233,7 +233,7 @@
         new QueueWalk(plan, placer, preemption, quotaSaving, escalation, unservedJobs, conditions)
                 .walk(queue, terminations);
         if (conditions.bestEffortDue()) {
-            gpuHoldBackTimer.end(plan.gpuHoldBack);
+            gpuHoldBackTimer.endPass(plan.gpuWithholding);
         }
         escalation.forgetPlacedJobs();
         unservedJobs.forgetFinishedJobs();
@@ -241,9 +241,9 @@
 
     /** Reserves quota for those of our jobs that are the first of their teams to get it. */
     private void reserveQuota(
-            List<QueueOrder.RankedJob> queue, QuotaSaving quotaSaving, long wallMillis) {
+            List<QueueOrder.QueueEntry> queue, QuotaAccumulator quotaSaving, long wallMillis) {
         Map<String, List<Job>> reservedByTeam = new HashMap<>();
-        for (QueueOrder.RankedJob ranked : queue) {
+        for (QueueOrder.QueueEntry ranked : queue) {
             Job job = ranked.job();
             if (quotaReservations.isOverdueToStart(job, wallMillis)
                     && reservedByTeam
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -31,9 +31,9 @@
     private final SchedulingPlan plan;
     private final Placer placer;
     private final Preemption preemption;
-    private final QuotaSaving quotaSaving;
+    private final QuotaAccumulator quotaSaving;
     private final EscalationPolicy.Decisions escalation;
-    private final UnservedJobs unservedJobs;
+    private final UnservedJobTracker unservedJobs;
     private final Conditions conditions;
 
     /** Records of the transaction that the walk has written for starving work. */
@@ -45,9 +45,9 @@
             SchedulingPlan plan,
             Placer placer,
             Preemption preemption,
-            QuotaSaving quotaSaving,
+            QuotaAccumulator quotaSaving,
             EscalationPolicy.Decisions escalation,
-            UnservedJobs unservedJobs,
+            UnservedJobTracker unservedJobs,
             Conditions conditions) {
         this.plan = plan;
         this.placer = placer;
@@ -58,9 +58,9 @@
         this.conditions = conditions;
     }
 
-    void walk(List<QueueOrder.RankedJob> queue, TerminationRecorder terminations) {
+    void walk(List<QueueOrder.QueueEntry> queue, TerminationRecorder terminations) {
         int starvingRecordBudget = starvingRecordBudget(queue);
-        for (QueueOrder.RankedJob ranked : queue) {
+        for (QueueOrder.QueueEntry ranked : queue) {
             Job job = ranked.job();
             boolean bestEffort = ranked.priority() == JobSpec.Priority.BEST_EFFORT.ordinal();
             if (ranked.starving() && mustYield(job, bestEffort)) {
@@ -82,7 +82,8 @@
                 escalation.keepIfStuck(job);
                 continue;
             }
-            if (!conditions.bestEffortDue && bestEffort || quotaSaving.isSavedForOthers(ranked)) {
+            if (!conditions.bestEffortDue && bestEffort
+                    || quotaSaving.isAccumulatedForOthers(ranked)) {
                 escalation.addStuck(job);
                 continue;
             }
@@ -93,9 +94,9 @@
         }
     }
 
-    private static int starvingRecordBudget(List<QueueOrder.RankedJob> queue) {
+    private static int starvingRecordBudget(List<QueueOrder.QueueEntry> queue) {
         int starving = 0;
-        for (QueueOrder.RankedJob ranked : queue) {
+        for (QueueOrder.QueueEntry ranked : queue) {
             starving += ranked.tier() == QueueOrder.TIER_STARVING ? 1 : 0;
         }
         return Math.min(SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE, starving);
@@ -112,7 +113,7 @@
                         && !plan.containsRecordOf(job);
     }
 
-    private void place(QueueOrder.RankedJob ranked) {
+    private void place(QueueOrder.QueueEntry ranked) {
         Job job = ranked.job();
         int wanted = plan.unplacedTasks(job);
         quotaSaving.withholdReserved(ranked);
@@ -133,7 +134,7 @@
         }
     }
 
-    private void helpStarving(QueueOrder.RankedJob ranked, int unplaced, boolean alreadyInPlan) {
+    private void helpStarving(QueueOrder.QueueEntry ranked, int unplaced, boolean alreadyInPlan) {
         Job job = ranked.job();
         int stillUnplaced = unplaced;
         if (!job.spec.isUnconstrained()) {
@@ -143,11 +144,11 @@
         }
         starvingRecords += !alreadyInPlan && plan.containsRecordOf(job) ? 1 : 0;
         placer.reserveMachines(ranked, stillUnplaced);
-        quotaSaving.saveFor(ranked, stillUnplaced);
+        quotaSaving.accumulateFor(ranked, stillUnplaced);
         preemption.freeCapacityFor(ranked, stillUnplaced, placer.allowedZones(job));
     }
 
-    private void helpUnplaced(QueueOrder.RankedJob ranked, int unplaced) {
+    private void helpUnplaced(QueueOrder.QueueEntry ranked, int unplaced) {
         Job job = ranked.job();
         boolean waitedLong =
                 ranked.tier() <= QueueOrder.TIER_GUARANTEED
@@ -156,7 +157,7 @@
         if (waitedLong) {
             // Urgent work comes first anyway, but single tasks of all other work fit into what is
             // too little for a gang.
-            quotaSaving.saveFor(ranked, unplaced);
+            quotaSaving.accumulateFor(ranked, unplaced);
         }
         int withoutCapacity =
                 preemption.freeCapacityFor(ranked, unplaced, placer.allowedZones(job));
@@ -171,7 +172,7 @@
             stillUnplaced = placer.place(ranked, true);
         }
         if (conditions.gpusInDemand && Math.min(withoutCapacity, stillUnplaced) > 0) {
-            stillUnplaced -= placer.placeDespiteGpuDemand(ranked);
+            stillUnplaced -= placer.placeOnWithheldMachine(ranked);
         }
         if (stillUnplaced > 0) {
             logWaitingGang(job, withoutCapacity);
--- a/src/main/java/io/quincelead/scheduler/QuotaSaving.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
@@ -14,14 +14,14 @@
  * Looks after teams' quota shares during one walk over the queue: frees what terminations on record
  * would free, and saves what comes free for gangs that would otherwise starve.
  */
-final class QuotaSaving {
+final class QuotaAccumulator {
     private final SchedulingPlan plan;
     private final JobTable jobs;
     private final String memberId;
     private final TerminationRecorder terminations;
 
     /** Our jobs that their teams' quota is reserved for, at their first position in the queue. */
-    private final Map<Job, QueueOrder.RankedJob> reservedJobs = new LinkedHashMap<>();
+    private final Map<Job, QueueOrder.QueueEntry> reservedJobs = new LinkedHashMap<>();
 
     /** Those of them whose need counts as used while the present job is placed. */
     private final Set<Job> withheldJobs = new HashSet<>();
@@ -35,7 +35,7 @@
     /** By team, the first tier that gets nothing of its quota share, for a gang saves it up. */
     private final Map<String, Integer> savingTierByTeam = new HashMap<>();
 
-    QuotaSaving(
+    QuotaAccumulator(
             SchedulingPlan plan, JobTable jobs, String memberId, TerminationRecorder terminations) {
         this.plan = plan;
         this.jobs = jobs;
@@ -46,7 +46,7 @@
     /**
      * The team's quota is reserved for this job of ours; its first position in the queue counts.
      */
-    void reserveFor(QueueOrder.RankedJob ranked) {
+    void reserveFor(QueueOrder.QueueEntry ranked) {
         reservedJobs.putIfAbsent(ranked.job(), ranked);
     }
 
@@ -54,8 +54,8 @@
      * Withholds the quota share that is reserved for a job while another one of its team is placed,
      * and releases it for the job itself and for what is more urgent. To be called before each job.
      */
-    void withholdReserved(QueueOrder.RankedJob ranked) {
-        for (QueueOrder.RankedJob reserved : reservedJobs.values()) {
+    void withholdReserved(QueueOrder.QueueEntry ranked) {
+        for (QueueOrder.QueueEntry reserved : reservedJobs.values()) {
             Job job = reserved.job();
             if (!job.spec.team().equals(ranked.job().spec.team())) {
                 continue;
@@ -74,7 +74,7 @@
     }
 
     /** Whether the team's quota share is saved for a gang that comes before this job. */
-    boolean isSavedForOthers(QueueOrder.RankedJob ranked) {
+    boolean isAccumulatedForOthers(QueueOrder.QueueEntry ranked) {
         return ranked.tier()
                 >= savingTierByTeam.getOrDefault(ranked.job().spec.team(), Integer.MAX_VALUE);
     }
@@ -94,7 +94,7 @@
      * while quota is withheld from it for another job: that one would be held back in turn, and
      * neither would ever start.
      */
-    void saveFor(QueueOrder.RankedJob ranked, int tasks) {
+    void accumulateFor(QueueOrder.QueueEntry ranked, int tasks) {
         Job job = ranked.job();
         if (job.spec.isGang()
                 && !isWithheldFrom(job)
--- a/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
+++ b/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
@@ -12,7 +12,7 @@
     private final WorkerGateway workerGateway;
     private final PeerMessenger messenger;
 
-    ReportedMachineStatus(Settings settings, Collaborators collaborators) {
+    ReportedMachineStatus(Settings settings, ControllerComponents collaborators) {
         this.memberId = settings.memberId();
         this.heartbeatSeconds = settings.workerTimings().heartbeatSeconds();
         this.workerGateway = collaborators.workerGateway();
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public double secondsToReach(String host) {
+    public double startDelaySeconds(String host) {
         ShardWorker worker = workerGateway.worker(host);
         // Another controller's machine: on average, half an interval passes until its heartbeat.
         return worker != null ? worker.startDelaySeconds() : heartbeatSeconds / 2;
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -28,8 +28,8 @@
  * operators' records in force and on each job and task state page it touches. No start leaves
  * before the write is confirmed.
  *
- * <p>This class decides when a cycle runs and what follows its outcome; {@link QueuePass} decides
- * what is placed where, {@link PlanEncoder} and {@link LeaderEscalation} what is written.
+ * <p>This class decides when a cycle runs and what follows its outcome; {@link QueueScheduler}
+ * decides what is placed where, {@link PlanEncoder} and {@link EscalationEncoder} what is written.
  */
 public final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
@@ -52,15 +52,15 @@
     private final StoreClient store;
     private final ClusterMembership shards;
     private final JobTable jobs;
-    private final Collaborators collaborators;
+    private final ControllerComponents collaborators;
     private final String memberId;
     private final Runnable onCycleSettled;
-    private final EnteringJobs enteringJobs;
+    private final AdmissionQueue enteringJobs;
     private final UnrecordedTerminations terminations;
     private final TaskEvictor taskEvictor;
-    private final QueuePass queuePass;
+    private final QueueScheduler queuePass;
     private final PlanEncoder planEncoder;
-    private final LeaderEscalation leaderEscalation;
+    private final EscalationEncoder leaderEscalation;
 
     /**
      * Two cycles that know nothing of each other may use up the same quota share, or choose two
@@ -92,22 +92,22 @@
             OperatorSettings operatorSettings,
             StoreAccess storeAccess,
             ClusterView cluster,
-            Collaborators collaborators,
+            ControllerComponents collaborators,
             Runnable onCycleSettled) {
         this.loop = loop;
         this.memberId = settings.memberId();
         this.membership = storeAccess.lease();
         this.watchCache = storeAccess.watchCache();
         this.store = storeAccess.client();
-        this.shards = cluster.shards();
+        this.shards = cluster.membership();
         this.jobs = cluster.jobs();
         this.collaborators = collaborators;
         this.onCycleSettled = onCycleSettled;
-        this.enteringJobs = new EnteringJobs(loop, jobs);
+        this.enteringJobs = new AdmissionQueue(loop, jobs);
         this.terminations = new UnrecordedTerminations(loop, store, jobs, memberId);
         this.taskEvictor = new TaskEvictor(loop, cluster, collaborators.workerGateway());
         this.queuePass =
-                new QueuePass(
+                new QueueScheduler(
                         loop,
                         settings,
                         operatorSettings,
@@ -115,7 +115,7 @@
                         cluster,
                         new ReportedMachineStatus(settings, collaborators));
         this.planEncoder = new PlanEncoder(watchCache, shards, cluster.policy());
-        this.leaderEscalation = new LeaderEscalation(storeAccess, shards, settings);
+        this.leaderEscalation = new EscalationEncoder(storeAccess, shards, settings);
         this.fence =
                 new IndeterminateWriteFence(
                         loop,
@@ -269,7 +269,7 @@
             backOff(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS);
             return;
         }
-        List<EnteringJobs.EnteringJob> admitted =
+        List<AdmissionQueue.Submission> admitted =
                 admitting
                         ? enteringJobs.takeAtMost(
                                 SchedulingPlan.maxRecords(
@@ -302,7 +302,7 @@
     }
 
     private SchedulingPlan planOrRejectEntering(
-            int writeBudget, List<EnteringJobs.EnteringJob> admitted) {
+            int writeBudget, List<AdmissionQueue.Submission> admitted) {
         try {
             return makePlan(writeBudget, admitted);
         } catch (RuntimeException failure) {
@@ -315,7 +315,7 @@
         }
     }
 
-    private SchedulingPlan makePlan(int writeBudget, List<EnteringJobs.EnteringJob> admitted) {
+    private SchedulingPlan makePlan(int writeBudget, List<AdmissionQueue.Submission> admitted) {
         SchedulingPlan plan =
                 new SchedulingPlan(
                         shards.localShard(),
@@ -323,8 +323,8 @@
                         shards.shards().size(),
                         writeBudget,
                         store.maxTransactionOperations());
-        plan.addEnteringJobs(admitted.stream().map(EnteringJobs.EnteringJob::job).toList());
-        taskEvictor.settleGangs(plan);
+        plan.addAdmittedJobs(admitted.stream().map(AdmissionQueue.Submission::job).toList());
+        taskEvictor.reconcileGangs(plan);
         taskEvictor.drainMachines(plan);
         queuePass.placeWaitingJobs(
                 plan,
@@ -335,7 +335,7 @@
         return plan;
     }
 
-    private void commit(SchedulingPlan plan, List<EnteringJobs.EnteringJob> admitted) {
+    private void commit(SchedulingPlan plan, List<AdmissionQueue.Submission> admitted) {
         boolean moreToDo =
                 plan.truncated || !plan.jobsToEscalate.isEmpty() || !enteringJobs.isEmpty();
         transitionTo(Phase.COMMITTING);
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -53,7 +53,7 @@
     final List<Job> jobsToEscalate = new ArrayList<>();
 
     /** Jobs that this cycle would record for the first time. */
-    final Set<Job> enteringJobs = new LinkedHashSet<>();
+    final Set<Job> admittedJobs = new LinkedHashSet<>();
 
     /** Jobs within their team's guarantee. */
     Set<Job> jobsWithinGuarantee = Set.of();
@@ -62,7 +62,7 @@
      * Jobs of which no more tasks have started than they are entitled to by their age, with how
      * many that is.
      */
-    final Map<Job, Integer> entitledTasksOfStarving = new HashMap<>();
+    final Map<Job, Integer> entitledTasksByStarvingJob = new HashMap<>();
 
     /** The own shard under which this plan is made. */
     final ClusterMembership.Shard shard;
@@ -84,10 +84,10 @@
     private double cachedFreeCpus = Double.NaN;
 
     /** CPUs that best-effort work leaves free. */
-    double reservedCpus;
+    double urgentReserveCpus;
 
     /** Work that is kept from machines only because others need their GPUs. */
-    HoldBack gpuHoldBack = new HoldBack(false);
+    CapacityWithholding gpuWithholding = new CapacityWithholding(false);
 
     SchedulingPlan(
             ClusterMembership.Shard shard,
@@ -103,8 +103,8 @@
     }
 
     /** Jobs that the plan records for the first time, each with its only page. */
-    void addEnteringJobs(List<Job> jobs) {
-        enteringJobs.addAll(jobs);
+    void addAdmittedJobs(List<Job> jobs) {
+        admittedJobs.addAll(jobs);
         jobs.forEach(job -> edit(job, 0));
     }
 
@@ -137,7 +137,7 @@
         return QueueOrder.tier(
                 job.spec.priority().ordinal(),
                 jobsWithinGuarantee.contains(job),
-                entitledTasksOfStarving.containsKey(job));
+                entitledTasksByStarvingJob.containsKey(job));
     }
 
     /** Whether a record of the job is in the transaction already. */
--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -36,7 +36,7 @@
      * completed, and what is placed stays so until there is evidence of it, for the record entitles
      * the machine's owner, perhaps another controller that lags behind, to start it.
      */
-    void settleGangs(SchedulingPlan plan) {
+    void reconcileGangs(SchedulingPlan plan) {
         for (Job job : jobs.all()) {
             if (!job.spec.isGang() || job.isCancelled()) {
                 continue;
--- a/src/main/java/io/quincelead/scheduler/UnservedJobs.java
+++ b/src/main/java/io/quincelead/scheduler/UnservedJobTracker.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /** Since when nothing of a waiting job has found a machine here. */
-final class UnservedJobs {
+final class UnservedJobTracker {
     private final EventLoop loop;
     private final JobTable jobs;
     private final Map<Job, Long> unservedSinceMillis = new HashMap<>();
 
-    UnservedJobs(EventLoop loop, JobTable jobs) {
+    UnservedJobTracker(EventLoop loop, JobTable jobs) {
         this.loop = loop;
         this.jobs = jobs;
     }
--- a/src/main/java/io/quincelead/zone/ServiceRebalancer.java
+++ b/src/main/java/io/quincelead/zone/ServiceRebalancer.java
@@ -204,7 +204,7 @@
      * it, and has free capacity for one task of the job. The leader places its jobs on all shards.
      */
     boolean hasFreeCapacity(Job job, String zone) {
-        boolean isLeadersJob = job.controllerId().equals(view.cluster().shards().leaderId());
+        boolean isLeadersJob = job.controllerId().equals(view.cluster().membership().leaderId());
         for (MachineTable.Machine machine : view.cluster().machines().all()) {
             MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
             if (machine.zone().equals(zone)
@@ -215,7 +215,7 @@
                     && (job.spec.preemptible() || !machine.spot())
                     && (isLeadersJob
                             || job.controllerId()
-                                    .equals(view.cluster().shards().ownerOf(machine.host())))
+                                    .equals(view.cluster().membership().ownerOf(machine.host())))
                     && view.visibility().isReachable(machine.host())
                     && fits(job.spec, machineType, view.cluster().jobs().loadOf(machine.host()))) {
                 return true;
--- a/src/test/java/io/quincelead/scheduler/EnteringJobsTest.java
+++ b/src/test/java/io/quincelead/scheduler/AdmissionQueueTest.java
@@ -15,9 +15,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class EnteringJobsTest {
+class AdmissionQueueTest {
     private final ClusterFixture cluster = new ClusterFixture(1, new SplittableRandom(1));
-    private final EnteringJobs entering = new EnteringJobs(cluster.loop, cluster.jobs);
+    private final AdmissionQueue entering = new AdmissionQueue(cluster.loop, cluster.jobs);
     private final List<String> outcomes = new ArrayList<>();
 
     private static JobSpec spec(int id) {
@@ -30,7 +30,7 @@
         return job;
     }
 
-    private static List<String> ids(List<EnteringJobs.EnteringJob> taken) {
+    private static List<String> ids(List<AdmissionQueue.Submission> taken) {
         return taken.stream().map(entry -> entry.job().spec.jobId()).toList();
     }
 
@@ -69,7 +69,7 @@
         Job first = add(1, 10);
         add(2, 10);
         add(3, 10);
-        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(3);
+        List<AdmissionQueue.Submission> taken = entering.takeAtMost(3);
 
         entering.respond(
                 taken,
@@ -82,7 +82,7 @@
     @Test
     void keepsAllJobsWhenTheStoreIsThrottled() {
         add(1, 10);
-        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(1);
+        List<AdmissionQueue.Submission> taken = entering.takeAtMost(1);
 
         entering.respond(taken, new Transaction.Outcome(Transaction.Result.THROTTLED, 0, Set.of()));
 
@@ -93,7 +93,7 @@
     @Test
     void tellsAnIndeterminateOutcome() {
         add(1, 10);
-        List<EnteringJobs.EnteringJob> taken = entering.takeAtMost(1);
+        List<AdmissionQueue.Submission> taken = entering.takeAtMost(1);
 
         entering.respond(
                 taken, new Transaction.Outcome(Transaction.Result.INDETERMINATE, 0, Set.of()));
--- a/src/test/java/io/quincelead/scheduler/HoldBackTimerTest.java
+++ b/src/test/java/io/quincelead/scheduler/CapacityWithholdingTimerTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /** How long work is held back from free capacity that is left to others. */
-class HoldBackTimerTest {
+class CapacityWithholdingTimerTest {
     private long nowMillis = 1_000;
 
-    private final HoldBackTimer timer =
-            new HoldBackTimer(
+    private final CapacityWithholdingTimer timer =
+            new CapacityWithholdingTimer(
                     new EventLoop() {
                         @Override
                         public long nowMillis() {
@@ -30,12 +30,12 @@
 
     /** A pass in which as many tasks as stated are held back; returns how many were let in. */
     private int pass(int heldBackTasks, boolean othersWait) {
-        HoldBack holdBack = timer.begin(othersWait);
+        CapacityWithholding holdBack = timer.beginPass(othersWait);
         int admitted = 0;
         for (int i = 0; i < heldBackTasks; i++) {
-            admitted += holdBack.admitsTask() ? 1 : 0;
+            admitted += holdBack.tryAdmitTask() ? 1 : 0;
         }
-        timer.end(holdBack);
+        timer.endPass(holdBack);
         return admitted;
     }
 
@@ -76,19 +76,19 @@
     void timeBeginsAnewWhenNoWorkWaits() {
         pass(1, false);
         nowMillis += 60_000;
-        timer.clear();
+        timer.reset();
         assertEquals(0, pass(1, false));
     }
 
     @Test
     void furtherWorkMakesNoDifferenceOnceTheTaskIsLetIn() {
-        HoldBack closed = new HoldBack(false);
-        assertTrue(closed.isOpen());
-        assertFalse(closed.admitsTask());
-        assertFalse(closed.isOpen());
-        HoldBack open = new HoldBack(true);
-        assertTrue(open.admitsTask());
-        assertFalse(open.isOpen());
+        CapacityWithholding closed = new CapacityWithholding(false);
+        assertTrue(closed.canChange());
+        assertFalse(closed.tryAdmitTask());
+        assertFalse(closed.canChange());
+        CapacityWithholding open = new CapacityWithholding(true);
+        assertTrue(open.tryAdmitTask());
+        assertFalse(open.canChange());
         assertTrue(open.occurred());
     }
 }
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -72,8 +72,8 @@
     private final MachineTypeCatalog catalog = new MachineTypeCatalog(watchCache);
     final Policy policy = new Policy(watchCache);
     private final QueueOrder queueOrder = new QueueOrder(settings, policy);
-    final QueuePass queuePass =
-            new QueuePass(
+    final QueueScheduler queueScheduler =
+            new QueueScheduler(
                     loop,
                     settings,
                     OperatorSettings.DEFAULTS,
@@ -93,7 +93,7 @@
                         }
 
                         @Override
-                        public double secondsToReach(String host) {
+                        public double startDelaySeconds(String host) {
                             return 0;
                         }
                     });
@@ -104,7 +104,7 @@
     private long revision;
 
     /** Puts no termination on record. */
-    final TerminationRecorder recordsNoTerminations =
+    final TerminationRecorder noOpTerminationRecorder =
             new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
@@ -114,7 +114,7 @@
             };
 
     /** Puts every termination on record that is asked for. */
-    final TerminationRecorder recordsAllTerminations =
+    final TerminationRecorder eagerTerminationRecorder =
             new TerminationRecorder() {
                 @Override
                 public void recordDue(SchedulingPlan plan) {}
@@ -250,7 +250,7 @@
 
     List<JobSpec> inQueueOrder(List<JobSpec> waiting) {
         return waiting.stream()
-                .map(s -> queueOrder.rank(jobs.get(s.jobId()), false, loop.wallClockMillis()))
+                .map(s -> queueOrder.entryFor(jobs.get(s.jobId()), false, loop.wallClockMillis()))
                 .sorted(QueueOrder.BY_QUEUE_ORDER)
                 .map(r -> r.job().spec)
                 .toList();
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -112,7 +112,7 @@
 
         new Preemption(loop, settings, jobs, plan, false, policy)
                 .freeCapacityFor(
-                        new QueueOrder.RankedJob(
+                        new QueueOrder.QueueEntry(
                                 jobs.get("wk-000002"),
                                 JobSpec.Priority.HIGH.ordinal(),
                                 false,
--- a/src/test/java/io/quincelead/scheduler/QueuePassTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueueSchedulerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class QueuePassTest {
+class QueueSchedulerTest {
     /**
      * The naive reference: each job in the order of the queue filters all machines, sorts them,
      * runs the TEBAS pass over them with nothing left out, and takes the capacity. What the pass
@@ -128,7 +128,7 @@
             List<JobSpec> waiting = addWaitingJobs(cluster, runningJobs, random);
             SchedulingPlan plan = cluster.newPlan(10_000);
 
-            cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
+            cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
 
             Map<String, Map<String, Integer>> assigned = new TreeMap<>();
             waiting.forEach(s -> assigned.put(s.jobId(), ClusterFixture.tasksByMachine(plan, s)));
@@ -205,11 +205,11 @@
                 .forEach(p -> p.transitionTo(Placement.Phase.GONE));
 
         SchedulingPlan without = cluster.newPlan(10_000);
-        cluster.queuePass.placeWaitingJobs(without, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(without, null, cluster.noOpTerminationRecorder);
         assertEquals(Map.of(), ClusterFixture.tasksByMachine(without, next));
 
         SchedulingPlan with = cluster.newPlan(10_000);
-        cluster.queuePass.placeWaitingJobs(with, null, cluster.recordsAllTerminations);
+        cluster.queueScheduler.placeWaitingJobs(with, null, cluster.eagerTerminationRecorder);
         assertEquals(
                 2,
                 ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
@@ -232,7 +232,7 @@
         SchedulingPlan plan = cluster.newPlan(12);
         specs.forEach(s -> plan.edit(cluster.jobs.get(s.jobId()), 0));
         assertTrue(plan.isFull());
-        cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
         specs.forEach(s -> assertEquals(1, ClusterFixture.tasksByMachine(plan, s).size()));
     }
 
@@ -260,7 +260,7 @@
                 cluster.addWaitingJob(JobFixtures.array(4, "red", JobSpec.Priority.HIGH, 2, 1, 10));
         cluster.quotaShareCpus = 8;
         SchedulingPlan lacking = cluster.newPlan(100);
-        cluster.queuePass.placeWaitingJobs(lacking, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(lacking, null, cluster.noOpTerminationRecorder);
         assertEquals(2, placedTasks(lacking, urgent));
         assertEquals(0, placedTasks(lacking, gang));
         assertEquals(0, placedTasks(lacking, older));
@@ -268,7 +268,7 @@
 
         cluster.quotaShareCpus = 13;
         SchedulingPlan whole = cluster.newPlan(100);
-        cluster.queuePass.placeWaitingJobs(whole, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(whole, null, cluster.noOpTerminationRecorder);
         assertEquals(2, placedTasks(whole, urgent));
         assertEquals(4, placedTasks(whole, gang));
         assertEquals(3, placedTasks(whole, older) + placedTasks(whole, normal));
@@ -284,7 +284,7 @@
                 cluster.addWaitingJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 5, 1, 10));
         cluster.quotaShareCpus = 4;
         SchedulingPlan plan = cluster.newPlan(100);
-        cluster.queuePass.placeWaitingJobs(plan, null, cluster.recordsNoTerminations);
+        cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
         assertEquals(0, placedTasks(plan, waiting));
     }
 }
