--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -157,7 +157,7 @@
     /** Submits a recorded request to the cloud, unless it was and has no response yet. */
     void submit(ProvisioningRequest request) {
         if (!leaderStore.leader().isLeading()
-                || !leaderStore.leader().areWritesSettled()
+                || !leaderStore.leader().trySettleWrites()
                 || !requestsInFlight.add(request.name())) {
             return;
         }
--- a/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
+++ b/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
@@ -19,7 +19,7 @@
      * leader may still apply.
      */
     boolean isBusy() {
-        return isCommitInFlight || !leaderStore.leader().areWritesSettled();
+        return isCommitInFlight || !leaderStore.leader().trySettleWrites();
     }
 
     /**
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -114,7 +114,7 @@
      * Whether no write under the leader's precondition is indeterminate; until then nothing may be
      * decided by the records here. Starts settling where it is due.
      */
-    public boolean areWritesSettled() {
+    public boolean trySettleWrites() {
         return writeFence.trySettle();
     }
 
@@ -153,7 +153,7 @@
         if (election.canCampaign()) {
             commit(election.beginCampaign(), election::onCampaignFailed);
         } else if (isLeading()
-                && areWritesSettled()
+                && trySettleWrites()
                 && (store.canAffordUrgentWrite() || membership.localShard() == null)) {
             // Even the leader's writes overdraw the store's rate limit only a little: what users
             // wait for would pay for it.
--- a/src/main/java/io/quincelead/leadership/MemberDemand.java
+++ b/src/main/java/io/quincelead/leadership/MemberDemand.java
@@ -37,8 +37,9 @@
             unitByPriority[priority] = least > 0 ? Math.min(least, unit) : unit;
         }
 
-        QuotaShares.MemberQuota quota(double share) {
-            return new QuotaShares.MemberQuota(share, used, wantedByPriority, unitByPriority);
+        QuotaShareCalculator.MemberQuota toMemberQuota(double share) {
+            return new QuotaShareCalculator.MemberQuota(
+                    share, used, wantedByPriority, unitByPriority);
         }
     }
 
@@ -55,7 +56,7 @@
     }
 
     /** Tasks of the job wait; a gang's start together. */
-    void addWanted(int priority, int taskCount, JobSpec spec) {
+    void addPending(int priority, int taskCount, JobSpec spec) {
         int unitTasks = spec.isGang() ? spec.taskCount() : 1;
         cpus.addWanted(priority, taskCount * spec.cpus(), unitTasks * spec.cpus());
         gpus.addWanted(priority, taskCount * spec.gpus(), unitTasks * spec.gpus());
--- a/src/main/java/io/quincelead/leadership/PreemptibleCapacity.java
+++ b/src/main/java/io/quincelead/leadership/PreemptibleCapacity.java
@@ -25,7 +25,7 @@
     }
 
     /** Whether all tasks of the gang would find a place, by its rules about zones. */
-    boolean holds(JobSpec gang) {
+    boolean fits(JobSpec gang) {
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (MachineTable.Machine machine : machines.all()) {
             tasksByZone.merge(machine.zone(), taskCapacity(machine, gang), Integer::sum);
--- a/src/main/java/io/quincelead/leadership/QuotaDistributor.java
+++ b/src/main/java/io/quincelead/leadership/QuotaDistributor.java
@@ -118,7 +118,7 @@
                 new TeamDemand(
                         new LinkedHashMap<>(),
                         new MemberDemand(),
-                        QuotaReservations.priorityOf(reserved));
+                        QuotaReservations.reservationPriority(reserved));
         update.memberIds().forEach(memberId -> demand.byMember.put(memberId, new MemberDemand()));
         for (Job job : jobs.all()) {
             if (!job.spec.team().equals(team.name())) {
@@ -133,7 +133,8 @@
                 continue;
             }
             memberDemand.addUsed(job.placedTaskCount(), job.spec);
-            int reservedTasks = reserved.contains(job) ? QuotaReservations.reservedTasks(job) : 0;
+            int reservedTasks =
+                    reserved.contains(job) ? QuotaReservations.reservedTaskCount(job) : 0;
             memberDemand.addReserved(reservedTasks, job.spec);
             if (!job.isCancelled()) {
                 addWanted(memberDemand, job, reservedTasks);
@@ -143,7 +144,7 @@
     }
 
     private List<Job> reservedJobs(String team) {
-        List<Job> reserved = reservations.reservedJobs(team, eventLoop.wallClockMillis());
+        List<Job> reserved = reservations.jobsWithReservedQuota(team, eventLoop.wallClockMillis());
         if (!reserved.equals(reservedJobsByTeam.getOrDefault(team, List.of()))) {
             LOG.info(
                     "quota of {} is reserved for {}",
@@ -166,14 +167,14 @@
                         - job.possiblyRunningTaskCount();
         int pendingTasks = job.pendingTaskCount() - reservedTasks;
         int overdueTasks = Math.min(pendingTasks, Math.max(0, requiredTasks - reservedTasks));
-        demand.addWanted(
+        demand.addPending(
                 Math.min(priority, JobSpec.Priority.NORMAL.ordinal()), overdueTasks, job.spec);
-        demand.addWanted(priority, pendingTasks - overdueTasks, job.spec);
+        demand.addPending(priority, pendingTasks - overdueTasks, job.spec);
     }
 
     /** The next shares of one resource, in the order of the demand's members. */
     private double[] split(Settings.Team team, TeamDemand demand, Resource resource) {
-        List<QuotaShares.MemberQuota> members = new ArrayList<>();
+        List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         double[] reservedByMember = new double[demand.byMember.size()];
         boolean hasNewMember = false;
         for (Map.Entry<String, MemberDemand> entry : demand.byMember.entrySet()) {
@@ -182,14 +183,15 @@
             hasNewMember |= shard == null || !shard.quotaShares().containsKey(team.name());
             QuotaShare share = shard == null ? QuotaShare.NONE : shard.quotaShare(team.name());
             reservedByMember[members.size()] = memberDemand.reserved();
-            members.add(memberDemand.quota(resource.of(share)));
+            members.add(memberDemand.toMemberQuota(resource.of(share)));
         }
         double[] nextShares =
-                QuotaShares.split(
+                QuotaShareCalculator.split(
                         resource.limitOf(team),
                         resource.of(demand.orphaned).used(),
                         members,
-                        new QuotaShares.Reservation(reservedByMember, demand.reservedPriority),
+                        new QuotaShareCalculator.Reservation(
+                                reservedByMember, demand.reservedPriority),
                         hasNewMember);
         LOG.debug(
                 "quota of {}, {}: by member {}, reserved {}, next shares {}",
--- a/src/main/java/io/quincelead/leadership/QuotaReservations.java
+++ b/src/main/java/io/quincelead/leadership/QuotaReservations.java
@@ -29,7 +29,7 @@
  */
 public final class QuotaReservations {
     /** Overdue work counts as normal; what is more urgent comes before what is reserved. */
-    static final int RESERVED_PRIORITY = JobSpec.Priority.NORMAL.ordinal();
+    static final int DEFAULT_RESERVATION_PRIORITY = JobSpec.Priority.NORMAL.ordinal();
 
     /** CPUs or GPUs; smaller differences are rounding. */
     private static final double ROUNDING_SLACK = 1e-9;
@@ -70,7 +70,7 @@
         }
 
         private boolean fits(Job job) {
-            int tasks = reservedTasks(job);
+            int tasks = reservedTaskCount(job);
             return tasks * job.spec.cpus() <= cpus + ROUNDING_SLACK
                     && tasks * job.spec.gpus() <= gpus + ROUNDING_SLACK;
         }
@@ -82,15 +82,15 @@
     }
 
     /** How many of the job's tasks start together: all of a gang, one of any other job. */
-    public static int reservedTasks(Job job) {
+    public static int reservedTaskCount(Job job) {
         return job.spec.isGang() ? job.spec.taskCount() : 1;
     }
 
     /** Before whose other demand these reserved jobs come: the ordinal of a priority. */
-    static int priorityOf(List<Job> reserved) {
+    static int reservationPriority(List<Job> reserved) {
         return reserved.isEmpty()
-                ? RESERVED_PRIORITY
-                : Math.min(RESERVED_PRIORITY, reserved.get(0).spec.priority().ordinal());
+                ? DEFAULT_RESERVATION_PRIORITY
+                : Math.min(DEFAULT_RESERVATION_PRIORITY, reserved.get(0).spec.priority().ordinal());
     }
 
     /**
@@ -100,7 +100,7 @@
      *
      * @param wallMillis now, in milliseconds since 1970
      */
-    public List<Job> reservedJobs(String teamName, long wallMillis) {
+    public List<Job> jobsWithReservedQuota(String teamName, long wallMillis) {
         Settings.Team team = teams.get(teamName);
         if (team == null) {
             return List.of();
@@ -108,7 +108,7 @@
         List<Job> urgent = new ArrayList<>();
         List<Job> overdue = new ArrayList<>();
         for (Job job : jobs.all()) {
-            if (job.spec.team().equals(teamName) && isOverdueToStart(job, wallMillis)) {
+            if (job.spec.team().equals(teamName) && isEligibleForReservedQuota(job, wallMillis)) {
                 (job.spec.isUrgent() ? urgent : overdue).add(job);
             }
         }
@@ -129,7 +129,7 @@
         Available available =
                 availableBeside(
                         team, job -> job.spec.priority().compareTo(gang.spec.priority()) <= 0);
-        return available.fits(gang) && capacity.holds(gang.spec);
+        return available.fits(gang) && capacity.fits(gang.spec);
     }
 
     /** What the team's limit leaves beside those of its jobs. */
@@ -150,7 +150,7 @@
                     reserved.stream().anyMatch(other -> other.spec.isGang() == job.spec.isGang());
             if (!kindTaken && available.fits(job)) {
                 reserved.add(job);
-                available.subtract(job.spec, reservedTasks(job));
+                available.subtract(job.spec, reservedTaskCount(job));
             }
         }
         return reserved;
@@ -161,7 +161,7 @@
      * lacks machines would hold quota for ever, so turns end and begin again. One that has been
      * started several times in vain is left out: it may fail on every machine.
      */
-    public boolean isOverdueToStart(Job job, long wallMillis) {
+    public boolean isEligibleForReservedQuota(Job job, long wallMillis) {
         return !job.isCancelled()
                 && job.completedTaskCount() == 0
                 && job.placedTaskCount() == 0
--- a/src/main/java/io/quincelead/leadership/QuotaShares.java
+++ b/src/main/java/io/quincelead/leadership/QuotaShareCalculator.java
@@ -10,7 +10,7 @@
  * leader calls and a model checker explores. All amounts are CPUs or GPUs; arrays are by member, in
  * one order throughout.
  */
-final class QuotaShares {
+final class QuotaShareCalculator {
     /** Smaller differences of CPUs or GPUs are rounding. */
     private static final double EPSILON = 1e-9;
 
@@ -20,17 +20,17 @@
     /**
      * What overdue jobs need for their first start, before all other demand of a priority.
      *
-     * @param amounts CPUs or GPUs by member; they are in no member's other demand
+     * @param amountByMember CPUs or GPUs by member; they are in no member's other demand
      * @param priority before whose other demand they come
      */
-    record Reservation(double[] amounts, int priority) {
+    record Reservation(double[] amountByMember, int priority) {
         /** Nothing is reserved. */
         static Reservation none(int memberCount) {
             return new Reservation(new double[memberCount], 0);
         }
 
         private boolean isEmpty() {
-            return Arrays.stream(amounts).sum() <= EPSILON;
+            return Arrays.stream(amountByMember).sum() <= EPSILON;
         }
     }
 
@@ -39,24 +39,26 @@
      *
      * @param share its share on record
      * @param used what tasks on record use
-     * @param wanted what waits
-     * @param unit the least of what waits that can start by itself: a task, or a gang; 0 where
-     *     nothing waits or any amount is of use
+     * @param pendingByPriority what waits
+     * @param unitByPriority the least of what waits that can start by itself: a task, or a gang; 0
+     *     where nothing waits or any amount is of use
      */
-    record MemberQuota(double share, double used, double[] wanted, double[] unit) {
+    record MemberQuota(
+            double share, double used, double[] pendingByPriority, double[] unitByPriority) {
         /** What the member may use now. */
         private double usable() {
             return Math.max(share, used);
         }
 
         private double totalWanted() {
-            return Arrays.stream(wanted).sum();
+            return Arrays.stream(pendingByPriority).sum();
         }
 
         @Override
         public String toString() {
             return String.format(
-                    "[share %s, used %s, wanted %s]", share, used, Arrays.toString(wanted));
+                    "[share %s, used %s, wanted %s]",
+                    share, used, Arrays.toString(pendingByPriority));
         }
     }
 
@@ -67,7 +69,7 @@
     private final double usedTotal;
     private final double committedTotal;
 
-    private QuotaShares(
+    private QuotaShareCalculator(
             double limit, double orphanedUse, List<MemberQuota> members, Reservation reservation) {
         this.limit = limit;
         this.members = members;
@@ -114,7 +116,8 @@
             List<MemberQuota> members,
             Reservation reservation,
             boolean hasNewMember) {
-        QuotaShares shares = new QuotaShares(limit, orphanedUse, members, reservation);
+        QuotaShareCalculator shares =
+                new QuotaShareCalculator(limit, orphanedUse, members, reservation);
         return hasNewMember || shares.hasUnmetDemand()
                 ? shares.nextShares()
                 : members.stream().mapToDouble(MemberQuota::share).toArray();
@@ -125,7 +128,7 @@
     }
 
     private double wantedTotal(int member) {
-        return members.get(member).totalWanted() + reservation.amounts[member];
+        return members.get(member).totalWanted() + reservation.amountByMember[member];
     }
 
     private boolean lacksShare(int member) {
@@ -185,8 +188,11 @@
         double[] entitled = new double[memberCount];
         double[] lacking = new double[memberCount];
         for (int i = 0; i < memberCount; i++) {
-            entitled[i] = members.get(i).used + wantedBeforeReservation(i) + reservation.amounts[i];
-            boolean reserves = reservation.amounts[i] > 0;
+            entitled[i] =
+                    members.get(i).used
+                            + wantedBeforeReservation(i)
+                            + reservation.amountByMember[i];
+            boolean reserves = reservation.amountByMember[i] > 0;
             lacking[i] = reserves ? Math.max(0, entitled[i] - nextShares[i]) : 0;
         }
         double totalLacking = Arrays.stream(lacking).sum();
@@ -204,7 +210,7 @@
 
     /** What a member wants for work of higher priority than what is reserved. */
     private double wantedBeforeReservation(int member) {
-        return Arrays.stream(members.get(member).wanted, 0, reservation.priority).sum();
+        return Arrays.stream(members.get(member).pendingByPriority, 0, reservation.priority).sum();
     }
 
     /** Whether the next share is what a member that lacks some needs for one of the stages. */
@@ -276,10 +282,10 @@
         List<double[]> targetStages = new ArrayList<>();
         double remaining = Math.max(0, limit - usedTotal);
         double[] target = members.stream().mapToDouble(MemberQuota::used).toArray();
-        int priorities = members.get(0).wanted.length;
+        int priorities = members.get(0).pendingByPriority.length;
         for (int priority = 0; priority < priorities; priority++) {
             if (priority == reservation.priority && !reservation.isEmpty()) {
-                remaining -= addShare(target, reservation.amounts, remaining);
+                remaining -= addShare(target, reservation.amountByMember, remaining);
                 targetStages.add(target.clone());
             }
             remaining -= addWanted(target, priority, remaining);
@@ -298,7 +304,8 @@
      * anybody.
      */
     private double addWanted(double[] target, int priority, double remaining) {
-        double[] wanted = members.stream().mapToDouble(quota -> quota.wanted[priority]).toArray();
+        double[] wanted =
+                members.stream().mapToDouble(quota -> quota.pendingByPriority[priority]).toArray();
         if (Arrays.stream(wanted).sum() <= remaining) {
             return addShare(target, wanted, remaining);
         }
@@ -306,7 +313,7 @@
         addShare(target, wanted, remaining);
         double left = remaining;
         for (int i = 0; i < memberCount; i++) {
-            double unit = members.get(i).unit[priority];
+            double unit = members.get(i).unitByPriority[priority];
             double part = target[i] - before[i];
             double whole = unit > 0 ? Math.floor((part + EPSILON) / unit) * unit : part;
             target[i] = before[i] + whole;
@@ -324,7 +331,7 @@
         double left = amount;
         while (left > EPSILON) {
             int next = nextInNeed(target, before, priority, left);
-            double unit = next < 0 ? 0 : members.get(next).unit[priority];
+            double unit = next < 0 ? 0 : members.get(next).unitByPriority[priority];
             if (next < 0) {
                 next = nextInNeed(target, before, priority, Double.POSITIVE_INFINITY);
                 unit = left;
@@ -345,8 +352,9 @@
         int next = -1;
         for (int i = 0; i < memberCount; i++) {
             MemberQuota quota = members.get(i);
-            double unit = quota.unit[priority];
-            boolean wants = target[i] - before[i] + unit <= quota.wanted[priority] + EPSILON;
+            double unit = quota.unitByPriority[priority];
+            boolean wants =
+                    target[i] - before[i] + unit <= quota.pendingByPriority[priority] + EPSILON;
             if (unit > 0
                     && unit <= mostUnit + EPSILON
                     && wants
--- a/src/main/java/io/quincelead/peer/PeerMessageCodec.java
+++ b/src/main/java/io/quincelead/peer/PeerMessageCodec.java
@@ -26,7 +26,7 @@
         return message.path("from").asText();
     }
 
-    static byte[] encode(String senderId, MisroutedWorker worker) {
+    static byte[] encodeMisroutedWorker(String senderId, MisroutedWorker worker) {
         return WireFormat.JSON.encode(
                 WireFormat.newMap()
                         .put("from", senderId)
--- a/src/main/java/io/quincelead/peer/PeerMessenger.java
+++ b/src/main/java/io/quincelead/peer/PeerMessenger.java
@@ -96,7 +96,7 @@
      * Whether the leader has taken this controller's status recently: without it, the leader places
      * nothing on this controller's machines.
      */
-    public boolean isAcknowledgedByLeader() {
+    public boolean isStatusAcknowledgedByLeader() {
         return eventLoop.nowMillis() - acknowledgedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
     }
 
@@ -126,7 +126,7 @@
         }
         sendToLeader(
                 PeerMessageCodec.MISROUTED_WORKER_PATH,
-                PeerMessageCodec.encode(settings.memberId(), worker),
+                PeerMessageCodec.encodeMisroutedWorker(settings.memberId(), worker),
                 () -> {});
     }
 
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -245,11 +245,13 @@
         Map<String, List<Job>> reservedByTeam = new HashMap<>();
         for (QueueOrder.QueueEntry ranked : queue) {
             Job job = ranked.job();
-            if (quotaReservations.isOverdueToStart(job, wallMillis)
+            if (quotaReservations.isEligibleForReservedQuota(job, wallMillis)
                     && reservedByTeam
                             .computeIfAbsent(
                                     job.spec.team(),
-                                    team -> quotaReservations.reservedJobs(team, wallMillis))
+                                    team ->
+                                            quotaReservations.jobsWithReservedQuota(
+                                                    team, wallMillis))
                             .contains(job)) {
                 quotaSaving.reserveFor(ranked);
             }
--- a/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
@@ -64,7 +64,7 @@
                     job != ranked.job()
                             && ranked.tier() >= reserved.tier()
                             && plan.unplacedTasks(job) == job.spec.taskCount();
-            int reservedTasks = QuotaReservations.reservedTasks(job);
+            int reservedTasks = QuotaReservations.reservedTaskCount(job);
             if (withhold && withheldJobs.add(job)) {
                 TeamUsage.add(plan.ownUsage, job.spec, reservedTasks);
             } else if (!withhold && withheldJobs.remove(job)) {
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -328,7 +328,7 @@
         taskEvictor.drainMachines(plan);
         queuePass.placeWaitingJobs(
                 plan,
-                collaborators.messenger().isAcknowledgedByLeader() ? shards.leaderId() : null,
+                collaborators.messenger().isStatusAcknowledgedByLeader() ? shards.leaderId() : null,
                 terminations);
         planEncoder.encode(plan);
         leaderEscalation.encode(plan);
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -76,7 +76,7 @@
         if (isCommitInFlight
                 || !leader.isLeading()
                 || !view.watchCache().isSynced()
-                || !leader.areWritesSettled()
+                || !leader.trySettleWrites()
                 || !store.canAffordUrgentWrite()) {
             return;
         }
--- a/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
@@ -90,7 +90,7 @@
         }
 
         List<String> reserved(String team) {
-            return reservations.reservedJobs(team, NOW_MILLIS).stream()
+            return reservations.jobsWithReservedQuota(team, NOW_MILLIS).stream()
                     .map(job -> job.spec.jobId())
                     .toList();
         }
--- a/src/test/java/io/quincelead/leadership/QuotaSharesTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareCalculatorTest.java
@@ -12,7 +12,7 @@
  * Properties of the split of a team's limit, over random quota shares, uses and demands of four
  * controllers.
  */
-class QuotaSharesTest {
+class QuotaShareCalculatorTest {
     private static final double LIMIT = 100;
 
     private static double committed(double[] shares, double[] used, double orphanedUse) {
@@ -48,7 +48,7 @@
             @ForAll @DoubleRange(max = 40) double orphanedUse,
             @ForAll boolean hasNewMember) {
         double[] nextShares =
-                QuotaShares.split(
+                QuotaShareCalculator.split(
                         LIMIT,
                         orphanedUse,
                         array(shares),
@@ -77,7 +77,7 @@
         double[] shares = committed(array(start), usedArray, 0) > LIMIT ? usedArray : array(start);
         for (int split = 0; split < 8; split++) {
             shares =
-                    QuotaShares.split(
+                    QuotaShareCalculator.split(
                             LIMIT,
                             0,
                             shares,
--- a/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
@@ -20,7 +20,7 @@
  * controllers (the first leads), a team limited to two CPUs, four tasks of one CPU in three jobs,
  * and two machines. Scheduling cycles and splits are planned and commit later or never; workers
  * start and lose tasks and send heartbeats; machines change their owner; a job is reassigned. The
- * arithmetic is that of {@link QuotaShares} itself.
+ * arithmetic is that of {@link QuotaShareCalculator} itself.
  */
 class QuotaShareModelTest {
     /** What the protocol relies on; the model can leave one out, to see that it is needed. */
@@ -294,7 +294,7 @@
                 double[] currentShares =
                         omitted == Safeguard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
                 double[] newShares =
-                        QuotaShares.split(LIMIT, 0, currentShares, used, wanted, false);
+                        QuotaShareCalculator.split(LIMIT, 0, currentShares, used, wanted, false);
                 if (!Arrays.equals(newShares, state.quotaShare)) {
                     State successor = state.copy();
                     successor.pendingSplit = new Split(newShares[0], newShares[1], true);
--- a/src/test/java/io/quincelead/leadership/QuotaUnitsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaUnitsTest.java
@@ -21,14 +21,14 @@
     private static final int SETTLING_SPLITS = 6;
 
     private static double[] split(double[] shares, double[] used, double[] wanted, double[] units) {
-        List<QuotaShares.MemberQuota> members = new ArrayList<>();
+        List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         for (int i = 0; i < shares.length; i++) {
             members.add(
-                    new QuotaShares.MemberQuota(
+                    new QuotaShareCalculator.MemberQuota(
                             shares[i], used[i], new double[] {wanted[i]}, new double[] {units[i]}));
         }
-        return QuotaShares.split(
-                LIMIT, 0, members, QuotaShares.Reservation.none(shares.length), false);
+        return QuotaShareCalculator.split(
+                LIMIT, 0, members, QuotaShareCalculator.Reservation.none(shares.length), false);
     }
 
     /** Tasks start wherever a share lets them in. */
--- a/src/test/java/io/quincelead/leadership/ReservedQuotaTest.java
+++ b/src/test/java/io/quincelead/leadership/ReservedQuotaTest.java
@@ -44,14 +44,14 @@
             double[] shares,
             double[] used,
             double[][] wanted,
-            QuotaShares.Reservation reservation) {
-        List<QuotaShares.MemberQuota> members = new ArrayList<>();
+            QuotaShareCalculator.Reservation reservation) {
+        List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
             members.add(
-                    new QuotaShares.MemberQuota(
+                    new QuotaShareCalculator.MemberQuota(
                             shares[i], used[i], wanted[i], new double[wanted[i].length]));
         }
-        return QuotaShares.split(LIMIT, 0, members, reservation, false);
+        return QuotaShareCalculator.split(LIMIT, 0, members, reservation, false);
     }
 
     private static double[][] wanted(double[] urgent, double[] normal) {
@@ -119,14 +119,15 @@
         assertEquals(3, nextShares[2], 1e-9);
     }
 
-    private static QuotaShares.Reservation reservation(int member, double need) {
+    private static QuotaShareCalculator.Reservation reservation(int member, double need) {
         return reservation(member, need, NORMAL);
     }
 
-    private static QuotaShares.Reservation reservation(int member, double need, int priority) {
+    private static QuotaShareCalculator.Reservation reservation(
+            int member, double need, int priority) {
         double[] amounts = new double[MEMBERS];
         amounts[member] = need;
-        return new QuotaShares.Reservation(amounts, priority);
+        return new QuotaShareCalculator.Reservation(amounts, priority);
     }
 
     /** A small service: each member's array refills its share, and gangs wait at two members. */
@@ -168,10 +169,10 @@
 
         void split() {
             double[][] wanted = wanted(new double[MEMBERS], new double[] {200, 200, 200});
-            QuotaShares.Reservation reservation =
+            QuotaShareCalculator.Reservation reservation =
                     gangWaits()
                             ? reservation(gangMembers[startedGangs], gangNeeds[startedGangs])
-                            : QuotaShares.Reservation.none(MEMBERS);
+                            : QuotaShareCalculator.Reservation.none(MEMBERS);
             double[] next = ReservedQuotaTest.split(shares, used, wanted, reservation);
             System.arraycopy(next, 0, shares, 0, MEMBERS);
         }
@@ -239,7 +240,7 @@
         shares = split(shares, used, wanted, reservation(member, need));
         used = new double[] {4, 2, 6};
         for (int split = 0; split < MAX_SPLITS; split++) {
-            shares = split(shares, used, wanted, QuotaShares.Reservation.none(MEMBERS));
+            shares = split(shares, used, wanted, QuotaShareCalculator.Reservation.none(MEMBERS));
             for (int i = 0; i < MEMBERS; i++) {
                 used[i] += Math.max(0, Math.floor(shares[i] - used[i] + 1e-9));
             }
--- a/src/test/java/io/quincelead/leadership/UrgentGangQuotaTest.java
+++ b/src/test/java/io/quincelead/leadership/UrgentGangQuotaTest.java
@@ -78,18 +78,19 @@
             double[] reserved = new double[MEMBERS];
             reserved[reservedMember] = need;
             double before = committed(shares, used);
-            List<QuotaShares.MemberQuota> members = new ArrayList<>();
+            List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
             for (int i = 0; i < MEMBERS; i++) {
                 double[] wanted = {urgent[i], normal};
                 double[] units = {urgent[i], normal > 0 ? 1 : 0};
-                members.add(new QuotaShares.MemberQuota(shares[i], used[i], wanted, units));
+                members.add(
+                        new QuotaShareCalculator.MemberQuota(shares[i], used[i], wanted, units));
             }
             double[] next =
-                    QuotaShares.split(
+                    QuotaShareCalculator.split(
                             limit,
                             0,
                             members,
-                            new QuotaShares.Reservation(reserved, URGENT),
+                            new QuotaShareCalculator.Reservation(reserved, URGENT),
                             false);
             System.arraycopy(next, 0, shares, 0, MEMBERS);
             assertTrue(
--- a/src/test/java/io/quincelead/peer/PeerMessageCodecTest.java
+++ b/src/test/java/io/quincelead/peer/PeerMessageCodecTest.java
@@ -23,7 +23,7 @@
         MisroutedWorker worker =
                 new MisroutedWorker("m-7", "10.0.0.7:9", "c8", "z1", true, "worker-2", true, 41);
 
-        byte[] encoded = PeerMessageCodec.encode("worker-2", worker);
+        byte[] encoded = PeerMessageCodec.encodeMisroutedWorker("worker-2", worker);
 
         assertEquals(
                 "{\"from\":\"worker-2\",\"host\":\"m-7\",\"addr\":\"10.0.0.7:9\",\"shape\":\"c8\","
