--- a/src/main/java/io/quincelead/api/TaskPageKeys.java
+++ b/src/main/java/io/quincelead/api/TaskPageKeys.java
@@ -18,7 +18,7 @@
         }
         List<String> keys = new ArrayList<>(job.pages.length);
         for (int page = 0; page < job.pages.length; page++) {
-            keys.add(job.page(page).storeKey());
+            keys.add(job.pageOrEmpty(page).storeKey());
         }
         return keys;
     }
--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -228,6 +228,6 @@
     }
 
     private double rentedSeconds(MachineTable.Machine machine) {
-        return (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+        return (eventLoop.wallClockMillis() - machine.provisionedAtEpochMillis()) / 1000.0;
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -221,6 +221,6 @@
     }
 
     private double rentedSeconds(MachineTable.Machine machine) {
-        return (eventLoop.wallClockMillis() - machine.rentedAtEpochMillis()) / 1000.0;
+        return (eventLoop.wallClockMillis() - machine.provisionedAtEpochMillis()) / 1000.0;
     }
 }
--- a/src/main/java/io/quincelead/cluster/ClusterMembership.java
+++ b/src/main/java/io/quincelead/cluster/ClusterMembership.java
@@ -161,7 +161,7 @@
 
     /** This controller's shard; null: it has none, or none that can be read. */
     public Shard localShard() {
-        return shards.readable(localMemberId);
+        return shards.getIfReadable(localMemberId);
     }
 
     /** The controller's shard; null: it has none. */
--- a/src/main/java/io/quincelead/cluster/ImageCaches.java
+++ b/src/main/java/io/quincelead/cluster/ImageCaches.java
@@ -48,7 +48,7 @@
     }
 
     /** Whether the machine probably has the image. */
-    public boolean hasImage(String host, String image) {
+    public boolean probablyHasImage(String host, String image) {
         Map<String, Double> images = imagesByHost.get(host);
         return images != null && images.containsKey(image);
     }
@@ -83,7 +83,7 @@
     }
 
     /** Whether any task was ever placed there, as far as this process knows. */
-    public boolean isKnown(String host) {
+    public boolean hasEstimate(String host) {
         return imagesByHost.containsKey(host);
     }
 
--- a/src/main/java/io/quincelead/cluster/Job.java
+++ b/src/main/java/io/quincelead/cluster/Job.java
@@ -181,7 +181,7 @@
     }
 
     /** The page, or the empty one that stands in for it before it has a record. */
-    public TaskStatePage page(int pageNumber) {
+    public TaskStatePage pageOrEmpty(int pageNumber) {
         return pages[pageNumber] == null ? emptyPages[pageNumber] : pages[pageNumber];
     }
 
--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -84,7 +84,7 @@
      * Sets the one listener that is called with each machine for which a record or its meaning has
      * changed.
      */
-    public void onMachineChanged(Consumer<String> listener) {
+    public void onMachineTasksChanged(Consumer<String> listener) {
         machineListener = listener;
     }
 
--- a/src/main/java/io/quincelead/cluster/MachineLoadIndex.java
+++ b/src/main/java/io/quincelead/cluster/MachineLoadIndex.java
@@ -21,14 +21,14 @@
     /** Adds the placement, or puts it in the place of the one that the task has there. */
     void add(Placement placement) {
         placement.machineLoad = loadByHost.computeIfAbsent(placement.host, h -> new MachineLoad());
-        placement.machineLoad.placementsByTask.put(placement.taskName(), placement);
+        placement.machineLoad.placementsByTask.put(placement.taskId(), placement);
         placement.machineLoad.invalidate();
     }
 
     void remove(Placement placement) {
         MachineLoad load = loadByHost.get(placement.host);
         if (load != null) {
-            load.placementsByTask.remove(placement.taskName());
+            load.placementsByTask.remove(placement.taskId());
             load.invalidate();
             if (load.placementsByTask.isEmpty()) {
                 loadByHost.remove(placement.host);
--- a/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
+++ b/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
@@ -95,7 +95,7 @@
                         .put("k", any.machineType())
                         .put("s", any.zone())
                         .put("p", any.spot())
-                        .put("r", any.rentedAtEpochMillis());
+                        .put("r", any.provisionedAtEpochMillis());
         ArrayNode hosts = node.putArray("h");
         ArrayNode releasing = WireFormat.newList();
         ArrayNode cordoned = WireFormat.newList();
--- a/src/main/java/io/quincelead/cluster/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -28,7 +28,8 @@
      * @param groupId names the record that it shares
      * @param address null until the cloud's list has shown it: a new owner can then show its worker
      *     the new fencing token at once
-     * @param rentedAtEpochMillis wall-clock time of provisioning, or of its discovery if unexpected
+     * @param provisionedAtEpochMillis wall-clock time of provisioning, or of its discovery if
+     *     unexpected
      * @param releasing recorded before the release is requested, so a successor requests it again
      * @param cordoned gets no new tasks
      */
@@ -39,7 +40,7 @@
             String zone,
             boolean spot,
             String address,
-            long rentedAtEpochMillis,
+            long provisionedAtEpochMillis,
             boolean releasing,
             boolean cordoned) {
         /** A machine just provisioned. */
@@ -62,7 +63,7 @@
                     zone,
                     spot,
                     address,
-                    rentedAtEpochMillis,
+                    provisionedAtEpochMillis,
                     true,
                     cordoned);
         }
@@ -76,7 +77,7 @@
                     zone,
                     spot,
                     address,
-                    rentedAtEpochMillis,
+                    provisionedAtEpochMillis,
                     releasing,
                     nowCordoned);
         }
@@ -90,7 +91,7 @@
                     zone,
                     spot,
                     newAddress,
-                    rentedAtEpochMillis,
+                    provisionedAtEpochMillis,
                     releasing,
                     cordoned);
         }
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -28,7 +28,7 @@
         /** Its start left in the response to a heartbeat. */
         START_SENT,
         /** A heartbeat shows it. */
-        OBSERVED,
+        REPORTED,
         /** Fenced evidence: completed. */
         COMPLETED,
         /** Fenced evidence: not on the machine, not completed. */
@@ -36,7 +36,7 @@
     }
 
     private Phase phase = Phase.RECORDED;
-    private String taskName;
+    private String taskId;
 
     private long startSentAgentEpoch;
     private long startSentSerial;
@@ -162,7 +162,7 @@
     }
 
     /** Whether the task should be on its machine; else it is not started there, and stopped. */
-    public boolean isWanted() {
+    public boolean shouldRun() {
         return !stopRequested && !job.isCancelled() && !job.isCompletedGang();
     }
 
@@ -183,10 +183,10 @@
     }
 
     /** The task's name on the wire: job and task index. */
-    public String taskName() {
-        if (taskName == null) {
-            taskName = job.spec.jobId() + "/" + taskIndex;
+    public String taskId() {
+        if (taskId == null) {
+            taskId = job.spec.jobId() + "/" + taskIndex;
         }
-        return taskName;
+        return taskId;
     }
 }
--- a/src/main/java/io/quincelead/cluster/ShardTable.java
+++ b/src/main/java/io/quincelead/cluster/ShardTable.java
@@ -93,7 +93,7 @@
     }
 
     /** The shard under which its owner may decide; null where its newest record can't be read. */
-    Shard readable(String ownerId) {
+    Shard getIfReadable(String ownerId) {
         return unreadableOwners.contains(ownerId) ? null : shardsByOwner.get(ownerId);
     }
 
--- a/src/main/java/io/quincelead/cluster/TaskStatePageEdit.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePageEdit.java
@@ -63,7 +63,7 @@
     }
 
     /** Whether the plan leaves the task running: not terminated, and not told to stop. */
-    public boolean isRunning(int taskIndex) {
+    public boolean hasActivePlacement(int taskIndex) {
         Placement placement = placements.get(taskIndex);
         return placement != null && !placement.stopRequested;
     }
--- a/src/main/java/io/quincelead/leadership/QuotaReservations.java
+++ b/src/main/java/io/quincelead/leadership/QuotaReservations.java
@@ -165,7 +165,8 @@
         return !job.isCancelled()
                 && job.completedTaskCount() == 0
                 && job.placedTaskCount() == 0
-                && job.page(0).lastAttempt < SchedulerConstants.MAX_ATTEMPTS_WITH_RESERVED_QUOTA
+                && job.pageOrEmpty(0).lastAttempt
+                        < SchedulerConstants.MAX_ATTEMPTS_WITH_RESERVED_QUOTA
                 && (job.spec.isUrgent()
                         ? job.spec.isGang() && overdueSeconds(job, wallMillis) >= 0
                         : policy.requiredStartedTaskCount(job, wallMillis) > 0)
--- a/src/main/java/io/quincelead/scheduler/CandidateFinder.java
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -61,7 +61,7 @@
                                                 ? 0
                                                 : tasksByHost.getOrDefault(machine.host, 0));
                 if (capacity > 0) {
-                    boolean hasImage = imageCaches.hasImage(machine.host, spec.image());
+                    boolean hasImage = imageCaches.probablyHasImage(machine.host, spec.image());
                     double fitness;
                     if (urgent && machine.startDelaySeconds > 0) {
                         fitness =
--- a/src/main/java/io/quincelead/scheduler/CapacityReader.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityReader.java
@@ -122,7 +122,7 @@
                     && machineType != null
                     && !machine.releasing()
                     && !machine.cordoned()
-                    && cluster.imageCaches().isKnown(machine.host())) {
+                    && cluster.imageCaches().hasEstimate(machine.host())) {
                 others.addMachine(
                         new FreeCapacity(
                                 machine.host(),
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -303,7 +303,7 @@
                 });
         long lastGangAttempt = 0;
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            lastGangAttempt = Math.max(lastGangAttempt, job.page(pageIndex).lastAttempt);
+            lastGangAttempt = Math.max(lastGangAttempt, job.pageOrEmpty(pageIndex).lastAttempt);
         }
         int placed = 0;
         for (int pageIndex = 0;
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -220,7 +220,7 @@
                 Comparator.comparing((Placement placement) -> placement.job.spec.priority())
                         .reversed()
                         .thenComparingDouble(rules::lostCpuSeconds)
-                        .thenComparing(Placement::taskName));
+                        .thenComparing(Placement::taskId));
         return others;
     }
 
@@ -228,9 +228,9 @@
     private boolean isRunning(Placement placement) {
         TaskStatePageEdit edit =
                 plan.edits.get(
-                        placement.job.page(
+                        placement.job.pageOrEmpty(
                                 placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE));
-        return edit == null || edit.isRunning(placement.taskIndex);
+        return edit == null || edit.hasActivePlacement(placement.taskIndex);
     }
 
     /** Stops all of them, or as many as fit the transaction; false if that isn't all. */
@@ -240,7 +240,7 @@
             if (edit == null) {
                 return false;
             }
-            if (edit.isRunning(placement.taskIndex)) {
+            if (edit.hasActivePlacement(placement.taskIndex)) {
                 edit.requestStop(placement.taskIndex);
                 machine.releaseUpcoming(placement.job.spec);
             }
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -143,7 +143,7 @@
     /** Whether a record of the job is in the transaction already. */
     boolean containsRecordOf(Job job) {
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            if (edits.containsKey(job.page(pageIndex))) {
+            if (edits.containsKey(job.pageOrEmpty(pageIndex))) {
                 return true;
             }
         }
@@ -174,7 +174,7 @@
      * the transaction.
      */
     TaskStatePageEdit edit(Job job, int pageIndex) {
-        TaskStatePage page = job.page(pageIndex);
+        TaskStatePage page = job.pageOrEmpty(pageIndex);
         TaskStatePageEdit edit = edits.get(page);
         if (edit == null) {
             if (isFull()) {
@@ -208,7 +208,7 @@
     int unplacedTasks(Job job) {
         int tasks = job.waitingTaskCount();
         for (int pageIndex = 0; !edits.isEmpty() && pageIndex < job.pages.length; pageIndex++) {
-            TaskStatePage page = job.page(pageIndex);
+            TaskStatePage page = job.pageOrEmpty(pageIndex);
             TaskStatePageEdit edit = edits.get(page);
             tasks += edit == null ? 0 : edit.placeableTaskCount() - waitingTasks(page);
         }
@@ -217,7 +217,7 @@
 
     /** The same of one page. */
     int unplacedTasks(Job job, int pageIndex) {
-        TaskStatePage page = job.page(pageIndex);
+        TaskStatePage page = job.pageOrEmpty(pageIndex);
         TaskStatePageEdit edit = edits.get(page);
         return edit != null ? edit.placeableTaskCount() : waitingTasks(page);
     }
--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -56,7 +56,7 @@
             return;
         }
         for (int pageIndex = 0; pageIndex < gang.pages.length; pageIndex++) {
-            if (gang.page(pageIndex).pendingTaskCount() > 0) {
+            if (gang.pageOrEmpty(pageIndex).pendingTaskCount() > 0) {
                 TaskStatePageEdit edit = plan.edit(gang, pageIndex);
                 if (edit != null) {
                     edit.markPendingCompleted();
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -59,7 +59,7 @@
         boolean awaitedElsewhere =
                 leaderCouldUseCapacity
                         || !ownJob
-                                && job.page(pageIndex).placements.stream()
+                                && job.pageOrEmpty(pageIndex).placements.stream()
                                         .allMatch(Placement::isTerminated);
         dueAtMillisByPage.merge(
                 new PageRef(job, pageIndex),
--- a/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
+++ b/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
@@ -44,7 +44,7 @@
     Map<String, Integer> tasksByZone(Job job, Map<String, Integer> assignedTasksByHost) {
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
-            TaskStatePageEdit edit = plan.edits.get(job.page(pageIndex));
+            TaskStatePageEdit edit = plan.edits.get(job.pageOrEmpty(pageIndex));
             if (edit != null) {
                 count(tasksByZone, edit.placements());
             } else if (job.pages[pageIndex] != null) {
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -77,7 +77,7 @@
                     worker,
                     placement,
                     Heartbeat.ReportedAttempt.find(
-                            worker.reportedTasks.get(placement.taskName()), placement.attempt));
+                            worker.reportedTasks.get(placement.taskId()), placement.attempt));
         }
         return true;
     }
@@ -93,7 +93,7 @@
             if (placement.phase() == Placement.Phase.START_SENT) {
                 boolean arrived =
                         Heartbeat.ReportedAttempt.find(
-                                        worker.reportedTasks.get(placement.taskName()),
+                                        worker.reportedTasks.get(placement.taskId()),
                                         placement.attempt)
                                 != null;
                 anyArrived |= arrived;
@@ -127,7 +127,7 @@
             return;
         }
         if (!reported.isTerminated()) {
-            placement.transitionTo(Placement.Phase.OBSERVED);
+            placement.transitionTo(Placement.Phase.REPORTED);
             if (reported.status.equals(Heartbeat.STATUS_RUNNING)
                     && placement.runningSinceMillis() == 0) {
                 placement.recordRunningSince(loop.nowMillis());
@@ -139,13 +139,13 @@
     }
 
     private void reconcileMissingTask(ShardWorker worker, Placement placement) {
-        if (placement.phase() == Placement.Phase.OBSERVED) {
+        if (placement.phase() == Placement.Phase.REPORTED) {
             terminate(worker, placement, "no longer on");
         } else if (hasReportedSinceStart(worker, placement)
                 || placement.phase() == Placement.Phase.RECORDED) {
             // It never arrived there. The record stands, so its start may be sent (again),
             // unless it is unwanted or nothing arrives.
-            if (!placement.isWanted()
+            if (!placement.shouldRun()
                     || worker.isUnreachableInbound()
                     || worker.isHeartbeatOverdue()) {
                 terminate(worker, placement, "never reached");
@@ -176,7 +176,7 @@
             case "busy" -> {
                 // Another attempt of the task is there: only its end makes the task free to go
                 // elsewhere.
-                Heartbeat.ReportedAttempt first = worker.reportedTasks.get(placement.taskName());
+                Heartbeat.ReportedAttempt first = worker.reportedTasks.get(placement.taskId());
                 if (first != null && first.isTerminated()) {
                     terminate(worker, placement, "refused (busy) by");
                 }
@@ -192,7 +192,7 @@
     private void terminate(ShardWorker worker, Placement placement, String reason) {
         LOG.debug(
                 "task {} attempt {} {} {}",
-                placement.taskName(),
+                placement.taskId(),
                 placement.attempt,
                 reason,
                 worker.host);
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -41,7 +41,7 @@
                     if (isStartDue(worker, placement)
                             && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                         WorkerMessageCodec.addStart(
-                                commands, placement.taskName(), placement.attempt);
+                                commands, placement.taskId(), placement.attempt);
                         placement.recordStartSent(
                                 worker.heartbeatAgentEpoch, worker.heartbeatSerial);
                     }
@@ -60,9 +60,9 @@
         ArrayNode kills = null;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable =
-                    placement.phase() == Placement.Phase.OBSERVED
+                    placement.phase() == Placement.Phase.REPORTED
                             && !placement.reportedState().equals(Heartbeat.STATUS_SAVING);
-            if (!placement.isWanted()
+            if (!placement.shouldRun()
                     && (stoppable || placement.phase() == Placement.Phase.RECORDED)
                     && (placement.killSentAtMillis() == 0
                             || now - placement.killSentAtMillis()
@@ -70,10 +70,7 @@
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                     WorkerMessageCodec.addKill(
-                            kills,
-                            placement.taskName(),
-                            placement.attempt,
-                            graceSeconds(placement));
+                            kills, placement.taskId(), placement.attempt, graceSeconds(placement));
                     placement.recordKillSent(now);
                 }
             }
@@ -83,7 +80,7 @@
 
     private boolean isStartDue(ShardWorker worker, Placement placement) {
         if (placement.isTerminated()
-                || !placement.isWanted()
+                || !placement.shouldRun()
                 || worker.phase() != ShardWorker.Phase.FENCED
                 || store.watchCache().storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what earlier owners of that
@@ -124,7 +121,7 @@
                     }
                 } else if (!isRecorded) {
                     WorkerMessageCodec.addKill(commands, reported.taskId, reported.attempt, 0);
-                } else if (!placement.isWanted()
+                } else if (!placement.shouldRun()
                         && !reported.status.equals(Heartbeat.STATUS_SAVING)) {
                     WorkerMessageCodec.addKill(
                             commands, reported.taskId, reported.attempt, graceSeconds(placement));
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -200,7 +200,7 @@
         MachineTypeCatalog.MachineType machineType =
                 machine == null ? null : machineTypes.get(machine.machineType());
         return machineType != null
-                && loop.wallClockMillis() - machine.rentedAtEpochMillis()
+                && loop.wallClockMillis() - machine.provisionedAtEpochMillis()
                         > machineType.bootSeconds() * 1000 * WorkerConstants.BOOT_TIMEOUT_FACTOR
                                 + WorkerConstants.BOOT_TIMEOUT_SLACK_MILLIS;
     }
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -106,7 +106,7 @@
         this.lostWorkerRecorder = new LostWorkerRecorder(store, membership, machines);
         this.deferredResponses = new DeferredResponses(loop, this::sendDeferredResponse);
         membership.onShardChange(this::onShardChanged);
-        jobs.onMachineChanged(changedHosts::add);
+        jobs.onMachineTasksChanged(changedHosts::add);
         loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
     }
 
--- a/src/main/java/io/quincelead/zone/ZoneObserver.java
+++ b/src/main/java/io/quincelead/zone/ZoneObserver.java
@@ -61,7 +61,7 @@
             }
         }
         ZoneTable.Zone zone = view.zones().get(machine.zone());
-        if (machine.rentedAtEpochMillis() <= zone.sinceEpochMillis()
+        if (machine.provisionedAtEpochMillis() <= zone.sinceEpochMillis()
                 || zone.state() == ZoneTable.State.UP) {
             counts.remaining++;
         }
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -148,13 +148,13 @@
             if (rebalancer.hasFreeCapacity(move.job(), move.toZone())) {
                 int taskIndex = move.replica().taskIndex;
                 TaskStatePage page =
-                        move.job().page(taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
+                        move.job().pageOrEmpty(taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
                 TaskStatePageEdit edit = page.edit();
                 edit.requestStop(taskIndex);
                 movedAtMillis = eventLoop.nowMillis();
                 LOG.info(
                         "replica {} moves from {} to {}",
-                        move.replica().taskName(),
+                        move.replica().taskId(),
                         move.fromZone(),
                         move.toZone());
                 Transaction transaction =
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -130,10 +130,10 @@
         for (int pageIndex = 0; pageIndex < 3; pageIndex++) {
             for (int taskIndex = pageIndex * 200; taskIndex < pageIndex * 200 + 200; taskIndex++) {
                 stopped +=
-                        plan.edits.containsKey(jobs.get("wk-000001").page(pageIndex))
+                        plan.edits.containsKey(jobs.get("wk-000001").pageOrEmpty(pageIndex))
                                         && !plan.edits
-                                                .get(jobs.get("wk-000001").page(pageIndex))
-                                                .isRunning(taskIndex)
+                                                .get(jobs.get("wk-000001").pageOrEmpty(pageIndex))
+                                                .hasActivePlacement(taskIndex)
                                 ? 1
                                 : 0;
             }
--- a/src/test/java/io/quincelead/scheduler/UnrecordedTerminationsTest.java
+++ b/src/test/java/io/quincelead/scheduler/UnrecordedTerminationsTest.java
@@ -44,7 +44,7 @@
     }
 
     private static Placement placementOf(Job job, int taskIndex) {
-        return job.page(0).placements.stream()
+        return job.pageOrEmpty(0).placements.stream()
                 .filter(placement -> placement.taskIndex == taskIndex)
                 .findFirst()
                 .orElseThrow();
