--- a/src/main/java/io/quincelead/cluster/MachineEdits.java
+++ b/src/main/java/io/quincelead/cluster/MachineEdits.java
@@ -56,9 +56,9 @@
         // revision prevents it.
         transaction
                 .requireRevision(
-                        StoreKeys.UNEXPECTED_MACHINE_INTAKE,
-                        watchCache.modRevision(StoreKeys.UNEXPECTED_MACHINE_INTAKE))
-                .put(StoreKeys.UNEXPECTED_MACHINE_INTAKE, WireFormat.newMap());
+                        StoreKeys.UNEXPECTED_MACHINE_REGISTRATION,
+                        watchCache.modRevision(StoreKeys.UNEXPECTED_MACHINE_REGISTRATION))
+                .put(StoreKeys.UNEXPECTED_MACHINE_REGISTRATION, WireFormat.newMap());
     }
 
     /** Adds the machine to its group's record, or replaces it there. */
--- a/src/main/java/io/quincelead/policy/ClassesReconciler.java
+++ b/src/main/java/io/quincelead/policy/ClassesReconciler.java
@@ -38,7 +38,7 @@
     Transaction unreadableGenerationChange() {
         Long reported = records.unreadableGenerationByMember().get(memberId);
         long unreadable = records.unreadableGeneration();
-        String key = StoreKeys.CLASSES_OBJECTION_PREFIX + memberId;
+        String key = StoreKeys.CLASSES_UNREADABLE_PREFIX + memberId;
         if (unreadable != 0 && (reported == null || reported != unreadable)) {
             return new Transaction()
                     .requireRevision(key, watchCache.modRevision(key))
--- a/src/main/java/io/quincelead/policy/PolicyRecords.java
+++ b/src/main/java/io/quincelead/policy/PolicyRecords.java
@@ -51,7 +51,7 @@
         subscribe(watchCache, StoreKeys.CLASSES_PART_PREFIX, this::onClassesPart);
         subscribe(
                 watchCache,
-                StoreKeys.CLASSES_OBJECTION_PREFIX,
+                StoreKeys.CLASSES_UNREADABLE_PREFIX,
                 (member, value) ->
                         putOrRemove(
                                 unreadableGenerationByMember,
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -267,7 +267,7 @@
         if (due) {
             bestEffortAtMillis =
                     loop.nowMillis()
-                            + store.throttledDelayMillis(
+                            + store.backpressureDelayMillis(
                                     0, SchedulerConstants.THROTTLED_BEST_EFFORT_INTERVAL_MILLIS);
         }
         return due;
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -175,7 +175,7 @@
         requestCycleAfterGap(
                 lastPlanTruncated || !enteringJobs.isEmpty()
                         ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS
-                        : store.throttledDelayMillis(
+                        : store.backpressureDelayMillis(
                                 SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS,
                                 SchedulerConstants.THROTTLED_CYCLE_INTERVAL_MILLIS));
     }
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -75,7 +75,7 @@
         if (awaitedElsewhere) {
             return SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS;
         }
-        return store.throttledDelayMillis(
+        return store.backpressureDelayMillis(
                 ownJob
                         ? SchedulerConstants.COMPLETION_BATCH_MILLIS
                         : SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS,
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -224,7 +224,7 @@
     }
 
     /** A delay in milliseconds between the two, proportional to the backpressure. */
-    public long throttledDelayMillis(long minMillis, long maxMillis) {
+    public long backpressureDelayMillis(long minMillis, long maxMillis) {
         return minMillis + (long) (backpressure * (maxMillis - minMillis));
     }
 
--- a/src/main/java/io/quincelead/store/StoreKeys.java
+++ b/src/main/java/io/quincelead/store/StoreKeys.java
@@ -48,7 +48,7 @@
      * Changed with each registration of unexpected machines, so that a duplicate of that
      * transaction fails on its precondition.
      */
-    public static final String UNEXPECTED_MACHINE_INTAKE = "a/ti";
+    public static final String UNEXPECTED_MACHINE_REGISTRATION = "a/ti";
 
     /** Task state pages: {@code <job>/<page>}. */
     public static final String TASK_STATE_PAGE_PREFIX = "a/t/";
@@ -63,7 +63,7 @@
     public static final String CLASSES_PART_PREFIX = "a/oc/p/";
 
     /** Controllers that can't read the generation in force. */
-    public static final String CLASSES_OBJECTION_PREFIX = "a/oc/x/";
+    public static final String CLASSES_UNREADABLE_PREFIX = "a/oc/x/";
 
     /**
      * Generation of the deadline calendar: changed with its entries and with the states of its
--- a/src/main/java/io/quincelead/worker/Heartbeat.java
+++ b/src/main/java/io/quincelead/worker/Heartbeat.java
@@ -36,7 +36,7 @@
     double reclaimNoticeSeconds = -1;
 
     /** The attempts on the machine, by task ID; the head of the list of each task. */
-    Map<String, ReportedAttempt> tasks = Map.of();
+    Map<String, ReportedAttempt> attempts = Map.of();
 
     /**
      * An attempt of a task as a worker reports it, linked to the next one of the same task; those
@@ -141,7 +141,7 @@
     }
 
     private void readTasks(JsonParser parser) throws IOException {
-        tasks = new HashMap<>();
+        attempts = new HashMap<>();
         for (JsonToken token = parser.nextToken();
                 token != JsonToken.END_ARRAY;
                 token = parser.nextToken()) {
@@ -162,9 +162,9 @@
                     default -> parser.skipChildren();
                 }
             }
-            ReportedAttempt first = tasks.putIfAbsent(reported.taskId, reported);
+            ReportedAttempt first = attempts.putIfAbsent(reported.taskId, reported);
             if (first != null) {
-                tasks.put(reported.taskId, first.insert(reported));
+                attempts.put(reported.taskId, first.insert(reported));
             }
         }
     }
--- a/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
+++ b/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
@@ -51,7 +51,7 @@
                 continue;
             }
             LOG.info("machine {} is declared lost: {}", worker.host, candidate.getValue());
-            worker.transitionTo(ShardWorker.Phase.LEAVING);
+            worker.transitionTo(ShardWorker.Phase.RELEASING);
             leaving.add(worker);
             shard.fencingTokensByHost().remove(worker.host);
             edits.put(machine.asReleasing());
--- a/src/main/java/io/quincelead/worker/MisroutedWorkers.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkerHandler.java
@@ -19,7 +19,7 @@
  * Workers that send their heartbeats here and belong to another controller, or to none: redirected,
  * reported to the leader, or kept alive behind a partition.
  */
-final class MisroutedWorkers {
+final class MisroutedWorkerHandler {
     /**
      * Since when a machine's heartbeats have arrived here though it is granted elsewhere under this
      * token.
@@ -45,7 +45,7 @@
 
     private final Set<String> hostsBeingProbed = new HashSet<>();
 
-    MisroutedWorkers(
+    MisroutedWorkerHandler(
             EventLoop loop,
             Settings settings,
             StoreAccess store,
@@ -63,7 +63,7 @@
     /**
      * The machine has left our shard; these are the agent epoch and serial of its last heartbeat.
      */
-    void onWorkerReleased(String host, long agentEpoch, long serial) {
+    void onWorkerRemoved(String host, long agentEpoch, long serial) {
         newestHeartbeats.put(host, new long[] {agentEpoch, serial});
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** The worker sends its heartbeats to its owner. */
-    void onWorkerAtOwner(String host) {
+    void onWorkerReachedOwner(String host) {
         misrouted.remove(host);
     }
 
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -20,9 +20,9 @@
          */
         CLAIMING,
         /** It has shown our token: its heartbeats are evidence. */
-        FENCED,
+        CLAIMED,
         /** It is declared lost: its release is on record or being recorded. */
-        LEAVING
+        RELEASING
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(ShardWorker.class);
@@ -59,7 +59,7 @@
     long lastHeartbeatAtMillis;
 
     /** Whether anything came from it under this token: before, it may still be booting. */
-    boolean everContacted;
+    boolean hasMadeContact;
 
     long lastClaimAtMillis;
     double reclaimNoticeSeconds = -1;
@@ -69,9 +69,9 @@
      * Heartbeats in a row that didn't show what the response to an earlier one had started; below,
      * when the first of them came.
      */
-    int missedStarts;
+    int heartbeatsMissingStart;
 
-    long missedSinceMillis;
+    long startMissingSinceMillis;
 
     /** When its first heartbeat came, -1 before; a booting machine is granted long before. */
     private long firstHeartbeatAtMillis = -1;
@@ -79,7 +79,7 @@
     int consecutiveFailures;
     final Set<String> failedJobIds = new HashSet<>();
     long fullUntilMillis;
-    Map<String, Heartbeat.ReportedAttempt> reportedTasks = Map.of();
+    Map<String, Heartbeat.ReportedAttempt> reportedAttempts = Map.of();
     IncomingRequest deferredRequest;
     long deferredUntilMillis;
     boolean deferredForFutureStart;
@@ -130,13 +130,13 @@
      * we start there never begins, and what it runs ends with its lease, though it seems healthy.
      */
     boolean isUnreachableInbound() {
-        return missedStarts >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
+        return heartbeatsMissingStart >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
     }
 
     /** Whether it has sent heartbeats for that long without showing that it gets our responses. */
     boolean isUnreachableInboundFor(long millis) {
         return isUnreachableInbound()
-                ? loop.nowMillis() - missedSinceMillis > millis
+                ? loop.nowMillis() - startMissingSinceMillis > millis
                 : phase == Phase.CLAIMING
                         && firstHeartbeatAtMillis >= 0
                         && loop.nowMillis() - firstHeartbeatAtMillis > millis;
@@ -154,13 +154,13 @@
      * bound itself a worker is neither overdue nor schedulable.
      */
     boolean isHeartbeatOverdue() {
-        return phase == Phase.FENCED
+        return phase == Phase.CLAIMED
                 && loop.nowMillis() - lastContactAtMillis > silenceTimeoutMillis / 2;
     }
 
     /** It has carried out a direct command. */
     void recordCommandAccepted() {
-        missedStarts = 0;
+        heartbeatsMissingStart = 0;
     }
 
     /**
@@ -169,16 +169,17 @@
      */
     void recordStartDelivery(boolean anyArrived, boolean anyMissing) {
         if (anyArrived) {
-            missedStarts = 0;
+            heartbeatsMissingStart = 0;
         } else if (anyMissing) {
-            missedSinceMillis = missedStarts == 0 ? loop.nowMillis() : missedSinceMillis;
-            missedStarts++;
+            startMissingSinceMillis =
+                    heartbeatsMissingStart == 0 ? loop.nowMillis() : startMissingSinceMillis;
+            heartbeatsMissingStart++;
         }
     }
 
     /** Whether new tasks may be placed there. */
     public boolean isSchedulable() {
-        return phase == Phase.FENCED
+        return phase == Phase.CLAIMED
                 && !isUnreachableInbound()
                 && reclaimNoticeSeconds < 0
                 && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES
@@ -210,6 +211,6 @@
 
     /** Whether nothing shows that it ever came up: no message, no placement. */
     public boolean isBooting() {
-        return !everContacted && jobs.placementsOn(host).isEmpty();
+        return !hasMadeContact && jobs.placementsOn(host).isEmpty();
     }
 }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -46,10 +46,10 @@
             worker.heartbeatSerial = serial;
         }
         worker.lastContactAtMillis =
-                isHeartbeatRequest || !worker.everContacted
+                isHeartbeatRequest || !worker.hasMadeContact
                         ? loop.nowMillis()
                         : worker.lastContactAtMillis;
-        worker.everContacted = true;
+        worker.hasMadeContact = true;
         if (heartbeat.reclaimNoticeSeconds >= 0) {
             if (worker.reclaimNoticeSeconds < 0) {
                 LOG.info(
@@ -65,10 +65,10 @@
             return true;
         }
         if (worker.phase() == ShardWorker.Phase.CLAIMING) {
-            worker.transitionTo(ShardWorker.Phase.FENCED);
+            worker.transitionTo(ShardWorker.Phase.CLAIMED);
             callbacks.requestCycle();
         }
-        worker.reportedTasks = heartbeat.tasks;
+        worker.reportedAttempts = heartbeat.attempts;
         if (isHeartbeatRequest) {
             checkStartDelivery(worker);
         }
@@ -77,7 +77,7 @@
                     worker,
                     placement,
                     Heartbeat.ReportedAttempt.find(
-                            worker.reportedTasks.get(placement.taskId()), placement.attempt));
+                            worker.reportedAttempts.get(placement.taskId()), placement.attempt));
         }
         return true;
     }
@@ -93,7 +93,7 @@
             if (placement.phase() == Placement.Phase.START_SENT) {
                 boolean arrived =
                         Heartbeat.ReportedAttempt.find(
-                                        worker.reportedTasks.get(placement.taskId()),
+                                        worker.reportedAttempts.get(placement.taskId()),
                                         placement.attempt)
                                 != null;
                 anyArrived |= arrived;
@@ -176,7 +176,7 @@
             case "busy" -> {
                 // Another attempt of the task is there: only its end makes the task free to go
                 // elsewhere.
-                Heartbeat.ReportedAttempt first = worker.reportedTasks.get(placement.taskId());
+                Heartbeat.ReportedAttempt first = worker.reportedAttempts.get(placement.taskId());
                 if (first != null && first.isTerminated()) {
                     terminate(worker, placement, "refused (busy) by");
                 }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -32,7 +32,7 @@
     ObjectNode buildHeartbeatResponse(ShardWorker worker) {
         ObjectNode response = WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken);
         ArrayNode commands = WorkerMessageCodec.commandsOf(response);
-        if (worker.phase() == ShardWorker.Phase.FENCED) {
+        if (worker.phase() == ShardWorker.Phase.CLAIMED) {
             if (store.lease().isMember()) {
                 commands.addAll(killsAndClears(worker));
             }
@@ -81,7 +81,7 @@
     private boolean isStartDue(ShardWorker worker, Placement placement) {
         if (placement.isTerminated()
                 || !placement.shouldRun()
-                || worker.phase() != ShardWorker.Phase.FENCED
+                || worker.phase() != ShardWorker.Phase.CLAIMED
                 || store.watchCache().storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what earlier owners of that
             // machine recorded: a start by such a record could be of a task that has been placed
@@ -93,8 +93,8 @@
     }
 
     /** Whether the heartbeat should be answered now: there are commands, or none can come. */
-    boolean hasCommands(ShardWorker worker) {
-        if (worker.phase() != ShardWorker.Phase.FENCED || !store.lease().isValid()) {
+    boolean isResponseDue(ShardWorker worker) {
+        if (worker.phase() != ShardWorker.Phase.CLAIMED || !store.lease().isValid()) {
             return true;
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -109,7 +109,7 @@
     private ArrayNode killsAndClears(ShardWorker worker) {
         ArrayNode commands = WireFormat.newList();
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
-        for (Heartbeat.ReportedAttempt first : worker.reportedTasks.values()) {
+        for (Heartbeat.ReportedAttempt first : worker.reportedAttempts.values()) {
             Placement placement = recorded.get(first.taskId);
             for (Heartbeat.ReportedAttempt reported = first;
                     reported != null;
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -67,7 +67,7 @@
         Set<String> unreachableZones = unreachableZones(workers);
         unreachableZones.forEach(zone -> zoneUnreachableAtMillis.put(zone, now));
         for (ShardWorker worker : workers) {
-            if (worker.phase() == ShardWorker.Phase.LEAVING) {
+            if (worker.phase() == ShardWorker.Phase.RELEASING) {
                 continue;
             }
             boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
@@ -132,7 +132,7 @@
                 int[] counts = countsByZone.computeIfAbsent(zoneOf(worker), zone -> new int[2]);
                 counts[0]++;
                 counts[1] +=
-                        worker.everContacted
+                        worker.hasMadeContact
                                         && worker.lastContactAtMillis >= heardSinceMillis
                                         && !worker.isUnreachableInboundFor(
                                                 loop.nowMillis() - heardSinceMillis)
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -54,7 +54,7 @@
     private final MachineTable machines;
     private final Transport transport;
     private final Callbacks callbacks;
-    private final MisroutedWorkers misroutedWorkers;
+    private final MisroutedWorkerHandler misroutedWorkers;
     private final TaskStatusReconciler statusReconciler;
     private final WorkerCommands workerCommands;
     private final WorkerFailureDetector failureDetector;
@@ -98,7 +98,7 @@
         this.transport = transport;
         this.callbacks = callbacks;
         this.misroutedWorkers =
-                new MisroutedWorkers(
+                new MisroutedWorkerHandler(
                         loop, settings, store, membership, transport, callbacks::onMisroutedWorker);
         this.statusReconciler = new TaskStatusReconciler(loop, jobs, callbacks);
         this.workerCommands = new WorkerCommands(loop, store, membership, jobs);
@@ -173,7 +173,7 @@
 
     private void releaseWorker(ShardWorker worker) {
         jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
-        misroutedWorkers.onWorkerReleased(
+        misroutedWorkers.onWorkerRemoved(
                 worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
         if (worker.deferredRequest != null) {
             misroutedWorkers.redirectToOwner(worker.deferredRequest, worker.host);
@@ -187,7 +187,7 @@
      */
     private void sendClaim(ShardWorker worker) {
         if (workers.get(worker.host) == worker
-                && worker.phase() != ShardWorker.Phase.LEAVING
+                && worker.phase() != ShardWorker.Phase.RELEASING
                 && worker.address != null
                 && store.lease().isValid()) {
             worker.lastClaimAtMillis = loop.nowMillis();
@@ -217,7 +217,7 @@
             misroutedWorkers.redirectToOwner(request, host);
             return;
         }
-        misroutedWorkers.onWorkerAtOwner(host);
+        misroutedWorkers.onWorkerReachedOwner(host);
         if (worker.isStale(heartbeat)) {
             // A duplicate, or one that was delayed: nobody waits for the response, and starts in it
             // would count as sent.
@@ -255,7 +255,7 @@
             worker.deferredUntilMillis =
                     Math.max(worker.deferredUntilMillis, now + maxDeferralMillis(worker));
         }
-        if (worker.deferredUntilMillis <= now || workerCommands.hasCommands(worker)) {
+        if (worker.deferredUntilMillis <= now || workerCommands.isResponseDue(worker)) {
             sendDeferredResponse(worker);
         } else {
             if (!defer) {
@@ -300,7 +300,7 @@
         for (String host : changedHosts) {
             ShardWorker worker = workers.get(host);
             if (worker != null) {
-                if (worker.deferredRequest != null && workerCommands.hasCommands(worker)) {
+                if (worker.deferredRequest != null && workerCommands.isResponseDue(worker)) {
                     sendDeferredResponse(worker);
                 }
                 sendDueKills(worker);
--- a/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
+++ b/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
@@ -8,8 +8,8 @@
 import io.quincelead.config.TestSettings;
 import io.quincelead.simulation.JobFixtures;
 import io.quincelead.simulation.SimulatedClock;
-import io.quincelead.store.SilentStore;
 import io.quincelead.store.Transaction;
+import io.quincelead.store.UnresponsiveStore;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.Set;
@@ -28,7 +28,7 @@
 class CorruptRecordTest {
     private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
     private final WatchCache watchCache =
-            SilentStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
+            UnresponsiveStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
     private long revision;
 
     private void put(String key, ObjectNode value) {
--- a/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
@@ -12,9 +12,9 @@
 import io.quincelead.policy.Policy;
 import io.quincelead.simulation.JobFixtures;
 import io.quincelead.simulation.SimulatedClock;
-import io.quincelead.store.SilentStore;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
+import io.quincelead.store.UnresponsiveStore;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.List;
@@ -31,7 +31,7 @@
     private static final class Records {
         private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
         private final WatchCache watchCache =
-                SilentStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
+                UnresponsiveStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
         private final JobTable jobs = new JobTable(loop, watchCache);
         private final QuotaReservations reservations =
                 new QuotaReservations(
--- a/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
+++ b/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
@@ -10,9 +10,9 @@
 import io.quincelead.config.Settings;
 import io.quincelead.config.TestSettings;
 import io.quincelead.eventloop.EventLoop;
-import io.quincelead.store.SilentStore;
 import io.quincelead.store.StoreKeys;
 import io.quincelead.store.Transaction;
+import io.quincelead.store.UnresponsiveStore;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.LinkedHashMap;
@@ -45,7 +45,7 @@
                     Map.of("red", new Settings.Team("red", 0, 100, 0, 0)),
                     new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
                     new Settings.StoreLimits(600, 250, 8, 12));
-    private final WatchCache watchCache = SilentStore.watchCache(STANDING_LOOP, settings);
+    private final WatchCache watchCache = UnresponsiveStore.watchCache(STANDING_LOOP, settings);
     private final ClusterMembership membership = new ClusterMembership(settings, watchCache);
 
     /** Two live members; the first has a shard with one machine, under token 5 of 5. */
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -17,9 +17,9 @@
 import io.quincelead.config.TestSettings;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
-import io.quincelead.store.SilentStore;
 import io.quincelead.store.StoreClient;
 import io.quincelead.store.Transaction;
+import io.quincelead.store.UnresponsiveStore;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.ArrayList;
@@ -64,7 +64,7 @@
                     Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)),
                     new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
                     new Settings.StoreLimits(600, 250, 8, 12));
-    final StoreClient store = SilentStore.client(loop, settings);
+    final StoreClient store = UnresponsiveStore.client(loop, settings);
     private final WatchCache watchCache = new WatchCache(loop, store, 100);
     private final ClusterMembership shards = new ClusterMembership(settings, watchCache);
     final JobTable jobs = new JobTable(loop, watchCache);
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -13,8 +13,8 @@
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.Policy;
 import io.quincelead.simulation.JobFixtures;
-import io.quincelead.store.SilentStore;
 import io.quincelead.store.Transaction;
+import io.quincelead.store.UnresponsiveStore;
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 import java.util.HashMap;
@@ -51,7 +51,7 @@
                     Map.of("red", team),
                     new Settings.WorkerTimings(1, 10, 45, 6, 40),
                     new Settings.StoreLimits(100, 100, 8, 12));
-    private final WatchCache watchCache = SilentStore.watchCache(loop, settings);
+    private final WatchCache watchCache = UnresponsiveStore.watchCache(loop, settings);
     private final JobTable jobs = new JobTable(loop, watchCache);
     private final Policy policy = new Policy(watchCache);
 
--- a/src/test/java/io/quincelead/store/SilentStore.java
+++ b/src/test/java/io/quincelead/store/UnresponsiveStore.java
@@ -4,10 +4,10 @@
 import io.quincelead.eventloop.EventLoop;
 
 /** A store that never answers, for tests that put records into a watch cache themselves. */
-public final class SilentStore {
+public final class UnresponsiveStore {
     private static final int REQUESTS_PER_SECOND = 100;
 
-    private SilentStore() {}
+    private UnresponsiveStore() {}
 
     /** A client whose requests get no answer. */
     public static StoreClient client(EventLoop loop, Settings settings) {
--- a/src/test/java/io/quincelead/worker/GoldenReportsTest.java
+++ b/src/test/java/io/quincelead/worker/GoldenReportsTest.java
@@ -47,7 +47,7 @@
         for (JsonNode m : sent.path("members")) {
             Heartbeat.ReportedAttempt s =
                     Heartbeat.ReportedAttempt.find(
-                            r.tasks.get(m.path("member").asText()), m.path("try").asLong());
+                            r.attempts.get(m.path("member").asText()), m.path("try").asLong());
             ObjectNode shown =
                     members.addObject()
                             .put("member", s.taskId)
--- a/src/test/java/io/quincelead/worker/HeartbeatTest.java
+++ b/src/test/java/io/quincelead/worker/HeartbeatTest.java
@@ -40,8 +40,8 @@
     @Test
     void attemptsOfATaskAreKeptApartAndARunningOneComesFirst() {
         Heartbeat heartbeat = Heartbeat.parse(WireFormat.CBOR.encode(heartbeat()));
-        assertEquals(2, heartbeat.tasks.size());
-        Heartbeat.ReportedAttempt first = heartbeat.tasks.get("wk-1/0");
+        assertEquals(2, heartbeat.attempts.size());
+        Heartbeat.ReportedAttempt first = heartbeat.attempts.get("wk-1/0");
         assertEquals(2, first.attempt);
         assertEquals("busy", Heartbeat.ReportedAttempt.find(first, 1).exitReason);
         assertEquals("done", Heartbeat.ReportedAttempt.find(first, 3).exitReason);
