--- a/src/main/java/io/quincelead/api/ApiResponses.java
+++ b/src/main/java/io/quincelead/api/ApiResponses.java
@@ -12,27 +12,27 @@
     private ApiResponses() {}
 
     /** 404: neither an open job nor a final state has this ID. */
-    static void noSuchJob(IncomingRequest request) {
+    static void respondNoSuchJob(IncomingRequest request) {
         request.respondError(NOT_FOUND, NO_SUCH_JOB);
     }
 
     /** 503: the state of the cluster has not been read yet, or the lease may have expired. */
-    static void notReady(IncomingRequest request) {
+    static void respondNotReady(IncomingRequest request) {
         request.respondRetryLater(503, "not ready");
     }
 
     /** 503: the store gave no response, or none that can be relied on. */
-    static void storeUnavailable(IncomingRequest request) {
+    static void respondStoreUnavailable(IncomingRequest request) {
         request.respondRetryLater(503, "the state service does not answer");
     }
 
     /** 503: nothing was decided; the same request may succeed at once. */
-    static void tryAgain(IncomingRequest request) {
+    static void respondTryAgain(IncomingRequest request) {
         request.respondRetryLater(503, "try again");
     }
 
     /** 429: a bound on open jobs or on waiting commits is reached. */
-    static void overloaded(IncomingRequest request) {
+    static void respondOverloaded(IncomingRequest request) {
         request.respondRetryLater(429, "too much to do");
     }
 }
--- a/src/main/java/io/quincelead/api/FinalStates.java
+++ b/src/main/java/io/quincelead/api/FinalStates.java
@@ -27,7 +27,7 @@
     }
 
     /** Caches a final state that has been committed. */
-    void committed(String jobId, ObjectNode response) {
+    void cacheCommitted(String jobId, ObjectNode response) {
         responses.put(jobId, response);
     }
 
@@ -43,7 +43,7 @@
                     } else if (status == 404) {
                         ifAbsent.run();
                     } else {
-                        ApiResponses.storeUnavailable(request);
+                        ApiResponses.respondStoreUnavailable(request);
                     }
                 });
     }
--- a/src/main/java/io/quincelead/api/JobCancellations.java
+++ b/src/main/java/io/quincelead/api/JobCancellations.java
@@ -23,14 +23,14 @@
     private final ApiStore store;
     private final JobTable jobs;
     private final FinalStates finalStates;
-    private final JobCompletion completion;
+    private final JobCompleter completion;
 
     JobCancellations(
             EventLoop loop,
             ApiStore store,
             JobTable jobs,
             FinalStates finalStates,
-            JobCompletion completion) {
+            JobCompleter completion) {
         this.loop = loop;
         this.store = store;
         this.jobs = jobs;
@@ -50,11 +50,11 @@
             return;
         }
         if (!JobSpec.isValidJobId(jobId)) {
-            ApiResponses.noSuchJob(request);
+            ApiResponses.respondNoSuchJob(request);
             return;
         }
         if (!store.isReady()) {
-            ApiResponses.notReady(request);
+            ApiResponses.respondNotReady(request);
             return;
         }
         Job job = jobs.get(jobId);
@@ -69,9 +69,11 @@
                                             503, "this controller is catching up");
                                 } else if (status == 404) {
                                     finalStates.respondFromRecord(
-                                            jobId, request, () -> ApiResponses.noSuchJob(request));
+                                            jobId,
+                                            request,
+                                            () -> ApiResponses.respondNoSuchJob(request));
                                 } else {
-                                    ApiResponses.storeUnavailable(request);
+                                    ApiResponses.respondStoreUnavailable(request);
                                 }
                             });
             return;
@@ -85,7 +87,7 @@
             return;
         }
         if (store.committer().isFull()) {
-            ApiResponses.overloaded(request);
+            ApiResponses.respondOverloaded(request);
             return;
         }
         commitCancellation(
@@ -117,12 +119,12 @@
                                                 ApiConstants.READ_BARRIER_INTERVAL_MILLIS,
                                                 () -> {
                                                     if (loop.nowMillis() > deadlineMillis) {
-                                                        ApiResponses.tryAgain(request);
+                                                        ApiResponses.respondTryAgain(request);
                                                     } else {
                                                         cancel(job.spec.jobId(), request);
                                                     }
                                                 });
-                                default -> ApiResponses.storeUnavailable(request);
+                                default -> ApiResponses.respondStoreUnavailable(request);
                             }
                         });
     }
@@ -151,7 +153,8 @@
         }
         if (job == null) {
             LOG.debug("the cancellation of {} is told", jobId);
-            finalStates.respondFromRecord(jobId, request, () -> ApiResponses.tryAgain(request));
+            finalStates.respondFromRecord(
+                    jobId, request, () -> ApiResponses.respondTryAgain(request));
         } else if (loop.nowMillis() >= deadlineMillis) {
             request.respondRetryLater(503, "its tasks are being stopped");
         } else {
--- a/src/main/java/io/quincelead/api/JobCompletion.java
+++ b/src/main/java/io/quincelead/api/JobCompleter.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Records final states: moves jobs whose tasks have all terminated to their final keys. */
-final class JobCompletion {
-    private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
+final class JobCompleter {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCompleter.class);
 
     private final EventLoop loop;
     private final ApiStore store;
@@ -28,7 +28,7 @@
 
     private boolean removingOrphans;
 
-    JobCompletion(
+    JobCompleter(
             EventLoop loop,
             ApiStore store,
             ApiCluster cluster,
@@ -100,7 +100,7 @@
                         StoreConstants.REQUEST_TIMEOUT_MILLIS,
                         outcome -> {
                             if (outcome.result() == Transaction.Result.COMMITTED) {
-                                finalStates.committed(jobId, response);
+                                finalStates.cacheCommitted(jobId, response);
                                 completing.remove(jobId);
                             } else {
                                 LOG.debug(
--- a/src/main/java/io/quincelead/api/JobQueries.java
+++ b/src/main/java/io/quincelead/api/JobQueries.java
@@ -78,11 +78,11 @@
             return;
         }
         if (!JobSpec.isValidJobId(jobId)) {
-            ApiResponses.noSuchJob(request);
+            ApiResponses.respondNoSuchJob(request);
             return;
         }
         if (!store.cache().isSynced() || !store.lease().isMember()) {
-            ApiResponses.notReady(request);
+            ApiResponses.respondNotReady(request);
             return;
         }
         if (pendingQueries.size() >= ApiConstants.MAX_WAITING_QUERIES) {
@@ -114,7 +114,7 @@
         barrierScheduled = false;
         long now = loop.nowMillis();
         while (!pendingQueries.isEmpty() && pendingQueries.peekFirst().deadlineMillis < now) {
-            ApiResponses.storeUnavailable(pendingQueries.pollFirst().request);
+            ApiResponses.respondStoreUnavailable(pendingQueries.pollFirst().request);
         }
         if (pendingQueries.isEmpty()) {
             return;
@@ -188,7 +188,7 @@
         PendingQuery query = check.query;
         if (outcome.result() != Transaction.Result.COMMITTED
                 && outcome.result() != Transaction.Result.CONFLICT) {
-            ApiResponses.storeUnavailable(query.request);
+            ApiResponses.respondStoreUnavailable(query.request);
             return;
         }
         boolean unchanged =
@@ -240,7 +240,7 @@
                         afterKey,
                         (status, body) -> {
                             if (status != 200 || !ApiCodec.isListing(body)) {
-                                ApiResponses.storeUnavailable(query.request);
+                                ApiResponses.respondStoreUnavailable(query.request);
                                 return;
                             }
                             TaskStatePage.TaskCounts total =
@@ -272,7 +272,7 @@
                     query.request,
                     () -> query.request.respondError(query.absentStatus, query.absentReason));
         } else {
-            ApiResponses.storeUnavailable(query.request);
+            ApiResponses.respondStoreUnavailable(query.request);
         }
     }
 }
--- a/src/main/java/io/quincelead/api/JobSubmissions.java
+++ b/src/main/java/io/quincelead/api/JobSubmissions.java
@@ -58,7 +58,7 @@
             return;
         }
         if (!store.isReady() || !cluster.machineTypes().isLoaded()) {
-            ApiResponses.notReady(request);
+            ApiResponses.respondNotReady(request);
             return;
         }
         String reason = unsatisfiableReason(spec);
@@ -67,7 +67,7 @@
             return;
         }
         if (isOverloadedBy(spec)) {
-            ApiResponses.overloaded(request);
+            ApiResponses.respondOverloaded(request);
             return;
         }
         recordJob(new Job(spec, cluster.settings().memberId(), loop.wallClockMillis()), request);
@@ -88,7 +88,7 @@
                     switch (outcome.result()) {
                         case COMMITTED -> request.respond(201, ApiCodec.encodeAccepted(jobId));
                         case CONFLICT -> queries.query(jobId, request);
-                        default -> ApiResponses.storeUnavailable(request);
+                        default -> ApiResponses.respondStoreUnavailable(request);
                     }
                 };
         if (!admission.admit(job, ApiConstants.USER_REQUEST_TIMEOUT_MILLIS, onOutcome)) {
--- a/src/main/java/io/quincelead/api/UserApi.java
+++ b/src/main/java/io/quincelead/api/UserApi.java
@@ -15,7 +15,7 @@
     private final JobSubmissions submissions;
     private final JobQueries queries;
     private final JobCancellations cancellations;
-    private final JobCompletion completion;
+    private final JobCompleter completion;
 
     /**
      * Builds the API and has it informed of changes of records.
@@ -34,7 +34,7 @@
             JobAdmission admission) {
         this.store = store;
         FinalStates finalStates = new FinalStates(store.client());
-        completion = new JobCompletion(loop, store, cluster, policy, finalStates);
+        completion = new JobCompleter(loop, store, cluster, policy, finalStates);
         queries = new JobQueries(loop, store, cluster.jobs(), finalStates);
         cancellations = new JobCancellations(loop, store, cluster.jobs(), finalStates, completion);
         submissions = new JobSubmissions(loop, store, cluster, admission, finalStates, queries);
--- a/src/main/java/io/quincelead/zone/CandidateMachine.java
+++ b/src/main/java/io/quincelead/zone/CandidateMachine.java
@@ -13,7 +13,7 @@
     private static final double TOLERANCE = 1e-9;
 
     private final String host;
-    private final MachineOffer offer;
+    private final MachineOffering offering;
     private final Set<String> cachedImages;
 
     /** What work that may be stopped holds, by the ordinal of that work's priority. */
@@ -24,12 +24,12 @@
     /** The collections are copied. */
     CandidateMachine(
             String host,
-            MachineOffer offer,
+            MachineOffering offer,
             Resources free,
             List<Resources> displaceableByPriority,
             Set<String> cachedImages) {
         this.host = host;
-        this.offer = offer;
+        this.offering = offer;
         this.free = free;
         this.displaceableByPriority = new ArrayList<>(displaceableByPriority);
         this.cachedImages = new HashSet<>(cachedImages);
@@ -39,15 +39,15 @@
         return host;
     }
 
-    MachineOffer offer() {
-        return offer;
+    MachineOffering offering() {
+        return offering;
     }
 
     String zone() {
-        return offer.zone();
+        return offering.zone();
     }
 
-    boolean hasImage(LostService service) {
+    boolean hasImage(RecoverableService service) {
         return cachedImages.contains(service.image());
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Whether a replica fits the free capacity. */
-    boolean fits(LostService service) {
+    boolean fits(RecoverableService service) {
         return free.covers(service.demand(), TOLERANCE);
     }
 
@@ -64,7 +64,7 @@
      * The ordinal of the most urgent priority whose work must be stopped for a replica, when the
      * least urgent work is stopped first; null if all that may be stopped isn't enough.
      */
-    Integer displacedPriority(LostService service) {
+    Integer displacedPriority(RecoverableService service) {
         Resources available = free;
         for (int priority = displaceableByPriority.size() - 1;
                 priority > service.priority();
@@ -78,7 +78,7 @@
     }
 
     /** Takes the capacity for a replica, stopping the least urgent work first if need be. */
-    void allocate(LostService service) {
+    void allocate(RecoverableService service) {
         Resources missing = service.demand().minus(free);
         for (int priority = displaceableByPriority.size() - 1;
                 priority > service.priority() && missing.isAnyAbove(TOLERANCE);
--- a/src/main/java/io/quincelead/zone/MachineOffer.java
+++ b/src/main/java/io/quincelead/zone/MachineOffering.java
@@ -6,10 +6,10 @@
  * @param machineType name of the machine type
  * @param imagePullGbPerSecond how fast it fetches images
  */
-record MachineOffer(String machineType, String zone, boolean spot, double imagePullGbPerSecond) {
+record MachineOffering(String machineType, String zone, boolean spot, double imagePullGbPerSecond) {
 
     /** Whether the service's replicas may run on such a machine. */
-    boolean allows(LostService service) {
+    boolean allows(RecoverableService service) {
         return (service.machineTypes() == null || service.machineTypes().contains(machineType))
                 && (service.requiredZone() == null || service.requiredZone().equals(zone))
                 && (service.allowsSpot() || !spot);
--- a/src/main/java/io/quincelead/zone/LostService.java
+++ b/src/main/java/io/quincelead/zone/RecoverableService.java
@@ -18,7 +18,7 @@
  * @param requiredZone the one zone it may run in; null: any
  * @param maxTasksPerZone how many replicas may be in one zone
  */
-record LostService(
+record RecoverableService(
         String jobId,
         String jobClass,
         int classRank,
--- a/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
+++ b/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
@@ -25,8 +25,8 @@
     }
 
     /** All services, with the replicas they have outside the lost zones. */
-    List<LostService> services() {
-        List<LostService> services = new ArrayList<>();
+    List<RecoverableService> services() {
+        List<RecoverableService> services = new ArrayList<>();
         for (Job job : view.cluster().jobs().all()) {
             if (job.spec.isService() && !job.isCancelled()) {
                 services.add(service(job));
@@ -35,10 +35,10 @@
         return services;
     }
 
-    private LostService service(Job job) {
+    private RecoverableService service(Job job) {
         JobSpec spec = job.spec;
         EffectivePriority priority = view.cluster().policy().priorityOf(job);
-        return new LostService(
+        return new RecoverableService(
                 spec.jobId(),
                 priority.jobClass() == null ? "" : priority.jobClass().name(),
                 priority.rank(),
@@ -113,7 +113,7 @@
         }
         return new CandidateMachine(
                 machine.host(),
-                new MachineOffer(
+                new MachineOffering(
                         machine.machineType(),
                         machine.zone(),
                         machine.spot(),
@@ -139,7 +139,7 @@
 
     private static RentableType rentableType(MachineType machineType, String zone, boolean spot) {
         return new RentableType(
-                new MachineOffer(
+                new MachineOffering(
                         machineType.name(), zone, spot, machineType.imagePullGbPerSecond()),
                 capacity(machineType),
                 machineType.bootSeconds(),
--- a/src/main/java/io/quincelead/zone/RecoveryStep.java
+++ b/src/main/java/io/quincelead/zone/RecoveryStep.java
@@ -5,7 +5,7 @@
  *
  * @param position in the order of recovery, from 1
  * @param replicaNumber how many replicas the service has with this one
- * @param method where its capacity comes from, in words
+ * @param capacitySource where its capacity comes from, in words
  * @param location machine and zone; "-" when there is none
  * @param fetchGb size of the image, if it must be fetched
  * @param etaSeconds seconds from the loss until it serves; negative: never, as things are
@@ -16,7 +16,7 @@
         String jobId,
         String jobClass,
         int replicaNumber,
-        String method,
+        String capacitySource,
         String location,
         double fetchGb,
         double etaSeconds,
--- a/src/main/java/io/quincelead/zone/RentableType.java
+++ b/src/main/java/io/quincelead/zone/RentableType.java
@@ -8,4 +8,4 @@
  * @param pricePerHour of one machine
  */
 record RentableType(
-        MachineOffer offer, Resources capacity, double bootSeconds, double pricePerHour) {}
+        MachineOffering offering, Resources capacity, double bootSeconds, double pricePerHour) {}
--- a/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
+++ b/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
@@ -52,7 +52,7 @@
                 ? zone.withState(
                         State.CUT,
                         nowMillis,
-                        observation.reachableOfKnown()
+                        observation.reachabilitySummary()
                                 + " for "
                                 + Math.round(silentMillis / 1000.0)
                                 + " s")
@@ -163,7 +163,7 @@
                 nowMillis,
                 observation.machineCount(),
                 zone.recentLossCount(),
-                observation.reachableOfKnown() + reasonSuffix,
+                observation.reachabilitySummary() + reasonSuffix,
                 zone.operatorOrder());
     }
 }
--- a/src/main/java/io/quincelead/zone/ZoneObservation.java
+++ b/src/main/java/io/quincelead/zone/ZoneObservation.java
@@ -34,7 +34,7 @@
     }
 
     /** The evidence in words, as zone records have it. */
-    String reachableOfKnown() {
+    String reachabilitySummary() {
         return reachableCount + " of " + knownCount + " machines are heard";
     }
 }
--- a/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
@@ -86,7 +86,7 @@
                     .put("model", step.jobId())
                     .put("class", step.jobClass())
                     .put("replica", step.replicaNumber())
-                    .put("how", step.method())
+                    .put("how", step.capacitySource())
                     .put("where", step.location())
                     .put("fetchGb", step.fetchGb())
                     .put("etaS", Math.round(step.etaSeconds()))
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
@@ -21,11 +21,11 @@
 final class ZoneRecoveryPlan {
     /** A service on its way back. */
     private static final class Recovery {
-        private final LostService service;
+        private final RecoverableService service;
         private final Map<String, Integer> replicasByZone;
         private int replicaCount;
 
-        private Recovery(LostService service) {
+        private Recovery(RecoverableService service) {
             this.service = service;
             this.replicasByZone = new LinkedHashMap<>(service.survivorsByZone());
             this.replicaCount =
@@ -69,7 +69,7 @@
      * @param machines the machines in zones that are not lost; their capacity is used up
      */
     static List<RecoveryStep> compute(
-            List<LostService> services,
+            List<RecoverableService> services,
             List<CandidateMachine> machines,
             List<RentableType> rentableTypes) {
         ZoneRecoveryPlan plan = new ZoneRecoveryPlan(machines, rentableTypes);
@@ -115,7 +115,7 @@
     }
 
     private void addStep(Recovery recovery, Source source) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         CandidateMachine machine = source.machine;
         double fetchGb = machine.hasImage(service) ? 0 : service.imageGb();
         machine.allocate(service);
@@ -129,7 +129,7 @@
                         source.method,
                         machine.host() + " in " + machine.zone(),
                         fetchGb,
-                        source.readySeconds + machine.offer().fetchSeconds(fetchGb),
+                        source.readySeconds + machine.offering().fetchSeconds(fetchGb),
                         recovery.replicaCount == 1
                                 ? "no replica is left"
                                 : recovery.replicaCount
@@ -140,7 +140,7 @@
     }
 
     private void addUnavailable(Recovery recovery) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         steps.add(
                 new RecoveryStep(
                         steps.size() + 1,
@@ -155,11 +155,11 @@
     }
 
     private CandidateMachine bestWithFreeCapacity(Recovery recovery) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         return machines.stream()
                 .filter(
                         machine ->
-                                machine.offer().allows(service)
+                                machine.offering().allows(service)
                                         && machine.fits(service)
                                         && recovery.allowsAnotherIn(machine.zone()))
                 .min(
@@ -173,17 +173,18 @@
                                                         ? 0
                                                         : machine.cachedImageCount())
                                 .thenComparing(
-                                        machine -> machine.offer().fetchSeconds(service.imageGb()))
+                                        machine ->
+                                                machine.offering().fetchSeconds(service.imageGb()))
                                 .thenComparing(CandidateMachine::host))
                 .orElse(null);
     }
 
     private CandidateMachine bestByDisplacing(Recovery recovery) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         return machines.stream()
                 .filter(
                         machine ->
-                                machine.offer().allows(service)
+                                machine.offering().allows(service)
                                         && recovery.allowsAnotherIn(machine.zone())
                                         && machine.displacedPriority(service) != null)
                 .min(
@@ -197,48 +198,48 @@
 
     /** Adds the cheapest machine that can be rented for a replica; null when there is none. */
     private Source rent(Recovery recovery) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         RentableType type =
                 rentableTypes.stream()
                         .filter(
                                 rentable ->
                                         rentable.capacity().covers(service.demand(), 0)
-                                                && rentable.offer().allows(service)
+                                                && rentable.offering().allows(service)
                                                 && recovery.allowsAnotherIn(
-                                                        rentable.offer().zone()))
+                                                        rentable.offering().zone()))
                         .min(
                                 Comparator.comparingDouble(RentableType::pricePerHour)
                                         .thenComparing(
                                                 rentable ->
                                                         recovery.replicasIn(
-                                                                rentable.offer().zone()))
-                                        .thenComparing(rentable -> rentable.offer().zone()))
+                                                                rentable.offering().zone()))
+                                        .thenComparing(rentable -> rentable.offering().zone()))
                         .orElse(null);
         if (type == null) {
             return null;
         }
         CandidateMachine machine =
                 new CandidateMachine(
-                        "new " + type.offer().machineType() + " " + ++rentedCount,
-                        type.offer(),
+                        "new " + type.offering().machineType() + " " + ++rentedCount,
+                        type.offering(),
                         type.capacity(),
                         Collections.nCopies(JobSpec.Priority.values().length, Resources.NONE),
                         Set.of());
         machines.add(machine);
         return new Source(
-                machine, type.offer().spot() ? "rented, cheap" : "rented", type.bootSeconds());
+                machine, type.offering().spot() ? "rented, cheap" : "rented", type.bootSeconds());
     }
 
     /** What keeps the service from another replica, in words. */
     private String bindingConstraint(Recovery recovery) {
-        LostService service = recovery.service;
+        RecoverableService service = recovery.service;
         if (service.requiredZone() != null
                 && machines.stream()
                         .noneMatch(machine -> machine.zone().equals(service.requiredZone()))) {
             return "it may run in " + service.requiredZone() + " alone";
         }
         List<CandidateMachine> allowed =
-                machines.stream().filter(machine -> machine.offer().allows(service)).toList();
+                machines.stream().filter(machine -> machine.offering().allows(service)).toList();
         if (!allowed.isEmpty()
                 && allowed.stream()
                         .noneMatch(machine -> recovery.allowsAnotherIn(machine.zone()))) {
--- a/src/test/java/io/quincelead/zone/ZoneRecoveryPlanTest.java
+++ b/src/test/java/io/quincelead/zone/ZoneRecoveryPlanTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 
 class ZoneRecoveryPlanTest {
-    private static LostService service(
+    private static RecoverableService service(
             String id,
             int classRank,
             int taskCount,
             Map<String, Integer> survivorsByZone,
             int maxTasksPerZone) {
-        return new LostService(
+        return new RecoverableService(
                 id,
                 "c",
                 classRank,
@@ -40,7 +40,7 @@
             double displaceableCpus) {
         return new CandidateMachine(
                 host,
-                new MachineOffer("g", zone, false, 2),
+                new MachineOffering("g", zone, false, 2),
                 new Resources(freeCpus, freeCpus * 2, 0),
                 List.of(
                         Resources.NONE,
@@ -64,7 +64,7 @@
                                 candidate("h3", "y", 0, Set.of(), 4)),
                         List.of(
                                 new RentableType(
-                                        new MachineOffer("g", "y", false, 2),
+                                        new MachineOffering("g", "y", false, 2),
                                         new Resources(8, 16, 0),
                                         30,
                                         1)));
@@ -78,7 +78,7 @@
                         "displaces other work",
                         "free room",
                         "rented"),
-                plan.stream().map(RecoveryStep::method).toList());
+                plan.stream().map(RecoveryStep::capacitySource).toList());
         assertEquals(
                 List.of(10.0, 0.0, 10.0, 10.0, 40.0),
                 plan.stream().map(RecoveryStep::etaSeconds).toList());
