--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -36,7 +36,7 @@
      * completed, and what is placed stays so until there is evidence of it, for the record entitles
      * the machine's owner, perhaps another controller that lags behind, to start it.
      */
-    void settleGangs(SchedulingPlan plan) {
+    void reconcileGangs(SchedulingPlan plan) {
         for (Job job : jobs.all()) {
             if (!job.spec.isGang() || job.isCancelled()) {
                 continue;
@@ -56,7 +56,7 @@
             return;
         }
         for (int pageIndex = 0; pageIndex < gang.pages.length; pageIndex++) {
-            if (gang.page(pageIndex).pendingTaskCount() > 0) {
+            if (gang.pageOrEmpty(pageIndex).pendingTaskCount() > 0) {
                 TaskStatePageEdit edit = plan.edit(gang, pageIndex);
                 if (edit != null) {
                     edit.markPendingCompleted();
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -32,7 +32,7 @@
     ObjectNode buildHeartbeatResponse(ShardWorker worker) {
         ObjectNode response = WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken);
         ArrayNode commands = WorkerMessageCodec.commandsOf(response);
-        if (worker.phase() == ShardWorker.Phase.FENCED) {
+        if (worker.phase() == ShardWorker.Phase.CLAIMED) {
             if (store.lease().isMember()) {
                 commands.addAll(killsAndClears(worker));
             }
@@ -41,7 +41,7 @@
                     if (isStartDue(worker, placement)
                             && commands.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                         WorkerMessageCodec.addStart(
-                                commands, placement.taskName(), placement.attempt);
+                                commands, placement.taskId(), placement.attempt);
                         placement.recordStartSent(
                                 worker.heartbeatAgentEpoch, worker.heartbeatSerial);
                     }
@@ -60,9 +60,9 @@
         ArrayNode kills = null;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             boolean stoppable =
-                    placement.phase() == Placement.Phase.OBSERVED
+                    placement.phase() == Placement.Phase.REPORTED
                             && !placement.reportedState().equals(Heartbeat.STATUS_SAVING);
-            if (!placement.isWanted()
+            if (!placement.shouldRun()
                     && (stoppable || placement.phase() == Placement.Phase.RECORDED)
                     && (placement.killSentAtMillis() == 0
                             || now - placement.killSentAtMillis()
@@ -70,10 +70,7 @@
                 kills = kills == null ? WireFormat.newList() : kills;
                 if (kills.size() < WorkerConstants.MAX_COMMANDS_PER_MESSAGE) {
                     WorkerMessageCodec.addKill(
-                            kills,
-                            placement.taskName(),
-                            placement.attempt,
-                            graceSeconds(placement));
+                            kills, placement.taskId(), placement.attempt, graceSeconds(placement));
                     placement.recordKillSent(now);
                 }
             }
@@ -83,8 +80,8 @@
 
     private boolean isStartDue(ShardWorker worker, Placement placement) {
         if (placement.isTerminated()
-                || !placement.isWanted()
-                || worker.phase() != ShardWorker.Phase.FENCED
+                || !placement.shouldRun()
+                || worker.phase() != ShardWorker.Phase.CLAIMED
                 || store.watchCache().storeRevision() < worker.grantRevision) {
             // A leader applies its own grant before the watch brings what earlier owners of that
             // machine recorded: a start by such a record could be of a task that has been placed
@@ -96,8 +93,8 @@
     }
 
     /** Whether the heartbeat should be answered now: there are commands, or none can come. */
-    boolean hasCommands(ShardWorker worker) {
-        if (worker.phase() != ShardWorker.Phase.FENCED || !store.lease().isValid()) {
+    boolean isResponseDue(ShardWorker worker) {
+        if (worker.phase() != ShardWorker.Phase.CLAIMED || !store.lease().isValid()) {
             return true;
         }
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -112,7 +109,7 @@
     private ArrayNode killsAndClears(ShardWorker worker) {
         ArrayNode commands = WireFormat.newList();
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
-        for (Heartbeat.ReportedAttempt first : worker.reportedTasks.values()) {
+        for (Heartbeat.ReportedAttempt first : worker.reportedAttempts.values()) {
             Placement placement = recorded.get(first.taskId);
             for (Heartbeat.ReportedAttempt reported = first;
                     reported != null;
@@ -124,7 +121,7 @@
                     }
                 } else if (!isRecorded) {
                     WorkerMessageCodec.addKill(commands, reported.taskId, reported.attempt, 0);
-                } else if (!placement.isWanted()
+                } else if (!placement.shouldRun()
                         && !reported.status.equals(Heartbeat.STATUS_SAVING)) {
                     WorkerMessageCodec.addKill(
                             commands, reported.taskId, reported.attempt, graceSeconds(placement));
