--- a/src/main/java/io/quincelead/scheduler/AdmissionQueue.java
+++ b/src/main/java/io/quincelead/scheduler/AdmissionQueue.java
@@ -12,11 +12,12 @@
 import java.util.Set;
 
 /**
- * Urgent jobs that are being submitted, in the order they came: the next cycle records them,
- * together with their first placements if there are any. Each one's handler is called exactly once.
+ * Queue of urgent jobs that are being submitted, in order of arrival: the next cycle records them,
+ * together with their first placements if there are any. Each submission's handler is called
+ * exactly once.
  */
 final class AdmissionQueue {
-    /** A job that waits to be recorded until {@code deadlineMillis} on the loop's clock. */
+    /** A job that waits to be recorded until {@code deadlineMillis} in event-loop time. */
     record Submission(Job job, long deadlineMillis, Transaction.OutcomeHandler onOutcome) {}
 
     private final EventLoop loop;
@@ -36,18 +37,19 @@
         return waiting.size();
     }
 
-    /** Whether the job may wait here: the queue is not full, and it does not wait already. */
+    /** Whether the job may be added: the queue is not full and does not contain the job. */
     boolean accepts(Job job) {
         return waiting.size() < StoreConstants.MAX_WAITING_COMMITS
                 && waiting.stream()
-                        .noneMatch(entry -> entry.job.spec.jobId().equals(job.spec.jobId()));
+                        .noneMatch(
+                                submission -> submission.job.spec.jobId().equals(job.spec.jobId()));
     }
 
-    void add(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome) {
-        waiting.addLast(new Submission(job, loop.nowMillis() + patienceMillis, onOutcome));
+    void add(Job job, long timeoutMillis, Transaction.OutcomeHandler onOutcome) {
+        waiting.addLast(new Submission(job, loop.nowMillis() + timeoutMillis, onOutcome));
     }
 
-    /** Rejects those that have waited longer than they were willing to. */
+    /** Rejects the submissions that have passed their deadline. */
     void expire() {
         while (!waiting.isEmpty() && waiting.peekFirst().deadlineMillis < loop.nowMillis()) {
             waiting.pollFirst()
@@ -56,37 +58,38 @@
         }
     }
 
-    /** Takes out the first ones, at most {@code most}. */
-    List<Submission> takeAtMost(int most) {
+    /** Removes and returns the first submissions, at most {@code maxCount}. */
+    List<Submission> takeAtMost(int maxCount) {
         List<Submission> taken = new ArrayList<>();
-        while (!waiting.isEmpty() && taken.size() < most) {
-            Submission entry = waiting.pollFirst();
-            if (jobs.get(entry.job.spec.jobId()) == null) {
-                taken.add(entry);
+        while (!waiting.isEmpty() && taken.size() < maxCount) {
+            Submission submission = waiting.pollFirst();
+            if (jobs.get(submission.job.spec.jobId()) == null) {
+                taken.add(submission);
             } else {
-                // Recorded since it came, by another submission of the same job: it must neither
-                // be reported as new nor be planned twice.
-                entry.onOutcome.onOutcome(
+                // Another submission of the same job has been recorded meanwhile: the job must
+                // neither be reported as new nor be planned twice.
+                submission.onOutcome.onOutcome(
                         new Transaction.Outcome(
-                                Transaction.Result.CONFLICT, 0, Set.of(entry.job.storeKey())));
+                                Transaction.Result.CONFLICT, 0, Set.of(submission.job.storeKey())));
             }
         }
         return taken;
     }
 
     /**
-     * Tells the outcome of a cycle's transaction to the jobs that were in it. Those that a conflict
-     * does not concern, and all when the store was too busy, wait for the next cycle instead.
+     * Reports the outcome of a cycle's transaction to the submissions that were in it. Submissions
+     * that a conflict does not concern, and all of them if the store throttled the write, wait for
+     * the next cycle instead.
      */
     void respond(List<Submission> taken, Transaction.Outcome outcome) {
         for (int i = taken.size() - 1; i >= 0; i--) {
-            Submission entry = taken.get(i);
+            Submission submission = taken.get(i);
             if (outcome.result() == Transaction.Result.THROTTLED
                     || outcome.result() == Transaction.Result.CONFLICT
-                            && !concerns(outcome, entry.job)) {
-                waiting.addFirst(entry);
+                            && !concerns(outcome, submission.job)) {
+                waiting.addFirst(submission);
             } else {
-                entry.onOutcome.onOutcome(outcome);
+                submission.onOutcome.onOutcome(outcome);
             }
         }
     }
--- a/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
+++ b/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
@@ -8,18 +8,18 @@
 import io.quincelead.transport.WireFormat;
 import java.util.List;
 
-/** The JSON of the operators' commands that explain the queue. */
+/** Decodes requests and encodes responses of the operators' commands that explain the queue. */
 final class ExplanationCodec {
     private static final int DEFAULT_QUEUE_LIMIT = 200;
 
     private ExplanationCodec() {}
 
-    /** How many jobs of the queue are asked for. */
+    /** How many queue entries the request asks for. */
     static int decodeLimit(ObjectNode request) {
         return request.path("most").asInt(DEFAULT_QUEUE_LIMIT);
     }
 
-    /** The job asked about; empty if the request names none. */
+    /** Id of the job that the request asks about; empty if it gives none. */
     static String decodeJobId(ObjectNode request) {
         return request.path("job").asText();
     }
@@ -27,11 +27,11 @@
     static ObjectNode encodeQueue(List<QueueOrder.QueueEntry> queue) {
         ObjectNode response = WireFormat.newMap();
         ArrayNode list = response.putArray("list");
-        for (QueueOrder.QueueEntry ranked : queue) {
-            EffectivePriority priority = ranked.effectivePriority();
+        for (QueueOrder.QueueEntry entry : queue) {
+            EffectivePriority priority = entry.effectivePriority();
             list.addObject()
-                    .put("job", ranked.job().spec.jobId())
-                    .put("tier", ranked.orderingTier())
+                    .put("job", entry.job().spec.jobId())
+                    .put("tier", entry.orderingTier())
                     .put("rank", priority.rank())
                     .put("class", className(priority))
                     .put("covered", priority.isCovered());
@@ -40,9 +40,9 @@
     }
 
     static ObjectNode encodeExplanation(JobExplanation explanation) {
-        QueueOrder.QueueEntry ownRank = explanation.ownEntry();
-        EffectivePriority priority = ownRank.effectivePriority();
-        Job job = ownRank.job();
+        QueueOrder.QueueEntry ownEntry = explanation.ownEntry();
+        EffectivePriority priority = ownEntry.effectivePriority();
+        Job job = ownEntry.job();
         ObjectNode response =
                 WireFormat.newMap()
                         .put("job", job.spec.jobId())
@@ -63,12 +63,12 @@
                         .put("controller", job.controllerId())
                         .put("waitsFor", explanation.waitsFor());
         ArrayNode ahead = response.putArray("ahead");
-        for (QueueOrder.QueueEntry ranked : explanation.firstJobsAhead()) {
+        for (QueueOrder.QueueEntry entry : explanation.firstJobsAhead()) {
             ahead.addObject()
-                    .put("job", ranked.job().spec.jobId())
-                    .put("tier", QueueExplainer.tierName(ranked))
-                    .put("rank", ranked.effectivePriority().rank())
-                    .put("waiting", ranked.job().waitingTaskCount());
+                    .put("job", entry.job().spec.jobId())
+                    .put("tier", QueueExplainer.tierName(entry))
+                    .put("rank", entry.effectivePriority().rank())
+                    .put("waiting", entry.job().waitingTaskCount());
         }
         return response.put("jobsAhead", explanation.jobsAheadCount());
     }
--- a/src/main/java/io/quincelead/scheduler/JobExplanation.java
+++ b/src/main/java/io/quincelead/scheduler/JobExplanation.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Why a job is where it is in the queue.
+ * Explains a job's position in the queue.
  *
- * @param ownEntry its position for all its tasks
+ * @param ownEntry the job's queue entry for all its tasks
  * @param classSource where its priority class comes from
  * @param rankSource where its rank comes from
- * @param tierName as operators know it
- * @param due when it should be done
- * @param dueSource where that time comes from
- * @param ageSeconds since it was accepted
- * @param entitledTasks that should have started by now
- * @param waitsFor what it waits for; "nothing" if no task waits
- * @param firstJobsAhead the first positions before its own
- * @param jobsAheadCount how many positions are before its own; 0 if no task waits
+ * @param tierName name of the tier as shown to operators
+ * @param due when the job should be complete
+ * @param dueSource where the due time comes from
+ * @param ageSeconds seconds since the job was accepted
+ * @param entitledTasks number of tasks that should have started by now
+ * @param waitsFor what the job waits for; "nothing" if no task waits
+ * @param firstJobsAhead the first queue entries before the job's own
+ * @param jobsAheadCount how many queue entries are before the job's own; 0 if no task waits
  */
 record JobExplanation(
         QueueOrder.QueueEntry ownEntry,
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -18,13 +18,13 @@
 import java.util.Set;
 
 /**
- * Says why a job is where it is in the queue, by the same order that scheduling cycles use, over
- * the waiting jobs of all controllers. Changes nothing.
+ * Explains a job's position in the queue, by the same order that scheduling cycles use, over the
+ * waiting jobs of all controllers. Changes nothing.
  */
 public final class QueueExplainer {
     private final EventLoop loop;
     private final Settings settings;
-    private final ClusterMembership shards;
+    private final ClusterMembership membership;
     private final JobTable jobs;
     private final Policy policy;
     private final QueueOrder queueOrder;
@@ -33,13 +33,13 @@
     public QueueExplainer(
             EventLoop loop,
             Settings settings,
-            ClusterMembership shards,
+            ClusterMembership membership,
             JobTable jobs,
             Policy policy,
             OperatorApi operatorApi) {
         this.loop = loop;
         this.settings = settings;
-        this.shards = shards;
+        this.membership = membership;
         this.jobs = jobs;
         this.policy = policy;
         this.queueOrder = new QueueOrder(settings, policy);
@@ -50,17 +50,20 @@
     private List<QueueOrder.QueueEntry> rankWaitingJobs() {
         long wallMillis = loop.wallClockMillis();
         Set<Job> withinGuarantee = queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst());
-        List<QueueOrder.QueueEntry> ranked = new ArrayList<>();
+        List<QueueOrder.QueueEntry> entries = new ArrayList<>();
         for (Job job : jobs.all()) {
             if (!job.isCancelled() && job.waitingTaskCount() > 0) {
-                ranked.add(queueOrder.entryFor(job, withinGuarantee.contains(job), wallMillis));
+                entries.add(queueOrder.entryFor(job, withinGuarantee.contains(job), wallMillis));
             }
         }
-        ranked.sort(QueueOrder.BY_QUEUE_ORDER);
-        return ranked;
+        entries.sort(QueueOrder.BY_QUEUE_ORDER);
+        return entries;
     }
 
-    /** The waiting jobs in their order; of each, what operators' records make of it. */
+    /**
+     * Responds with the waiting jobs in queue order, each with its priority by the operators'
+     * records.
+     */
     private void describeQueue(ObjectNode body, OperatorApi.Responder responder) {
         int limit = ExplanationCodec.decodeLimit(body);
         List<QueueOrder.QueueEntry> queue = rankWaitingJobs();
@@ -84,21 +87,21 @@
         long wallMillis = loop.wallClockMillis();
         boolean withinGuarantee =
                 queueOrder.jobsWithinGuarantee(jobs.jobsOldestFirst()).contains(job);
-        QueueOrder.QueueEntry ownRank = queueOrder.entryFor(job, withinGuarantee, wallMillis);
-        double secondsLeft = secondsLeft(ownRank);
+        QueueOrder.QueueEntry ownEntry = queueOrder.entryFor(job, withinGuarantee, wallMillis);
+        double secondsLeft = secondsLeft(ownEntry);
         int position = 0;
         while (position < queue.size() && queue.get(position).job() != job) {
             position++;
         }
         return new JobExplanation(
-                ownRank,
-                classSource(ownRank.effectivePriority().jobClass()),
-                ownRank.effectivePriority().jobClass() == null
+                ownEntry,
+                classSource(ownEntry.effectivePriority().jobClass()),
+                ownEntry.effectivePriority().jobClass() == null
                         ? "the middle, for no class matches"
                         : "its class",
-                tierName(ownRank),
+                tierName(ownEntry),
                 Instant.ofEpochMilli(wallMillis + (long) (secondsLeft * 1000)),
-                deadlineSource(ownRank, secondsLeft, wallMillis),
+                deadlineSource(ownEntry, secondsLeft, wallMillis),
                 (wallMillis - job.acceptedAtEpochMillis()) / 1000.0,
                 policy.requiredStartedTaskCount(job, wallMillis),
                 waitingReason(job),
@@ -112,14 +115,14 @@
                 : "generation " + policy.activeClasses().generation();
     }
 
-    private static double secondsLeft(QueueOrder.QueueEntry ranked) {
-        return ranked.slackSeconds()
-                + ranked.job().spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
+    private static double secondsLeft(QueueOrder.QueueEntry entry) {
+        return entry.slackSeconds()
+                + entry.job().spec.runtimeSeconds() * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
     }
 
     private static String deadlineSource(
-            QueueOrder.QueueEntry ranked, double secondsLeft, long wallMillis) {
-        EffectivePriority priority = ranked.effectivePriority();
+            QueueOrder.QueueEntry entry, double secondsLeft, long wallMillis) {
+        EffectivePriority priority = entry.effectivePriority();
         if (priority.isCovered()
                 && Math.abs(secondsLeft - (priority.publicationMillis() - wallMillis) / 1000.0)
                         < 1) {
@@ -128,14 +131,14 @@
                     + " on "
                     + priority.occurrence().date;
         }
-        return ranked.job().spec.deadlineSeconds() >= 0
+        return entry.job().spec.deadlineSeconds() >= 0
                 ? "its own deadline"
                 : "its class's objective, or twice its estimate";
     }
 
-    /** The name by which operators know the tier of the job's position in the queue. */
-    static String tierName(QueueOrder.QueueEntry ranked) {
-        int tier = ranked.orderingTier();
+    /** Name of the queue entry's tier as shown to operators. */
+    static String tierName(QueueOrder.QueueEntry entry) {
+        int tier = entry.orderingTier();
         String name;
         if (tier == JobSpec.Priority.PRODUCTION.ordinal()) {
             name = "production";
@@ -148,8 +151,8 @@
         } else {
             name = "surplus";
         }
-        return ranked.effectivePriority().isCovered()
-                ? name + ", covered by " + ranked.effectivePriority().occurrence().entryName
+        return entry.effectivePriority().isCovered()
+                ? name + ", covered by " + entry.effectivePriority().occurrence().entryName
                 : name;
     }
 
@@ -164,7 +167,7 @@
         if (job.notBeforeMillis() > loop.nowMillis()) {
             return "its pause after failures";
         }
-        if (shards.shardOf(job.controllerId()) == null) {
+        if (membership.shardOf(job.controllerId()) == null) {
             return "a controller";
         }
         double usedCpus = 0;
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -16,29 +16,34 @@
 import java.util.Set;
 
 /**
- * Who comes first: urgent work, then the first few tasks of starving jobs, then what its team is
- * guaranteed, whatever its priority, then further tasks of starving jobs, then the rest by
- * priority; last by nearness to the deadline or objective. A guarantee that waits behind other
- * teams' surplus would be none.
+ * Orders the queue: urgent work first, then the first few tasks of starving jobs, then work within
+ * its team's guarantee, whatever its priority, then further tasks of starving jobs, then the rest
+ * by priority; last by nearness to the deadline or objective. Guaranteed work comes before other
+ * teams' surplus, or the guarantee would have no effect.
  */
 public final class QueueOrder {
-    /** Tier of the few tasks with which a job that has waited long begins. */
+    /** Tier of the first few tasks of a starving job. */
     static final int TIER_FIRST_START = JobSpec.Priority.HIGH.ordinal() + 1;
 
-    /** Tier of what its team is guaranteed. */
+    /** Tier of work within its team's guarantee. */
     static final int TIER_GUARANTEED = TIER_FIRST_START + 1;
 
-    /** Tier of further tasks of jobs that have waited long. */
+    /** Tier of further tasks of starving jobs. */
     static final int TIER_STARVING = TIER_GUARANTEED + 1;
 
-    /** The order of the queue: what comes first is placed first. Total over different jobs. */
+    /**
+     * The order of the queue: entries that come first are placed first. A total order over entries
+     * of different jobs.
+     */
     public static final Comparator<QueueEntry> BY_QUEUE_ORDER = QueueOrder::compare;
 
     private final Map<String, Double> objectiveSecondsByClass = new HashMap<>();
     private final Map<String, Settings.Team> teams;
     private final Policy policy;
 
-    /** An order by the objectives and teams of the settings and the operators' records. */
+    /**
+     * Creates an order by the objectives and teams of the settings and by the operators' records.
+     */
     public QueueOrder(Settings settings, Policy policy) {
         this.policy = policy;
         teams = settings.teams();
@@ -51,19 +56,22 @@
     }
 
     /**
-     * A job and what its position in the queue depends on. One job may have several positions, each
-     * for some of its tasks.
+     * A job's entry in the queue, with the values that its position depends on. One job may have
+     * several entries, each for some of its tasks.
      *
-     * @param priority ordinal of its own priority, the smaller the more urgent
-     * @param withinGuarantee whether its team is guaranteed what it needs
-     * @param deadlineUnreachable whether its deadline has passed by more than its run time
-     * @param slackSeconds until it has to start to be done in time; negative when that has passed
-     * @param starving whether this position is only for tasks that are overdue to start
-     * @param firstStart whether none of its tasks has started, and this position is for the first
-     * @param maxTasks of the job for which this position is
-     * @param effectivePriority what the operators' records make of it
-     * @param replicaRank among services: 0 for the first replica of one that has none, else the
-     *     larger the more it has; 1 for other jobs
+     * @param priority ordinal of the job's own priority; a smaller one is more urgent
+     * @param withinGuarantee whether the job is within its team's guarantee
+     * @param deadlineUnreachable whether the time by which the job had to start to meet its
+     *     deadline has passed by more than its run time
+     * @param slackSeconds seconds until the job has to start to meet its deadline; negative when
+     *     that time has passed
+     * @param starving whether this entry is only for overdue tasks
+     * @param firstStart whether none of the job's tasks has started and this entry is for the first
+     *     ones
+     * @param maxTasks maximum number of the job's tasks that this entry is for
+     * @param effectivePriority the job's priority by the operators' records
+     * @param replicaRank order among services: 0 for the first replica of a service that has none,
+     *     else larger the more replicas it has; 1 for other jobs
      */
     public record QueueEntry(
             Job job,
@@ -76,7 +84,7 @@
             int maxTasks,
             EffectivePriority effectivePriority,
             double replicaRank) {
-        /** The same with another rank among services, for so many tasks. */
+        /** This entry with another order among services, for this many tasks. */
         QueueEntry withReplicaRank(double rank, int tasks) {
             return new QueueEntry(
                     job,
@@ -91,12 +99,15 @@
                     rank);
         }
 
-        /** The same position for so many tasks. */
+        /** This entry limited to this many tasks. */
         QueueEntry limitedTo(int tasks) {
             return withReplicaRank(replicaRank, tasks);
         }
 
-        /** By its own priority: what it may preempt and what may preempt it goes by this. */
+        /**
+         * Tier by the job's own priority; it decides what the job may preempt and what may preempt
+         * the job.
+         */
         int tier() {
             return firstStart
                     ? TIER_FIRST_START
@@ -104,7 +115,7 @@
         }
 
         /**
-         * By the priority that its class lets it be ordered by; work covered by an open window
+         * Tier by the priority that the job's class orders it by; work covered by an open window
          * doesn't wait behind starving work.
          */
         int orderingTier() {
@@ -119,13 +130,13 @@
             return effectivePriority.orderingPriority(job.spec);
         }
 
-        /** By when it should have started, in milliseconds since 1970. */
+        /** Time by which the job should have started, in milliseconds since 1970. */
         long startDeadlineMillis() {
             return job.acceptedAtEpochMillis()
                     + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
-        /** The same job's position for so many tasks that are overdue to start. */
+        /** The same job's entry for this many overdue tasks. */
         QueueEntry asStarving(boolean atFirstStart, int tasks) {
             return new QueueEntry(
                     job,
@@ -142,8 +153,8 @@
     }
 
     /**
-     * The smaller, the earlier; work may be preempted only by work of a smaller tier, or the two
-     * would preempt each other without end.
+     * Tier of a job; smaller tiers come earlier. Work may be preempted only by work of a smaller
+     * tier, or the two would preempt each other endlessly.
      */
     static int tier(int priority, boolean withinGuarantee, boolean starving) {
         return priority < TIER_FIRST_START
@@ -159,8 +170,8 @@
         int result = Integer.compare(a.orderingTier(), b.orderingTier());
         if (result == 0
                 && (a.orderingTier() == TIER_STARVING || a.orderingTier() == TIER_FIRST_START)) {
-            // First open windows; then whoever has waited longest, or endless arrivals of one
-            // priority would starve another.
+            // Work covered by open windows comes first, then the job that should have started
+            // earliest; otherwise endless arrivals of one priority would starve another.
             result =
                     Boolean.compare(
                             b.effectivePriority.isCovered(), a.effectivePriority.isCovered());
@@ -181,8 +192,8 @@
     }
 
     /**
-     * What operators' records say, within a tier: priority, then open windows, then the rank of the
-     * class.
+     * Compares by the operators' records, within a tier: priority, then open windows, then the rank
+     * of the class.
      */
     private static int compareEffectivePriority(QueueEntry a, QueueEntry b) {
         int result = Integer.compare(a.orderingPriority(), b.orderingPriority());
@@ -197,9 +208,9 @@
     }
 
     /**
-     * Whether running work comes before waiting work by the operators' records. It isn't preempted
-     * then, whatever the protocol allows: it would take the capacity back at once, and the two
-     * would take turns without end.
+     * Whether running work comes before waiting work by the operators' records. Such work isn't
+     * preempted, whatever the protocol allows: it would take the capacity back at once, and the two
+     * would preempt each other endlessly.
      */
     static boolean precedes(QueueEntry running, QueueEntry waiting) {
         int result = Integer.compare(running.orderingTier(), waiting.orderingTier());
@@ -207,39 +218,39 @@
     }
 
     /**
-     * The positions in the queue of the jobs that wait, in order.
+     * The queue entries of the waiting jobs, in order.
      *
-     * @param replicasTakeTurns whether services get one replica each before any gets a second
-     * @param wallMillis milliseconds since 1970
+     * @param spreadReplicas whether every service gets one replica before any gets a second
+     * @param wallMillis wall-clock time in milliseconds since 1970
      */
     List<QueueEntry> queue(
-            List<Job> candidates, SchedulingPlan plan, boolean replicasTakeTurns, long wallMillis) {
+            List<Job> candidates, SchedulingPlan plan, boolean spreadReplicas, long wallMillis) {
         List<QueueEntry> queue = new ArrayList<>(candidates.size());
         for (Job job : candidates) {
-            QueueEntry ranked = entryFor(job, plan.jobsWithinGuarantee.contains(job), wallMillis);
-            if (replicasTakeTurns && job.spec.isService()) {
-                // One replica of every service before any second one; then those of which the
-                // largest part is missing.
-                ranked =
-                        ranked.withReplicaRank(
+            QueueEntry entry = entryFor(job, plan.jobsWithinGuarantee.contains(job), wallMillis);
+            if (spreadReplicas && job.spec.isService()) {
+                // One replica of every service comes before any second one; then come the services
+                // that lack the largest part of their replicas.
+                entry =
+                        entry.withReplicaRank(
                                 1 + job.possiblyRunningTaskCount() / (double) job.spec.taskCount(),
                                 Integer.MAX_VALUE);
                 if (job.possiblyRunningTaskCount() == 0 && job.spec.taskCount() > 1) {
-                    queue.add(ranked.withReplicaRank(0, 1));
+                    queue.add(entry.withReplicaRank(0, 1));
                 }
             }
-            queue.add(ranked);
-            addOverdueTasks(queue, ranked, plan.entitledTasksByStarvingJob.getOrDefault(job, 0));
+            queue.add(entry);
+            addOverdueTasks(queue, entry, plan.entitledTasksByStarvingJob.getOrDefault(job, 0));
         }
         queue.sort(BY_QUEUE_ORDER);
         return queue;
     }
 
-    /** Adds the job's positions for the tasks that are overdue to start, if there are any. */
+    /** Adds the job's entries for its overdue tasks, if there are any. */
     private static void addOverdueTasks(
-            List<QueueEntry> queue, QueueEntry ranked, int entitledTasks) {
-        JobSpec spec = ranked.job.spec;
-        int startedTasks = ranked.job.completedTaskCount() + ranked.job.possiblyRunningTaskCount();
+            List<QueueEntry> queue, QueueEntry entry, int entitledTasks) {
+        JobSpec spec = entry.job.spec;
+        int startedTasks = entry.job.completedTaskCount() + entry.job.possiblyRunningTaskCount();
         int overdueTasks = entitledTasks - startedTasks;
         int firstStarts;
         if (spec.isGang()) {
@@ -253,22 +264,22 @@
                             1 + spec.taskCount() / SchedulerConstants.OVERDUE_FIRST_TASKS_DIVISOR);
         }
         if (firstStarts > 0) {
-            queue.add(ranked.asStarving(true, firstStarts));
+            queue.add(entry.asStarving(true, firstStarts));
         }
-        if (overdueTasks > Math.max(0, firstStarts) && ranked.tier() > TIER_STARVING) {
-            queue.add(ranked.asStarving(false, overdueTasks - Math.max(0, firstStarts)));
+        if (overdueTasks > Math.max(0, firstStarts) && entry.tier() > TIER_STARVING) {
+            queue.add(entry.asStarving(false, overdueTasks - Math.max(0, firstStarts)));
         }
     }
 
     /**
      * Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
      *
-     * @param byAge all unfinished jobs, the oldest first
+     * @param oldestFirst all unfinished jobs, the oldest first
      */
-    public Set<Job> jobsWithinGuarantee(Collection<Job> byAge) {
+    public Set<Job> jobsWithinGuarantee(Collection<Job> oldestFirst) {
         Map<String, TeamUsage> demandByTeam = new HashMap<>();
         Set<Job> within = new HashSet<>();
-        for (Job job : byAge) {
+        for (Job job : oldestFirst) {
             Settings.Team team = teams.get(job.spec.team());
             if (team == null || job.isCancelled()) {
                 continue;
@@ -285,12 +296,12 @@
     }
 
     /**
-     * The job's position in the queue for all its tasks.
+     * The job's queue entry for all its tasks.
      *
-     * @param wallNowMillis milliseconds since 1970
+     * @param wallMillis wall-clock time in milliseconds since 1970
      */
-    public QueueEntry entryFor(Job job, boolean withinGuarantee, long wallNowMillis) {
-        double ageSeconds = (wallNowMillis - job.acceptedAtEpochMillis()) / 1000.0;
+    public QueueEntry entryFor(Job job, boolean withinGuarantee, long wallMillis) {
+        double ageSeconds = (wallMillis - job.acceptedAtEpochMillis()) / 1000.0;
         double runtimeSeconds = job.spec.runtimeSeconds();
         double dueSeconds =
                 job.spec.deadlineSeconds() >= 0
@@ -305,7 +316,7 @@
             secondsLeft =
                     Math.min(
                             secondsLeft,
-                            (effectivePriority.publicationMillis() - wallNowMillis) / 1000.0);
+                            (effectivePriority.publicationMillis() - wallMillis) / 1000.0);
         }
         double slackSeconds =
                 secondsLeft - runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 
 /**
- * One pass over the queue of waiting jobs: finds the jobs that wait and the free capacity, ranks
- * the jobs, lets a {@link QueueWalk} place them, and remembers from pass to pass what has waited
- * how long.
+ * Schedules the queue of waiting jobs. Each pass collects the waiting jobs and the free capacity,
+ * orders the jobs and places them by a {@link QueueWalk}. Remembers from pass to pass how long work
+ * has waited.
  */
 final class QueueScheduler {
     private final EventLoop loop;
@@ -32,9 +32,9 @@
     private final PeerDrainReservations ownerDrains;
     private final EscalationPolicy escalationPolicy;
     private final UnservedJobTracker unservedJobs;
-    private final CapacityWithholdingTimer gpuHoldBackTimer;
+    private final CapacityWithholdingTimer gpuWithholdingTimer;
 
-    /** When best-effort work may be placed again, in milliseconds on the loop's clock. */
+    /** Event-loop time in milliseconds from which best-effort work may be placed again. */
     private long bestEffortAtMillis;
 
     private boolean workWaiting;
@@ -65,7 +65,7 @@
         this.ownerDrains = new PeerDrainReservations(cluster);
         this.escalationPolicy = new EscalationPolicy(loop, capacityReader);
         this.unservedJobs = new UnservedJobTracker(loop, cluster.jobs());
-        this.gpuHoldBackTimer = new CapacityWithholdingTimer(loop);
+        this.gpuWithholdingTimer = new CapacityWithholdingTimer(loop);
     }
 
     /** Whether work of this controller waited for free capacity at the last pass. */
@@ -78,17 +78,20 @@
         return largestGangPages;
     }
 
-    /** Whether work that waits at the leader could go where a task has just terminated. */
+    /**
+     * Whether work that waits at the leader could be placed on the machine, where a task has just
+     * terminated.
+     */
     boolean canLeaderUse(String host) {
         return leaderPrecedence.canLeaderUse(host);
     }
 
     /**
-     * Writes into the plan where waiting tasks go.
+     * Places waiting tasks in the plan.
      *
-     * @param leaderId the leader, if this controller is heard by it; else null
-     * @param terminations puts terminations on record, after urgent work and before best-effort
-     *     work
+     * @param leaderId member id of the leader, if it acknowledges this controller's status; else
+     *     null
+     * @param terminations records terminations, after urgent work and before best-effort work
      */
     void placeWaitingJobs(SchedulingPlan plan, String leaderId, TerminationRecorder terminations) {
         List<Job> candidates = new ArrayList<>();
@@ -97,8 +100,8 @@
         collectStarvingJobs(plan);
         candidates.addAll(plan.admittedJobs);
         if (!cluster.policy().isReady()) {
-            // The classes in force can't be read here: nothing is placed by others. Terminations go
-            // on record all the same.
+            // This controller can't read the priority classes in force, and nothing may be placed
+            // by any others. Terminations are recorded all the same.
             candidates.clear();
         }
         leaderPrecedence.setJobsAtLeader(jobsAtLeader);
@@ -107,7 +110,7 @@
         if (!workWaiting) {
             escalationPolicy.clear();
             unservedJobs.clear();
-            gpuHoldBackTimer.reset();
+            gpuWithholdingTimer.reset();
             terminations.recordDue(plan);
             return;
         }
@@ -117,7 +120,7 @@
                                 .expectedUrgentCpus(SchedulerConstants.CONSTRAINED_RESERVE_SECONDS)
                         / (plan.leading ? 1 : Math.max(1, cluster.membership().shards().size()));
         plan.gpuWithholding =
-                gpuHoldBackTimer.beginPass(isAnyOnGpus(candidates) || isAnyOnGpus(jobsAtLeader));
+                gpuWithholdingTimer.beginPass(isAnyOnGpus(candidates) || isAnyOnGpus(jobsAtLeader));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(cluster.jobs().jobsOldestFirst());
         leaderPrecedence.reserveCapacityForLeader(plan, jobsAtLeader);
         if (plan.leading) {
@@ -148,8 +151,8 @@
     }
 
     /**
-     * Sums up what teams use, and finds the jobs that wait: ours, and the leader's that its team's
-     * quota share lets in.
+     * Sums up the teams' usage and collects the waiting jobs: those of this controller, and those
+     * of the leader that their teams' quota shares at the leader admit.
      */
     private void collectWaitingJobs(
             SchedulingPlan plan, String leaderId, List<Job> candidates, List<Job> jobsAtLeader) {
@@ -188,7 +191,7 @@
                                         < (job.spec.isGang() ? job.pendingTaskCount() : 1));
     }
 
-    /** Finds the jobs that have had fewer first starts than they are due by their age. */
+    /** Collects the jobs of which no more tasks have started than are due by their age. */
     private void collectStarvingJobs(SchedulingPlan plan) {
         long wallMillis = loop.wallClockMillis();
         for (Job job : cluster.jobs().jobsOldestFirst()) {
@@ -222,29 +225,39 @@
         Preemption preemption =
                 new Preemption(
                         loop, settings, cluster.jobs(), plan, storeUnderPressure, cluster.policy());
-        QuotaAccumulator quotaSaving =
+        QuotaAccumulator quotaAccumulator =
                 new QuotaAccumulator(plan, cluster.jobs(), settings.memberId(), terminations);
-        reserveQuota(queue, quotaSaving, wallMillis);
+        reserveQuota(queue, quotaAccumulator, wallMillis);
         EscalationPolicy.Decisions escalation = escalationPolicy.decisionsFor(plan);
         boolean gpusInDemand = plan.pools.values().stream().anyMatch(pool -> pool.gpusInDemand);
         QueueWalk.Conditions conditions =
                 new QueueWalk.Conditions(
                         wallMillis, storeUnderPressure, gpusInDemand, takeBestEffortTurn());
-        new QueueWalk(plan, placer, preemption, quotaSaving, escalation, unservedJobs, conditions)
+        new QueueWalk(
+                        plan,
+                        placer,
+                        preemption,
+                        quotaAccumulator,
+                        escalation,
+                        unservedJobs,
+                        conditions)
                 .walk(queue, terminations);
         if (conditions.bestEffortDue()) {
-            gpuHoldBackTimer.endPass(plan.gpuWithholding);
+            gpuWithholdingTimer.endPass(plan.gpuWithholding);
         }
         escalation.forgetPlacedJobs();
         unservedJobs.forgetFinishedJobs();
     }
 
-    /** Reserves quota for those of our jobs that are the first of their teams to get it. */
+    /**
+     * Reserves quota for those of this controller's jobs that are their teams' first to get
+     * reserved quota.
+     */
     private void reserveQuota(
-            List<QueueOrder.QueueEntry> queue, QuotaAccumulator quotaSaving, long wallMillis) {
+            List<QueueOrder.QueueEntry> queue, QuotaAccumulator quotaAccumulator, long wallMillis) {
         Map<String, List<Job>> reservedByTeam = new HashMap<>();
-        for (QueueOrder.QueueEntry ranked : queue) {
-            Job job = ranked.job();
+        for (QueueOrder.QueueEntry entry : queue) {
+            Job job = entry.job();
             if (quotaReservations.isEligibleForReservedQuota(job, wallMillis)
                     && reservedByTeam
                             .computeIfAbsent(
@@ -253,14 +266,14 @@
                                             quotaReservations.jobsWithReservedQuota(
                                                     team, wallMillis))
                             .contains(job)) {
-                quotaSaving.reserveFor(ranked);
+                quotaAccumulator.reserveFor(entry);
             }
         }
     }
 
     /**
-     * Whether best-effort work is placed in this pass: while writes are scarce, only now and then;
-     * capacity for it gathers meanwhile.
+     * Whether best-effort work is placed in this pass: while writes are scarce, only at intervals,
+     * during which free capacity for it builds up.
      */
     private boolean takeBestEffortTurn() {
         boolean due = loop.nowMillis() >= bestEffortAtMillis;
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -8,19 +8,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Walks once over the ranked jobs, first to last: places what fits, frees capacity by preemption
- * where that is allowed, and says which jobs should be escalated to the leader. Made for one plan.
+ * Walks once over the queue, first to last: places the tasks that fit, frees capacity by preemption
+ * where that is allowed, and selects the jobs to escalate to the leader. Created for one plan.
  */
 final class QueueWalk {
     private static final Logger LOG = LoggerFactory.getLogger(QueueWalk.class);
 
     /**
-     * What holds for the whole walk.
+     * Conditions that hold for the whole walk.
      *
-     * @param wallMillis milliseconds since 1970
-     * @param storeUnderPressure whether writes are so short that fewer of them count more
-     * @param gpusInDemand whether constrained work seeks the GPUs of some machines
-     * @param bestEffortDue whether best-effort work gets its turn
+     * @param wallMillis wall-clock time in milliseconds since 1970
+     * @param storeUnderPressure whether backpressure is so high that saving writes comes before
+     *     saving work
+     * @param gpusInDemand whether constrained work demands the GPUs of some machines
+     * @param bestEffortDue whether best-effort work is placed in this walk
      */
     record Conditions(
             long wallMillis,
@@ -31,12 +32,12 @@
     private final SchedulingPlan plan;
     private final Placer placer;
     private final Preemption preemption;
-    private final QuotaAccumulator quotaSaving;
+    private final QuotaAccumulator quotaAccumulator;
     private final EscalationPolicy.Decisions escalation;
     private final UnservedJobTracker unservedJobs;
     private final Conditions conditions;
 
-    /** Records of the transaction that the walk has written for starving work. */
+    /** Number of records that the walk has added to the transaction for starving work. */
     private int starvingRecords;
 
     private boolean terminationsRecorded;
@@ -45,14 +46,14 @@
             SchedulingPlan plan,
             Placer placer,
             Preemption preemption,
-            QuotaAccumulator quotaSaving,
+            QuotaAccumulator quotaAccumulator,
             EscalationPolicy.Decisions escalation,
             UnservedJobTracker unservedJobs,
             Conditions conditions) {
         this.plan = plan;
         this.placer = placer;
         this.preemption = preemption;
-        this.quotaSaving = quotaSaving;
+        this.quotaAccumulator = quotaAccumulator;
         this.escalation = escalation;
         this.unservedJobs = unservedJobs;
         this.conditions = conditions;
@@ -60,34 +61,35 @@
 
     void walk(List<QueueOrder.QueueEntry> queue, TerminationRecorder terminations) {
         int starvingRecordBudget = starvingRecordBudget(queue);
-        for (QueueOrder.QueueEntry ranked : queue) {
-            Job job = ranked.job();
-            boolean bestEffort = ranked.priority() == JobSpec.Priority.BEST_EFFORT.ordinal();
-            if (ranked.starving() && mustYield(job, bestEffort)) {
+        for (QueueOrder.QueueEntry entry : queue) {
+            Job job = entry.job();
+            boolean bestEffort = entry.priority() == JobSpec.Priority.BEST_EFFORT.ordinal();
+            if (entry.starving() && mustYield(job, bestEffort)) {
                 continue;
             }
-            if (!terminationsRecorded && bestEffort && !ranked.starving()) {
-                // Where writes are scarce, urgent work comes before the record of terminations, and
-                // that before best-effort work.
+            if (!terminationsRecorded && bestEffort && !entry.starving()) {
+                // Where writes are scarce, urgent work comes before recording terminations, and
+                // recording terminations before best-effort work.
                 terminationsRecorded = true;
                 terminations.recordDue(plan);
             }
-            // Where writes are scarce, guaranteed work would take all records of every cycle.
+            // Without reserved records, guaranteed work would take all records of every cycle where
+            // writes are scarce.
             int reservedRecords =
-                    ranked.tier() == QueueOrder.TIER_GUARANTEED ? starvingRecordBudget : 0;
+                    entry.tier() == QueueOrder.TIER_GUARANTEED ? starvingRecordBudget : 0;
             if (plan.isFull(reservedRecords) && !plan.containsRecordOf(job)) {
-                // No further record fits, but those in the plan may hold more: a job that enters
-                // with it gets its placements at once.
+                // No further record fits, but records that are in the plan may take more
+                // placements: a job that is admitted with this plan is placed at once.
                 plan.truncated = true;
                 escalation.keepIfStuck(job);
                 continue;
             }
             if (!conditions.bestEffortDue && bestEffort
-                    || quotaSaving.isAccumulatedForOthers(ranked)) {
+                    || quotaAccumulator.isAccumulatedForOthers(entry)) {
                 escalation.addStuck(job);
                 continue;
             }
-            place(ranked);
+            place(entry);
         }
         if (!terminationsRecorded) {
             terminations.recordDue(plan);
@@ -96,15 +98,15 @@
 
     private static int starvingRecordBudget(List<QueueOrder.QueueEntry> queue) {
         int starving = 0;
-        for (QueueOrder.QueueEntry ranked : queue) {
-            starving += ranked.tier() == QueueOrder.TIER_STARVING ? 1 : 0;
+        for (QueueOrder.QueueEntry entry : queue) {
+            starving += entry.tier() == QueueOrder.TIER_STARVING ? 1 : 0;
         }
         return Math.min(SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE, starving);
     }
 
     /**
-     * Starving work gets its turn, but where writes are scarce it does not take those that urgent
-     * work needs next.
+     * Whether a starving job is skipped: best-effort work that isn't due, and, where writes are
+     * scarce, jobs that would take further records, which urgent work needs next.
      */
     private boolean mustYield(Job job, boolean bestEffort) {
         return bestEffort && !conditions.bestEffortDue
@@ -113,66 +115,66 @@
                         && !plan.containsRecordOf(job);
     }
 
-    private void place(QueueOrder.QueueEntry ranked) {
-        Job job = ranked.job();
+    private void place(QueueOrder.QueueEntry entry) {
+        Job job = entry.job();
         int wanted = plan.unplacedTasks(job);
-        quotaSaving.withholdReserved(ranked);
-        quotaSaving.freeQuotaShare(job.spec, wanted);
-        boolean alreadyInPlan = ranked.starving() && plan.containsRecordOf(job);
-        int unplaced = placer.place(ranked, false);
-        if (conditions.gpusInDemand && unplaced < Math.min(ranked.maxTasks(), wanted)) {
+        quotaAccumulator.withholdReserved(entry);
+        quotaAccumulator.freeQuotaShare(job.spec, wanted);
+        boolean alreadyInPlan = entry.starving() && plan.containsRecordOf(job);
+        int unplaced = placer.place(entry, false);
+        if (conditions.gpusInDemand && unplaced < Math.min(entry.maxTasks(), wanted)) {
             unservedJobs.markServed(job);
         }
-        if (ranked.starving()) {
+        if (entry.starving()) {
             if (unplaced > 0) {
-                helpStarving(ranked, unplaced, alreadyInPlan);
+                handleUnplacedStarving(entry, unplaced, alreadyInPlan);
             } else {
                 starvingRecords += alreadyInPlan ? 0 : 1;
             }
         } else if (unplaced > 0) {
-            helpUnplaced(ranked, unplaced);
+            handleUnplaced(entry, unplaced);
         }
     }
 
-    private void helpStarving(QueueOrder.QueueEntry ranked, int unplaced, boolean alreadyInPlan) {
-        Job job = ranked.job();
+    private void handleUnplacedStarving(
+            QueueOrder.QueueEntry entry, int unplaced, boolean alreadyInPlan) {
+        Job job = entry.job();
         int stillUnplaced = unplaced;
         if (!job.spec.isUnconstrained()) {
-            // Unconstrained work finds machines elsewhere: those whose GPUs gangs seek are no way
-            // out for it.
-            stillUnplaced = placer.place(ranked, true);
+            // Unconstrained work can find other machines, so machines whose GPUs gangs demand stay
+            // withheld from it.
+            stillUnplaced = placer.place(entry, true);
         }
         starvingRecords += !alreadyInPlan && plan.containsRecordOf(job) ? 1 : 0;
-        placer.reserveMachines(ranked, stillUnplaced);
-        quotaSaving.accumulateFor(ranked, stillUnplaced);
-        preemption.freeCapacityFor(ranked, stillUnplaced, placer.allowedZones(job));
+        placer.reserveMachines(entry, stillUnplaced);
+        quotaAccumulator.accumulateFor(entry, stillUnplaced);
+        preemption.freeCapacityFor(entry, stillUnplaced, placer.allowedZones(job));
     }
 
-    private void helpUnplaced(QueueOrder.QueueEntry ranked, int unplaced) {
-        Job job = ranked.job();
+    private void handleUnplaced(QueueOrder.QueueEntry entry, int unplaced) {
+        Job job = entry.job();
         boolean waitedLong =
-                ranked.tier() <= QueueOrder.TIER_GUARANTEED
+                entry.tier() <= QueueOrder.TIER_GUARANTEED
                         && conditions.wallMillis - job.acceptedAtEpochMillis()
                                 > SchedulerConstants.LONG_WAIT_SECONDS * 1000;
         if (waitedLong) {
-            // Urgent work comes first anyway, but single tasks of all other work fit into what is
-            // too little for a gang.
-            quotaSaving.accumulateFor(ranked, unplaced);
+            // Urgent work comes first anyway, but single tasks of all other work fit into a quota
+            // share that is too small for a gang.
+            quotaAccumulator.accumulateFor(entry, unplaced);
         }
-        int withoutCapacity =
-                preemption.freeCapacityFor(ranked, unplaced, placer.allowedZones(job));
-        // What is kept for others' GPUs serves work that nothing else has served for long: empty,
-        // it would serve nobody.
+        int withoutCapacity = preemption.freeCapacityFor(entry, unplaced, placer.allowedZones(job));
+        // Machines that are withheld for GPU demand may be used by work that has been unserved for
+        // too long; left empty, they would serve no work at all.
         boolean unservedTooLong = conditions.gpusInDemand && unservedJobs.isUnservedTooLong(job);
         int stillUnplaced = unplaced;
         if (withoutCapacity > 0
-                && (ranked.priority() == JobSpec.Priority.PRODUCTION.ordinal()
+                && (entry.priority() == JobSpec.Priority.PRODUCTION.ordinal()
                         || waitedLong
                         || unservedTooLong)) {
-            stillUnplaced = placer.place(ranked, true);
+            stillUnplaced = placer.place(entry, true);
         }
         if (conditions.gpusInDemand && Math.min(withoutCapacity, stillUnplaced) > 0) {
-            stillUnplaced -= placer.placeOnWithheldMachine(ranked);
+            stillUnplaced -= placer.placeOnWithheldMachine(entry);
         }
         if (stillUnplaced > 0) {
             logWaitingGang(job, withoutCapacity);
@@ -182,11 +184,11 @@
         }
     }
 
-    /** Tells whether a waiting gang lacks quota or machines. */
+    /** Logs whether a waiting gang lacks quota or machines. */
     private void logWaitingGang(Job job, int tasksWithoutCapacity) {
         if (LOG.isDebugEnabled() && job.spec.isGang()) {
             LOG.debug(
-                    "gang {} waits: quota share of {} lets in {} of {} tasks, {} of them find no"
+                    "gang {} is waiting: quota share of {} admits {} of {} tasks, {} tasks find no"
                             + " machine after preemption",
                     job.spec.jobId(),
                     job.spec.team(),
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -23,48 +23,50 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduling cycle: each one gathers the evidence of terminated tasks, places waiting tasks and
- * commits all of it as one durable write, under preconditions on this controller's shard, on the
- * operators' records in force and on each job and task state page it touches. No start leaves
+ * Runs scheduling cycles. Each cycle collects the evidence of terminated tasks, places waiting
+ * tasks and commits both as one durable write, with preconditions on this controller's shard, on
+ * the operators' records in force and on each job and task state page it touches. No start is sent
  * before the write is confirmed.
  *
- * <p>This class decides when a cycle runs and what follows its outcome; {@link QueueScheduler}
- * decides what is placed where, {@link PlanEncoder} and {@link EscalationEncoder} what is written.
+ * <p>This class decides when a cycle runs and handles its outcome; {@link QueueScheduler} decides
+ * what is placed where, {@link PlanEncoder} and {@link EscalationEncoder} what is written.
  */
 public final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
 
-    /** States of the cycle; {@link #transitionTo} is the one function that changes them. */
+    /** Phases of the cycle; only {@link #transitionTo} changes the phase. */
     private enum Phase {
-        /** Nothing to do. */
+        /** No cycle is scheduled or being committed. */
         IDLE,
-        /** It runs when the least time between two cycles has passed. */
+        /** A cycle runs when the minimum time between two cycles has passed. */
         SCHEDULED,
-        /** It could not run when it was due; it runs after a pause that no request shortens. */
+        /**
+         * A cycle could not run when it was due; it runs after a delay that no request shortens.
+         */
         BACKING_OFF,
-        /** Its transaction is on its way to the store. */
+        /** The cycle's transaction is being committed. */
         COMMITTING
     }
 
     private final EventLoop loop;
-    private final MembershipLease membership;
+    private final MembershipLease lease;
     private final WatchCache watchCache;
     private final StoreClient store;
-    private final ClusterMembership shards;
+    private final ClusterMembership membership;
     private final JobTable jobs;
-    private final ControllerComponents collaborators;
+    private final ControllerComponents components;
     private final String memberId;
-    private final Runnable onCycleSettled;
-    private final AdmissionQueue enteringJobs;
+    private final Runnable onCycleFinished;
+    private final AdmissionQueue admissionQueue;
     private final UnrecordedTerminations terminations;
     private final TaskEvictor taskEvictor;
-    private final QueueScheduler queuePass;
+    private final QueueScheduler queueScheduler;
     private final PlanEncoder planEncoder;
     private final EscalationEncoder leaderEscalation;
 
     /**
-     * Two cycles that know nothing of each other may use up the same quota share, or choose two
-     * zones for one job.
+     * Blocks cycles while a write is indeterminate: two cycles unaware of each other could use up
+     * the same quota share, or choose two zones for one job.
      */
     private final IndeterminateWriteFence fence;
 
@@ -77,14 +79,14 @@
     private long lastCycleMillis;
 
     /**
-     * When the next cycle runs; far off if none is scheduled. A timer that finds another time here
-     * is out of date.
+     * Event-loop time at which the next cycle runs; {@link Long#MAX_VALUE} if none is scheduled. A
+     * timer set for another time than this is stale.
      */
     private long scheduledAtMillis = Long.MAX_VALUE;
 
     /**
-     * @param onCycleSettled called after each cycle that ran, when its outcome is known: responses
-     *     to workers that waited for it may leave
+     * @param onCycleFinished called after each cycle that ran, when its outcome is known: responses
+     *     to workers that waited for it may be sent
      */
     public SchedulingCycle(
             EventLoop loop,
@@ -92,30 +94,30 @@
             OperatorSettings operatorSettings,
             StoreAccess storeAccess,
             ClusterView cluster,
-            ControllerComponents collaborators,
-            Runnable onCycleSettled) {
+            ControllerComponents components,
+            Runnable onCycleFinished) {
         this.loop = loop;
         this.memberId = settings.memberId();
-        this.membership = storeAccess.lease();
+        this.lease = storeAccess.lease();
         this.watchCache = storeAccess.watchCache();
         this.store = storeAccess.client();
-        this.shards = cluster.membership();
+        this.membership = cluster.membership();
         this.jobs = cluster.jobs();
-        this.collaborators = collaborators;
-        this.onCycleSettled = onCycleSettled;
-        this.enteringJobs = new AdmissionQueue(loop, jobs);
+        this.components = components;
+        this.onCycleFinished = onCycleFinished;
+        this.admissionQueue = new AdmissionQueue(loop, jobs);
         this.terminations = new UnrecordedTerminations(loop, store, jobs, memberId);
-        this.taskEvictor = new TaskEvictor(loop, cluster, collaborators.workerGateway());
-        this.queuePass =
+        this.taskEvictor = new TaskEvictor(loop, cluster, components.workerGateway());
+        this.queueScheduler =
                 new QueueScheduler(
                         loop,
                         settings,
                         operatorSettings,
                         store,
                         cluster,
-                        new ReportedMachineStatus(settings, collaborators));
-        this.planEncoder = new PlanEncoder(watchCache, shards, cluster.policy());
-        this.leaderEscalation = new EscalationEncoder(storeAccess, shards, settings);
+                        new ReportedMachineStatus(settings, components));
+        this.planEncoder = new PlanEncoder(watchCache, membership, cluster.policy());
+        this.leaderEscalation = new EscalationEncoder(storeAccess, membership, settings);
         this.fence =
                 new IndeterminateWriteFence(
                         loop,
@@ -125,15 +127,18 @@
                         this::rewriteOwnShard);
     }
 
-    /** Puts the own shard's record again as it is; null if there is none. */
+    /**
+     * Returns a transaction that rewrites this controller's shard record unchanged; null if there
+     * is none.
+     */
     private Transaction rewriteOwnShard() {
-        ClusterMembership.Shard shard = shards.localShard();
+        ClusterMembership.Shard shard = membership.localShard();
         if (shard == null) {
             return null;
         }
         return new Transaction()
                 .requireRevision(shard.storeKey(), watchCache.modRevision(shard.storeKey()))
-                .put(shard.storeKey(), shard.encode(), membership.leaseId());
+                .put(shard.storeKey(), shard.encode(), lease.leaseId());
     }
 
     private void transitionTo(Phase next) {
@@ -141,39 +146,40 @@
     }
 
     /**
-     * Takes in an urgent job that is being submitted. One transaction then records both that it is
-     * accepted and where its tasks go, and its first start can leave as soon as its user is
-     * answered.
+     * Admits an urgent job that is being submitted to the next cycle. One transaction then records
+     * both that it is accepted and where its tasks are placed, and its first start can be sent as
+     * soon as its user is answered.
      *
-     * @param patienceMillis after which the job is rejected if no cycle could record it
+     * @param timeoutMillis time after which the job is rejected if no cycle could record it
      * @param onOutcome called once with the outcome, if this returns true
-     * @return false if the job has to be recorded without a cycle; nothing was done then
+     * @return false if the job must be recorded without a cycle; nothing has been done then
      */
-    public boolean admit(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome) {
+    public boolean admit(Job job, long timeoutMillis, Transaction.OutcomeHandler onOutcome) {
         boolean urgent = job.spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal();
         if (!urgent
                 || !job.hasSinglePage()
-                || !membership.isValid()
-                || shards.localShard() == null
-                || !enteringJobs.accepts(job)) {
+                || !lease.isValid()
+                || membership.localShard() == null
+                || !admissionQueue.accepts(job)) {
             return false;
         }
-        enteringJobs.add(job, patienceMillis, onOutcome);
+        admissionQueue.add(job, timeoutMillis, onOutcome);
         requestCycle();
         return true;
     }
 
-    /** Whether a cycle is scheduled or on its way to the store. */
+    /** Whether a cycle is scheduled, backing off or being committed. */
     public boolean isCyclePending() {
         return phase != Phase.IDLE;
     }
 
-    /** Something changed: a cycle follows, together with whatever else comes until then. */
+    /** Requests a cycle after a change; all requests until it runs share that cycle. */
     public void requestCycle() {
-        // Jobs that are being submitted aren't kept waiting, nor what did not fit a full
-        // transaction; all else gathers longer while writes are scarce, and shares records.
+        // Jobs that are being submitted, and changes that did not fit into a full transaction, wait
+        // for the minimum interval only; everything else is batched for longer while writes are
+        // scarce, so that it shares records.
         requestCycleAfterGap(
-                lastPlanTruncated || !enteringJobs.isEmpty()
+                lastPlanTruncated || !admissionQueue.isEmpty()
                         ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS
                         : store.backpressureDelayMillis(
                                 SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS,
@@ -187,13 +193,13 @@
         if (phase == Phase.SCHEDULED) {
             scheduleAt(lastCycleMillis + gapMillis);
         } else if (phase == Phase.COMMITTING) {
-            // What came after the plan was made isn't in it: evidence would otherwise wait for the
-            // next event.
+            // The plan being committed lacks what arrived after it was made; without another cycle,
+            // that evidence would wait for the next event.
             cycleRequestedMeanwhile = true;
         }
     }
 
-    /** Runs the cycle then, unless it is to run sooner. */
+    /** Schedules the cycle for this time, unless it is already scheduled no later. */
     private void scheduleAt(long atMillis) {
         if (atMillis >= scheduledAtMillis) {
             return;
@@ -214,26 +220,26 @@
     }
 
     /**
-     * There is evidence that the task has terminated. It counts here at once; on record it may come
-     * later, gathered with others.
+     * Handles evidence that the task has terminated. This controller takes it into account at once,
+     * but may record it later, batched with others.
      */
     public void onTaskTerminated(Placement placement) {
-        boolean urgent = terminations.add(placement, queuePass.canLeaderUse(placement.host));
-        if (urgent || queuePass.hasWorkWaiting()) {
+        boolean urgent = terminations.add(placement, queueScheduler.canLeaderUse(placement.host));
+        if (urgent || queueScheduler.hasWorkWaiting()) {
             requestCycle();
         }
     }
 
-    /** Requests a cycle if work waits or a termination should be on record by now. */
+    /** Requests a cycle if work waits or a termination is due to be recorded. */
     public void requestCycleIfNeeded() {
-        boolean terminationDue = shards.localShard() != null && terminations.isAnyDue();
+        boolean terminationDue = membership.localShard() != null && terminations.isAnyDue();
         if (terminationDue || hasWaitingWork()) {
             requestCycle();
         }
     }
 
     private boolean hasWaitingWork() {
-        if (shards.localShard() == null) {
+        if (membership.localShard() == null) {
             return false;
         }
         for (Job job : jobs.all()) {
@@ -251,65 +257,67 @@
     private void runCycle() {
         lastCycleMillis = loop.nowMillis();
         scheduledAtMillis = Long.MAX_VALUE;
-        enteringJobs.expire();
+        admissionQueue.expire();
         if (!mayDecide()) {
-            // Evidence may be waiting: the cycle is only put off, or nothing might request it
-            // again.
+            // The cycle is postponed rather than dropped: evidence may be waiting, and nothing else
+            // might request a cycle.
             backOff(StoreConstants.RETRY_DELAY_MILLIS);
             return;
         }
         int maxOperations = store.maxTransactionOperations();
         int writeBudget = Math.min(store.affordableWrites(), maxOperations);
-        boolean admitting = !enteringJobs.isEmpty() && store.canAffordUrgentWrite();
+        boolean admitting = !admissionQueue.isEmpty() && store.canAffordUrgentWrite();
         if (admitting) {
-            writeBudget = Math.max(writeBudget, Math.min(enteringJobs.size(), maxOperations));
+            writeBudget = Math.max(writeBudget, Math.min(admissionQueue.size(), maxOperations));
         } else if (writeBudget < minWriteBudget()) {
-            // Over our share of the store's limit: a plan made now would be out of date when it may
-            // be written.
+            // This controller is over its share of the store's limit: a plan made now would be out
+            // of date by the time it may be written.
             backOff(StoreConstants.THROTTLED_COMMIT_DELAY_MILLIS);
             return;
         }
         List<AdmissionQueue.Submission> admitted =
                 admitting
-                        ? enteringJobs.takeAtMost(
+                        ? admissionQueue.takeAtMost(
                                 SchedulingPlan.maxRecords(
-                                        writeBudget, shards.shards().size(), maxOperations))
+                                        writeBudget, membership.shards().size(), maxOperations))
                         : List.of();
-        SchedulingPlan plan = planOrRejectEntering(writeBudget, admitted);
-        // Where the store's budget is what limits a transaction, another one right after it would
-        // be no fuller.
+        SchedulingPlan plan = planOrRejectAdmitted(writeBudget, admitted);
+        // If the store's write budget is what limits the transaction, another one right after it
+        // could write no more than this one.
         lastPlanTruncated = plan.truncated && writeBudget >= maxOperations;
         if (plan.transaction.isEmpty()) {
             transitionTo(Phase.IDLE);
-            onCycleSettled.run();
+            onCycleFinished.run();
             return;
         }
         commit(plan, admitted);
     }
 
-    /** Whether this controller may decide now, on records that are up to date. */
+    /** Whether this controller may schedule now, with records that are up to date. */
     private boolean mayDecide() {
-        return membership.isValid()
-                && shards.localShard() != null
+        return lease.isValid()
+                && membership.localShard() != null
                 && watchCache.isSynced()
                 && fence.trySettle();
     }
 
     private int minWriteBudget() {
         return Math.min(
-                Math.max(SchedulerConstants.MIN_CHANGES_PER_CYCLE, queuePass.largestGangPages()),
+                Math.max(
+                        SchedulerConstants.MIN_CHANGES_PER_CYCLE,
+                        queueScheduler.largestGangPages()),
                 store.maxTransactionOperations());
     }
 
-    private SchedulingPlan planOrRejectEntering(
+    private SchedulingPlan planOrRejectAdmitted(
             int writeBudget, List<AdmissionQueue.Submission> admitted) {
         try {
             return makePlan(writeBudget, admitted);
         } catch (RuntimeException failure) {
-            // Any defect is rethrown as it is; but it must not end all cycles: this one is
-            // abandoned, and the next event finds the cycle idle.
+            // The exception is rethrown, but must not end all cycles: this cycle is abandoned, and
+            // the phase is idle again for the next event.
             transitionTo(Phase.IDLE);
-            enteringJobs.respond(
+            admissionQueue.respond(
                     admitted, new Transaction.Outcome(Transaction.Result.REJECTED, 0, Set.of()));
             throw failure;
         }
@@ -318,17 +326,19 @@
     private SchedulingPlan makePlan(int writeBudget, List<AdmissionQueue.Submission> admitted) {
         SchedulingPlan plan =
                 new SchedulingPlan(
-                        shards.localShard(),
-                        collaborators.leader().isLeading(),
-                        shards.shards().size(),
+                        membership.localShard(),
+                        components.leader().isLeading(),
+                        membership.shards().size(),
                         writeBudget,
                         store.maxTransactionOperations());
         plan.addAdmittedJobs(admitted.stream().map(AdmissionQueue.Submission::job).toList());
         taskEvictor.reconcileGangs(plan);
         taskEvictor.drainMachines(plan);
-        queuePass.placeWaitingJobs(
+        queueScheduler.placeWaitingJobs(
                 plan,
-                collaborators.messenger().isStatusAcknowledgedByLeader() ? shards.leaderId() : null,
+                components.messenger().isStatusAcknowledgedByLeader()
+                        ? membership.leaderId()
+                        : null,
                 terminations);
         planEncoder.encode(plan);
         leaderEscalation.encode(plan);
@@ -337,7 +347,7 @@
 
     private void commit(SchedulingPlan plan, List<AdmissionQueue.Submission> admitted) {
         boolean moreToDo =
-                plan.truncated || !plan.jobsToEscalate.isEmpty() || !enteringJobs.isEmpty();
+                plan.truncated || !plan.jobsToEscalate.isEmpty() || !admissionQueue.isEmpty();
         transitionTo(Phase.COMMITTING);
         cycleRequestedMeanwhile = false;
         store.commit(
@@ -348,9 +358,9 @@
                     if (outcome.result() == Transaction.Result.COMMITTED) {
                         watchCache.applyCommitted(plan.transaction, outcome.storeRevision());
                     }
-                    enteringJobs.respond(admitted, outcome);
+                    admissionQueue.respond(admitted, outcome);
                     requestNextCycle(outcome, moreToDo);
-                    onCycleSettled.run();
+                    onCycleFinished.run();
                 });
     }
 
@@ -365,8 +375,8 @@
                 LOG.debug("scheduling cycle: conflict on {}", outcome.failedKeys());
                 loop.runAfter(SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS, this::requestCycle);
             }
-            // Rejected: nothing happened, the plan is made anew. Indeterminate: the same, once the
-            // fence has settled it.
+            // Rejected: nothing was written, so the next cycle makes a new plan. Indeterminate: the
+            // same, once the fence has settled the write.
             default -> loop.runAfter(StoreConstants.RETRY_DELAY_MILLIS, this::requestCycle);
         }
     }
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -14,8 +14,9 @@
 import java.util.Map;
 
 /**
- * Task state pages with terminations that are known by evidence but not yet on record, and when
- * they should be. Gathering them saves writes; nothing waits here that somebody needs.
+ * Tracks task state pages with terminations that are known by evidence but not yet on record, and
+ * when they are due to be recorded. Batching them saves writes; terminations that something else
+ * waits for are recorded sooner.
  */
 final class UnrecordedTerminations implements TerminationRecorder {
     private record PageRef(Job job, int pageIndex) {}
@@ -25,7 +26,10 @@
     private final JobTable jobs;
     private final String memberId;
 
-    /** By page, when its terminations are due on record, in milliseconds on the loop's clock. */
+    /**
+     * By page, the event-loop time in milliseconds at which its terminations are due to be
+     * recorded.
+     */
     private final Map<PageRef, Long> dueAtMillisByPage = new LinkedHashMap<>();
 
     UnrecordedTerminations(EventLoop loop, StoreClient store, JobTable jobs, String memberId) {
@@ -36,19 +40,20 @@
     }
 
     /**
-     * Notes a termination. It may get on record later, gathered with others of its page, unless
-     * somebody else waits for it: the task's next start, another controller, or the leader for the
-     * capacity it frees.
+     * Adds a termination. It may be recorded later, batched with others of its page, unless
+     * something else waits for it: the task's next start, another controller, or the leader for the
+     * capacity that it frees.
      *
-     * @param leaderCouldUseCapacity whether work that waits at the leader could go to the machine
-     * @return whether it should be recorded at once
+     * @param leaderCouldUseCapacity whether work that waits at the leader could be placed on the
+     *     machine
+     * @return whether the termination should be recorded at once
      */
     boolean add(Placement placement, boolean leaderCouldUseCapacity) {
         Job job = placement.job;
         boolean ownJob = job.controllerId().equals(memberId);
         boolean gone = placement.phase() == Placement.Phase.GONE;
         // Preempted best-effort work can wait for its next placement while writes are scarce; other
-        // work wants it at once.
+        // work needs it at once.
         boolean canWait =
                 gone
                         && job.spec.priority() == JobSpec.Priority.BEST_EFFORT
@@ -82,12 +87,15 @@
                 SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
     }
 
-    /** Whether any should be on record by now. */
+    /** Whether any termination is due to be recorded. */
     boolean isAnyDue() {
         return dueAtMillisByPage.values().stream().anyMatch(due -> due <= loop.nowMillis());
     }
 
-    /** A page that is written anyway takes all its terminations along: only the due ones edit. */
+    /**
+     * Adds edits of the pages that are due. Other pages need none: a page that is edited for
+     * another reason includes all its terminations.
+     */
     @Override
     public void recordDue(SchedulingPlan plan) {
         long nowMillis = loop.nowMillis();
--- a/src/main/java/io/quincelead/scheduler/UnservedJobTracker.java
+++ b/src/main/java/io/quincelead/scheduler/UnservedJobTracker.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Since when nothing of a waiting job has found a machine here. */
+/** Tracks since when no task of a waiting job has found a machine in this controller's passes. */
 final class UnservedJobTracker {
     private final EventLoop loop;
     private final JobTable jobs;
@@ -22,7 +22,7 @@
         unservedSinceMillis.put(job, loop.nowMillis());
     }
 
-    /** Whether it has been unserved for too long; the first time it is asked, its time begins. */
+    /** Whether the job has been unserved for too long; its time begins with the first call. */
     boolean isUnservedTooLong(Job job) {
         long sinceMillis = unservedSinceMillis.computeIfAbsent(job, j -> loop.nowMillis());
         return loop.nowMillis() - sinceMillis > SchedulerConstants.STARVING_AFTER_MILLIS;
