--- a/src/main/java/io/quincelead/scheduler/CandidateFinder.java
+++ b/src/main/java/io/quincelead/scheduler/CandidateFinder.java
@@ -27,27 +27,28 @@
     /**
      * The machines with free capacity for a task of the job, by zone.
      *
-     * @param tier of the job's position in the queue
-     * @param anywhere also on machines that should be left to others
-     * @param ownShardOnly only on machines of the own shard
-     * @param tasksByHost tasks of the job that have been assigned already
+     * @param tier tier of the job's queue entry
+     * @param lastResort whether machines that are withheld from the job or reserved for the
+     *     leader's work are included
+     * @param ownShardOnly whether only machines of this controller's shard are included
+     * @param tasksByHost number of tasks of the job that have been assigned already
      */
     Map<String, List<Tebas.CandidateMachine>> candidatesByZone(
             JobSpec spec,
             int tier,
-            boolean anywhere,
+            boolean lastResort,
             boolean ownShardOnly,
             Map<String, Integer> tasksByHost) {
         Map<String, List<Tebas.CandidateMachine>> candidatesByZone = new LinkedHashMap<>();
         boolean urgent = spec.isUrgent();
         for (MachinePool pool : plan.pools.values()) {
-            if (!(anywhere ? pool.allows(spec) : pool.suits(spec, tier))) {
+            if (!(lastResort ? pool.allows(spec) : pool.suits(spec, tier))) {
                 continue;
             }
             List<Tebas.CandidateMachine> candidates = null;
             double clockFactor = clockFactor(pool);
-            // Where the time to reach a worker doesn't count, a pool's machines differ by the image
-            // alone.
+            // Where the start delay doesn't matter, a pool's machines differ only in whether they
+            // have the image.
             double fitnessWithImage = fitness(spec, pool, clockFactor, true, 0);
             double fitnessWithoutImage = fitness(spec, pool, clockFactor, false, 0);
             for (FreeCapacity machine : pool.machines) {
@@ -97,24 +98,24 @@
             MachinePool pool,
             double clockFactor,
             boolean hasImage,
-            double waitSeconds) {
+            double startDelaySeconds) {
         return Tebas.fitness(
                 operatorSettings.parallelFraction(),
                 spec.cpus(),
-                effectiveFrequency(spec, pool, clockFactor, hasImage, waitSeconds));
+                effectiveFrequency(spec, pool, clockFactor, hasImage, startDelaySeconds));
     }
 
     /**
-     * The machine's frequency as this task gets to feel it: while its image is pulled, nothing
-     * runs. Where pulls take as long as the tasks themselves, the paper's gain of a machine is
-     * mostly a matter of who has the image.
+     * The machine's effective frequency for this task, which doesn't run while its image is pulled.
+     * Where pulls take as long as the tasks themselves, the paper's gain of a machine depends
+     * mostly on whether it has the image.
      */
     private static double effectiveFrequency(
             JobSpec spec,
             MachinePool pool,
             double clockFactor,
             boolean hasImage,
-            double waitSeconds) {
+            double startDelaySeconds) {
         double pullSeconds =
                 hasImage
                         ? 0
@@ -124,8 +125,8 @@
                 spec.isService()
                         ? SchedulerConstants.SERVICE_RANKING_RUNTIME_SECONDS
                         : Math.max(spec.runtimeSeconds(), 1);
-        // Where heartbeats are rare, which workers can be sent a start soon matters as well to work
-        // that should start at once.
-        return clockFactor * runSeconds / (runSeconds + pullSeconds + waitSeconds);
+        // Where heartbeats are rare, it also matters to work that should start at once how soon a
+        // start can be sent to the worker.
+        return clockFactor * runSeconds / (runSeconds + pullSeconds + startDelaySeconds);
     }
 }
--- a/src/main/java/io/quincelead/scheduler/CapacityReader.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityReader.java
@@ -17,9 +17,9 @@
     private final MachineStatus machineStatus;
 
     /**
-     * Machines on record that this controller may place on, by pool. Most cycles see the same ones
-     * as the cycle before; read anew when a record of machines or shards, or the leadership, has
-     * changed.
+     * Machines on record that this controller may place on, by pool. Cached, since most cycles see
+     * the same machines as the cycle before; read again when a record of machines or shards, or the
+     * leadership, has changed.
      */
     private final Map<MachinePool.Key, List<UsableMachine>> usableMachines = new LinkedHashMap<>();
 
@@ -35,7 +35,8 @@
     /**
      * Adds to the plan the machines that accept tasks now.
      *
-     * @param urgent whether work waits for which it counts how soon a worker can be told
+     * @param urgent whether work waits for which it matters how soon a start can be sent to a
+     *     worker
      */
     void collectFreeCapacity(SchedulingPlan plan, boolean urgent) {
         refreshUsableMachines(plan);
@@ -111,7 +112,7 @@
         }
     }
 
-    /** Machines of all other shards by pool, as far as their records tell. */
+    /** Machines of all other shards by pool, as their records show them. */
     Map<MachinePool.Key, MachinePool> poolsOfOtherShards(ClusterMembership.Shard ownShard) {
         SchedulingPlan others = new SchedulingPlan(ownShard, false, 0, 0, 0);
         for (MachineTable.Machine machine : cluster.machines().all()) {
--- a/src/main/java/io/quincelead/scheduler/CapacityWithholding.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityWithholding.java
@@ -1,23 +1,26 @@
 package io.quincelead.scheduler;
 
-/** Whether, in one plan, work was held back from free capacity that is left to others. */
+/** Tracks whether one plan withheld free capacity from some work in favour of other work. */
 final class CapacityWithholding {
     private boolean occurred;
     private boolean mayAdmit;
 
     /**
-     * @param mayAdmit whether one task is let in all the same
+     * @param mayAdmit whether one task may be admitted to the withheld capacity
      */
     CapacityWithholding(boolean mayAdmit) {
         this.mayAdmit = mayAdmit;
     }
 
-    /** Whether it still makes a difference that some work is held back. */
+    /** Whether a call to {@link #tryAdmitTask} would still change this state. */
     boolean canChange() {
         return !occurred || mayAdmit;
     }
 
-    /** Some work is held back. Returns whether one task of it is let in: at most once a plan. */
+    /**
+     * Records that capacity is withheld from a task. Returns whether the task is admitted to it all
+     * the same: at most once per plan.
+     */
     boolean tryAdmitTask() {
         occurred = true;
         boolean admitted = mayAdmit;
@@ -25,7 +28,7 @@
         return admitted;
     }
 
-    /** Whether any work was held back. */
+    /** Whether capacity was withheld from any work. */
     boolean occurred() {
         return occurred;
     }
--- a/src/main/java/io/quincelead/scheduler/CapacityWithholdingTimer.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityWithholdingTimer.java
@@ -4,47 +4,47 @@
 import io.quincelead.eventloop.EventLoop;
 
 /**
- * Bounds how long work is held back from free capacity that is left to others. After that time each
- * pass lets in one task until nothing is held back any more, and the time begins anew: so the
- * capacity is there again for the others when those tasks end. A task that is served elsewhere now
- * and then doesn't restart the time.
+ * Bounds how long free capacity is withheld from some work in favour of other work. After that time
+ * each pass admits one task until nothing is withheld any more, and the time restarts: the capacity
+ * is available to the favoured work again when the admitted tasks end. A task that is placed
+ * elsewhere now and then doesn't restart the time.
  */
 final class CapacityWithholdingTimer {
-    private static final long NOT_HELD_BACK = -1;
+    private static final long NOT_WITHHELD = -1;
 
     private final EventLoop loop;
-    private long heldBackSinceMillis = NOT_HELD_BACK;
+    private long withheldSinceMillis = NOT_WITHHELD;
 
     CapacityWithholdingTimer(EventLoop loop) {
         this.loop = loop;
     }
 
     /**
-     * For a pass that begins now.
+     * Starts a pass over the queue.
      *
-     * @param othersWait whether those wait now for whom the capacity is left: the time begins anew
+     * @param othersWait whether the favoured work is waiting now, which restarts the time
      */
     CapacityWithholding beginPass(boolean othersWait) {
         if (othersWait) {
             reset();
         }
         return new CapacityWithholding(
-                heldBackSinceMillis != NOT_HELD_BACK
-                        && loop.nowMillis() - heldBackSinceMillis
+                withheldSinceMillis != NOT_WITHHELD
+                        && loop.nowMillis() - withheldSinceMillis
                                 >= SchedulerConstants.STARVING_AFTER_MILLIS);
     }
 
-    /** That pass, over all waiting work, has ended. */
-    void endPass(CapacityWithholding holdBack) {
-        if (!holdBack.occurred()) {
+    /** Ends a pass that covered all waiting work. */
+    void endPass(CapacityWithholding withholding) {
+        if (!withholding.occurred()) {
             reset();
-        } else if (heldBackSinceMillis == NOT_HELD_BACK) {
-            heldBackSinceMillis = loop.nowMillis();
+        } else if (withheldSinceMillis == NOT_WITHHELD) {
+            withheldSinceMillis = loop.nowMillis();
         }
     }
 
-    /** Nothing is held back. */
+    /** Resets the time, since nothing is withheld. */
     void reset() {
-        heldBackSinceMillis = NOT_HELD_BACK;
+        withheldSinceMillis = NOT_WITHHELD;
     }
 }
--- a/src/main/java/io/quincelead/scheduler/DrainReservations.java
+++ b/src/main/java/io/quincelead/scheduler/DrainReservations.java
@@ -9,36 +9,38 @@
 import java.util.Map;
 
 /**
- * Leaves machines to run empty for tasks that need more of them than is free: on a full cluster,
- * smaller tasks would take each part of them as it comes free, for ever. Made for one plan.
+ * Reserves machines to be drained for tasks that need more capacity than is free on them: on a full
+ * cluster, smaller tasks would take all capacity as it comes free, indefinitely. Created for one
+ * plan.
  */
 final class DrainReservations {
     private final SchedulingPlan plan;
 
-    /** Machines that may still be reserved for single tasks. */
+    /** Number of machines that may still be reserved for single tasks. */
     private int remaining;
 
     DrainReservations(SchedulingPlan plan) {
         this.plan = plan;
-        this.remaining = partOfMachines(SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION);
+        this.remaining = fractionOfMachines(SchedulerConstants.DRAIN_RESERVE_MACHINES_FRACTION);
     }
 
-    private int partOfMachines(double fraction) {
+    private int fractionOfMachines(double fraction) {
         return Math.max(
                 SchedulerConstants.MIN_DRAIN_RESERVE_MACHINES,
                 (int) (plan.machines.size() * fraction));
     }
 
     /**
-     * Reserves the machines that will soonest have free capacity for so many tasks. For a gang,
-     * whose tasks start together, also those that have some free capacity now.
+     * Reserves the machines that are likely to have free capacity for this many tasks soonest. For
+     * a gang, whose tasks start together, machines that have some free capacity now are included.
      *
-     * @param tier of the job's position in the queue: work of smaller tiers may still go there
+     * @param tier tier of the job's queue entry; work of smaller tiers may still use the machines
      */
     void reserve(JobSpec spec, int tier, int tasks) {
         int maxMachines =
                 spec.isGang()
-                        ? partOfMachines(SchedulerConstants.GANG_DRAIN_RESERVE_MACHINES_FRACTION)
+                        ? fractionOfMachines(
+                                SchedulerConstants.GANG_DRAIN_RESERVE_MACHINES_FRACTION)
                         : Math.min(tasks, remaining);
         if (maxMachines <= 0 || plan.tasksWithinQuotaShare(spec) < (spec.isGang() ? tasks : 1)) {
             return;
@@ -68,7 +70,10 @@
         }
     }
 
-    /** By zone if the job has zone affinity, else all under one key. */
+    /**
+     * The machines that may be reserved, by zone if the job has zone affinity, else all under one
+     * key.
+     */
     private Map<String, List<FreeCapacity>> eligibleMachines(JobSpec spec, int tier) {
         Map<String, List<FreeCapacity>> machinesByZone = new LinkedHashMap<>();
         for (MachinePool pool : plan.pools.values()) {
--- a/src/main/java/io/quincelead/scheduler/FreeCapacity.java
+++ b/src/main/java/io/quincelead/scheduler/FreeCapacity.java
@@ -12,26 +12,29 @@
     final boolean inOwnShard;
 
     /**
-     * It is drained for a task of this tier that needs more of it than is free: only work of a
-     * smaller tier may be placed there.
+     * Tier of the task that the machine is drained for, which needs more capacity than is free:
+     * only work of a smaller tier may be placed on the machine.
      */
     int reservedForTier = Integer.MAX_VALUE;
 
-    /** Seconds until its worker can be told of a start; 0 if that doesn't count. */
+    /** Seconds until a start can be sent to the machine's worker; 0 if the delay doesn't matter. */
     double startDelaySeconds;
 
     private double freeCpus;
     private double freeMemoryGb;
     private double freeGpus;
 
-    /** What will be free when the tasks being stopped have gone, less what is promised of it. */
+    /**
+     * CPUs that will be free when the tasks being stopped have terminated, less those already
+     * allocated to other tasks.
+     */
     private double upcomingCpus;
 
     private double upcomingMemoryGb;
     private double upcomingGpus;
 
     /**
-     * @param load what is there; null for nothing
+     * @param load the load of the tasks on the machine; null if there are none
      */
     FreeCapacity(String host, MachinePool pool, boolean inOwnShard, MachineLoad load) {
         this.host = host;
@@ -50,7 +53,7 @@
         }
     }
 
-    /** The job's tasks go there. */
+    /** Allocates free capacity to tasks of the job. */
     void allocate(JobSpec spec, int tasks) {
         freeCpus -= tasks * spec.cpus();
         freeMemoryGb -= tasks * spec.memoryGb();
@@ -58,19 +61,19 @@
         allocateUpcoming(spec, tasks);
     }
 
-    /** The job's tasks are promised what will be free. */
+    /** Allocates upcoming capacity to tasks of the job. */
     void allocateUpcoming(JobSpec spec, int tasks) {
         upcomingCpus -= tasks * spec.cpus();
         upcomingMemoryGb -= tasks * spec.memoryGb();
         upcomingGpus -= tasks * spec.gpus();
     }
 
-    /** A running task is being stopped. */
+    /** Adds the capacity of a running task that is being stopped to the upcoming capacity. */
     void releaseUpcoming(JobSpec spec) {
         allocateUpcoming(spec, -1);
     }
 
-    /** Whether anything at all could still be placed. */
+    /** Whether any task at all could still be placed on the machine. */
     boolean hasFreeCapacity() {
         return freeCpus > 1e-6 && freeMemoryGb > 1e-6;
     }
@@ -85,7 +88,7 @@
                 freeCpus, freeMemoryGb, freeGpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 
-    /** Tasks of the job that will fit if these are stopped, too. */
+    /** Tasks of the job that will fit if these placements are stopped, too. */
     int upcomingTaskCapacityWith(List<Placement> leaving, JobSpec spec) {
         double cpus = upcomingCpus;
         double memoryGb = upcomingMemoryGb;
@@ -98,7 +101,7 @@
         return Tebas.taskCapacity(cpus, memoryGb, gpus, spec.cpus(), spec.memoryGb(), spec.gpus());
     }
 
-    /** Tasks of the job that will fit when those being stopped have gone. */
+    /** Tasks of the job that will fit when the tasks being stopped have terminated. */
     int upcomingTaskCapacity(JobSpec spec) {
         return Tebas.taskCapacity(
                 upcomingCpus,
--- a/src/main/java/io/quincelead/scheduler/LeaderReservations.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -13,14 +13,15 @@
 import java.util.Set;
 
 /**
- * Leaves free capacity of the own shard to work that comes first and that the leader is placing.
+ * Reserves free capacity of this controller's shard for work that comes first and that the leader
+ * is placing.
  */
 final class LeaderReservations {
     private final EventLoop loop;
     private final ClusterView cluster;
     private final List<JobSpec> demandsAtLeader = new ArrayList<>();
 
-    /** Since when there has been free capacity here for a job that waits at the leader. */
+    /** By job that waits at the leader, since when this shard has had free capacity for it. */
     private final Map<Job, Long> capacitySinceMillis = new HashMap<>();
 
     LeaderReservations(EventLoop loop, ClusterView cluster) {
@@ -28,7 +29,9 @@
         this.cluster = cluster;
     }
 
-    /** The jobs that wait at the leader and that their teams' quota shares there let in. */
+    /**
+     * Sets the jobs that wait at the leader and that their teams' quota shares at the leader admit.
+     */
     void setJobsAtLeader(List<Job> jobsAtLeader) {
         demandsAtLeader.clear();
         for (Job job : jobsAtLeader) {
@@ -36,7 +39,7 @@
         }
     }
 
-    /** Whether work that waits at the leader could go to the machine. */
+    /** Whether work that waits at the leader could be placed on the machine. */
     boolean canLeaderUse(String host) {
         MachineTable.Machine machine = cluster.machines().get(host);
         MachineTypeCatalog.MachineType machineType =
@@ -54,9 +57,10 @@
     }
 
     /**
-     * Closes the pools where such work could go to work of later tiers. A leader that hasn't used
-     * the free capacity within {@link SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it;
-     * waiting longer would idle the shard.
+     * Closes each pool that could run such work to work of later tiers ({@link
+     * MachinePool#maxTier}). A leader that hasn't used the free capacity within {@link
+     * SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it; reserving it for longer would idle
+     * the shard.
      */
     void reserveCapacityForLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         capacitySinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
--- a/src/main/java/io/quincelead/scheduler/MachinePool.java
+++ b/src/main/java/io/quincelead/scheduler/MachinePool.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Machines of one plan that every job sees alike: of one type, in one zone, and all spot or all
- * on-demand.
+ * Machines of one plan that are equivalent for every job: of one type, in one zone, and all spot or
+ * all on-demand.
  */
 final class MachinePool {
     /** What the machines of a pool have in common. */
@@ -17,12 +17,12 @@
     final String zone;
     final boolean spot;
 
-    /** Whether constrained work needs their GPUs. */
+    /** Whether constrained work demands the GPUs of the machines. */
     boolean gpusInDemand;
 
     /**
-     * Only work of this tier or a smaller one may use them ({@link QueueOrder#tier}): the leader is
-     * placing some.
+     * Only work of this tier or a smaller one may use the machines ({@link QueueOrder#tier}); set
+     * while the leader is placing such work.
      */
     int maxTier = Integer.MAX_VALUE;
 
@@ -34,25 +34,28 @@
         this.spot = spot;
     }
 
-    /** Its machines, or none of them if the condition is false. */
+    /** The pool's machines, or none of them if the condition is false. */
     List<FreeCapacity> machinesIf(boolean condition) {
         return condition ? machines : List.of();
     }
 
     /**
-     * Whether the job should go there: it may, nobody who comes first is about to, and it takes no
-     * GPUs from those who need them.
+     * Whether the job should be placed in this pool: the job allows it, the pool isn't reserved for
+     * work of smaller tiers, and its machines aren't withheld for GPU demand.
      */
     boolean suits(JobSpec spec, int tier) {
         return allows(spec) && maxTier >= tier && !isWithheldFrom(spec);
     }
 
-    /** Whether the job could go there, but for those who need the GPUs. */
+    /**
+     * Whether the machines are withheld from a job that could run there, because other work demands
+     * their GPUs.
+     */
     boolean isWithheldFrom(JobSpec spec) {
         return gpusInDemand && spec.gpus() == 0 && spec.machineTypes() == null && allows(spec);
     }
 
-    /** Whether the job's own demands let it go there. */
+    /** Whether the job's own constraints and demands allow the machines. */
     boolean allows(JobSpec spec) {
         return matchesConstraints(spec) && machineType.fits(spec);
     }
@@ -68,7 +71,7 @@
                 spec.gpus());
     }
 
-    /** Whether the job's machine types, zone and spot preference allow them. */
+    /** Whether the job's machine types, zone and spot preference allow the machines. */
     boolean matchesConstraints(JobSpec spec) {
         return MachineTypeCatalog.isAllowed(spec, machineType.name())
                 && (spec.zone() == null || spec.zone().equals(zone))
--- a/src/main/java/io/quincelead/scheduler/PeerDrainReservations.java
+++ b/src/main/java/io/quincelead/scheduler/PeerDrainReservations.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Machines that other controllers drain for overdue first starts: the leader, which may place on
- * all shards, leaves alone what comes free there. Drains are on no record, so it derives them from
- * the jobs that wait, as their owners do.
+ * Reserves the machines that other controllers drain for overdue first starts, so that the leader,
+ * which may place on all shards, doesn't use capacity that comes free there. Drains aren't on
+ * record, so the leader derives them from the waiting jobs, as the jobs' owners do.
  */
 final class PeerDrainReservations {
     private final ClusterView cluster;
@@ -43,7 +43,10 @@
                 });
     }
 
-    /** The oldest of other controllers' jobs of which a first start is overdue, a few for each. */
+    /**
+     * By owner, the demands of other controllers' oldest jobs whose first start is overdue, a few
+     * for each owner.
+     */
     private Map<String, List<JobSpec>> overdueFirstStarts(SchedulingPlan plan) {
         Map<String, List<JobSpec>> overdueByOwner = new HashMap<>();
         for (Job job : cluster.jobs().jobsOldestFirst()) {
@@ -62,7 +65,7 @@
         return overdueByOwner;
     }
 
-    /** Reserves the machine that will soonest have free capacity for one task. */
+    /** Reserves the machine that is likely to have free capacity for one task soonest. */
     private static void reserveOne(JobSpec spec, List<FreeCapacity> machines) {
         FreeCapacity best = null;
         for (FreeCapacity machine : machines) {
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -14,12 +14,15 @@
 import java.util.function.Predicate;
 
 /**
- * Places one job after the other by TEBAS passes and writes where their tasks go into the plan.
- * Made for one plan.
+ * Places one job after the other by TEBAS passes and records the placements in the plan. Created
+ * for one plan.
  */
 final class Placer {
-    /** A job that is being placed; {@code anywhere}: also on machines better left to others. */
-    private record Attempt(Job job, int tier, boolean anywhere) {}
+    /**
+     * A job that is being placed; {@code lastResort}: also on machines that are withheld from it or
+     * reserved for the leader's work.
+     */
+    private record PlacementRequest(Job job, int tier, boolean lastResort) {}
 
     private final OperatorSettings operatorSettings;
     private final Policy policy;
@@ -30,12 +33,12 @@
     private final boolean spreadsServices;
 
     /**
-     * Demands that no machine had any free capacity for: on those that suit, and as a last resort
-     * on all that are allowed.
+     * Demands that found no free capacity on any suitable machine; {@link
+     * #unsatisfiableAsLastResort}: on any allowed one.
      */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
 
-    private final UnsatisfiableDemands unsatisfiableAnywhere = new UnsatisfiableDemands();
+    private final UnsatisfiableDemands unsatisfiableAsLastResort = new UnsatisfiableDemands();
 
     Placer(OperatorSettings operatorSettings, ClusterView cluster, SchedulingPlan plan) {
         this.operatorSettings = operatorSettings;
@@ -48,37 +51,38 @@
     }
 
     /**
-     * Places what fits.
+     * Places as many of the entry's tasks as fit.
      *
-     * @param anywhere as a last resort also on machines that should be left to others
-     * @return how many tasks of those this position in the queue is for were not placed
+     * @param lastResort whether machines that are withheld from the job or reserved for the
+     *     leader's work may be used, too
+     * @return how many of the tasks that the entry covers were not placed
      */
-    int place(QueueOrder.QueueEntry ranked, boolean anywhere) {
-        Job job = ranked.job();
+    int place(QueueOrder.QueueEntry entry, boolean lastResort) {
+        Job job = entry.job();
         JobSpec spec = job.spec;
-        int wanted = Math.min(ranked.maxTasks(), plan.unplacedTasks(job));
-        int tasks = permittedTasks(ranked, wanted, anywhere);
+        int wanted = Math.min(entry.maxTasks(), plan.unplacedTasks(job));
+        int tasks = permittedTasks(entry, wanted, lastResort);
         if (tasks <= 0
                 || spec.isGang() && tasks < wanted
-                || (anywhere ? unsatisfiableAnywhere : unsatisfiable).covers(spec)) {
+                || (lastResort ? unsatisfiableAsLastResort : unsatisfiable).covers(spec)) {
             return wanted;
         }
         if (spec.isGang() && job.pages.length > plan.writeBudget - plan.edits.size()) {
-            // All of it must be in one write.
+            // All pages of a gang must be in one write.
             plan.truncated = true;
             return wanted;
         }
-        Attempt attempt = new Attempt(job, ranked.tier(), anywhere);
+        PlacementRequest request = new PlacementRequest(job, entry.tier(), lastResort);
         Map<String, Integer> tasksByHost = new LinkedHashMap<>();
-        // The leader prefers its own machines, but not to a service's zone: the zone with the
-        // fewest replicas may have room on other shards alone.
+        // The leader prefers machines of its own shard, but not for services spread evenly over
+        // zones: the zone with the fewest replicas may have free capacity in other shards alone.
         boolean ownShardOnly = !plan.leading || !isSpreadEvenly(job);
-        int unplaced = assign(attempt, tasks, ownShardOnly, tasksByHost);
+        int unplaced = assign(request, tasks, ownShardOnly, tasksByHost);
         if (unplaced > 0 && plan.leading && ownShardOnly) {
             if (spec.isGang()) {
                 tasksByHost.clear();
             }
-            unplaced = assign(attempt, spec.isGang() ? tasks : unplaced, false, tasksByHost);
+            unplaced = assign(request, spec.isGang() ? tasks : unplaced, false, tasksByHost);
         }
         if (spec.isGang() && unplaced > 0) {
             return wanted;
@@ -86,18 +90,18 @@
         return wanted - recordPlacements(job, tasksByHost);
     }
 
-    /** As many of the wanted tasks as the quota share and the reserve for urgent work let in. */
-    private int permittedTasks(QueueOrder.QueueEntry ranked, int wanted, boolean anywhere) {
-        JobSpec spec = ranked.job().spec;
+    /** How many of the wanted tasks the quota share and the reserve for urgent work admit. */
+    private int permittedTasks(QueueOrder.QueueEntry entry, int wanted, boolean lastResort) {
+        JobSpec spec = entry.job().spec;
         int tasks = Math.min(wanted, plan.tasksWithinQuotaShare(spec));
         if (tasks <= 0
                 || spec.priority() != JobSpec.Priority.BEST_EFFORT
                 || !spec.isUnconstrained()) {
             return tasks;
         }
-        // What urgent work will need before long is left free: preempting best-effort work costs
-        // it its run, and the store writes.
-        double freeCpus = anywhere ? plan.freeCpus(true) : plan.freeCpus();
+        // Capacity that urgent work will soon need is left free: preempting best-effort work loses
+        // what it has computed, and costs store writes.
+        double freeCpus = lastResort ? plan.freeCpus(true) : plan.freeCpus();
         int besideReserve =
                 Tebas.taskCapacity(
                         freeCpus - plan.urgentReserveCpus, Double.MAX_VALUE, 0, spec.cpus(), 0, 0);
@@ -105,29 +109,30 @@
     }
 
     /**
-     * Places one task of an array on a machine that is kept for others' GPUs, where such work has
-     * been held back for too long. Services would stay there for good.
+     * Places one task of an array on a machine that is withheld because other work demands its
+     * GPUs, if such machines have been withheld for too long. Services aren't admitted, since they
+     * would stay there permanently.
      *
      * @return how many tasks were placed
      */
-    int placeOnWithheldMachine(QueueOrder.QueueEntry ranked) {
-        JobSpec spec = ranked.job().spec;
-        boolean heldBack =
+    int placeOnWithheldMachine(QueueOrder.QueueEntry entry) {
+        JobSpec spec = entry.job().spec;
+        boolean withheld =
                 spec.isArray()
                         && plan.gpuWithholding.canChange()
                         && plan.tasksWithinQuotaShare(spec) > 0
-                        && hasRoom(ranked, pool -> pool.isWithheldFrom(spec));
-        if (!heldBack || !plan.gpuWithholding.tryAdmitTask()) {
+                        && hasFreeCapacity(entry, pool -> pool.isWithheldFrom(spec));
+        if (!withheld || !plan.gpuWithholding.tryAdmitTask()) {
             return 0;
         }
-        return 1 - place(ranked.limitedTo(1), true);
+        return 1 - place(entry.limitedTo(1), true);
     }
 
-    private boolean hasRoom(QueueOrder.QueueEntry ranked, Predicate<MachinePool> allowed) {
+    private boolean hasFreeCapacity(QueueOrder.QueueEntry entry, Predicate<MachinePool> allowed) {
         for (MachinePool pool : plan.pools.values()) {
             for (FreeCapacity machine : pool.machinesIf(allowed.test(pool))) {
-                if (ranked.tier() < machine.reservedForTier
-                        && machine.taskCapacity(ranked.job().spec) > 0) {
+                if (entry.tier() < machine.reservedForTier
+                        && machine.taskCapacity(entry.job().spec) > 0) {
                     return true;
                 }
             }
@@ -136,14 +141,15 @@
     }
 
     /**
-     * Drains machines for tasks that found no free capacity, so that smaller ones don't take it.
+     * Reserves machines to be drained for tasks that found no free capacity, so that smaller tasks
+     * don't take it.
      */
-    void reserveMachines(QueueOrder.QueueEntry ranked, int tasks) {
-        drainReservations.reserve(ranked.job().spec, ranked.tier(), tasks);
+    void reserveMachines(QueueOrder.QueueEntry entry, int tasks) {
+        drainReservations.reserve(entry.job().spec, entry.tier(), tasks);
     }
 
     /**
-     * The zones where the job may have more tasks: free capacity gained elsewhere is of no use to
+     * The zones where the job may have more tasks; capacity freed in other zones is of no use to
      * it.
      */
     Predicate<String> allowedZones(Job job) {
@@ -153,20 +159,23 @@
     /**
      * Assigns tasks to machines within the job's zone rules; adds them to {@code tasksByHost}.
      *
-     * @param ownShardOnly false for the leader: on machines of all shards
-     * @return how many found no machine
+     * @param ownShardOnly false to use machines of all shards, as only the leader may
+     * @return how many tasks found no machine
      */
     private int assign(
-            Attempt attempt, int tasks, boolean ownShardOnly, Map<String, Integer> tasksByHost) {
-        Job job = attempt.job;
+            PlacementRequest request,
+            int tasks,
+            boolean ownShardOnly,
+            Map<String, Integer> tasksByHost) {
+        Job job = request.job;
         JobSpec spec = job.spec;
         Map<String, List<Tebas.CandidateMachine>> candidatesByZone =
                 candidateFinder.candidatesByZone(
-                        spec, attempt.tier, attempt.anywhere, ownShardOnly, tasksByHost);
+                        spec, request.tier, request.lastResort, ownShardOnly, tasksByHost);
         if (candidatesByZone.isEmpty()
                 && tasksByHost.isEmpty()
                 && (!ownShardOnly || !plan.leading)) {
-            (attempt.anywhere ? unsatisfiableAnywhere : unsatisfiable).add(spec);
+            (request.lastResort ? unsatisfiableAsLastResort : unsatisfiable).add(spec);
         }
         int maxPerZone = policy.maxTasksPerZone(job);
         if (isSpreadEvenly(job)) {
@@ -180,7 +189,9 @@
         return assignZoneByZone(job, tasks, candidatesByZone, tasksByHost, maxPerZone);
     }
 
-    /** Whether the job is a service whose replicas go where the fewest are. */
+    /**
+     * Whether the job is a service whose replicas are placed in the zones with the fewest of them.
+     */
     private boolean isSpreadEvenly(Job job) {
         JobSpec spec = job.spec;
         return spec.isService()
@@ -189,7 +200,7 @@
                         || policy.maxTasksPerZone(job) < spec.taskCount() && !spec.zoneSpread());
     }
 
-    /** One TEBAS pass over these machines; returns how many tasks found none. */
+    /** Runs one TEBAS pass over these machines; returns how many tasks found no machine. */
     private int assignTo(
             List<Tebas.CandidateMachine> candidates, int tasks, Map<String, Integer> tasksByHost) {
         int unplaced = Tebas.assign(candidates, tasks, operatorSettings.tebasGroupSize());
@@ -202,8 +213,8 @@
     }
 
     /**
-     * The zone with the most free capacity first; a job with zone affinity stays in the zone that
-     * it has started in.
+     * Assigns tasks zone by zone, beginning with the zone with the most free capacity; a job with
+     * zone affinity stays in the zone that it has started in.
      */
     private int assignZoneByZone(
             Job job,
@@ -249,8 +260,8 @@
     }
 
     /**
-     * A service's replicas go where the fewest are, one by one, within what one zone may have;
-     * within a zone the pass places them.
+     * Assigns a service's replicas one by one to the zone with the fewest of them, up to the
+     * maximum per zone; within a zone a TEBAS pass places them.
      */
     private int assignEvenly(
             Job job,
@@ -323,7 +334,8 @@
     }
 
     /**
-     * Places tasks of the page on the hosts from the given one on; returns the next one's index.
+     * Places tasks of the page on the hosts from index {@code firstHost} on; returns the index of
+     * the next unused host.
      */
     private int placeOnPage(
             TaskStatePageEdit edit, long attempt, List<String> hosts, int firstHost) {
--- a/src/main/java/io/quincelead/scheduler/Preemption.java
+++ b/src/main/java/io/quincelead/scheduler/Preemption.java
@@ -20,13 +20,13 @@
 import java.util.function.Predicate;
 
 /**
- * Frees capacity for a job by stopping work that it may preempt, as little of it and at as small a
- * loss as will do. Made for one plan.
+ * Frees capacity for a job by stopping tasks that it may preempt, as few as suffice and at the
+ * smallest loss of work. Created for one plan.
  */
 final class Preemption {
     private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
 
-    /** Jobs for which the same running tasks are candidates, in the same order. */
+    /** Identifies jobs for which the same running tasks are candidates, in the same order. */
     private record CandidatesKey(
             boolean urgent,
             int highestPriority,
@@ -39,15 +39,15 @@
     private final SchedulingPlan plan;
     private final PreemptionRules rules;
 
-    /** Whether stopped tasks should share records, for writes are scarce. */
+    /** Whether to prefer stopping tasks that share records, because writes are scarce. */
     private final boolean shareRecords;
 
-    /** Made when needed. */
+    /** Candidates by key, collected on first use. */
     private final Map<CandidatesKey, PreemptionCandidates> candidates = new HashMap<>();
 
     /**
-     * Demands for which everything that may be preempted is being stopped, without and within a
-     * guarantee (by team).
+     * Demands of jobs without a guarantee for which everything that may be preempted is being
+     * stopped; {@link #unsatisfiableWithinGuarantee} has those within a guarantee, by team.
      */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
 
@@ -67,39 +67,40 @@
     }
 
     /**
-     * Frees capacity for tasks of the job that this plan did not place: first counts what is being
-     * stopped anyway, then stops more, the cheapest first.
+     * Frees capacity for tasks of the job that this plan did not place: first claims the capacity
+     * of tasks that are being stopped already, then stops more tasks, the cheapest first.
      *
      * @param unplaced tasks that need capacity
      * @param zoneAllowed zones where the job may have more tasks
-     * @return how many tasks will find no free capacity all the same
+     * @return how many tasks will still find no free capacity
      */
-    int freeCapacityFor(QueueOrder.QueueEntry ranked, int unplaced, Predicate<String> zoneAllowed) {
-        JobSpec spec = ranked.job().spec;
+    int freeCapacityFor(QueueOrder.QueueEntry entry, int unplaced, Predicate<String> zoneAllowed) {
+        JobSpec spec = entry.job().spec;
         int needed = Math.min(unplaced, plan.tasksWithinQuotaShare(spec));
         if (needed <= 0
-                || spec.priority() == JobSpec.Priority.BEST_EFFORT && !ranked.withinGuarantee()
-                || isKnownUnsatisfiable(ranked)) {
+                || spec.priority() == JobSpec.Priority.BEST_EFFORT && !entry.withinGuarantee()
+                || isKnownUnsatisfiable(entry)) {
             return needed;
         }
-        needed = claimUpcomingCapacity(ranked, needed, zoneAllowed);
-        return needed <= 0 ? needed : stopCheapestFirst(ranked, needed, zoneAllowed);
+        needed = claimUpcomingCapacity(entry, needed, zoneAllowed);
+        return needed <= 0 ? needed : stopCheapestFirst(entry, needed, zoneAllowed);
     }
 
-    private boolean isKnownUnsatisfiable(QueueOrder.QueueEntry ranked) {
-        JobSpec spec = ranked.job().spec;
-        if (!ranked.withinGuarantee()) {
+    private boolean isKnownUnsatisfiable(QueueOrder.QueueEntry entry) {
+        JobSpec spec = entry.job().spec;
+        if (!entry.withinGuarantee()) {
             return unsatisfiable.covers(spec);
         }
         UnsatisfiableDemands ofTeam = unsatisfiableWithinGuarantee.get(spec.team());
         return ofTeam != null && ofTeam.covers(spec);
     }
 
-    private void rememberUnsatisfiable(QueueOrder.QueueEntry ranked) {
-        JobSpec spec = ranked.job().spec;
-        // What is stopped for one within its guarantee is more than another may stop.
+    private void rememberUnsatisfiable(QueueOrder.QueueEntry entry) {
+        JobSpec spec = entry.job().spec;
+        // A job within its guarantee may stop more than one without, so a failure within a
+        // guarantee holds without one, too.
         unsatisfiable.add(spec);
-        if (ranked.withinGuarantee()) {
+        if (entry.withinGuarantee()) {
             unsatisfiableWithinGuarantee
                     .computeIfAbsent(spec.team(), t -> new UnsatisfiableDemands())
                     .add(spec);
@@ -107,12 +108,13 @@
     }
 
     /**
-     * Claims what tasks that are being stopped will leave; returns how many still need capacity.
+     * Claims the upcoming capacity of tasks that are being stopped; returns how many tasks still
+     * need capacity.
      */
     private int claimUpcomingCapacity(
-            QueueOrder.QueueEntry ranked, int needed, Predicate<String> zoneAllowed) {
-        JobSpec spec = ranked.job().spec;
-        int tier = ranked.tier();
+            QueueOrder.QueueEntry entry, int needed, Predicate<String> zoneAllowed) {
+        JobSpec spec = entry.job().spec;
+        int tier = entry.tier();
         int stillNeeded = needed;
         for (MachinePool pool : plan.pools.values()) {
             if (!pool.suits(spec, tier) || !zoneAllowed.test(pool.zone)) {
@@ -133,36 +135,36 @@
         return tasks;
     }
 
-    /** Stops candidates until all have capacity; returns how many still need it. */
+    /** Stops candidates until all needed tasks have capacity; returns how many still need it. */
     private int stopCheapestFirst(
-            QueueOrder.QueueEntry ranked, int needed, Predicate<String> zoneAllowed) {
-        Job job = ranked.job();
-        PreemptionCandidates cheapestFirst = candidatesFor(job, ranked.withinGuarantee());
+            QueueOrder.QueueEntry entry, int needed, Predicate<String> zoneAllowed) {
+        Job job = entry.job();
+        PreemptionCandidates cheapestFirst = candidatesFor(job, entry.withinGuarantee());
         Set<FreeCapacity> exhaustedMachines = new HashSet<>();
         int stillNeeded = needed;
         for (int i = 0; stillNeeded > 0; i++) {
             PreemptionCandidates.Candidate candidate = cheapestFirst.get(i);
             if (candidate == null) {
-                rememberUnsatisfiable(ranked);
+                rememberUnsatisfiable(entry);
                 break;
             }
             FreeCapacity machine = candidate.machine();
-            if (exhaustedMachines.contains(machine)
-                    || !isEligible(candidate, ranked, zoneAllowed)) {
+            if (exhaustedMachines.contains(machine) || !isEligible(candidate, entry, zoneAllowed)) {
                 continue;
             }
             List<Placement> toStop =
-                    fewestToStop(job, candidate.placement(), machine, ranked.withinGuarantee());
+                    fewestToStop(job, candidate.placement(), machine, entry.withinGuarantee());
             if (toStop.isEmpty()) {
-                // All that may be stopped there isn't enough, whichever goes first: nothing is
-                // stopped for nothing.
+                // Stopping everything that may be stopped on this machine isn't enough, whichever
+                // task goes first, so none is stopped.
                 exhaustedMachines.add(machine);
                 continue;
             }
             if (!stopAll(toStop, machine)) {
                 break;
             }
-            // The capacity this frees may be more than the job needs.
+            // The freed capacity may be more than the job needs, so other demands may be
+            // satisfiable again.
             unsatisfiable.clear();
             unsatisfiableWithinGuarantee.clear();
             stillNeeded -= claim(machine, job.spec, stillNeeded);
@@ -170,22 +172,26 @@
         return stillNeeded;
     }
 
-    /** Candidates were chosen for all jobs alike, and some have been stopped since. */
+    /**
+     * Whether the candidate may be stopped for this job: candidates are shared by all jobs with the
+     * same key, and some have been stopped since they were collected.
+     */
     private boolean isEligible(
             PreemptionCandidates.Candidate candidate,
-            QueueOrder.QueueEntry ranked,
+            QueueOrder.QueueEntry entry,
             Predicate<String> zoneAllowed) {
         MachinePool pool = candidate.machine().pool;
-        return rules.mayPreempt(ranked.job(), candidate.placement(), ranked.withinGuarantee())
-                && pool.suits(ranked.job().spec, ranked.tier())
+        return rules.mayPreempt(entry.job(), candidate.placement(), entry.withinGuarantee())
+                && pool.suits(entry.job().spec, entry.tier())
                 && zoneAllowed.test(pool.zone)
                 && isRunning(candidate.placement());
     }
 
     /**
-     * The task and as many others of its machine, the cheapest first, as must go before one of the
-     * job fits there; empty if all of them aren't enough. Taken one by one over all machines, many
-     * would be stopped and each free too little for any task but one of its own size.
+     * The first task and as many others of its machine, the cheapest first, as must be stopped
+     * before one task of the job fits; empty if all of them aren't enough. If tasks were chosen one
+     * by one over all machines, many would be stopped and each would free too little for any task
+     * larger than itself.
      */
     private List<Placement> fewestToStop(
             Job job, Placement first, FreeCapacity machine, boolean withinGuarantee) {
@@ -233,7 +239,9 @@
         return edit == null || edit.hasActivePlacement(placement.taskIndex);
     }
 
-    /** Stops all of them, or as many as fit the transaction; false if that isn't all. */
+    /**
+     * Stops all these tasks, or as many as fit into the transaction; false if not all of them fit.
+     */
     private boolean stopAll(List<Placement> toStop, FreeCapacity machine) {
         for (Placement placement : toStop) {
             TaskStatePageEdit edit = plan.edit(placement);
--- a/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionCandidates.java
@@ -7,8 +7,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Tasks that could be preempted to free capacity, cheapest first. Sorted only as far as somebody
- * looks: few are ever needed.
+ * Tasks that could be preempted to free capacity, cheapest first. Sorted only as far as they are
+ * requested, since few are ever needed.
  */
 final class PreemptionCandidates {
     /**
@@ -16,8 +16,9 @@
      *
      * @param machine the machine it runs on
      * @param lostCpuSeconds work that stopping it would lose
-     * @param starving whether its job has no more tasks started than it needs not to starve
-     * @param sequence its position among equals
+     * @param starving whether the task's job has no more started tasks than it needs to avoid
+     *     starving
+     * @param sequence tie breaker among equal candidates
      */
     record Candidate(
             Placement placement,
@@ -31,8 +32,8 @@
 
     /**
      * @param urgent whether urgent work waits for the capacity: a task that first writes a
-     *     checkpoint would keep it longer than one that just ends
-     * @param shareRecords whether those stopped should share records, for writes are scarce
+     *     checkpoint would occupy it longer than one that ends at once
+     * @param shareRecords whether to prefer tasks that share records, because writes are scarce
      */
     PreemptionCandidates(List<Candidate> candidates, boolean urgent, boolean shareRecords) {
         remaining =
@@ -42,7 +43,10 @@
         remaining.addAll(candidates);
     }
 
-    /** The one with that index, cheapest first; null if there are no more. Ask in order. */
+    /**
+     * The candidate with this index, cheapest first; null if there are no more. Indexes must be
+     * requested in order.
+     */
     Candidate get(int index) {
         if (index == sorted.size() && !remaining.isEmpty()) {
             sorted.add(remaining.poll());
@@ -59,8 +63,8 @@
     static int compare(Candidate a, Candidate b, boolean urgent, boolean shareRecords) {
         Placement first = a.placement;
         Placement second = b.placement;
-        // The few tasks with which a starving job has started go last: they would have to start
-        // again, and are spread over many records.
+        // The few tasks that a starving job has started come last: they would have to start again,
+        // and are spread over many records.
         int result = Boolean.compare(a.starving, b.starving);
         result =
                 result != 0
@@ -74,7 +78,7 @@
                         ? result
                         : second.job.spec.priority().compareTo(first.job.spec.priority());
         if (result == 0 && shareRecords && first.job != second.job) {
-            // The youngest jobs' tasks have run least; those of one record are stopped by one
+            // The youngest jobs' tasks have run least; tasks in one record are stopped by one
             // write.
             result =
                     Long.compare(
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -8,11 +8,14 @@
 import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Policy;
 
-/** What work a job may preempt, and what that costs. Made for one plan; changes nothing. */
+/**
+ * Decides which tasks a job may preempt, and what that costs. Created for one plan; changes
+ * nothing.
+ */
 final class PreemptionRules {
     /**
-     * One time for the whole cycle, in milliseconds on the loop's clock: time passes while the
-     * cycle is planned, and a sort must see one order.
+     * Event-loop time, fixed for the whole cycle: the clock advances while the cycle is planned,
+     * and a sort needs a consistent order.
      */
     private final long nowMillis;
 
@@ -43,8 +46,9 @@
         if (plan.entitledTasksByStarvingJob.containsKey(placement.job)
                 && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false)
                         >= QueueOrder.TIER_FIRST_START) {
-            // The few tasks that keep a job from starving are stopped for urgent work alone: a
-            // guarantee takes other surplus, or the two would take turns.
+            // The few tasks that keep a job from starving are preempted by urgent work only. Work
+            // within a guarantee preempts other surplus; otherwise the two would preempt each other
+            // in turn.
             return false;
         }
         if (victim.priority().ordinal() > forJob.spec.priority().ordinal()) {
@@ -55,10 +59,12 @@
     }
 
     /**
-     * For a guarantee the protocol lets us stop work of any priority. We stop only work that comes
-     * after this job in the queue: more urgent work would take the capacity back at once, and the
-     * two would preempt each other without end. For the same reason a job within its own team's
-     * guarantee is left alone, though that team runs more than that besides.
+     * Whether the task is surplus of its team and has the same priority as the job, which is within
+     * its team's guarantee. The protocol lets such a job preempt work of any priority, but only
+     * work that comes after it in the queue is preempted: more urgent work would take the capacity
+     * back at once, and the two would preempt each other endlessly. For the same reason a job
+     * within its own team's guarantee isn't preempted, even if that team also runs more than its
+     * guarantee.
      */
     private boolean isSurplusOfSamePriority(Job forJob, Placement placement) {
         JobSpec victim = placement.job.spec;
@@ -73,7 +79,7 @@
                                 && usage.gpus() - victim.gpus() >= team.guaranteedGpus());
     }
 
-    /** Operators' records only narrow what may be preempted. */
+    /** Whether the operators' records, which can only restrict preemption, allow it. */
     private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
         JobClass.PreemptionProtection protection =
                 policy.priorityOf(placement.job).preemptionProtection();
@@ -103,7 +109,7 @@
                 1);
     }
 
-    /** Whether its capacity is about to become free by itself. */
+    /** Whether the task is about to complete and free its capacity without preemption. */
     boolean isNearlyDone(Placement placement) {
         JobSpec spec = placement.job.spec;
         double ranSeconds =
--- a/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
@@ -11,8 +11,9 @@
 import java.util.Set;
 
 /**
- * Looks after teams' quota shares during one walk over the queue: frees what terminations on record
- * would free, and saves what comes free for gangs that would otherwise starve.
+ * Manages teams' quota shares during one walk over the queue: records terminations to free quota
+ * share, withholds reserved quota share, and accumulates quota share that comes free for gangs that
+ * would otherwise starve.
  */
 final class QuotaAccumulator {
     private final SchedulingPlan plan;
@@ -20,20 +21,26 @@
     private final String memberId;
     private final TerminationRecorder terminations;
 
-    /** Our jobs that their teams' quota is reserved for, at their first position in the queue. */
+    /**
+     * This controller's jobs that their teams' quota is reserved for, each with its first entry in
+     * the queue.
+     */
     private final Map<Job, QueueOrder.QueueEntry> reservedJobs = new LinkedHashMap<>();
 
-    /** Those of them whose need counts as used while the present job is placed. */
+    /** The reserved jobs whose quota counts as used while the current job is placed. */
     private final Set<Job> withheldJobs = new HashSet<>();
 
     /**
-     * Teams whose terminations are all on record or in the plan, and whose quota share is short all
-     * the same.
+     * Teams whose quota share is insufficient although all their terminations are on record or in
+     * the plan.
      */
     private final Set<String> teamsShortOfQuota = new HashSet<>();
 
-    /** By team, the first tier that gets nothing of its quota share, for a gang saves it up. */
-    private final Map<String, Integer> savingTierByTeam = new HashMap<>();
+    /**
+     * By team, the first tier that gets none of the team's quota share, because it is accumulated
+     * for a gang.
+     */
+    private final Map<String, Integer> accumulationTierByTeam = new HashMap<>();
 
     QuotaAccumulator(
             SchedulingPlan plan, JobTable jobs, String memberId, TerminationRecorder terminations) {
@@ -44,25 +51,26 @@
     }
 
     /**
-     * The team's quota is reserved for this job of ours; its first position in the queue counts.
+     * Reserves the team's quota for a job of this controller; only the job's first entry in the
+     * queue counts.
      */
-    void reserveFor(QueueOrder.QueueEntry ranked) {
-        reservedJobs.putIfAbsent(ranked.job(), ranked);
+    void reserveFor(QueueOrder.QueueEntry entry) {
+        reservedJobs.putIfAbsent(entry.job(), entry);
     }
 
     /**
-     * Withholds the quota share that is reserved for a job while another one of its team is placed,
-     * and releases it for the job itself and for what is more urgent. To be called before each job.
+     * Withholds the quota share that is reserved for a job from other jobs of its team, but not
+     * from the job itself or from more urgent work. Must be called before each job is placed.
      */
-    void withholdReserved(QueueOrder.QueueEntry ranked) {
+    void withholdReserved(QueueOrder.QueueEntry entry) {
         for (QueueOrder.QueueEntry reserved : reservedJobs.values()) {
             Job job = reserved.job();
-            if (!job.spec.team().equals(ranked.job().spec.team())) {
+            if (!job.spec.team().equals(entry.job().spec.team())) {
                 continue;
             }
             boolean withhold =
-                    job != ranked.job()
-                            && ranked.tier() >= reserved.tier()
+                    job != entry.job()
+                            && entry.tier() >= reserved.tier()
                             && plan.unplacedTasks(job) == job.spec.taskCount();
             int reservedTasks = QuotaReservations.reservedTaskCount(job);
             if (withhold && withheldJobs.add(job)) {
@@ -73,13 +81,15 @@
         }
     }
 
-    /** Whether the team's quota share is saved for a gang that comes before this job. */
-    boolean isAccumulatedForOthers(QueueOrder.QueueEntry ranked) {
-        return ranked.tier()
-                >= savingTierByTeam.getOrDefault(ranked.job().spec.team(), Integer.MAX_VALUE);
+    /** Whether the team's quota share is accumulated for a gang that comes before this job. */
+    boolean isAccumulatedForOthers(QueueOrder.QueueEntry entry) {
+        return entry.tier()
+                >= accumulationTierByTeam.getOrDefault(entry.job().spec.team(), Integer.MAX_VALUE);
     }
 
-    /** Records the team's terminations if its quota share doesn't let in so many tasks else. */
+    /**
+     * Records the team's terminations if its quota share doesn't admit this many tasks otherwise.
+     */
     void freeQuotaShare(JobSpec spec, int tasks) {
         if (plan.tasksWithinQuotaShare(spec) < tasks && teamsShortOfQuota.add(spec.team())) {
             terminations.recordForQuota(plan, spec, tasks);
@@ -90,17 +100,17 @@
     }
 
     /**
-     * Saves the quota share up if the job is a gang that lacks it and could ever get enough. Not
-     * while quota is withheld from it for another job: that one would be held back in turn, and
-     * neither would ever start.
+     * Accumulates the team's quota share if the job is a gang that lacks quota share and could ever
+     * get enough. This isn't done while quota is withheld from the gang for another job: quota
+     * would then be withheld from that job in turn, and neither would ever start.
      */
-    void accumulateFor(QueueOrder.QueueEntry ranked, int tasks) {
-        Job job = ranked.job();
+    void accumulateFor(QueueOrder.QueueEntry entry, int tasks) {
+        Job job = entry.job();
         if (job.spec.isGang()
                 && !isWithheldFrom(job)
                 && plan.tasksWithinQuotaShare(job.spec) < tasks
-                && couldSaveUp(job, tasks)) {
-            savingTierByTeam.putIfAbsent(job.spec.team(), ranked.tier());
+                && canAccumulate(job, tasks)) {
+            accumulationTierByTeam.putIfAbsent(job.spec.team(), entry.tier());
         }
     }
 
@@ -110,10 +120,10 @@
     }
 
     /**
-     * Whether the team's quota share here would do for the gang when all that completes by itself
-     * has completed; if not, saving for it only idles the team.
+     * Whether the team's quota share in this shard would suffice for the gang once everything that
+     * completes by itself has completed; if not, accumulating it would only idle the team.
      */
-    private boolean couldSaveUp(Job gang, int tasks) {
+    private boolean canAccumulate(Job gang, int tasks) {
         double serviceCpus = 0;
         for (Job job : jobs.all()) {
             if (job.spec.isService()
--- a/src/main/java/io/quincelead/scheduler/TeamUsage.java
+++ b/src/main/java/io/quincelead/scheduler/TeamUsage.java
@@ -18,18 +18,18 @@
         return gpus;
     }
 
-    /** Adds so many tasks of the job; a negative number takes them away. */
+    /** Adds this many tasks of the job; a negative number subtracts them. */
     void add(JobSpec spec, int tasks) {
         cpus += tasks * spec.cpus();
         gpus += tasks * spec.gpus();
     }
 
-    /** Adds so many tasks of the job to what its team uses. */
+    /** Adds this many tasks of the job to its team's usage. */
     static void add(Map<String, TeamUsage> usageByTeam, JobSpec spec, int tasks) {
         usageByTeam.computeIfAbsent(spec.team(), t -> new TeamUsage()).add(spec, tasks);
     }
 
-    /** What the team uses; not to be changed. */
+    /** The team's usage; the caller must not change it. */
     static TeamUsage of(Map<String, TeamUsage> usageByTeam, String team) {
         return usageByTeam.getOrDefault(team, NONE);
     }
--- a/src/main/java/io/quincelead/scheduler/Tebas.java
+++ b/src/main/java/io/quincelead/scheduler/Tebas.java
@@ -11,7 +11,7 @@
 public final class Tebas {
     private Tebas() {}
 
-    /** A machine as the pass sees it. Made and used up by one pass. */
+    /** A machine as one pass sees it. Created for that pass and modified by it. */
     static final class CandidateMachine {
         final String host;
         final double fitness;
@@ -37,7 +37,7 @@
      * frequency.
      *
      * @param alpha the part of a task that runs in parallel, 0 to 1
-     * @param frequency of the machine, 1 for a usual one
+     * @param frequency relative clock frequency of the machine, 1 for a typical one
      */
     static double fitness(double alpha, double cpus, double frequency) {
         double k = Math.max(cpus * frequency, 1e-6);
@@ -45,8 +45,8 @@
     }
 
     /**
-     * How many tasks fit: the smallest of free CPUs, memory and GPUs, each over the task's demand.
-     * What the task doesn't demand doesn't count.
+     * How many tasks fit: the smallest of free CPUs, memory and GPUs, each divided by the task's
+     * demand. Resources that the task doesn't demand are ignored.
      */
     public static int taskCapacity(
             double freeCpus,
@@ -65,15 +65,15 @@
     /**
      * Assigns up to {@code tasks} tasks to the machines; returns how many found no free capacity.
      *
-     * @param beta machines in a group, as the paper calls it
+     * @param beta number of machines in a group, by its name in the paper
      */
     static int assign(List<CandidateMachine> machines, int tasks, int beta) {
         int machineCount = machines.size();
         if (machineCount == 0 || tasks <= 0) {
             return tasks;
         }
-        // Each member with free capacity takes a task at least, so the first sweep of a small job
-        // ends within the first machines.
+        // Each machine with free capacity takes at least one task, so the first sweep of a small
+        // job ends within the first machines.
         List<CandidateMachine> sorted = fittestFirst(machines, tasks);
         int groupCount = Math.max(1, machineCount / beta);
         int groupSize = machineCount / groupCount;
@@ -92,14 +92,14 @@
                                             : machineCount - groupSize * (groupCount - 1));
                 }
                 CandidateMachine machine = sorted.get(i);
-                int take =
+                int count =
                         Math.min(
                                 unassigned,
                                 Math.min(Math.max(average, 1), machine.remainingCapacity));
-                if (take > 0) {
-                    machine.assigned += take;
-                    machine.remainingCapacity -= take;
-                    unassigned -= take;
+                if (count > 0) {
+                    machine.assigned += count;
+                    machine.remainingCapacity -= count;
+                    unassigned -= count;
                     progressed = true;
                 }
             }
@@ -115,8 +115,8 @@
     }
 
     /**
-     * The machines by descending Fitness; of many, only as many as the job has tasks: the pass gets
-     * no further.
+     * The machines by descending fitness; if there are many, only as many as the job has tasks,
+     * since the pass gets no further.
      */
     private static List<CandidateMachine> fittestFirst(List<CandidateMachine> machines, int tasks) {
         boolean all = tasks >= machines.size() / 2;
--- a/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
+++ b/src/main/java/io/quincelead/scheduler/UnsatisfiableDemands.java
@@ -6,8 +6,8 @@
 
 /**
  * Demands for which a cycle found no free capacity. Free capacity only shrinks while a cycle is
- * planned, so a job that asks for as much or more, and may go to no other machines, finds none
- * either and need not be tried. Most waiting jobs are alike.
+ * planned, so a job that demands at least as much, and may use no other machines, finds none either
+ * and need not be tried. This pays off because most waiting jobs are alike.
  */
 final class UnsatisfiableDemands {
     private final List<JobSpec> minimalDemands = new ArrayList<>();
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Whether every machine that would do for a task of {@code demand} would do for one of {@code
-     * reference}, and no priority helps.
+     * Whether every machine that suits a task of {@code demand} also suits one of {@code
+     * reference}, and {@code demand} has no higher priority.
      */
     static boolean isAtLeastAsDemanding(JobSpec demand, JobSpec reference) {
         boolean asksNoLess =
@@ -49,8 +49,8 @@
                                         && reference
                                                 .machineTypes()
                                                 .containsAll(demand.machineTypes()));
-        // Work without GPUs that may run anywhere isn't shown the machines whose GPUs are in
-        // demand.
+        // Machines whose GPUs are in demand are withheld from work that needs no GPUs and names no
+        // machine types.
         boolean seesGpus =
                 reference.gpus() > 0
                         || reference.machineTypes() != null
--- a/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
+++ b/src/main/java/io/quincelead/scheduler/ZoneOccupancy.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** How many of a job's tasks are in which zone, by the records and one plan's edits. */
+/** Counts a job's tasks per zone, by the records and one plan's edits. */
 final class ZoneOccupancy {
     private final MachineTable machines;
     private final Policy policy;
@@ -23,7 +23,7 @@
         this.plan = plan;
     }
 
-    /** The zones where the job may have more tasks than it has. */
+    /** The zones where the job may have more tasks. */
     Predicate<String> allowedZones(Job job) {
         JobSpec spec = job.spec;
         int maxPerZone = policy.maxTasksPerZone(job);
@@ -38,8 +38,9 @@
     }
 
     /**
-     * Where the job's tasks may be now: those on record, those that this plan places, and those
-     * that have been assigned to hosts but are not in the plan yet. The caller may change the map.
+     * By zone, how many of the job's tasks may be in it now: those on record, those that this plan
+     * places, and those that have been assigned to hosts but are not in the plan yet. The caller
+     * may change the map.
      */
     Map<String, Integer> tasksByZone(Job job, Map<String, Integer> assignedTasksByHost) {
         Map<String, Integer> tasksByZone = new HashMap<>();
