--- a/src/main/java/io/quincelead/scheduler/ClusterView.java
+++ b/src/main/java/io/quincelead/scheduler/ClusterView.java
@@ -17,7 +17,7 @@
  * @param machines machines on record
  * @param machineTypes machine types that the cloud offers
  * @param imageCaches container images known to be on machines
- * @param constrainedDemand what constrained work has asked for lately
+ * @param constrainedDemand recent demand of constrained work
  * @param policy the operators' priority classes and calendar
  */
 public record ClusterView(
--- a/src/main/java/io/quincelead/scheduler/EscalationEncoder.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationEncoder.java
@@ -6,29 +6,29 @@
 import io.quincelead.store.StoreAccess;
 import io.quincelead.store.Transaction;
 
-/** Escalates jobs that don't fit this controller's shard to the leader. */
+/** Encodes the escalation to the leader of jobs that don't fit into this controller's shard. */
 final class EscalationEncoder {
     private final StoreAccess storeAccess;
-    private final ClusterMembership shards;
+    private final ClusterMembership membership;
     private final Settings settings;
 
-    EscalationEncoder(StoreAccess storeAccess, ClusterMembership shards, Settings settings) {
+    EscalationEncoder(StoreAccess storeAccess, ClusterMembership membership, Settings settings) {
         this.storeAccess = storeAccess;
-        this.shards = shards;
+        this.membership = membership;
         this.settings = settings;
     }
 
     /**
-     * Adds to the plan's transaction what escalates its jobs to the leader, as far as that fits.
-     * What their tasks use moves with them, out of this shard's quota shares and in the same
-     * transaction, so the sum of all quota shares and uses can't pass a team's limit.
+     * Adds the escalation of the plan's jobs to the plan's transaction, as far as it fits. The
+     * quota that their placed tasks use is deducted from this shard's quota shares in the same
+     * transaction, so the sum of all quota shares and usage can't exceed a team's limit.
      */
     void encode(SchedulingPlan plan) {
-        String leaderId = shards.leaderId();
+        String leaderId = membership.leaderId();
         if (plan.jobsToEscalate.isEmpty()
                 || leaderId == null
                 || leaderId.equals(settings.memberId())
-                || shards.shardOf(leaderId) == null) {
+                || membership.shardOf(leaderId) == null) {
             return;
         }
         Transaction transaction = plan.transaction;
@@ -40,7 +40,7 @@
                 break;
             }
             if (plan.hasChangesOf(job) || plan.admittedJobs.contains(job)) {
-                // Its use changes in this very write; the next cycle knows it exactly.
+                // The job's usage changes in this transaction; the next cycle knows it exactly.
                 continue;
             }
             anyEscalated = true;
--- a/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
@@ -10,11 +10,14 @@
 import java.util.Set;
 
 /**
- * Whether jobs that found no free capacity in this controller's shard should be escalated to the
- * leader. Remembers from cycle to cycle how long each has been stuck here.
+ * Decides whether jobs that found no free capacity in this controller's shard are escalated to the
+ * leader. Remembers from cycle to cycle how long each job has been stuck in this shard.
  */
 final class EscalationPolicy {
-    /** A machine of another shard that had free capacity for a job at each scan since then. */
+    /**
+     * A machine of another shard that had free capacity for a job at each scan since {@code
+     * sinceMillis}.
+     */
     private record LastingCapacity(String host, long sinceMillis) {}
 
     private final EventLoop loop;
@@ -22,7 +25,7 @@
     private final Map<Job, Long> stuckSinceMillis = new HashMap<>();
     private final Map<Job, LastingCapacity> lastingCapacityByJob = new HashMap<>();
 
-    /** When other shards' free capacity may be scanned again. */
+    /** Event-loop time from which other shards' free capacity may be scanned again. */
     private long nextScanMillis;
 
     EscalationPolicy(EventLoop loop, CapacityReader capacityReader) {
@@ -30,7 +33,7 @@
         this.capacityReader = capacityReader;
     }
 
-    /** No job waits: none is stuck. */
+    /** Forgets all jobs: none waits, so none is stuck. */
     void clear() {
         stuckSinceMillis.clear();
         lastingCapacityByJob.clear();
@@ -44,14 +47,15 @@
     final class Decisions {
         private final SchedulingPlan plan;
 
-        /** Jobs that this cycle leaves waiting here. */
+        /** Jobs that this cycle leaves waiting in this shard. */
         private final Set<Job> stuckJobs = new HashSet<>();
 
-        /** Machines of other shards, by pool; read when first needed. */
+        /** Machines of other shards, by pool; read on first use. */
         private Map<MachinePool.Key, MachinePool> otherPools;
 
         /**
-         * Tasks that other shards had free capacity for, by demands for which that was too little.
+         * By demand for which other shards had too little free capacity, how many tasks they had
+         * capacity for.
          */
         private final Map<JobSpec, Integer> tasksFound = new HashMap<>();
 
@@ -59,31 +63,33 @@
             this.plan = plan;
         }
 
-        /** The job is left waiting here. */
+        /** Marks the job as left waiting in this shard. */
         void addStuck(Job job) {
             stuckJobs.add(job);
         }
 
-        /** The job could not be tried: if it was stuck before, it still is. */
+        /** Keeps the job stuck if it was stuck before: this cycle could not try to place it. */
         void keepIfStuck(Job job) {
             if (stuckSinceMillis.containsKey(job)) {
                 stuckJobs.add(job);
             }
         }
 
-        /** Jobs that are no longer stuck start anew when they are again. */
+        /** Forgets the jobs that are no longer stuck; if one is stuck again, its time restarts. */
         void forgetPlacedJobs() {
             stuckSinceMillis.keySet().retainAll(stuckJobs);
             lastingCapacityByJob.keySet().retainAll(stuckJobs);
         }
 
         /**
-         * A job whose machine types this shard hasn't got goes at once; any other one when it has
-         * waited here for a while and other shards have free capacity that this one lacks. Without
-         * the second condition a full cluster would escalate every job to the leader, which would
-         * then place all work alone. A little free capacity counts when it lasts: it is left over
-         * by a team at its limit whose quota share lay with controllers without free capacity, for
-         * as long as tasks run.
+         * Whether to escalate the job to the leader. If its team's quota share in this shard
+         * suffices, a gang, a job with zone affinity or spread, and a job that no pool of this
+         * shard allows are escalated at once; any other job when it has waited in this shard for a
+         * while and other shards have free capacity that this one lacks. Without the second
+         * condition a full cluster would escalate every job to the leader, which would then place
+         * all work alone. A little free capacity counts when it lasts: a team at its limit, whose
+         * quota share lay with controllers without free capacity, leaves it unused for as long as
+         * tasks run.
          */
         boolean shouldEscalate(Job job) {
             JobSpec spec = job.spec;
@@ -107,9 +113,10 @@
         }
 
         /**
-         * What the job lacks is its team's quota share here; that moves to where the demand is. But
-         * of two gangs on two controllers each could be given half of what it needs, for ever: the
-         * leader serves one after the other.
+         * Whether the job is a gang that has lacked its team's quota share in this shard for too
+         * long. Quota share moves to where the demand is, but two gangs on two controllers could
+         * each be given half of what they need, indefinitely; the leader serves one after the
+         * other.
          */
         private boolean isGangShortOfQuotaTooLong(Job job) {
             stuckJobs.add(job);
@@ -165,8 +172,9 @@
         }
 
         /**
-         * Free capacity for one job serves one: all that wait here would otherwise go to the leader
-         * for it. What best-effort work leaves to urgent arrivals lasts, too, and isn't for it.
+         * Claims lasting free capacity for one job; otherwise all jobs that wait in this shard
+         * would be escalated for it. Capacity that best-effort work leaves to urgent arrivals
+         * lasts, too, and isn't available to best-effort work.
          */
         private boolean claimLastingCapacity(JobSpec spec, LastingCapacity capacity) {
             boolean leavesReserve =
--- a/src/main/java/io/quincelead/scheduler/MachineStatus.java
+++ b/src/main/java/io/quincelead/scheduler/MachineStatus.java
@@ -1,6 +1,6 @@
 package io.quincelead.scheduler;
 
-/** What is known of machines beside their records. */
+/** What is known of machines apart from their records. */
 interface MachineStatus {
     /**
      * Whether new tasks may go to the machine.
@@ -9,6 +9,6 @@
      */
     boolean isAcceptingTasks(String owner, String host);
 
-    /** Seconds until a start can leave for the machine. */
+    /** Seconds until a start can be sent to the machine. */
     double startDelaySeconds(String host);
 }
--- a/src/main/java/io/quincelead/scheduler/PlanEncoder.java
+++ b/src/main/java/io/quincelead/scheduler/PlanEncoder.java
@@ -11,19 +11,19 @@
 import java.util.Map;
 
 /**
- * Turns a plan's edits into its transaction. The preconditions are what make a cycle safe: the own
- * shard's revision (the fencing token), that of each job and page it touches, the generations of
- * the operators' records it was planned by, and for the leader those of the leadership and of all
- * shards.
+ * Encodes a plan's edits into its transaction. The preconditions make a cycle safe: the revision of
+ * this controller's shard (the fencing token), that of each job and page the plan touches, the
+ * generations of the operators' records it was planned by, and for the leader those of the
+ * leadership and of all shards.
  */
 final class PlanEncoder {
     private final WatchCache watchCache;
-    private final ClusterMembership shards;
+    private final ClusterMembership membership;
     private final Policy policy;
 
-    PlanEncoder(WatchCache watchCache, ClusterMembership shards, Policy policy) {
+    PlanEncoder(WatchCache watchCache, ClusterMembership membership, Policy policy) {
         this.watchCache = watchCache;
-        this.shards = shards;
+        this.membership = membership;
         this.policy = policy;
     }
 
@@ -32,7 +32,7 @@
         for (Map.Entry<TaskStatePage, TaskStatePageEdit> entry : plan.edits.entrySet()) {
             TaskStatePageEdit edit = entry.getValue();
             if (plan.admittedJobs.contains(edit.page().job)) {
-                encodeEnteringJob(plan, edit);
+                encodeAdmittedJob(plan, edit);
                 anyChange |= edit.isChanged();
             } else if (edit.isChanged()) {
                 anyChange = true;
@@ -44,15 +44,18 @@
         }
     }
 
-    /** A job that enters is new: neither it nor a final state of the same id may be on record. */
-    private void encodeEnteringJob(SchedulingPlan plan, TaskStatePageEdit edit) {
+    /**
+     * Encodes a job that is admitted with this plan: neither the job nor a final state of the same
+     * id may be on record yet.
+     */
+    private void encodeAdmittedJob(SchedulingPlan plan, TaskStatePageEdit edit) {
         Job job = edit.page().job;
-        String leaderId = shards.leaderId();
+        String leaderId = membership.leaderId();
         boolean assignedToLeader =
                 !edit.isChanged()
                         && plan.jobsToEscalate.contains(job)
                         && leaderId != null
-                        && shards.shardOf(leaderId) != null;
+                        && membership.shardOf(leaderId) != null;
         plan.transaction
                 .requireRevision(job.storeKey(), 0)
                 .requireRevision(StoreKeys.FINAL_STATE_PREFIX + job.spec.jobId(), 0)
@@ -71,7 +74,7 @@
         policy.requireCurrentPolicy(plan.transaction);
         if (plan.leading) {
             requireCurrent(plan.transaction, StoreKeys.LEADER);
-            for (ClusterMembership.Shard shard : shards.shards()) {
+            for (ClusterMembership.Shard shard : membership.shards()) {
                 requireCurrent(plan.transaction, shard.storeKey());
             }
         }
--- a/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
+++ b/src/main/java/io/quincelead/scheduler/ReportedMachineStatus.java
@@ -5,18 +5,21 @@
 import io.quincelead.worker.ShardWorker;
 import io.quincelead.worker.WorkerGateway;
 
-/** Machine status by heartbeats: our own workers' and those that other controllers report on. */
+/**
+ * Machine status by heartbeats: those of this controller's workers, and those that other
+ * controllers report on.
+ */
 final class ReportedMachineStatus implements MachineStatus {
     private final String memberId;
     private final double heartbeatSeconds;
     private final WorkerGateway workerGateway;
     private final PeerMessenger messenger;
 
-    ReportedMachineStatus(Settings settings, ControllerComponents collaborators) {
+    ReportedMachineStatus(Settings settings, ControllerComponents components) {
         this.memberId = settings.memberId();
         this.heartbeatSeconds = settings.workerTimings().heartbeatSeconds();
-        this.workerGateway = collaborators.workerGateway();
-        this.messenger = collaborators.messenger();
+        this.workerGateway = components.workerGateway();
+        this.messenger = components.messenger();
     }
 
     @Override
@@ -30,7 +33,8 @@
     @Override
     public double startDelaySeconds(String host) {
         ShardWorker worker = workerGateway.worker(host);
-        // Another controller's machine: on average, half an interval passes until its heartbeat.
+        // For another controller's machine, half an interval passes on average until its next
+        // heartbeat.
         return worker != null ? worker.startDelaySeconds() : heartbeatSeconds / 2;
     }
 }
--- a/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingPlan.java
@@ -20,31 +20,31 @@
 
 /**
  * One cycle's plan: the edits of task state pages it would write, and the free capacity and usage
- * that remain under them. Lives for one cycle and is never shared.
+ * that result from them. Created for one cycle and never shared.
  */
 final class SchedulingPlan {
-    /** What the plan writes; filled when all else is decided. */
+    /** The plan's transaction; filled when everything else is decided. */
     final Transaction transaction = new Transaction();
 
-    /** The edits by the page that they start from, in the order they were made. */
+    /** The edits, by the page that they are based on, in the order they were made. */
     final Map<TaskStatePage, TaskStatePageEdit> edits = new LinkedHashMap<>();
 
     /** Machines that accept tasks, by host. */
     final Map<String, FreeCapacity> machines = new LinkedHashMap<>();
 
-    /** The same machines by what every job sees alike in them. */
+    /** Pools of equivalent machines among those that accept tasks. */
     final Map<MachinePool.Key, MachinePool> pools = new LinkedHashMap<>();
 
     /**
-     * What tasks of this controller's jobs use by team: those on record, less the terminations that
-     * this very transaction puts on record. A termination that is only known here doesn't count:
-     * were the machine to change owners before it is on record, the record would entitle the new
-     * owner to start the task again, beside what took its place.
+     * Usage by team of this controller's jobs: tasks on record, less the terminations that this
+     * transaction records. A termination that is known only by evidence doesn't count: if the
+     * machine changed owners before the termination is on record, the record would entitle the new
+     * owner to start the task again, beside the task that took its place.
      */
     final Map<String, TeamUsage> ownUsage = new HashMap<>();
 
     /**
-     * What tasks of all jobs use by team, without those known to have terminated: for the choice of
+     * Usage by team of all jobs, without tasks that are known to have terminated; used to choose
      * what to preempt.
      */
     final Map<String, TeamUsage> totalUsage = new HashMap<>();
@@ -52,27 +52,27 @@
     /** Jobs that should be escalated to the leader. */
     final List<Job> jobsToEscalate = new ArrayList<>();
 
-    /** Jobs that this cycle would record for the first time. */
+    /** Jobs that are admitted with this plan, which would record them for the first time. */
     final Set<Job> admittedJobs = new LinkedHashSet<>();
 
     /** Jobs within their team's guarantee. */
     Set<Job> jobsWithinGuarantee = Set.of();
 
     /**
-     * Jobs of which no more tasks have started than they are entitled to by their age, with how
-     * many that is.
+     * Jobs of which no more tasks have started than the job is entitled to by its age, with that
+     * number.
      */
     final Map<Job, Integer> entitledTasksByStarvingJob = new HashMap<>();
 
-    /** The own shard under which this plan is made. */
+    /** This controller's shard, as the plan is based on it. */
     final ClusterMembership.Shard shard;
 
-    /** Whether this controller leads, and may place on all shards. */
+    /** Whether this controller is the leader, which may place on all shards. */
     final boolean leading;
 
     final int shardCount;
 
-    /** Records that the store's budget lets the transaction write. */
+    /** Number of records that the store's write budget lets the transaction write. */
     final int writeBudget;
 
     final int maxTransactionOps;
@@ -80,13 +80,15 @@
     /** Whether there was more to write than the transaction holds. */
     boolean truncated;
 
-    /** CPUs free on machines whose GPUs are not in demand; NaN when they have to be summed up. */
+    /**
+     * CPUs free on machines whose GPUs are not in demand; NaN when the sum must be computed again.
+     */
     private double cachedFreeCpus = Double.NaN;
 
-    /** CPUs that best-effort work leaves free. */
+    /** CPUs that best-effort work leaves free for urgent work. */
     double urgentReserveCpus;
 
-    /** Work that is kept from machines only because others need their GPUs. */
+    /** Tracks machines withheld from work only because other work demands their GPUs. */
     CapacityWithholding gpuWithholding = new CapacityWithholding(false);
 
     SchedulingPlan(
@@ -102,15 +104,15 @@
         this.maxTransactionOps = maxTransactionOps;
     }
 
-    /** Jobs that the plan records for the first time, each with its only page. */
+    /** Adds jobs that the plan records for the first time, each with its only page. */
     void addAdmittedJobs(List<Job> jobs) {
         admittedJobs.addAll(jobs);
         jobs.forEach(job -> edit(job, 0));
     }
 
     /**
-     * How many records one transaction may hold: each needs two preconditions, beside those of the
-     * leadership, the operators' records and the shards.
+     * How many records one transaction may hold: each needs two preconditions, in addition to those
+     * of the leadership, the operators' records and the shards.
      */
     static int maxRecords(int writeBudget, int shardCount, int maxTransactionOps) {
         return Math.min(
@@ -126,7 +128,7 @@
         return edits.size() >= maxRecords(writeBudget, shardCount, maxTransactionOps);
     }
 
-    /** Whether none fits if so many are reserved for others. */
+    /** Whether no further record fits if this many are reserved for other work. */
     boolean isFull(int reservedRecords) {
         return edits.size()
                 >= maxRecords(writeBudget, shardCount, maxTransactionOps) - reservedRecords;
@@ -150,7 +152,7 @@
         return false;
     }
 
-    /** The pool of such machines; made if there is none. */
+    /** The pool of such machines; created if there is none. */
     MachinePool pool(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return pools.computeIfAbsent(
                 new MachinePool.Key(machineType.name(), zone, spot),
@@ -163,15 +165,15 @@
         cachedFreeCpus = Double.NaN;
     }
 
-    /** Tasks that are placed by this plan take capacity of a machine. */
+    /** Allocates a machine's capacity to tasks that this plan places. */
     void allocate(FreeCapacity machine, JobSpec spec, int tasks) {
         machine.allocate(spec, tasks);
         cachedFreeCpus = Double.NaN;
     }
 
     /**
-     * The edit of a page, with the terminations known by evidence; null when one more does not fit
-     * the transaction.
+     * The edit of a page, which includes the page's terminations known by evidence; null when no
+     * further record fits into the transaction.
      */
     TaskStatePageEdit edit(Job job, int pageIndex) {
         TaskStatePage page = job.pageOrEmpty(pageIndex);
@@ -199,12 +201,15 @@
         return edit;
     }
 
-    /** The edit of the page that the placement is on; null as above. */
+    /**
+     * The edit of the page that the placement is on; null when no further record fits into the
+     * transaction.
+     */
     TaskStatePageEdit edit(Placement placement) {
         return edit(placement.job, placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE);
     }
 
-    /** Tasks of the job that may be placed and are not by this plan. */
+    /** Number of the job's tasks that may be placed and are not placed by this plan. */
     int unplacedTasks(Job job) {
         int tasks = job.waitingTaskCount();
         for (int pageIndex = 0; !edits.isEmpty() && pageIndex < job.pages.length; pageIndex++) {
@@ -215,7 +220,7 @@
         return tasks;
     }
 
-    /** The same of one page. */
+    /** Number of one page's tasks that may be placed and are not placed by this plan. */
     int unplacedTasks(Job job, int pageIndex) {
         TaskStatePage page = job.pageOrEmpty(pageIndex);
         TaskStatePageEdit edit = edits.get(page);
@@ -240,12 +245,15 @@
         return cachedFreeCpus;
     }
 
-    /** The same, also on the others if {@code anywhere}. */
-    double freeCpus(boolean anywhere) {
+    /**
+     * CPUs that are free on machines; those whose GPUs are in demand count only if {@code
+     * includeGpusInDemand}.
+     */
+    double freeCpus(boolean includeGpusInDemand) {
         double free = 0;
         for (FreeCapacity machine : machines.values()) {
             free +=
-                    machine.hasFreeCapacity() && (anywhere || !machine.pool.gpusInDemand)
+                    machine.hasFreeCapacity() && (includeGpusInDemand || !machine.pool.gpusInDemand)
                             ? machine.freeCpus()
                             : 0;
         }
@@ -254,15 +262,15 @@
 
     /** Whether the plan changes the state of any task of the job. */
     boolean hasChangesOf(Job job) {
-        return edits.values().stream().anyMatch(e -> e.page().job == job && e.isChanged());
+        return edits.values().stream().anyMatch(edit -> edit.page().job == job && edit.isChanged());
     }
 
-    /** How many more tasks of the job its team's quota share here lets in. */
+    /** How many more tasks of the job its team's quota share in this shard admits. */
     int tasksWithinQuotaShare(JobSpec spec) {
         return tasksWithinQuotaShare(shard, ownUsage, spec);
     }
 
-    /** How many more tasks of the job a shard's quota share lets in beside that usage. */
+    /** How many more tasks of the job a shard's quota share admits beside this usage. */
     static int tasksWithinQuotaShare(
             ClusterMembership.Shard shard, Map<String, TeamUsage> usageByTeam, JobSpec spec) {
         ClusterMembership.QuotaShare quotaShare = shard.quotaShare(spec.team());
--- a/src/main/java/io/quincelead/scheduler/TaskEvictor.java
+++ b/src/main/java/io/quincelead/scheduler/TaskEvictor.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Stops tasks that cannot go on where they are, whatever waits: of gangs that lost a task, and of
- * machines that are reclaimed or cordoned.
+ * Stops tasks that cannot continue where they are, whether or not other work waits: tasks of gangs
+ * that lost a task, and tasks on machines that are reclaimed or cordoned.
  */
 final class TaskEvictor {
     private final EventLoop loop;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * A gang that lost a task can't go on: the rest is stopped, and the next attempt starts when
-     * all are gone. Of a gang that has completed nothing starts again: what isn't placed is
-     * completed, and what is placed stays so until there is evidence of it, for the record entitles
-     * the machine's owner, perhaps another controller that lags behind, to start it.
+     * Stops the remaining tasks of gangs that lost a task; the next attempt starts when all of them
+     * are gone. No task of a completed gang starts again: tasks without a placement are completed,
+     * and placed tasks stay placed until there is evidence of their termination, because the record
+     * entitles the machine's owner, perhaps another controller that lags behind, to start them.
      */
     void reconcileGangs(SchedulingPlan plan) {
         for (Job job : jobs.all()) {
@@ -93,9 +93,10 @@
     }
 
     /**
-     * A machine with a reclaim notice is drained of what writes checkpoints or has not started; the
-     * rest may still finish in time. Off a cordoned machine only what writes checkpoints and has
-     * run for a while is moved, so that the machine can be returned sooner.
+     * Evicts tasks from reclaimed and cordoned machines. From a machine with a reclaim notice,
+     * tasks that write checkpoints or have not started are evicted; the rest may still complete in
+     * time. From a cordoned machine, only tasks that write checkpoints and have run for a while are
+     * evicted, so that the machine can be released sooner.
      */
     void drainMachines(SchedulingPlan plan) {
         for (ShardWorker worker : workerGateway.workers()) {
