--- a/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
+++ b/src/bench/java/io/quincelead/scheduler/SchedulingCycleBenchmark.java
@@ -18,8 +18,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One queue pass of the leader over a cluster that is nearly full: what placing costs by machines,
- * waiting jobs and running tasks. The compiler's first tier alone, as controllers run it.
+ * Measures one queue pass of the leader over a nearly full cluster: the cost of placement by the
+ * numbers of machines, waiting jobs and running tasks. Uses the JIT compiler's first tier only, as
+ * controllers do.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -39,7 +40,7 @@
     @Param({"0", "10000", "50000"})
     int running;
 
-    /** Priority classes and entries of the calendar on record; 0: none. */
+    /** Number of priority classes on record, with calendar entries; 0: neither. */
     @Param({"0", "128"})
     int classes;
 
@@ -49,7 +50,10 @@
     public void fillCluster() {
         SplittableRandom random = new SplittableRandom(7);
         cluster = new ClusterFixture(machines, random);
-        double cpus = cluster.machineTypeByHost.values().stream().mapToDouble(s -> s.cpus()).sum();
+        double cpus =
+                cluster.machineTypeByHost.values().stream()
+                        .mapToDouble(machineType -> machineType.cpus())
+                        .sum();
         int id = 0;
         for (int remaining = running; remaining > 0; remaining -= 100) {
             JobSpec.Priority priority =
@@ -81,7 +85,7 @@
         }
     }
 
-    /** At most 12 records, as the store takes. */
+    /** Plans at most 12 records, as many as the store takes. */
     @Benchmark
     public int runCycle() {
         SchedulingPlan plan = cluster.newPlan(12);
--- a/src/test/java/io/quincelead/scheduler/AdmissionQueueTest.java
+++ b/src/test/java/io/quincelead/scheduler/AdmissionQueueTest.java
@@ -17,100 +17,103 @@
 
 class AdmissionQueueTest {
     private final ClusterFixture cluster = new ClusterFixture(1, new SplittableRandom(1));
-    private final AdmissionQueue entering = new AdmissionQueue(cluster.loop, cluster.jobs);
+    private final AdmissionQueue queue = new AdmissionQueue(cluster.loop, cluster.jobs);
     private final List<String> outcomes = new ArrayList<>();
 
     private static JobSpec spec(int id) {
         return JobFixtures.array(id, "red", JobSpec.Priority.HIGH, 1, 1, 10);
     }
 
-    private Job add(int id, long patienceMillis) {
+    private Job add(int id, long timeoutMillis) {
         Job job = new Job(spec(id), ClusterFixture.MEMBER_ID, 0);
-        entering.add(job, patienceMillis, o -> outcomes.add(job.spec.jobId() + " " + o.result()));
+        queue.add(
+                job,
+                timeoutMillis,
+                outcome -> outcomes.add(job.spec.jobId() + " " + outcome.result()));
         return job;
     }
 
     private static List<String> ids(List<AdmissionQueue.Submission> taken) {
-        return taken.stream().map(entry -> entry.job().spec.jobId()).toList();
+        return taken.stream().map(submission -> submission.job().spec.jobId()).toList();
     }
 
     @Test
-    void rejectsOnlyJobsThatWaitedLongerThanTheirPatience() {
+    void rejectsOnlyJobsPastTheirTimeout() {
         add(1, -1);
         add(2, 0);
 
-        entering.expire();
+        queue.expire();
 
         assertEquals(List.of("wk-000001 REJECTED"), outcomes);
-        assertEquals(1, entering.size());
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void takesTheFirstJobsInTheOrderTheyCame() {
+    void takesJobsInSubmissionOrder() {
         add(1, 10);
         add(2, 10);
         add(3, 10);
 
-        assertEquals(List.of("wk-000001", "wk-000002"), ids(entering.takeAtMost(2)));
-        assertEquals(1, entering.size());
+        assertEquals(List.of("wk-000001", "wk-000002"), ids(queue.takeAtMost(2)));
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void reportsAConflictForAJobThatWasRecordedMeanwhile() {
+    void reportsConflictForAJobAlreadyOnRecord() {
         add(1, 10);
         cluster.addWaitingJob(spec(1));
 
-        assertTrue(entering.takeAtMost(2).isEmpty());
+        assertTrue(queue.takeAtMost(2).isEmpty());
         assertEquals(List.of("wk-000001 CONFLICT"), outcomes);
     }
 
     @Test
-    void keepsJobsThatAConflictDoesNotConcernInTheirOrder() {
+    void requeuesJobsNotInTheConflictInOrder() {
         Job first = add(1, 10);
         add(2, 10);
         add(3, 10);
-        List<AdmissionQueue.Submission> taken = entering.takeAtMost(3);
+        List<AdmissionQueue.Submission> taken = queue.takeAtMost(3);
 
-        entering.respond(
+        queue.respond(
                 taken,
                 new Transaction.Outcome(Transaction.Result.CONFLICT, 0, Set.of(first.storeKey())));
 
         assertEquals(List.of("wk-000001 CONFLICT"), outcomes);
-        assertEquals(List.of("wk-000002", "wk-000003"), ids(entering.takeAtMost(3)));
+        assertEquals(List.of("wk-000002", "wk-000003"), ids(queue.takeAtMost(3)));
     }
 
     @Test
-    void keepsAllJobsWhenTheStoreIsThrottled() {
+    void requeuesAllJobsWhenTheStoreThrottles() {
         add(1, 10);
-        List<AdmissionQueue.Submission> taken = entering.takeAtMost(1);
+        List<AdmissionQueue.Submission> taken = queue.takeAtMost(1);
 
-        entering.respond(taken, new Transaction.Outcome(Transaction.Result.THROTTLED, 0, Set.of()));
+        queue.respond(taken, new Transaction.Outcome(Transaction.Result.THROTTLED, 0, Set.of()));
 
         assertEquals(List.of(), outcomes);
-        assertEquals(1, entering.size());
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void tellsAnIndeterminateOutcome() {
+    void reportsAnIndeterminateOutcome() {
         add(1, 10);
-        List<AdmissionQueue.Submission> taken = entering.takeAtMost(1);
+        List<AdmissionQueue.Submission> taken = queue.takeAtMost(1);
 
-        entering.respond(
+        queue.respond(
                 taken, new Transaction.Outcome(Transaction.Result.INDETERMINATE, 0, Set.of()));
 
         assertEquals(List.of("wk-000001 INDETERMINATE"), outcomes);
-        assertTrue(entering.isEmpty());
+        assertTrue(queue.isEmpty());
     }
 
     @Test
-    void acceptsAJobOnceAndNoMoreThanItsBound() {
+    void acceptsAJobOnceAndNoMoreThanItsCapacity() {
         for (int id = 1; id <= StoreConstants.MAX_WAITING_COMMITS; id++) {
-            assertTrue(entering.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
+            assertTrue(queue.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
             add(id, 10);
-            assertFalse(entering.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
+            assertFalse(queue.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
         }
         int next = StoreConstants.MAX_WAITING_COMMITS + 1;
 
-        assertFalse(entering.accepts(new Job(spec(next), ClusterFixture.MEMBER_ID, 0)));
+        assertFalse(queue.accepts(new Job(spec(next), ClusterFixture.MEMBER_ID, 0)));
     }
 }
--- a/src/test/java/io/quincelead/scheduler/CapacityWithholdingTimerTest.java
+++ b/src/test/java/io/quincelead/scheduler/CapacityWithholdingTimerTest.java
@@ -7,7 +7,7 @@
 import io.quincelead.eventloop.EventLoop;
 import org.junit.jupiter.api.Test;
 
-/** How long work is held back from free capacity that is left to others. */
+/** How long free capacity is withheld from some work in favour of other work. */
 class CapacityWithholdingTimerTest {
     private long nowMillis = 1_000;
 
@@ -28,19 +28,22 @@
                         public void runAfter(long delayMillis, Runnable task) {}
                     });
 
-    /** A pass in which as many tasks as stated are held back; returns how many were let in. */
-    private int pass(int heldBackTasks, boolean othersWait) {
-        CapacityWithholding holdBack = timer.beginPass(othersWait);
+    /**
+     * Runs a pass in which capacity is withheld from this many tasks; returns how many were
+     * admitted.
+     */
+    private int pass(int waitingTasks, boolean othersWait) {
+        CapacityWithholding withholding = timer.beginPass(othersWait);
         int admitted = 0;
-        for (int i = 0; i < heldBackTasks; i++) {
-            admitted += holdBack.tryAdmitTask() ? 1 : 0;
+        for (int i = 0; i < waitingTasks; i++) {
+            admitted += withholding.tryAdmitTask() ? 1 : 0;
         }
-        timer.endPass(holdBack);
+        timer.endPass(withholding);
         return admitted;
     }
 
     @Test
-    void oneTaskAPassIsLetInAfterAMinute() {
+    void admitsOneTaskPerPassAfterAMinute() {
         assertEquals(0, pass(5, false));
         nowMillis += 59_999;
         assertEquals(0, pass(5, false));
@@ -50,7 +53,7 @@
     }
 
     @Test
-    void timeBeginsAnewWhenNothingIsHeldBack() {
+    void restartsWhenNothingIsWithheld() {
         pass(1, false);
         nowMillis += 60_000;
         assertEquals(1, pass(1, false));
@@ -62,7 +65,7 @@
     }
 
     @Test
-    void timeBeginsAnewWhenThoseWaitForWhomTheCapacityIsLeft() {
+    void restartsWhenWorkTheCapacityIsWithheldForWaits() {
         pass(1, false);
         nowMillis += 60_000;
         assertEquals(0, pass(1, true));
@@ -73,7 +76,7 @@
     }
 
     @Test
-    void timeBeginsAnewWhenNoWorkWaits() {
+    void restartsWhenNoWorkWaits() {
         pass(1, false);
         nowMillis += 60_000;
         timer.reset();
@@ -81,7 +84,7 @@
     }
 
     @Test
-    void furtherWorkMakesNoDifferenceOnceTheTaskIsLetIn() {
+    void canNoLongerChangeOnceItsTaskIsAdmitted() {
         CapacityWithholding closed = new CapacityWithholding(false);
         assertTrue(closed.canChange());
         assertFalse(closed.tryAdmitTask());
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -29,8 +29,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Machines, jobs and the leader's pass over them, made of records alone: for tests and measurements
- * of one scheduling cycle.
+ * Machines, jobs and the leader's pass over them, built from records alone, for tests and
+ * benchmarks of one scheduling cycle.
  */
 final class ClusterFixture {
     static final String MEMBER_ID = "w";
@@ -66,7 +66,7 @@
                     new Settings.StoreLimits(600, 250, 8, 12));
     final StoreClient store = UnresponsiveStore.client(loop, settings);
     private final WatchCache watchCache = new WatchCache(loop, store, 100);
-    private final ClusterMembership shards = new ClusterMembership(settings, watchCache);
+    private final ClusterMembership membership = new ClusterMembership(settings, watchCache);
     final JobTable jobs = new JobTable(loop, watchCache);
     private final MachineTable machines = new MachineTable(watchCache);
     private final MachineTypeCatalog catalog = new MachineTypeCatalog(watchCache);
@@ -79,7 +79,7 @@
                     OperatorSettings.DEFAULTS,
                     store,
                     new ClusterView(
-                            shards,
+                            membership,
                             jobs,
                             machines,
                             catalog,
@@ -103,7 +103,7 @@
     double quotaShareCpus = 1e9;
     private long revision;
 
-    /** Puts no termination on record. */
+    /** Records no termination. */
     final TerminationRecorder noOpTerminationRecorder =
             new TerminationRecorder() {
                 @Override
@@ -113,7 +113,7 @@
                 public void recordForQuota(SchedulingPlan plan, JobSpec spec, int tasks) {}
             };
 
-    /** Puts every termination on record that is asked for. */
+    /** Records every termination that is requested for quota. */
     final TerminationRecorder eagerTerminationRecorder =
             new TerminationRecorder() {
                 @Override
@@ -132,7 +132,7 @@
                 }
             };
 
-    ClusterFixture(int size, SplittableRandom random) {
+    ClusterFixture(int machineCount, SplittableRandom random) {
         for (MachineTypeCatalog.MachineType machineType : MACHINE_TYPES) {
             ObjectNode typeRecord =
                     WireFormat.newMap()
@@ -154,7 +154,7 @@
         ObjectNode shard = WireFormat.newMap().put("p", "");
         ArrayNode shardMachines = shard.putObject("ms").putArray("1");
         shard.putObject("al").putArray("red").add(1e9).add(0);
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < machineCount; i++) {
             MachineTypeCatalog.MachineType machineType =
                     MACHINE_TYPES.get(Math.max(0, random.nextInt(10) - 7));
             String host = String.format("i-%06d", i);
@@ -193,7 +193,7 @@
         return spec;
     }
 
-    /** Records a job that has waited so long. */
+    /** Records a job that has waited for this long. */
     JobSpec addWaitingJob(JobSpec spec, long ageMillis) {
         putRecord(
                 "a/j/" + spec.jobId(),
@@ -202,7 +202,7 @@
     }
 
     /**
-     * Records the job's tasks on machines that have room for them; those that find none are
+     * Records the job's tasks on machines with free capacity for them; tasks that find none are
      * recorded as completed.
      */
     JobSpec addRunningJob(JobSpec spec, SplittableRandom random) {
@@ -240,7 +240,7 @@
         return new SchedulingPlan(
                 new ClusterMembership.Shard(
                         MEMBER_ID,
-                        shards.localShard().fencingTokensByHost(),
+                        membership.localShard().fencingTokensByHost(),
                         Map.of("red", new ClusterMembership.QuotaShare(quotaShareCpus, 0))),
                 true,
                 1,
@@ -250,27 +250,31 @@
 
     List<JobSpec> inQueueOrder(List<JobSpec> waiting) {
         return waiting.stream()
-                .map(s -> queueOrder.entryFor(jobs.get(s.jobId()), false, loop.wallClockMillis()))
+                .map(
+                        spec ->
+                                queueOrder.entryFor(
+                                        jobs.get(spec.jobId()), false, loop.wallClockMillis()))
                 .sorted(QueueOrder.BY_QUEUE_ORDER)
-                .map(r -> r.job().spec)
+                .map(entry -> entry.job().spec)
                 .toList();
     }
 
-    /** How many of the job's tasks the plan leaves on which machine. */
+    /** How many of the job's tasks are on each machine by the plan. */
     static Map<String, Integer> tasksByMachine(SchedulingPlan plan, JobSpec spec) {
         Map<String, Integer> tasksByMachine = new LinkedHashMap<>();
         for (Map.Entry<TaskStatePage, TaskStatePageEdit> entry : plan.edits.entrySet()) {
             if (entry.getKey().job.spec.jobId().equals(spec.jobId())) {
                 entry.getValue()
                         .placements()
-                        .forEach(p -> tasksByMachine.merge(p.host, 1, Integer::sum));
+                        .forEach(
+                                placement -> tasksByMachine.merge(placement.host, 1, Integer::sum));
             }
         }
         return tasksByMachine;
     }
 
     /**
-     * Records so many priority classes, calendar entries and open windows; few of them match any
+     * Records this many priority classes, calendar entries and open windows; few of them match any
      * job.
      */
     void addOperatorRecords(int classes, int entries, int openWindows) {
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PreemptionTest {
-    /** A clock that moves on at each look, as it does while a slow controller computes. */
-    private static final class BusyLoop implements EventLoop {
+    /** A clock that advances at each reading, as it does while a slow controller computes. */
+    private static final class AdvancingLoop implements EventLoop {
         private long nowMillis = 100_000;
 
         @Override
@@ -43,7 +43,7 @@
         public void runAfter(long ms, Runnable task) {}
     }
 
-    private final EventLoop loop = new BusyLoop();
+    private final EventLoop loop = new AdvancingLoop();
     private final Settings.Team team = new Settings.Team("red", 1_000, 1_000, 0, 0);
     private final Settings settings =
             TestSettings.loneController(
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Candidates were once sorted by a loss read from the clock at each comparison: the sort failed
-     * and ended all scheduling cycles.
+     * Guards against candidates sorted by a loss that is computed from the clock at each
+     * comparison: the sort failed and ended all scheduling cycles.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void candidatesAreFoundThoughTimePassesWhileTheyAreSorted(long seed) {
+    void sortsCandidatesWhileTheClockAdvances(long seed) {
         putJob(JobFixtures.array(1, "red", JobSpec.Priority.BEST_EFFORT, 600, 1, 1e6), "i-1");
         putJob(JobFixtures.array(2, "red", JobSpec.Priority.HIGH, 100, 1, 10), null);
         SplittableRandom random = new SplittableRandom(seed);
@@ -124,7 +124,7 @@
                                 policy.priorityOf(jobs.get("wk-000002")),
                                 1),
                         100,
-                        z -> true);
+                        zone -> true);
 
         long stopped = 0;
         for (int pageIndex = 0; pageIndex < 3; pageIndex++) {
--- a/src/test/java/io/quincelead/scheduler/QueueSchedulerTest.java
+++ b/src/test/java/io/quincelead/scheduler/QueueSchedulerTest.java
@@ -19,9 +19,9 @@
 
 class QueueSchedulerTest {
     /**
-     * The naive reference: each job in the order of the queue filters all machines, sorts them,
-     * runs the TEBAS pass over them with nothing left out, and takes the capacity. What the pass
-     * with cached loads and remembered failures assigns must be the same.
+     * Naive reference: for each job in queue order, filters and sorts all machines, runs the TEBAS
+     * pass over all of them and takes the capacity. The pass with cached loads and remembered
+     * failures must assign the same.
      */
     private static Map<String, Map<String, Integer>> assignNaively(
             ClusterFixture cluster, List<JobSpec> queue) {
@@ -87,9 +87,9 @@
     /** Algorithm 1 over all machines, fully sorted. */
     private static void assignFullySorted(List<Tebas.CandidateMachine> machines, int tasks) {
         machines.sort(
-                Comparator.comparingDouble((Tebas.CandidateMachine s) -> -s.fitness)
-                        .thenComparingDouble(s -> -s.initialCapacity)
-                        .thenComparing(s -> s.host));
+                Comparator.comparingDouble((Tebas.CandidateMachine machine) -> -machine.fitness)
+                        .thenComparingDouble(machine -> -machine.initialCapacity)
+                        .thenComparing(machine -> machine.host));
         int machineCount = machines.size();
         int groupCount = Math.max(1, machineCount / 3);
         int unassigned = tasks;
@@ -106,13 +106,13 @@
                                             : machineCount
                                                     - machineCount / groupCount * (groupCount - 1));
                 }
-                int take =
+                int count =
                         Math.min(
                                 unassigned,
                                 Math.min(Math.max(average, 1), machines.get(i).remainingCapacity));
-                machines.get(i).assigned += take;
-                machines.get(i).remainingCapacity -= take;
-                unassigned -= take;
+                machines.get(i).assigned += count;
+                machines.get(i).remainingCapacity -= count;
+                unassigned -= count;
             }
         }
     }
@@ -131,7 +131,8 @@
             cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
 
             Map<String, Map<String, Integer>> assigned = new TreeMap<>();
-            waiting.forEach(s -> assigned.put(s.jobId(), ClusterFixture.tasksByMachine(plan, s)));
+            waiting.forEach(
+                    spec -> assigned.put(spec.jobId(), ClusterFixture.tasksByMachine(plan, spec)));
             assertEquals(assignNaively(cluster, cluster.inQueueOrder(waiting)), assigned);
         }
     }
@@ -152,7 +153,9 @@
         return id;
     }
 
-    /** Terminations that are known but not on record leave room at once. */
+    /**
+     * Terminates some tasks by evidence that is not on record; their capacity must be free at once.
+     */
     private static void terminateSomeTasks(ClusterFixture cluster, SplittableRandom random) {
         for (Job job : cluster.jobs.all()) {
             for (Placement placement : job.pages[0].placements) {
@@ -184,9 +187,9 @@
     }
 
     /**
-     * Scenario "rough" of seed 14: terminations known by evidence once freed quota share before
-     * they were on record. The machine then changed hands, the record entitled its new owner to
-     * start the terminated tasks again, and the team ran past its limit.
+     * Guards against terminations known by evidence that free quota share before they are on
+     * record, as seen in scenario "rough" of seed 14: the machine changed owners, the record
+     * entitled its new owner to start the terminated tasks again, and the team exceeded its limit.
      */
     @Test
     void terminationFreesQuotaShareOnlyInTheTransactionThatRecordsIt() {
@@ -202,26 +205,30 @@
                 .get(terminated.jobId())
                 .pages[0]
                 .placements
-                .forEach(p -> p.transitionTo(Placement.Phase.GONE));
+                .forEach(placement -> placement.transitionTo(Placement.Phase.GONE));
 
-        SchedulingPlan without = cluster.newPlan(10_000);
-        cluster.queueScheduler.placeWaitingJobs(without, null, cluster.noOpTerminationRecorder);
-        assertEquals(Map.of(), ClusterFixture.tasksByMachine(without, next));
+        SchedulingPlan unrecordedPlan = cluster.newPlan(10_000);
+        cluster.queueScheduler.placeWaitingJobs(
+                unrecordedPlan, null, cluster.noOpTerminationRecorder);
+        assertEquals(Map.of(), ClusterFixture.tasksByMachine(unrecordedPlan, next));
 
-        SchedulingPlan with = cluster.newPlan(10_000);
-        cluster.queueScheduler.placeWaitingJobs(with, null, cluster.eagerTerminationRecorder);
+        SchedulingPlan recordedPlan = cluster.newPlan(10_000);
+        cluster.queueScheduler.placeWaitingJobs(
+                recordedPlan, null, cluster.eagerTerminationRecorder);
         assertEquals(
                 2,
-                ClusterFixture.tasksByMachine(with, next).values().stream().mapToInt(n -> n).sum());
-        assertTrue(with.edits.containsKey(cluster.jobs.get(terminated.jobId()).pages[0]));
+                ClusterFixture.tasksByMachine(recordedPlan, next).values().stream()
+                        .mapToInt(tasks -> tasks)
+                        .sum());
+        assertTrue(recordedPlan.edits.containsKey(cluster.jobs.get(terminated.jobId()).pages[0]));
     }
 
     /**
-     * A transaction that was full of jobs entering with it once placed none of them: each waited
-     * for a second one.
+     * Guards against a transaction full of admitted jobs that places none of them, so that each
+     * waits for a second transaction.
      */
     @Test
-    void jobsEnteringWithAFullTransactionArePlacedByIt() {
+    void placesJobsAdmittedInAFullTransaction() {
         ClusterFixture cluster = new ClusterFixture(20, new SplittableRandom(3));
         List<JobSpec> specs = new ArrayList<>();
         for (int i = 1; i <= 12; i++) {
@@ -230,10 +237,10 @@
                             JobFixtures.array(i, "red", JobSpec.Priority.HIGH, 1, 1, 10)));
         }
         SchedulingPlan plan = cluster.newPlan(12);
-        specs.forEach(s -> plan.edit(cluster.jobs.get(s.jobId()), 0));
+        specs.forEach(spec -> plan.edit(cluster.jobs.get(spec.jobId()), 0));
         assertTrue(plan.isFull());
         cluster.queueScheduler.placeWaitingJobs(plan, null, cluster.noOpTerminationRecorder);
-        specs.forEach(s -> assertEquals(1, ClusterFixture.tasksByMachine(plan, s).size()));
+        specs.forEach(spec -> assertEquals(1, ClusterFixture.tasksByMachine(plan, spec).size()));
     }
 
     private static int placedTasks(SchedulingPlan plan, JobSpec spec) {
@@ -242,9 +249,12 @@
                 .sum();
     }
 
-    /** Arrays once took what was gathered for a gang, CPU by CPU, at the gang's own controller. */
+    /**
+     * Guards against arrays that take the quota reserved for a gang, CPU by CPU, at the gang's own
+     * controller.
+     */
     @Test
-    void quotaReservedForGangIsLeftAloneByAllButMoreUrgentWork() {
+    void onlyMoreUrgentWorkUsesQuotaReservedForAGang() {
         ClusterFixture cluster = new ClusterFixture(20, new SplittableRandom(5));
         JobSpec gang =
                 cluster.addWaitingJob(
@@ -259,23 +269,27 @@
         JobSpec urgent =
                 cluster.addWaitingJob(JobFixtures.array(4, "red", JobSpec.Priority.HIGH, 2, 1, 10));
         cluster.quotaShareCpus = 8;
-        SchedulingPlan lacking = cluster.newPlan(100);
-        cluster.queueScheduler.placeWaitingJobs(lacking, null, cluster.noOpTerminationRecorder);
-        assertEquals(2, placedTasks(lacking, urgent));
-        assertEquals(0, placedTasks(lacking, gang));
-        assertEquals(0, placedTasks(lacking, older));
-        assertEquals(0, placedTasks(lacking, normal));
+        SchedulingPlan insufficientQuotaPlan = cluster.newPlan(100);
+        cluster.queueScheduler.placeWaitingJobs(
+                insufficientQuotaPlan, null, cluster.noOpTerminationRecorder);
+        assertEquals(2, placedTasks(insufficientQuotaPlan, urgent));
+        assertEquals(0, placedTasks(insufficientQuotaPlan, gang));
+        assertEquals(0, placedTasks(insufficientQuotaPlan, older));
+        assertEquals(0, placedTasks(insufficientQuotaPlan, normal));
 
         cluster.quotaShareCpus = 13;
-        SchedulingPlan whole = cluster.newPlan(100);
-        cluster.queueScheduler.placeWaitingJobs(whole, null, cluster.noOpTerminationRecorder);
-        assertEquals(2, placedTasks(whole, urgent));
-        assertEquals(4, placedTasks(whole, gang));
-        assertEquals(3, placedTasks(whole, older) + placedTasks(whole, normal));
+        SchedulingPlan sufficientQuotaPlan = cluster.newPlan(100);
+        cluster.queueScheduler.placeWaitingJobs(
+                sufficientQuotaPlan, null, cluster.noOpTerminationRecorder);
+        assertEquals(2, placedTasks(sufficientQuotaPlan, urgent));
+        assertEquals(4, placedTasks(sufficientQuotaPlan, gang));
+        assertEquals(
+                3,
+                placedTasks(sufficientQuotaPlan, older) + placedTasks(sufficientQuotaPlan, normal));
     }
 
     @Test
-    void shareBelowUseLetsNothingIn() {
+    void quotaShareBelowUsageAdmitsNothing() {
         SplittableRandom random = new SplittableRandom(6);
         ClusterFixture cluster = new ClusterFixture(20, random);
         cluster.addRunningJob(
--- a/src/test/java/io/quincelead/scheduler/TebasTest.java
+++ b/src/test/java/io/quincelead/scheduler/TebasTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The pass against examples worked by hand from the paper's Algorithm 1. */
+/** Checks the pass against examples computed by hand from the paper's Algorithm 1. */
 class TebasTest {
     private static List<Tebas.CandidateMachine> machines(int... capacities) {
         List<Tebas.CandidateMachine> machines = new ArrayList<>();
@@ -18,7 +18,7 @@
     }
 
     private static int[] assigned(List<Tebas.CandidateMachine> machines) {
-        return machines.stream().mapToInt(s -> s.assigned).toArray();
+        return machines.stream().mapToInt(machine -> machine.assigned).toArray();
     }
 
     private static void assertAssigned(List<Tebas.CandidateMachine> machines, int... expected) {
--- a/src/test/java/io/quincelead/scheduler/UnrecordedTerminationsTest.java
+++ b/src/test/java/io/quincelead/scheduler/UnrecordedTerminationsTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Terminations on record.
+ * Guards against a completed gang whose placements are removed without evidence.
  *
- * <p>A gang's tasks complete together, so whoever saw one of them complete put all of them on
- * record as completed, also those on other controllers' machines. In scenario {@code quick 1019}
+ * <p>A gang's tasks complete together, so a controller that saw one of them complete recorded all
+ * of them as completed, also those on other controllers' machines. In scenario {@code quick 1019}
  * every machine lost its tasks in a store outage of 20 s, and the gang wk-000031 was cancelled. At
- * 131.596 s one controller saw tasks 2 and 3 complete once more and recorded tasks 0 and 1, too
- * (commit at 131.591 s, {@code "d":[0,3],"p":""}); without placements the job was finished and its
- * user was told "cancelled" at 131.712 s. The owner of i-000008 had sent its starts of tasks 0 and
- * 1 at 131.511 s, by the records that its watch had last brought (revision 355; the cancellation
- * was 361): both started after the user had been told. The record of a placement is what entitles
- * its machine's owner to start the task, so only that owner's evidence may end it.
+ * 131.596 s one controller saw tasks 2 and 3 complete again and recorded tasks 0 and 1, too (commit
+ * at 131.591 s, {@code "d":[0,3],"p":""}); without placements the job was finished, and its user
+ * was told "cancelled" at 131.712 s. The owner of i-000008 had sent the starts of tasks 0 and 1 at
+ * 131.511 s, by the records that its watch had last delivered (revision 355; the cancellation was
+ * 361), so both started after the user had been told. A placement's record entitles its machine's
+ * owner to start the task, so only that owner's evidence may remove it.
  */
 class UnrecordedTerminationsTest {
     private static final int WRITE_BUDGET = 12;
--- a/src/test/java/io/quincelead/scheduler/UnsatisfiableDemandsTest.java
+++ b/src/test/java/io/quincelead/scheduler/UnsatisfiableDemandsTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void forgetsAllWhenCleared() {
+    void coversNothingAfterClear() {
         demands.add(cpus(4));
 
         demands.clear();
