--- a/src/main/java/io/quincelead/cluster/Job.java
+++ b/src/main/java/io/quincelead/cluster/Job.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * An unfinished job as the store has it, with what this process has observed of it. The record
- * changes only through {@link JobTable}; the observations are never stored.
+ * An unfinished job as recorded in the store, with what this process has observed about it. The
+ * recorded state changes only through {@link JobTable}; the observations are never stored.
  */
 public final class Job {
     /** The job as submitted. */
@@ -23,12 +23,12 @@
     private long acceptedAtEpochMillis;
     private long cancelledAtEpochMillis;
 
-    /** The states of its tasks; null where a page has no record yet. Not to be changed. */
+    /** The states of the job's tasks; null where a page has no record yet. Must not be modified. */
     public final TaskStatePage[] pages;
 
     /**
-     * Stand in for pages that have no record yet; always the same ones, so that a plan can tell
-     * them by identity.
+     * Substitutes for pages that have no record yet. They are created once, because a plan
+     * identifies pages by object identity.
      */
     private final TaskStatePage[] emptyPages;
 
@@ -36,13 +36,15 @@
     private int placedTasks;
 
     /**
-     * Of the placed tasks: those that this process has evidence of having completed, though it may
-     * not be on record yet.
+     * Placed tasks for which this process has evidence of completion that may not be on record yet.
      */
-    private int unrecordedCompleted;
+    private int unrecordedCompletedTasks;
 
-    /** Likewise: those that have terminated without completing. */
-    private int unrecordedGone;
+    /**
+     * Placed tasks for which this process has evidence, not yet on record, of termination without
+     * completion.
+     */
+    private int unrecordedGoneTasks;
 
     private int consecutiveFailures;
     private final Set<String> failedHosts = new HashSet<>(2);
@@ -57,39 +59,39 @@
                         / RecordConstants.TASKS_PER_STATE_PAGE;
         this.pages = new TaskStatePage[pageCount];
         this.emptyPages = new TaskStatePage[pageCount];
-        for (int pageNumber = 0; pageNumber < pageCount; pageNumber++) {
-            emptyPages[pageNumber] = TaskStatePage.empty(this, pageNumber);
+        for (int pageIndex = 0; pageIndex < pageCount; pageIndex++) {
+            emptyPages[pageIndex] = TaskStatePage.empty(this, pageIndex);
         }
     }
 
-    /** A job that is being submitted: on no record yet. */
+    /** Creates a job that is being submitted and has no record yet. */
     public Job(JobSpec spec, String controllerId, long acceptedAtEpochMillis) {
         this(spec);
         this.controllerId = controllerId;
         this.acceptedAtEpochMillis = acceptedAtEpochMillis;
     }
 
-    /** The store key of its record. */
+    /** The store key of the job's record. */
     public String storeKey() {
         return storeKey;
     }
 
-    /** The controller that schedules its tasks. */
+    /** The member id of the controller that schedules the job's tasks. */
     public String controllerId() {
         return controllerId;
     }
 
-    /** Wall-clock time at which it was accepted. */
+    /** Wall-clock time at which the job was accepted. */
     public long acceptedAtEpochMillis() {
         return acceptedAtEpochMillis;
     }
 
-    /** Wall-clock time at which its cancellation was recorded; 0: not cancelled. */
+    /** Wall-clock time at which the job's cancellation was recorded; 0: not cancelled. */
     public long cancelledAtEpochMillis() {
         return cancelledAtEpochMillis;
     }
 
-    /** Whether its cancellation is on record. */
+    /** Whether the job's cancellation is on record. */
     public boolean isCancelled() {
         return cancelledAtEpochMillis > 0;
     }
@@ -104,18 +106,21 @@
         return placedTasks;
     }
 
-    /** How many tasks may still be on a machine, as far as this process knows. */
+    /**
+     * The number of placed tasks that may still be on a machine: no evidence of termination is
+     * known.
+     */
     public int possiblyRunningTaskCount() {
-        return placedTasks - unrecordedCompleted - unrecordedGone;
+        return placedTasks - unrecordedCompletedTasks - unrecordedGoneTasks;
     }
 
     /**
-     * How many tasks must have started by now, so that the job isn't starving: none at first, then
-     * more and more of the stated share of all; a gang starts as a whole. None for high priorities,
-     * which go first anyway.
+     * The number of tasks that must have started by now for the job not to be starving. It is 0 at
+     * first, then rises linearly to the given share of all tasks; a gang counts as a whole. It is
+     * always 0 for urgent jobs, which are scheduled first anyway.
      *
      * @param nowEpochMillis wall-clock time
-     * @param startWithinSeconds time within which the job should have started
+     * @param startWithinSeconds time from acceptance within which the job should have started
      * @param minimumShare share of the tasks that must have started by then, from 0 to 1
      */
     public int requiredStartedTaskCount(
@@ -137,36 +142,46 @@
                 : (int) Math.max(1, Math.ceil(spec.taskCount() * minimumShare * share));
     }
 
-    /** How many tasks have no placement, on record or by evidence, and need one. */
+    /**
+     * The number of tasks that need a placement: pending tasks and, except for gangs, those that
+     * have terminated without completing according to evidence that is not on record yet.
+     */
     public int waitingTaskCount() {
         if (isCompletedGang()) {
             return 0;
         }
-        return pendingTaskCount() + (spec.isGang() ? 0 : unrecordedGone);
+        return pendingTaskCount() + (spec.isGang() ? 0 : unrecordedGoneTasks);
     }
 
     /**
-     * Whether it is a gang of which a task has completed, on record or by evidence: then all have,
-     * and none starts again. Those that are placed stay on record until there is evidence of each.
+     * Whether the job is a gang with at least one task completed, on record or by evidence. All its
+     * tasks have then completed and none is started again. Placed tasks stay on record until there
+     * is evidence for each of them.
      */
     public boolean isCompletedGang() {
-        return spec.isGang() && completedTasks + unrecordedCompleted > 0;
+        return spec.isGang() && completedTasks + unrecordedCompletedTasks > 0;
     }
 
-    /** Whether every task is completed, on record or by evidence that isn't on record yet. */
+    /**
+     * Whether every task is completed, on record or by evidence that isn't on record yet; never
+     * true for a service.
+     */
     public boolean isCompleteByEvidence() {
-        return !spec.isService() && completedTasks + unrecordedCompleted == spec.taskCount();
+        return !spec.isService() && completedTasks + unrecordedCompletedTasks == spec.taskCount();
     }
 
-    /** Keeps the counts of evidence in step with a placement that is on record. */
+    /**
+     * Adds {@code delta} to the count of unrecorded terminations that the placement belongs to, if
+     * the placement is on record and terminated.
+     */
     void adjustEvidenceCounts(Placement placement, int delta) {
         TaskStatePage page =
                 placement.isTerminated()
                         ? pages[placement.taskIndex / RecordConstants.TASKS_PER_STATE_PAGE]
                         : null;
         if (page != null && page.placements.get(placement.taskIndex) == placement) {
-            unrecordedCompleted += placement.phase() == Placement.Phase.COMPLETED ? delta : 0;
-            unrecordedGone += placement.phase() == Placement.Phase.GONE ? delta : 0;
+            unrecordedCompletedTasks += placement.phase() == Placement.Phase.COMPLETED ? delta : 0;
+            unrecordedGoneTasks += placement.phase() == Placement.Phase.GONE ? delta : 0;
         }
     }
 
@@ -175,24 +190,26 @@
         return spec.taskCount() - completedTasks - placedTasks;
     }
 
-    /** Whether every task is completed on record; a service never is. */
+    /** Whether every task is completed on record; never true for a service. */
     public boolean isComplete() {
         return !spec.isService() && completedTasks == spec.taskCount();
     }
 
-    /** The page, or the empty one that stands in for it before it has a record. */
-    public TaskStatePage pageOrEmpty(int pageNumber) {
-        return pages[pageNumber] == null ? emptyPages[pageNumber] : pages[pageNumber];
+    /** The page, or an empty substitute (always the same object) if it has no record yet. */
+    public TaskStatePage pageOrEmpty(int pageIndex) {
+        return pages[pageIndex] == null ? emptyPages[pageIndex] : pages[pageIndex];
     }
 
-    /** A page as it is before it has a record. */
-    TaskStatePage emptyPage(int pageNumber) {
-        return emptyPages[pageNumber];
+    /** The substitute for a page that has no record yet. */
+    TaskStatePage emptyPage(int pageIndex) {
+        return emptyPages[pageIndex];
     }
 
-    /** Replaces what is on record of a page and counts anew; null: it has no record any more. */
-    void replacePage(int pageNumber, TaskStatePage nextPage) {
-        TaskStatePage previousPage = pages[pageNumber];
+    /**
+     * Replaces the recorded state of a page and updates the counts; null: the record is removed.
+     */
+    void replacePage(int pageIndex, TaskStatePage nextPage) {
+        TaskStatePage previousPage = pages[pageIndex];
         PlacementTable before = previousPage == null ? null : previousPage.placements;
         PlacementTable after = nextPage == null ? null : nextPage.placements;
         PlacementTable.forEachChange(
@@ -203,7 +220,7 @@
                         adjustEvidenceCounts(previous, -1);
                     }
                 });
-        pages[pageNumber] = nextPage;
+        pages[pageIndex] = nextPage;
         if (previousPage != null) {
             completedTasks -= previousPage.completed.cardinality();
             placedTasks -= previousPage.placements.size();
@@ -222,47 +239,47 @@
                 });
     }
 
-    /** Notes that a task of it has completed on a machine of this controller. */
+    /** Records that a task of this job has completed on a machine of this controller. */
     public void recordSuccess() {
         consecutiveFailures = 0;
         successCount++;
     }
 
-    /** Notes that a task of it has failed on the machine. */
+    /** Records that a task of this job has failed on the machine. */
     public void recordFailure(String host) {
         consecutiveFailures++;
         failedHosts.add(host);
     }
 
-    /** How often its tasks have failed in a row, as far as this process has observed. */
+    /** The number of consecutive task failures that this process has observed. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** On how many machines a task of it has failed, as far as this process has observed. */
+    /** The number of machines on which this process has observed a task of this job fail. */
     public int failedHostCount() {
         return failedHosts.size();
     }
 
     /**
-     * How often a task of it has completed, as far as this process has observed; tells faulty
-     * machines from faulty jobs.
+     * The number of task completions that this process has observed; distinguishes faulty machines
+     * from faulty jobs.
      */
     public int successCount() {
         return successCount;
     }
 
-    /** Has no task of it started before this event-loop time. */
+    /** Prevents starts of this job's tasks before the given event-loop time. */
     public void postponeStarts(long untilMillis) {
         notBeforeMillis = untilMillis;
     }
 
-    /** Event-loop time before which no task of it is to be started; 0: at any time. */
+    /** Event-loop time before which no task of this job is started; 0: no restriction. */
     public long notBeforeMillis() {
         return notBeforeMillis;
     }
 
-    /** Calls the action with each placement on record, in the order of the tasks. */
+    /** Calls the action with each placement on record, in task index order. */
     void forEachPlacement(Consumer<Placement> action) {
         for (TaskStatePage page : pages) {
             if (page != null) {
@@ -272,19 +289,22 @@
     }
 
     /**
-     * Whether its tasks' states are kept in the job's own record: most jobs then cost the store
-     * half the changes.
+     * Whether the task states are stored in the job's own record, which halves the store changes
+     * for most jobs.
      */
     public boolean hasSinglePage() {
         return pages.length == 1;
     }
 
-    /** The job's record as it is known. */
+    /** Encodes the job's record as currently known. */
     public ObjectNode encode() {
         return encode(controllerId, cancelledAtEpochMillis);
     }
 
-    /** The job's record with the given controller and time of cancellation; 0: not cancelled. */
+    /**
+     * Encodes the job's record with the given controller and time of cancellation; 0: not
+     * cancelled.
+     */
     public ObjectNode encode(String newControllerId, long cancelledEpochMillis) {
         return encode(
                 newControllerId,
@@ -300,7 +320,7 @@
                 taskStates);
     }
 
-    /** Takes over what the job's record says now. */
+    /** Updates controller, acceptance and cancellation from the job's record. */
     void applyRecord(JsonNode node) {
         JobCodec.JobRecord record = JobCodec.decode(node);
         controllerId = record.controllerId();
@@ -309,15 +329,17 @@
     }
 
     /**
-     * The status that users are told while the job is not finished; a cancelled one is called so
-     * when its tasks are gone.
+     * Encodes the status that users are given while the job is unfinished; a cancelled job is
+     * reported as cancelled only when its tasks have terminated.
      */
     public ObjectNode encodeStatus() {
         return encodeStatus(
                 spec.jobId(), new TaskStatePage.TaskCounts(completedTasks, placedTasks));
     }
 
-    /** The same of a job whose records have just been read. */
+    /**
+     * Encodes the status of an unfinished job from task counts that were just read from the store.
+     */
     public static ObjectNode encodeStatus(String jobId, TaskStatePage.TaskCounts counts) {
         return JobCodec.encodeStatus(jobId, counts);
     }
--- a/src/main/java/io/quincelead/cluster/JobCodec.java
+++ b/src/main/java/io/quincelead/cluster/JobCodec.java
@@ -6,14 +6,15 @@
 
 /**
  * The stored form of a job: {@code s} the job as submitted, {@code c} its controller, {@code at}
- * the time of its acceptance, {@code x} that of its cancellation, {@code k} the states of its tasks
- * if a single page is all there is; and the form in which users are told its status.
+ * the time of its acceptance, {@code x} the time of its cancellation, {@code k} the states of its
+ * tasks if they fit a single page. Also the form of the status that users are given.
  */
 final class JobCodec {
     private JobCodec() {}
 
     /**
-     * What may change of a job's record; times are wall-clock milliseconds.
+     * The fields of a job's record other than the submitted job and the task states; times are
+     * wall-clock milliseconds.
      *
      * @param cancelledAtEpochMillis 0: not cancelled
      */
@@ -22,7 +23,7 @@
 
     static JobSpec decodeSpec(JsonNode node) throws MalformedRecordException {
         if (!(node.path("s") instanceof ObjectNode spec)) {
-            throw new MalformedRecordException("the job as submitted is missing");
+            throw new MalformedRecordException("the submitted job is missing from the record");
         }
         try {
             return JobSpec.decode(spec);
@@ -36,7 +37,7 @@
                 node.path("c").asText(), node.path("at").asLong(), node.path("x").asLong());
     }
 
-    /** The states of the tasks within the job's record; null where it has none. */
+    /** The task states within the job's record; null if it contains none. */
     static JsonNode singlePage(JsonNode node) {
         return node.get("k");
     }
@@ -44,7 +45,8 @@
     /**
      * Encodes a job's record.
      *
-     * @param taskStates the job's single page; null: it has no record, or pages of their own
+     * @param taskStates the job's single page; null if it has no record yet or the job has several
+     *     pages, which have their own records
      */
     static ObjectNode encode(JobSpec spec, JobRecord record, ObjectNode taskStates) {
         ObjectNode node = WireFormat.newMap();
@@ -59,7 +61,7 @@
         return node;
     }
 
-    /** The status of an unfinished job as users are told it. */
+    /** Encodes the status that users are given for an unfinished job. */
     static ObjectNode encodeStatus(String jobId, TaskStatePage.TaskCounts counts) {
         return WireFormat.newMap()
                 .put("nameId", jobId)
--- a/src/main/java/io/quincelead/cluster/JobSpec.java
+++ b/src/main/java/io/quincelead/cluster/JobSpec.java
@@ -5,24 +5,24 @@
 import java.util.regex.Pattern;
 
 /**
- * What a user asks for, as submitted; it never changes.
+ * A job as a user submitted it; immutable.
  *
- * @param jobId names the job for ever
- * @param jobClass the class of jobs that it belongs to; the settings' objectives name them
- * @param team whose quota it uses
- * @param taskCount tasks of an array, members of a gang, replicas of a service
+ * @param jobId identifies the job; never reused
+ * @param jobClass the job's class, as named in the settings' objectives
+ * @param team the team whose quota the job uses
+ * @param taskCount number of tasks of an array or gang, or of replicas of a service
  * @param cpus CPUs of one task
  * @param gpus GPUs of one task
  * @param memoryGb memory of one task
- * @param machineTypes the machine types allowed; null: any. Not to be changed
+ * @param machineTypes the machine types allowed; null: any. Must not be modified
  * @param zone the zone required; null: any
  * @param zoneAffinity whether all tasks have to be in one zone
  * @param zoneSpread whether at most half of the tasks, rounded up, may be in one zone
- * @param preemptible whether it may run on spot machines
+ * @param preemptible whether the job may run on spot machines
  * @param image the container image
  * @param runtimeSeconds the user's estimate of a task's run time, often wrong; 0 for services
- * @param checkpointIntervalSeconds progress between two checkpoints; 0: a task never saves
- * @param checkpointSeconds time that a task needs to save when it is stopped
+ * @param checkpointIntervalSeconds progress between two checkpoints; 0: no checkpoints
+ * @param checkpointSeconds time that a task needs to write a checkpoint when it is stopped
  * @param deadlineSeconds time from the submission to the deadline; {@link #NO_DEADLINE}: none
  */
 public record JobSpec(
@@ -47,18 +47,18 @@
         double checkpointSeconds,
         double deadlineSeconds) {
 
-    /** Stands for the deadline of a job that has none. */
+    /** Value of {@code deadlineSeconds} for a job without a deadline. */
     public static final double NO_DEADLINE = -1;
 
     private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
 
-    /** How the tasks of a job belong together. */
+    /** How the tasks of a job depend on each other. */
     public enum Mode {
         /** A job array: each task runs on its own. */
         ARRAY("array"),
         /** All tasks run at the same time or none does. */
         GANG("ensemble"),
-        /** Its replicas run until it is cancelled. */
+        /** A service: the replicas run until the job is cancelled. */
         SERVICE("standing");
 
         private final String wireName;
@@ -75,13 +75,13 @@
 
     /** Priorities, most urgent first. */
     public enum Priority {
-        /** Before everything else. */
+        /** Scheduled before all other priorities. */
         PRODUCTION("production"),
-        /** Before what is normal. */
+        /** Scheduled before {@link #NORMAL}. */
         HIGH("high"),
-        /** The usual one. */
+        /** The usual priority. */
         NORMAL("normal"),
-        /** Takes what the others leave. */
+        /** Uses only capacity that other priorities leave free. */
         BEST_EFFORT("best_effort");
 
         private final String wireName;
@@ -96,17 +96,18 @@
         }
     }
 
-    /** A submission that is not a job; the message names the wrong field. */
+    /** Thrown if a submission is not a valid job; the message names the invalid field. */
     public static final class MalformedJobException extends Exception {
         private static final long serialVersionUID = 1L;
 
         MalformedJobException(String message) {
-            // Without stack trace: an expected outcome, as often as users like.
+            // No stack trace: invalid submissions are expected, and users may send any number of
+            // them.
             super(message, null, false, false);
         }
     }
 
-    /** Whether a job may be named so. */
+    /** Whether the text is a valid job id. */
     public static boolean isValidJobId(String jobId) {
         return JOB_ID_PATTERN.matcher(jobId).matches();
     }
@@ -116,22 +117,22 @@
         return mode == Mode.GANG;
     }
 
-    /** Whether its priority is HIGH or PRODUCTION. */
+    /** Whether the priority is HIGH or PRODUCTION. */
     public boolean isUrgent() {
         return priority.ordinal() <= Priority.HIGH.ordinal();
     }
 
-    /** Whether its tasks are independent of each other and end by themselves. */
+    /** Whether the tasks are independent of each other and end by themselves. */
     public boolean isArray() {
         return mode == Mode.ARRAY;
     }
 
-    /** Whether its replicas run until it is cancelled. */
+    /** Whether the job is a service, whose replicas run until it is cancelled. */
     public boolean isService() {
         return mode == Mode.SERVICE;
     }
 
-    /** Whether any machine may run it and it is counted in CPUs alone. */
+    /** Whether the job may run on any machine and its demand is measured in CPUs alone. */
     public boolean isUnconstrained() {
         return isArray()
                 && gpus == 0
@@ -144,14 +145,15 @@
     /**
      * Decodes a job as submitted or stored.
      *
-     * @param node null where the body of a submission was no map
-     * @throws MalformedJobException if it is not a job; the message is for the user
+     * @param node null if the body of a submission was not a map
+     * @throws MalformedJobException if the node is not a valid job; the message is meant for the
+     *     user
      */
     public static JobSpec decode(ObjectNode node) throws MalformedJobException {
         return JobSpecCodec.decode(node);
     }
 
-    /** The job as submitted and stored. */
+    /** Encodes the job in the form in which it is submitted and stored. */
     public ObjectNode encode() {
         return JobSpecCodec.encode(this);
     }
--- a/src/main/java/io/quincelead/cluster/JobSpecCodec.java
+++ b/src/main/java/io/quincelead/cluster/JobSpecCodec.java
@@ -11,8 +11,8 @@
 import java.util.function.Function;
 
 /**
- * The form in which jobs are submitted and stored (protocol, "Users"); maps the wire's names to
- * ours. Error texts name the wire's fields.
+ * The form in which jobs are submitted and stored (protocol, "Users"); maps field names on the wire
+ * to the components of {@link JobSpec}. Error messages use the names on the wire.
  */
 final class JobSpecCodec {
     private static final int MAX_TEXT_CHARS = 200;
@@ -20,7 +20,7 @@
 
     private JobSpecCodec() {}
 
-    /** Decodes a submission; {@code node} is null where the body was no map. */
+    /** Decodes a submission; {@code node} is null if the body was not a map. */
     static JobSpec decode(ObjectNode node) throws MalformedJobException {
         if (node == null) {
             throw new MalformedJobException("the body must be a CBOR map of at most 64 KiB");
@@ -31,7 +31,7 @@
         }
         List<String> machineTypes = optionalTexts(node, "shapes");
         int taskCount = requireTaskCount(node);
-        // The order of the fields decides which one a refusal names.
+        // The order of the reads matters: if several fields are invalid, the error names the first.
         double cpus = requireAmount(node, "vcpus");
         double gpus = requireAmount(node, "cards");
         double memoryGb = requireAmount(node, "ramGb");
@@ -104,7 +104,7 @@
         return value.asInt();
     }
 
-    /** The texts of a list; null where the field is missing or null. */
+    /** The texts of a list; null if the field is missing or null. */
     private static List<String> optionalTexts(ObjectNode node, String field)
             throws MalformedJobException {
         JsonNode list = node.get(field);
--- a/src/main/java/io/quincelead/cluster/JobTable.java
+++ b/src/main/java/io/quincelead/cluster/JobTable.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All unfinished jobs and where their tasks may be, as the watch cache has them. Changes of a
- * record replace what it says and keep what this process has observed. A record that can't be read
- * is left alone.
+ * All unfinished jobs and the placements of their tasks; follows the watch cache. A changed record
+ * replaces the recorded state and keeps what this process has observed. A record that can't be read
+ * is logged, ignored and left unchanged in the store.
  */
 public final class JobTable {
     private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
@@ -28,7 +28,7 @@
     private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
     private final MachineLoadIndex loads = new MachineLoadIndex();
 
-    /** The same jobs, the longest accepted first. */
+    /** All unfinished jobs, ordered by acceptance time, oldest first. */
     private final List<Job> jobsOldestFirst = new ArrayList<>();
 
     private final List<Job> jobsOldestFirstView = Collections.unmodifiableList(jobsOldestFirst);
@@ -36,10 +36,10 @@
     private final Set<String> orphanPageKeysView = Collections.unmodifiableSet(orphanPageKeys);
     private long unfinishedTaskCount;
     private Consumer<Placement> placementListener = placement -> {};
-    private Consumer<String> machineListener = host -> {};
+    private Consumer<String> machineTasksListener = host -> {};
     private Consumer<Job> jobListener = job -> {};
 
-    /** Empty until the watch cache has read the store. */
+    /** Creates a table that is empty until the watch cache has read the store. */
     public JobTable(EventLoop loop, WatchCache watchCache) {
         this.loop = loop;
         watchCache.addPrefixListener(
@@ -70,35 +70,38 @@
                 });
     }
 
-    /** Sets the one listener that is called with each start that appears on record. */
+    /** Sets the single listener for new starts: placements that first appear on record. */
     public void onPlacementRecorded(Consumer<Placement> listener) {
         placementListener = listener;
     }
 
-    /** Sets the one listener that is called with each job that appears on record. */
+    /** Sets the single listener that is called with each job that first appears on record. */
     public void onJobAdded(Consumer<Job> listener) {
         jobListener = listener;
     }
 
     /**
-     * Sets the one listener that is called with each machine for which a record or its meaning has
-     * changed.
+     * Sets the single listener that is called with the host of a machine when a start, a stop
+     * request or a removal of a task there appears on record, or when the job of a task there is
+     * cancelled.
      */
     public void onMachineTasksChanged(Consumer<String> listener) {
-        machineListener = listener;
+        machineTasksListener = listener;
     }
 
-    /** The unfinished job of this name; null: there is none on record. */
+    /** The unfinished job with this id; null if none is on record. */
     public Job get(String jobId) {
         return jobs.get(jobId);
     }
 
-    /** All unfinished jobs in the order in which they appeared; a live, unmodifiable view. */
+    /**
+     * All unfinished jobs in the order in which they appeared on record; a live, unmodifiable view.
+     */
     public Collection<Job> all() {
         return jobsView;
     }
 
-    /** All unfinished jobs, the longest accepted first; a live, unmodifiable view. */
+    /** All unfinished jobs by acceptance time, oldest first; a live, unmodifiable view. */
     public List<Job> jobsOldestFirst() {
         return jobsOldestFirstView;
     }
@@ -109,25 +112,25 @@
                 : left.spec.jobId().compareTo(right.spec.jobId());
     }
 
-    /** How many tasks all unfinished jobs have, completed ones included. */
+    /** The total number of tasks of all unfinished jobs, completed tasks included. */
     public long unfinishedTaskCount() {
         return unfinishedTaskCount;
     }
 
     /**
-     * The store keys of pages whose jobs are no longer on record, to be removed; a live,
-     * unmodifiable view.
+     * The store keys of task state pages whose jobs are no longer on record; these pages are to be
+     * removed. A live, unmodifiable view.
      */
     public Set<String> orphanPageKeys() {
         return orphanPageKeysView;
     }
 
-    /** The placements on record on a machine, by task name; live, not to be changed. */
+    /** The placements on record on a machine, by task id; a live view that must not be modified. */
     public Map<String, Placement> placementsOn(String host) {
         return loads.placementsOn(host);
     }
 
-    /** What the tasks that may be on the machine use; null if there are none. */
+    /** The load of the tasks that may be on the machine; null if there are none. */
     public MachineLoad loadOf(String host) {
         return loads.get(host);
     }
@@ -139,11 +142,14 @@
             try {
                 job = new Job(JobCodec.decodeSpec(value));
             } catch (MalformedRecordException e) {
-                LOG.error("the record {} can't be read; the job is left alone", key, e);
+                LOG.error("job record {} can't be read; ignoring the job", key, e);
                 return;
             }
             if (!job.spec.jobId().equals(jobId)) {
-                LOG.error("the record {} is of {}; it is left alone", key, job.spec.jobId());
+                LOG.error(
+                        "job record {} contains job {}; ignoring the record",
+                        key,
+                        job.spec.jobId());
                 return;
             }
             job.applyRecord(value);
@@ -158,7 +164,7 @@
             job.forEachPlacement(
                     placement -> {
                         placement.machineLoad.invalidate();
-                        machineListener.accept(placement.host);
+                        machineTasksListener.accept(placement.host);
                     });
         }
     }
@@ -191,7 +197,7 @@
         job.forEachPlacement(
                 placement -> {
                     loads.remove(placement);
-                    machineListener.accept(placement.host);
+                    machineTasksListener.accept(placement.host);
                 });
     }
 
@@ -207,16 +213,16 @@
             }
             return;
         }
-        int pageNumber = parsePageNumber(rest.substring(slash + 1));
-        if (pageNumber < 0 || pageNumber >= job.pages.length || job.hasSinglePage()) {
-            LOG.error("the record {} does not belong to its job; it is left alone", key);
+        int pageIndex = parsePageIndex(rest.substring(slash + 1));
+        if (pageIndex < 0 || pageIndex >= job.pages.length || job.hasSinglePage()) {
+            LOG.error("the record {} does not belong to its job; ignoring the record", key);
             return;
         }
-        applyPage(job, pageNumber, value);
+        applyPage(job, pageIndex, value);
     }
 
-    /** The number in a page's store key; -1: it has none. */
-    private static int parsePageNumber(String digits) {
+    /** Parses the page index at the end of a page's store key; -1 if it is not a number. */
+    private static int parsePageIndex(String digits) {
         try {
             return Integer.parseInt(digits);
         } catch (NumberFormatException e) {
@@ -224,17 +230,17 @@
         }
     }
 
-    private void applyPage(Job job, int pageNumber, JsonNode value) {
-        TaskStatePage previousPage = job.pages[pageNumber];
+    private void applyPage(Job job, int pageIndex, JsonNode value) {
+        TaskStatePage previousPage = job.pages[pageIndex];
         TaskStatePage nextPage;
         try {
             nextPage =
                     value == null
                             ? null
                             : TaskStatePageCodec.decode(
-                                    job, pageNumber, value, previousPage, loop.nowMillis());
+                                    job, pageIndex, value, previousPage, loop.nowMillis());
         } catch (MalformedRecordException e) {
-            LOG.error("{} can't be read; the record is left alone", e.getMessage(), e);
+            LOG.error("{} can't be read; ignoring the record", e.getMessage(), e);
             return;
         }
         PlacementTable before = previousPage == null ? null : previousPage.placements;
@@ -246,23 +252,23 @@
                     if (previous != null) {
                         loads.remove(previous);
                         if (current == null) {
-                            machineListener.accept(previous.host);
+                            machineTasksListener.accept(previous.host);
                         }
                     }
                 });
-        job.replacePage(pageNumber, nextPage);
+        job.replacePage(pageIndex, nextPage);
         PlacementTable.forEachChange(
                 before,
                 after,
                 (previous, current) -> {
                     if (current != null) {
-                        announce(previous, current);
+                        notifyListeners(previous, current);
                         loads.add(current);
                     }
                 });
     }
 
-    private void announce(Placement previous, Placement current) {
+    private void notifyListeners(Placement previous, Placement current) {
         boolean sameStart =
                 previous != null
                         && previous.isSameStart(current.taskIndex, current.host, current.attempt);
@@ -270,7 +276,7 @@
             placementListener.accept(current);
         }
         if (!sameStart || previous.stopRequested != current.stopRequested) {
-            machineListener.accept(current.host);
+            machineTasksListener.accept(current.host);
         }
     }
 }
--- a/src/main/java/io/quincelead/cluster/MalformedRecordException.java
+++ b/src/main/java/io/quincelead/cluster/MalformedRecordException.java
@@ -1,15 +1,15 @@
 package io.quincelead.cluster;
 
-/** A stored record that this version can't decode; whoever reads it leaves the record alone. */
+/** Thrown for a stored record that this version can't decode; the reader must not overwrite it. */
 final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The message says what was read and, without a cause, what is wrong with it. */
+    /** Creates an exception whose message names the record or describes the defect. */
     MalformedRecordException(String message) {
         super(message);
     }
 
-    /** The message says what was read, the cause what is wrong with it. */
+    /** Creates an exception whose message names the record or field; the cause is the defect. */
     MalformedRecordException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/io/quincelead/cluster/Placement.java
+++ b/src/main/java/io/quincelead/cluster/Placement.java
@@ -1,37 +1,41 @@
 package io.quincelead.cluster;
 
 /**
- * One task's placement: the task may be on that machine until evidence says that it has terminated.
- * Job, task, machine, attempt and the request to stop are on record, in the task's {@link
- * TaskStatePage}; all else is what this process has observed and is never stored.
+ * The placement of a task on a machine: the task may be on that machine until there is evidence
+ * that it has terminated. Job, task index, host, attempt and stop request are on record in the
+ * task's {@link TaskStatePage}; all other fields are observations of this process and are never
+ * stored.
  */
 public final class Placement {
     /** The job that the task belongs to. */
     public final Job job;
 
-    /** The task, counted from the job's first one. */
+    /** The index of the task within the job. */
     public final int taskIndex;
 
-    /** The machine. */
+    /** The host of the machine that the task is placed on. */
     public final String host;
 
-    /** Tells this start of the task from its others; never used twice. */
+    /** Identifies this start of the task among all its starts; never reused. */
     public final long attempt;
 
-    /** Whether the task is to be stopped to free capacity or to drain its machine. */
+    /** Whether the task must stop, to free capacity or to drain its machine. */
     public final boolean stopRequested;
 
-    /** What this process has observed; changed by {@link #transitionTo} and a change of owner. */
+    /**
+     * What this process has observed of the placement; changes by {@link #transitionTo} and when
+     * the machine's owner changes.
+     */
     public enum Phase {
-        /** On record; this process has not sent its start under the current fencing token. */
+        /** On record; this process has not sent the start under the current fencing token. */
         RECORDED,
-        /** Its start left in the response to a heartbeat. */
+        /** The start was sent in the response to a heartbeat. */
         START_SENT,
-        /** A heartbeat shows it. */
+        /** A heartbeat has reported the task. */
         REPORTED,
-        /** Fenced evidence: completed. */
+        /** There is fenced evidence that the task has completed. */
         COMPLETED,
-        /** Fenced evidence: not on the machine, not completed. */
+        /** There is fenced evidence that the task is not on the machine and has not completed. */
         GONE
     }
 
@@ -45,10 +49,10 @@
     private long killSentAtMillis;
     private long recordSeenAtMillis;
 
-    /** The machine's load while this is the task's placement on record; else null. */
+    /** The load of the machine while this is the task's placement on record; otherwise null. */
     MachineLoad machineLoad;
 
-    /** A placement of which nothing has been observed yet. */
+    /** Creates a placement with no observations yet. */
     public Placement(
             Job job,
             int taskIndex,
@@ -64,14 +68,14 @@
         this.recordSeenAtMillis = recordSeenAtMillis;
     }
 
-    /** What this process has observed of it. */
+    /** What this process has observed of the placement. */
     public Phase phase() {
         return phase;
     }
 
     /**
-     * Notes what has been observed. Completed and gone are absorbing while this controller owns the
-     * machine: evidence is not taken back.
+     * Records an observation. {@link Phase#COMPLETED} and {@link Phase#GONE} are final while this
+     * controller owns the machine: evidence is not revoked.
      */
     public void transitionTo(Phase next) {
         if (phase != next && !isTerminated()) {
@@ -83,9 +87,9 @@
     }
 
     /**
-     * Forgets what was observed, because the machine has a new owner. What was concluded under the
-     * old fencing token no longer holds: the record entitles the new owner to start the task there,
-     * so only the new owner can show that it is gone.
+     * Discards the observations because the machine has a new owner. Conclusions drawn under the
+     * old fencing token are no longer valid: the record entitles the new owner to start the task on
+     * the machine, so only the new owner can establish that the task has terminated.
      */
     public void resetForNewOwner() {
         job.adjustEvidenceCounts(this, -1);
@@ -97,7 +101,8 @@
     }
 
     /**
-     * Notes that the start left in the response to the heartbeat of this agent epoch and serial.
+     * Records that the start was sent in the response to the heartbeat with this agent epoch and
+     * serial.
      */
     public void recordStartSent(long agentEpoch, long serial) {
         transitionTo(Phase.START_SENT);
@@ -105,37 +110,37 @@
         startSentSerial = serial;
     }
 
-    /** Notes the event-loop time at which the task was first seen running. */
+    /** Records the event-loop time at which the task was first seen running. */
     public void recordRunningSince(long nowMillis) {
         runningSinceMillis = nowMillis;
     }
 
-    /** Notes the state in which a heartbeat shows the task. */
+    /** Records the state of the task that a heartbeat reported. */
     public void recordReportedState(String state) {
         reportedState = state;
     }
 
-    /** Notes the event-loop time at which a kill was sent. */
+    /** Records the event-loop time at which a kill was sent. */
     public void recordKillSent(long nowMillis) {
         killSentAtMillis = nowMillis;
     }
 
-    /** Agent epoch of the heartbeat whose response carried the start; 0: none has. */
+    /** Agent epoch of the heartbeat whose response carried the start; 0: not sent. */
     public long startSentAgentEpoch() {
         return startSentAgentEpoch;
     }
 
-    /** Serial of the heartbeat whose response carried the start; 0: none has. */
+    /** Serial of the heartbeat whose response carried the start; 0: not sent. */
     public long startSentSerial() {
         return startSentSerial;
     }
 
-    /** The last state that a heartbeat showed; empty: none. */
+    /** The last state of the task that a heartbeat reported; empty: none. */
     public String reportedState() {
         return reportedState;
     }
 
-    /** Event-loop time at which it was first seen running; 0: not yet. */
+    /** Event-loop time at which the task was first seen running; 0: not yet. */
     public long runningSinceMillis() {
         return runningSinceMillis;
     }
@@ -145,7 +150,7 @@
         return killSentAtMillis;
     }
 
-    /** Event-loop time at which this process first saw the record. */
+    /** Event-loop time at which this process first saw the placement on record. */
     public long recordSeenAtMillis() {
         return recordSeenAtMillis;
     }
@@ -161,17 +166,19 @@
         return phase == Phase.COMPLETED || phase == Phase.GONE;
     }
 
-    /** Whether the task should be on its machine; else it is not started there, and stopped. */
+    /**
+     * Whether the task should run on its machine; if not, it is not started there, or is stopped.
+     */
     public boolean shouldRun() {
         return !stopRequested && !job.isCancelled() && !job.isCompletedGang();
     }
 
-    /** Whether a newer record speaks of the same start. */
+    /** Whether the given task, host and attempt identify the same start as this placement. */
     boolean isSameStart(int otherTaskIndex, String otherHost, long otherAttempt) {
         return taskIndex == otherTaskIndex && attempt == otherAttempt && host.equals(otherHost);
     }
 
-    /** Takes over what was observed under an older version of the record. */
+    /** Copies the observations of the placement in the previous version of the record. */
     void inheritObservations(Placement previous) {
         phase = previous.phase;
         startSentAgentEpoch = previous.startSentAgentEpoch;
@@ -182,7 +189,7 @@
         recordSeenAtMillis = previous.recordSeenAtMillis;
     }
 
-    /** The task's name on the wire: job and task index. */
+    /** The task's id on the wire: job id and task index. */
     public String taskId() {
         if (taskId == null) {
             taskId = job.spec.jobId() + "/" + taskIndex;
--- a/src/main/java/io/quincelead/cluster/PlacementTable.java
+++ b/src/main/java/io/quincelead/cluster/PlacementTable.java
@@ -6,16 +6,16 @@
 import java.util.NoSuchElementException;
 
 /**
- * The placements of one page's tasks, in the order of the tasks. Slots instead of a sorted map:
- * every controller reads every change of a page, and looking up, copying and walking 200 tasks is
- * most of what that costs. Changed only within this package.
+ * The placements of one page's tasks, in task index order. An array is used instead of a sorted map
+ * because every controller reads every change of a page, and looking up, copying and iterating 200
+ * tasks dominates the cost. Modified only within this package.
  */
 public final class PlacementTable extends AbstractCollection<Placement> {
     private final int firstTaskIndex;
     private final Placement[] slots;
     private int size;
 
-    /** For {@code taskCount} tasks, the first of which has the index {@code firstTaskIndex}. */
+    /** Creates an empty table for {@code taskCount} tasks, starting at {@code firstTaskIndex}. */
     PlacementTable(int firstTaskIndex, int taskCount) {
         this.firstTaskIndex = firstTaskIndex;
         this.slots = new Placement[taskCount];
@@ -28,7 +28,7 @@
     }
 
     /**
-     * The task's placement; null where it has none or isn't of this page. The index counts from the
+     * The task's placement; null if it has none or is not on this page. The index counts from the
      * job's first task.
      */
     public Placement get(int taskIndex) {
@@ -36,15 +36,15 @@
         return slot < 0 || slot >= slots.length ? null : slots[slot];
     }
 
-    /** Whether the task has a placement here. */
+    /** Whether the task has a placement in this table. */
     public boolean hasPlacement(int taskIndex) {
         return get(taskIndex) != null;
     }
 
     /**
-     * Sets the placement of its task.
+     * Adds the placement, replacing the task's previous one.
      *
-     * @throws IndexOutOfBoundsException if the task isn't of this page
+     * @throws IndexOutOfBoundsException if the task is not on this page
      */
     void put(Placement placement) {
         size += slots[placement.taskIndex - firstTaskIndex] == null ? 1 : 0;
@@ -54,19 +54,22 @@
     /**
      * Removes the placement of the task, if it has one.
      *
-     * @throws IndexOutOfBoundsException if the task isn't of this page
+     * @throws IndexOutOfBoundsException if the task is not on this page
      */
     void remove(int taskIndex) {
         size -= slots[taskIndex - firstTaskIndex] == null ? 0 : 1;
         slots[taskIndex - firstTaskIndex] = null;
     }
 
-    /** Called with a task's placement before and after a change; either may be null. */
+    /** Receives a task's placement before and after a change; one of the two may be null. */
     interface ChangeVisitor {
         void visit(Placement before, Placement after);
     }
 
-    /** Visits the tasks whose placements are not the same objects; a table may be null: none. */
+    /**
+     * Visits the tasks whose placements before and after are different objects. A null table stands
+     * for one without placements.
+     */
     static void forEachChange(PlacementTable before, PlacementTable after, ChangeVisitor visitor) {
         int slotCount =
                 before != null ? before.slots.length : after != null ? after.slots.length : 0;
--- a/src/main/java/io/quincelead/cluster/TaskStatePage.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePage.java
@@ -8,7 +8,7 @@
 
 /**
  * The recorded states of up to {@link RecordConstants#TASKS_PER_STATE_PAGE} tasks of a job:
- * completed, placed, or else pending. A page never changes: a new record makes a new page. Task
+ * completed, placed, or otherwise pending. Immutable: a changed record becomes a new page. Task
  * indexes count from the job's first task.
  */
 public final class TaskStatePage {
@@ -18,21 +18,21 @@
     /** The highest attempt used so far; 0: none. */
     public final long lastAttempt;
 
-    /** Where tasks are placed on record; read-only outside of this package. */
+    /** The placements on record; read-only outside this package. */
     public final PlacementTable placements;
 
-    /** The completed tasks, counted from the first one of the page. */
+    /** The completed tasks; bit indexes count from the first task of the page. */
     final BitSet completed;
 
-    private final int pageNumber;
+    private final int pageIndex;
     private final String storeKey;
 
-    /** The placements as they are on record; null where no record was read. */
+    /** The stored text of the placements; null if the page has no record. */
     private final byte[] recordedPlacements;
 
     private TaskStatePage(
             Job job,
-            int pageNumber,
+            int pageIndex,
             String storeKey,
             long lastAttempt,
             BitSet completed,
@@ -40,51 +40,51 @@
             byte[] recordedPlacements) {
         this.job = job;
         this.storeKey = storeKey;
-        this.pageNumber = pageNumber;
+        this.pageIndex = pageIndex;
         this.lastAttempt = lastAttempt;
         this.completed = completed;
         this.placements = placements;
         this.recordedPlacements = recordedPlacements;
     }
 
-    /** A page that has no record yet: all its tasks are pending. */
-    static TaskStatePage empty(Job job, int pageNumber) {
+    /** Creates a page that has no record yet: all its tasks are pending. */
+    static TaskStatePage empty(Job job, int pageIndex) {
         return new TaskStatePage(
                 job,
-                pageNumber,
-                job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageNumber),
+                pageIndex,
+                job.hasSinglePage() ? job.storeKey() : pageKey(job.spec.jobId(), pageIndex),
                 0,
                 new BitSet(),
-                new PlacementTable(firstTaskIndex(pageNumber), taskCount(job, pageNumber)),
+                new PlacementTable(firstTaskIndex(pageIndex), taskCount(job, pageIndex)),
                 null);
     }
 
-    /** A page as read from its record, whose placements were {@code recordedPlacements}. */
+    /** Creates a page read from a record in which the placements are {@code recordedPlacements}. */
     static TaskStatePage recorded(
             Job job,
-            int pageNumber,
+            int pageIndex,
             long lastAttempt,
             BitSet completed,
             PlacementTable placements,
             byte[] recordedPlacements) {
         return new TaskStatePage(
                 job,
-                pageNumber,
-                job.emptyPage(pageNumber).storeKey,
+                pageIndex,
+                job.emptyPage(pageIndex).storeKey,
                 lastAttempt,
                 completed,
                 placements,
                 recordedPlacements);
     }
 
-    /** The store key of its record: the job's own, if a single page is all there is. */
+    /** The store key of the page's record, or of the job's record if the job has a single page. */
     public String storeKey() {
         return storeKey;
     }
 
-    /** Four digits, so that a job's pages are listed in their order. */
-    private static String pageKey(String jobId, int pageNumber) {
-        String digits = Integer.toString(pageNumber);
+    /** The page index is padded to four digits so that the store lists a job's pages in order. */
+    private static String pageKey(String jobId, int pageIndex) {
+        String digits = Integer.toString(pageIndex);
         return StoreKeys.TASK_STATE_PAGE_PREFIX
                 + jobId
                 + "/"
@@ -94,22 +94,22 @@
 
     /** The index of the page's first task. */
     public int firstTaskIndex() {
-        return firstTaskIndex(pageNumber);
+        return firstTaskIndex(pageIndex);
     }
 
-    static int firstTaskIndex(int pageNumber) {
-        return pageNumber * RecordConstants.TASKS_PER_STATE_PAGE;
+    static int firstTaskIndex(int pageIndex) {
+        return pageIndex * RecordConstants.TASKS_PER_STATE_PAGE;
     }
 
     /** How many tasks the page has; the last page of a job may have fewer than the others. */
     public int taskCount() {
-        return taskCount(job, pageNumber);
+        return taskCount(job, pageIndex);
     }
 
-    static int taskCount(Job job, int pageNumber) {
+    static int taskCount(Job job, int pageIndex) {
         return Math.min(
                 RecordConstants.TASKS_PER_STATE_PAGE,
-                job.spec.taskCount() - firstTaskIndex(pageNumber));
+                job.spec.taskCount() - firstTaskIndex(pageIndex));
     }
 
     /** How many tasks are neither completed nor placed on record. */
@@ -117,34 +117,34 @@
         return taskCount() - completed.cardinality() - placements.size();
     }
 
-    /** Whether the task waits for a placement on record. */
+    /** Whether the task is neither completed nor placed on record. */
     public boolean isPendingOnRecord(int taskIndex) {
         return !placements.hasPlacement(taskIndex) && !completed.get(taskIndex - firstTaskIndex());
     }
 
-    /** The text that the placements were decoded from; null where no record was read. */
+    /** The stored text that the placements were decoded from; null if the page has no record. */
     byte[] recordedPlacements() {
         return recordedPlacements;
     }
 
-    /** Begins a change of this page. */
+    /** Starts an edit of this page. */
     public TaskStatePageEdit edit() {
         return new TaskStatePageEdit(this);
     }
 
-    /** The page's record as it is known. */
+    /** Encodes the page's record. */
     ObjectNode encode() {
         return TaskStatePageCodec.encode(firstTaskIndex(), lastAttempt, completed, placements);
     }
 
-    /** How many tasks are completed and how many are placed, on record. */
+    /** The numbers of tasks that are completed and placed on record. */
     public record TaskCounts(int completed, int placed) {
-        /** The counts of a page's record as the store has it; none where the record is missing. */
+        /** The counts from the stored record of a page; zero if the record is missing. */
         public static TaskCounts of(JsonNode node) {
             return TaskStatePageCodec.decodeCounts(node);
         }
 
-        /** The counts of both together. */
+        /** The sums of both counts. */
         public TaskCounts plus(TaskCounts other) {
             return new TaskCounts(completed + other.completed, placed + other.placed);
         }
--- a/src/main/java/io/quincelead/cluster/TaskStatePageCodec.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePageCodec.java
@@ -10,16 +10,16 @@
 
 /**
  * The stored form of a {@link TaskStatePage}: {@code t} the highest attempt, {@code d} the
- * completed tasks as ranges {@code from, to, from, to...}, and {@code p} all placements as one
- * text, {@code index host attempt;} a task, with {@code !} after the attempt of a task that is to
- * be stopped. Indexes count from the first task of the page.
+ * completed tasks as ranges {@code from, to, from, to...} ({@code to} exclusive), and {@code p} all
+ * placements as one text with {@code index host attempt;} for each task, and {@code !} after the
+ * attempt if the task must stop. Indexes count from the first task of the page.
  *
- * <p>One text instead of four values a task: every controller reads every change, and placements
- * are most of what it reads. For the same reason only the part of the text that differs from the
- * last one is decoded.
+ * <p>Placements are stored as one text instead of four values per task because every controller
+ * reads every change, and placements are most of that data. For the same reason only the part of
+ * the text that differs from the previous one is decoded.
  */
 final class TaskStatePageCodec {
-    /** Stands after the attempt of a task that is to be stopped. */
+    /** Follows the attempt of a task that must stop. */
     private static final char STOP_MARK = '!';
 
     /** Ends each placement. */
@@ -30,31 +30,31 @@
     private TaskStatePageCodec() {}
 
     /**
-     * Decodes a page's record. What this process knows of a placement is kept where the record
-     * speaks of the same start as before; an unchanged placement stays the same object.
+     * Decodes a page's record. The observations of a placement are kept if the record contains the
+     * same start as before; an unchanged placement stays the same object.
      *
-     * @param node the record, or the part of the job's record that stands for it
-     * @param previousPage the page as it was on record before; null: it was on none
+     * @param node the page's record, or the part of the job's record that contains the page
+     * @param previousPage the page as previously recorded; null: it had no record
      * @param nowMillis event-loop time at which the record was seen
      * @throws MalformedRecordException if the ranges or the placements can't be read
      */
     static TaskStatePage decode(
-            Job job, int pageNumber, JsonNode node, TaskStatePage previousPage, long nowMillis)
+            Job job, int pageIndex, JsonNode node, TaskStatePage previousPage, long nowMillis)
             throws MalformedRecordException {
         try {
             byte[] text = placementsText(node.path("p")).getBytes(StandardCharsets.ISO_8859_1);
             BitSet completed = decodeCompleted(node.path("d"));
             PlacementTable placements =
-                    decodePlacements(job, pageNumber, text, previousPage, nowMillis);
+                    decodePlacements(job, pageIndex, text, previousPage, nowMillis);
             return TaskStatePage.recorded(
-                    job, pageNumber, node.path("t").asLong(), completed, placements, text);
+                    job, pageIndex, node.path("t").asLong(), completed, placements, text);
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             throw new MalformedRecordException(
-                    "task states of " + job.spec.jobId() + ", page " + pageNumber, e);
+                    "task states of " + job.spec.jobId() + ", page " + pageIndex, e);
         }
     }
 
-    /** The counts of a record as the store has it; none where the record is missing. */
+    /** Counts completed and placed tasks in a page's record; zero if the record is missing. */
     static TaskStatePage.TaskCounts decodeCounts(JsonNode node) {
         int completed = 0;
         JsonNode ranges = node.path("d");
@@ -102,31 +102,33 @@
     }
 
     private static PlacementTable decodePlacements(
-            Job job, int pageNumber, byte[] text, TaskStatePage previousPage, long nowMillis) {
-        int firstTaskIndex = TaskStatePage.firstTaskIndex(pageNumber);
+            Job job, int pageIndex, byte[] text, TaskStatePage previousPage, long nowMillis) {
+        int firstTaskIndex = TaskStatePage.firstTaskIndex(pageIndex);
         PlacementReader reader = new PlacementReader(job, firstTaskIndex, text, nowMillis);
         if (previousPage == null || previousPage.recordedPlacements() == null) {
             PlacementTable placements =
-                    new PlacementTable(firstTaskIndex, TaskStatePage.taskCount(job, pageNumber));
+                    new PlacementTable(firstTaskIndex, TaskStatePage.taskCount(job, pageIndex));
             reader.readInto(placements, previousPage, 0, text.length);
             return placements;
         }
-        // Most of a page is as before: only the placements between what both texts begin and end
-        // with are decoded.
+        // Most of a page is unchanged, so only the placements between the common prefix and the
+        // common suffix of both texts are decoded.
         byte[] previousText = previousPage.recordedPlacements();
         int from = commonPrefixLength(previousText, text);
-        int unchangedSuffix = commonSuffixLength(previousText, text, from);
+        int suffixLength = commonSuffixLength(previousText, text, from);
         PlacementTable placements = new PlacementTable(previousPage.placements);
-        int previousTo = previousText.length - unchangedSuffix;
-        for (int at = from; at < previousTo; at = indexAfter(previousText, at, PLACEMENT_END)) {
-            int indexEnd = indexAfter(previousText, at, FIELD_END) - 1;
-            placements.remove(firstTaskIndex + (int) parseDecimal(previousText, at, indexEnd));
+        int previousEnd = previousText.length - suffixLength;
+        for (int offset = from;
+                offset < previousEnd;
+                offset = indexAfterNext(previousText, offset, PLACEMENT_END)) {
+            int indexEnd = indexAfterNext(previousText, offset, FIELD_END) - 1;
+            placements.remove(firstTaskIndex + (int) parseDecimal(previousText, offset, indexEnd));
         }
-        reader.readInto(placements, previousPage, from, text.length - unchangedSuffix);
+        reader.readInto(placements, previousPage, from, text.length - suffixLength);
         return placements;
     }
 
-    /** Decodes the placements of one text; one reader a record, none a task. */
+    /** Decodes the placements of one record's text; allocated once per record, not per task. */
     private static final class PlacementReader {
         private final Job job;
         private final int firstTaskIndex;
@@ -149,19 +151,19 @@
         }
 
         private Placement readNext(TaskStatePage previousPage) {
-            int hostAt = indexAfter(text, position, FIELD_END);
-            int taskIndex = firstTaskIndex + (int) parseDecimal(text, position, hostAt - 1);
-            int attemptAt = indexAfter(text, hostAt, FIELD_END);
-            int end = indexAfter(text, attemptAt, PLACEMENT_END);
+            int hostStart = indexAfterNext(text, position, FIELD_END);
+            int taskIndex = firstTaskIndex + (int) parseDecimal(text, position, hostStart - 1);
+            int attemptStart = indexAfterNext(text, hostStart, FIELD_END);
+            int end = indexAfterNext(text, attemptStart, PLACEMENT_END);
             boolean stopRequested = text[end - 2] == STOP_MARK;
-            long attempt = parseDecimal(text, attemptAt, stopRequested ? end - 2 : end - 1);
+            long attempt = parseDecimal(text, attemptStart, stopRequested ? end - 2 : end - 1);
             position = end;
             Placement previous =
                     previousPage == null ? null : previousPage.placements.get(taskIndex);
             boolean sameStart =
                     previous != null
                             && previous.attempt == attempt
-                            && matches(previous.host, text, hostAt, attemptAt - 1);
+                            && matches(previous.host, text, hostStart, attemptStart - 1);
             if (sameStart && previous.stopRequested == stopRequested) {
                 return previous;
             }
@@ -170,8 +172,8 @@
                             ? previous.host
                             : new String(
                                     text,
-                                    hostAt,
-                                    attemptAt - 1 - hostAt,
+                                    hostStart,
+                                    attemptStart - 1 - hostStart,
                                     StandardCharsets.ISO_8859_1);
             Placement next = new Placement(job, taskIndex, host, attempt, stopRequested, nowMillis);
             if (sameStart) {
@@ -181,7 +183,7 @@
         }
     }
 
-    /** How many bytes both texts begin with, up to the end of a placement. */
+    /** The length in bytes of the common prefix that ends at the end of a placement. */
     private static int commonPrefixLength(byte[] left, byte[] right) {
         int length = Arrays.mismatch(left, right);
         length = length < 0 ? left.length : length;
@@ -192,8 +194,8 @@
     }
 
     /**
-     * How many bytes both texts end with behind the first {@code from}, from the beginning of a
-     * placement on.
+     * The length in bytes of the common suffix that starts at the start of a placement and doesn't
+     * overlap the first {@code from} bytes.
      */
     private static int commonSuffixLength(byte[] left, byte[] right, int from) {
         int limit = Math.min(left.length, right.length) - from;
@@ -202,7 +204,7 @@
                 && left[left.length - 1 - length] == right[right.length - 1 - length]) {
             length++;
         }
-        // A placement begins behind the end of another one, or where both texts begin to differ.
+        // A placement starts after the end of another one, or where the common prefix ends.
         while (length > 0
                 && !(isPlacementStart(left, left.length - length, from)
                         && isPlacementStart(right, right.length - length, from))) {
@@ -227,7 +229,7 @@
         return true;
     }
 
-    /** The placements as one text; before version 0.2 they were lists of four values. */
+    /** The placements as one text; versions before 0.2 stored lists of four values per task. */
     private static String placementsText(JsonNode recorded) {
         if (!recorded.isArray()) {
             return recorded.asText();
@@ -248,11 +250,11 @@
     }
 
     /**
-     * The index behind the next such mark.
+     * The index after the next occurrence of the mark.
      *
-     * @throws IndexOutOfBoundsException if the text has no such mark any more
+     * @throws IndexOutOfBoundsException if the mark doesn't occur in the rest of the text
      */
-    private static int indexAfter(byte[] text, int from, char mark) {
+    private static int indexAfterNext(byte[] text, int from, char mark) {
         int offset = from;
         while (text[offset] != mark) {
             offset++;
@@ -261,19 +263,20 @@
     }
 
     /**
-     * The number that stands there in decimal digits.
+     * Parses the decimal digits from {@code from} to {@code to}, exclusive.
      *
-     * @throws NumberFormatException if there is none, or anything but digits
+     * @throws NumberFormatException if there are no digits, there is any other character, or the
+     *     number is too large
      */
     private static long parseDecimal(byte[] text, int from, int to) {
         if (from >= to) {
-            throw new NumberFormatException("a number is missing");
+            throw new NumberFormatException("the number is missing");
         }
         long value = 0;
         for (int i = from; i < to; i++) {
             int digit = text[i] - '0';
             if (digit < 0 || digit > 9 || value > Long.MAX_VALUE / 10 - 1) {
-                throw new NumberFormatException("not a number");
+                throw new NumberFormatException("not a decimal number");
             }
             value = value * 10 + digit;
         }
--- a/src/main/java/io/quincelead/cluster/TaskStatePageEdit.java
+++ b/src/main/java/io/quincelead/cluster/TaskStatePageEdit.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import java.util.Collection;
 
-/** A planned change of a page. It becomes real only when the store has confirmed it. */
+/** A planned change of a page. It takes effect only when the store has confirmed it. */
 public final class TaskStatePageEdit {
     private final TaskStatePage page;
     private final BitSet completed;
@@ -19,7 +19,7 @@
         this.lastAttempt = page.lastAttempt;
     }
 
-    /** The page as it is on record. */
+    /** The page on record that this edit changes. */
     public TaskStatePage page() {
         return page;
     }
@@ -29,16 +29,16 @@
         return changed;
     }
 
-    /** Whether the task has no placement in the plan and isn't completed there. */
+    /** Whether the task is neither placed nor completed in the plan. */
     public boolean isPending(int taskIndex) {
         return !placements.hasPlacement(taskIndex)
                 && !completed.get(taskIndex - page.firstTaskIndex());
     }
 
     /**
-     * Whether the plan may place the task: it waited on record, or there is evidence that it is
-     * gone, which the same change puts on record. A gang's next attempt starts only when all of the
-     * last one is on record as gone.
+     * Whether the plan may place the task: either it is pending on record, or there is evidence
+     * that it has terminated, which the same change records. A gang's next attempt starts only when
+     * the termination of all tasks of the last attempt is on record.
      */
     public boolean isPlaceable(int taskIndex) {
         return isPending(taskIndex)
@@ -46,7 +46,7 @@
                 && (page.isPendingOnRecord(taskIndex) || !page.job.spec.isGang());
     }
 
-    /** How many tasks the plan may place and has not placed. */
+    /** The number of tasks that the plan may place and has not placed yet. */
     public int placeableTaskCount() {
         int count = 0;
         for (int taskIndex = page.firstTaskIndex();
@@ -57,12 +57,12 @@
         return count;
     }
 
-    /** Where the plan leaves or puts tasks; a live view, not to be changed. */
+    /** The placements after the planned change; a live view that must not be modified. */
     public Collection<Placement> placements() {
         return placements;
     }
 
-    /** Whether the plan leaves the task running: not terminated, and not told to stop. */
+    /** Whether the task has a placement in the plan that is not requested to stop. */
     public boolean hasActivePlacement(int taskIndex) {
         Placement placement = placements.get(taskIndex);
         return placement != null && !placement.stopRequested;
@@ -75,7 +75,7 @@
         changed = true;
     }
 
-    /** Plans to record all tasks as completed that have no placement. */
+    /** Plans to record all tasks without a placement as completed. */
     public void markPendingCompleted() {
         for (int i = 0; i < page.taskCount(); i++) {
             if (isPending(page.firstTaskIndex() + i)) {
@@ -84,20 +84,20 @@
         }
     }
 
-    /** Plans to record that the task has terminated without completing: it is pending again. */
+    /** Plans to record that the task has terminated without completing, so it is pending again. */
     public void markGone(int taskIndex) {
         placements.remove(taskIndex);
         changed = true;
     }
 
-    /** Plans a start of the task on the machine, as this attempt. */
+    /** Plans a start of the task on the machine with this attempt. */
     public void place(int taskIndex, String host, long attempt) {
         placements.put(new Placement(page.job, taskIndex, host, attempt, false, 0));
         lastAttempt = Math.max(lastAttempt, attempt);
         changed = true;
     }
 
-    /** Plans to stop the task; nothing where it has no placement. */
+    /** Plans to stop the task; does nothing if it has no placement. */
     public void requestStop(int taskIndex) {
         Placement placement = placements.get(taskIndex);
         if (placement == null) {
@@ -114,7 +114,7 @@
         changed = true;
     }
 
-    /** The record under the page's store key with this change made. */
+    /** Encodes the record under the page's store key with this change applied. */
     public ObjectNode encode() {
         ObjectNode node =
                 TaskStatePageCodec.encode(
