--- a/src/main/java/io/quincelead/cluster/ClusterMembership.java
+++ b/src/main/java/io/quincelead/cluster/ClusterMembership.java
@@ -12,36 +12,36 @@
 import java.util.TreeMap;
 
 /**
- * Which controllers are alive, which one leads, and which one owns which machines under which
- * fencing tokens, as the watch cache has it. Read-only: leadership and shards change by
- * transactions of those who decide about them.
+ * The live controllers, the leader, and the shards: which controller owns which machines under
+ * which fencing tokens. Follows the watch cache. Read-only: leadership and shards are changed by
+ * store transactions of the components that decide on them.
  */
 public final class ClusterMembership {
     /**
      * A live controller.
      *
-     * @param address where the other controllers reach it
-     * @param incarnation tells this membership from every other one of the same controller
-     * @param leaseId the store's lease that its keys are attached to
+     * @param address the address at which other controllers reach this one
+     * @param incarnation distinguishes this membership from all others of the same controller
+     * @param leaseId the store lease that the controller's keys are attached to
      */
     public record Member(String memberId, String address, long incarnation, long leaseId) {}
 
-    /** The leadership, fixed to one incarnation of a controller. */
+    /** The leadership record; it is bound to one incarnation of a controller. */
     public record LeaderRecord(String memberId, long incarnation, long fencingToken) {
-        /** The record as it is stored. */
+        /** Encodes the leadership record. */
         public ObjectNode encode() {
             return MembershipCodec.encode(this);
         }
     }
 
-    /** What a team may use: CPUs and GPUs. */
+    /** The CPUs and GPUs that a controller may use for a team. */
     public record QuotaShare(double cpus, double gpus) {
-        /** Nothing. */
+        /** An empty share. */
         public static final QuotaShare NONE = new QuotaShare(0, 0);
 
         /**
-         * What is left when tasks on record move to another controller with their job: their use
-         * moves out with them. Never less than nothing.
+         * The remaining share after tasks on record move to another controller with their job,
+         * taking their quota use with them. Never negative.
          */
         public QuotaShare minusTasks(int taskCount, double cpusPerTask, double gpusPerTask) {
             return new QuotaShare(
@@ -51,20 +51,20 @@
     }
 
     /**
-     * The machines leased to a controller, each with its fencing token, and the controller's share
-     * of the teams' limits. The maps of a shard on record must not be changed; a {@link #copy} may
-     * be.
+     * The machines leased to a controller, each with its fencing token, and the controller's shares
+     * of the teams' quotas. The maps of a recorded shard must not be modified; those of a {@link
+     * #copy} may be.
      */
     public record Shard(
             String ownerId,
             Map<String, Long> fencingTokensByHost,
             Map<String, QuotaShare> quotaShares) {
-        /** The team's quota share; nothing where the shard names none. */
+        /** The team's quota share; {@link QuotaShare#NONE} if the shard has none for the team. */
         public QuotaShare quotaShare(String team) {
             return quotaShares.getOrDefault(team, QuotaShare.NONE);
         }
 
-        /** A copy with maps of its own, to be changed and encoded. */
+        /** Returns a copy with its own maps, which may be modified and encoded. */
         public Shard copy() {
             return new Shard(
                     ownerId,
@@ -72,12 +72,12 @@
                     new LinkedHashMap<>(quotaShares));
         }
 
-        /** The store key of its record. */
+        /** The store key of the shard's record. */
         public String storeKey() {
             return StoreKeys.SHARD_PREFIX + ownerId;
         }
 
-        /** The record as it is stored. */
+        /** Encodes the shard's record. */
         public ObjectNode encode() {
             return MembershipCodec.encode(this);
         }
@@ -91,7 +91,7 @@
     private LeaderRecord leaderRecord;
     private long latestFencingToken;
 
-    /** Empty until the watch cache has read the store. */
+    /** Creates a membership that is empty until the watch cache has read the store. */
     public ClusterMembership(Settings settings, WatchCache watchCache) {
         this.localMemberId = settings.memberId();
         this.shards = new ShardTable(watchCache);
@@ -149,57 +149,57 @@
                 });
     }
 
-    /** Has the listener called after every change of a shard. */
+    /** Adds a listener that is called after every change of a shard. */
     public void onShardChange(Runnable listener) {
         shards.onChange(listener);
     }
 
-    /** Rises with every change of a shard. */
+    /** Increases with every change of a shard. */
     public long shardVersion() {
         return shards.version();
     }
 
-    /** This controller's shard; null: it has none, or none that can be read. */
+    /** This controller's shard; null if it has none or its latest record can't be read. */
     public Shard localShard() {
         return shards.getIfReadable(localMemberId);
     }
 
-    /** The controller's shard; null: it has none. */
+    /** The controller's shard, in the latest version that could be read; null if it has none. */
     public Shard shardOf(String ownerId) {
         return shards.get(ownerId);
     }
 
-    /** All shards by the owner's name; a live, unmodifiable view. */
+    /** All shards by the owner's member id; a live, unmodifiable view. */
     public Collection<Shard> shards() {
         return shards.all();
     }
 
-    /** The controller whose shard has the machine; null: none. */
+    /** The member id of the controller whose shard contains the machine; null if none. */
     public String ownerOf(String host) {
         return shards.ownerOf(host);
     }
 
-    /** All live controllers by name; a live, unmodifiable view. */
+    /** All live controllers by member id; a live, unmodifiable view. */
     public Collection<Member> members() {
         return membersView;
     }
 
-    /** The controller's membership; null: it is not alive. */
+    /** The controller's membership; null if it is not alive. */
     public Member member(String memberId) {
         return membersById.get(memberId);
     }
 
-    /** The leadership on record; null: nobody leads. */
+    /** The leadership record; null if there is no leader. */
     public LeaderRecord leaderRecord() {
         return leaderRecord;
     }
 
-    /** The name of the leader; null: nobody leads. */
+    /** The member id of the leader; null if there is no leader. */
     public String leaderId() {
         return leaderRecord == null ? null : leaderRecord.memberId;
     }
 
-    /** The highest fencing token given out so far, by the ever-rising counter; 0: none. */
+    /** The highest fencing token issued so far by the monotonic counter; 0: none. */
     public long latestFencingToken() {
         return latestFencingToken;
     }
--- a/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
+++ b/src/main/java/io/quincelead/cluster/ConstrainedDemand.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * What constrained work, which not every machine may run, has asked for lately. The machines that
- * it needs are reserved and left free for it, for more of the same is likely to come.
+ * Recent demand of constrained work, which may not run on every machine. The machines that it needs
+ * are reserved and withheld from other work, because more of the same is likely to arrive.
  */
 public final class ConstrainedDemand {
-    /** What a task demands of its machine. */
+    /** What a task requires of its machine. */
     private record Requirements(
             double cpus,
             double gpus,
@@ -31,15 +31,15 @@
 
     private final EventLoop loop;
 
-    /** Event-loop time at which each demand last appeared, the oldest first. */
+    /** Event-loop time at which a job with these requirements last appeared; oldest first. */
     private final Map<Requirements, Long> lastRequestedAtMillis = new LinkedHashMap<>();
 
-    /** CPUs asked for by work of high priority, decaying with time. */
+    /** CPUs requested by urgent constrained work without GPUs, decaying exponentially over time. */
     private double decayedUrgentCpus;
 
-    private long decayedAtMillis;
+    private long lastDecayMillis;
 
-    /** Learns from each job that appears in the table from now on. */
+    /** Creates an instance that records the demand of each job added to the table from now on. */
     public ConstrainedDemand(EventLoop loop, JobTable jobs) {
         this.loop = loop;
         jobs.onJobAdded(this::recordDemand);
@@ -50,12 +50,13 @@
         if (spec.isUnconstrained()) {
             return;
         }
-        // When this process starts, old jobs appear all at once: they say nothing of the rate.
+        // Old jobs are not counted: they all appear at once when this process starts, which says
+        // nothing about the arrival rate.
         if (spec.gpus() == 0
                 && spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
                 && loop.wallClockMillis() - job.acceptedAtEpochMillis()
                         < SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS * 1000) {
-            decay();
+            applyDecay();
             decayedUrgentCpus += spec.taskCount() * spec.cpus();
         }
         Requirements requirements =
@@ -68,29 +69,29 @@
                         spec.preemptible());
         lastRequestedAtMillis.remove(requirements);
         lastRequestedAtMillis.put(requirements, loop.nowMillis());
-        long oldestRemembered =
+        long retentionStartMillis =
                 loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
         while (lastRequestedAtMillis.size() > SchedulerConstants.MAX_CONSTRAINED_DEMANDS
-                || lastRequestedAtMillis.values().iterator().next() < oldestRemembered) {
+                || lastRequestedAtMillis.values().iterator().next() < retentionStartMillis) {
             lastRequestedAtMillis.remove(lastRequestedAtMillis.keySet().iterator().next());
         }
     }
 
-    private void decay() {
+    private void applyDecay() {
         decayedUrgentCpus *=
                 Math.exp(
-                        -(loop.nowMillis() - decayedAtMillis)
+                        -(loop.nowMillis() - lastDecayMillis)
                                 / 1000.0
                                 / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS);
-        decayedAtMillis = loop.nowMillis();
+        lastDecayMillis = loop.nowMillis();
     }
 
     /**
-     * CPUs that constrained work of high priority without GPUs would ask for in this time, at the
-     * recent rate.
+     * CPUs that urgent constrained work without GPUs is expected to request within this time, at
+     * its recent rate.
      */
     public double expectedUrgentCpus(double withinSeconds) {
-        decay();
+        applyDecay();
         return decayedUrgentCpus
                 / SchedulerConstants.CONSTRAINED_RATE_WINDOW_SECONDS
                 * withinSeconds;
@@ -101,10 +102,10 @@
             String zone,
             boolean spot,
             boolean gpusOnly) {
-        long oldestRemembered =
+        long retentionStartMillis =
                 loop.nowMillis() - SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS;
         for (Map.Entry<Requirements, Long> entry : lastRequestedAtMillis.entrySet()) {
-            if (entry.getValue() >= oldestRemembered
+            if (entry.getValue() >= retentionStartMillis
                     && (!gpusOnly || entry.getKey().gpus > 0)
                     && entry.getKey().fits(machineType, zone, spot)) {
                 return true;
@@ -113,13 +114,16 @@
         return false;
     }
 
-    /** Whether recent constrained work could run on such a machine. */
+    /** Whether recent constrained work could run on a machine of this type, zone and pricing. */
     public boolean isInDemand(
             MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return hasRecentDemand(machineType, zone, spot, false);
     }
 
-    /** Whether recent work needs the GPUs of such a machine: other work should leave it alone. */
+    /**
+     * Whether recent work needs the GPUs of a machine of this type, zone and pricing, so that other
+     * work should not use it.
+     */
     public boolean isGpuInDemand(
             MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
         return machineType.gpus() > 0 && hasRecentDemand(machineType, zone, spot, true);
--- a/src/main/java/io/quincelead/cluster/ImageCaches.java
+++ b/src/main/java/io/quincelead/cluster/ImageCaches.java
@@ -9,23 +9,28 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which images a machine probably has: those of the tasks last placed there, up to the size of its
- * cache. A guess that only ranks machines; a wrong one costs a fetch. Kept by this process alone.
+ * Estimates which images are cached on each machine: those of the tasks most recently placed on it,
+ * up to the size of its cache. The estimate is only used to rank machines; a wrong one costs an
+ * image pull. It is local to this process.
  */
 public final class ImageCaches {
     private final MachineTable machines;
-    private final ToDoubleFunction<String> cacheGbOfType;
+    private final ToDoubleFunction<String> cacheGbByMachineType;
     private final Map<String, LinkedHashMap<String, Double>> imagesByHost = new HashMap<>();
 
-    /** {@code cacheGbOfType} tells the cache size of a machine type; 0: not known. */
-    public ImageCaches(MachineTable machines, ToDoubleFunction<String> cacheGbOfType) {
+    /**
+     * Creates an instance without estimates.
+     *
+     * @param cacheGbByMachineType returns the cache size in GB of a machine type; 0: not known
+     */
+    public ImageCaches(MachineTable machines, ToDoubleFunction<String> cacheGbByMachineType) {
         this.machines = machines;
-        this.cacheGbOfType = cacheGbOfType;
+        this.cacheGbByMachineType = cacheGbByMachineType;
     }
 
     /**
-     * Notes that a task was placed: its image is there or is being fetched, and is the most
-     * recently used one.
+     * Records that a task was placed on the machine: its image is cached or is being pulled, and is
+     * now the most recently used one.
      */
     public void recordUse(String host, JobSpec spec) {
         MachineTable.Machine machine = machines.get(host);
@@ -40,8 +45,8 @@
         for (double gb : images.values()) {
             totalGb += gb;
         }
-        double capacityGb = cacheGbOfType.applyAsDouble(machine.machineType());
-        while (totalGb > capacityGb && images.size() > 1) {
+        double cacheGb = cacheGbByMachineType.applyAsDouble(machine.machineType());
+        while (totalGb > cacheGb && images.size() > 1) {
             String oldest = images.keySet().iterator().next();
             totalGb -= images.remove(oldest);
         }
@@ -53,12 +58,12 @@
         return images != null && images.containsKey(image);
     }
 
-    /** All images that the machine probably has; a copy. */
+    /** All images that are probably on the machine; a copy. */
     public Set<String> images(String host) {
         return new HashSet<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()).keySet());
     }
 
-    /** Those images of at least this size, with their GB; a copy. */
+    /** The images of at least this size that are probably on the machine, with their GB; a copy. */
     public Map<String, Double> largeImages(String host, double minimumGb) {
         Map<String, Double> large =
                 new TreeMap<>(imagesByHost.getOrDefault(host, new LinkedHashMap<>()));
@@ -67,8 +72,8 @@
     }
 
     /**
-     * Adds what a record says that the machine has. It comes first in the order of use: what this
-     * process saw placed itself is newer.
+     * Adds the images on record for the machine as the least recently used ones: uses that this
+     * process observed itself are newer.
      */
     public void mergeRecorded(String host, Map<String, Double> images) {
         LinkedHashMap<String, Double> known =
@@ -82,12 +87,12 @@
         imagesByHost.put(host, merged);
     }
 
-    /** Whether any task was ever placed there, as far as this process knows. */
+    /** Whether there is an estimate: a use or a recorded image of the machine is known. */
     public boolean hasEstimate(String host) {
         return imagesByHost.containsKey(host);
     }
 
-    /** Forgets machines that are no longer on record. */
+    /** Removes the estimates of machines that are no longer on record. */
     public void pruneUnrecordedMachines() {
         imagesByHost.keySet().removeIf(h -> machines.get(h) == null);
     }
--- a/src/main/java/io/quincelead/cluster/MachineEdits.java
+++ b/src/main/java/io/quincelead/cluster/MachineEdits.java
@@ -10,17 +10,20 @@
 import java.util.Map;
 
 /**
- * Changes of machines that are part of one transaction. Keeps the transaction's machine records in
- * step with the changes asked for; each shared record is written once, under the precondition that
- * it is as the machine table has it.
+ * Changes of machines within one transaction. The transaction's machine records are updated with
+ * each change; each shared record is written once, under the precondition that it is unchanged
+ * since the machine table read it.
  */
 public final class MachineEdits {
     private final MachineTable machines;
     private final WatchCache watchCache;
     private final Transaction transaction;
-    private final Map<String, Map<String, Machine>> machinesByEditedGroup = new HashMap<>();
+    private final Map<String, Map<String, Machine>> machinesByGroup = new HashMap<>();
 
-    /** Records begun for unexpected machines, by what all machines of one record have in common. */
+    /**
+     * Group ids of the records that are being filled with unexpected machines, by the attributes
+     * that all machines of a record share.
+     */
     private final Map<String, String> openGroupByAttributes = new HashMap<>();
 
     MachineEdits(MachineTable machines, WatchCache watchCache, Transaction transaction) {
@@ -30,8 +33,8 @@
     }
 
     /**
-     * Adds a machine that runs but is on no record. Alike ones share a record: a whole cluster may
-     * be found running at once.
+     * Adds a machine that is running but has no record. Unexpected machines of the same type, zone
+     * and pricing share records, because a whole cluster may be discovered at once.
      */
     public void addUnexpected(
             String host,
@@ -39,7 +42,7 @@
             String zone,
             boolean spot,
             String address,
-            long rentedAtEpochMillis) {
+            long provisionedAtEpochMillis) {
         String attributes = machineType + "/" + zone + "/" + spot;
         String groupId = openGroupByAttributes.get(attributes);
         if (groupId == null
@@ -49,11 +52,11 @@
             openGroupByAttributes.put(attributes, groupId);
         }
         put(
-                new Machine(host, groupId, machineType, zone, spot, rentedAtEpochMillis)
+                new Machine(host, groupId, machineType, zone, spot, provisionedAtEpochMillis)
                         .withAddress(address));
-        // The record may be gone again when a duplicate of this transaction is applied: its
-        // precondition of 0 would then hold, and bring back machines that are gone. This key's
-        // revision prevents it.
+        // If a duplicate of this transaction is applied after the record has been removed, the
+        // record's precondition (revision 0) would hold, and the duplicate would restore machines
+        // that no longer exist. The precondition on the registration key's revision prevents this.
         transaction
                 .requireRevision(
                         StoreKeys.UNEXPECTED_MACHINE_REGISTRATION,
@@ -68,7 +71,7 @@
         write(machine.storeKey(), groupMachines);
     }
 
-    /** Takes the machine out of its group's record; the last one takes the record with it. */
+    /** Removes the machine from its group's record, and the record if no machine remains. */
     public void remove(Machine machine) {
         Map<String, Machine> groupMachines = machinesOf(machine.groupId());
         groupMachines.remove(machine.host());
@@ -76,7 +79,7 @@
     }
 
     private Map<String, Machine> machinesOf(String groupId) {
-        return machinesByEditedGroup.computeIfAbsent(groupId, machines::groupMachines);
+        return machinesByGroup.computeIfAbsent(groupId, machines::groupMachines);
     }
 
     private void write(String key, Map<String, Machine> groupMachines) {
--- a/src/main/java/io/quincelead/cluster/MachineLoad.java
+++ b/src/main/java/io/quincelead/cluster/MachineLoad.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The tasks that may be on one machine, with what they use. The sums are computed anew from the
- * tasks only after one of them has changed, so a scheduling cycle over all machines costs what has
- * changed since the last one, and no sum ever drifts.
+ * The tasks that may be on one machine and the resources they use. The sums are recomputed from the
+ * tasks only after a task has changed, so the cost of a scheduling cycle over all machines depends
+ * on the changes since the last cycle, and the sums accumulate no rounding error.
  */
 public final class MachineLoad {
     private static final int PRIORITY_COUNT = JobSpec.Priority.values().length;
@@ -26,8 +26,8 @@
             new ArrayList<>(Collections.nCopies(PRIORITY_COUNT, List.of()));
 
     /**
-     * Has the sums computed anew, because something about one of the tasks has changed: its phase,
-     * whether it is to stop, or whether its job is cancelled.
+     * Requests that the sums be recomputed, because a task was added or removed, or its phase, its
+     * stop request or the cancellation of its job has changed.
      */
     void invalidate() {
         stale = true;
@@ -62,45 +62,45 @@
         }
     }
 
-    /** CPUs of tasks that may be there. */
+    /** CPUs of the tasks that may be on the machine. */
     public double cpus() {
         refresh();
         return cpus;
     }
 
-    /** Memory in GB of tasks that may be there. */
+    /** Memory in GB of the tasks that may be on the machine. */
     public double memoryGb() {
         refresh();
         return memoryGb;
     }
 
-    /** GPUs of tasks that may be there. */
+    /** GPUs of the tasks that may be on the machine. */
     public double gpus() {
         refresh();
         return gpus;
     }
 
-    /** Of {@link #cpus}: those of tasks that are being stopped. */
+    /** The part of {@link #cpus} that belongs to tasks being stopped. */
     public double stoppingCpus() {
         refresh();
         return stoppingCpus;
     }
 
-    /** Of {@link #memoryGb}: that of tasks that are being stopped. */
+    /** The part of {@link #memoryGb} that belongs to tasks being stopped. */
     public double stoppingMemoryGb() {
         refresh();
         return stoppingMemoryGb;
     }
 
-    /** Of {@link #gpus}: those of tasks that are being stopped. */
+    /** The part of {@link #gpus} that belongs to tasks being stopped. */
     public double stoppingGpus() {
         refresh();
         return stoppingGpus;
     }
 
     /**
-     * Tasks of this priority that could be preempted: not of gangs, and not being stopped yet.
-     * Valid until the next change; not to be changed.
+     * Tasks of this priority that could be preempted: those that don't belong to gangs and are not
+     * being stopped yet. The list is valid until the next change and must not be modified.
      *
      * @param priority ordinal of a {@link JobSpec.Priority}
      */
--- a/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
+++ b/src/main/java/io/quincelead/cluster/MachineRecordCodec.java
@@ -17,14 +17,14 @@
 
 /**
  * The stored form of machines that share a record: {@code k} machine type, {@code s} zone, {@code
- * p} spot, {@code r} time of provisioning, {@code h} the machines; and, each left out where it is
- * empty, {@code a} their addresses, {@code x} those being released, {@code q} those cordoned,
- * {@code w} their large images with the size in GB.
+ * p} spot, {@code r} time of provisioning, {@code h} the machines. The following fields are omitted
+ * if empty: {@code a} addresses, {@code x} machines being released, {@code q} cordoned machines,
+ * {@code w} large images with their sizes in GB.
  */
 final class MachineRecordCodec {
     private MachineRecordCodec() {}
 
-    /** A decoded record; it says nothing of machines that it doesn't list. */
+    /** A decoded record; it contains no data about machines that the record doesn't list. */
     record MachineGroup(
             List<MachineTable.Machine> machines,
             Map<String, Map<String, Double>> largeImagesByHost) {}
@@ -80,11 +80,12 @@
     }
 
     /**
-     * Encodes machines of one record; they agree in machine type, zone, spot and time of
-     * provisioning.
+     * Encodes the machines of one record, which have the same machine type, zone, pricing (spot or
+     * on-demand) and time of provisioning.
      *
      * @param machines at least one
-     * @param largeImagesOf the large images of a machine with their GB; empty where it has none
+     * @param largeImagesOf returns the large images of a machine with their sizes in GB; empty if
+     *     there are none
      */
     static ObjectNode encode(
             Collection<MachineTable.Machine> machines,
@@ -122,7 +123,7 @@
             node.set("q", cordoned);
         }
         ObjectNode largeImages = encodeLargeImages(machines, largeImagesOf);
-        // Where large images are is worth a record only as far as it fits beside the machines.
+        // The large images are optional: omitted if the record would become too large with them.
         if (!largeImages.isEmpty()
                 && largeImages.toString().length() + node.toString().length()
                         < RecordConstants.MAX_MACHINE_RECORD_CHARS) {
--- a/src/main/java/io/quincelead/cluster/MachineTable.java
+++ b/src/main/java/io/quincelead/cluster/MachineTable.java
@@ -17,21 +17,22 @@
 import java.util.function.Function;
 
 /**
- * The machines on record, from provisioning until the cloud has confirmed their release, as the
- * watch cache has them. Machines that were provisioned together share a record, so that a large
- * scale-out, a wave of losses or a wave of returns costs few changes.
+ * The machines on record, from provisioning until the cloud has confirmed their release; follows
+ * the watch cache. Machines that were provisioned together share a record, so that a large
+ * scale-out or many simultaneous losses or releases cost few store changes.
  */
 public final class MachineTable {
     /**
      * A machine.
      *
-     * @param groupId names the record that it shares
-     * @param address null until the cloud's list has shown it: a new owner can then show its worker
-     *     the new fencing token at once
+     * @param groupId identifies the record that the machine shares with others
+     * @param address the worker's address, with which a new owner can send the worker the new
+     *     fencing token at once; null until the cloud's list has contained it
      * @param provisionedAtEpochMillis wall-clock time of provisioning, or of its discovery if
      *     unexpected
-     * @param releasing recorded before the release is requested, so a successor requests it again
-     * @param cordoned gets no new tasks
+     * @param releasing whether the machine is being released; recorded before the release is
+     *     requested, so that a new leader requests it again
+     * @param cordoned whether the machine gets no new tasks
      */
     public record Machine(
             String host,
@@ -43,18 +44,27 @@
             long provisionedAtEpochMillis,
             boolean releasing,
             boolean cordoned) {
-        /** A machine just provisioned. */
+        /** Creates a machine that has just been provisioned. */
         public Machine(
                 String host,
                 String groupId,
                 String machineType,
                 String zone,
                 boolean spot,
-                long rentedAtEpochMillis) {
-            this(host, groupId, machineType, zone, spot, null, rentedAtEpochMillis, false, false);
+                long provisionedAtEpochMillis) {
+            this(
+                    host,
+                    groupId,
+                    machineType,
+                    zone,
+                    spot,
+                    null,
+                    provisionedAtEpochMillis,
+                    false,
+                    false);
         }
 
-        /** This machine while it is being released. */
+        /** Returns a copy of this machine that is marked as being released. */
         public Machine asReleasing() {
             return new Machine(
                     host,
@@ -68,7 +78,7 @@
                     cordoned);
         }
 
-        /** This machine cordoned, or not any more. */
+        /** Returns a copy of this machine that is cordoned or uncordoned. */
         public Machine withCordoned(boolean nowCordoned) {
             return new Machine(
                     host,
@@ -82,7 +92,7 @@
                     nowCordoned);
         }
 
-        /** This machine with the address of its worker. */
+        /** Returns a copy of this machine with the address of its worker. */
         public Machine withAddress(String newAddress) {
             return new Machine(
                     host,
@@ -96,7 +106,7 @@
                     cordoned);
         }
 
-        /** The store key of the record that it shares. */
+        /** The store key of the record that this machine shares with others. */
         public String storeKey() {
             return StoreKeys.MACHINE_PREFIX + groupId;
         }
@@ -111,13 +121,13 @@
     private final Set<String> cordonedHostsView = Collections.unmodifiableSet(cordonedHosts);
     private long version;
 
-    /** Large images that machines have, as recorded, with their GB. */
+    /** Large images on record for each machine, with their sizes in GB. */
     private final Map<String, Map<String, Double>> largeImagesByHost = new HashMap<>();
 
-    private Function<String, Map<String, Double>> currentLargeImages = host -> null;
+    private Function<String, Map<String, Double>> largeImagesSource = host -> null;
     private BiConsumer<String, Map<String, Double>> largeImagesListener = (host, images) -> {};
 
-    /** Empty until the watch cache has read the store. */
+    /** Creates a table that is empty until the watch cache has read the store. */
     public MachineTable(WatchCache watchCache) {
         this.watchCache = watchCache;
         watchCache.addPrefixListener(
@@ -130,7 +140,7 @@
 
                     @Override
                     public void onRemove(String key) {
-                        forgetGroup(key.substring(StoreKeys.MACHINE_PREFIX.length()), Set.of());
+                        removeGroup(key.substring(StoreKeys.MACHINE_PREFIX.length()), Set.of());
                     }
                 });
     }
@@ -140,7 +150,7 @@
         MachineRecordCodec.MachineGroup group = MachineRecordCodec.decode(groupId, node);
         List<String> hosts = new ArrayList<>();
         group.machines().forEach(machine -> hosts.add(machine.host()));
-        forgetGroup(groupId, new HashSet<>(hosts));
+        removeGroup(groupId, new HashSet<>(hosts));
         group.machines().forEach(machine -> machinesByHost.put(machine.host(), machine));
         hosts.forEach(largeImagesByHost::remove);
         group.largeImagesByHost()
@@ -156,10 +166,10 @@
                 .forEach(machine -> cordonedHosts.add(machine.host()));
     }
 
-    private void forgetGroup(String groupId, Set<String> keptHosts) {
+    private void removeGroup(String groupId, Set<String> remainingHosts) {
         version++;
         for (String host : hostsByGroup.getOrDefault(groupId, List.of())) {
-            if (!keptHosts.contains(host)) {
+            if (!remainingHosts.contains(host)) {
                 machinesByHost.remove(host);
                 cordonedHosts.remove(host);
                 largeImagesByHost.remove(host);
@@ -169,28 +179,28 @@
     }
 
     /**
-     * Has large images recorded with their machines. Set late because who knows the images ({@link
-     * ImageCaches}) looks up machines here.
+     * Enables recording of large images with their machines. Set after construction because {@link
+     * ImageCaches}, which supplies the images, depends on this table.
      *
-     * @param current tells the large images of a machine with their GB; null: what is on record
-     *     stays
-     * @param listener called with what each record says of a machine
+     * @param source returns the large images of a machine with their sizes in GB; null: the images
+     *     on record stay unchanged
+     * @param listener called with each machine and its recorded large images when a record is read
      */
     public void trackLargeImages(
-            Function<String, Map<String, Double>> current,
+            Function<String, Map<String, Double>> source,
             BiConsumer<String, Map<String, Double>> listener) {
-        currentLargeImages = current;
+        largeImagesSource = source;
         largeImagesListener = listener;
     }
 
-    /** The large images that are on record for the machine, with their GB; empty if none. */
+    /** The large images on record for the machine, with their sizes in GB; empty if none. */
     public Map<String, Double> recordedLargeImages(String host) {
         return largeImagesByHost.getOrDefault(host, Map.of());
     }
 
-    /** The large images that the machine's next record should name. */
+    /** The large images to store in the machine's next record. */
     Map<String, Double> largeImagesToRecord(String host) {
-        Map<String, Double> current = currentLargeImages.apply(host);
+        Map<String, Double> current = largeImagesSource.apply(host);
         return current == null ? recordedLargeImages(host) : current;
     }
 
@@ -203,7 +213,7 @@
         return machines;
     }
 
-    /** The machine on record; null: there is none. */
+    /** The machine with this host; null if it is not on record. */
     public Machine get(String host) {
         return machinesByHost.get(host);
     }
@@ -213,17 +223,17 @@
         return machinesView;
     }
 
-    /** Rises with every change of what is on record. */
+    /** Increases with every change of the machines on record. */
     public long version() {
         return version;
     }
 
-    /** The machines that get no new tasks; a live, unmodifiable view. */
+    /** The hosts of cordoned machines, which get no new tasks; a live, unmodifiable view. */
     public Set<String> cordonedHosts() {
         return cordonedHostsView;
     }
 
-    /** Begins changes of machines that are part of the transaction. */
+    /** Returns an editor that adds changes of machines to the transaction. */
     public MachineEdits beginEdits(Transaction transaction) {
         return new MachineEdits(this, watchCache, transaction);
     }
--- a/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
+++ b/src/main/java/io/quincelead/cluster/MachineTypeCatalog.java
@@ -10,19 +10,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * The machine types, as the leader last read them from the cloud and recorded them for all
- * controllers.
- */
+/** The machine types that the leader last read from the cloud and recorded for all controllers. */
 public final class MachineTypeCatalog {
     /**
      * A machine type.
      *
-     * @param name as the cloud calls it
-     * @param localDiskGb space for images, shared by all tasks of a machine
-     * @param imagePullGbPerSecond how fast images are fetched, shared likewise
-     * @param bootSeconds the usual time from provisioning until the worker's first heartbeat
-     * @param zones where it can be rented
+     * @param name the name in the cloud's catalog
+     * @param localDiskGb disk space for images, shared by all tasks of a machine
+     * @param imagePullGbPerSecond bandwidth for pulling images, shared by all tasks of a machine
+     * @param bootSeconds typical time from provisioning until the worker's first heartbeat
+     * @param zones the zones where the type can be provisioned
      */
     public record MachineType(
             String name,
@@ -36,7 +33,7 @@
             double bootSeconds,
             List<String> zones) {
 
-        /** The price of a spot or an on-demand machine. */
+        /** The price per hour of a spot or an on-demand machine. */
         public double pricePerHour(boolean spot) {
             return spot ? spotPricePerHour : onDemandPricePerHour;
         }
@@ -46,12 +43,12 @@
             return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
         }
 
-        /** The record of this type. */
+        /** Encodes the record of this type. */
         public ObjectNode encode() {
             return MachineTypeCodec.encode(this);
         }
 
-        /** A type as the cloud's catalog and our record have it; what is missing gets a default. */
+        /** Decodes a type from the cloud's catalog or a record; missing fields get defaults. */
         public static MachineType decode(JsonNode node) {
             return MachineTypeCodec.decode(node);
         }
@@ -61,7 +58,7 @@
     private final Collection<MachineType> machineTypesView =
             Collections.unmodifiableCollection(machineTypes.values());
 
-    /** Empty until the watch cache has read the store. */
+    /** Creates a catalog that is empty until the watch cache has read the store. */
     public MachineTypeCatalog(WatchCache watchCache) {
         watchCache.addPrefixListener(
                 StoreKeys.MACHINE_TYPE_PREFIX,
@@ -84,7 +81,7 @@
         return !machineTypes.isEmpty();
     }
 
-    /** The machine type of this name; null: it is not known. */
+    /** The machine type with this name; null if it is not known. */
     public MachineType get(String name) {
         return machineTypes.get(name);
     }
@@ -95,14 +92,16 @@
     }
 
     /**
-     * Replaces a type in this process only: prices move, and the leader's last reading counts for
-     * the leader alone and is not recorded again.
+     * Replaces a type in this process only. Prices change, and the leader uses the latest values
+     * that it has read without recording them again for the other controllers.
      */
     public void overrideLocally(MachineType machineType) {
         machineTypes.put(machineType.name(), machineType);
     }
 
-    /** Whether some allowed machine could ever have capacity for one task of the job. */
+    /**
+     * Whether an empty machine of some allowed type and zone has capacity for one task of the job.
+     */
     public boolean canEverFit(JobSpec spec) {
         return machineTypes.values().stream()
                 .anyMatch(
--- a/src/main/java/io/quincelead/cluster/MachineTypeCodec.java
+++ b/src/main/java/io/quincelead/cluster/MachineTypeCodec.java
@@ -17,7 +17,10 @@
 
     private MachineTypeCodec() {}
 
-    /** Decodes a machine type; what is missing gets a careful value. */
+    /**
+     * Decodes a machine type; missing disk, pull rate, boot time and spot price get conservative
+     * defaults.
+     */
     static MachineType decode(JsonNode node) {
         List<String> zones = new ArrayList<>();
         node.path("sites").forEach(zone -> zones.add(zone.asText()));
--- a/src/main/java/io/quincelead/cluster/MembershipCodec.java
+++ b/src/main/java/io/quincelead/cluster/MembershipCodec.java
@@ -14,9 +14,9 @@
 /**
  * The stored forms of members ({@code a} address, {@code i} incarnation, {@code g} lease), of the
  * leader ({@code m} member, {@code i} incarnation, {@code t} fencing token), of the counter that
- * tokens come from ({@code n}), and of shards: {@code ms} machines by fencing token, their names
- * without the prefix {@code p} that all have in common, for a controller alone may own every
- * machine in one record; {@code al} each team's quota share as {@code [cpus, gpus]}.
+ * issues fencing tokens ({@code n}), and of shards: {@code ms} hosts by fencing token, without
+ * their common prefix {@code p}, because one controller may own all machines and its shard must fit
+ * one record; {@code al} each team's quota share as {@code [cpus, gpus]}.
  */
 final class MembershipCodec {
     private MembershipCodec() {}
@@ -72,7 +72,7 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw new MalformedRecordException("a fencing token that is not a number", e);
+            throw new MalformedRecordException("the fencing token is not a number", e);
         }
     }
 
--- a/src/main/java/io/quincelead/cluster/ShardTable.java
+++ b/src/main/java/io/quincelead/cluster/ShardTable.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The shards on record, as the watch cache has them, and the owner of each machine. */
+/** The shards on record and the owner of each machine; follows the watch cache. */
 final class ShardTable {
     private static final Logger LOG = LoggerFactory.getLogger(ShardTable.class);
     private final Map<String, Shard> shardsByOwner = new TreeMap<>();
@@ -24,7 +24,10 @@
             Collections.unmodifiableCollection(shardsByOwner.values());
     private final Map<String, String> ownerByHost = new HashMap<>();
 
-    /** Owners whose newest record can't be read: they may decide nothing under the one before. */
+    /**
+     * Owners whose latest shard record can't be read. They must not make decisions based on the
+     * previous one.
+     */
     private final Set<String> unreadableOwners = new HashSet<>();
 
     private final List<Runnable> changeListeners = new ArrayList<>();
@@ -41,39 +44,39 @@
 
                     @Override
                     public void onRemove(String key) {
-                        forget(key.substring(StoreKeys.SHARD_PREFIX.length()));
+                        removeShard(key.substring(StoreKeys.SHARD_PREFIX.length()));
                         changeListeners.forEach(Runnable::run);
                     }
                 });
     }
 
     /**
-     * A shard that can't be read stays as it was last read: its machines have an owner still and
-     * its quota shares are granted, and neither may be granted again.
+     * Applies a shard record. If it can't be read, the previous version stays: the machines still
+     * have an owner and the quota shares are still granted, so neither may be granted again.
      */
     private void put(String ownerId, JsonNode value) {
         Shard shard;
         try {
             shard = MembershipCodec.decodeShard(ownerId, value);
         } catch (MalformedRecordException e) {
-            LOG.error("the shard of {} can't be read; as it was it stays in force", ownerId, e);
+            LOG.error("the shard of {} can't be read; keeping its previous version", ownerId, e);
             version++;
             unreadableOwners.add(ownerId);
             changeListeners.forEach(Runnable::run);
             return;
         }
-        forget(ownerId);
+        removeShard(ownerId);
         shardsByOwner.put(ownerId, shard);
         shard.fencingTokensByHost().keySet().forEach(host -> ownerByHost.put(host, ownerId));
         changeListeners.forEach(Runnable::run);
     }
 
-    private void forget(String ownerId) {
+    private void removeShard(String ownerId) {
         version++;
         unreadableOwners.remove(ownerId);
         Shard previous = shardsByOwner.remove(ownerId);
         if (previous != null) {
-            // Another shard that already names the machine stays its owner.
+            // A machine that another shard already lists stays with that shard's owner.
             previous.fencingTokensByHost()
                     .keySet()
                     .forEach(host -> ownerByHost.remove(host, ownerId));
@@ -92,7 +95,7 @@
         return shardsByOwner.get(ownerId);
     }
 
-    /** The shard under which its owner may decide; null where its newest record can't be read. */
+    /** The owner's shard; null if it has none or its latest record can't be read. */
     Shard getIfReadable(String ownerId) {
         return unreadableOwners.contains(ownerId) ? null : shardsByOwner.get(ownerId);
     }
--- a/src/main/java/io/quincelead/cluster/ZoneCodec.java
+++ b/src/main/java/io/quincelead/cluster/ZoneCodec.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 
 /**
- * The stored form of a zone; states and orders are the names of their constants in lower case, so
- * these names are part of the form.
+ * The stored form of a zone. States and operator orders are stored as the lower-case names of their
+ * enum constants, so these names must not change.
  */
 final class ZoneCodec {
     private ZoneCodec() {}
@@ -18,8 +18,8 @@
     /**
      * Decodes a zone's record.
      *
-     * @throws MalformedRecordException if the state or the order is unknown, as one of a later
-     *     version would be
+     * @throws MalformedRecordException if the state or the operator order is unknown, as one of a
+     *     later version would be
      */
     static Zone decode(String name, JsonNode node) throws MalformedRecordException {
         try {
--- a/src/main/java/io/quincelead/cluster/ZoneTable.java
+++ b/src/main/java/io/quincelead/cluster/ZoneTable.java
@@ -9,52 +9,56 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The zones that aren't simply up, as the leader has recorded them; one without a record is up. */
+/** The zone records written by the leader; a zone without a record is up. */
 public final class ZoneTable {
-    /** States of a zone; the {@code ZoneHealthEvaluator} alone decides them. */
+    /** State of a zone; only {@code ZoneHealthEvaluator} decides on transitions. */
     public enum State {
-        /** Heartbeats of its machines arrive. New work and new machines go there. */
+        /** Heartbeats of its machines arrive. It gets new tasks and new machines. */
         UP,
-        /** Heartbeats of hardly any machine arrive. None is rented there; nothing is concluded. */
+        /**
+         * Heartbeats arrive from hardly any of its machines. No machine is provisioned in the zone,
+         * and no conclusion is drawn about its machines.
+         */
         DOUBTFUL,
         /**
-         * Unreachable for longer than its workers' lease; its tasks may go on inside. They keep
-         * their placements and their teams' quota use.
+         * Unreachable for longer than its workers' lease. Its tasks may still be running; they keep
+         * their placements and still count towards their teams' quota use.
          */
         CUT,
         /**
-         * Most of its machines are gone, as the cloud's list or its responses to releases show.
-         * What ran there is placed elsewhere.
+         * Most of its machines no longer exist, according to the cloud's list or its responses to
+         * releases. Tasks that ran in the zone are placed elsewhere.
          */
         LOST,
         /**
-         * Heartbeats arrive from there again. Its machines get pending tasks; nothing is moved
-         * there.
+         * Heartbeats from the zone arrive again. Its machines get pending tasks; no running tasks
+         * are moved to the zone.
          */
         RETURNING,
         /**
-         * It has been up since for its settling time. Zone spread is restored by moving replicas.
+         * The zone has been up for its settling time after returning. Zone spread is restored by
+         * moving replicas.
          */
         SETTLED
     }
 
-    /** What operators have ordered for a zone that can't be reached. */
+    /** An operator's order for an unreachable zone. */
     public enum OperatorOrder {
-        /** Nothing: the zone's state decides. */
+        /** No order: the zone's state decides. */
         NONE,
-        /** Its machines are not declared lost, however long they are silent. */
+        /** Its machines are not declared lost, however long they send no heartbeats. */
         HOLD,
-        /** Its silent machines are declared lost at once. */
+        /** Its machines that send no heartbeats are declared lost at once. */
         RELEASE
     }
 
     /**
      * A zone's record.
      *
-     * @param sinceEpochMillis wall-clock time at which it came into the state
-     * @param machineCountWhenDoubted machines that it had when it first became doubtful
-     * @param recentLossCount how often it was lost recently
-     * @param reason the evidence for the state, in words
+     * @param sinceEpochMillis wall-clock time at which the zone entered the state
+     * @param machineCountWhenDoubted number of machines when the zone first became doubtful
+     * @param recentLossCount how often the zone was lost recently
+     * @param reason a description of the evidence for the state
      */
     public record Zone(
             String name,
@@ -64,12 +68,12 @@
             int recentLossCount,
             String reason,
             OperatorOrder operatorOrder) {
-        /** A zone that is up, as one without a record is. */
+        /** Returns a zone in the state UP, the default for a zone without a record. */
         public static Zone up(String zoneName) {
             return new Zone(zoneName, State.UP, 0, 0, 0, "", OperatorOrder.NONE);
         }
 
-        /** This zone in another state from now on, with the evidence for it. */
+        /** Returns a copy of this zone in another state from now on, with the evidence for it. */
         public Zone withState(State next, long nowEpochMillis, String evidence) {
             return new Zone(
                     name,
@@ -81,7 +85,7 @@
                     operatorOrder);
         }
 
-        /** This zone under another order of the operators. */
+        /** Returns a copy of this zone with another operator order. */
         public Zone withOperatorOrder(OperatorOrder newOrder) {
             return new Zone(
                     name,
@@ -93,7 +97,7 @@
                     newOrder);
         }
 
-        /** The record as it is stored. */
+        /** Encodes the zone's record. */
         public ObjectNode encode() {
             return ZoneCodec.encode(this);
         }
@@ -102,7 +106,7 @@
     private final Map<String, Zone> zones = new TreeMap<>();
     private final Collection<Zone> zonesView = Collections.unmodifiableCollection(zones.values());
 
-    /** Empty until the watch cache has read the store. */
+    /** Creates a table that is empty until the watch cache has read the store. */
     public ZoneTable(WatchCache watchCache) {
         watchCache.addPrefixListener(
                 StoreKeys.ZONE_PREFIX,
@@ -123,12 +127,13 @@
         try {
             zones.put(name, ZoneCodec.decode(name, value));
         } catch (MalformedRecordException e) {
-            // A state of a later version: the zone stays as it was known.
+            // The record may contain a state of a later version: the last known state of the zone
+            // stays.
             zones.putIfAbsent(name, Zone.up(name));
         }
     }
 
-    /** The zone as it is on record; up where it has no record. Never null. */
+    /** The zone as recorded; in the state UP if it has no record. Never null. */
     public Zone get(String name) {
         return zones.getOrDefault(name, Zone.up(name));
     }
@@ -138,7 +143,10 @@
         return zones.values();
     }
 
-    /** Whether no machine should be rented there now: doubtful, cut off or lost. */
+    /**
+     * Whether the zone is doubtful, cut off or lost, so that no machine should be provisioned in
+     * it.
+     */
     public boolean isUnavailable(String name) {
         State state = get(name).state();
         return state == State.DOUBTFUL || state == State.CUT || state == State.LOST;
