--- a/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
+++ b/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
@@ -16,14 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Records that can't be what their keys say. Found by reading, not on a day: nobody but the
- * controllers writes them.
+ * Records that are malformed or contradict their keys. Only controllers write these records; the
+ * faults were found by code review, not in operation.
  *
- * <p>A shard that could not be read was forgotten before it was decoded: its machines seemed to
- * have no owner and its quota shares to be free, so the leader could grant both again beside the
- * controller that still held them. The exception ended the rest of the watch's batch as well. A job
- * whose record names another job was taken in under both names, and its tasks could be placed
- * twice. A machine that a record cordons without listing it stayed cordoned for good.
+ * <p>Guards against these faults: the previous version of a shard was dropped before the new record
+ * was decoded, so an unreadable record made its machines appear unowned and its quota shares free,
+ * and the leader could grant both while the owner still held them; the exception also aborted the
+ * rest of the watch batch. A job whose record contains another job was added under both ids, and
+ * its tasks could be placed twice. A machine that a record cordons without listing it stayed
+ * cordoned permanently.
  */
 class CorruptRecordTest {
     private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
@@ -43,7 +44,7 @@
     }
 
     @Test
-    void machinesAndQuotaOfUnreadableShardKeepTheirOwner() {
+    void unreadableShardKeepsItsMachinesAndQuota() {
         ClusterMembership membership =
                 new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
         put("a/b/other", shardRecord("7"));
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void nothingIsDecidedUnderAnOwnShardThatIsUnreadable() {
+    void localShardIsAbsentWhileItsRecordIsUnreadable() {
         ClusterMembership membership =
                 new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
         String key = "a/b/" + TestSettings.LONE_CONTROLLER.memberId();
@@ -66,7 +67,7 @@
     }
 
     @Test
-    void jobUnderAnotherJobsKeyIsLeftAlone() {
+    void jobUnderAnotherJobsKeyIsIgnored() {
         JobTable jobs = new JobTable(loop, watchCache);
         ObjectNode record =
                 new Job(JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 1, 1, 10), "w", 1)
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void machineOnNoRecordIsNotCordoned() {
+    void unlistedMachineIsNotCordoned() {
         MachineTable machines = new MachineTable(watchCache);
         ObjectNode record = WireFormat.newMap().put("k", "small").put("s", "a").put("r", 1);
         record.putArray("h").add("i-000001");
--- a/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
+++ b/src/test/java/io/quincelead/cluster/TaskStatePageTest.java
@@ -28,19 +28,18 @@
     }
 
     /**
-     * Only what has changed of a record is read; what comes of it must be what reading all of it
-     * gives.
+     * Decoding reads only the changed part of a record; the result must equal that of decoding the
+     * whole record.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void decodingOnlyTheChangeEqualsDecodingTheWholeRecord(long seed)
-            throws MalformedRecordException {
+    void incrementalDecodingMatchesFullDecoding(long seed) throws MalformedRecordException {
         SplittableRandom random = new SplittableRandom(seed);
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
-        for (int pageNumber = 0; pageNumber < 3; pageNumber++) {
+        for (int pageIndex = 0; pageIndex < 3; pageIndex++) {
             TaskStatePage current =
                     TaskStatePageCodec.decode(
-                            job, pageNumber, WireFormat.newMap().put("p", ""), null, 0);
+                            job, pageIndex, WireFormat.newMap().put("p", ""), null, 0);
             for (int change = 0; change < 400; change++) {
                 TaskStatePageEdit edit = current.edit();
                 for (int remaining = random.nextInt(8); remaining >= 0; remaining--) {
@@ -57,10 +56,11 @@
                     }
                 }
                 ObjectNode record = edit.encode();
-                TaskStatePage next = TaskStatePageCodec.decode(job, pageNumber, record, current, 0);
-                TaskStatePage whole = TaskStatePageCodec.decode(job, pageNumber, record, null, 0);
-                assertEquals(describePlacements(whole), describePlacements(next));
-                assertEquals(whole.placements.size(), next.placements.size());
+                TaskStatePage next = TaskStatePageCodec.decode(job, pageIndex, record, current, 0);
+                TaskStatePage fullyDecoded =
+                        TaskStatePageCodec.decode(job, pageIndex, record, null, 0);
+                assertEquals(describePlacements(fullyDecoded), describePlacements(next));
+                assertEquals(fullyDecoded.placements.size(), next.placements.size());
                 for (Placement placement : next.placements) {
                     Placement before = current.placements.get(placement.taskIndex);
                     if (before != null
@@ -90,7 +90,7 @@
                 "0  1;0",
                 ";"
             })
-    void unreadablePlacementsAreRejected(String places) throws MalformedRecordException {
+    void unreadablePlacementsAreRejected(String placements) throws MalformedRecordException {
         Job job = new Job(JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 430, 1, 10));
         TaskStatePage before =
                 TaskStatePageCodec.decode(
@@ -103,7 +103,7 @@
                                     TaskStatePageCodec.decode(
                                             job,
                                             0,
-                                            WireFormat.newMap().put("p", places),
+                                            WireFormat.newMap().put("p", placements),
                                             previous,
                                             0));
             assertEquals("task states of " + job.spec.jobId() + ", page 0", thrown.getMessage());
