--- a/src/main/java/io/quincelead/store/GroupCommitter.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Group commit for small independent changes (submissions, cancellations, final states): those that
- * wait together share a transaction. When a shared one fails on a precondition, each is committed
- * alone, so that one conflict doesn't fail the others.
+ * Group commit for small independent transactions (submissions, cancellations, final states): those
+ * pending at the same time are merged into one. If a merged transaction fails on a precondition,
+ * each of its parts is committed alone, so that one conflict doesn't fail the others.
  */
 public final class GroupCommitter {
     private final EventLoop loop;
@@ -25,22 +25,22 @@
             long deadlineMillis,
             boolean commitAlone) {}
 
-    /** A committer with an empty queue. */
+    /** Creates a committer with an empty queue. */
     public GroupCommitter(EventLoop loop, StoreClient store, WatchCache watchCache) {
         this.loop = loop;
         this.store = store;
         this.watchCache = watchCache;
     }
 
-    /** Whether no further transaction should be submitted. */
+    /** Whether the queue is full, so that no further transaction should be submitted. */
     public boolean isFull() {
         return pending.size() >= StoreConstants.MAX_WAITING_COMMITS;
     }
 
     /**
-     * Commits a transaction within the given time, or gives up with {@link
-     * Transaction.Result#REJECTED} while it hasn't been sent. A committed change is in the watch
-     * cache before the handler is called.
+     * Queues a transaction for commit. If the timeout expires while it is queued, its outcome is
+     * {@link Transaction.Result#REJECTED}. A committed transaction is applied to the watch cache
+     * before the handler is called.
      */
     public void submit(
             Transaction transaction, long timeoutMillis, Transaction.OutcomeHandler handler) {
@@ -69,14 +69,14 @@
             resumeAfterDelay();
             return;
         }
-        Transaction shared = new Transaction();
-        List<PendingTransaction> batch = takeBatch(shared);
+        Transaction batchTransaction = new Transaction();
+        List<PendingTransaction> batch = takeBatch(batchTransaction);
         busy = true;
         store.commit(
-                shared,
+                batchTransaction,
                 outcome -> {
                     busy = false;
-                    onOutcome(shared, batch, outcome);
+                    onOutcome(batchTransaction, batch, outcome);
                 });
     }
 
@@ -88,36 +88,44 @@
         }
     }
 
-    /** Moves the longest run of transactions that fit together from the queue to {@code shared}. */
-    private List<PendingTransaction> takeBatch(Transaction shared) {
+    /**
+     * Merges the longest run of compatible transactions at the head of the queue into {@code
+     * batchTransaction} and removes them from the queue.
+     */
+    private List<PendingTransaction> takeBatch(Transaction batchTransaction) {
         List<PendingTransaction> batch = new ArrayList<>();
-        while (!pending.isEmpty() && fitsBatch(pending.peekFirst(), batch, shared)) {
-            shared.merge(pending.peekFirst().transaction);
+        while (!pending.isEmpty() && fitsBatch(pending.peekFirst(), batch, batchTransaction)) {
+            batchTransaction.merge(pending.peekFirst().transaction);
             batch.add(pending.pollFirst());
         }
         return batch;
     }
 
     private boolean fitsBatch(
-            PendingTransaction entry, List<PendingTransaction> batch, Transaction shared) {
+            PendingTransaction entry,
+            List<PendingTransaction> batch,
+            Transaction batchTransaction) {
         return batch.isEmpty()
                 || !entry.commitAlone
                         && !batch.get(0).commitAlone
-                        && !shared.conflictsWith(entry.transaction)
-                        && !entry.transaction.conflictsWith(shared)
-                        && shared.fits(
+                        && !batchTransaction.conflictsWith(entry.transaction)
+                        && !entry.transaction.conflictsWith(batchTransaction)
+                        && batchTransaction.fits(
                                 entry.transaction.operationCount(),
                                 entry.transaction.preconditionCount(),
                                 store.maxTransactionOperations());
     }
 
     private void onOutcome(
-            Transaction shared, List<PendingTransaction> batch, Transaction.Outcome outcome) {
+            Transaction batchTransaction,
+            List<PendingTransaction> batch,
+            Transaction.Outcome outcome) {
         if (outcome.result() == Transaction.Result.COMMITTED) {
-            watchCache.applyCommitted(shared, outcome.storeRevision());
+            watchCache.applyCommitted(batchTransaction, outcome.storeRevision());
         }
         if (outcome.result() == Transaction.Result.THROTTLED) {
-            // Nothing was applied; whoever waits is told so at its deadline.
+            // Nothing was applied. The batch is retried; each of its transactions is rejected at
+            // its own deadline.
             requeue(batch, false);
             resumeAfterDelay();
             return;
@@ -130,7 +138,7 @@
         commitNextBatch();
     }
 
-    /** Puts a batch back to the head of the queue, in its order. */
+    /** Puts a batch back at the head of the queue in its original order. */
     private void requeue(List<PendingTransaction> batch, boolean commitAlone) {
         for (int i = batch.size() - 1; i >= 0; i--) {
             PendingTransaction entry = batch.get(i);
--- a/src/main/java/io/quincelead/store/IndeterminateWriteFence.java
+++ b/src/main/java/io/quincelead/store/IndeterminateWriteFence.java
@@ -9,14 +9,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Settles indeterminate writes: transactions without a response. Such a transaction may be applied
- * seconds later, after newer ones of the same process, and its preconditions cover only the records
- * it was about: two transactions that each use up the same quota share, or each choose a zone for
- * parts of one job, may both be applied. So all that one writer decides has one key of its own as a
- * precondition (a controller's shard, the leader's key). After an indeterminate write the writer
- * decides nothing more until that key's record has been rewritten, so that the lost transaction
- * can't be applied any more, and the watch has passed the rewrite, so that what it did before is
- * known.
+ * Blocks a writer's decisions after an indeterminate write, a transaction that got no response,
+ * until its outcome is known. The store may apply such a transaction seconds later, after newer
+ * transactions of the same process, and its preconditions cover only the records that it concerns:
+ * two transactions that each use up the same quota share, or that each choose a zone for parts of
+ * one job, may both be applied. Every decision of one writer therefore has that writer's fence key
+ * as a precondition (a controller's shard, or the leader's key). After an indeterminate write the
+ * writer decides nothing more until two conditions hold: the fence key's record has been rewritten,
+ * so that the store can't apply the outstanding transaction any more, and the watch has passed the
+ * rewrite, so that the watch cache shows whether it was applied before.
  */
 public final class IndeterminateWriteFence {
     private static final Logger LOG = LoggerFactory.getLogger(IndeterminateWriteFence.class);
@@ -26,9 +27,9 @@
      * them.
      */
     private enum Phase {
-        /** Every transaction has an outcome. */
+        /** The outcome of every transaction is known. */
         SETTLED,
-        /** Some transaction may still be applied. */
+        /** The store may still apply some transaction. */
         INDETERMINATE,
         /** The fence key's record is being rewritten. */
         REWRITING
@@ -44,11 +45,11 @@
     private long nextRewriteAtMillis;
 
     /**
-     * A fence without indeterminate writes.
+     * Creates a fence without indeterminate writes.
      *
-     * @param fenceKey the writer's own key
-     * @param rewriteFactory makes a transaction that puts the fence key's record again as it is, on
-     *     the precondition of its mod revision; null where the key is gone
+     * @param fenceKey the key that all decisions of the writer have as a precondition
+     * @param rewriteFactory creates a transaction that puts the fence key's record again unchanged,
+     *     with the record's mod revision as its precondition; returns null if the key doesn't exist
      */
     public IndeterminateWriteFence(
             EventLoop loop,
@@ -71,8 +72,9 @@
     }
 
     /**
-     * Takes the outcome of a transaction: an indeterminate one is settled before the next decision.
-     * One without the fence key among its preconditions decided nothing and is ignored.
+     * Records the outcome of a transaction: an indeterminate one must be settled before the next
+     * decision. A transaction without the fence key among its preconditions is no decision and is
+     * ignored.
      */
     public void onOutcome(Transaction transaction, Transaction.Outcome outcome) {
         if (outcome.result() == Transaction.Result.INDETERMINATE
@@ -85,9 +87,9 @@
     }
 
     /**
-     * Whether the writer may decide: nothing of what it sent can be applied any more, and all that
-     * was applied is in the watch cache. If not, starts a rewrite of the fence key where one is
-     * due.
+     * Whether the writer may decide: the store can no longer apply any transaction that the writer
+     * sent, and the watch cache contains all that were applied. Otherwise starts a rewrite of the
+     * fence key if one is due.
      */
     public boolean trySettle() {
         indeterminateWrites.removeIf(transaction -> transaction.isSettled(watchCache));
--- a/src/main/java/io/quincelead/store/MembershipLease.java
+++ b/src/main/java/io/quincelead/store/MembershipLease.java
@@ -9,20 +9,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's membership: a lease in the store that it renews, and its member record attached
- * to it. Its shard and its leadership are attached to the same lease, so all of them expire
- * together.
+ * This controller's membership: a lease in the store that the controller renews, and its member
+ * record, which is attached to the lease. The controller's shard and its leadership are attached to
+ * the same lease, so all of them expire together.
  */
 public final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
 
     /** States of the membership; {@link #transitionTo} is the one function that changes them. */
     private enum Phase {
-        /** No lease yet. */
+        /** This controller has no lease. */
         NOT_MEMBER,
-        /** Has a lease; revokes its predecessor's and announces itself. */
+        /**
+         * This controller has a lease; it revokes its predecessor's lease and announces its member
+         * record.
+         */
         JOINING,
-        /** Member. Whether the lease still stands is a question of time: {@link #isValid}. */
+        /**
+         * The member record has been announced. The lease may have expired since: see {@link
+         * #isValid}.
+         */
         MEMBER
     }
 
@@ -37,14 +43,14 @@
     private boolean renewalInFlight;
     private boolean renewalRetryScheduled;
 
-    /** Store revision of the announcement of the current lease. */
+    /** Store revision at which the member record of the current lease was announced. */
     private long announcedRevision;
 
     /**
-     * A membership that isn't started.
+     * Creates a membership that isn't started.
      *
-     * @param memberId this controller's name
-     * @param address where peers reach this controller
+     * @param memberId this controller's member ID
+     * @param address the address at which peers reach this controller
      * @param leaseMillis the lease's time to live
      */
     public MembershipLease(
@@ -57,8 +63,8 @@
     }
 
     /**
-     * Time to live, in milliseconds, of a controller's lease: the operators' setting, or less where
-     * workers' own leases are shorter.
+     * Time to live, in milliseconds, of a controller's lease: the operators' setting, or a fraction
+     * of the workers' leases if that is shorter.
      */
     public static long leaseMillis(double shardLeaseSeconds, double workerLeaseSeconds) {
         return (long)
@@ -73,7 +79,7 @@
         phase = next;
     }
 
-    /** Joins, and renews the lease from then on. To be called once. */
+    /** Joins the cluster and then renews the lease periodically. Must be called only once. */
     public void start() {
         join();
         loop.runEvery(leaseMillis / LeaseConstants.RENEWALS_PER_LEASE, this::renew);
@@ -88,23 +94,25 @@
     }
 
     /**
-     * Whether the lease surely hasn't expired: counted from the sending of the last renewal, with a
-     * margin for clock drift.
+     * Whether the lease certainly hasn't expired: its time is counted from when the last successful
+     * renewal was sent, with a margin for clock drift.
      */
     public boolean isValid() {
         return phase == Phase.MEMBER && loop.nowMillis() < validUntilMillis;
     }
 
     /**
-     * Tells this membership from every other of the same controller. The store never issues a lease
-     * id twice, while two processes that follow each other within a fraction of a second may see
-     * the same time of day.
+     * Identifies this membership among all memberships of the same controller. It is the lease ID,
+     * because the store never issues one twice; a timestamp would not do, because two consecutive
+     * processes started within a fraction of a second may see the same time of day.
      */
     public long incarnation() {
         return leaseId;
     }
 
-    /** The id of the current lease, to attach keys to; 0 before the first. */
+    /**
+     * The ID of the current lease, to which keys are attached; 0 before the first lease is created.
+     */
     public long leaseId() {
         return leaseId;
     }
@@ -129,8 +137,9 @@
     }
 
     /**
-     * The platform runs one process a member, so the owner of an existing member record is dead:
-     * its lease need not expire by itself.
+     * Revokes the lease of this member's previous process. The platform runs only one process per
+     * member, so a process that left a member record is dead, and its lease need not run until it
+     * expires.
      */
     private void revokePredecessorLease() {
         store.get(
@@ -162,9 +171,9 @@
     }
 
     /**
-     * On the precondition of the mod revision that was read (0: no record): a predecessor's
-     * announcement that is still under way when its successor is a member must not replace the
-     * successor's.
+     * Writes the member record, with the mod revision that was read (0 if there is no record) as
+     * the precondition: an announcement of the predecessor that is still in transit when its
+     * successor is a member must not replace the successor's record.
      */
     private void announce(long modRevision) {
         ObjectNode memberRecord = StoreCodec.encodeMemberRecord(address, leaseId);
@@ -197,19 +206,19 @@
     }
 
     /**
-     * Compares this controller's member record with what this process announced. All others regard
-     * a member whose record names another lease as lost, though its own lease hasn't expired, so it
-     * joins anew.
+     * Compares this controller's member record with the one that this process announced. If the
+     * record names another lease, all other controllers regard this one as lost although its lease
+     * hasn't expired, so it joins again under a new lease.
      *
      * @param recordedLeaseId the lease that the record names; 0 if there is no record
-     * @param storeRevision the store revision as of which it was read
+     * @param storeRevision the store revision at which the record was read
      */
     public void verifyMemberRecord(long recordedLeaseId, long storeRevision) {
         if (phase == Phase.MEMBER
                 && storeRevision >= announcedRevision
                 && recordedLeaseId != leaseId) {
             LOG.info(
-                    "the record of {} names lease {} instead of {}",
+                    "the member record of {} names lease {} instead of {}",
                     memberId,
                     recordedLeaseId,
                     leaseId);
@@ -218,7 +227,7 @@
         }
     }
 
-    /** Renews the lease unless a renewal is still without its response. */
+    /** Renews the lease unless a renewal is still in flight. */
     private void renew() {
         if (phase == Phase.NOT_MEMBER || renewalInFlight) {
             return;
@@ -251,7 +260,10 @@
         }
     }
 
-    /** Nothing can be accepted or decided without a valid lease, so a failed renewal is urgent. */
+    /**
+     * Schedules another renewal after a failed one, without waiting for the periodic renewal:
+     * without a valid lease this controller can accept no requests and make no decisions.
+     */
     private void retryRenewal() {
         if (renewalRetryScheduled) {
             return;
--- a/src/main/java/io/quincelead/store/StoreClient.java
+++ b/src/main/java/io/quincelead/store/StoreClient.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Client of the state service, within this controller's share of its request and write limits. */
+/**
+ * Client of the state service. Keeps this controller's requests and writes within its share of the
+ * service's limits.
+ */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private final EventLoop loop;
@@ -22,10 +25,13 @@
     private boolean writesDelayed;
     private boolean writesThrottled;
 
-    /** 0 to 1: for how long this controller's writes have been delayed or throttled. */
+    /**
+     * From 0 to 1; rises while this controller's writes are delayed or throttled, and falls
+     * otherwise.
+     */
     private double backpressure;
 
-    /** A client that sends its calls over this transport. */
+    /** Creates a client that sends its requests over this transport. */
     public StoreClient(EventLoop loop, Transport transport, Settings settings) {
         this.loop = loop;
         this.transport = transport;
@@ -51,15 +57,15 @@
         loop.runEvery(StoreConstants.WRITE_SHARE_INTERVAL_MILLIS, this::adjustWriteShare);
     }
 
-    /** Takes a response on the event loop. */
+    /** Receives a response on the event loop. */
     @FunctionalInterface
     public interface ResponseHandler {
         /**
          * Called once per request.
          *
-         * @param status HTTP status, or {@link Transport#NO_RESPONSE}
-         * @param body the body's map; null if there is none or it isn't a map; with the status 200
-         *     only where a lease was renewed or revoked
+         * @param status the HTTP status, or {@link Transport#NO_RESPONSE}
+         * @param body the decoded body; null if the response has none or it isn't a map. With
+         *     status 200 it is null only for the renewal or revocation of a lease
          */
         void onResponse(int status, ObjectNode body);
     }
@@ -104,14 +110,14 @@
                 });
     }
 
-    /** Reads one key, linearizably; 404 if it doesn't exist. */
+    /** Reads one key, linearizably. The status is 404 if the key doesn't exist. */
     public void get(String key, ResponseHandler handler) {
         call("GET", "/store/" + key, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
     /**
-     * Lists one page of the keys under a prefix, in key order, after {@code afterKey}, or from the
-     * first if it is null.
+     * Lists one page of the keys under a prefix, in key order, starting after {@code afterKey}, or
+     * at the first key if {@code afterKey} is null.
      */
     public void list(String prefix, String afterKey, ResponseHandler handler) {
         String path =
@@ -159,14 +165,14 @@
         call("DELETE", "/holds/" + leaseId, null, StoreConstants.REQUEST_TIMEOUT_MILLIS, handler);
     }
 
-    /** Milliseconds until a transaction without operations may be sent; 0: now. */
+    /** Milliseconds until a transaction without operations may be sent; 0 if it may be sent now. */
     public long requestDelayMillis() {
         return requestBudget.millisUntilAvailable(1);
     }
 
     /**
-     * How many operations this controller may write now; scheduling cycles and periodic work keep
-     * within it. Less than one full transaction counts as a delay.
+     * How many operations this controller may write now. Scheduling cycles and periodic work stay
+     * within this number. If it is less than one full transaction, writes count as delayed.
      */
     public int affordableWrites() {
         int affordableWrites =
@@ -178,8 +184,9 @@
     }
 
     /**
-     * Whether a transaction that users wait for may be sent: it goes ahead of all else, even into
-     * debt, which scheduling cycles then pay off.
+     * Whether a transaction that users wait for may be sent. Such transactions take precedence over
+     * all others and are sent even when the write budget is overdrawn, by less than one full
+     * transaction; scheduling cycles write less until the budget has recovered.
      */
     public boolean canAffordUrgentWrite() {
         boolean affordable =
@@ -190,9 +197,10 @@
     }
 
     /**
-     * Controllers share the store's write limit by need, without messages: one whose writes were
-     * delayed raises its share as long as the store throttles nothing, and lowers it when the store
-     * does. No share falls far below an even one.
+     * Adjusts this controller's share of the store's write limit. Controllers divide the limit by
+     * need, without exchanging messages: a controller whose writes were delayed raises its share as
+     * long as the store doesn't throttle it, and lowers its share when the store does. No share
+     * falls far below an even one.
      */
     private void adjustWriteShare() {
         if (writesThrottled) {
@@ -217,20 +225,24 @@
 
     /**
      * Backpressure from 0 (none) to 1: how much this controller's writes have been delayed or
-     * throttled recently. Work that can wait then waits longer and shares writes.
+     * throttled recently. Under backpressure, work that can wait is delayed longer, so that more of
+     * it shares a write.
      */
     public double backpressure() {
         return backpressure;
     }
 
-    /** A delay in milliseconds between the two, proportional to the backpressure. */
+    /**
+     * A delay in milliseconds that rises from {@code minMillis} to {@code maxMillis} in proportion
+     * to the backpressure.
+     */
     public long backpressureDelayMillis(long minMillis, long maxMillis) {
         return minMillis + (long) (backpressure * (maxMillis - minMillis));
     }
 
     /**
-     * Sends a transaction; the handler gets its outcome. An outcome doesn't change the watch cache:
-     * see {@link WatchCache#applyCommitted}.
+     * Sends a transaction and passes its outcome to the handler. A committed transaction isn't
+     * applied to the watch cache; the caller does that with {@link WatchCache#applyCommitted}.
      */
     public void commit(Transaction transaction, Transaction.OutcomeHandler handler) {
         writeBudget.takeUnconditionally(transaction.operationCount());
--- a/src/main/java/io/quincelead/store/StoreCodec.java
+++ b/src/main/java/io/quincelead/store/StoreCodec.java
@@ -11,33 +11,34 @@
 import java.util.Set;
 
 /**
- * The field names of the state service's protocol: the one place that maps them to this package's
- * terms. The protocol calls a mod revision {@code stamp}, a store revision {@code generation}, a
- * lease id {@code grant} and a precondition {@code guard}.
+ * Encodes and decodes the messages of the state service's protocol. This is the only class that
+ * maps the protocol's field names to the terms of this package: the protocol calls a mod revision
+ * {@code stamp}, a store revision {@code generation}, a lease id {@code grant} and a precondition
+ * {@code guard}.
  */
 final class StoreCodec {
     private StoreCodec() {}
 
-    /** Takes the changes of a watch response in the store's order. */
+    /** Receives the changes of a watch response in the order of their revisions. */
     interface ChangeSink {
-        /** The key has got this value. */
+        /** The key was created or updated to this value at this mod revision. */
         void onPut(String key, JsonNode value, long modRevision);
 
-        /** The key has been removed at this store revision. */
+        /** The key was removed at this store revision. */
         void onRemove(String key, long revision);
     }
 
-    /** The body of a request to create a lease. */
+    /** Encodes the body of a request to create a lease. */
     static ObjectNode encodeLeaseRequest(long leaseMillis) {
         return WireFormat.newMap().put("lifeMs", leaseMillis);
     }
 
-    /** The value of a controller's member record. */
+    /** Encodes a controller's member record. */
     static ObjectNode encodeMemberRecord(String address, long leaseId) {
         return WireFormat.newMap().put("a", address).put("i", leaseId).put("g", leaseId);
     }
 
-    /** The body of a commit request. */
+    /** Encodes the body of a commit request. */
     static ObjectNode encodeTransaction(
             Map<String, Long> preconditions, Map<String, Transaction.Operation> operations) {
         ObjectNode body = WireFormat.newMap();
@@ -64,9 +65,9 @@
     }
 
     /**
-     * The outcome of a commit request.
+     * Decodes the outcome of a commit request.
      *
-     * @param body null if the response has none
+     * @param body the response's body; null if it has none
      */
     static Transaction.Outcome decodeOutcome(int status, ObjectNode body) {
         long storeRevision = body == null ? 0 : storeRevision(body);
@@ -95,17 +96,25 @@
         return Collections.unmodifiableSet(failedKeys);
     }
 
-    /** The store revision as of which a response holds; 0 if it names none. */
+    /**
+     * The store revision at which a response was produced; 0 if the response doesn't contain it.
+     */
     static long storeRevision(ObjectNode body) {
         return body.path("generation").asLong();
     }
 
-    /** The mod revision of a key that was read, or of a listed item; 0 if none is named. */
+    /**
+     * The mod revision in the response to a read, in a listed item or in a change; 0 if there is
+     * none.
+     */
     static long modRevision(JsonNode item) {
         return item.path("stamp").asLong();
     }
 
-    /** The lease of a response to its creation, or the one that a key that was read belongs to. */
+    /**
+     * The lease ID in the response to a lease's creation, or of the lease that a key that was read
+     * is attached to; empty if there is none.
+     */
     static OptionalLong leaseId(ObjectNode body) {
         JsonNode leaseId = body.path("grant");
         return leaseId.isNumber() ? OptionalLong.of(leaseId.asLong()) : OptionalLong.empty();
@@ -121,7 +130,7 @@
         return page.path("items");
     }
 
-    /** Whether there are further items behind a page. */
+    /** Whether a listing continues after this page. */
     static boolean isTruncated(ObjectNode page) {
         return page.path("truncated").asBoolean();
     }
@@ -131,15 +140,16 @@
         return item.path("path").asText();
     }
 
-    /** The value of a listed item. */
+    /** The value of a listed item or of a change. */
     static JsonNode value(JsonNode item) {
         return item.path("value");
     }
 
     /**
-     * Delivers the changes of a watch response one by one; changes of an unknown form are skipped.
+     * Passes the changes of a watch response to the sink one by one; changes of an unknown form are
+     * skipped.
      *
-     * @return whether there were any, known or not
+     * @return whether the response contains any changes, including skipped ones
      */
     static boolean decodeChanges(ObjectNode body, ChangeSink sink) {
         JsonNode changes = body.path("news");
--- a/src/main/java/io/quincelead/store/Transaction.java
+++ b/src/main/java/io/quincelead/store/Transaction.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 
 /**
- * One compare-and-swap transaction of the store: preconditions on mod revisions, then puts and
- * removals. All operations are applied, or none.
+ * A compare-and-swap transaction of the store: preconditions on mod revisions, followed by puts and
+ * removals. Either all operations are applied or none.
  */
 public final class Transaction {
     private final Map<String, Long> preconditions = new LinkedHashMap<>();
     private final Map<String, Operation> operations = new LinkedHashMap<>();
 
     /**
-     * What is done to a key.
+     * A put or removal of a key.
      *
      * @param value the value to put; null for a removal
      * @param leaseId the lease that the key is attached to, or {@link #NO_LEASE}
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Adds the precondition that the key has this mod revision; 0: that it doesn't exist. Replaces
-     * an earlier one on the same key.
+     * Adds the precondition that the key has this mod revision, or that it doesn't exist if the
+     * revision is 0. Replaces an earlier precondition on the same key.
      */
     public Transaction requireRevision(String key, long modRevision) {
         preconditions.put(key, modRevision);
@@ -42,14 +42,17 @@
     }
 
     /**
-     * Puts a value; replaces an earlier operation on the same key. The value, not null, is kept as
-     * it is and encoded when the transaction is sent.
+     * Puts a value; replaces an earlier operation on the same key. The value must not be null; it
+     * isn't copied, and is encoded when the transaction is sent.
      */
     public Transaction put(String key, JsonNode value) {
         return put(key, value, Operation.NO_LEASE);
     }
 
-    /** Puts a value that is removed when the lease expires or is revoked. */
+    /**
+     * Puts a value that the store removes when the lease expires or is revoked; replaces an earlier
+     * operation on the same key.
+     */
     public Transaction put(String key, JsonNode value, long leaseId) {
         operations.put(key, new Operation(Objects.requireNonNull(value), leaseId));
         return this;
@@ -61,22 +64,25 @@
         return this;
     }
 
-    /** Whether an operation puts or removes this key. */
+    /** Whether the transaction puts or removes this key. */
     public boolean writesKey(String key) {
         return operations.containsKey(key);
     }
 
-    /** The number of keys written, which is what the store's write limit counts. */
+    /** The number of keys put or removed, which is what the store's write limit counts. */
     public int operationCount() {
         return operations.size();
     }
 
-    /** Whether there are no operations; there may be preconditions. */
+    /** Whether the transaction has no operations; it may have preconditions. */
     public boolean isEmpty() {
         return operations.isEmpty();
     }
 
-    /** Whether so many more operations and preconditions fit the store's limits. */
+    /**
+     * Whether this many more operations and preconditions fit within the store's limits for one
+     * transaction.
+     */
     public boolean fits(int moreOperations, int morePreconditions, int maxOperations) {
         return operations.size() + moreOperations <= maxOperations
                 && preconditions.size() + morePreconditions
@@ -84,8 +90,8 @@
     }
 
     /**
-     * Adds another transaction's preconditions and operations to this one: both are applied or
-     * neither.
+     * Adds another transaction's preconditions and operations to this one, so that either both are
+     * applied or neither.
      */
     public void merge(Transaction other) {
         preconditions.putAll(other.preconditions);
@@ -93,9 +99,9 @@
     }
 
     /**
-     * Whether the other one can't be merged into this one without losing what one of them was
-     * decided from: they require different revisions of a key, or the other one writes a key that
-     * this one writes or has a precondition on. Not symmetric.
+     * Whether merging the other transaction into this one would lose a condition that one of them
+     * depends on: the two require different revisions of a key, or the other transaction writes a
+     * key that this one writes or has a precondition on. Not symmetric.
      */
     public boolean conflictsWith(Transaction other) {
         for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
@@ -116,9 +122,10 @@
     }
 
     /**
-     * Whether this can't be applied any more and all that it may have done is in the watch cache: a
-     * precondition has failed for good, and the watch has passed what made it fail. A precondition
-     * of 0 proves nothing, for it holds again once its key is gone.
+     * Whether the store can't apply this transaction any more, and the watch cache contains its
+     * changes if it was applied: a precondition can never hold again, and the watch has passed the
+     * change that made it fail. A precondition with revision 0 proves nothing, because it holds
+     * again once the key is removed.
      */
     boolean isSettled(WatchCache watchCache) {
         return preconditions.entrySet().stream()
@@ -129,7 +136,7 @@
                                                 precondition.getKey(), precondition.getValue()));
     }
 
-    /** Whether it can be applied only on a certain existing revision of the key. */
+    /** Whether the transaction has a precondition that requires an existing revision of the key. */
     boolean isFencedBy(String key) {
         return preconditions.getOrDefault(key, 0L) != 0;
     }
@@ -138,43 +145,53 @@
         return preconditions.size();
     }
 
-    /** The operations by key, unmodifiable. */
+    /** The operations by key, in the order in which their keys were added; unmodifiable. */
     Map<String, Operation> operations() {
         return Collections.unmodifiableMap(operations);
     }
 
-    /** The body of the commit request, new at each call. */
+    /** The body of the commit request; a new object on each call. */
     public ObjectNode encode() {
         return StoreCodec.encodeTransaction(preconditions, operations);
     }
 
-    /** What became of a transaction. Not written to the wire or the store. */
+    /** The result of a transaction. Its names are neither sent nor stored. */
     public enum Result {
         /** Applied. */
         COMMITTED,
         /** A precondition failed; nothing was applied. */
         CONFLICT,
-        /** Certainly not applied: the store's write limit is used up for the moment. */
+        /**
+         * Certainly not applied: the store throttled the request because its write limit is used up
+         * at present.
+         */
         THROTTLED,
-        /** Certainly not applied: an outage, an expired lease, an invalid transaction. */
+        /**
+         * Certainly not applied, because of an outage, an expired lease or an invalid transaction.
+         */
         REJECTED,
-        /** No response: it may have been applied, or may still be. */
+        /**
+         * No conclusive response: the transaction may have been applied, or may still be applied
+         * later.
+         */
         INDETERMINATE
     }
 
     /**
      * The store's response to a transaction.
      *
-     * @param result what became of it
-     * @param storeRevision the store revision at which it was applied or evaluated; 0 if unknown
-     * @param failedKeys keys of the failed preconditions; empty unless the result is a conflict
+     * @param result the result of the transaction
+     * @param storeRevision the store revision at which the transaction was applied or evaluated; 0
+     *     if unknown
+     * @param failedKeys the keys of the failed preconditions; empty unless the result is {@link
+     *     Result#CONFLICT}
      */
     public record Outcome(Result result, long storeRevision, Set<String> failedKeys) {}
 
-    /** Takes the outcome on the event loop. */
+    /** Receives the outcome of a transaction on the event loop. */
     @FunctionalInterface
     public interface OutcomeHandler {
-        /** Called once for each committed transaction. */
+        /** Called once for each transaction sent or submitted, whatever its result. */
         void onOutcome(Outcome outcome);
     }
 }
--- a/src/main/java/io/quincelead/store/WatchCache.java
+++ b/src/main/java/io/quincelead/store/WatchCache.java
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the live keys of the store by one watch, so that changes arrive in the store's own order,
- * and passes each key's value to the listener of its prefix. Own commits are applied as soon as
- * they are confirmed; an older change of a key that the watch brings afterwards is ignored by its
- * mod revision.
+ * Follows the live keys of the store with a single watch, so that changes arrive in the order of
+ * the store's revisions, and passes each key's value to the listener of its prefix. This process's
+ * own transactions are applied as soon as the store confirms them; an older change of the same key
+ * that the watch delivers later has a lower mod revision and is ignored.
  */
 public final class WatchCache {
     private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
 
-    /** Keeps the values of the keys under one prefix. */
+    /** Receives the changes of the keys under one prefix. */
     public interface PrefixListener {
-        /** The key has this value as of this mod revision. */
+        /** The key was created or updated to this value at this mod revision. */
         void onPut(String key, JsonNode value, long modRevision);
 
-        /** The key, which was put before, doesn't exist any more. */
+        /** A key that {@link #onPut} reported before was removed. */
         void onRemove(String key);
     }
 
@@ -39,7 +39,7 @@
         EMPTY,
         /** Reading all keys page by page. */
         LISTING,
-        /** Following the changes. */
+        /** Following changes through the watch. */
         WATCHING
     }
 
@@ -48,10 +48,13 @@
     private final Map<String, PrefixListener> prefixListeners = new LinkedHashMap<>();
     private final List<Runnable> changeListeners = new ArrayList<>();
 
-    /** Mod revisions of the keys that exist; 0: none. */
+    /** Mod revision of each existing key; 0 if a key is absent. */
     private final Object2LongHashMap<String> modRevisions = new Object2LongHashMap<>(0);
 
-    /** Revisions of the last removals that the watch has not yet passed; 0: none. */
+    /**
+     * Revision of the last removal of each key, while the watch is still behind it; 0 if there is
+     * none.
+     */
     private final Object2LongHashMap<String> tombstones = new Object2LongHashMap<>(0);
 
     private final StoreCodec.ChangeSink changeSink =
@@ -73,9 +76,10 @@
     private long storeRevision;
 
     /**
-     * An empty cache.
+     * Creates an empty cache that isn't started.
      *
-     * @param requestsPerSecond the store's request limit, of which all watches get a fraction
+     * @param requestsPerSecond the store's request limit; the watches of all controllers together
+     *     use a fraction of it
      */
     public WatchCache(EventLoop loop, StoreClient store, double requestsPerSecond) {
         this.loop = loop;
@@ -90,14 +94,18 @@
     }
 
     /**
-     * Registers the listener of a prefix. The first one registered whose prefix matches gets a key;
-     * keys without a listener are ignored. To be called before {@link #start}.
+     * Registers the listener of a prefix. If several registered prefixes match a key, the one
+     * registered first gets it; changes of keys without a listener are not reported. Must be called
+     * before {@link #start}.
      */
     public void addPrefixListener(String prefix, PrefixListener listener) {
         prefixListeners.put(prefix, listener);
     }
 
-    /** Registers a task to run after every batch of changes, in the order of registration. */
+    /**
+     * Registers a callback to run after every batch of changes. Callbacks run in the order of
+     * registration.
+     */
     public void addChangeListener(Runnable listener) {
         changeListeners.add(listener);
     }
@@ -112,14 +120,14 @@
         return storeRevision;
     }
 
-    /** The revision of the last change of a key; 0 if it doesn't exist. */
+    /** The mod revision of a key; 0 if the key doesn't exist. */
     public long modRevision(String key) {
         return modRevisions.getValue(key);
     }
 
     /**
-     * Whether the key surely doesn't have this mod revision any more, and every change up to its
-     * next one has been applied.
+     * Whether the key certainly no longer has this mod revision, and every change up to the one
+     * that superseded it has been applied to the cache.
      */
     boolean isSuperseded(String key, long modRevision) {
         long currentRevision = modRevision(key);
@@ -132,7 +140,7 @@
         phase = next;
     }
 
-    /** Reads all live keys, then follows their changes. Has no effect when started already. */
+    /** Reads all live keys, then follows their changes. Has no effect if already started. */
     public void start() {
         if (phase == Phase.EMPTY) {
             relist();
@@ -166,15 +174,18 @@
                 });
     }
 
-    /** Returns the page's last key, or {@code afterKey} if it is empty. */
+    /**
+     * Applies one page of a listing. Returns the page's last key, or {@code afterKey} if the page
+     * is empty.
+     */
     private String applyPage(
             ObjectNode page, String afterKey, long snapshotRevision, Set<String> seenKeys) {
         String lastKey = afterKey;
         for (JsonNode item : StoreCodec.items(page)) {
             lastKey = StoreCodec.key(item);
             seenKeys.add(lastKey);
-            // What is newer than the first page comes by the watch, in the store's order: a task
-            // state page must not come before its job.
+            // Items newer than the first page are left to the watch, which delivers them in
+            // revision order: a task state page must not be applied before its job.
             long modRevision = StoreCodec.modRevision(item);
             if (modRevision <= snapshotRevision) {
                 applyPut(lastKey, StoreCodec.value(item), modRevision);
@@ -231,15 +242,15 @@
     }
 
     /**
-     * Applies an own transaction that the store has committed.
+     * Applies a transaction of this process that the store has committed.
      *
      * @param modRevision the store revision of the commit, which is the mod revision of every key
-     *     it put
+     *     that the transaction put
      */
     public void applyCommitted(Transaction transaction, long modRevision) {
         if (modRevision <= storeRevision) {
-            // The confirmation was slow and the watch has been past it: what it wrote may be
-            // changed or removed by now.
+            // The watch has passed this revision before the confirmation arrived: the keys that
+            // the transaction wrote may have been changed or removed since.
             notifyChangeListeners();
             return;
         }
--- a/src/test/java/io/quincelead/store/GroupCommitterTest.java
+++ b/src/test/java/io/quincelead/store/GroupCommitterTest.java
@@ -19,17 +19,21 @@
 
     private final List<String> outcomes = new ArrayList<>();
 
-    /** Status of each commit request by its number; 0: no response. */
+    /**
+     * Status of each commit request in the order of the requests, the last one repeated; 0 for no
+     * response.
+     */
     private final List<Integer> statuses = new ArrayList<>();
 
     private GroupCommitter newCommitter() {
         StoreClient store =
                 new StoreClient(
                         loop,
-                        (address, method, path, codec, body, timeoutMillis, reply) -> {
+                        (address, method, path, codec, body, timeoutMillis, handler) -> {
                             List<String> keys = new ArrayList<>();
                             ObjectNode request = WireFormat.CBOR.decodeMap(body);
-                            request.path("then").forEach(o -> keys.add(o.path("put").asText()));
+                            request.path("then")
+                                    .forEach(operation -> keys.add(operation.path("put").asText()));
                             commits.add(keys);
                             int status =
                                     statuses.get(Math.min(commits.size(), statuses.size()) - 1);
@@ -37,7 +41,7 @@
                             clock.schedule(
                                     1,
                                     () ->
-                                            reply.onResponse(
+                                            handler.onResponse(
                                                     status, WireFormat.CBOR.encode(response)));
                         },
                         TestSettings.LONE_CONTROLLER);
--- a/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
+++ b/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
@@ -22,8 +22,8 @@
     private final StoreClient store =
             new StoreClient(
                     loop,
-                    (address, method, path, codec, body, timeoutMillis, reply) ->
-                            respond(path, reply),
+                    (address, method, path, codec, body, timeoutMillis, handler) ->
+                            respond(path, handler),
                     TestSettings.LONE_CONTROLLER);
     private final WatchCache watchCache = new WatchCache(loop, store, 400);
     private final IndeterminateWriteFence fence =
@@ -31,10 +31,13 @@
     private Transport.ResponseHandler openWatch;
     private int rewrites;
 
-    /** The fence key is listed at revision 5 and rewritten at 6; a watch stays open. */
-    private void respond(String path, Transport.ResponseHandler reply) {
+    /**
+     * Lists the fence key at revision 5 and commits its rewrite at revision 6; leaves watch
+     * requests open.
+     */
+    private void respond(String path, Transport.ResponseHandler handler) {
         if (path.startsWith("/watch")) {
-            openWatch = reply;
+            openWatch = handler;
             return;
         }
         ObjectNode response = WireFormat.newMap().put("generation", 5);
@@ -48,7 +51,7 @@
                     .put("stamp", 5)
                     .putObject("value");
         }
-        clock.schedule(1, () -> reply.onResponse(200, WireFormat.CBOR.encode(response)));
+        clock.schedule(1, () -> handler.onResponse(200, WireFormat.CBOR.encode(response)));
     }
 
     private Transaction rewrite() {
@@ -73,7 +76,7 @@
     }
 
     @Test
-    void writesWithoutTheFenceKeyDecideNothing() {
+    void writesWithoutTheFenceKeyAreIgnored() {
         fence.onOutcome(new Transaction().requireRevision("a/j/1", 5).remove("a/j/1"), NO_RESPONSE);
 
         assertTrue(fence.trySettle());
--- a/src/test/java/io/quincelead/store/MembershipLeaseTest.java
+++ b/src/test/java/io/quincelead/store/MembershipLeaseTest.java
@@ -20,7 +20,7 @@
     private final SimulatedClock clock = new SimulatedClock(1);
     private final SimulatedClock.SimulatedProcess loop = clock.newProcess();
 
-    /** When each renewal was sent, on the simulated clock. */
+    /** Simulated time at which each renewal was sent. */
     private final List<Long> renewalsSentAtMillis = new ArrayList<>();
 
     private int renewalStatus = 200;
@@ -32,8 +32,8 @@
         StoreClient store =
                 new StoreClient(
                         loop,
-                        (address, method, path, codec, body, timeoutMillis, reply) ->
-                                answer(path, timeoutMillis, reply),
+                        (address, method, path, codec, body, timeoutMillis, handler) ->
+                                respond(path, timeoutMillis, handler),
                         TestSettings.LONE_CONTROLLER);
         MembershipLease lease =
                 new MembershipLease(loop, store, "worker-0", "10.0.0.1:8081", LEASE_MILLIS);
@@ -43,7 +43,7 @@
         return lease;
     }
 
-    private void answer(String path, long timeoutMillis, Transport.ResponseHandler reply) {
+    private void respond(String path, long timeoutMillis, Transport.ResponseHandler handler) {
         ObjectNode body = WireFormat.newMap();
         int status = 200;
         long delayMillis = RESPONSE_DELAY_MILLIS;
@@ -66,11 +66,14 @@
                 delayMillis,
                 () -> {
                     renewalsInFlight -= renewal ? 1 : 0;
-                    reply.onResponse(responseStatus, WireFormat.CBOR.encode(body));
+                    handler.onResponse(responseStatus, WireFormat.CBOR.encode(body));
                 });
     }
 
-    /** A controller once refused work for up to a quarter of its lease after an outage was over. */
+    /**
+     * Without a prompt retry of failed renewals, a controller refused work for up to a quarter of
+     * its lease after an outage had ended.
+     */
     @Test
     void leaseIsValidWithinHalfASecondOfTheEndOfAnOutage() {
         MembershipLease lease = startedLease();
@@ -95,7 +98,7 @@
     }
 
     @Test
-    void renewalsDuringAnOutageStayFewASecond() {
+    void renewalRateStaysLowDuringAnOutage() {
         startedLease();
         renewalsSentAtMillis.clear();
         renewalStatus = 503;
--- a/src/test/java/io/quincelead/store/StoreCodecTest.java
+++ b/src/test/java/io/quincelead/store/StoreCodecTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void changesAreHandedOverInTheStoresOrderAndUnknownOnesSkipped() throws Exception {
+    void changesAreDeliveredInStoreOrderAndUnknownOnesSkipped() throws Exception {
         List<String> seen = new ArrayList<>();
         StoreCodec.ChangeSink sink =
                 new StoreCodec.ChangeSink() {
--- a/src/test/java/io/quincelead/store/TransactionTest.java
+++ b/src/test/java/io/quincelead/store/TransactionTest.java
@@ -8,8 +8,9 @@
 
 class TransactionTest {
     /**
-     * Merged, the newer precondition replaced the older one: a completion by evidence was applied
-     * though its machine had got a new owner since.
+     * When transactions that require different revisions of a key were merged, the newer
+     * precondition replaced the older one: a completion based on evidence was applied although the
+     * machine had been granted to a new owner since.
      */
     @Test
     void transactionsRequiringDifferentRevisionsConflict() {
--- a/src/test/java/io/quincelead/store/UnresponsiveStore.java
+++ b/src/test/java/io/quincelead/store/UnresponsiveStore.java
@@ -3,19 +3,19 @@
 import io.quincelead.config.Settings;
 import io.quincelead.eventloop.EventLoop;
 
-/** A store that never answers, for tests that put records into a watch cache themselves. */
+/** A store that never responds, for tests that apply records to a watch cache directly. */
 public final class UnresponsiveStore {
     private static final int REQUESTS_PER_SECOND = 100;
 
     private UnresponsiveStore() {}
 
-    /** A client whose requests get no answer. */
+    /** Creates a client whose requests get no response. */
     public static StoreClient client(EventLoop loop, Settings settings) {
         return new StoreClient(
-                loop, (address, method, path, codec, body, ms, reply) -> {}, settings);
+                loop, (address, method, path, codec, body, timeoutMillis, handler) -> {}, settings);
     }
 
-    /** A watch cache that holds only what is applied to it. */
+    /** Creates a watch cache that contains only what the test applies to it. */
     public static WatchCache watchCache(EventLoop loop, Settings settings) {
         return new WatchCache(loop, client(loop, settings), REQUESTS_PER_SECOND);
     }
--- a/src/test/java/io/quincelead/store/WatchCacheTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -26,16 +26,16 @@
     private final SimulatedClock.SimulatedProcess loop = clock.newProcess();
     private final List<String> seenKeys = new ArrayList<>();
 
-    /** A cache on a store that gives these responses in turn, then none. */
+    /** Creates a cache on a store that sends these responses in order and then no more. */
     private WatchCache newCache(List<ObjectNode> responses) {
         Iterator<ObjectNode> next = responses.iterator();
         StoreClient store =
                 new StoreClient(
                         loop,
-                        (address, method, path, codec, body, timeoutMillis, reply) -> {
+                        (address, method, path, codec, body, timeoutMillis, handler) -> {
                             if (next.hasNext()) {
                                 byte[] response = WireFormat.CBOR.encode(next.next());
-                                clock.schedule(1, () -> reply.onResponse(200, response));
+                                clock.schedule(1, () -> handler.onResponse(200, response));
                             }
                         },
                         TestSettings.LONE_CONTROLLER);
@@ -55,9 +55,10 @@
     }
 
     /**
-     * A job and its task state page were created while the store was listed page by page: the state
-     * page, on a late page of the listing, was seen before its job, taken for a remainder of an old
-     * job, and then ignored as known when the watch brought both.
+     * A job and its task state page were created while the store was being listed page by page. The
+     * task state page appeared on a late page of the listing and was applied before its job; it was
+     * treated as a leftover of an old job, and then ignored as already known when the watch
+     * delivered both.
      */
     @Test
     void changesDuringListingAreAppliedInStoreOrder() {
