--- a/src/main/java/io/quincelead/worker/DeferredResponses.java
+++ b/src/main/java/io/quincelead/worker/DeferredResponses.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends deferred heartbeat responses when their time is up. Deadlines are rounded up to a common
- * grid, so that hundreds of heartbeats share few turns of the event loop.
+ * Sends deferred heartbeat responses at their deadlines. Deadlines are rounded up to multiples of a
+ * fixed interval, so that hundreds of responses share a few event loop tasks.
  */
 final class DeferredResponses {
     private record Deferred(ShardWorker worker, IncomingRequest request) {}
@@ -25,11 +25,14 @@
         this.sender = sender;
     }
 
-    /** Has the request answered at the worker's deadline, unless that has happened before. */
+    /**
+     * Schedules the response to the request for the worker's deadline. Nothing is sent then if the
+     * request has been answered earlier.
+     */
     void schedule(ShardWorker worker, IncomingRequest request) {
-        long gridMillis = WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
+        long batchMillis = WorkerConstants.DEFERRED_RESPONSE_BATCH_MILLIS;
         long respondAtMillis =
-                (worker.deferredUntilMillis + gridMillis - 1) / gridMillis * gridMillis;
+                (worker.deferredUntilMillis + batchMillis - 1) / batchMillis * batchMillis;
         List<Deferred> batch = batchesByLoopMillis.get(respondAtMillis);
         if (batch == null) {
             batch = new ArrayList<>();
--- a/src/main/java/io/quincelead/worker/Heartbeat.java
+++ b/src/main/java/io/quincelead/worker/Heartbeat.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 
 /**
- * A worker's heartbeat, or its response to a direct command, which has the same form (protocol,
- * "Workers"). It is read from the token stream: heartbeats are most of what a controller receives,
- * each lists every task of its machine, and a tree of it would be thrown away at once.
+ * A worker's heartbeat. The response to a direct command has the same form (protocol, "Workers")
+ * and is parsed as one, too. Parsing reads the token stream without building a tree: heartbeats are
+ * most of what a controller receives, each lists every task of its machine, and the tree would be
+ * discarded immediately.
  */
 final class Heartbeat {
     static final String STATUS_RUNNING = "running";
@@ -26,21 +27,24 @@
     String zone = "";
     boolean spot;
 
-    /** Counts restarts of the worker's agent; -1 if it is missing, as for the next two. */
+    /**
+     * Counts the restarts of the worker's agent; -1 if the field is missing, as with {@link
+     * #serial} and {@link #fencingToken}.
+     */
     long agentEpoch = -1;
 
     long serial = -1;
     long fencingToken = -1;
 
-    /** Seconds until the cloud takes the machine away; -1: no notice. */
+    /** Seconds until the cloud reclaims the machine; -1 without a reclaim notice. */
     double reclaimNoticeSeconds = -1;
 
-    /** The attempts on the machine, by task ID; the head of the list of each task. */
+    /** The attempts on the machine: the first of each task's linked list, by task ID. */
     Map<String, ReportedAttempt> attempts = Map.of();
 
     /**
-     * An attempt of a task as a worker reports it, linked to the next one of the same task; those
-     * that haven't terminated come first.
+     * An attempt of a task as a worker reports it, linked to the next attempt of the same task.
+     * Attempts that haven't terminated come first.
      */
     static final class ReportedAttempt {
         String taskId = "";
@@ -57,7 +61,10 @@
             return status.equals(STATUS_ENDED);
         }
 
-        /** This attempt among those of the task; null if it isn't reported. */
+        /**
+         * Finds an attempt by its number in the list that begins with {@code first}; null if it
+         * isn't reported.
+         */
         static ReportedAttempt find(ReportedAttempt first, long attempt) {
             ReportedAttempt reported = first;
             while (reported != null && reported.attempt != attempt) {
@@ -66,7 +73,10 @@
             return reported;
         }
 
-        /** Adds another attempt of the same task to the list and returns its new head. */
+        /**
+         * Adds another attempt of the same task to the list that begins with this one, and returns
+         * the new first element.
+         */
         private ReportedAttempt insert(ReportedAttempt other) {
             if (!isTerminated() && other.isTerminated()) {
                 other.next = next;
@@ -81,15 +91,18 @@
     private Heartbeat() {}
 
     /**
-     * Whether a message of a worker is newer than another one, by agent epoch and serial (protocol,
-     * "Workers").
+     * Whether a worker's message is newer than another one, compared by agent epoch and then serial
+     * (protocol, "Workers").
      */
     static boolean isNewer(long agentEpoch, long serial, long otherAgentEpoch, long otherSerial) {
         return agentEpoch > otherAgentEpoch
                 || agentEpoch == otherAgentEpoch && serial > otherSerial;
     }
 
-    /** The heartbeat in a body; null if it is malformed or incomplete, never an exception. */
+    /**
+     * Parses a heartbeat. Returns null if the body is malformed or incomplete; never throws an
+     * exception.
+     */
     static Heartbeat parse(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
--- a/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
+++ b/src/main/java/io/quincelead/worker/LostWorkerRecorder.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Declares workers lost: records that their machines are to be released. */
+/** Declares workers lost by recording that their machines are to be released. */
 final class LostWorkerRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(LostWorkerRecorder.class);
 
@@ -27,12 +27,13 @@
     }
 
     /**
-     * Records in one transaction that machines are to be released, and removes them from our shard;
-     * the leader releases them. Takes as many as one transaction holds; the next check finds the
-     * others again. This controller must have a shard.
+     * Records in one transaction that machines are to be released, and removes them from this
+     * controller's shard; the leader then releases them. Includes as many machines as fit into one
+     * transaction; the next health check finds the others again. This controller must have a shard.
      *
-     * @param lost the workers, each with the reason for the log
-     * @param isCurrent whether the worker is still one of our shard under the same fencing token
+     * @param lost the lost workers, each with the reason to be logged
+     * @param isCurrent whether a worker still belongs to this controller's shard under the same
+     *     fencing token
      */
     void declareLost(Map<ShardWorker, String> lost, Predicate<ShardWorker> isCurrent) {
         ClusterMembership.Shard shard = membership.localShard().copy();
--- a/src/main/java/io/quincelead/worker/MisroutedWorkerHandler.java
+++ b/src/main/java/io/quincelead/worker/MisroutedWorkerHandler.java
@@ -16,15 +16,16 @@
 import java.util.function.Consumer;
 
 /**
- * Workers that send their heartbeats here and belong to another controller, or to none: redirected,
- * reported to the leader, or kept alive behind a partition.
+ * Handles heartbeats of workers that don't belong to this controller's shard but to another
+ * controller or to none: redirects the workers, reports them to the leader, or keeps their tasks
+ * alive during a network partition.
  */
 final class MisroutedWorkerHandler {
     /**
-     * Since when a machine's heartbeats have arrived here though it is granted elsewhere under this
-     * token.
+     * Since when heartbeats of a machine have arrived at this controller although the machine is
+     * granted to another one under this fencing token (0: to none).
      */
-    private record Sighting(long fencingToken, long sinceMillis) {}
+    private record FirstSeen(long fencingToken, long sinceMillis) {}
 
     private final EventLoop loop;
     private final Settings settings;
@@ -32,14 +33,17 @@
     private final ClusterMembership membership;
     private final Transport transport;
     private final Consumer<MisroutedWorker> leaderNotifier;
-    private final Map<String, Sighting> misrouted = new HashMap<>();
+    private final Map<String, FirstSeen> misroutedSince = new HashMap<>();
 
-    /** Workers of other shards that are answered here while the store can't be reached. */
-    private final Map<String, Sighting> keptAlive = new HashMap<>();
+    /**
+     * Workers of other shards, by host, that this controller answers while it can't reach the
+     * store.
+     */
+    private final Map<String, FirstSeen> keptAliveSince = new HashMap<>();
 
     /**
-     * Agent epoch and serial of the newest heartbeat of each host that came here: an older one is a
-     * duplicate, or was delayed on its way.
+     * Agent epoch and serial of the newest heartbeat that each host sent to this controller: an
+     * older heartbeat is a duplicate or was delayed in transit.
      */
     private final Map<String, long[]> newestHeartbeats = new HashMap<>();
 
@@ -61,13 +65,16 @@
     }
 
     /**
-     * The machine has left our shard; these are the agent epoch and serial of its last heartbeat.
+     * Notes that a machine has been removed from this controller's shard, with the agent epoch and
+     * serial of its last heartbeat.
      */
     void onWorkerRemoved(String host, long agentEpoch, long serial) {
         newestHeartbeats.put(host, new long[] {agentEpoch, serial});
     }
 
-    /** Whether this heartbeat or a newer one came before; else this is the newest now. */
+    /**
+     * Whether this heartbeat or a newer one has arrived before. If not, records it as the newest.
+     */
     private boolean isStale(Heartbeat heartbeat) {
         long[] last = newestHeartbeats.get(heartbeat.host);
         if (last != null
@@ -78,26 +85,29 @@
         return false;
     }
 
-    /** The worker sends its heartbeats to its owner. */
+    /**
+     * Notes that a worker sends its heartbeats to this controller and belongs to its shard, so that
+     * it is no longer misrouted.
+     */
     void onWorkerReachedOwner(String host) {
-        misrouted.remove(host);
+        misroutedSince.remove(host);
     }
 
-    /** Forgets what has become irrelevant; to be called regularly. */
+    /** Removes outdated entries; must be called periodically. */
     void expireEntries() {
-        misrouted
+        misroutedSince
                 .values()
                 .removeIf(
-                        sighting ->
-                                loop.nowMillis() - sighting.sinceMillis
+                        firstSeen ->
+                                loop.nowMillis() - firstSeen.sinceMillis
                                         > 20 * WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS);
         newestHeartbeats.keySet().removeIf(host -> membership.ownerOf(host) == null);
         if (store.lease().isValid()) {
-            keptAlive.clear();
+            keptAliveSince.clear();
         }
     }
 
-    /** Answers a worker that isn't of our shard. */
+    /** Answers a heartbeat of a worker that doesn't belong to this controller's shard. */
     void handleHeartbeat(IncomingRequest request, Heartbeat heartbeat) {
         String host = heartbeat.host;
         if (!store.watchCache().isSynced() || !store.lease().isMember()) {
@@ -122,7 +132,7 @@
         Long grantedToken =
                 owner == null ? null : membership.shardOf(owner).fencingTokensByHost().get(host);
         long fencingToken = grantedToken == null ? 0 : grantedToken;
-        Sighting sighting = firstSighting(misrouted, host, fencingToken, now);
+        FirstSeen firstSeen = firstSeen(misroutedSince, host, fencingToken, now);
         MisroutedWorker worker =
                 new MisroutedWorker(
                         host,
@@ -136,35 +146,41 @@
         if (owner == null) {
             leaderNotifier.accept(worker);
             if (settings.memberId().equals(membership.leaderId())) {
-                // The grant is a few ms away: the worker then hears at once where to go.
+                // This controller is the leader and will grant the machine within a few ms: the
+                // response is delayed so that it can redirect the worker to its new owner.
                 loop.runAfter(
                         WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS,
                         () -> redirectToOwner(request, host));
                 return;
             }
-        } else if (now - sighting.sinceMillis > WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS) {
+        } else if (now - firstSeen.sinceMillis > WorkerConstants.REASSIGN_MISROUTED_AFTER_MILLIS) {
             probeWorker(worker, heartbeat);
         }
         redirectToOwner(request, host);
     }
 
     /**
-     * The first sighting of the host under this token; this one, if there is none. Counted anew for
-     * each grant: a worker on its way to a new owner would else be moved back before it gets there,
-     * and two controllers could pass a machine to each other for ever.
+     * Returns the host's entry if it has the same fencing token; otherwise replaces it with one
+     * that starts now. The time starts again with each grant: otherwise a worker that is being
+     * redirected to a new owner would be reassigned before it arrives there, and two controllers
+     * could reassign a machine to each other forever.
      */
-    private static Sighting firstSighting(
-            Map<String, Sighting> sightings, String host, long fencingToken, long nowMillis) {
-        return sightings.merge(
+    private static FirstSeen firstSeen(
+            Map<String, FirstSeen> firstSeenByHost,
+            String host,
+            long fencingToken,
+            long nowMillis) {
+        return firstSeenByHost.merge(
                 host,
-                new Sighting(fencingToken, nowMillis),
+                new FirstSeen(fencingToken, nowMillis),
                 (previous, current) -> previous.fencingToken == fencingToken ? previous : current);
     }
 
     /**
-     * Reports the worker to the leader if it gets our responses and is still where that heartbeat
-     * says it is. One that is unreachable inbound tries all controllers in turn, and would be
-     * passed around for ever; a delayed heartbeat says nothing of the present.
+     * Reports the worker to the leader if it can be reached by this controller and the heartbeat is
+     * still current. A worker that is unreachable inbound tries all controllers in turn, and would
+     * be reassigned forever; a delayed heartbeat doesn't show where the worker sends its heartbeats
+     * now.
      */
     private void probeWorker(MisroutedWorker worker, Heartbeat heartbeat) {
         if (worker.address().isEmpty() || !hostsBeingProbed.add(worker.host())) {
@@ -193,30 +209,32 @@
     }
 
     /**
-     * Answers a worker while this controller is cut off from the store, perhaps with a whole zone:
-     * a worker that can't reach its owner either is answered under the owner's token, without any
-     * command, so that its tasks live on. Every now and then it is sent to look for its owner
-     * again.
+     * Answers a misrouted worker while this controller is cut off from the store, perhaps together
+     * with a whole zone. If the worker can't reach its owner either, it gets a response with the
+     * owner's fencing token and without commands, so that its tasks keep running. From time to time
+     * the worker is redirected instead, so that it tries to reach its owner again.
      *
-     * @return false if the worker was not answered
+     * @return whether the heartbeat was answered
      */
     private boolean keepAliveForOwner(
             IncomingRequest request, String host, Heartbeat heartbeat, long fencingToken) {
         long now = loop.nowMillis();
         double leaseMillis = settings.workerTimings().leaseSeconds() * 1000;
-        // Redirected, a worker may try all others in vain; its lease must outlast that.
+        // After a redirect, a worker may try all other controllers without success; its lease
+        // must outlast that.
         if (leaseMillis
                 < WorkerConstants.CONTROLLER_RETRY_INTERVAL_MILLIS
                         * (settings.controllerCount() - 1)
                         * WorkerConstants.MIN_CONTROLLER_SWEEPS_PER_LEASE) {
             return false;
         }
-        // No longer counted as misrouted: its time to find its owner begins anew afterwards.
-        misrouted.remove(host);
-        Sighting sighting = firstSighting(keptAlive, host, fencingToken, now);
-        if (now - sighting.sinceMillis
+        // The worker isn't misrouted while it is kept alive; the time that it has to find its
+        // owner starts again afterwards.
+        misroutedSince.remove(host);
+        FirstSeen firstSeen = firstSeen(keptAliveSince, host, fencingToken, now);
+        if (now - firstSeen.sinceMillis
                 > leaseMillis * WorkerConstants.MISROUTED_KEEP_ALIVE_LEASE_FRACTION) {
-            keptAlive.remove(host);
+            keptAliveSince.remove(host);
             return false;
         }
         if (heartbeat.fencingToken > fencingToken) {
@@ -226,7 +244,10 @@
         return true;
     }
 
-    /** Answers 421 with the owner or, where there is none, the leader, if that is another one. */
+    /**
+     * Answers 421 and names the machine's owner or, if it has none, the leader; names no controller
+     * if that would be this one.
+     */
     void redirectToOwner(IncomingRequest request, String host) {
         String owner = membership.ownerOf(host);
         String controller = owner != null ? owner : membership.leaderId();
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -10,18 +10,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A machine of our shard and what we know of it under its current fencing token. */
+/**
+ * A machine of this controller's shard, with what this controller has learned about it under its
+ * current fencing token.
+ */
 public final class ShardWorker {
-    /** States of a machine of our shard; only {@link #transitionTo} changes them. */
+    /** States of a machine of this controller's shard; only {@link #transitionTo} changes them. */
     public enum Phase {
         /**
-         * Granted; no message bearing our token has come from it. Nothing may be concluded or
-         * started.
+         * The machine is granted to this controller, but no message bearing the grant's fencing
+         * token has come from it. No conclusions may be drawn and no tasks started.
          */
         CLAIMING,
-        /** It has shown our token: its heartbeats are evidence. */
+        /**
+         * A message from the machine has borne the grant's fencing token: its heartbeats are
+         * evidence.
+         */
         CLAIMED,
-        /** It is declared lost: its release is on record or being recorded. */
+        /** The machine is declared lost: its release is on record or being recorded. */
         RELEASING
     }
 
@@ -31,15 +37,15 @@
     private final double heartbeatIntervalSeconds;
     private final long silenceTimeoutMillis;
 
-    /** The machine's name. */
+    /** The machine's ID. */
     public final String host;
 
-    /** The token of the grant; every command bears it. */
+    /** The fencing token of the grant; every command bears it. */
     public final long fencingToken;
 
     /**
-     * Store revision of the grant: until the watch has passed it, records of what was placed there
-     * before may be out of date.
+     * Store revision of the grant: until the watch has passed it, the records of tasks that were
+     * placed on the machine before may be out of date.
      */
     final long grantRevision;
 
@@ -51,14 +57,18 @@
     long heartbeatSerial = -1;
 
     /**
-     * When its last heartbeat came or, before any, its first response to a command: a machine that
-     * only responds gets no start and reaches nobody.
+     * When the machine's last heartbeat arrived or, before the first heartbeat, its first response
+     * to a command. Later responses don't count, because a machine that only responds to commands
+     * can be sent no starts and reaches no controller by itself.
      */
     long lastContactAtMillis;
 
     long lastHeartbeatAtMillis;
 
-    /** Whether anything came from it under this token: before, it may still be booting. */
+    /**
+     * Whether any message has come from the machine under this grant; until then it may still be
+     * booting.
+     */
     boolean hasMadeContact;
 
     long lastClaimAtMillis;
@@ -66,14 +76,18 @@
     long reclaimNoticeAtMillis;
 
     /**
-     * Heartbeats in a row that didn't show what the response to an earlier one had started; below,
-     * when the first of them came.
+     * Number of consecutive heartbeats that didn't show a task started by an earlier heartbeat
+     * response.
      */
     int heartbeatsMissingStart;
 
+    /** When the first heartbeat counted in {@link #heartbeatsMissingStart} arrived. */
     long startMissingSinceMillis;
 
-    /** When its first heartbeat came, -1 before; a booting machine is granted long before. */
+    /**
+     * When the machine's first heartbeat arrived; -1 before that. A booting machine is granted long
+     * before it sends one.
+     */
     private long firstHeartbeatAtMillis = -1;
 
     int consecutiveFailures;
@@ -85,9 +99,10 @@
     boolean deferredForFutureStart;
 
     /**
-     * A machine that has just been granted.
+     * Creates the state of a machine that has just been granted.
      *
-     * @param silenceTimeoutMillis the silence after which a machine is dead or hangs
+     * @param silenceTimeoutMillis the time without messages after which a machine is considered
+     *     dead or hung
      * @param grantRevision the store revision of the grant
      */
     ShardWorker(
@@ -119,21 +134,25 @@
         }
     }
 
-    /** Whether this heartbeat, or one that the worker sent after it, came before. */
+    /** Whether this heartbeat, or one that the worker sent after it, has arrived before. */
     boolean isStale(Heartbeat heartbeat) {
         return !Heartbeat.isNewer(
                 heartbeat.agentEpoch, heartbeat.serial, heartbeatAgentEpoch, heartbeatSerial);
     }
 
     /**
-     * Whether it sends heartbeats that show again and again that our responses don't reach it. What
-     * we start there never begins, and what it runs ends with its lease, though it seems healthy.
+     * Whether consecutive heartbeats have shown that this controller's responses don't reach the
+     * worker. Tasks started there never begin, and running tasks end when the worker's lease
+     * expires, although the worker seems healthy.
      */
     boolean isUnreachableInbound() {
         return heartbeatsMissingStart >= WorkerConstants.UNREACHABLE_INBOUND_AFTER_HEARTBEATS;
     }
 
-    /** Whether it has sent heartbeats for that long without showing that it gets our responses. */
+    /**
+     * Whether the worker has sent heartbeats for longer than {@code millis} without showing that it
+     * receives this controller's responses.
+     */
     boolean isUnreachableInboundFor(long millis) {
         return isUnreachableInbound()
                 ? loop.nowMillis() - startMissingSinceMillis > millis
@@ -149,23 +168,24 @@
     }
 
     /**
-     * Whether its heartbeat is missing for so long that it may reach nobody: no start can be sent
-     * to it, but it may respond to commands. Its bound is that of {@link #isSchedulable}; at the
-     * bound itself a worker is neither overdue nor schedulable.
+     * Whether the worker's heartbeat has been missing for so long that the worker may be unable to
+     * reach any controller: no start can be sent to it, but it may respond to commands. The time
+     * limit is the same as in {@link #isSchedulable}; exactly at the limit a worker is neither
+     * overdue nor schedulable.
      */
     boolean isHeartbeatOverdue() {
         return phase == Phase.CLAIMED
                 && loop.nowMillis() - lastContactAtMillis > silenceTimeoutMillis / 2;
     }
 
-    /** It has carried out a direct command. */
+    /** Records that the worker has executed a direct command, so it is reachable inbound. */
     void recordCommandAccepted() {
         heartbeatsMissingStart = 0;
     }
 
     /**
-     * A heartbeat has shown that a start of ours arrived, or that one that must have arrived by now
-     * is missing.
+     * Records that a heartbeat has shown whether starts arrived: any that arrived, or any missing
+     * that must have arrived by now.
      */
     void recordStartDelivery(boolean anyArrived, boolean anyMissing) {
         if (anyArrived) {
@@ -177,7 +197,7 @@
         }
     }
 
-    /** Whether new tasks may be placed there. */
+    /** Whether new tasks may be placed on the machine. */
     public boolean isSchedulable() {
         return phase == Phase.CLAIMED
                 && !isUnreachableInbound()
@@ -187,7 +207,10 @@
                 && loop.nowMillis() - lastContactAtMillis < silenceTimeoutMillis / 2;
     }
 
-    /** Seconds until a start can be sent to it; 0 while a heartbeat response is deferred. */
+    /**
+     * Estimated seconds until a start can be sent to the worker; 0 while a heartbeat response is
+     * deferred.
+     */
     public double startDelaySeconds() {
         return deferredRequest != null
                 ? 0
@@ -199,17 +222,20 @@
                                         - (loop.nowMillis() - lastHeartbeatAtMillis) / 1000.0));
     }
 
-    /** Whether the cloud has announced that it takes the machine back. */
+    /** Whether the cloud has given notice that it will reclaim the machine. */
     public boolean isBeingReclaimed() {
         return reclaimNoticeSeconds >= 0;
     }
 
-    /** Seconds until the cloud takes the machine back; meaningful only if that is announced. */
+    /** Seconds until the cloud reclaims the machine; meaningful only after a reclaim notice. */
     public double reclaimSecondsLeft() {
         return reclaimNoticeSeconds - (loop.nowMillis() - reclaimNoticeAtMillis) / 1000.0;
     }
 
-    /** Whether nothing shows that it ever came up: no message, no placement. */
+    /**
+     * Whether nothing shows that the machine has ever finished booting: it has sent no message and
+     * has no placement.
+     */
     public boolean isBooting() {
         return !hasMadeContact && jobs.placementsOn(host).isEmpty();
     }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -10,7 +10,8 @@
 
 /**
  * Reconciles placements with what workers report: which tasks run, which have terminated, and
- * whether a failure is the machine's or the job's. Nothing follows from time alone.
+ * whether a failure is attributed to the machine or to the job. It concludes nothing from elapsed
+ * time alone.
  */
 final class TaskStatusReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
@@ -25,12 +26,13 @@
     }
 
     /**
-     * Takes a worker's task list as evidence, if it is newer than all before and bears our fencing
-     * token. A response to {@code /orders} may overtake a heartbeat response, so it never proves
-     * that a start of ours did not arrive.
+     * Takes a worker's task list as evidence if the message is newer than all earlier ones and
+     * bears this controller's fencing token. The response to a direct command ({@code /orders}) may
+     * overtake a heartbeat response, so it never proves that a start in that heartbeat response
+     * didn't arrive.
      *
-     * @param isHeartbeatRequest whether this is a heartbeat, not a response to a direct command
-     * @return whether the message is newer than all before
+     * @param isHeartbeatRequest true for a heartbeat, false for the response to a direct command
+     * @return whether the message is newer than all earlier ones from this worker
      */
     boolean reconcile(ShardWorker worker, Heartbeat heartbeat, boolean isHeartbeatRequest) {
         long agentEpoch = heartbeat.agentEpoch;
@@ -83,8 +85,8 @@
     }
 
     /**
-     * Checks whether the starts that were sent and not yet observed have arrived: only those, for
-     * every heartbeat passes here.
+     * Checks whether the starts that were sent but not yet reported have arrived. Only those starts
+     * are checked, because this runs for every heartbeat.
      */
     private void checkStartDelivery(ShardWorker worker) {
         boolean anyArrived = false;
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Whether the machine has sent another heartbeat since the response that carried the start, or
-     * has begun another agent epoch, which drops that response.
+     * Whether the worker has sent another heartbeat since the response that carried the placement's
+     * start, or its agent has restarted, which discards that response.
      */
     static boolean hasReportedSinceStart(ShardWorker worker, Placement placement) {
         return placement.phase() == Placement.Phase.START_SENT
@@ -140,15 +142,16 @@
 
     private void reconcileMissingTask(ShardWorker worker, Placement placement) {
         if (placement.phase() == Placement.Phase.REPORTED) {
-            terminate(worker, placement, "no longer on");
+            recordTermination(worker, placement, "no longer on");
         } else if (hasReportedSinceStart(worker, placement)
                 || placement.phase() == Placement.Phase.RECORDED) {
-            // It never arrived there. The record stands, so its start may be sent (again),
-            // unless it is unwanted or nothing arrives.
+            // The start wasn't sent or didn't arrive. The placement is still on record, so the
+            // start may be sent (again), unless the task should not run or no start can reach the
+            // worker.
             if (!placement.shouldRun()
                     || worker.isUnreachableInbound()
                     || worker.isHeartbeatOverdue()) {
-                terminate(worker, placement, "never reached");
+                recordTermination(worker, placement, "never reached");
             }
         }
     }
@@ -166,30 +169,30 @@
             }
             case "error" -> {
                 recordFailure(worker, job);
-                terminate(worker, placement, "failed on");
+                recordTermination(worker, placement, "failed on");
             }
             case "full" -> {
                 worker.fullUntilMillis =
                         loop.nowMillis() + WorkerConstants.REFUSED_START_PAUSE_MILLIS;
-                terminate(worker, placement, "refused (full) by");
+                recordTermination(worker, placement, "refused (full) by");
             }
             case "busy" -> {
-                // Another attempt of the task is there: only its end makes the task free to go
-                // elsewhere.
+                // Another attempt of the task is on the machine: the task may be placed elsewhere
+                // only when that attempt has terminated.
                 Heartbeat.ReportedAttempt first = worker.reportedAttempts.get(placement.taskId());
                 if (first != null && first.isTerminated()) {
-                    terminate(worker, placement, "refused (busy) by");
+                    recordTermination(worker, placement, "refused (busy) by");
                 }
             }
             case "unknown" -> {
                 job.postponeStarts(loop.nowMillis() + WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS);
-                terminate(worker, placement, "refused (unknown) by");
+                recordTermination(worker, placement, "refused (unknown) by");
             }
-            default -> terminate(worker, placement, "stopped (" + exitReason + ") on");
+            default -> recordTermination(worker, placement, "stopped (" + exitReason + ") on");
         }
     }
 
-    private void terminate(ShardWorker worker, Placement placement, String reason) {
+    private void recordTermination(ShardWorker worker, Placement placement, String reason) {
         LOG.debug(
                 "task {} attempt {} {} {}",
                 placement.taskId(),
@@ -201,38 +204,40 @@
     }
 
     /**
-     * Counts a failure against the machine if other jobs fail there too or the job succeeds
-     * elsewhere; else against the job, which backs off.
+     * Attributes a task's failure to the machine if other jobs fail there too or the job succeeds
+     * elsewhere; otherwise to the job, whose starts are then postponed with backoff.
      */
     private void recordFailure(ShardWorker worker, Job job) {
         worker.consecutiveFailures++;
         worker.failedJobIds.add(job.spec.jobId());
         job.recordFailure(worker.host);
-        // Completions that other controllers saw count too: this process may be new.
+        // Tasks whose completion other controllers recorded count, too, because this process may
+        // have started only recently.
         if (job.successCount() == 0
                 && job.completedTaskCount() == 0
                 && job.consecutiveFailures() >= 2
                 && worker.failedJobIds.size() == 1) {
-            // Where it has failed often and on no other machine, nothing will ever show whose fault
-            // it is: the machine is declared lost, once.
-            boolean failsOnlyHere =
+            // If the job has failed often and only on this machine, no further evidence will tell
+            // whether the machine or the job is at fault: the machine is declared lost, but only
+            // once.
+            boolean failsOnlyOnThisHost =
                     job.failedHostCount() == 1
                             && job.consecutiveFailures()
                                     >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
             worker.consecutiveFailures =
-                    failsOnlyHere
+                    failsOnlyOnThisHost
                             ? WorkerConstants.SUSPECT_AFTER_FAILURES
                             : Math.min(
                                     worker.consecutiveFailures,
                                     WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
         }
         if (job.consecutiveFailures() >= 2) {
-            long pauseMillis =
+            long backoffMillis =
                     WorkerConstants.JOB_BACKOFF_INITIAL_MILLIS
                             << Math.min(job.consecutiveFailures() - 2, 10);
             job.postponeStarts(
                     loop.nowMillis()
-                            + Math.min(pauseMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS));
+                            + Math.min(backoffMillis, WorkerConstants.JOB_BACKOFF_MAX_MILLIS));
         }
     }
 }
--- a/src/main/java/io/quincelead/worker/WorkerCommands.java
+++ b/src/main/java/io/quincelead/worker/WorkerCommands.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * What a worker is told: starts, only in heartbeat responses; kills, at once; clears, only of
- * terminations that are on record.
+ * Builds the commands for a worker: starts, only in heartbeat responses; kills, also sent
+ * immediately; clears, only for terminations that are on record.
  */
 final class WorkerCommands {
     private final EventLoop loop;
@@ -28,7 +28,7 @@
         this.jobs = jobs;
     }
 
-    /** The response to the worker's last heartbeat; the starts in it count as sent. */
+    /** Builds the response to the worker's last heartbeat and records the starts in it as sent. */
     ObjectNode buildHeartbeatResponse(ShardWorker worker) {
         ObjectNode response = WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken);
         ArrayNode commands = WorkerMessageCodec.commandsOf(response);
@@ -52,8 +52,9 @@
     }
 
     /**
-     * Kills to be sent at once; null if there are none. A kill of a task whose start wasn't sent
-     * changes nothing on the machine, but the response shows at once that the task isn't there.
+     * Collects the kills to be sent immediately and records them as sent; null if there are none. A
+     * kill of a task whose start wasn't sent changes nothing on the machine, but its response shows
+     * immediately that the task isn't there.
      */
     ArrayNode collectDueKills(ShardWorker worker) {
         long now = loop.nowMillis();
@@ -83,16 +84,19 @@
                 || !placement.shouldRun()
                 || worker.phase() != ShardWorker.Phase.CLAIMED
                 || store.watchCache().storeRevision() < worker.grantRevision) {
-            // A leader applies its own grant before the watch brings what earlier owners of that
-            // machine recorded: a start by such a record could be of a task that has been placed
-            // elsewhere since.
+            // A controller that is the leader applies its own grant before the watch delivers
+            // what earlier owners of the machine recorded: a placement known so far may be out of
+            // date, and its task may have been placed elsewhere since.
             return false;
         }
         return placement.phase() == Placement.Phase.RECORDED
                 || TaskStatusReconciler.hasReportedSinceStart(worker, placement);
     }
 
-    /** Whether the heartbeat should be answered now: there are commands, or none can come. */
+    /**
+     * Whether the worker's heartbeat should be answered now, because there are commands for the
+     * worker or none can follow.
+     */
     boolean isResponseDue(ShardWorker worker) {
         if (worker.phase() != ShardWorker.Phase.CLAIMED || !store.lease().isValid()) {
             return true;
@@ -105,7 +109,10 @@
         return !killsAndClears(worker).isEmpty();
     }
 
-    /** Kills for what must not run and clears for terminations that are on record. */
+    /**
+     * Kills for the reported attempts that must not run, and clears for those whose termination is
+     * on record.
+     */
     private ArrayNode killsAndClears(ShardWorker worker) {
         ArrayNode commands = WireFormat.newList();
         Map<String, Placement> recorded = jobs.placementsOn(worker.host);
@@ -133,7 +140,10 @@
         return commands;
     }
 
-    /** Time for a last checkpoint; none for cancelled jobs and those without checkpoints. */
+    /**
+     * The time that a killed task gets to save a last checkpoint; 0 for cancelled jobs and for jobs
+     * without checkpoints.
+     */
     private static double graceSeconds(Placement placement) {
         return placement.job.isCancelled() || placement.job.spec.checkpointIntervalSeconds() <= 0
                 ? 0
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 
 /**
- * Finds the machines of our shard that should be declared lost, and the zones that are only
- * unreachable from here.
+ * Finds the machines of this controller's shard that should be declared lost, and distinguishes
+ * them from machines in zones that this controller merely can't reach.
  */
 final class WorkerFailureDetector {
     private final EventLoop loop;
@@ -33,7 +33,7 @@
     private final Policy policy;
     private final ZoneTable zones;
 
-    /** When each zone was last unreachable from here, in loop time. */
+    /** Event-loop time at which each zone was last unreachable from this controller. */
     private final Map<String, Long> zoneUnreachableAtMillis = new HashMap<>();
 
     WorkerFailureDetector(
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A worker's lease, plus the drift of clocks and the delay of a heartbeat: a machine that is
-     * silent for longer is dead or hangs.
+     * The time after which a machine without heartbeats is considered dead or hung: a worker's
+     * lease, plus allowances for clock drift and for the delay of a heartbeat.
      */
     static long silenceTimeoutMillis(Settings settings) {
         return (long)
@@ -60,7 +60,7 @@
                 + WorkerConstants.SILENCE_SLACK_MILLIS;
     }
 
-    /** The machines to be declared lost, each with the reason. */
+    /** Returns the machines to be declared lost, each with the reason to be logged. */
     Map<ShardWorker, String> findLost(Collection<ShardWorker> workers) {
         long now = loop.nowMillis();
         Map<ShardWorker, String> lost = new LinkedHashMap<>();
@@ -71,8 +71,8 @@
                 continue;
             }
             boolean zoneUnreachable = unreachableZones.contains(zoneOf(worker));
-            // When a zone can be reached again, the silence timeout of each of its machines starts
-            // anew.
+            // When a zone becomes reachable again, the silence timeout of each of its machines
+            // starts again.
             long silenceMillis =
                     now
                             - (zoneUnreachable
@@ -85,7 +85,7 @@
                 if (isBootOverdue(worker.host)
                         && silenceMillis > silenceTimeoutMillis
                         && !zoneUnreachable) {
-                    lost.put(worker, "never came up");
+                    lost.put(worker, "did not boot in time");
                 }
                 continue;
             }
@@ -94,17 +94,17 @@
                     > (reclaimed
                             ? WorkerConstants.SILENCE_SLACK_MILLIS
                                     + (long) (settings.workerTimings().heartbeatSeconds() * 1500)
-                            : silencePatienceMillis(worker, zoneUnreachable))) {
+                            : maxSilenceMillis(worker, zoneUnreachable))) {
                 lost.put(worker, "silent");
             } else if (worker.isUnreachableInboundFor(
                     zoneUnreachable
                             ? unreachableZonePatienceMillis(worker)
                             : silenceTimeoutMillis)) {
-                lost.put(worker, "doesn't hear us");
+                lost.put(worker, "does not receive responses or commands");
             } else if (worker.consecutiveFailures >= WorkerConstants.SUSPECT_AFTER_FAILURES) {
-                lost.put(worker, "fails what runs elsewhere");
+                lost.put(worker, "repeated task failures");
             } else if (hasOverdueCancellation(worker)) {
-                lost.put(worker, "doesn't let go of cancelled work");
+                lost.put(worker, "cancelled task did not terminate in time");
             }
         }
         return lost;
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Zones of which hardly a machine can be heard here, or gets our responses: the network is at
-     * fault, not the machines.
+     * Zones in which hardly any machine gets a heartbeat through to this controller or receives its
+     * responses: the fault is in the network, not in the machines.
      */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
         long heardSinceMillis =
@@ -152,11 +152,12 @@
     }
 
     /**
-     * How long a machine may be silent. In an unreachable zone its tasks go on, kept alive by a
-     * controller inside; declaring it lost would only lose them. Elsewhere a silent machine hangs
-     * or is dead, and a service is not left there for long.
+     * How long a machine may be silent before it is declared lost. In an unreachable zone a
+     * controller inside that zone keeps the machine's tasks alive, and declaring the machine lost
+     * would only lose them. In a reachable zone a silent machine is dead or hung, so a machine with
+     * a service gets only half of the silence timeout.
      */
-    private long silencePatienceMillis(ShardWorker worker, boolean zoneUnreachable) {
+    private long maxSilenceMillis(ShardWorker worker, boolean zoneUnreachable) {
         ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
         if (order == ZoneTable.OperatorOrder.HOLD
                 && (zoneUnreachable || zones.isUnavailable(zoneOf(worker)))) {
@@ -175,8 +176,9 @@
     }
 
     /**
-     * The shortest patience that the classes of its services state, but no shorter than the silence
-     * timeout and no longer than some leases.
+     * How long a machine in an unreachable zone may be silent: the shortest time that the priority
+     * classes of its services state, but at least the silence timeout and at most a fixed number of
+     * worker leases.
      */
     private long unreachableZonePatienceMillis(ShardWorker worker) {
         double leastMillis = Double.MAX_VALUE;
--- a/src/main/java/io/quincelead/worker/WorkerGateway.java
+++ b/src/main/java/io/quincelead/worker/WorkerGateway.java
@@ -23,25 +23,28 @@
 import java.util.Set;
 
 /**
- * Speaks with the workers of this controller's shard: takes their heartbeats as evidence, answers
- * with what the records say, and sends kills at once. It never decides where a task runs, and it
- * never takes a task for terminated from time alone.
+ * Communicates with the workers of this controller's shard: takes their heartbeats as evidence,
+ * answers them with the commands that follow from the records, and sends kills immediately. It
+ * never decides where a task runs, and never concludes from elapsed time alone that a task has
+ * terminated.
  */
 public final class WorkerGateway {
-    /** What the rest of the controller does for the gateway. */
+    /** Functions of the controller that the gateway calls. */
     public interface Callbacks {
-        /** A worker sends its heartbeats here though it isn't of this controller's shard. */
+        /**
+         * A worker sends its heartbeats to this controller although it doesn't belong to its shard.
+         */
         void onMisroutedWorker(MisroutedWorker worker);
 
-        /** Something changed that the next scheduling cycle should see. */
+        /** Requests a scheduling cycle, because something that affects scheduling has changed. */
         void requestCycle();
 
-        /** There is evidence that a task has terminated. */
+        /** There is evidence that the placement's task has terminated. */
         void onTaskTerminated(Placement placement);
 
         /**
-         * Whether a scheduling cycle is due or under way whose result a heartbeat response should
-         * wait for.
+         * Whether a scheduling cycle is scheduled or in progress; heartbeat responses wait for its
+         * result.
          */
         boolean isCyclePending();
     }
@@ -54,7 +57,7 @@
     private final MachineTable machines;
     private final Transport transport;
     private final Callbacks callbacks;
-    private final MisroutedWorkerHandler misroutedWorkers;
+    private final MisroutedWorkerHandler misroutedWorkerHandler;
     private final TaskStatusReconciler statusReconciler;
     private final WorkerCommands workerCommands;
     private final WorkerFailureDetector failureDetector;
@@ -64,22 +67,22 @@
     private final Iterable<ShardWorker> workersView =
             Collections.unmodifiableCollection(workers.values());
 
-    /** Hosts whose records changed since commands were last dispatched. */
+    /** Hosts whose commands may have changed since commands were last dispatched. */
     private final Set<String> changedHosts = new HashSet<>();
 
-    /** Workers whose heartbeat responses wait for the scheduling cycle that is pending. */
-    private final Set<ShardWorker> awaitingCycle = new LinkedHashSet<>();
+    /** Workers whose heartbeat responses wait for the pending scheduling cycle. */
+    private final Set<ShardWorker> workersAwaitingCycle = new LinkedHashSet<>();
 
     /**
-     * Builds the gateway and has it informed of changes of the shard and of placements.
+     * Creates the gateway and registers it for changes of the shard and of placements.
      *
-     * @param loop the event loop on which everything here runs
+     * @param loop the event loop on which all methods of the gateway run
      * @param settings the deployment's settings, among them the workers' timings
-     * @param store the ways to the store
-     * @param records the records that are read here
-     * @param transport calls the workers
-     * @param policy states how long services wait for an unreachable zone
-     * @param callbacks what the rest of the controller does for the gateway
+     * @param store the lease, the watch cache and the store client
+     * @param records the records that the gateway reads
+     * @param transport sends commands to the workers
+     * @param policy supplies how long each service waits for an unreachable zone
+     * @param callbacks functions of the controller that the gateway calls
      */
     public WorkerGateway(
             EventLoop loop,
@@ -97,7 +100,7 @@
         this.machines = records.machines();
         this.transport = transport;
         this.callbacks = callbacks;
-        this.misroutedWorkers =
+        this.misroutedWorkerHandler =
                 new MisroutedWorkerHandler(
                         loop, settings, store, membership, transport, callbacks::onMisroutedWorker);
         this.statusReconciler = new TaskStatusReconciler(loop, jobs, callbacks);
@@ -110,27 +113,29 @@
         loop.runEvery(WorkerConstants.HEALTH_CHECK_INTERVAL_MILLIS, this::checkWorkers);
     }
 
-    /** The worker on that host; null if the host isn't of this controller's shard. */
+    /** The worker on a host; null if the host doesn't belong to this controller's shard. */
     public ShardWorker worker(String host) {
         return workers.get(host);
     }
 
     /**
-     * The workers of this controller's shard, in the order in which they were granted; read-only.
+     * The workers of this controller's shard, in the order in which this process learned of their
+     * grants; read-only.
      */
     public Iterable<ShardWorker> workers() {
         return workersView;
     }
 
     /**
-     * Takes over the machines that our shard now names, each under its fencing token; under a new
-     * token everything is learned anew.
+     * Updates the workers to the machines that this controller's shard now lists. A machine under a
+     * new fencing token gets a new {@link ShardWorker}, because nothing learned under the old token
+     * is kept.
      */
     private void onShardChanged() {
         ClusterMembership.Shard shard = membership.localShard();
         if (shard == null) {
-            // Without a shard we keep answering under the old tokens: until a higher one shows up,
-            // that keeps tasks alive.
+            // Without a shard this controller keeps answering under the old tokens, which keeps
+            // tasks alive until a higher token appears.
             return;
         }
         Map<String, Long> fencingTokens = shard.fencingTokensByHost();
@@ -140,7 +145,7 @@
                             Long granted = fencingTokens.get(worker.host);
                             boolean revoked = granted == null || granted != worker.fencingToken;
                             if (revoked) {
-                                releaseWorker(worker);
+                                removeWorker(worker);
                             }
                             return revoked;
                         });
@@ -163,27 +168,28 @@
                         fencingToken,
                         grantRevision);
         MachineTable.Machine machine = machines.get(host);
-        // A worker may be kept by a controller that is cut off from the store alone: only a claim
-        // calls it away.
+        // The worker may still be answered by a controller that is cut off only from the store;
+        // only a claim from the new owner makes it leave that controller.
         worker.address = machine == null ? null : machine.address();
         jobs.placementsOn(host).values().forEach(Placement::resetForNewOwner);
         workers.put(host, worker);
         loop.runAfter(0, () -> sendClaim(worker));
     }
 
-    private void releaseWorker(ShardWorker worker) {
+    private void removeWorker(ShardWorker worker) {
         jobs.placementsOn(worker.host).values().forEach(Placement::resetForNewOwner);
-        misroutedWorkers.onWorkerRemoved(
+        misroutedWorkerHandler.onWorkerRemoved(
                 worker.host, worker.heartbeatAgentEpoch, worker.heartbeatSerial);
         if (worker.deferredRequest != null) {
-            misroutedWorkers.redirectToOwner(worker.deferredRequest, worker.host);
+            misroutedWorkerHandler.redirectToOwner(worker.deferredRequest, worker.host);
             worker.deferredRequest = null;
         }
     }
 
     /**
-     * Shows the worker our fencing token at once, so that nothing from before can start there, and
-     * learns what it runs. Later it asks whether the worker gets our responses.
+     * Sends the worker a claim: a message without commands that brings it this controller's fencing
+     * token, so that no earlier command can start a task there, and whose response shows what it
+     * runs. Repeated later, it also checks whether the worker receives this controller's messages.
      */
     private void sendClaim(ShardWorker worker) {
         if (workers.get(worker.host) == worker
@@ -197,8 +203,8 @@
     }
 
     /**
-     * Answers a heartbeat, now or later: 200 with commands; 400 if it is malformed; 421 if the
-     * worker belongs to another controller; 503 while that can't be known.
+     * Answers a heartbeat, immediately or deferred: 200 with commands; 400 if it is malformed; 421
+     * if the worker belongs to another controller; 503 while the worker's owner can't be known.
      */
     public void handleHeartbeat(IncomingRequest request) {
         Heartbeat heartbeat = Heartbeat.parse(request.body);
@@ -209,18 +215,19 @@
         String host = heartbeat.host;
         ShardWorker worker = workers.get(host);
         if (worker == null || membership.localShard() == null && membership.ownerOf(host) != null) {
-            misroutedWorkers.handleHeartbeat(request, heartbeat);
+            misroutedWorkerHandler.handleHeartbeat(request, heartbeat);
             return;
         }
         if (heartbeat.fencingToken > worker.fencingToken) {
-            // A newer owner commands this worker; it would drop our response and stay here.
-            misroutedWorkers.redirectToOwner(request, host);
+            // The worker has a newer owner: it would ignore this response and keep sending its
+            // heartbeats to this controller.
+            misroutedWorkerHandler.redirectToOwner(request, host);
             return;
         }
-        misroutedWorkers.onWorkerReachedOwner(host);
+        misroutedWorkerHandler.onWorkerReachedOwner(host);
         if (worker.isStale(heartbeat)) {
-            // A duplicate, or one that was delayed: nobody waits for the response, and starts in it
-            // would count as sent.
+            // The heartbeat is a duplicate or was delayed. Nobody waits for its response, so the
+            // response must carry no starts: they would count as sent.
             request.respond(200, WorkerMessageCodec.newHeartbeatResponse(worker.fencingToken));
             return;
         }
@@ -228,27 +235,27 @@
         if (worker.deferredRequest != null) {
             sendDeferredResponse(worker);
         }
-        boolean fresh = statusReconciler.reconcile(worker, heartbeat, true);
-        respondOrDefer(worker, request, fresh);
+        boolean isNewer = statusReconciler.reconcile(worker, heartbeat, true);
+        respondOrDefer(worker, request, isNewer);
     }
 
-    private void respondOrDefer(ShardWorker worker, IncomingRequest request, boolean fresh) {
+    private void respondOrDefer(ShardWorker worker, IncomingRequest request, boolean isNewer) {
         worker.deferredRequest = request;
         long now = loop.nowMillis();
         if (request.isNearConnectionLimit()) {
-            // Connections are scarce: this one is closed, and the worker opens a new one for its
-            // next heartbeat.
+            // This controller is close to its connection limit: the connection is closed, and the
+            // worker opens a new one for its next heartbeat.
             request.closeConnectionAfterResponse();
         }
         boolean defer =
-                fresh
+                isNewer
                         && worker.isSchedulable()
                         && store.lease().isValid()
                         && !request.isNearConnectionLimit();
         worker.deferredForFutureStart = defer;
         worker.deferredUntilMillis =
                 now
-                        + (fresh && callbacks.isCyclePending() && !request.isNearConnectionLimit()
+                        + (isNewer && callbacks.isCyclePending() && !request.isNearConnectionLimit()
                                 ? WorkerConstants.HEARTBEAT_CYCLE_WAIT_MILLIS
                                 : 0);
         if (defer) {
@@ -259,28 +266,28 @@
             sendDeferredResponse(worker);
         } else {
             if (!defer) {
-                awaitingCycle.add(worker);
+                workersAwaitingCycle.add(worker);
             }
             deferredResponses.schedule(worker, request);
         }
     }
 
     /**
-     * How long a response may wait for a start: starts travel only in heartbeat responses, so a
-     * deferred one carries them at once.
+     * The longest time for which a heartbeat response may wait for a start. Starts are sent only in
+     * heartbeat responses, so a deferred response can carry a start as soon as there is one.
      */
     private long maxDeferralMillis(ShardWorker worker) {
         boolean hasFiniteTasks = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             hasFiniteTasks |= !placement.job.spec.isService();
         }
-        double share =
+        double fraction =
                 hasFiniteTasks
                         ? WorkerConstants.DEFER_BUSY_HEARTBEAT_FRACTION
                         : WorkerConstants.DEFER_IDLE_HEARTBEAT_FRACTION;
         return (long)
                 Math.min(
-                        settings.workerTimings().heartbeatSeconds() * 1000 * share,
+                        settings.workerTimings().heartbeatSeconds() * 1000 * fraction,
                         WorkerConstants.MAX_DEFERRED_RESPONSE_MILLIS);
     }
 
@@ -293,8 +300,8 @@
     }
 
     /**
-     * Sends the responses that need not wait longer, and kills at once. To be called when records
-     * changed or a scheduling cycle ended.
+     * Sends the deferred responses that are now due, and all due kills. Must be called when records
+     * have changed or a scheduling cycle has ended.
      */
     public void dispatchPendingCommands() {
         for (String host : changedHosts) {
@@ -308,13 +315,13 @@
         }
         changedHosts.clear();
         if (!callbacks.isCyclePending()) {
-            awaitingCycle.stream()
+            workersAwaitingCycle.stream()
                     .filter(
                             worker ->
                                     worker.deferredRequest != null
                                             && !worker.deferredForFutureStart)
                     .forEach(this::sendDeferredResponse);
-            awaitingCycle.clear();
+            workersAwaitingCycle.clear();
         }
     }
 
@@ -345,15 +352,16 @@
                             || status != 200 && status != 409) {
                         return;
                     }
-                    // A refusal is evidence, too: a higher agent epoch that knows our token proves
-                    // that what the earlier one ran has terminated.
+                    // A rejection is evidence, too: a higher agent epoch that reports this
+                    // controller's fencing token proves that the tasks of the earlier epoch have
+                    // terminated.
                     statusReconciler.reconcile(worker, response, false);
                     if (status == 200) {
                         worker.recordCommandAccepted();
                     } else if (response.agentEpoch > agentEpoch
                             && worker.phase() == ShardWorker.Phase.CLAIMING) {
-                        // Nothing was executed; the worker's newer agent epoch is claimed by a
-                        // message that names it.
+                        // The worker executed nothing, because its agent epoch is newer than the
+                        // one in the message; send a claim that names the newer epoch.
                         sendClaim(worker);
                     }
                     changedHosts.add(worker.host);
@@ -362,7 +370,7 @@
     }
 
     private void checkWorkers() {
-        misroutedWorkers.expireEntries();
+        misroutedWorkerHandler.expireEntries();
         if (!store.lease().isValid() || membership.localShard() == null) {
             return;
         }
--- a/src/main/java/io/quincelead/worker/WorkerMessageCodec.java
+++ b/src/main/java/io/quincelead/worker/WorkerMessageCodec.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.transport.WireFormat;
 
-/** Field names of the messages to workers. Their own messages are read by {@link Heartbeat}. */
+/** Encodes the messages to workers. The messages from workers are parsed by {@link Heartbeat}. */
 final class WorkerMessageCodec {
     private WorkerMessageCodec() {}
 
-    /** A heartbeat response under the fencing token, with an empty list of commands. */
+    /** Creates a heartbeat response with the fencing token and an empty list of commands. */
     static ObjectNode newHeartbeatResponse(long fencingToken) {
         ObjectNode response = WireFormat.newMap().put("epoch", fencingToken);
         response.putArray("orders");
@@ -20,7 +20,9 @@
         return (ArrayNode) heartbeatResponse.get("orders");
     }
 
-    /** A direct command message for the worker process of that agent epoch. */
+    /**
+     * Encodes a direct command message, which only the worker process of that agent epoch accepts.
+     */
     static byte[] encodeDirectCommands(long fencingToken, long agentEpoch, ArrayNode commands) {
         ObjectNode message =
                 WireFormat.newMap().put("epoch", fencingToken).put("tenure", agentEpoch);
@@ -28,7 +30,10 @@
         return WireFormat.CBOR.encode(message);
     }
 
-    /** The body that sends a worker to another controller; null: the worker tries them in turn. */
+    /**
+     * Encodes the body that redirects a worker to another controller; if the ID is null, the worker
+     * tries all controllers in turn.
+     */
     static ObjectNode encodeRedirect(String controllerId) {
         ObjectNode body = WireFormat.newMap();
         if (controllerId != null) {
@@ -41,12 +46,12 @@
         addCommand(commands, "start", taskId, attempt);
     }
 
-    /** Adds a kill; the task gets {@code graceSeconds} to save a checkpoint before it. */
+    /** Adds a kill; before it, the task gets {@code graceSeconds} to save a checkpoint. */
     static void addKill(ArrayNode commands, String taskId, long attempt, double graceSeconds) {
         addCommand(commands, "kill", taskId, attempt).put("drainS", graceSeconds);
     }
 
-    /** Adds a clear: the termination of this attempt is on record, the worker may forget it. */
+    /** Adds a clear: the termination of this attempt is on record, so the worker may discard it. */
     static void addClear(ArrayNode commands, String taskId, long attempt) {
         addCommand(commands, "clear", taskId, attempt);
     }
--- a/src/main/java/io/quincelead/worker/package-info.java
+++ b/src/main/java/io/quincelead/worker/package-info.java
@@ -1,16 +1,18 @@
 /**
- * The protocol with the workers of this controller's shard: heartbeats in, commands out.
+ * The protocol between this controller and the workers of its shard: workers send heartbeats, the
+ * controller sends commands.
  *
- * <p>Duty: to take heartbeats as evidence of what runs and what has terminated, to answer them with
- * the starts, kills and clears that follow from the records, to send kills at once, to detect lost
- * workers, and to redirect workers that belong to another controller.
+ * <p>This package takes heartbeats as evidence of which tasks run and which have terminated,
+ * answers them with the starts, kills and clears that follow from the records, sends kills
+ * immediately, detects lost workers, and redirects workers that belong to another controller.
  *
- * <p>Owned state: one {@link io.quincelead.worker.ShardWorker} for each machine of the shard under
- * its current fencing token, the heartbeats whose responses are deferred, and what has been seen of
- * misrouted workers. Everything runs on the event loop.
+ * <p>State kept by this package: one {@link io.quincelead.worker.ShardWorker} for each machine of
+ * the shard under its current fencing token, the heartbeats whose responses are deferred, and the
+ * recent heartbeats of misrouted workers. Everything runs on the event loop.
  *
- * <p>What it must not do: decide where a task runs, start a task by any message but a heartbeat
- * response, or conclude that a task has terminated from time alone. A machine is declared lost by
- * recording its release; its tasks have terminated only once the cloud confirms that release.
+ * <p>This package must not decide where a task runs, start a task by any message other than a
+ * heartbeat response, or conclude from elapsed time alone that a task has terminated. A machine is
+ * declared lost by recording that it is to be released; its tasks count as terminated only once the
+ * cloud confirms the release.
  */
 package io.quincelead.worker;
--- a/src/test/java/io/quincelead/worker/GoldenReportsTest.java
+++ b/src/test/java/io/quincelead/worker/GoldenReportsTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What workers send in {@code golden/messages.tsv}, reports and the answers to direct commands, is
- * read whole.
+ * Parsing keeps all fields of the workers' messages in {@code golden/messages.tsv}: heartbeats and
+ * the responses to direct commands.
  */
 class GoldenReportsTest {
     static Stream<Row> reports() {
@@ -22,43 +22,45 @@
                         "reports POST /v1/report #",
                         "commands POST /orders -> 200",
                         "commands POST /orders -> 409")
-                .flatMap(p -> GoldenTable.rows("messages", p));
+                .flatMap(rowPrefix -> GoldenTable.rows("messages", rowPrefix));
     }
 
     @ParameterizedTest
     @MethodSource("reports")
-    void reportIsReadWhole(Row row) {
-        Heartbeat r = Heartbeat.parse(row.body());
-        ObjectNode read =
+    void reportIsParsedCompletely(Row row) {
+        Heartbeat heartbeat = Heartbeat.parse(row.body());
+        ObjectNode parsed =
                 WireFormat.newMap()
-                        .put("host", r.host)
-                        .put("addr", r.address)
-                        .put("shape", r.machineType)
-                        .put("site", r.zone)
-                        .put("preemptible", r.spot)
-                        .put("tenure", r.agentEpoch)
-                        .put("serial", r.serial)
-                        .put("epoch", r.fencingToken);
-        if (r.reclaimNoticeSeconds >= 0) {
-            read.put("warningS", r.reclaimNoticeSeconds);
+                        .put("host", heartbeat.host)
+                        .put("addr", heartbeat.address)
+                        .put("shape", heartbeat.machineType)
+                        .put("site", heartbeat.zone)
+                        .put("preemptible", heartbeat.spot)
+                        .put("tenure", heartbeat.agentEpoch)
+                        .put("serial", heartbeat.serial)
+                        .put("epoch", heartbeat.fencingToken);
+        if (heartbeat.reclaimNoticeSeconds >= 0) {
+            parsed.put("warningS", heartbeat.reclaimNoticeSeconds);
         }
-        ArrayNode members = read.putArray("members");
+        ArrayNode members = parsed.putArray("members");
         ObjectNode sent = row.map();
-        for (JsonNode m : sent.path("members")) {
-            Heartbeat.ReportedAttempt s =
+        for (JsonNode member : sent.path("members")) {
+            Heartbeat.ReportedAttempt reported =
                     Heartbeat.ReportedAttempt.find(
-                            r.attempts.get(m.path("member").asText()), m.path("try").asLong());
-            ObjectNode shown =
+                            heartbeat.attempts.get(member.path("member").asText()),
+                            member.path("try").asLong());
+            ObjectNode parsedMember =
                     members.addObject()
-                            .put("member", s.taskId)
-                            .put("try", s.attempt)
-                            .put("status", s.status);
-            if (s.isTerminated()) {
-                shown.put("exitReason", s.exitReason);
+                            .put("member", reported.taskId)
+                            .put("try", reported.attempt)
+                            .put("status", reported.status);
+            if (reported.isTerminated()) {
+                parsedMember.put("exitReason", reported.exitReason);
             }
-            // Whether progress was stored is the worker's affair.
-            ((ObjectNode) m).remove("stored");
+            // Whether progress was stored concerns only the worker; the controller doesn't parse
+            // it.
+            ((ObjectNode) member).remove("stored");
         }
-        assertEquals(row.with(sent).toString(), row.with(read).toString());
+        assertEquals(row.with(sent).toString(), row.with(parsed).toString());
     }
 }
--- a/src/test/java/io/quincelead/worker/HeartbeatTest.java
+++ b/src/test/java/io/quincelead/worker/HeartbeatTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A report is evidence: what can't be read whole must not pass for a list without the tasks that
- * were cut off.
+ * A heartbeat is evidence: one that can't be parsed completely must be rejected, because a
+ * truncated task list would show the missing tasks as terminated.
  */
 class HeartbeatTest {
     private static ObjectNode heartbeat() {
