--- a/src/main/java/io/quincelead/api/ApiCluster.java
+++ b/src/main/java/io/quincelead/api/ApiCluster.java
@@ -6,12 +6,12 @@
 import io.quincelead.config.Settings;
 
 /**
- * What the user API needs to know of the cluster.
+ * The cluster state that the user API reads.
  *
  * @param settings the deployment's settings, among them this controller's member ID and the teams
  * @param membership the controllers, their shards, and the leader
  * @param jobs the open jobs
- * @param machineTypes the machine types that can be had
+ * @param machineTypes the catalog of machine types
  */
 public record ApiCluster(
         Settings settings,
--- a/src/main/java/io/quincelead/api/ApiCodec.java
+++ b/src/main/java/io/quincelead/api/ApiCodec.java
@@ -6,7 +6,9 @@
 import io.quincelead.config.constants.RecordConstants;
 import io.quincelead.transport.WireFormat;
 
-/** Field names of the user API's messages and of the records it reads and writes by itself. */
+/**
+ * Encodes and decodes the user API's messages and the records that it reads and writes by itself.
+ */
 final class ApiCodec {
     static final String CANCELLED = "cancelled";
     static final String DONE = "done";
@@ -24,7 +26,8 @@
     }
 
     /**
-     * The response that tells a final state; {@code status} is {@link #DONE} or {@link #CANCELLED}.
+     * The response that reports a final state; {@code status} is {@link #DONE} or {@link
+     * #CANCELLED}.
      */
     static ObjectNode encodeFinalStatus(String jobId, String status, int completedTasks) {
         return WireFormat.newMap()
@@ -39,21 +42,23 @@
         return WireFormat.newMap().put("s", status).put("n", completedTasks);
     }
 
-    /** The response that tells a final state, from the store's response to a read of its record. */
-    static ObjectNode finalStatusOf(String jobId, JsonNode read) {
-        JsonNode record = read.path("value");
+    /**
+     * The response that reports a final state, from the store's response to a read of its record.
+     */
+    static ObjectNode finalStatusOf(String jobId, JsonNode readResponse) {
+        JsonNode record = readResponse.path("value");
         return encodeFinalStatus(jobId, record.path("s").asText(), record.path("n").asInt());
     }
 
-    /** Whether the tasks of the job whose record was read are kept in pages of their own. */
-    static boolean hasSeparatePages(JsonNode read) {
-        return read.path("value").path("s").path("members").asInt()
+    /** Whether the job whose record was read has its tasks in separate task state pages. */
+    static boolean hasSeparatePages(JsonNode readResponse) {
+        return readResponse.path("value").path("s").path("members").asInt()
                 > RecordConstants.TASKS_PER_STATE_PAGE;
     }
 
-    /** The task counts in a job record that holds its only page itself. */
-    static TaskStatePage.TaskCounts countsInJobRecord(JsonNode read) {
-        return TaskStatePage.TaskCounts.of(read.path("value").path("k"));
+    /** The task counts in a job record that contains the job's only task state page. */
+    static TaskStatePage.TaskCounts countsInJobRecord(JsonNode readResponse) {
+        return TaskStatePage.TaskCounts.of(readResponse.path("value").path("k"));
     }
 
     /** Whether the store's response to a listing has the expected form. */
@@ -71,7 +76,7 @@
         return counts;
     }
 
-    /** The key to continue a truncated listing after; null if it is complete. */
+    /** The key after which a truncated listing continues; null if the listing is complete. */
     static String continuationKey(String previousKey, JsonNode listing) {
         if (!listing.path("truncated").asBoolean()) {
             return null;
--- a/src/main/java/io/quincelead/api/ApiResponses.java
+++ b/src/main/java/io/quincelead/api/ApiResponses.java
@@ -2,7 +2,7 @@
 
 import io.quincelead.transport.IncomingRequest;
 
-/** The refusals that several parts of the user API share. */
+/** Error responses that several parts of the user API share. */
 final class ApiResponses {
     static final int BAD_REQUEST = 400;
     static final int NOT_FOUND = 404;
@@ -21,17 +21,17 @@
         request.respondRetryLater(503, "not ready");
     }
 
-    /** 503: the store gave no response, or none that can be relied on. */
+    /** 503: the store did not respond, or its response leaves the result unknown. */
     static void respondStoreUnavailable(IncomingRequest request) {
         request.respondRetryLater(503, "the state service does not answer");
     }
 
-    /** 503: nothing was decided; the same request may succeed at once. */
+    /** 503: nothing was decided; the same request may succeed if it is retried at once. */
     static void respondTryAgain(IncomingRequest request) {
         request.respondRetryLater(503, "try again");
     }
 
-    /** 429: a bound on open jobs or on waiting commits is reached. */
+    /** 429: a limit on open jobs, their tasks or queued commits is reached. */
     static void respondOverloaded(IncomingRequest request) {
         request.respondRetryLater(429, "too much to do");
     }
--- a/src/main/java/io/quincelead/api/ApiStore.java
+++ b/src/main/java/io/quincelead/api/ApiStore.java
@@ -6,16 +6,16 @@
 import io.quincelead.store.WatchCache;
 
 /**
- * The ways in which the user API reaches the store.
+ * The user API's access to the store.
  *
  * @param lease this controller's membership lease
- * @param cache the watched copy of the store
+ * @param cache the watch cache of the store's records
  * @param client reads and single transactions
- * @param committer transactions that are grouped with those of other users
+ * @param committer commits transactions grouped with those of other requests
  */
 public record ApiStore(
         MembershipLease lease, WatchCache cache, StoreClient client, GroupCommitter committer) {
-    /** Whether the store has confirmed the lease lately and the cache holds all records. */
+    /** Whether the store has confirmed the lease recently and the cache holds all records. */
     boolean isReady() {
         return cache.isSynced() && lease.isValid();
     }
--- a/src/main/java/io/quincelead/api/FinalStates.java
+++ b/src/main/java/io/quincelead/api/FinalStates.java
@@ -8,7 +8,7 @@
 import io.quincelead.store.StoreKeys;
 import io.quincelead.transport.IncomingRequest;
 
-/** Final states of jobs: those on record in the store, and a bounded cache of them. */
+/** Reads the final states of jobs from the store and keeps a bounded cache of them. */
 final class FinalStates {
     private final StoreClient store;
     private final Cache<String, ObjectNode> responses =
@@ -21,7 +21,7 @@
         this.store = store;
     }
 
-    /** The response that tells the job's final state; null if it isn't cached. */
+    /** The response that reports the job's final state; null if it isn't cached. */
     ObjectNode cached(String jobId) {
         return responses.getIfPresent(jobId);
     }
@@ -31,7 +31,7 @@
         responses.put(jobId, response);
     }
 
-    /** Answers with the final state on record; {@code ifAbsent} answers where there is none. */
+    /** Responds with the stored final state; runs {@code ifAbsent} if none is stored. */
     void respondFromRecord(String jobId, IncomingRequest request, Runnable ifAbsent) {
         store.get(
                 StoreKeys.FINAL_STATE_PREFIX + jobId,
--- a/src/main/java/io/quincelead/api/JobAdmission.java
+++ b/src/main/java/io/quincelead/api/JobAdmission.java
@@ -4,18 +4,18 @@
 import io.quincelead.store.Transaction;
 
 /**
- * Takes submitted jobs into the next scheduling cycle, which records them together with their first
+ * Admits submitted jobs to the next scheduling cycle, which records them together with their first
  * placements.
  */
 @FunctionalInterface
 public interface JobAdmission {
     /**
-     * Offers a job that is on no record yet.
+     * Offers a job that has no record yet to the next scheduling cycle.
      *
      * @param job the job to be recorded
-     * @param patienceMillis how long the submission may wait for its outcome
-     * @param onOutcome called once with the outcome of the commit, if the job was taken
-     * @return false if the job was not taken, so that the caller has to record it by itself
+     * @param timeoutMillis how long the submission may wait for its outcome
+     * @param onOutcome called once with the outcome of the commit, if the job was admitted
+     * @return whether the job was admitted; if not, the caller has to record it
      */
-    boolean admit(Job job, long patienceMillis, Transaction.OutcomeHandler onOutcome);
+    boolean admit(Job job, long timeoutMillis, Transaction.OutcomeHandler onOutcome);
 }
--- a/src/main/java/io/quincelead/api/JobCancellations.java
+++ b/src/main/java/io/quincelead/api/JobCancellations.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancels jobs. A cancellation is committed under the job's mod revision, so that no later
- * scheduling cycle starts a task of it, and is told once all tasks have terminated.
+ * Cancels jobs. A cancellation is committed with the job's mod revision as its precondition, so
+ * that no later scheduling cycle starts a task of the job. The response is sent once all tasks have
+ * terminated.
  */
 final class JobCancellations {
     private static final Logger LOG = LoggerFactory.getLogger(JobCancellations.class);
@@ -23,25 +24,24 @@
     private final ApiStore store;
     private final JobTable jobs;
     private final FinalStates finalStates;
-    private final JobCompleter completion;
+    private final JobCompleter completer;
 
     JobCancellations(
             EventLoop loop,
             ApiStore store,
             JobTable jobs,
             FinalStates finalStates,
-            JobCompleter completion) {
+            JobCompleter completer) {
         this.loop = loop;
         this.store = store;
         this.jobs = jobs;
         this.finalStates = finalStates;
-        this.completion = completion;
+        this.completer = completer;
     }
 
     /**
-     * Cancels a job, or repeats the response where it is cancelled already. The response is the
-     * final state, "done" included; 503 where it can't be given in time, so that the user asks
-     * again.
+     * Cancels a job; if it is cancelled already, repeats the response. The response is the final
+     * state, which may be "done", or 503 if it can't be given in time, so that the user retries.
      */
     void cancel(String jobId, IncomingRequest request) {
         ObjectNode cached = finalStates.cached(jobId);
@@ -58,7 +58,7 @@
             return;
         }
         Job job = jobs.get(jobId);
-        LOG.debug("the cancellation of {} is asked for", jobId);
+        LOG.debug("cancellation of job {} requested", jobId);
         if (job == null) {
             store.client()
                     .get(
@@ -107,7 +107,7 @@
                         Math.max(0, deadlineMillis - loop.nowMillis()),
                         outcome -> {
                             LOG.debug(
-                                    "the cancellation of {}: {}",
+                                    "commit of the cancellation of job {}: {}",
                                     job.spec.jobId(),
                                     outcome.result());
                             switch (outcome.result()) {
@@ -130,29 +130,31 @@
     }
 
     /**
-     * Tells "cancelled" once every task is gone, by evidence. Told earlier, it would be a promise
-     * that nobody can keep for a machine behind a partition that the cloud can't release either:
-     * the time of {@code cancel_s} runs from the telling. Once the cancellation is on record
-     * nothing starts, and the job completes by itself; a user who is sent away asks again.
+     * Responds "cancelled" once evidence shows that every task has terminated. The time limit
+     * {@code cancel_s} runs from this response; after an earlier response it could not be met for a
+     * machine behind a network partition that the cloud can't release either. Once the cancellation
+     * is on record no task starts and the job completes without further requests; a user who gets
+     * 503 retries.
      *
-     * @param wasTerminated whether at the last check no task had a placement on record, and yet the
-     *     job's own controller had not completed it; the store may be refusing that one alone
+     * @param wasTerminated whether at the previous check no task had a placement on record, and yet
+     *     the job's owner had not completed the job; the store may be rejecting requests of the
+     *     owner alone
      */
     private void awaitTermination(
             String jobId, IncomingRequest request, long deadlineMillis, boolean wasTerminated) {
         Job job = jobs.get(jobId);
         boolean terminated = job != null && job.isCancelled() && job.placedTaskCount() == 0;
-        // Every page must fit the preconditions: its own controller alone knows all of a larger
+        // Every page must fit the preconditions: only the owner knows the whole state of a larger
         // job.
         if (terminated
                 && wasTerminated
                 && job.pages.length < store.client().maxTransactionOperations()
                 && store.isReady()
                 && !store.committer().isFull()) {
-            completion.complete(job);
+            completer.complete(job);
         }
         if (job == null) {
-            LOG.debug("the cancellation of {} is told", jobId);
+            LOG.debug("job {} is not open any more; answering its cancellation", jobId);
             finalStates.respondFromRecord(
                     jobId, request, () -> ApiResponses.respondTryAgain(request));
         } else if (loop.nowMillis() >= deadlineMillis) {
--- a/src/main/java/io/quincelead/api/JobCompleter.java
+++ b/src/main/java/io/quincelead/api/JobCompleter.java
@@ -13,7 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Records final states: moves jobs whose tasks have all terminated to their final keys. */
+/**
+ * Records the final states of jobs: moves each job whose tasks have all terminated to its final
+ * key.
+ */
 final class JobCompleter {
     private static final Logger LOG = LoggerFactory.getLogger(JobCompleter.class);
 
@@ -23,8 +26,8 @@
     private final Policy policy;
     private final FinalStates finalStates;
 
-    /** IDs of the jobs whose completion is being committed or waits to be tried again. */
-    private final Set<String> completing = new HashSet<>();
+    /** IDs of the jobs whose completion is being committed or waits for a retry. */
+    private final Set<String> completingJobIds = new HashSet<>();
 
     private boolean removingOrphans;
 
@@ -41,13 +44,13 @@
         this.finalStates = finalStates;
     }
 
-    /** Moves terminated jobs to their final key. Only then is a user told "done". */
+    /** Moves terminated jobs to their final keys. A response says "done" only after that commit. */
     void completeTerminatedJobs() {
         if (!store.lease().isValid() || store.committer().isFull()) {
             return;
         }
         for (Job job : cluster.jobs().all()) {
-            if (isTerminated(job) && isOurs(job)) {
+            if (isTerminated(job) && isResponsibleFor(job)) {
                 complete(job);
             }
         }
@@ -62,15 +65,18 @@
                         && job.pages.length <= store.client().maxTransactionOperations() - 2;
     }
 
-    /** Whether this controller completes the job; the leader does so for members that are gone. */
-    private boolean isOurs(Job job) {
+    /**
+     * Whether this controller completes the job: as its owner, or as the leader if the job's owner
+     * is no longer a member.
+     */
+    private boolean isResponsibleFor(Job job) {
         return job.controllerId().equals(cluster.settings().memberId())
                 || cluster.membership().member(job.controllerId()) == null && cluster.isLeader();
     }
 
-    /** Moves one terminated job to its final key, unless that is under way. */
+    /** Moves one terminated job to its final key, unless that is in progress already. */
     void complete(Job job) {
-        if (completing.add(job.spec.jobId())) {
+        if (completingJobIds.add(job.spec.jobId())) {
             recordCompletion(job);
         }
     }
@@ -88,8 +94,8 @@
         policy.recordCompletion(job, finalRecord, transaction, loop.wallClockMillis());
         requireAndRemovePages(job, transaction);
         if (!job.isComplete() && !job.isCancelled()) {
-            // The last terminations are known by evidence, which counts only while the machines are
-            // ours.
+            // Some terminations are known by evidence that isn't on record yet. Evidence is valid
+            // only while this controller owns the machines, so its shard must be unchanged.
             String shardKey = cluster.membership().localShard().storeKey();
             transaction.requireRevision(shardKey, store.cache().modRevision(shardKey));
         }
@@ -101,7 +107,7 @@
                         outcome -> {
                             if (outcome.result() == Transaction.Result.COMMITTED) {
                                 finalStates.cacheCommitted(jobId, response);
-                                completing.remove(jobId);
+                                completingJobIds.remove(jobId);
                             } else {
                                 LOG.debug(
                                         "the completion of {} was not recorded: {}",
@@ -110,25 +116,28 @@
                                 loop.runAfter(
                                         StoreConstants.RETRY_DELAY_MILLIS,
                                         () -> {
-                                            completing.remove(jobId);
+                                            completingJobIds.remove(jobId);
                                             completeTerminatedJobs();
                                         });
                             }
                         });
     }
 
-    /** Adds the job's separate pages to the transaction, as far as they fit. */
+    /**
+     * Adds preconditions on the job's separate task state pages, and their removal, for as many
+     * pages as fit the transaction.
+     */
     private void requireAndRemovePages(Job job, Transaction transaction) {
         int maxOperations = store.client().maxTransactionOperations();
         List<String> keys = TaskPageKeys.of(job);
-        for (int page = 0; page < keys.size(); page++) {
-            boolean exists = job.pages[page] != null;
+        for (int pageIndex = 0; pageIndex < keys.size(); pageIndex++) {
+            boolean exists = job.pages[pageIndex] != null;
             if (!transaction.fits(exists ? 1 : 0, 1, maxOperations)) {
                 continue;
             }
-            // Also where none is known: another controller that completes a job may not have heard
-            // yet that its tasks were placed.
-            String key = keys.get(page);
+            // The precondition is also needed for a page that this controller doesn't know: one
+            // that completes another controller's job may not have seen yet that tasks were placed.
+            String key = keys.get(pageIndex);
             transaction.requireRevision(key, store.cache().modRevision(key));
             if (exists) {
                 transaction.remove(key);
@@ -136,15 +145,15 @@
         }
     }
 
-    /** Removes task state pages that a large job left on record when it was completed. */
+    /** Removes task state pages that were left on record when a large job was completed. */
     private void removeOrphanedPages() {
         if (removingOrphans || cluster.jobs().orphanPageKeys().isEmpty() || !cluster.isLeader()) {
             return;
         }
         Transaction transaction = new Transaction();
         for (String key : cluster.jobs().orphanPageKeys()) {
-            // Only where the job has no record any more: after a relist a page may be seen before
-            // its job.
+            // The job must have no record any more: after a relist a page may be seen before its
+            // job.
             String jobKey =
                     StoreKeys.JOB_PREFIX
                             + key.substring(
--- a/src/main/java/io/quincelead/api/JobQueries.java
+++ b/src/main/java/io/quincelead/api/JobQueries.java
@@ -16,9 +16,9 @@
 import java.util.List;
 
 /**
- * Answers status queries. A query is answered only after a read barrier, which waiting queries
- * share, has shown that what this controller knows of the job is what the store has now; else the
- * records themselves are read.
+ * Answers status queries. Waiting queries share a read barrier, a transaction that compares the mod
+ * revisions in the watch cache with those in the store. A query is answered from the cache if the
+ * job's revisions match; otherwise the job's records are read from the store.
  */
 final class JobQueries {
     private static final int MAX_BARRIERS_IN_FLIGHT = 2;
@@ -34,10 +34,10 @@
     /**
      * A query that waits for a barrier.
      *
-     * @param deadlineMillis the loop time after which it is refused
-     * @param absentStatus the HTTP status of its refusal once the store has shown that there is no
-     *     such job
-     * @param absentReason the text of that refusal
+     * @param deadlineMillis the event-loop time after which the query gets 503
+     * @param absentStatus the HTTP status of the response if the store shows that there is no such
+     *     job
+     * @param absentReason the error text of that response
      */
     private record PendingQuery(
             String jobId,
@@ -49,8 +49,8 @@
     /**
      * What a barrier compares for a query.
      *
-     * @param job the job as known here; null if it isn't open here
-     * @param absent whether no record of the job is known here
+     * @param job the open job as this controller knows it; null if it knows none
+     * @param absent whether the watch cache has no record of an open job of that ID
      * @param keys the keys whose mod revisions are compared
      */
     private record BarrierCheck(PendingQuery query, Job job, boolean absent, List<String> keys) {}
@@ -107,13 +107,13 @@
     }
 
     /**
-     * Compares, in one transaction for all waiting queries, whether the mod revisions known here
-     * are still those in the store.
+     * Compares the mod revisions in the watch cache with those in the store, in one transaction for
+     * as many waiting queries as it holds.
      */
     private void runBarrier() {
         barrierScheduled = false;
-        long now = loop.nowMillis();
-        while (!pendingQueries.isEmpty() && pendingQueries.peekFirst().deadlineMillis < now) {
+        long nowMillis = loop.nowMillis();
+        while (!pendingQueries.isEmpty() && pendingQueries.peekFirst().deadlineMillis < nowMillis) {
             ApiResponses.respondStoreUnavailable(pendingQueries.pollFirst().request);
         }
         if (pendingQueries.isEmpty()) {
@@ -145,14 +145,16 @@
         }
     }
 
-    /** Takes as many waiting queries as one comparison holds, and adds what they compare to it. */
+    /**
+     * Dequeues as many waiting queries as one comparison holds, and adds their preconditions to it.
+     */
     private List<BarrierCheck> collectBatch(Transaction comparison) {
         int maxOperations = store.client().maxTransactionOperations();
         List<BarrierCheck> batch = new ArrayList<>();
         while (!pendingQueries.isEmpty()) {
             BarrierCheck next = barrierCheck(pendingQueries.peekFirst());
             if (next.keys.size() > maxOperations * StoreConstants.MAX_PRECONDITIONS_PER_OPERATION) {
-                // More records than a comparison holds: they are read.
+                // More records than one comparison holds: they are read from the store instead.
                 readFromStore(pendingQueries.pollFirst());
                 continue;
             }
@@ -168,8 +170,8 @@
     }
 
     /**
-     * All keys that a response is made of: the job's own record, and its task state pages where
-     * these are separate records.
+     * Checks all records that a response is made of: the job's own record, and its task state pages
+     * if these are separate records; without a job record, its final state.
      */
     private BarrierCheck barrierCheck(PendingQuery query) {
         Job job = jobs.get(query.jobId);
@@ -183,7 +185,10 @@
         return new BarrierCheck(query, job, absent, keys);
     }
 
-    /** 404 only if the store itself has just shown that neither record exists. */
+    /**
+     * Responds that there is no such job (404 to a status query) only if the store has just shown
+     * that neither a job record nor a final state exists.
+     */
     private void answerQuery(BarrierCheck check, Transaction.Outcome outcome) {
         PendingQuery query = check.query;
         if (outcome.result() != Transaction.Result.COMMITTED
@@ -200,15 +205,15 @@
         } else if (unchanged && check.job != null && jobs.get(query.jobId) == check.job) {
             query.request.respond(200, check.job.encodeStatus());
         } else {
-            // Changed since, or completed elsewhere while the barrier was in flight: it is on
-            // record under one key or the other.
+            // The job has changed since it was cached, or was completed while the barrier was in
+            // flight: the store has it under one key or the other.
             readFromStore(query);
         }
     }
 
     /**
-     * The watch cache is behind on this job, so the response is made of its records themselves.
-     * Jobs move to their final key, never back.
+     * Responds from the job's records in the store, because the watch cache is behind on this job.
+     * The job record is read before the final state: jobs move to their final key, never back.
      */
     private void readFromStore(PendingQuery query) {
         store.client()
@@ -229,8 +234,8 @@
     }
 
     /**
-     * The tasks of a larger job, page by page; then whether the job still was there, so that no
-     * page was removed meanwhile.
+     * Sums the task counts of a larger job's separate pages; then checks that the job record still
+     * exists, which shows that no page was removed meanwhile.
      */
     private void readTaskPages(
             PendingQuery query, String afterKey, TaskStatePage.TaskCounts countsBefore) {
--- a/src/main/java/io/quincelead/api/JobSubmissions.java
+++ b/src/main/java/io/quincelead/api/JobSubmissions.java
@@ -13,8 +13,9 @@
 import io.quincelead.transport.WireFormat;
 
 /**
- * Accepts jobs. A job that was accepted once is never refused: a repeated submission is answered
- * like a query, and a refusal is told only where the store shows that no such job exists.
+ * Accepts jobs. A job that was accepted once is never rejected later: a repeated submission is
+ * answered like a query, and a submission is rejected as invalid only after the store has shown
+ * that no such job exists.
  */
 final class JobSubmissions {
     private final EventLoop loop;
@@ -80,7 +81,10 @@
                 || jobs.unfinishedTaskCount() + spec.taskCount() > ApiConstants.MAX_OPEN_TASKS;
     }
 
-    /** Has the job recorded by the next scheduling cycle or, if that doesn't take it, at once. */
+    /**
+     * Lets the next scheduling cycle record the job; commits the job's record at once if the job
+     * isn't admitted to a cycle.
+     */
     private void recordJob(Job job, IncomingRequest request) {
         String jobId = job.spec.jobId();
         Transaction.OutcomeHandler onOutcome =
@@ -102,7 +106,7 @@
         }
     }
 
-    /** Why the job could never run, named by wire fields; null if it can. */
+    /** Why the job can never run, in terms of the fields on the wire; null if it can run. */
     private String unsatisfiableReason(JobSpec spec) {
         Settings.Team team = cluster.settings().teams().get(spec.team());
         if (team == null) {
--- a/src/main/java/io/quincelead/api/TaskPageKeys.java
+++ b/src/main/java/io/quincelead/api/TaskPageKeys.java
@@ -9,16 +9,16 @@
     private TaskPageKeys() {}
 
     /**
-     * The keys of the job's pages by page number, also of those that are on no record yet; empty if
-     * the job's own record holds its only page.
+     * The keys of the job's separate pages by page index, including pages that have no record yet;
+     * empty if the job's own record contains its only page.
      */
     static List<String> of(Job job) {
         if (job.hasSinglePage()) {
             return List.of();
         }
         List<String> keys = new ArrayList<>(job.pages.length);
-        for (int page = 0; page < job.pages.length; page++) {
-            keys.add(job.pageOrEmpty(page).storeKey());
+        for (int pageIndex = 0; pageIndex < job.pages.length; pageIndex++) {
+            keys.add(job.pageOrEmpty(pageIndex).storeKey());
         }
         return keys;
     }
--- a/src/main/java/io/quincelead/api/UserApi.java
+++ b/src/main/java/io/quincelead/api/UserApi.java
@@ -15,16 +15,16 @@
     private final JobSubmissions submissions;
     private final JobQueries queries;
     private final JobCancellations cancellations;
-    private final JobCompleter completion;
+    private final JobCompleter completer;
 
     /**
-     * Builds the API and has it informed of changes of records.
+     * Creates the API and registers its listener for changes of the watch cache.
      *
-     * @param loop the event loop on which everything here runs
-     * @param store the ways to the store
-     * @param cluster what is known of the cluster
-     * @param policy told of each completion before it is committed
-     * @param admission takes submitted jobs into the next scheduling cycle
+     * @param loop the event loop on which all requests are handled
+     * @param store access to the store
+     * @param cluster the cluster state that requests are answered from
+     * @param policy adds what it records to the transaction of each completion
+     * @param admission admits submitted jobs to the next scheduling cycle
      */
     public UserApi(
             EventLoop loop,
@@ -34,24 +34,30 @@
             JobAdmission admission) {
         this.store = store;
         FinalStates finalStates = new FinalStates(store.client());
-        completion = new JobCompleter(loop, store, cluster, policy, finalStates);
+        completer = new JobCompleter(loop, store, cluster, policy, finalStates);
         queries = new JobQueries(loop, store, cluster.jobs(), finalStates);
-        cancellations = new JobCancellations(loop, store, cluster.jobs(), finalStates, completion);
+        cancellations = new JobCancellations(loop, store, cluster.jobs(), finalStates, completer);
         submissions = new JobSubmissions(loop, store, cluster, admission, finalStates, queries);
-        store.cache().addChangeListener(completion::completeTerminatedJobs);
+        store.cache().addChangeListener(completer::completeTerminatedJobs);
     }
 
-    /** Whether users should be sent here: the store has answered lately and all is read. */
+    /**
+     * Whether this controller can serve users: its lease was confirmed recently and its watch cache
+     * holds all records.
+     */
     public boolean isReady() {
         return store.isReady();
     }
 
     /** Records the final states of jobs whose tasks have all terminated. */
     public void completeTerminatedJobs() {
-        completion.completeTerminatedJobs();
+        completer.completeTerminatedJobs();
     }
 
-    /** Answers a request of a user, now or later; 404 for other paths, 405 for other methods. */
+    /**
+     * Handles a user's request; the response may be sent later. Other paths get 404, other methods
+     * 405.
+     */
     public void handle(IncomingRequest request) {
         String path = request.path;
         if (path.equals(RUNS_PATH)) {
@@ -64,16 +70,16 @@
             request.respondError(404, "no such path");
             return;
         }
-        String rest = path.substring(RUNS_PATH.length() + 1);
-        if (rest.endsWith("/cancel")) {
+        String subPath = path.substring(RUNS_PATH.length() + 1);
+        if (subPath.endsWith("/cancel")) {
             if (requireMethod(request, "POST")) {
                 cancellations.cancel(
-                        rest.substring(0, rest.length() - "/cancel".length()), request);
+                        subPath.substring(0, subPath.length() - "/cancel".length()), request);
             }
-        } else if (rest.indexOf('/') >= 0) {
+        } else if (subPath.indexOf('/') >= 0) {
             request.respondError(404, "no such path");
         } else if (requireMethod(request, "GET")) {
-            queries.query(rest, request);
+            queries.query(subPath, request);
         }
     }
 
--- a/src/test/java/io/quincelead/api/UserApiTest.java
+++ b/src/test/java/io/quincelead/api/UserApiTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The statuses of the users' table, from a real controller. */
+/** Checks the HTTP statuses of the user API against a real controller in a simulated cluster. */
 class UserApiTest {
     private final SimulatedCluster cluster = new SimulatedCluster(1);
     private int status;
     private int retryAfter;
-    private ObjectNode answer;
+    private ObjectNode response;
 
     @BeforeEach
     void start() {
@@ -36,7 +36,7 @@
                 5_000,
                 (responseStatus, responseBody, responseRetryAfter) -> {
                     status = responseStatus;
-                    answer = WireFormat.CBOR.decodeMap(responseBody);
+                    response = WireFormat.CBOR.decodeMap(responseBody);
                     retryAfter = responseRetryAfter;
                 });
         cluster.clock.runUntil(cluster.clock.nowMillis() + 3_000);
@@ -54,19 +54,19 @@
     }
 
     @Test
-    void acceptsOnceAndKnowsARetry() {
+    void repeatedSubmissionReturnsCurrentStatus() {
         assertEquals(201, submit(validJob(1)));
-        assertEquals("pending", answer.path("status").asText());
+        assertEquals("pending", response.path("status").asText());
         assertEquals(200, submit(validJob(1)));
         cluster.clock.runUntil(60_000);
         assertEquals(200, submit(validJob(1)));
-        assertEquals("done", answer.path("status").asText());
+        assertEquals("done", response.path("status").asText());
         assertEquals(200, call("GET", "/v2/runs/wk-000001", null));
-        assertEquals(2, answer.path("done").asInt());
+        assertEquals(2, response.path("done").asInt());
     }
 
     @Test
-    void malformedIs400WithAReason() {
+    void malformedSubmissionReturns400() {
         assertEquals(400, call("POST", "/v2/runs", new byte[] {1, 2, 3}));
         assertEquals(400, call("POST", "/v2/runs", WireFormat.CBOR.encode(WireFormat.newList())));
         assertEquals(400, submit(validJob(2).put("members", 0)));
@@ -94,33 +94,33 @@
                 "preemptible",
                 "runtimeS"
             })
-    void missingFieldIs400AndNamed(String field) {
-        ObjectNode missing = validJob(2);
-        missing.remove(field);
+    void missingFieldReturns400AndIsNamedInError(String field) {
+        ObjectNode submission = validJob(2);
+        submission.remove(field);
 
-        assertEquals(400, submit(missing));
+        assertEquals(400, submit(submission));
 
-        assertTrue(answer.path("error").asText().contains(field));
+        assertTrue(response.path("error").asText().contains(field));
     }
 
     @Test
-    void whatCanNeverRunIs422() {
+    void unsatisfiableJobReturns422() {
         assertEquals(422, submit(validJob(3).put("owner", "green")));
         assertEquals(422, submit(validJob(3).put("vcpus", 17)));
         assertEquals(422, submit(validJob(3).put("site", "nowhere")));
         assertEquals(422, submit(validJob(3).put("mode", "ensemble").put("members", 41)));
-        assertTrue(answer.path("error").asText().contains("members"));
-        ObjectNode apart =
+        assertTrue(response.path("error").asText().contains("members"));
+        ObjectNode spreadInOneZone =
                 validJob(3).put("mode", "ensemble").put("oneZone", true).put("scatter", true);
-        assertEquals(422, submit(apart));
-        assertTrue(answer.path("error").asText().contains("scatter"));
-        ObjectNode shape = validJob(3);
-        shape.putArray("shapes").add("small");
-        assertEquals(422, submit(shape.put("cards", 1)));
+        assertEquals(422, submit(spreadInOneZone));
+        assertTrue(response.path("error").asText().contains("scatter"));
+        ObjectNode gpuJobOnSmallType = validJob(3);
+        gpuJobOnSmallType.putArray("shapes").add("small");
+        assertEquals(422, submit(gpuJobOnSmallType.put("cards", 1)));
     }
 
     @Test
-    void unknownJobsPathsAndMethods() {
+    void unknownJobsPathsAndMethodsAreRejected() {
         assertEquals(404, call("GET", "/v2/runs/wk-123", null));
         assertEquals(404, call("GET", "/v2/runs/nonsense", null));
         assertEquals(
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void cancelIsKept() {
+    void cancellationIsFinalAndIdempotent() {
         assertEquals(201, submit(validJob(4)));
         assertEquals(
                 200,
@@ -150,7 +150,7 @@
                         "POST",
                         "/v2/runs/wk-000004/cancel",
                         WireFormat.CBOR.encode(WireFormat.newMap())));
-        assertEquals("cancelled", answer.path("status").asText());
+        assertEquals("cancelled", response.path("status").asText());
         assertEquals(
                 200,
                 call(
@@ -158,18 +158,18 @@
                         "/v2/runs/wk-000004/cancel",
                         WireFormat.CBOR.encode(WireFormat.newMap())));
         assertEquals(200, call("GET", "/v2/runs/wk-000004", null));
-        assertEquals("cancelled", answer.path("status").asText());
+        assertEquals("cancelled", response.path("status").asText());
     }
 
     @Test
-    void whileTheStoreIsDownUsersAreToldToComeBackAtOnce() {
+    void storeOutageReturns503WithOneSecondRetryAfter() {
         cluster.store.setDown(true);
         cluster.clock.runUntil(cluster.clock.nowMillis() + 10_000);
-        long before = cluster.clock.nowMillis();
+        long startMillis = cluster.clock.nowMillis();
         assertEquals(503, submit(validJob(5)));
         assertEquals(1, retryAfter);
         assertEquals(503, call("GET", "/v2/runs/wk-000001", null));
         assertEquals(503, call("GET", "/ready", null));
-        assertTrue(cluster.clock.nowMillis() - before <= 9_000);
+        assertTrue(cluster.clock.nowMillis() - startMillis <= 9_000);
     }
 }
