--- a/src/main/java/io/quincelead/zone/CandidateMachine.java
+++ b/src/main/java/io/quincelead/zone/CandidateMachine.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * A machine in a zone that is not lost, with its free capacity, and with the capacity that work
- * holds which may be displaced by more urgent work.
+ * A machine in a zone that is not lost, with its free capacity and the capacity used by tasks that
+ * more urgent work may displace.
  */
 final class CandidateMachine {
     private static final double TOLERANCE = 1e-9;
@@ -16,7 +16,7 @@
     private final MachineOffering offering;
     private final Set<String> cachedImages;
 
-    /** What work that may be stopped holds, by the ordinal of that work's priority. */
+    /** Capacity used by displaceable tasks, by the ordinal of the tasks' priority. */
     private final List<Resources> displaceableByPriority;
 
     private Resources free;
@@ -24,12 +24,12 @@
     /** The collections are copied. */
     CandidateMachine(
             String host,
-            MachineOffering offer,
+            MachineOffering offering,
             Resources free,
             List<Resources> displaceableByPriority,
             Set<String> cachedImages) {
         this.host = host;
-        this.offering = offer;
+        this.offering = offering;
         this.free = free;
         this.displaceableByPriority = new ArrayList<>(displaceableByPriority);
         this.cachedImages = new HashSet<>(cachedImages);
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The ordinal of the most urgent priority whose work must be stopped for a replica, when the
-     * least urgent work is stopped first; null if all that may be stopped isn't enough.
+     * The ordinal of the most urgent priority whose tasks must be displaced for a replica, if the
+     * least urgent tasks are displaced first; null if displacing all of them isn't enough.
      */
     Integer displacedPriority(RecoverableService service) {
         Resources available = free;
@@ -77,7 +77,9 @@
         return null;
     }
 
-    /** Takes the capacity for a replica, stopping the least urgent work first if need be. */
+    /**
+     * Allocates the capacity for a replica, displacing the least urgent tasks first if necessary.
+     */
     void allocate(RecoverableService service) {
         Resources missing = service.demand().minus(free);
         for (int priority = displaceableByPriority.size() - 1;
--- a/src/main/java/io/quincelead/zone/MachineOffering.java
+++ b/src/main/java/io/quincelead/zone/MachineOffering.java
@@ -1,14 +1,14 @@
 package io.quincelead.zone;
 
 /**
- * Of what machine type a machine is, in which zone, and whether it is a spot machine.
+ * A machine type in a zone, offered as spot machines or not.
  *
  * @param machineType name of the machine type
- * @param imagePullGbPerSecond how fast it fetches images
+ * @param imagePullGbPerSecond rate at which such a machine fetches images
  */
 record MachineOffering(String machineType, String zone, boolean spot, double imagePullGbPerSecond) {
 
-    /** Whether the service's replicas may run on such a machine. */
+    /** Whether the service's replicas may run on a machine of this offering. */
     boolean allows(RecoverableService service) {
         return (service.machineTypes() == null || service.machineTypes().contains(machineType))
                 && (service.requiredZone() == null || service.requiredZone().equals(zone))
--- a/src/main/java/io/quincelead/zone/MachineVisibility.java
+++ b/src/main/java/io/quincelead/zone/MachineVisibility.java
@@ -1,10 +1,10 @@
 package io.quincelead.zone;
 
-/** What the controllers that own machines know of them by their workers' heartbeats. */
+/** What the owners of machines know about them from the workers' heartbeats. */
 public interface MachineVisibility {
     /**
-     * Whether the machine is still booting; null when its owner wasn't heard recently, or no shard
-     * holds the machine.
+     * Whether the machine is still booting; null if its owner hasn't reported recently, or if no
+     * shard contains the machine.
      */
     Boolean isBooting(String host);
 
--- a/src/main/java/io/quincelead/zone/RecoverableService.java
+++ b/src/main/java/io/quincelead/zone/RecoverableService.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * A service whose replicas may have been lost with their zones.
+ * A service, some of whose replicas may be in lost zones.
  *
  * @param jobClass name of its class; empty when it has none
  * @param classRank rank of its class, lower first
  * @param priority ordinal of its priority, lower is more urgent
  * @param taskCount how many replicas it should have
- * @param survivorsByZone how many it still has, by zone
+ * @param survivorsByZone how many replicas it has outside the lost zones, by zone
  * @param coveredByWindow whether an open calendar window covers it
- * @param demand what one replica needs
+ * @param demand resources that one replica needs
  * @param imageGb size of the image
  * @param machineTypes names of the machine types it may run on; null: all
  * @param requiredZone the one zone it may run in; null: any
--- a/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
+++ b/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
@@ -14,7 +14,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Collects what a recovery plan is computed from, as if some zones were lost now. */
+/**
+ * Collects the inputs of a recovery plan from the cluster state, as if the given zones were lost.
+ */
 final class RecoveryPlanInputs {
     private final ZoneView view;
     private final Set<String> lostZones;
--- a/src/main/java/io/quincelead/zone/RentableType.java
+++ b/src/main/java/io/quincelead/zone/RentableType.java
@@ -1,10 +1,10 @@
 package io.quincelead.zone;
 
 /**
- * A machine type that can be rented in a zone that is not lost.
+ * An offering from which machines can be provisioned in a zone that is not lost.
  *
  * @param capacity of an empty machine
- * @param bootSeconds nominal time until it is up
+ * @param bootSeconds nominal boot time of a machine
  * @param pricePerHour of one machine
  */
 record RentableType(
--- a/src/main/java/io/quincelead/zone/ServiceRebalancer.java
+++ b/src/main/java/io/quincelead/zone/ServiceRebalancer.java
@@ -41,9 +41,9 @@
     }
 
     /**
-     * A move for each service that has too many replicas in one zone while another that came back
-     * has too few, or all of them in one zone. None while a calendar window covers any work, or
-     * while any zone is unavailable or returning.
+     * A move for each service that has too many replicas in one zone and too few in a zone that has
+     * settled, or that has all of its replicas in one zone. No moves while any calendar window is
+     * open, or while any zone is unavailable or returning.
      */
     List<ReplicaMove> findMoves() {
         return view.zones().all().stream().anyMatch(this::isUnsettled)
@@ -51,7 +51,7 @@
                 : findMovesTo(EnumSet.of(ZoneTable.State.SETTLED));
     }
 
-    /** Moves to zones in these states, whatever the states of others. */
+    /** Moves to zones in these states, regardless of the states of other zones. */
     private List<ReplicaMove> findMovesTo(Set<ZoneTable.State> targetStates) {
         List<ReplicaMove> moves = new ArrayList<>();
         if (settings.movesPerMinute() <= 0 || view.cluster().policy().isAnyWindowOpen()) {
@@ -79,7 +79,7 @@
         return view.zones().isUnavailable(zone.name()) || zone.state() == ZoneTable.State.RETURNING;
     }
 
-    /** Whether the job is a service with all of its replicas that may run in several zones. */
+    /** Whether the job is a service that has all of its replicas and may run in several zones. */
     private static boolean isMovable(Job job) {
         JobSpec spec = job.spec;
         return spec.isService()
@@ -90,7 +90,9 @@
                 && job.possiblyRunningTaskCount() == spec.taskCount();
     }
 
-    /** A move of one of the job's replicas; null when none is due. */
+    /**
+     * A move of one of the job's replicas; null if none is needed, or if any replica isn't steady.
+     */
     private ReplicaMove findMove(Job job, Set<String> allZones, Set<String> returnedZones) {
         Map<String, Integer> replicaCountByZone = new TreeMap<>();
         Map<String, Placement> firstReplicaByZone = new HashMap<>();
@@ -130,8 +132,9 @@
     }
 
     /**
-     * Whether a replica runs undisturbed; otherwise it is away already, or has its place but may
-     * not serve yet.
+     * Whether a replica has had time to start serving and is not being stopped. A replica that
+     * isn't steady is stopped or stopping already, or was placed so recently that it may not serve
+     * yet.
      */
     private boolean isSteady(Placement replica, MachineTable.Machine machine) {
         MachineType machineType = view.cluster().machineTypes().get(machine.machineType());
@@ -149,9 +152,9 @@
 
     /**
      * The replicas that would move to a zone if it had free capacity, by zone, as many as would
-     * move within a minute: machines are rented for them. For a returning zone without any machine
-     * it is one: only a machine there can show that the zone holds, and nothing else might ever
-     * rent it.
+     * move within a minute: machines are provisioned for them. For a returning zone without any
+     * machine it is one replica: only a machine there can show that the zone stays up, and nothing
+     * else might ever cause one to be provisioned.
      */
     Map<String, List<JobSpec>> rebalanceDemand() {
         Map<String, List<JobSpec>> specsByZone = new TreeMap<>();
@@ -189,7 +192,10 @@
                 .anyMatch(machine -> machine.zone().equals(zone) && !machine.releasing());
     }
 
-    /** What was lost comes back first: it takes the machines that are rented meanwhile. */
+    /**
+     * Whether a replica of any service is pending. Lost replicas are restored before returning
+     * zones are probed: they take the machines that are provisioned meanwhile.
+     */
     private boolean isAnyReplicaPending() {
         return view.cluster().jobs().all().stream()
                 .anyMatch(
@@ -200,8 +206,9 @@
     }
 
     /**
-     * Whether a machine in the zone is reachable, is of the shard where the job's controller places
-     * it, and has free capacity for one task of the job. The leader places its jobs on all shards.
+     * Whether a machine in the zone is reachable, is in a shard on which the job's owner places its
+     * jobs, and has free capacity for one task of the job. The leader places its jobs on all
+     * shards, other owners on their own.
      */
     boolean hasFreeCapacity(Job job, String zone) {
         boolean isLeadersJob = job.controllerId().equals(view.cluster().membership().leaderId());
@@ -224,7 +231,9 @@
         return false;
     }
 
-    /** {@code load} is null on an empty machine. */
+    /**
+     * Whether a task fits the machine's free capacity; {@code load} is null for an empty machine.
+     */
     private static boolean fits(JobSpec spec, MachineType machineType, MachineLoad load) {
         return machineType.cpus() - (load == null ? 0 : load.cpus()) >= spec.cpus() - 1e-9
                 && machineType.memoryGb() - (load == null ? 0 : load.memoryGb())
--- a/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
+++ b/src/main/java/io/quincelead/zone/ZoneHealthEvaluator.java
@@ -6,17 +6,17 @@
 import io.quincelead.config.constants.ZoneConstants;
 
 /**
- * Decides a zone's next state: a function of its record, an observation and the time alone, the
- * same whoever leads. A zone is lost by evidence only, never by time.
+ * Decides a zone's next state from its record, an observation and the time alone, so that every
+ * leader decides alike. A zone becomes lost by evidence only, never because of elapsed time.
  */
 final class ZoneHealthEvaluator {
     private final double silenceThresholdMillis;
     private final double baseSettleMillis;
 
     /**
-     * @param silenceThresholdMillis longer silence is that of a machine that is dead, hung or cut
-     *     off
-     * @param baseSettleMillis how long a zone that came back must stay up until work is moved to it
+     * @param silenceThresholdMillis a machine that is silent for longer is dead, hung or cut off
+     * @param baseSettleMillis how long a zone that was lost once must stay up after its return
+     *     before work is moved to it
      */
     ZoneHealthEvaluator(double silenceThresholdMillis, double baseSettleMillis) {
         this.silenceThresholdMillis = silenceThresholdMillis;
@@ -24,34 +24,37 @@
     }
 
     /**
-     * The zone's next record; the same one if nothing changes, null when the zone is up and needs
-     * none.
+     * The zone's next record; the same one if nothing changes, null if the zone is up and needs no
+     * record.
      *
-     * @param nowMillis the time on the wall clock, in milliseconds since 1970
+     * @param nowEpochMillis the wall-clock time, in milliseconds since 1970
      */
-    Zone evaluate(Zone zone, ZoneObservation observation, long nowMillis) {
+    Zone evaluate(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         return switch (zone.state()) {
-            case UP -> observation.isUnreachable() ? doubt(zone, observation, nowMillis, "") : zone;
-            case DOUBTFUL -> afterDoubt(zone, observation, nowMillis);
-            case CUT -> afterCut(zone, observation, nowMillis);
-            case LOST -> afterLoss(zone, observation, nowMillis);
-            case RETURNING -> afterReturn(zone, observation, nowMillis);
-            case SETTLED -> afterSettling(zone, observation, nowMillis);
+            case UP ->
+                    observation.isUnreachable()
+                            ? markDoubtful(zone, observation, nowEpochMillis, "")
+                            : zone;
+            case DOUBTFUL -> evaluateDoubtful(zone, observation, nowEpochMillis);
+            case CUT -> evaluateCutOff(zone, observation, nowEpochMillis);
+            case LOST -> evaluateLost(zone, observation, nowEpochMillis);
+            case RETURNING -> evaluateReturning(zone, observation, nowEpochMillis);
+            case SETTLED -> evaluateSettled(zone, observation, nowEpochMillis);
         };
     }
 
-    private Zone afterDoubt(Zone zone, ZoneObservation observation, long nowMillis) {
+    private Zone evaluateDoubtful(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         if (isMostlyGone(zone, observation)) {
-            return markLost(zone, observation, nowMillis);
+            return markLost(zone, observation, nowEpochMillis);
         }
         if (observation.isReachable()) {
-            return recover(zone, nowMillis);
+            return markReachable(zone, nowEpochMillis);
         }
-        long silentMillis = nowMillis - zone.sinceEpochMillis();
+        long silentMillis = nowEpochMillis - zone.sinceEpochMillis();
         return silentMillis > silenceThresholdMillis && observation.isUnreachable()
                 ? zone.withState(
                         State.CUT,
-                        nowMillis,
+                        nowEpochMillis,
                         observation.reachabilitySummary()
                                 + " for "
                                 + Math.round(silentMillis / 1000.0)
@@ -60,61 +63,65 @@
     }
 
     /**
-     * A zone that is cut off is never lost by time: only by the cloud's list, or its response to a
-     * release that somebody decided.
+     * A zone that is cut off never becomes lost because of elapsed time, only by the cloud's list
+     * of machines or by the cloud's response to a release that was decided explicitly.
      */
-    private Zone afterCut(Zone zone, ZoneObservation observation, long nowMillis) {
+    private Zone evaluateCutOff(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         if (isMostlyGone(zone, observation)) {
-            return markLost(zone, observation, nowMillis);
+            return markLost(zone, observation, nowEpochMillis);
         }
-        return observation.isReachable() ? recover(zone, nowMillis) : zone;
+        return observation.isReachable() ? markReachable(zone, nowEpochMillis) : zone;
     }
 
     /**
-     * With no machine left there that could be reachable, new machines are tried when it has been
-     * lost for as long as it must then stay up.
+     * A lost zone returns when its machines are reachable again. If no machine is left there that
+     * could be reachable, it returns once it has been lost for as long as it must then stay up to
+     * settle, so that new machines are tried.
      */
-    private Zone afterLoss(Zone zone, ZoneObservation observation, long nowMillis) {
-        long lostMillis = nowMillis - zone.sinceEpochMillis();
+    private Zone evaluateLost(Zone zone, ZoneObservation observation, long nowEpochMillis) {
+        long lostMillis = nowEpochMillis - zone.sinceEpochMillis();
         if (observation.reachableCount() >= ZoneConstants.MIN_EVALUATED_MACHINES
                 || observation.reachableCount() > 0 && lostMillis > silenceThresholdMillis) {
             return zone.withOperatorOrder(OperatorOrder.NONE)
                     .withState(
                             State.RETURNING,
-                            nowMillis,
+                            nowEpochMillis,
                             observation.reachableCount() + " machines are heard again");
         }
         if (observation.machineCount() == 0 && lostMillis > requiredSettleMillis(zone)) {
             return zone.withOperatorOrder(OperatorOrder.NONE)
-                    .withState(State.RETURNING, nowMillis, "machines may be rented there again");
+                    .withState(
+                            State.RETURNING, nowEpochMillis, "machines may be rented there again");
         }
         return zone;
     }
 
-    private Zone afterReturn(Zone zone, ZoneObservation observation, long nowMillis) {
+    private Zone evaluateReturning(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         if (observation.isUnreachable()) {
-            return doubt(zone, observation, nowMillis, ", again");
+            return markDoubtful(zone, observation, nowEpochMillis, ", again");
         }
         double settleMillis = requiredSettleMillis(zone);
         return observation.reachableCount() > 0
-                        && nowMillis - zone.sinceEpochMillis() > settleMillis
+                        && nowEpochMillis - zone.sinceEpochMillis() > settleMillis
                 ? zone.withState(
                         State.SETTLED,
-                        nowMillis,
+                        nowEpochMillis,
                         "held for " + Math.round(settleMillis / 1000) + " s")
                 : zone;
     }
 
-    private Zone afterSettling(Zone zone, ZoneObservation observation, long nowMillis) {
+    private Zone evaluateSettled(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         if (observation.isUnreachable()) {
-            return doubt(zone, observation, nowMillis, ", again");
+            return markDoubtful(zone, observation, nowEpochMillis, ", again");
         }
-        return nowMillis - zone.sinceEpochMillis() > ZoneConstants.FORGET_LOSS_AFTER_MILLIS
+        return nowEpochMillis - zone.sinceEpochMillis() > ZoneConstants.FORGET_LOSS_AFTER_MILLIS
                 ? null
                 : zone;
     }
 
-    /** The time for which a zone that came back must stay up doubles with each recent loss. */
+    /**
+     * The time for which a returning zone must stay up to settle; it doubles with each recent loss.
+     */
     double requiredSettleMillis(Zone zone) {
         return Math.min(
                 ZoneConstants.MAX_SETTLE_MILLIS,
@@ -128,11 +135,11 @@
                                 * (1 - ZoneConstants.LOST_MACHINES_FRACTION);
     }
 
-    private static Zone markLost(Zone zone, ZoneObservation observation, long nowMillis) {
+    private static Zone markLost(Zone zone, ZoneObservation observation, long nowEpochMillis) {
         return new Zone(
                 zone.name(),
                 State.LOST,
-                nowMillis,
+                nowEpochMillis,
                 zone.machineCountWhenDoubted(),
                 zone.recentLossCount() + 1,
                 zone.machineCountWhenDoubted()
@@ -140,27 +147,30 @@
                         + " of "
                         + zone.machineCountWhenDoubted()
                         + " machines are gone by the cloud's word",
-                // An order to release applies to the rest of the zone's machines too; an order to
-                // hold has no use any more.
+                // An order to release still applies to the zone's remaining machines; an order to
+                // hold has no effect any more.
                 zone.operatorOrder() == OperatorOrder.RELEASE
                         ? OperatorOrder.RELEASE
                         : OperatorOrder.NONE);
     }
 
-    /** It was only silent: what ran there has run on, and nothing needs to be restored. */
-    private static Zone recover(Zone zone, long nowMillis) {
+    /**
+     * The next record of a zone that was only silent: its tasks kept running, and nothing needs to
+     * be restored.
+     */
+    private static Zone markReachable(Zone zone, long nowEpochMillis) {
         return zone.recentLossCount() == 0
                 ? null
                 : zone.withOperatorOrder(OperatorOrder.NONE)
-                        .withState(State.SETTLED, nowMillis, "heard again, nothing was lost");
+                        .withState(State.SETTLED, nowEpochMillis, "heard again, nothing was lost");
     }
 
-    private static Zone doubt(
-            Zone zone, ZoneObservation observation, long nowMillis, String reasonSuffix) {
+    private static Zone markDoubtful(
+            Zone zone, ZoneObservation observation, long nowEpochMillis, String reasonSuffix) {
         return new Zone(
                 zone.name(),
                 State.DOUBTFUL,
-                nowMillis,
+                nowEpochMillis,
                 observation.machineCount(),
                 zone.recentLossCount(),
                 observation.reachabilitySummary() + reasonSuffix,
--- a/src/main/java/io/quincelead/zone/ZoneObservation.java
+++ b/src/main/java/io/quincelead/zone/ZoneObservation.java
@@ -3,14 +3,15 @@
 import io.quincelead.config.constants.ZoneConstants;
 
 /**
- * What is seen of a zone's machines at one time.
+ * How many of a zone's machines are reachable at one point in time.
  *
- * @param machineCount machines on record there that are up, or were
- * @param knownCount those of them whose owners were heard recently
+ * @param machineCount machines on record in the zone that are up or were up before
+ * @param knownCount those of them whose owners have reported recently
  * @param reachableCount those of the known ones whose heartbeats reach their owners
  * @param remainingCount machines that the zone had when it first became doubtful and that are still
  *     on record; while it is up, all of them
- * @param otherZonesReachable whether other zones are heard, so that the fault isn't the observer's
+ * @param otherZonesReachable whether another zone is reachable, so that the fault isn't on the
+ *     observer's side
  */
 record ZoneObservation(
         int machineCount,
@@ -19,7 +20,7 @@
         int remainingCount,
         boolean otherZonesReachable) {
 
-    /** Whether hardly a machine is reachable, as far as enough is known to say so. */
+    /** Whether hardly any machine is reachable; false if too little is known to conclude that. */
     boolean isUnreachable() {
         boolean isConclusive =
                 otherZonesReachable
@@ -28,12 +29,12 @@
         return isConclusive && reachableCount < knownCount * ZoneConstants.MIN_HEARD_FRACTION;
     }
 
-    /** Whether half of the known machines are reachable, and one at least. */
+    /** Whether half of the known machines (rounded down) are reachable, and at least one. */
     boolean isReachable() {
         return reachableCount >= Math.max(1, knownCount / 2);
     }
 
-    /** The evidence in words, as zone records have it. */
+    /** The evidence as text, as it is stored in zone records. */
     String reachabilitySummary() {
         return reachableCount + " of " + knownCount + " machines are heard";
     }
--- a/src/main/java/io/quincelead/zone/ZoneObserver.java
+++ b/src/main/java/io/quincelead/zone/ZoneObserver.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what is seen of each zone's machines. */
+/** Counts each zone's machines and how many of them are reachable. */
 final class ZoneObserver {
     private static final class Counts {
         private int machines;
@@ -24,7 +24,7 @@
         this.view = view;
     }
 
-    /** What is seen of every zone that has machines or a record, by name. */
+    /** The observation of every zone that has machines or a record, by the zone's name. */
     Map<String, ZoneObservation> observe() {
         Map<String, Counts> countsByZone = new TreeMap<>();
         view.zones().all().forEach(zone -> countsByZone.put(zone.name(), new Counts()));
--- a/src/main/java/io/quincelead/zone/ZoneOperatorApi.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorApi.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What operators ask and order about zones. */
+/** Answers the operators' queries about zones and records their orders. */
 public final class ZoneOperatorApi {
-    private final boolean isWatched;
+    private final boolean isRecoveryEnabled;
     private final ZoneView view;
     private final OperatorApi operatorApi;
 
     /**
      * Registers the commands about zones.
      *
-     * @param isWatched whether zone recovery is turned on; otherwise orders are refused
+     * @param isRecoveryEnabled whether zone recovery is turned on; otherwise orders are rejected
      */
-    public ZoneOperatorApi(boolean isWatched, ZoneView view, OperatorApi operatorApi) {
-        this.isWatched = isWatched;
+    public ZoneOperatorApi(boolean isRecoveryEnabled, ZoneView view, OperatorApi operatorApi) {
+        this.isRecoveryEnabled = isRecoveryEnabled;
         this.view = view;
         this.operatorApi = operatorApi;
         operatorApi.register("/ops/zones/list", this::listZones);
@@ -38,7 +38,7 @@
                         applyOrder(request, responder, ZoneTable.OperatorOrder.RELEASE));
     }
 
-    /** All zones of the catalog, of machines and on record, sorted. */
+    /** The names of all zones in the machine type catalog, of machines and on record, sorted. */
     private Set<String> zoneNames() {
         Set<String> names = new TreeSet<>();
         view.cluster()
@@ -65,17 +65,17 @@
                     new ZoneOperatorCodec.ZoneStatus(
                             view.zones().get(name), machineCount, reachableCount));
         }
-        responder.respondOk(ZoneOperatorCodec.encodeList(isWatched, zones));
+        responder.respondOk(ZoneOperatorCodec.encodeList(isRecoveryEnabled, zones));
     }
 
     /**
-     * Records an order; the controllers that own machines there follow it, and it ends when the
-     * zone is reachable again or lost.
+     * Records an order, which the owners of the zone's machines follow. An order ends when the zone
+     * is reachable again; an order to hold also ends when the zone is lost.
      */
     private void applyOrder(
             ObjectNode request, OperatorApi.Responder responder, ZoneTable.OperatorOrder order) {
         String name = ZoneOperatorCodec.decodeZone(request);
-        if (!isWatched) {
+        if (!isRecoveryEnabled) {
             responder.respondError(
                     409,
                     "zones aren't watched here: the operators' settings turn it on (zones.on)");
@@ -118,7 +118,7 @@
         return "there is no zone \"" + name + "\"; there are " + zoneNames();
     }
 
-    /** Replicas of services that run, or may run, on machines of the zone. */
+    /** The number of service replicas that run, or may still run, on machines of the zone. */
     private int countReplicas(String zone) {
         int replicas = 0;
         for (MachineTable.Machine machine : view.cluster().machines().all()) {
@@ -136,7 +136,10 @@
         return replicas;
     }
 
-    /** Plans as things are, or as if the named zones were lost now. */
+    /**
+     * Plans the recovery from the zones that are unavailable, as if the zones named in the request
+     * were lost as well.
+     */
     private void planRecovery(ObjectNode request, OperatorApi.Responder responder) {
         List<String> namedZones = ZoneOperatorCodec.decodeLostZones(request);
         for (String name : namedZones) {
--- a/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
@@ -11,9 +11,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The operators' requests about zones and the responses. */
+/** Decodes the operators' requests about zones and encodes the responses. */
 final class ZoneOperatorCodec {
-    /** A zone as operators see it, with its machines on record and those that are reachable. */
+    /**
+     * A zone's status for operators, with the numbers of its machines on record and of those that
+     * are reachable.
+     */
     record ZoneStatus(ZoneTable.Zone zone, long machineCount, long reachableCount) {}
 
     private ZoneOperatorCodec() {}
@@ -27,7 +30,7 @@
         return request.path("dryRun").asBoolean();
     }
 
-    /** The zones that a plan takes for lost, as named in the request. */
+    /** The zones that a plan assumes to be lost, as named in the request. */
     static List<String> decodeLostZones(ObjectNode request) {
         List<String> zones = new ArrayList<>();
         for (JsonNode zone : request.path("lost")) {
@@ -44,8 +47,8 @@
         return order.name().toLowerCase(Locale.ROOT);
     }
 
-    static ObjectNode encodeList(boolean isWatched, List<ZoneStatus> zones) {
-        ObjectNode response = WireFormat.newMap().put("watched", isWatched);
+    static ObjectNode encodeList(boolean isRecoveryEnabled, List<ZoneStatus> zones) {
+        ObjectNode response = WireFormat.newMap().put("watched", isRecoveryEnabled);
         ArrayNode list = response.putArray("list");
         for (ZoneStatus status : zones) {
             ZoneTable.Zone zone = status.zone;
@@ -62,7 +65,7 @@
         return response;
     }
 
-    /** The response to an order; {@code state}: what came of it, in words. */
+    /** The response to an order; {@code state} is a text that says what was done. */
     static ObjectNode encodeOrder(int replicasInside, ZoneTable.OperatorOrder order, String state) {
         return WireFormat.newMap()
                 .put("replicasInside", replicasInside)
@@ -70,7 +73,9 @@
                 .put("state", state);
     }
 
-    /** {@code isCurrentState}: whether no zone was named in the request. */
+    /**
+     * The response to a plan request; {@code isCurrentState}: whether the request named no zone.
+     */
     static ObjectNode encodePlan(
             Set<String> lostZones, boolean isCurrentState, List<RecoveryStep> steps) {
         ObjectNode response =
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -19,10 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Zone recovery by the leader: records zones' states, restores the spread of services when a zone
- * that came back has settled, by moves at a stated pace, and records which large images machines
- * have. One change is made at a time; each has the preconditions that this controller still leads
- * and that the records it was decided from are unchanged.
+ * Zone recovery by the leader: records zones' states, restores the zone spread of services by moves
+ * at a configured rate once a returning zone has settled, and records which large images machines
+ * have cached. Changes are committed one at a time. Each has the preconditions that this controller
+ * still leads and that the records on which the change was decided are unchanged.
  */
 public final class ZoneRecoveryController {
     private static final Logger LOG = LoggerFactory.getLogger(ZoneRecoveryController.class);
@@ -40,10 +40,9 @@
     private long imagesRecordedAtMillis;
 
     /**
-     * Starts the recovery passes; nothing is done in them until this controller leads.
+     * Schedules the recovery passes; they do nothing while this controller isn't the leader.
      *
-     * @param silenceThresholdMillis longer silence is that of a machine that is dead, hung or cut
-     *     off
+     * @param silenceThresholdMillis a machine that is silent for longer is dead, hung or cut off
      */
     public ZoneRecoveryController(
             EventLoop eventLoop,
@@ -66,7 +65,7 @@
 
     /**
      * The replicas that would move to a zone if it had free capacity, by zone, as many as would
-     * move within a minute: machines are rented for them. Never null.
+     * move within a minute: machines are provisioned for them. Never null.
      */
     public Map<String, List<JobSpec>> rebalanceDemand() {
         return rebalancer.rebalanceDemand();
@@ -105,12 +104,15 @@
                 });
     }
 
-    /** Adds the precondition that the record is still the one that the decision was made from. */
+    /** Adds the precondition that the record on which the change was decided is unchanged. */
     private Transaction requireUnchanged(Transaction transaction, String storeKey) {
         return transaction.requireRevision(storeKey, view.watchCache().modRevision(storeKey));
     }
 
-    /** Records the next state of the first zone whose state changes; null when none does. */
+    /**
+     * A transaction that records the next state of the first zone whose state changes; null if none
+     * does.
+     */
     private Transaction proposeStateChange() {
         for (Map.Entry<String, ZoneObservation> entry : observer.observe().entrySet()) {
             ZoneTable.Zone current = view.zones().get(entry.getKey());
@@ -136,8 +138,9 @@
     }
 
     /**
-     * Stops one replica, which then starts where the fewest are; null when none should be. At most
-     * one replica of a service is away at a time, and only where free capacity waits for it.
+     * A transaction that requests the stop of one replica, which then starts in the zone with the
+     * fewest replicas; null if no move is due. At most one replica of a service is unavailable at a
+     * time, and only if there is free capacity for it in the zone that it moves to.
      */
     private Transaction proposeMove() {
         if (eventLoop.nowMillis() - movedAtMillis
@@ -167,8 +170,8 @@
     }
 
     /**
-     * Records which large images the machines of one record have, when the store has writes to
-     * spare; null when nothing has changed.
+     * A transaction that records which large images the machines of one record have cached; null if
+     * nothing has changed, if it isn't due yet, or if there is backpressure on store writes.
      */
     private Transaction proposeImageRecord() {
         if (eventLoop.nowMillis() - imagesRecordedAtMillis
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
@@ -10,16 +10,17 @@
 import java.util.Set;
 
 /**
- * Which services recover first after a loss, and where their capacity comes from. It is computed
- * from what is passed in, and touches nothing else.
+ * Plans in which order services recover after a loss of zones, and where their capacity comes from.
+ * The plan is computed from the arguments alone, and nothing else is changed.
  *
- * <p>Order: by class rank, then one replica of every service before any second, then by the
- * fraction that is up, then those covered by an open window. Capacity, in this order: free capacity
- * where the image is; free capacity elsewhere, with the fetch; work that may be displaced, least
- * urgent first; renting in the zones left; none.
+ * <p>Order of services: by class rank, then one replica of every service before any second, then by
+ * the fraction of replicas that is up, then those covered by an open window first. Sources of
+ * capacity, in this order: free capacity on machines that have the image; free capacity elsewhere,
+ * with the image fetch; displaceable work, least urgent first; newly provisioned machines in the
+ * zones that are not lost; none.
  */
 final class ZoneRecoveryPlan {
-    /** A service on its way back. */
+    /** A service with its surviving replicas and those planned so far. */
     private static final class Recovery {
         private final RecoverableService service;
         private final Map<String, Integer> replicasByZone;
@@ -41,8 +42,9 @@
         }
     }
 
-    /** Where a replica's capacity comes from; {@code readySeconds}: until the machine is up. */
-    private record Source(CandidateMachine machine, String method, double readySeconds) {}
+    /** Where a replica's capacity comes from; {@code bootSeconds}: time until the machine is up. */
+    private record CapacitySource(
+            CandidateMachine machine, String description, double bootSeconds) {}
 
     private static final Comparator<Recovery> RECOVERY_ORDER =
             Comparator.comparingInt((Recovery recovery) -> recovery.service.classRank())
@@ -56,7 +58,7 @@
     private final List<CandidateMachine> machines;
     private final List<RentableType> rentableTypes;
     private final List<RecoveryStep> steps = new ArrayList<>();
-    private int rentedCount;
+    private int provisionedCount;
 
     private ZoneRecoveryPlan(List<CandidateMachine> machines, List<RentableType> rentableTypes) {
         this.machines = new ArrayList<>(machines);
@@ -64,20 +66,20 @@
     }
 
     /**
-     * Plans the way back of all missing replicas.
+     * Plans the recovery of all missing replicas.
      *
-     * @param machines the machines in zones that are not lost; their capacity is used up
+     * @param machines the machines in zones that are not lost; the plan allocates their capacity
      */
     static List<RecoveryStep> compute(
             List<RecoverableService> services,
             List<CandidateMachine> machines,
             List<RentableType> rentableTypes) {
         ZoneRecoveryPlan plan = new ZoneRecoveryPlan(machines, rentableTypes);
-        plan.recover(services.stream().map(Recovery::new).toList());
+        plan.planSteps(services.stream().map(Recovery::new).toList());
         return plan.steps;
     }
 
-    private void recover(List<Recovery> recoveries) {
+    private void planSteps(List<Recovery> recoveries) {
         while (true) {
             Recovery next =
                     recoveries.stream()
@@ -90,7 +92,7 @@
                 return;
             }
             next.replicaCount++;
-            Source source = findSource(next);
+            CapacitySource source = findSource(next);
             if (source == null) {
                 addUnavailable(next);
             } else {
@@ -99,22 +101,22 @@
         }
     }
 
-    /** Null when there is no capacity for another replica. */
-    private Source findSource(Recovery recovery) {
+    /** The capacity for another replica of the service; null if there is none. */
+    private CapacitySource findSource(Recovery recovery) {
         CandidateMachine machine = bestWithFreeCapacity(recovery);
         if (machine != null) {
-            String method =
+            String description =
                     machine.hasImage(recovery.service) ? "free room, weights there" : "free room";
-            return new Source(machine, method, 0);
+            return new CapacitySource(machine, description, 0);
         }
         machine = bestByDisplacing(recovery);
         if (machine != null) {
-            return new Source(machine, "displaces other work", 0);
+            return new CapacitySource(machine, "displaces other work", 0);
         }
-        return rent(recovery);
+        return provision(recovery);
     }
 
-    private void addStep(Recovery recovery, Source source) {
+    private void addStep(Recovery recovery, CapacitySource source) {
         RecoverableService service = recovery.service;
         CandidateMachine machine = source.machine;
         double fetchGb = machine.hasImage(service) ? 0 : service.imageGb();
@@ -126,10 +128,10 @@
                         service.jobId(),
                         service.jobClass(),
                         recovery.replicaCount,
-                        source.method,
+                        source.description,
                         machine.host() + " in " + machine.zone(),
                         fetchGb,
-                        source.readySeconds + machine.offering().fetchSeconds(fetchGb),
+                        source.bootSeconds + machine.offering().fetchSeconds(fetchGb),
                         recovery.replicaCount == 1
                                 ? "no replica is left"
                                 : recovery.replicaCount
@@ -166,7 +168,8 @@
                         Comparator.comparing(
                                         (CandidateMachine machine) -> !machine.hasImage(service))
                                 .thenComparing(machine -> recovery.replicasIn(machine.zone()))
-                                // Machines with other services' images are left to those.
+                                // Machines that have other services' images are left to those
+                                // services.
                                 .thenComparing(
                                         machine ->
                                                 machine.hasImage(service)
@@ -196,8 +199,8 @@
                 .orElse(null);
     }
 
-    /** Adds the cheapest machine that can be rented for a replica; null when there is none. */
-    private Source rent(Recovery recovery) {
+    /** Adds the cheapest machine that can be provisioned for a replica; null if there is none. */
+    private CapacitySource provision(Recovery recovery) {
         RecoverableService service = recovery.service;
         RentableType type =
                 rentableTypes.stream()
@@ -220,17 +223,17 @@
         }
         CandidateMachine machine =
                 new CandidateMachine(
-                        "new " + type.offering().machineType() + " " + ++rentedCount,
+                        "new " + type.offering().machineType() + " " + ++provisionedCount,
                         type.offering(),
                         type.capacity(),
                         Collections.nCopies(JobSpec.Priority.values().length, Resources.NONE),
                         Set.of());
         machines.add(machine);
-        return new Source(
+        return new CapacitySource(
                 machine, type.offering().spot() ? "rented, cheap" : "rented", type.bootSeconds());
     }
 
-    /** What keeps the service from another replica, in words. */
+    /** The constraint that prevents another replica of the service, as text. */
     private String bindingConstraint(Recovery recovery) {
         RecoverableService service = recovery.service;
         if (service.requiredZone() != null
--- a/src/main/java/io/quincelead/zone/ZoneView.java
+++ b/src/main/java/io/quincelead/zone/ZoneView.java
@@ -5,12 +5,12 @@
 import io.quincelead.store.WatchCache;
 
 /**
- * What zones are judged and restored from. None of the components is null.
+ * The state from which zones are evaluated and their recovery is planned. No component is null.
  *
  * @param cluster the cluster as this controller's watch cache shows it
- * @param watchCache the records' revisions
- * @param zones the zones that are not simply up
- * @param visibility what the owners of machines see of them
+ * @param watchCache the mod revisions of the records
+ * @param zones the zones on record; a zone without a record is up
+ * @param visibility what the owners of machines know about them
  */
 public record ZoneView(
         ClusterView cluster,
--- a/src/test/java/io/quincelead/zone/ZoneHealthEvaluatorTest.java
+++ b/src/test/java/io/quincelead/zone/ZoneHealthEvaluatorTest.java
@@ -24,19 +24,20 @@
     }
 
     /**
-     * Whatever is seen: lost only by the cloud's word, never by time; from cut alone or from doubt;
-     * nothing is judged by who hears nobody.
+     * For any sequence of observations, a zone becomes lost only by evidence of the cloud, never
+     * because of elapsed time, and only from DOUBTFUL or CUT. That an observer which reaches no
+     * other zone concludes nothing is checked by {@link #inconclusiveObservationKeepsState}.
      */
     @Property(tries = 300, seed = "5")
-    void zoneIsLostOnlyByTheCloudsWord(
+    void zoneIsLostOnlyByCloudEvidence(
             @ForAll @Size(min = 5, max = 60)
                     List<@IntRange(min = 0, max = 10) Integer> reachableCounts,
             @ForAll @IntRange(min = 0, max = 3) int goneQuarters) {
         Zone zone = Zone.up("a");
         int remainingCount = 10;
-        long nowMillis = 0;
+        long nowEpochMillis = 0;
         for (int i = 0; i < reachableCounts.size() && zone != null; i++) {
-            nowMillis += 7_000;
+            nowEpochMillis += 7_000;
             remainingCount = i > reachableCounts.size() / 2 ? 10 - goneQuarters * 10 / 4 : 10;
             Zone next =
                     evaluator.evaluate(
@@ -45,20 +46,20 @@
                                     10,
                                     Math.min(reachableCounts.get(i), remainingCount),
                                     remainingCount),
-                            nowMillis);
+                            nowEpochMillis);
             if (next != null && next.state() == State.LOST && zone.state() != State.LOST) {
                 assertTrue(remainingCount <= 5, "lost with " + remainingCount + " of 10 left");
                 assertTrue(zone.state() == State.DOUBTFUL || zone.state() == State.CUT);
             }
             if (next != null && next.state() == State.SETTLED && zone.state() == State.RETURNING) {
-                assertTrue(nowMillis - zone.sinceEpochMillis() > 60_000);
+                assertTrue(nowEpochMillis - zone.sinceEpochMillis() > 60_000);
             }
             zone = next;
         }
     }
 
     @Test
-    void onlookerThatReachesNobodyChangesNoState() {
+    void inconclusiveObservationKeepsState() {
         Zone zone = Zone.up("a");
         assertEquals(
                 zone, evaluator.evaluate(zone, new ZoneObservation(10, 10, 0, 10, false), 1_000));
@@ -69,7 +70,7 @@
     }
 
     @Test
-    void flappingZoneMustHoldLongerToSettle() {
+    void flappingZoneNeedsLongerSettleTime() {
         Zone flappedOnce =
                 new Zone("a", State.RETURNING, 0, 10, 1, "", ZoneTable.OperatorOrder.NONE);
         assertEquals(
--- a/src/test/java/io/quincelead/zone/ZoneRecoveryPlanTest.java
+++ b/src/test/java/io/quincelead/zone/ZoneRecoveryPlanTest.java
@@ -70,7 +70,7 @@
                                         1)));
         assertEquals(
                 List.of("z 1", "b 1", "b 2", "a 2", "b 3"),
-                plan.stream().map(s -> s.jobId() + " " + s.replicaNumber()).toList());
+                plan.stream().map(step -> step.jobId() + " " + step.replicaNumber()).toList());
         assertEquals(
                 List.of(
                         "free room",
@@ -95,9 +95,9 @@
         assertTrue(
                 plan.stream()
                         .allMatch(
-                                s ->
-                                        s.etaSeconds() < 0
-                                                && s.reason()
+                                step ->
+                                        step.etaSeconds() < 0
+                                                && step.reason()
                                                         .equals(
                                                                 "at most 2 of its replicas may be"
                                                                         + " in one zone")),
