--- a/src/main/java/io/quincelead/peer/PeerMessageCodec.java
+++ b/src/main/java/io/quincelead/peer/PeerMessageCodec.java
@@ -9,14 +9,14 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The messages between controllers on the wire: their paths, and their JSON both ways. */
+/** Encodes and decodes the messages between controllers as JSON, and defines their paths. */
 final class PeerMessageCodec {
     static final String MISROUTED_WORKER_PATH = "/peer/stray";
     static final String STATUS_PATH = "/peer/news";
 
     private PeerMessageCodec() {}
 
-    /** Parses any message; null where it isn't one, with the name of its sender. */
+    /** Parses any message; null if the body is no JSON object with the sender's member id. */
     static ObjectNode parse(byte[] body) {
         ObjectNode message = WireFormat.JSON.decodeMap(body);
         return message == null || !message.path("from").isTextual() ? null : message;
@@ -51,7 +51,10 @@
                 message.path("term").asLong());
     }
 
-    /** Encodes a status straight from the shard's workers, of which there may be thousands. */
+    /**
+     * Encodes a status directly from the shard's workers, without an intermediate {@link
+     * PeerStatus}: there may be thousands of workers.
+     */
     static byte[] encodeStatus(
             String senderId, long leaseId, long sequence, Iterable<ShardWorker> workers) {
         ObjectNode message =
--- a/src/main/java/io/quincelead/peer/PeerMessenger.java
+++ b/src/main/java/io/quincelead/peer/PeerMessenger.java
@@ -17,43 +17,48 @@
 import java.util.function.Supplier;
 
 /**
- * Notifies the leader of misrouted workers and of the status of this controller's machines, and
- * takes the same from others. All of it is advice: no safety rule depends on what travels here.
+ * Sends the leader reports of misrouted workers and the status of this controller's machines, and
+ * receives both from other controllers. All of it is advisory: no safety rule depends on these
+ * messages.
  */
 public final class PeerMessenger {
     private final EventLoop eventLoop;
     private final Settings settings;
     private final ClusterMembership membership;
     private final Transport transport;
-    private final Consumer<MisroutedWorker> localLeader;
+    private final Consumer<MisroutedWorker> misroutedWorkerListener;
     private final Supplier<Iterable<ShardWorker>> localWorkers;
     private final Map<String, PeerStatus> statusByMember = new HashMap<>();
     private long lastSentSequence;
-    private long acknowledgedAtMillis = Long.MIN_VALUE / 2;
+    private long statusAcknowledgedAtMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Starts to send the status periodically, first one interval later.
+     * Schedules the periodic sending of the status, the first one interval later.
      *
-     * @param localLeader takes misrouted workers where this controller leads, and ignores them else
-     * @param localWorkers the workers of this controller's shard, at each call
+     * @param misroutedWorkerListener called with each misrouted worker that is reported to this
+     *     controller; must ignore it while this controller is not the leader
+     * @param localWorkers returns the current workers of this controller's shard
      */
     public PeerMessenger(
             EventLoop eventLoop,
             Settings settings,
             ClusterMembership membership,
             Transport transport,
-            Consumer<MisroutedWorker> localLeader,
+            Consumer<MisroutedWorker> misroutedWorkerListener,
             Supplier<Iterable<ShardWorker>> localWorkers) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.membership = membership;
         this.transport = transport;
-        this.localLeader = localLeader;
+        this.misroutedWorkerListener = misroutedWorkerListener;
         this.localWorkers = localWorkers;
         eventLoop.runEvery(PeerConstants.STATUS_INTERVAL_MILLIS, this::sendStatusToLeader);
     }
 
-    /** Takes another controller's message and answers 200, 400 if it is none, 404 if unknown. */
+    /**
+     * Handles another controller's message. Responds with status 200, with 400 if the body is not a
+     * message, or with 404 if the path is unknown.
+     */
     public void handle(IncomingRequest request) {
         ObjectNode message = PeerMessageCodec.parse(request.body);
         if (message == null) {
@@ -62,7 +67,7 @@
         }
         switch (request.path) {
             case PeerMessageCodec.MISROUTED_WORKER_PATH -> {
-                localLeader.accept(PeerMessageCodec.decodeMisroutedWorker(message));
+                misroutedWorkerListener.accept(PeerMessageCodec.decodeMisroutedWorker(message));
                 request.respond(200, WireFormat.JSON, WireFormat.newMap(), 0);
             }
             case PeerMessageCodec.STATUS_PATH -> {
@@ -86,29 +91,30 @@
         }
     }
 
-    /** A member's latest status; null where there is none or it is too old. */
+    /** A member's latest status; null if there is none or it is no longer valid. */
     private PeerStatus validStatus(String memberId) {
         PeerStatus status = statusByMember.get(memberId);
         return status != null && status.isValidAt(eventLoop.nowMillis()) ? status : null;
     }
 
     /**
-     * Whether the leader has taken this controller's status recently: without it, the leader places
-     * nothing on this controller's machines.
+     * Whether the leader recently accepted this controller's status; without a recent status, the
+     * leader places no tasks on this controller's machines.
      */
     public boolean isStatusAcknowledgedByLeader() {
-        return eventLoop.nowMillis() - acknowledgedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
+        return eventLoop.nowMillis() - statusAcknowledgedAtMillis
+                < PeerConstants.STATUS_VALID_MILLIS;
     }
 
-    /** Whether the machine's owner reported recently that it may get tasks. */
+    /** Whether the machine's owner recently reported that the machine may get tasks. */
     public boolean isReportedSchedulable(String owner, String host) {
         PeerStatus status = validStatus(owner);
         return status != null && status.schedulableHosts().contains(host);
     }
 
     /**
-     * Whether the machine's owner reported recently that it has not come up yet; null without such
-     * a report, or where {@code owner} is null.
+     * Whether the machine is still booting by its owner's status; null if there is no valid status
+     * of the owner, or {@code owner} is null.
      */
     public Boolean reportedBooting(String owner, String host) {
         PeerStatus status = validStatus(owner);
@@ -116,12 +122,12 @@
     }
 
     /**
-     * Brings a misrouted worker to the leader's notice, once: a lost message isn't repeated, for
-     * the worker sends further heartbeats.
+     * Reports a misrouted worker to the leader once. A lost message is not retried, because the
+     * worker's next heartbeats cause further reports.
      */
     public void reportMisroutedWorker(MisroutedWorker worker) {
         if (settings.memberId().equals(membership.leaderId())) {
-            localLeader.accept(worker);
+            misroutedWorkerListener.accept(worker);
             return;
         }
         sendToLeader(
@@ -144,10 +150,10 @@
         sendToLeader(
                 PeerMessageCodec.STATUS_PATH,
                 status,
-                () -> acknowledgedAtMillis = eventLoop.nowMillis());
+                () -> statusAcknowledgedAtMillis = eventLoop.nowMillis());
     }
 
-    /** Does nothing while there is no leader, or its address isn't known. */
+    /** Sends a message to the leader; does nothing if the leader or its address is unknown. */
     private void sendToLeader(String path, byte[] message, Runnable onAccepted) {
         ClusterMembership.Member leader =
                 membership.leaderId() == null ? null : membership.member(membership.leaderId());
--- a/src/main/java/io/quincelead/peer/PeerStatus.java
+++ b/src/main/java/io/quincelead/peer/PeerStatus.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * What a controller said of its shard's machines. They are named one by one, for a machine that was
- * assigned since isn't known to be up.
+ * The status of a shard's machines as reported by its controller. The machines are listed
+ * individually because a machine that was assigned after the report is not known to be up.
  *
- * @param receivedAtMillis when it arrived, by the event loop's clock
- * @param leaseId the sender's membership lease; 0: its member record wasn't known to it
- * @param sequence rises with every status of one process
+ * @param receivedAtMillis when the status was received, by the event loop's clock
+ * @param leaseId the sender's membership lease; 0 if the sender did not know its own member record
+ * @param sequence increases with every status of one process
  * @param schedulableHosts machines that may get tasks
- * @param bootingHosts machines whose worker hasn't sent a heartbeat yet
+ * @param bootingHosts machines whose worker has not sent a heartbeat yet
  */
 record PeerStatus(
         long receivedAtMillis,
@@ -19,14 +19,14 @@
         long sequence,
         Set<String> schedulableHosts,
         Set<String> bootingHosts) {
-    /** Whether it is recent enough to be acted on. */
+    /** Whether the status is recent enough to act on. */
     boolean isValidAt(long nowMillis) {
         return nowMillis - receivedAtMillis < PeerConstants.STATUS_VALID_MILLIS;
     }
 
     /**
-     * Whether it was sent after another of the same controller: what the same process or its
-     * predecessor sent before may arrive after what is sent now.
+     * Whether this status was sent after the previously received one of the same controller.
+     * Statuses of one process, or of it and its predecessor, may arrive out of order.
      */
     boolean supersedes(PeerStatus previous) {
         return leaseId == 0
--- a/src/main/java/io/quincelead/peer/package-info.java
+++ b/src/main/java/io/quincelead/peer/package-info.java
@@ -1,13 +1,14 @@
 /**
  * Messages between controllers, in JSON.
  *
- * <p>Duty: tell the leader of misrouted workers and of which machines may get tasks or still boot,
- * and, on the leader, tell the other parts of the controller what it has been told.
+ * <p>Duty: report to the leader the misrouted workers and which machines may get tasks or are still
+ * booting; on the leader, make the received reports available to the controller's other components.
  *
- * <p>Owned state: each other controller's latest status, with the time it came, and when the leader
- * last took ours; in memory alone.
+ * <p>Owned state, in memory only: each other controller's latest status with the time it was
+ * received, and when the leader last accepted this controller's status.
  *
- * <p>What it must not do: carry anything that safety rests on. A message may be lost, repeated or
- * late; what it says is advice with an age, never evidence, and nothing here writes to the store.
+ * <p>What it must not do: carry anything that a safety rule depends on. A message may be lost,
+ * repeated or late; its content is advice with an age, never evidence, and no code in this package
+ * writes to the store.
  */
 package io.quincelead.peer;
--- a/src/test/java/io/quincelead/peer/PeerMessageCodecTest.java
+++ b/src/test/java/io/quincelead/peer/PeerMessageCodecTest.java
@@ -60,7 +60,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{", "{}", "{\"from\":7}", "{\"host\":\"m-7\"}"})
-    void whatNamesNoSenderIsNoMessage(String body) {
+    void messageWithoutASenderIsRejected(String body) {
         assertNull(PeerMessageCodec.parse(bytes(body)));
     }
 }
--- a/src/test/java/io/quincelead/peer/PeerStatusTest.java
+++ b/src/test/java/io/quincelead/peer/PeerStatusTest.java
@@ -21,7 +21,7 @@
         "4, 99, false",
         "0, 1, true"
     })
-    void supersedesWhatWasSentBefore(long leaseId, long sequence, boolean expected) {
+    void supersedesEarlierStatus(long leaseId, long sequence, boolean expected) {
         PeerStatus previous = status(0, 5, 8);
 
         assertEquals(expected, status(0, leaseId, sequence).supersedes(previous));
