--- a/src/main/java/io/quincelead/leadership/FencingTokenCounter.java
+++ b/src/main/java/io/quincelead/leadership/FencingTokenCounter.java
@@ -5,11 +5,14 @@
 import io.quincelead.store.WatchCache;
 import io.quincelead.transport.WireFormat;
 
-/** The store's one ever-rising counter that all fencing tokens come from, and its record's form. */
+/** The store's single monotonic counter, from which all fencing tokens are taken. */
 final class FencingTokenCounter {
     private FencingTokenCounter() {}
 
-    /** Adds raising the counter to a token, on condition that nobody else raised it meanwhile. */
+    /**
+     * Adds to the transaction a write that raises the counter to the token, with the precondition
+     * that the counter has not changed since this process read it.
+     */
     static Transaction raise(Transaction transaction, WatchCache watchCache, long fencingToken) {
         return transaction
                 .requireRevision(
--- a/src/main/java/io/quincelead/leadership/JobReassigner.java
+++ b/src/main/java/io/quincelead/leadership/JobReassigner.java
@@ -13,12 +13,12 @@
 import java.util.List;
 
 /**
- * Gives the jobs of lost controllers to live ones.
+ * Reassigns the jobs of lost controllers to live ones.
  *
- * <p>What a job's tasks use moves with it, beside what its new owner may use by its quota share. A
- * scheduling cycle that the new owner planned before it knew of the job must not commit after the
- * move, so the new owner's shard is rewritten in the same transaction. Jobs with placements go to
- * one owner a transaction, for a shard's record is large.
+ * <p>The use of a job's tasks moves with the job and adds to what the new owner may use by its
+ * quota share. A scheduling cycle that the new owner planned before it knew of the job must not
+ * commit after the reassignment, so the new owner's shard is rewritten in the same transaction. All
+ * jobs with placements in one transaction go to one owner, because a shard's record is large.
  */
 final class JobReassigner {
     private final WatchCache watchCache;
@@ -26,8 +26,8 @@
     private final ClusterMembership membership;
     private final JobTable jobs;
 
-    /** Counts the owners that got jobs with placements; the next one follows in turn. */
-    private int ownerTurn;
+    /** Round-robin index, modulo the live members, of the next owner of jobs with placements. */
+    private int nextOwnerIndex;
 
     JobReassigner(
             WatchCache watchCache, StoreClient store, ClusterMembership membership, JobTable jobs) {
@@ -37,7 +37,9 @@
         this.jobs = jobs;
     }
 
-    /** Adds as many jobs' reassignments as fit the transaction and the store's rate limit. */
+    /**
+     * Adds to the transaction as many reassignments as its size and the store's rate limit allow.
+     */
     void reassign(Transaction transaction) {
         List<String> liveMembers =
                 membership.shards().stream()
@@ -47,8 +49,8 @@
         if (liveMembers.isEmpty()) {
             return;
         }
-        int idleJobTurn = 0;
-        String placedJobsOwner = liveMembers.get(ownerTurn % liveMembers.size());
+        int unplacedJobOwnerIndex = 0;
+        String placedJobsOwner = liveMembers.get(nextOwnerIndex % liveMembers.size());
         Shard placedJobsShard = membership.shardOf(placedJobsOwner);
         int maxWrites = store.affordableWrites();
         for (Job job : orphanedJobs()) {
@@ -60,23 +62,26 @@
                     || !transaction.fits(writes, 2 + writes, store.maxTransactionOperations())) {
                 break;
             }
-            // Only after the lost controller's shard is gone: then nothing it placed can be unknown
-            // here.
+            // Only after the lost controller's shard is deleted: from then on every placement that
+            // it committed is in the watch cache.
             if (membership.shardOf(job.controllerId()) == null) {
                 String newOwner =
                         hasPlacements
                                 ? placedJobsOwner
-                                : liveMembers.get(idleJobTurn++ % liveMembers.size());
-                addJob(transaction, job, newOwner);
+                                : liveMembers.get(unplacedJobOwnerIndex++ % liveMembers.size());
+                addJobReassignment(transaction, job, newOwner);
                 if (rewritesShard) {
-                    ownerTurn++;
+                    nextOwnerIndex++;
                     addShardRewrite(transaction, placedJobsShard);
                 }
             }
         }
     }
 
-    /** Those first that have pending tasks or a cancellation: the others lack nothing yet. */
+    /**
+     * The jobs of lost controllers, first those with pending tasks or a cancellation, which need a
+     * controller at once, then by priority.
+     */
     private List<Job> orphanedJobs() {
         List<Job> orphanedJobs = new ArrayList<>();
         for (Job job : jobs.all()) {
@@ -90,7 +95,7 @@
         return orphanedJobs;
     }
 
-    private void addJob(Transaction transaction, Job job, String newOwner) {
+    private void addJobReassignment(Transaction transaction, Job job, String newOwner) {
         transaction
                 .requireRevision(job.storeKey(), watchCache.modRevision(job.storeKey()))
                 .requireRevision(StoreKeys.SHARD_PREFIX + job.controllerId(), 0)
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -20,7 +20,7 @@
  * Runs the election and, while this controller leads, the leader's periodic duties, one write at a
  * time: shard assignment, quota distribution and reassignment of lost controllers' jobs. Every
  * write carries preconditions on the leader's record and on the revisions of the shards it changes.
- * Other components that decide for the whole cluster write under {@link #newTransaction} too.
+ * Other components that decide for the whole cluster also start from {@link #newTransaction}.
  */
 public final class Leader {
     private final EventLoop eventLoop;
@@ -37,16 +37,16 @@
     private final int maxRecordLength;
     private boolean commitInFlight;
 
-    /** Whether another cycle is due as soon as the write in flight has committed. */
+    /** Whether to run another cycle as soon as the write in flight has committed. */
     private boolean rerunRequested;
 
     private long quotaDistributedAtMillis;
 
     /**
-     * Starts as a follower; the first cycle is due one interval later.
+     * Starts as a follower and schedules the first cycle one interval later.
      *
-     * @param provisioningPending whether machines of some provisioning request may not all be on
-     *     record yet
+     * @param provisioningPending whether some provisioning request may have machines that are not
+     *     on record yet
      */
     public Leader(
             EventLoop eventLoop,
@@ -93,48 +93,54 @@
         watchCache.addChangeListener(election::refreshPhase);
     }
 
-    /** Whether this controller leads and its lease surely holds now. */
+    /** Whether this controller is the leader and its membership lease is certainly still valid. */
     public boolean isLeading() {
         return election.isLeading();
     }
 
     /**
-     * An empty transaction that commits only while the leader's record is as this process knows it.
+     * Creates an empty transaction that commits only while the leader's record has the mod revision
+     * that this process knows.
      */
     public Transaction newTransaction() {
         return election.newTransaction();
     }
 
-    /** Takes the outcome of a write that began as {@link #newTransaction}. */
+    /** Handles the outcome of a write that was started with {@link #newTransaction}. */
     public void onOutcome(Transaction transaction, Transaction.Outcome outcome) {
         writeFence.onOutcome(transaction, outcome);
     }
 
     /**
-     * Whether no write under the leader's precondition is indeterminate; until then nothing may be
-     * decided by the records here. Starts settling where it is due.
+     * Returns whether no write under the precondition on the leader's record is indeterminate; if
+     * false, no decision may be based on the local copy of the records. Starts to settle
+     * indeterminate writes where that is due.
      */
     public boolean trySettleWrites() {
         return writeFence.trySettle();
     }
 
     /**
-     * Whether an unexpected machine may be registered: not while it could be one of a provisioning
-     * request that isn't settled here or whose settling the watch has not brought yet.
+     * Whether an unexpected machine may be registered. It may not while it could belong to a
+     * provisioning request that is not settled, or whose settlement the watch has not delivered to
+     * this process yet.
      */
     public boolean mayRegisterUnexpectedMachines() {
         return shardAssigner.mayRegisterUnexpectedMachines();
     }
 
     /**
-     * Whether heartbeats of machines that are on no record arrive here: until they are registered,
-     * nothing should be provisioned.
+     * Whether this leader knows of heartbeats from machines that are on no record. No machine
+     * should be provisioned until those are registered.
      */
     public boolean hasUnregisteredMachines() {
         return shardAssigner.hasUnregisteredMachines();
     }
 
-    /** A worker whose machine has no owner, or that can't reach its owner; ignored by followers. */
+    /**
+     * Handles a worker whose machine has no owner, or that can't reach its owner; does nothing on a
+     * follower.
+     */
     public void onMisroutedWorker(MisroutedWorker worker) {
         if (isLeading() && shardAssigner.addMisroutedWorker(worker)) {
             if (commitInFlight) {
@@ -155,8 +161,8 @@
         } else if (isLeading()
                 && trySettleWrites()
                 && (store.canAffordUrgentWrite() || membership.localShard() == null)) {
-            // Even the leader's writes overdraw the store's rate limit only a little: what users
-            // wait for would pay for it.
+            // Even the leader's writes may exceed the store's rate limit only a little: more would
+            // delay the writes that users wait for.
             runLeaderDuties();
         }
     }
--- a/src/main/java/io/quincelead/leadership/LeaderElection.java
+++ b/src/main/java/io/quincelead/leadership/LeaderElection.java
@@ -9,17 +9,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Election by one record that is attached to the winner's membership lease: it is created only
- * where none exists, and it lapses with the lease. Owns this controller's phase.
+ * Elects the leader by means of one record in the store, attached to the winner's membership lease.
+ * The record can be created only while none exists, and it expires with the lease. Owns this
+ * controller's election phase.
  */
 final class LeaderElection {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-    /** Phases of the election; {@link #transitionTo} is the one method that changes them. */
+    /** This controller's election phase; only {@link #transitionTo} changes it. */
     private enum Phase {
-        /** Another controller leads, or nobody does. */
+        /** Another controller is the leader, or there is none. */
         FOLLOWER,
-        /** Our write of the leader's record is in flight. */
+        /** This controller's write of the leader's record is in flight. */
         CANDIDATE,
         /** The leader's record names this process. */
         LEADER
@@ -32,7 +33,11 @@
     private final Runnable onLeadershipLost;
     private Phase phase = Phase.FOLLOWER;
 
-    /** {@code onLeadershipLost} runs each time that this controller stops being the leader. */
+    /**
+     * Starts as a follower.
+     *
+     * @param onLeadershipLost runs each time this controller stops being the leader
+     */
     LeaderElection(
             String localMemberId,
             MembershipLease membershipLease,
@@ -53,14 +58,17 @@
         }
     }
 
-    /** Follows the leader's record: it names this very incarnation, or we don't lead. */
+    /**
+     * Updates the phase from the leader's record: this controller is the leader only while the
+     * record names its current incarnation.
+     */
     void refreshPhase() {
         ClusterMembership.LeaderRecord leader = membership.leaderRecord();
-        boolean isSelf =
+        boolean namesThisProcess =
                 leader != null
                         && leader.memberId().equals(localMemberId)
                         && leader.incarnation() == membershipLease.incarnation();
-        if (isSelf) {
+        if (namesThisProcess) {
             transitionTo(Phase.LEADER);
         } else if (phase == Phase.LEADER) {
             transitionTo(Phase.FOLLOWER);
@@ -68,20 +76,20 @@
         }
     }
 
-    /** Whether the leader's record names this process and its lease surely holds now. */
+    /** Whether the leader's record names this process and its lease is certainly still valid. */
     boolean isLeading() {
         refreshPhase();
         return phase == Phase.LEADER && membershipLease.isValid();
     }
 
-    /** Whether there is no leader and this controller's member record is known. */
+    /** Whether there is no leader and this controller's member record is in the watch cache. */
     boolean canCampaign() {
         return membership.leaderRecord() == null && membership.member(localMemberId) != null;
     }
 
     /**
-     * Becomes a candidate and returns the write that wins the election, under the next fencing
-     * token. Only one of several candidates' writes meets its preconditions.
+     * Becomes a candidate and returns the write that wins the election if it commits, under the
+     * next fencing token. Of several candidates' writes, the preconditions let only one commit.
      */
     Transaction beginCampaign() {
         transitionTo(Phase.CANDIDATE);
@@ -100,20 +108,23 @@
         return FencingTokenCounter.raise(campaign, watchCache, fencingToken);
     }
 
-    /** The campaign's write was refused, or its outcome isn't known. */
+    /**
+     * Becomes a follower again after the campaign's write was rejected or its outcome is unknown.
+     */
     void onCampaignFailed() {
         transitionTo(Phase.FOLLOWER);
     }
 
     /**
-     * An empty transaction that commits only while the leader's record is as this process knows it.
+     * Creates an empty transaction that commits only while the leader's record has the mod revision
+     * that this process knows.
      */
     Transaction newTransaction() {
         return new Transaction()
                 .requireRevision(StoreKeys.LEADER, watchCache.modRevision(StoreKeys.LEADER));
     }
 
-    /** Puts the leader's record again as it is; null where there is none. */
+    /** A transaction that rewrites the leader's record unchanged; null if there is no record. */
     Transaction rewriteLeaderRecord() {
         return membership.leaderRecord() == null
                 ? null
--- a/src/main/java/io/quincelead/leadership/MemberDemand.java
+++ b/src/main/java/io/quincelead/leadership/MemberDemand.java
@@ -2,63 +2,63 @@
 
 import io.quincelead.cluster.JobSpec;
 
-/** What one team's jobs at one controller use and still want of the team's limit. */
+/** What one team's jobs at one controller use, reserve and still need of the team's limit. */
 final class MemberDemand {
     final ResourceDemand cpus = new ResourceDemand();
     final ResourceDemand gpus = new ResourceDemand();
 
-    /** The same of one resource, in CPUs or GPUs. */
+    /** Use, reservation and pending demand of one resource, in CPUs or GPUs. */
     static final class ResourceDemand {
         private static final int PRIORITIES = JobSpec.Priority.values().length;
 
         private double used;
         private double reserved;
-        private final double[] wantedByPriority = new double[PRIORITIES];
+        private final double[] pendingByPriority = new double[PRIORITIES];
 
-        /** The least amount by which some waiting work can start; 0 where none waits. */
+        /** The smallest amount with which some pending work can start; 0 if none is pending. */
         private final double[] unitByPriority = new double[PRIORITIES];
 
-        /** What tasks on record use. */
+        /** The use of tasks with a placement on record. */
         double used() {
             return used;
         }
 
-        /** What is reserved for overdue first starts; it isn't among what is wanted. */
+        /** The amount reserved for overdue first starts; not part of the pending demand. */
         double reserved() {
             return reserved;
         }
 
-        private void addWanted(int priority, double amount, double unit) {
+        private void addPending(int priority, double amount, double unit) {
             if (amount <= 0 || unit <= 0) {
                 return;
             }
-            wantedByPriority[priority] += amount;
-            double least = unitByPriority[priority];
-            unitByPriority[priority] = least > 0 ? Math.min(least, unit) : unit;
+            pendingByPriority[priority] += amount;
+            double minUnit = unitByPriority[priority];
+            unitByPriority[priority] = minUnit > 0 ? Math.min(minUnit, unit) : unit;
         }
 
         QuotaShareCalculator.MemberQuota toMemberQuota(double share) {
             return new QuotaShareCalculator.MemberQuota(
-                    share, used, wantedByPriority, unitByPriority);
+                    share, used, pendingByPriority, unitByPriority);
         }
     }
 
-    /** Tasks of the job are on record. */
+    /** Adds the use of tasks of a job that have a placement on record. */
     void addUsed(int taskCount, JobSpec spec) {
         cpus.used += taskCount * spec.cpus();
         gpus.used += taskCount * spec.gpus();
     }
 
-    /** Quota is reserved for tasks of the job. */
+    /** Adds the quota that is reserved for tasks of a job. */
     void addReserved(int taskCount, JobSpec spec) {
         cpus.reserved += taskCount * spec.cpus();
         gpus.reserved += taskCount * spec.gpus();
     }
 
-    /** Tasks of the job wait; a gang's start together. */
+    /** Adds the demand of a job's pending tasks; the tasks of a gang can only start together. */
     void addPending(int priority, int taskCount, JobSpec spec) {
         int unitTasks = spec.isGang() ? spec.taskCount() : 1;
-        cpus.addWanted(priority, taskCount * spec.cpus(), unitTasks * spec.cpus());
-        gpus.addWanted(priority, taskCount * spec.gpus(), unitTasks * spec.gpus());
+        cpus.addPending(priority, taskCount * spec.cpus(), unitTasks * spec.cpus());
+        gpus.addPending(priority, taskCount * spec.gpus(), unitTasks * spec.gpus());
     }
 }
--- a/src/main/java/io/quincelead/leadership/PreemptibleCapacity.java
+++ b/src/main/java/io/quincelead/leadership/PreemptibleCapacity.java
@@ -9,10 +9,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the machines on record hold once less urgent work on them has made way. */
+/** The capacity of the machines on record if all less urgent work on them were preempted. */
 final class PreemptibleCapacity {
-    /** Tasks; smaller differences are rounding. */
-    private static final double ROUNDING_SLACK = 1e-9;
+    /** Differences smaller than this, in tasks, are rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final MachineTable machines;
     private final MachineTypeCatalog machineTypes;
@@ -24,7 +24,7 @@
         this.jobs = jobs;
     }
 
-    /** Whether all tasks of the gang would find a place, by its rules about zones. */
+    /** Whether all tasks of the gang would fit, under its zone constraints. */
     boolean fits(JobSpec gang) {
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (MachineTable.Machine machine : machines.all()) {
@@ -33,8 +33,8 @@
         if (gang.zoneAffinity()) {
             return tasksByZone.values().stream().anyMatch(tasks -> tasks >= gang.taskCount());
         }
-        int mostPerZone = gang.zoneSpread() ? (gang.taskCount() + 1) / 2 : gang.taskCount();
-        return tasksByZone.values().stream().mapToInt(tasks -> Math.min(tasks, mostPerZone)).sum()
+        int maxPerZone = gang.zoneSpread() ? (gang.taskCount() + 1) / 2 : gang.taskCount();
+        return tasksByZone.values().stream().mapToInt(tasks -> Math.min(tasks, maxPerZone)).sum()
                 >= gang.taskCount();
     }
 
@@ -69,6 +69,6 @@
         }
         double tasks = Math.min(cpus / spec.cpus(), memoryGb / spec.memoryGb());
         tasks = spec.gpus() > 0 ? Math.min(tasks, gpus / spec.gpus()) : tasks;
-        return (int) Math.floor(tasks + ROUNDING_SLACK);
+        return (int) Math.floor(tasks + ROUNDING_TOLERANCE);
     }
 }
--- a/src/main/java/io/quincelead/leadership/QuotaDistributor.java
+++ b/src/main/java/io/quincelead/leadership/QuotaDistributor.java
@@ -21,16 +21,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Splits each team's limit into quota shares, one a live controller. A controller can't use more
- * than the larger of its quota share and its use, and use is known exactly up to the watch cache's
- * revision; so only what is free under the shares <em>on record</em> is given out, and what one
- * write takes away can be given out only by a later one, when the watch cache has caught up.
+ * Splits each team's limit into quota shares, one per live controller. A controller can't use more
+ * than the larger of its quota share and its use, and its use is known exactly up to the watch
+ * cache's revision. So only quota that is free under the shares <em>on record</em> is granted;
+ * quota that one write withdraws can be granted only by a later write, after the watch cache has
+ * caught up.
  */
 final class QuotaDistributor {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaDistributor.class);
 
-    /** CPUs or GPUs; a smaller change is rounding. */
-    private static final double EPSILON = 1e-6;
+    /** Changes smaller than this, in CPUs or GPUs, are rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final EventLoop eventLoop;
     private final Collection<Settings.Team> teams;
@@ -40,7 +41,7 @@
     private final Policy policy;
     private final QuotaReservations reservations;
 
-    /** By team, the jobs its quota is reserved for, to log when they change. */
+    /** By team, the jobs with reserved quota as last logged; a change is logged. */
     private final Map<String, List<Job>> reservedJobsByTeam = new HashMap<>();
 
     QuotaDistributor(
@@ -61,12 +62,15 @@
     }
 
     /**
-     * A team's demand by live member, in the update's order, and that of lost controllers' jobs.
+     * A team's demand.
      *
-     * @param reservedPriority before whose other demand what is reserved comes
+     * @param byMember the demand of each live member, in the update's order
+     * @param orphaned the demand of lost controllers' jobs
+     * @param reservationPriority ordinal of the priority whose other demand the reserved quota
+     *     precedes
      */
     private record TeamDemand(
-            Map<String, MemberDemand> byMember, MemberDemand orphaned, int reservedPriority) {}
+            Map<String, MemberDemand> byMember, MemberDemand orphaned, int reservationPriority) {}
 
     private enum Resource {
         CPUS,
@@ -85,13 +89,16 @@
         }
     }
 
-    /** Sets the quota shares that are to change; none while some shard's use isn't known. */
+    /**
+     * Sets the quota shares that change. Changes none while the use of some shard is unknown: its
+     * record is newer than the watch cache's store revision, or its owner is not live.
+     */
     void distribute(ShardUpdate update) {
         for (Shard shard : membership.shards()) {
-            boolean isBehind =
+            boolean isWatchBehind =
                     watchCache.modRevision(shard.storeKey()) > watchCache.storeRevision();
-            // The shard of a member that isn't live may still be in use.
-            if (isBehind || !update.isLiveMember(shard.ownerId())) {
+            // The quota shares in the shard of a member that is not live may still be in use.
+            if (isWatchBehind || !update.isLiveMember(shard.ownerId())) {
                 return;
             }
         }
@@ -104,8 +111,8 @@
                 QuotaShare newShare = new QuotaShare(cpuShares[index], gpuShares[index]);
                 index++;
                 QuotaShare oldShare = update.shardOf(memberId).quotaShare(team.name());
-                if (Math.abs(newShare.cpus() - oldShare.cpus()) > EPSILON
-                        || Math.abs(newShare.gpus() - oldShare.gpus()) > EPSILON) {
+                if (Math.abs(newShare.cpus() - oldShare.cpus()) > ROUNDING_TOLERANCE
+                        || Math.abs(newShare.gpus() - oldShare.gpus()) > ROUNDING_TOLERANCE) {
                     update.setQuotaShare(memberId, team.name(), newShare);
                 }
             }
@@ -113,7 +120,7 @@
     }
 
     private TeamDemand demandOf(Settings.Team team, ShardUpdate update) {
-        List<Job> reserved = reservedJobs(team.name());
+        List<Job> reserved = jobsWithReservedQuota(team.name());
         TeamDemand demand =
                 new TeamDemand(
                         new LinkedHashMap<>(),
@@ -137,13 +144,13 @@
                     reserved.contains(job) ? QuotaReservations.reservedTaskCount(job) : 0;
             memberDemand.addReserved(reservedTasks, job.spec);
             if (!job.isCancelled()) {
-                addWanted(memberDemand, job, reservedTasks);
+                addPending(memberDemand, job, reservedTasks);
             }
         }
         return demand;
     }
 
-    private List<Job> reservedJobs(String team) {
+    private List<Job> jobsWithReservedQuota(String team) {
         List<Job> reserved = reservations.jobsWithReservedQuota(team, eventLoop.wallClockMillis());
         if (!reserved.equals(reservedJobsByTeam.getOrDefault(team, List.of()))) {
             LOG.info(
@@ -156,10 +163,11 @@
     }
 
     /**
-     * What a job needs to be on schedule counts as work of normal priority at least: of a team at
-     * its limit, work of low priority would else get nothing.
+     * Adds the demand of a job's pending tasks. Tasks that the job needs to be on schedule count as
+     * work of at least normal priority: otherwise low-priority work of a team at its limit would
+     * get nothing.
      */
-    private void addWanted(MemberDemand demand, Job job, int reservedTasks) {
+    private void addPending(MemberDemand demand, Job job, int reservedTasks) {
         int priority = job.spec.priority().ordinal();
         int requiredTasks =
                 policy.requiredStartedTaskCount(job, eventLoop.wallClockMillis())
@@ -172,7 +180,7 @@
         demand.addPending(priority, pendingTasks - overdueTasks, job.spec);
     }
 
-    /** The next shares of one resource, in the order of the demand's members. */
+    /** Calculates the next shares of one resource, in the order of the demand's members. */
     private double[] split(Settings.Team team, TeamDemand demand, Resource resource) {
         List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         double[] reservedByMember = new double[demand.byMember.size()];
@@ -191,7 +199,7 @@
                         resource.of(demand.orphaned).used(),
                         members,
                         new QuotaShareCalculator.Reservation(
-                                reservedByMember, demand.reservedPriority),
+                                reservedByMember, demand.reservationPriority),
                         hasNewMember);
         LOG.debug(
                 "quota of {}, {}: by member {}, reserved {}, next shares {}",
--- a/src/main/java/io/quincelead/leadership/QuotaReservations.java
+++ b/src/main/java/io/quincelead/leadership/QuotaReservations.java
@@ -15,24 +15,25 @@
 import java.util.function.Predicate;
 
 /**
- * Which overdue first starts a team's quota is reserved for. Arrays that refill each CPU as it
- * comes free would otherwise keep the quota of a team at its limit from jobs of other controllers,
- * and from gangs, which need all of theirs at one time.
+ * Selects the overdue first starts for which a team's quota is reserved. Without reservations,
+ * arrays that refill each CPU as it becomes free would keep the quota of a team at its limit from
+ * jobs of other controllers, and from gangs, which need all their quota at once.
  *
- * <p>The most urgent, oldest urgent gang comes first, with all its CPUs and GPUs, if less urgent
- * work alone keeps it from its quota and from its machines: quota that waits for anything else
- * would idle. Where there is none, one gang of a team and the first task of one other job, the
- * oldest each, come before all other work of normal priority until they have started.
+ * <p>All CPUs and GPUs of an urgent gang are reserved if only less urgent work keeps it from its
+ * quota and from its machines: quota reserved while the gang waits for anything else would be idle.
+ * Of several such gangs the most urgent, then the oldest one is chosen. If there is none, the
+ * oldest gang of the team and the first task of its oldest other job take precedence over all other
+ * work of normal priority until they have started.
  *
- * <p>Decided from records and the time of day alone: the leader and the job's controller come to
- * the same answer, and so does a new leader.
+ * <p>The selection depends only on records and the time of day, so the leader, a new leader and the
+ * job's controller come to the same result.
  */
 public final class QuotaReservations {
-    /** Overdue work counts as normal; what is more urgent comes before what is reserved. */
+    /** Overdue work counts as normal priority; more urgent work precedes the reservation. */
     static final int DEFAULT_RESERVATION_PRIORITY = JobSpec.Priority.NORMAL.ordinal();
 
-    /** CPUs or GPUs; smaller differences are rounding. */
-    private static final double ROUNDING_SLACK = 1e-9;
+    /** Differences smaller than this, in CPUs or GPUs, are rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private static final Comparator<Job> OLDEST_FIRST =
             Comparator.comparingLong(Job::acceptedAtEpochMillis)
@@ -46,7 +47,9 @@
     private final Policy policy;
     private final PreemptibleCapacity capacity;
 
-    /** Chooses among these jobs, by the limits of these teams and by these machines. */
+    /**
+     * Selects among the given jobs, by the limits of the teams and the capacity of the machines.
+     */
     public QuotaReservations(
             Map<String, Settings.Team> teams,
             JobTable jobs,
@@ -59,20 +62,20 @@
         this.capacity = new PreemptibleCapacity(machines, machineTypes, jobs);
     }
 
-    /** CPUs and GPUs of a team that are available to some of its work. */
-    private static final class Available {
+    /** CPUs and GPUs of a team's limit that are available to certain work of the team. */
+    private static final class AvailableQuota {
         private double cpus;
         private double gpus;
 
-        private Available(Settings.Team team) {
+        private AvailableQuota(Settings.Team team) {
             cpus = team.maxCpus();
             gpus = team.maxGpus();
         }
 
         private boolean fits(Job job) {
             int tasks = reservedTaskCount(job);
-            return tasks * job.spec.cpus() <= cpus + ROUNDING_SLACK
-                    && tasks * job.spec.gpus() <= gpus + ROUNDING_SLACK;
+            return tasks * job.spec.cpus() <= cpus + ROUNDING_TOLERANCE
+                    && tasks * job.spec.gpus() <= gpus + ROUNDING_TOLERANCE;
         }
 
         private void subtract(JobSpec spec, int tasks) {
@@ -81,12 +84,12 @@
         }
     }
 
-    /** How many of the job's tasks start together: all of a gang, one of any other job. */
+    /** The number of tasks that quota is reserved for: all of a gang, one of any other job. */
     public static int reservedTaskCount(Job job) {
         return job.spec.isGang() ? job.spec.taskCount() : 1;
     }
 
-    /** Before whose other demand these reserved jobs come: the ordinal of a priority. */
+    /** The ordinal of the priority whose other demand the reservation for these jobs precedes. */
     static int reservationPriority(List<Job> reserved) {
         return reserved.isEmpty()
                 ? DEFAULT_RESERVATION_PRIORITY
@@ -94,11 +97,11 @@
     }
 
     /**
-     * The jobs whose first start the team's quota is reserved for: one urgent gang, or else at most
-     * one gang and one other job, the older one first. Together they fit into the team's limit
-     * beside its services.
+     * The jobs for whose first start the team's quota is reserved: one urgent gang, or else at most
+     * one gang and one other job, the older one first, which fit together into the team's limit
+     * minus the use of its services.
      *
-     * @param wallMillis now, in milliseconds since 1970
+     * @param wallMillis the current time, in milliseconds since 1970
      */
     public List<Job> jobsWithReservedQuota(String teamName, long wallMillis) {
         Settings.Team team = teams.get(teamName);
@@ -114,27 +117,27 @@
         }
         urgent.sort(MOST_URGENT_THEN_OLDEST_FIRST);
         for (Job gang : urgent) {
-            if (isKeptFromStartingByLessUrgentWork(gang, team)) {
+            if (isBlockedOnlyByLessUrgentWork(gang, team)) {
                 return List.of(gang);
             }
         }
         overdue.sort(OLDEST_FIRST);
         return overdue.isEmpty()
                 ? List.of()
-                // Services run until they are cancelled.
-                : oldestThatFit(overdue, availableBeside(team, job -> job.spec.isService()));
+                // Services run until they are cancelled, so their quota does not become free.
+                : oldestThatFit(overdue, availableQuota(team, job -> job.spec.isService()));
     }
 
-    private boolean isKeptFromStartingByLessUrgentWork(Job gang, Settings.Team team) {
-        Available available =
-                availableBeside(
+    private boolean isBlockedOnlyByLessUrgentWork(Job gang, Settings.Team team) {
+        AvailableQuota available =
+                availableQuota(
                         team, job -> job.spec.priority().compareTo(gang.spec.priority()) <= 0);
         return available.fits(gang) && capacity.fits(gang.spec);
     }
 
-    /** What the team's limit leaves beside those of its jobs. */
-    private Available availableBeside(Settings.Team team, Predicate<Job> counted) {
-        Available available = new Available(team);
+    /** The team's limit minus the use of those of its jobs that are counted. */
+    private AvailableQuota availableQuota(Settings.Team team, Predicate<Job> counted) {
+        AvailableQuota available = new AvailableQuota(team);
         for (Job job : jobs.all()) {
             if (job.spec.team().equals(team.name()) && counted.test(job)) {
                 available.subtract(job.spec, job.placedTaskCount());
@@ -143,12 +146,12 @@
         return available;
     }
 
-    private static List<Job> oldestThatFit(List<Job> oldestFirst, Available available) {
+    private static List<Job> oldestThatFit(List<Job> oldestFirst, AvailableQuota available) {
         List<Job> reserved = new ArrayList<>(2);
         for (Job job : oldestFirst) {
-            boolean kindTaken =
+            boolean isKindReserved =
                     reserved.stream().anyMatch(other -> other.spec.isGang() == job.spec.isGang());
-            if (!kindTaken && available.fits(job)) {
+            if (!isKindReserved && available.fits(job)) {
                 reserved.add(job);
                 available.subtract(job.spec, reservedTaskCount(job));
             }
@@ -157,9 +160,10 @@
     }
 
     /**
-     * Whether no task of the job has started, one is overdue to, and it is the job's turn. One that
-     * lacks machines would hold quota for ever, so turns end and begin again. One that has been
-     * started several times in vain is left out: it may fail on every machine.
+     * Whether no task of the job has started, its first start is overdue, and the job is in its
+     * turn. A job that lacks machines would hold its reservation indefinitely, so turns alternate
+     * with pauses. A job that has failed several attempts is excluded: it may fail on every
+     * machine.
      */
     public boolean isEligibleForReservedQuota(Job job, long wallMillis) {
         return !job.isCancelled()
@@ -170,7 +174,7 @@
                 && (job.spec.isUrgent()
                         ? job.spec.isGang() && overdueSeconds(job, wallMillis) >= 0
                         : policy.requiredStartedTaskCount(job, wallMillis) > 0)
-                && isItsTurn(job, wallMillis);
+                && isInTurn(job, wallMillis);
     }
 
     private double overdueSeconds(Job job, long wallMillis) {
@@ -179,7 +183,7 @@
                         * SchedulerConstants.OVERDUE_RAMP_START_FRACTION;
     }
 
-    private boolean isItsTurn(Job job, long wallMillis) {
+    private boolean isInTurn(Job job, long wallMillis) {
         double turnSeconds =
                 job.spec.isGang()
                         ? SchedulerConstants.RESERVED_GANG_TURN_SECONDS
--- a/src/main/java/io/quincelead/leadership/QuotaShareCalculator.java
+++ b/src/main/java/io/quincelead/leadership/QuotaShareCalculator.java
@@ -6,58 +6,58 @@
 import java.util.List;
 
 /**
- * How a team's limit on one resource is split over the live members: arithmetic alone, which the
- * leader calls and a model checker explores. All amounts are CPUs or GPUs; arrays are by member, in
- * one order throughout.
+ * Calculates how a team's limit on one resource is split among the live members. A pure calculation
+ * that the leader calls and a model checker explores. All amounts are in CPUs or GPUs. Arrays are
+ * indexed by member, in the same order throughout.
  */
 final class QuotaShareCalculator {
-    /** Smaller differences of CPUs or GPUs are rounding. */
-    private static final double EPSILON = 1e-9;
+    /** Differences smaller than this, in CPUs or GPUs, are rounding errors. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** The least change of a share that is recorded where every bit counts, in CPUs or GPUs. */
+    /** The smallest change written for a share that must be exact, in CPUs or GPUs. */
     private static final double MIN_EXACT_CHANGE = 1e-6;
 
     /**
-     * What overdue jobs need for their first start, before all other demand of a priority.
+     * Quota reserved for the first start of overdue jobs, ahead of all other demand of a priority.
      *
-     * @param amountByMember CPUs or GPUs by member; they are in no member's other demand
-     * @param priority before whose other demand they come
+     * @param amountByMember CPUs or GPUs by member, not part of the members' pending demand
+     * @param priority ordinal of the priority whose other demand the reservation precedes
      */
     record Reservation(double[] amountByMember, int priority) {
-        /** Nothing is reserved. */
+        /** A reservation of nothing. */
         static Reservation none(int memberCount) {
             return new Reservation(new double[memberCount], 0);
         }
 
         private boolean isEmpty() {
-            return Arrays.stream(amountByMember).sum() <= EPSILON;
+            return Arrays.stream(amountByMember).sum() <= ROUNDING_TOLERANCE;
         }
     }
 
     /**
-     * One member's part of the quota. Arrays are by priority, the highest priority first.
+     * One member's quota share, use and demand. Arrays are by priority, the highest priority first.
      *
-     * @param share its share on record
-     * @param used what tasks on record use
-     * @param pendingByPriority what waits
-     * @param unitByPriority the least of what waits that can start by itself: a task, or a gang; 0
-     *     where nothing waits or any amount is of use
+     * @param share the member's share on record
+     * @param used the use of tasks with a placement on record
+     * @param pendingByPriority the demand of pending tasks
+     * @param unitByPriority the allocation unit: the smallest pending amount that can start by
+     *     itself, a task or a gang; 0 if nothing is pending or any amount is useful
      */
     record MemberQuota(
             double share, double used, double[] pendingByPriority, double[] unitByPriority) {
-        /** What the member may use now. */
+        /** The amount that the member may use now. */
         private double usable() {
             return Math.max(share, used);
         }
 
-        private double totalWanted() {
+        private double totalPending() {
             return Arrays.stream(pendingByPriority).sum();
         }
 
         @Override
         public String toString() {
             return String.format(
-                    "[share %s, used %s, wanted %s]",
+                    "[share %s, used %s, pending %s]",
                     share, used, Arrays.toString(pendingByPriority));
         }
     }
@@ -79,36 +79,40 @@
         committedTotal = orphanedUse + members.stream().mapToDouble(MemberQuota::usable).sum();
     }
 
-    /** The next shares by member where any amount is of use and nothing is reserved. */
+    /** Calculates the next shares by member where any amount is useful and nothing is reserved. */
     static double[] split(
             double limit,
             double orphanedUse,
             double[] currentShares,
             double[] usedByMember,
-            double[][] wantedByPriority,
+            double[][] pendingByMember,
             boolean hasNewMember) {
         List<MemberQuota> members = new ArrayList<>();
         for (int i = 0; i < currentShares.length; i++) {
-            double[] wanted = wantedByPriority[i];
+            double[] pendingByPriority = pendingByMember[i];
             members.add(
                     new MemberQuota(
-                            currentShares[i], usedByMember[i], wanted, new double[wanted.length]));
+                            currentShares[i],
+                            usedByMember[i],
+                            pendingByPriority,
+                            new double[pendingByPriority.length]));
         }
         return split(limit, orphanedUse, members, Reservation.none(members.size()), hasNewMember);
     }
 
     /**
-     * The next shares by member. A member may use the larger of its current share and its use on
-     * record. Only what is free under the shares on record is given out: what this takes away can
-     * be given out by a later split, once it is on record. While what is reserved lacks quota, the
-     * other members' shares fall below their use by as much: what ends there isn't replaced, and
-     * the splits that follow give it to whom it is reserved for.
+     * Calculates the next shares by member. A member may use the larger of its current share and
+     * its use on record. Only quota that is free under the shares on record is granted; quota that
+     * this split withdraws can be granted by a later split, once the withdrawal is on record. While
+     * the reservation lacks quota, the other members' shares fall below their use by the same
+     * amount: tasks that end there are not replaced, and the following splits grant their quota to
+     * the members with the reservation.
      *
      * @param limit the team's limit
-     * @param orphanedUse what tasks of lost controllers use
-     * @param members the members, in one order throughout
-     * @param reservation what overdue first starts need
-     * @param hasNewMember whether some member has had no share yet
+     * @param orphanedUse the use of tasks of lost controllers
+     * @param members the members, in the order of the result
+     * @param reservation the need of overdue first starts
+     * @param hasNewMember whether some member has no share on record yet
      */
     static double[] split(
             double limit,
@@ -116,10 +120,10 @@
             List<MemberQuota> members,
             Reservation reservation,
             boolean hasNewMember) {
-        QuotaShareCalculator shares =
+        QuotaShareCalculator calculator =
                 new QuotaShareCalculator(limit, orphanedUse, members, reservation);
-        return hasNewMember || shares.hasUnmetDemand()
-                ? shares.nextShares()
+        return hasNewMember || calculator.hasUnmetDemand()
+                ? calculator.nextShares()
                 : members.stream().mapToDouble(MemberQuota::share).toArray();
     }
 
@@ -127,18 +131,18 @@
         return members.get(member).usable();
     }
 
-    private double wantedTotal(int member) {
-        return members.get(member).totalWanted() + reservation.amountByMember[member];
+    private double totalDemand(int member) {
+        return members.get(member).totalPending() + reservation.amountByMember[member];
     }
 
     private boolean lacksShare(int member) {
         MemberQuota quota = members.get(member);
-        return quota.share - quota.used < wantedTotal(member) - EPSILON;
+        return quota.share - quota.used < totalDemand(member) - ROUNDING_TOLERANCE;
     }
 
     private boolean hasUnmetDemand() {
         for (int i = 0; i < memberCount; i++) {
-            if (wantedTotal(i) > 0 && lacksShare(i)) {
+            if (totalDemand(i) > 0 && lacksShare(i)) {
                 return true;
             }
         }
@@ -149,11 +153,11 @@
         double[][] targetStages = cumulativeTargets();
         double[] nextShares = reducedToTarget(targetStages[targetStages.length - 1]);
         boolean nearlyMet = grantFreeQuota(nextShares, targetStages);
-        boolean reservationLacking = withdrawForReservation(nextShares);
+        boolean hasReservationShortfall = withdrawForReservation(nextShares);
         for (int i = 0; i < memberCount; i++) {
             boolean mustBeExact =
                     reachesStage(i, nextShares[i], targetStages)
-                            || (nearlyMet || reservationLacking)
+                            || (nearlyMet || hasReservationShortfall)
                                     && nextShares[i] < members.get(i).share;
             double share = members.get(i).share;
             double change = Math.abs(nextShares[i] - share);
@@ -164,61 +168,61 @@
         return nextShares;
     }
 
-    /** What each member may use now, but for what it should not keep. */
+    /** The amount that each member may use now, reduced to its final target. */
     private double[] reducedToTarget(double[] finalTarget) {
         double[] shares = new double[memberCount];
         for (int i = 0; i < memberCount; i++) {
-            // Terminations of tasks may be recorded late and the use on record pass the limit for a
-            // while; nobody's share rises by that.
-            double most = committedTotal > limit + 1e-6 ? members.get(i).share : usable(i);
-            shares[i] = Math.min(finalTarget[i], most);
+            // Terminations of tasks may be recorded late, so the use on record may exceed the limit
+            // for a while; no share may rise because of that.
+            double maxShare = committedTotal > limit + 1e-6 ? members.get(i).share : usable(i);
+            shares[i] = Math.min(finalTarget[i], maxShare);
         }
         return shares;
     }
 
     /**
-     * Lowers members' shares below their use by what is reserved for the others and still lacking,
-     * but for those that have just been granted something for more urgent work. Each by all of it,
-     * for which of them has tasks that end soon isn't known; what they give up too much returns
-     * with the next split.
+     * Lowers members' shares below their use by the shortfall of the other members' reservations,
+     * except those of members that this split grants quota for more urgent work. Each share falls
+     * by the whole shortfall, because it is unknown which member has tasks that end soon; the next
+     * split returns any excess.
      *
-     * @return whether something is lacking
+     * @return whether the reservation has a shortfall
      */
     private boolean withdrawForReservation(double[] nextShares) {
         double[] entitled = new double[memberCount];
-        double[] lacking = new double[memberCount];
+        double[] shortfall = new double[memberCount];
         for (int i = 0; i < memberCount; i++) {
             entitled[i] =
                     members.get(i).used
-                            + wantedBeforeReservation(i)
+                            + pendingAboveReservation(i)
                             + reservation.amountByMember[i];
-            boolean reserves = reservation.amountByMember[i] > 0;
-            lacking[i] = reserves ? Math.max(0, entitled[i] - nextShares[i]) : 0;
+            boolean hasReservation = reservation.amountByMember[i] > 0;
+            shortfall[i] = hasReservation ? Math.max(0, entitled[i] - nextShares[i]) : 0;
         }
-        double totalLacking = Arrays.stream(lacking).sum();
-        if (totalLacking <= EPSILON) {
+        double totalShortfall = Arrays.stream(shortfall).sum();
+        if (totalShortfall <= ROUNDING_TOLERANCE) {
             return false;
         }
         for (int i = 0; i < memberCount; i++) {
-            if (nextShares[i] <= usable(i) + EPSILON) {
-                double kept = entitled[i] - (totalLacking - lacking[i]);
+            if (nextShares[i] <= usable(i) + ROUNDING_TOLERANCE) {
+                double kept = entitled[i] - (totalShortfall - shortfall[i]);
                 nextShares[i] = Math.min(nextShares[i], Math.max(0, kept));
             }
         }
         return true;
     }
 
-    /** What a member wants for work of higher priority than what is reserved. */
-    private double wantedBeforeReservation(int member) {
+    /** A member's pending demand of higher priority than the reservation. */
+    private double pendingAboveReservation(int member) {
         return Arrays.stream(members.get(member).pendingByPriority, 0, reservation.priority).sum();
     }
 
-    /** Whether the next share is what a member that lacks some needs for one of the stages. */
+    /** Whether the next share raises a member that lacks quota to its target of some stage. */
     private boolean reachesStage(int member, double nextShare, double[][] targetStages) {
         for (double[] stage : targetStages) {
-            if (members.get(member).share < stage[member] - EPSILON
+            if (members.get(member).share < stage[member] - ROUNDING_TOLERANCE
                     && lacksShare(member)
-                    && nextShare >= stage[member] - EPSILON) {
+                    && nextShare >= stage[member] - ROUNDING_TOLERANCE) {
                 return true;
             }
         }
@@ -226,10 +230,10 @@
     }
 
     /**
-     * The least change worth a record, for each one rewrites shards and fails the scheduling cycles
-     * in flight. But what somebody is short of is taken back to the last bit, and whoever is short
-     * gets the last bit of its target: a gang that lacks a tenth of a CPU waits as much as one that
-     * lacks all.
+     * The smallest change of a share that is worth a write: each write rewrites shards and fails
+     * the scheduling cycles in flight. But shares that give up quota which other members lack, and
+     * shares that reach a target, must be exact: a gang that lacks a tenth of a CPU can start no
+     * more than one that lacks all.
      */
     private double minimumChange(int member, boolean mustBeExact) {
         if (mustBeExact) {
@@ -237,15 +241,16 @@
         }
         double tolerance = LeadershipConstants.QUOTA_SHARE_TOLERANCE_FRACTION * limit;
         MemberQuota quota = members.get(member);
-        boolean hasSpare = wantedTotal(member) <= 0 || quota.share - quota.used > tolerance;
+        boolean hasSpare = totalDemand(member) <= 0 || quota.share - quota.used > tolerance;
         return Math.max(LeadershipConstants.MIN_QUOTA_SHARE_CHANGE_UNITS, hasSpare ? tolerance : 0);
     }
 
     /**
-     * Gives out what is free, demand of higher priority first.
+     * Grants the free quota, to demand of higher priority first.
      *
-     * @return whether little was lacking, so that the last bits which others hold would serve
-     *     somebody; where much is lacking, small changes would only rewrite shards all the time
+     * @return whether the free quota falls short of some stage by only a little, so that small
+     *     amounts which other members hold would complete it; if much is lacking, small changes
+     *     would only rewrite shards all the time
      */
     private boolean grantFreeQuota(double[] nextShares, double[][] targetStages) {
         double nearMargin =
@@ -259,9 +264,11 @@
             }
             double totalGrowth = Arrays.stream(growthByMember).sum();
             double fraction = totalGrowth <= remaining ? 1 : remaining / totalGrowth;
-            nearlyMet |= totalGrowth > remaining + EPSILON && totalGrowth <= remaining + nearMargin;
+            nearlyMet |=
+                    totalGrowth > remaining + ROUNDING_TOLERANCE
+                            && totalGrowth <= remaining + nearMargin;
             for (int i = 0; i < memberCount; i++) {
-                // From what it may use already up to this stage's part of its target.
+                // Raised from what the member may already use towards its target of this stage.
                 nextShares[i] =
                         growthByMember[i] <= 0 || fraction <= 0
                                 ? nextShares[i]
@@ -273,10 +280,11 @@
     }
 
     /**
-     * What each member would get if everything could move at once, one stage a priority, each on
-     * top of the one before: demand of higher priority first, for shared evenly, a large job of low
-     * priority would keep an urgent gang from ever fitting. What is reserved has a stage of its own
-     * before the others of its priority. In the last stage, what nobody wants is shared evenly.
+     * The shares that each member would get if all quota could move at once, in cumulative stages,
+     * one per priority. Demand of higher priority comes first: if all demand shared the quota
+     * evenly, a large job of low priority would keep an urgent gang from ever fitting. The
+     * reservation has its own stage before the other demand of its priority. In the last stage,
+     * quota without demand is shared evenly.
      */
     private double[][] cumulativeTargets() {
         List<double[]> targetStages = new ArrayList<>();
@@ -285,10 +293,10 @@
         int priorities = members.get(0).pendingByPriority.length;
         for (int priority = 0; priority < priorities; priority++) {
             if (priority == reservation.priority && !reservation.isEmpty()) {
-                remaining -= addShare(target, reservation.amountByMember, remaining);
+                remaining -= addProportionally(target, reservation.amountByMember, remaining);
                 targetStages.add(target.clone());
             }
-            remaining -= addWanted(target, priority, remaining);
+            remaining -= addPending(target, priority, remaining);
             targetStages.add(target.clone());
         }
         for (int i = 0; i < memberCount; i++) {
@@ -299,79 +307,89 @@
     }
 
     /**
-     * Adds to the targets what the members want at a priority; returns the sum. Where that is more
-     * than remains, each gets its part in whole units, for a part of a task is of no use to
-     * anybody.
+     * Adds the members' pending demand of a priority to the targets and returns the sum added. If
+     * the demand exceeds what remains, each member gets its proportional part in whole allocation
+     * units, because quota for part of a task is useless; all that remains then counts as added.
      */
-    private double addWanted(double[] target, int priority, double remaining) {
-        double[] wanted =
+    private double addPending(double[] target, int priority, double remaining) {
+        double[] pending =
                 members.stream().mapToDouble(quota -> quota.pendingByPriority[priority]).toArray();
-        if (Arrays.stream(wanted).sum() <= remaining) {
-            return addShare(target, wanted, remaining);
+        if (Arrays.stream(pending).sum() <= remaining) {
+            return addProportionally(target, pending, remaining);
         }
         double[] before = target.clone();
-        addShare(target, wanted, remaining);
-        double left = remaining;
+        addProportionally(target, pending, remaining);
+        double unallocated = remaining;
         for (int i = 0; i < memberCount; i++) {
             double unit = members.get(i).unitByPriority[priority];
-            double part = target[i] - before[i];
-            double whole = unit > 0 ? Math.floor((part + EPSILON) / unit) * unit : part;
-            target[i] = before[i] + whole;
-            left -= whole;
+            double proportionalPart = target[i] - before[i];
+            double wholeUnits =
+                    unit > 0
+                            ? Math.floor((proportionalPart + ROUNDING_TOLERANCE) / unit) * unit
+                            : proportionalPart;
+            target[i] = before[i] + wholeUnits;
+            unallocated -= wholeUnits;
         }
-        addLeftUnits(target, before, priority, Math.max(0, left));
+        allocateRemainder(target, before, priority, Math.max(0, unallocated));
         return remaining;
     }
 
     /**
-     * Gives out what rounding left, unit by unit; what no unit fits into is gathered by one that
-     * still wants some, for work of lower priority would never give it back.
+     * Allocates what rounding to whole units left, unit by unit. An amount that no unit fits into
+     * goes to one member with further demand, because work of lower priority would never give it
+     * back.
      */
-    private void addLeftUnits(double[] target, double[] before, int priority, double amount) {
-        double left = amount;
-        while (left > EPSILON) {
-            int next = nextInNeed(target, before, priority, left);
+    private void allocateRemainder(
+            double[] target, double[] before, int priority, double remainder) {
+        double unallocated = remainder;
+        while (unallocated > ROUNDING_TOLERANCE) {
+            int next = nextMemberForUnit(target, before, priority, unallocated);
             double unit = next < 0 ? 0 : members.get(next).unitByPriority[priority];
             if (next < 0) {
-                next = nextInNeed(target, before, priority, Double.POSITIVE_INFINITY);
-                unit = left;
+                next = nextMemberForUnit(target, before, priority, Double.POSITIVE_INFINITY);
+                unit = unallocated;
             }
             if (next < 0) {
                 return;
             }
             target[next] += unit;
-            left -= unit;
+            unallocated -= unit;
         }
     }
 
     /**
-     * The member that wants another unit of at most this size, first whoever may use it already, so
-     * that shares stay where they are; -1: none.
+     * The member that needs another unit of at most this size; -1 if there is none. Prefers the
+     * member whose usable quota exceeds its target the most, so that shares stay where they are.
      */
-    private int nextInNeed(double[] target, double[] before, int priority, double mostUnit) {
+    private int nextMemberForUnit(double[] target, double[] before, int priority, double maxUnit) {
         int next = -1;
         for (int i = 0; i < memberCount; i++) {
             MemberQuota quota = members.get(i);
             double unit = quota.unitByPriority[priority];
-            boolean wants =
-                    target[i] - before[i] + unit <= quota.pendingByPriority[priority] + EPSILON;
+            boolean needsUnit =
+                    target[i] - before[i] + unit
+                            <= quota.pendingByPriority[priority] + ROUNDING_TOLERANCE;
             if (unit > 0
-                    && unit <= mostUnit + EPSILON
-                    && wants
+                    && unit <= maxUnit + ROUNDING_TOLERANCE
+                    && needsUnit
                     && (next < 0
-                            || usable(i) - target[i] > usable(next) - target[next] + EPSILON)) {
+                            || usable(i) - target[i]
+                                    > usable(next) - target[next] + ROUNDING_TOLERANCE)) {
                 next = i;
             }
         }
         return next;
     }
 
-    /** Adds to the targets what is wanted, or as much in proportion; returns the sum. */
-    private static double addShare(double[] target, double[] wanted, double remaining) {
-        double wantedTotal = Arrays.stream(wanted).sum();
-        double granted = Math.min(remaining, wantedTotal);
-        for (int i = 0; i < target.length && wantedTotal > 0; i++) {
-            target[i] += granted * wanted[i] / wantedTotal;
+    /**
+     * Adds the demand to the targets, or as much of it as remains in proportion; returns the sum
+     * added.
+     */
+    private static double addProportionally(double[] target, double[] demand, double remaining) {
+        double totalDemand = Arrays.stream(demand).sum();
+        double granted = Math.min(remaining, totalDemand);
+        for (int i = 0; i < target.length && totalDemand > 0; i++) {
+            target[i] += granted * demand[i] / totalDemand;
         }
         return granted;
     }
--- a/src/main/java/io/quincelead/leadership/ShardAssigner.java
+++ b/src/main/java/io/quincelead/leadership/ShardAssigner.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which controller owns a machine that has no owner, or whose owner its worker can't reach,
- * and registers unexpected machines. Owns the list of misrouted workers, which is advice.
+ * Decides which controller owns a machine that has no owner or whose worker can't reach its owner,
+ * and registers unexpected machines. Owns the list of misrouted workers, which is only advisory.
  */
 final class ShardAssigner {
     private static final Logger LOG = LoggerFactory.getLogger(ShardAssigner.class);
@@ -38,8 +38,10 @@
     private long registeredAtMillis;
 
     /**
-     * {@code provisioningPending}: whether machines of some provisioning request may not all be on
-     * record yet.
+     * Starts without misrouted workers.
+     *
+     * @param provisioningPending whether some provisioning request may have machines that are not
+     *     on record yet
      */
     ShardAssigner(
             EventLoop eventLoop,
@@ -59,10 +61,10 @@
     }
 
     /**
-     * Notes a misrouted worker for the next {@link #assign}; one too many is dropped: it will send
-     * another heartbeat.
+     * Keeps a misrouted worker for the next {@link #assign}. When the list is full, the worker is
+     * dropped: its next heartbeat reports it again.
      *
-     * @return whether its machine is on record and waits for an owner
+     * @return whether the worker was kept and its machine is on record without an owner
      */
     boolean addMisroutedWorker(MisroutedWorker worker) {
         if (misroutedWorkers.size() >= ApiConstants.MAX_OPEN_JOBS) {
@@ -72,31 +74,31 @@
         return membership.ownerOf(worker.host()) == null && machines.get(worker.host()) != null;
     }
 
-    /** Forgets all misrouted workers: the next leader will be notified of them again. */
+    /** Drops all misrouted workers: the next leader will be notified of them again. */
     void clearMisroutedWorkers() {
         misroutedWorkers.clear();
     }
 
     /**
-     * Whether an unexpected machine may be registered: not while it could be one of a provisioning
-     * request that isn't settled, or that a predecessor settled and the watch has not brought yet,
-     * for a machine must never be on two records.
+     * Whether an unexpected machine may be registered. It may not while it could belong to a
+     * provisioning request that is not settled, or that an earlier leader settled in a write which
+     * the watch has not delivered yet: a machine must never be on two records.
      */
     boolean mayRegisterUnexpectedMachines() {
         return !provisioningPending.getAsBoolean()
                 && watchCache.storeRevision() >= watchCache.modRevision(StoreKeys.LEADER);
     }
 
-    /** Whether heartbeats of machines that are on no record arrive here. */
+    /** Whether some misrouted worker's machine is on no record. */
     boolean hasUnregisteredMachines() {
         return misroutedWorkers.keySet().stream().anyMatch(host -> machines.get(host) == null);
     }
 
     /**
      * Assigns machines without an owner, moves those whose worker can't reach its owner, and adds
-     * unexpected machines to the transaction.
+     * the registration of unexpected machines to the transaction.
      *
-     * @return whether every misrouted worker was looked at; false: the transaction is full
+     * @return whether every misrouted worker was considered; false if the transaction is full
      */
     boolean assign(ShardUpdate update, Transaction transaction) {
         assignUnownedMachines(update);
@@ -129,10 +131,12 @@
         Map<String, Double> cpusByMember = new HashMap<>();
         update.shards()
                 .forEach(shard -> cpusByMember.put(shard.ownerId(), capacity.shardCpus(shard)));
-        // A machine assigned just while its release was recorded: it would never be released.
+        // A machine may have been assigned while its release was being recorded; unless revoked, it
+        // would never be released.
         update.revokeIf(host -> machines.get(host) != null && machines.get(host).releasing());
         for (MachineTable.Machine machine : machines.all()) {
-            // Also while it boots: the response to its first heartbeat then names its owner.
+            // Also while the machine boots, so that the response to its first heartbeat names its
+            // owner.
             if (!machine.releasing() && membership.ownerOf(machine.host()) == null) {
                 MisroutedWorker worker = misroutedWorkers.remove(machine.host());
                 String newOwner =
@@ -148,9 +152,9 @@
     }
 
     /**
-     * Moves a machine to the member that gets its worker's heartbeats, unless its owner changed
-     * since: a worker that was redirected just before its machine was assigned finds its owner by
-     * itself, and a notice about an earlier fencing token is out of date.
+     * Moves a machine to the member that receives its worker's heartbeats, unless the machine's
+     * owner has changed since the report: a worker that was redirected just before its machine was
+     * assigned finds its owner by itself, and a report under an earlier fencing token is stale.
      */
     private void moveToReachableMember(ShardUpdate update, MisroutedWorker worker, String owner) {
         String host = worker.host();
@@ -160,7 +164,7 @@
                 && worker.fencingToken()
                         == membership.shardOf(owner).fencingTokensByHost().get(host)) {
             LOG.info(
-                    "machine {} reports to {} instead of its owner {}; it moves",
+                    "machine {} reports to {} instead of its owner {}; moving it",
                     host,
                     worker.reportsTo(),
                     owner);
@@ -172,8 +176,8 @@
     }
 
     /**
-     * The machine is assigned by a later cycle, once on record; until then it goes on sending
-     * heartbeats.
+     * Adds the machine's registration to the edits. A later cycle assigns the machine once it is on
+     * record; its worker keeps sending heartbeats until then.
      */
     private void register(MachineEdits edits, MisroutedWorker worker) {
         registeredAtMillis = eventLoop.nowMillis();
--- a/src/main/java/io/quincelead/leadership/ShardCapacity.java
+++ b/src/main/java/io/quincelead/leadership/ShardCapacity.java
@@ -4,7 +4,7 @@
 import io.quincelead.cluster.MachineTable;
 import io.quincelead.cluster.MachineTypeCatalog;
 
-/** Sizes of machines and shards, in CPUs. */
+/** The capacity of machines and shards, in CPUs. */
 final class ShardCapacity {
     private final MachineTable machines;
     private final MachineTypeCatalog catalog;
@@ -14,7 +14,7 @@
         this.catalog = catalog;
     }
 
-    /** CPUs of a machine; 1 where the machine or its type isn't on record. */
+    /** CPUs of a machine; 1 if the machine or its type is not on record. */
     double machineCpus(String host) {
         MachineTable.Machine machine = machines.get(host);
         MachineTypeCatalog.MachineType machineType =
--- a/src/main/java/io/quincelead/leadership/ShardRebalancer.java
+++ b/src/main/java/io/quincelead/leadership/ShardRebalancer.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Moves a few machines at a time to a controller that has been up for a while and owns much less
- * than its part of the CPUs.
+ * Moves a few machines at a time from the largest shard to the smallest, if the smallest one's
+ * controller has been up for a while and the shards' CPUs are very uneven.
  */
 final class ShardRebalancer {
     private final EventLoop eventLoop;
@@ -26,7 +26,10 @@
         this.capacity = capacity;
     }
 
-    /** Notes which members are live; each cycle of the leader, also one that changes nothing. */
+    /**
+     * Records since when each member has been live. To be called in every cycle of the leader, also
+     * in one that changes nothing.
+     */
     void recordLiveMembers() {
         for (ClusterMembership.Member member : membership.members()) {
             aliveSinceMillis.putIfAbsent(member.memberId(), eventLoop.nowMillis());
@@ -34,7 +37,10 @@
         aliveSinceMillis.keySet().removeIf(memberId -> membership.member(memberId) == null);
     }
 
-    /** Does nothing where the update has changes already: what they are about comes first. */
+    /**
+     * Adds moves to the update if the shards are out of balance. Does nothing if the update already
+     * has changes: assignments take precedence over rebalancing.
+     */
     void rebalance(ShardUpdate update) {
         if (update.hasChanges() || update.memberIds().size() < 2) {
             return;
@@ -60,7 +66,10 @@
         }
     }
 
-    /** Moves machines while the shards stay unequal, up to a part of the larger one. */
+    /**
+     * Moves machines until the shards are balanced, up to a fraction of the larger shard's
+     * machines.
+     */
     private void moveMachines(ShardUpdate update, Shard from, Shard to) {
         double fromCpus = capacity.shardCpus(from);
         double toCpus = capacity.shardCpus(to);
--- a/src/main/java/io/quincelead/leadership/ShardUpdate.java
+++ b/src/main/java/io/quincelead/leadership/ShardUpdate.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shards of all live members as one cycle of the leader is about to record them: copies to
- * change, and which of them did change. All machines that one update assigns get the same, new
- * fencing token.
+ * Changes to the shards of all live members that one cycle of the leader will write: modifiable
+ * copies of the shards, and which of them changed. All machines that one update assigns get the
+ * same new fencing token.
  */
 final class ShardUpdate {
     private static final Logger LOG = LoggerFactory.getLogger(ShardUpdate.class);
@@ -28,7 +28,7 @@
     private final ClusterMembership membership;
     private final Map<String, Shard> shardsByOwner = new LinkedHashMap<>();
 
-    /** In the order of their first change, which is the order of their writes. */
+    /** Members whose shards changed, in the order of their first change and of their writes. */
     private final Set<String> changedMembers = new LinkedHashSet<>();
 
     private final long fencingToken;
@@ -55,12 +55,12 @@
         return Collections.unmodifiableSet(shardsByOwner.keySet());
     }
 
-    /** The live members' shards as changed so far; to be changed through this update alone. */
+    /** The live members' shards as changed so far; only this update's methods may change them. */
     Collection<Shard> shards() {
         return Collections.unmodifiableCollection(shardsByOwner.values());
     }
 
-    /** A member's shard as changed so far; null for a member that isn't live. */
+    /** A member's shard as changed so far; null if the member is not live. */
     Shard shardOf(String memberId) {
         return shardsByOwner.get(memberId);
     }
@@ -73,7 +73,7 @@
         return !changedMembers.isEmpty();
     }
 
-    /** Whether any live member's shard holds the machine, as changed so far. */
+    /** Whether the machine is in any live member's shard as changed so far. */
     boolean isAssigned(String host) {
         for (Shard shard : shardsByOwner.values()) {
             if (shard.fencingTokensByHost().containsKey(host)) {
@@ -83,20 +83,20 @@
         return false;
     }
 
-    /** Puts a machine into a live member's shard, under this update's fencing token. */
+    /** Adds a machine to a live member's shard, under this update's fencing token. */
     void assign(String host, String memberId) {
         shardsByOwner.get(memberId).fencingTokensByHost().put(host, fencingToken);
         changedMembers.add(memberId);
         hasAssignments = true;
     }
 
-    /** Takes a machine out of a live member's shard. */
+    /** Removes a machine from a live member's shard. */
     void revoke(String host, String memberId) {
         shardsByOwner.get(memberId).fencingTokensByHost().remove(host);
         changedMembers.add(memberId);
     }
 
-    /** Takes the machines that the condition holds for out of whichever shards they are in. */
+    /** Removes the machines that meet the condition from all live members' shards. */
     void revokeIf(Predicate<String> condition) {
         shardsByOwner.forEach(
                 (memberId, shard) -> {
@@ -112,10 +112,11 @@
     }
 
     /**
-     * Adds the changed shards' records to a transaction. Its preconditions cover every shard on
-     * record, also those of members that are gone: what this update decided depends on all of them.
+     * Adds the changed shards' records to a transaction. The preconditions cover every shard on
+     * record, also those of members that are no longer live, because the decisions of this update
+     * depend on all of them.
      *
-     * @param maxRecordLength the longest record the store takes, in bytes
+     * @param maxRecordLength the longest record that the store accepts, in bytes
      */
     void addTo(Transaction transaction, WatchCache watchCache, int maxRecordLength) {
         if (hasAssignments) {
@@ -136,15 +137,18 @@
         }
     }
 
-    /** Revokes what this update assigned, last first, as far as the record would be too long. */
+    /**
+     * Revokes machines that this update assigned, the last one first, until the record is short
+     * enough.
+     */
     private void trimToRecordLimit(Shard shard, int maxRecordLength) {
         List<String> assignedHosts = new ArrayList<>(shard.fencingTokensByHost().keySet());
         assignedHosts.removeIf(host -> shard.fencingTokensByHost().get(host) != fencingToken);
         while (shard.encode().toString().length() > maxRecordLength && !assignedHosts.isEmpty()) {
             String host = assignedHosts.remove(assignedHosts.size() - 1);
             LOG.info(
-                    "machine {} stays without a controller: the shard of {} does not fit one"
-                            + " record",
+                    "machine {} stays unassigned: the shard of {} would exceed the record size"
+                            + " limit",
                     host,
                     shard.ownerId());
             shard.fencingTokensByHost().remove(host);
