--- a/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
@@ -21,13 +21,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which overdue first starts a team's quota is reserved for, by records alone. */
+/** Tests for which overdue first starts a team's quota is reserved, given the records. */
 class QuotaReservationsTest {
     private static final long NOW_MILLIS = 1_000_000;
     private static final long LONG_AGO_MILLIS = NOW_MILLIS - 100_000;
     private static final double LIMIT_CPUS = 24;
 
-    /** The jobs' records as one controller has read them. */
+    /** The records of jobs and machines as one controller has read them. */
     private static final class Records {
         private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
         private final WatchCache watchCache =
@@ -42,7 +42,7 @@
                         new Policy(watchCache));
         private long revision;
 
-        /** Machines of 4 CPUs and one GPU. */
+        /** Adds machines with 4 CPUs and one GPU each. */
         void putMachines(String zone, String... hosts) {
             MachineTypeCatalog.MachineType type =
                     new MachineTypeCatalog.MachineType(
@@ -61,7 +61,7 @@
             put(spec, acceptedAtMillis, 0, "");
         }
 
-        /** Placements as the record writes them: task, host and attempt of each. */
+        /** Adds a job with placements in the record's form: task, host and attempt of each. */
         void put(JobSpec spec, long acceptedAtMillis, long lastAttempt, String placements) {
             ObjectNode job = record(spec, acceptedAtMillis);
             ObjectNode tasks = WireFormat.newMap().put("t", lastAttempt).put("p", placements);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void oldestGangThatWaitsLongComesFirst() {
+    void oldestOverdueGangGetsTheReservation() {
         records.put(gang(1, JobSpec.Priority.NORMAL, 4, 2), LONG_AGO_MILLIS);
         records.put(gang(2, JobSpec.Priority.BEST_EFFORT, 4, 2), LONG_AGO_MILLIS - 1);
         records.put(gang(3, JobSpec.Priority.NORMAL, 4, 2), NOW_MILLIS - 80_000);
@@ -111,14 +111,17 @@
     }
 
     @Test
-    void nothingIsReservedForGangsThatHaveNotWaitedLong() {
+    void nothingIsReservedForGangsThatAreNotOverdue() {
         records.put(gang(1, JobSpec.Priority.NORMAL, 4, 2), NOW_MILLIS - 89_000);
         assertEquals(List.of(), records.reserved());
     }
 
-    /** No machines are drained for them: their teams once idled beside quota without machines. */
+    /**
+     * No machines are drained for these gangs: quota reserved for gangs without machines once left
+     * their teams idle.
+     */
     @Test
-    void urgentGangsReserveNothing() {
+    void urgentGangsWithoutMachinesReserveNothing() {
         records.put(gang(1, JobSpec.Priority.HIGH, 4, 2), LONG_AGO_MILLIS);
         records.put(gang(2, JobSpec.Priority.PRODUCTION, 4, 2), LONG_AGO_MILLIS);
         assertEquals(List.of(), records.reserved());
@@ -134,7 +137,9 @@
                 .build();
     }
 
-    /** An array of the same team with running tasks of two CPUs, in turn on the four hosts. */
+    /**
+     * Adds an array of the same team with running tasks of two CPUs, spread over the four hosts.
+     */
     private void putRunningTasks(int number, JobSpec.Priority priority, int tasks) {
         JobSpec spec = JobFixtures.array(number, "blue", priority, 30, 2, 10);
         StringBuilder placements = new StringBuilder();
@@ -144,9 +149,9 @@
         records.put(spec, LONG_AGO_MILLIS, 1, placements.toString());
     }
 
-    /** Less urgent work of its team once kept an urgent gang from its quota for ever. */
+    /** Less urgent work of its team once kept an urgent gang from its quota indefinitely. */
     @Test
-    void urgentGangThatLessUrgentWorkKeepsWaitingIsReservedAlone() {
+    void urgentGangBlockedByLessUrgentWorkGetsTheOnlyReservation() {
         records.putMachines("a", FOUR_HOSTS);
         putRunningTasks(1, JobSpec.Priority.NORMAL, 4);
         records.put(array(2), LONG_AGO_MILLIS - 20_000);
@@ -158,15 +163,15 @@
     }
 
     @Test
-    void nothingIsReservedForAnUrgentGangThatHasNotWaitedLong() {
+    void nothingIsReservedForAnUrgentGangThatIsNotOverdue() {
         records.putMachines("a", FOUR_HOSTS);
         records.put(gpuGang(1, JobSpec.Priority.HIGH), NOW_MILLIS - 89_000);
         assertEquals(List.of(), records.reserved());
     }
 
-    /** Quota that waits for machines would idle. */
+    /** Quota reserved for a gang that waits for machines would be idle. */
     @Test
-    void nothingIsReservedForAnUrgentGangWhoseMachinesHoldWorkAsUrgent() {
+    void nothingIsReservedForAnUrgentGangWhoseMachinesRunEquallyUrgentWork() {
         records.putMachines("a", FOUR_HOSTS);
         records.put(gpuGang(1, JobSpec.Priority.HIGH), LONG_AGO_MILLIS);
         JobSpec otherTeams = JobFixtures.array(2, "green", JobSpec.Priority.HIGH, 1, 2, 10);
@@ -175,16 +180,19 @@
     }
 
     @Test
-    void nothingIsReservedForAnUrgentGangWhoseZonesHoldAPartOfItEach() {
+    void nothingIsReservedForAnUrgentGangThatFitsNoSingleZone() {
         records.putMachines("a", FOUR_HOSTS[0], FOUR_HOSTS[1]);
         records.putMachines("b", FOUR_HOSTS[2], FOUR_HOSTS[3]);
         records.put(gpuGang(1, JobSpec.Priority.HIGH), LONG_AGO_MILLIS);
         assertEquals(List.of(), records.reserved());
     }
 
-    /** Two urgent gangs that exceed the team's GPUs together would idle its CPUs for both. */
+    /**
+     * Two urgent gangs that together exceed the team's GPUs would otherwise leave CPUs idle for
+     * both.
+     */
     @Test
-    void urgentGangWaitsForWorkAsUrgentWithoutReserving() {
+    void urgentGangBehindEquallyUrgentWorkReservesNothing() {
         records.putMachines("a", FOUR_HOSTS);
         records.putMachines("b", "i-000005", "i-000006", "i-000007", "i-000008");
         records.put(
@@ -196,9 +204,9 @@
         assertEquals(List.of(), records.reserved());
     }
 
-    /** A gang that finds no machines leaves the quota to others after a while. */
+    /** A gang that finds no machines leaves the quota to other jobs after its turn. */
     @Test
-    void turnsEndAndBeginAgain() {
+    void reservationTurnsAlternateWithPauses() {
         long beginMillis = NOW_MILLIS - 90_000;
         records.put(gang(1, JobSpec.Priority.NORMAL, 4, 2), beginMillis - 119_000);
         assertEquals(List.of("wk-000001"), records.reserved());
@@ -228,7 +236,7 @@
     }
 
     @Test
-    void reservationEndsAtOnceWhenTheGangIsCancelledOrStarted() {
+    void reservationEndsWhenTheGangIsCancelledOrStarted() {
         JobSpec first = gang(1, JobSpec.Priority.NORMAL, 2, 2);
         JobSpec second = gang(2, JobSpec.Priority.NORMAL, 2, 2);
         records.put(first, LONG_AGO_MILLIS);
@@ -240,9 +248,9 @@
         assertEquals(List.of(), records.reserved());
     }
 
-    /** A job submitted with a mistake fails on every machine until its user cancels it. */
+    /** A misconfigured job fails on every machine until its user cancels it. */
     @Test
-    void gangThatWasStartedOftenInVainReservesNothing() {
+    void gangWithTooManyFailedAttemptsReservesNothing() {
         JobSpec gang = gang(1, JobSpec.Priority.NORMAL, 2, 2);
         records.put(gang, LONG_AGO_MILLIS, 2, "");
         assertEquals(List.of("wk-000001"), records.reserved());
@@ -251,7 +259,7 @@
     }
 
     @Test
-    void oneGangAndTheFirstTaskOfOneOtherJobAreReservedTogether() {
+    void oneGangAndTheFirstTaskOfOneOtherJobGetReservationsTogether() {
         records.put(array(1), LONG_AGO_MILLIS - 10_000);
         records.put(array(2), LONG_AGO_MILLIS - 9_000);
         records.put(gang(3, JobSpec.Priority.NORMAL, 11, 2), LONG_AGO_MILLIS - 8_000);
@@ -260,7 +268,7 @@
     }
 
     @Test
-    void whatDoesNotFitTogetherIsReservedOneAfterTheOther() {
+    void jobsThatDoNotFitTogetherGetReservationsOneAfterTheOther() {
         records.put(gang(1, JobSpec.Priority.NORMAL, 12, 2), LONG_AGO_MILLIS - 10_000);
         records.put(array(2), LONG_AGO_MILLIS - 9_000);
         assertEquals(List.of("wk-000001"), records.reserved());
@@ -269,7 +277,7 @@
     }
 
     @Test
-    void arrayOfWhichATaskHasStartedReservesNothing() {
+    void arrayWithAStartedTaskReservesNothing() {
         records.put(array(1), LONG_AGO_MILLIS, 1, "0 i-000001 1;");
         assertEquals(List.of(), records.reserved());
     }
@@ -279,12 +287,12 @@
     }
 
     @Test
-    void teamThatTheSettingsDoNotNameReservesNothing() {
+    void teamMissingFromTheSettingsReservesNothing() {
         assertEquals(List.of(), records.reserved("nobody"));
     }
 
     @Test
-    void controllersThatReadTheRecordsInAnotherOrderAgree() {
+    void reservationsDoNotDependOnTheOrderOfTheRecords() {
         List<JobSpec> gangs =
                 List.of(
                         gang(1, JobSpec.Priority.NORMAL, 4, 2),
--- a/src/test/java/io/quincelead/leadership/QuotaShareCalculatorTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareCalculatorTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Properties of the split of a team's limit, over random quota shares, uses and demands of four
+ * Properties of the split of a team's limit, with random quota shares, use and demand of four
  * controllers.
  */
 class QuotaShareCalculatorTest {
@@ -27,17 +27,17 @@
         return list.stream().mapToDouble(x -> x).toArray();
     }
 
-    private static double[][] byPriority(double[] high, double[] low) {
-        double[][] wanted = new double[high.length][];
+    private static double[][] pendingByMember(double[] high, double[] low) {
+        double[][] pending = new double[high.length][];
         for (int i = 0; i < high.length; i++) {
-            wanted[i] = new double[] {high[i], low[i]};
+            pending[i] = new double[] {high[i], low[i]};
         }
-        return wanted;
+        return pending;
     }
 
     /**
-     * What could be in use after a split passes neither the limit nor, beyond it, what could be in
-     * use before.
+     * The quota that could be in use after a split never exceeds the limit or, if more could be in
+     * use before the split, that amount.
      */
     @Property(tries = 2000, seed = "11")
     void splitNeverPassesTheLimit(
@@ -53,7 +53,7 @@
                         orphanedUse,
                         array(shares),
                         array(used),
-                        byPriority(array(high), array(low)),
+                        pendingByMember(array(high), array(low)),
                         hasNewMember);
         assertTrue(
                 committed(nextShares, array(used), orphanedUse)
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Repeated, splits bring a gang's whole demand to the one controller where it is, if nothing of
-     * higher priority wants it and what is free would do: so a gang at the leader is not kept
-     * waiting by others' unused shares. (It once got all but the last quarter of a CPU, for changes
-     * below that were left out.)
+     * Repeated splits give a gang's whole demand to the gang's controller if there is no demand of
+     * higher priority and the free quota suffices, so other members' unused shares do not keep the
+     * gang waiting. A gang once got all but the last quarter of a CPU, because changes smaller than
+     * that were not written.
      */
     @Property(tries = 2000, seed = "12")
     void demandThatFitsIsServedWithinFewSplits(
@@ -82,7 +82,7 @@
                             0,
                             shares,
                             usedArray,
-                            byPriority(new double[] {gang, 0, 0, 0}, array(low)),
+                            pendingByMember(new double[] {gang, 0, 0, 0}, array(low)),
                             false);
         }
         assertTrue(
--- a/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaShareModelTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Model checking of quota: all interleavings, to a stated depth, of a small service with two
- * controllers (the first leads), a team limited to two CPUs, four tasks of one CPU in three jobs,
- * and two machines. Scheduling cycles and splits are planned and commit later or never; workers
- * start and lose tasks and send heartbeats; machines change their owner; a job is reassigned. The
- * arithmetic is that of {@link QuotaShareCalculator} itself.
+ * Checks a model of quota over all interleavings up to a given depth. The modelled cluster has two
+ * controllers (the first one is the leader), a team limited to two CPUs, four tasks of one CPU in
+ * three jobs, and two machines. Scheduling cycles and splits are planned and commit later or never;
+ * workers start and lose tasks and send heartbeats; machines change their owner; a job is
+ * reassigned. The model calls {@link QuotaShareCalculator} itself.
  */
 class QuotaShareModelTest {
-    /** What the protocol relies on; the model can leave one out, to see that it is needed. */
+    /** The safeguards of the protocol; the model can omit one to show that it is needed. */
     private enum Safeguard {
         USE_BY_RECORD,
         USE_MOVES_WITH_JOB,
@@ -36,10 +36,10 @@
     private static final int[] JOB_OF = {0, 1, 1, 2};
     private static final int TASKS = JOB_OF.length;
 
-    /** By job; the first has lower priority, so that the others' demand goes ahead of it. */
+    /** By job; the first one has the lower priority, so the other jobs' demand precedes its own. */
     private static final int[] PRIORITY = {1, 0, 0};
 
-    /** What a machine's owner knows of a task recorded there. */
+    /** What a machine's owner knows of a task whose placement on the machine is on record. */
     private enum Evidence {
         NOTHING,
         RUNNING,
@@ -47,8 +47,8 @@
     }
 
     /**
-     * A scheduling cycle's write that may still commit: where it places a task, and whether its
-     * preconditions hold.
+     * The write of a scheduling cycle that may still commit: the placement of a task, and whether
+     * its preconditions hold.
      */
     private record CycleCommit(
             int task, int machine, boolean shardUnchanged, boolean jobUnchanged) {}
@@ -61,10 +61,10 @@
         int[] controller = {0, 1, 1};
         int[] owner = {0, 1};
 
-        /** By task: the machine on record; -1 for none. */
+        /** By task: the machine of its placement on record; -1 if it has none. */
         int[] machineOnRecord = {-1, -1, -1, -1};
 
-        /** By task and machine: whether it runs there. */
+        /** By task and machine: whether the task runs on the machine. */
         boolean[][] runsOn = new boolean[TASKS][2];
 
         Evidence[] evidence = {
@@ -99,12 +99,12 @@
 
         boolean violatesSafety() {
             int running = 0;
-            boolean twice = false;
+            boolean runsTwice = false;
             for (boolean[] machines : runsOn) {
                 running += (machines[0] ? 1 : 0) + (machines[1] ? 1 : 0);
-                twice |= machines[0] && machines[1];
+                runsTwice |= machines[0] && machines[1];
             }
-            return running > LIMIT || twice;
+            return running > LIMIT || runsTwice;
         }
 
         double used(int controllerId, boolean byRecord) {
@@ -183,7 +183,7 @@
                 State successor = state.copy();
                 successor.owner[machine] = 1 - successor.owner[machine];
                 for (int task = 0; task < TASKS; task++) {
-                    // What the former owner concluded ends with its ownership.
+                    // The former owner's evidence is lost with its ownership.
                     successor.evidence[task] =
                             successor.machineOnRecord[task] == machine
                                     ? Evidence.NOTHING
@@ -219,9 +219,9 @@
 
         private void finishCycle(State state, int controllerId) {
             CycleCommit cycle = state.pendingCycle[controllerId];
-            State lost = state.copy();
-            lost.pendingCycle[controllerId] = null;
-            addSuccessor("cycle of " + controllerId + " does not commit", lost);
+            State uncommitted = state.copy();
+            uncommitted.pendingCycle[controllerId] = null;
+            addSuccessor("cycle of " + controllerId + " does not commit", uncommitted);
             if ((cycle.shardUnchanged || omitted == Safeguard.SHARD_REVISION)
                     && (cycle.jobUnchanged || omitted == Safeguard.JOB_REVISION)) {
                 State successor = state.copy();
@@ -271,9 +271,9 @@
 
         private void stepLeader(State state) {
             if (state.pendingSplit != null) {
-                State lost = state.copy();
-                lost.pendingSplit = null;
-                addSuccessor("split does not commit", lost);
+                State uncommitted = state.copy();
+                uncommitted.pendingSplit = null;
+                addSuccessor("split does not commit", uncommitted);
                 if (state.pendingSplit.shardsUnchanged || omitted == Safeguard.SHARD_REVISION) {
                     State successor = state.copy();
                     successor.quotaShare =
@@ -285,16 +285,17 @@
                 }
             } else {
                 double[] used = {state.used(0, true), state.used(1, true)};
-                double[][] wanted = new double[2][2];
+                double[][] pending = new double[2][2];
                 for (int task = 0; task < TASKS; task++) {
-                    wanted[state.controller[JOB_OF[task]]][PRIORITY[JOB_OF[task]]] +=
+                    pending[state.controller[JOB_OF[task]]][PRIORITY[JOB_OF[task]]] +=
                             state.machineOnRecord[task] < 0 ? 1 : 0;
                 }
-                // As if what others may still use were free already: each gets its target at once.
+                // Without the safeguard, quota that other members may still use counts as free, so
+                // each member gets its target at once.
                 double[] currentShares =
                         omitted == Safeguard.GROWTH_WAITS_FOR_FREE_QUOTA ? used : state.quotaShare;
                 double[] newShares =
-                        QuotaShareCalculator.split(LIMIT, 0, currentShares, used, wanted, false);
+                        QuotaShareCalculator.split(LIMIT, 0, currentShares, used, pending, false);
                 if (!Arrays.equals(newShares, state.quotaShare)) {
                     State successor = state.copy();
                     successor.pendingSplit = new Split(newShares[0], newShares[1], true);
@@ -320,8 +321,8 @@
         }
 
         /**
-         * The shortest trace to a state past the limit, or with a task that runs twice; null if
-         * there is none within the depth.
+         * The shortest trace to a state that exceeds the limit or has a task that runs twice; null
+         * if there is none within the given depth and number of states.
          */
         List<String> search(int maxDepth, int maxStates) {
             record Node(State state, Node from, String step, int depth) {}
@@ -358,7 +359,7 @@
         assertTrue(model.states > 20_000);
     }
 
-    /** Each safeguard, omitted alone, lets some interleaving pass the limit or run a task twice. */
+    /** Without any one safeguard, some interleaving exceeds the limit or runs a task twice. */
     @ParameterizedTest
     @EnumSource(Safeguard.class)
     void eachSafeguardIsNeeded(Safeguard safeguard) {
--- a/src/test/java/io/quincelead/leadership/QuotaUnitsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaUnitsTest.java
@@ -13,25 +13,29 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Shares of a team at its limit come in whole tasks and gangs of what waits. */
+/** Shares of a team at its limit are split in whole pending tasks and gangs. */
 class QuotaUnitsTest {
     private static final double LIMIT = 24;
 
-    /** Splits within which shares settle when no task ends. */
+    /** Number of splits within which the shares become stable if no task ends. */
     private static final int SETTLING_SPLITS = 6;
 
-    private static double[] split(double[] shares, double[] used, double[] wanted, double[] units) {
+    private static double[] split(
+            double[] shares, double[] used, double[] pending, double[] units) {
         List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         for (int i = 0; i < shares.length; i++) {
             members.add(
                     new QuotaShareCalculator.MemberQuota(
-                            shares[i], used[i], new double[] {wanted[i]}, new double[] {units[i]}));
+                            shares[i],
+                            used[i],
+                            new double[] {pending[i]},
+                            new double[] {units[i]}));
         }
         return QuotaShareCalculator.split(
                 LIMIT, 0, members, QuotaShareCalculator.Reservation.none(shares.length), false);
     }
 
-    /** Tasks start wherever a share lets them in. */
+    /** Starts tasks at each member until its share has no room for another one. */
     private static void refill(double[] shares, double[] used, double[] units) {
         for (int i = 0; i < shares.length; i++) {
             while (shares[i] - used[i] >= units[i] - 1e-9) {
@@ -41,23 +45,24 @@
     }
 
     /**
-     * Shares once ended in parts of tasks, which together were whole tasks that nobody could start.
+     * Shares once ended in fractions of tasks, which added up to whole tasks that no member could
+     * start.
      */
     @Property(tries = 1000, seed = "31")
-    void waitingTasksUseAllThatHoldsAnyOfThem(
+    void pendingTasksUseAllQuotaThatFitsAnyOfThem(
             @ForAll @Size(3) List<@DoubleRange(max = 8) Double> startShares,
             @ForAll @Size(3) List<@IntRange(min = 1, max = 5) Integer> unitSizes,
             @ForAll @Size(3) List<@IntRange(min = 20, max = 500) Integer> waitingTasks) {
         double[] shares = startShares.stream().mapToDouble(share -> share).toArray();
         double[] units = unitSizes.stream().mapToDouble(unit -> unit).toArray();
         double[] used = new double[shares.length];
-        double[] wanted = new double[shares.length];
-        for (int i = 0; i < wanted.length; i++) {
-            wanted[i] = waitingTasks.get(i) * units[i];
+        double[] pending = new double[shares.length];
+        for (int i = 0; i < pending.length; i++) {
+            pending[i] = waitingTasks.get(i) * units[i];
         }
         for (int split = 0; split < SETTLING_SPLITS; split++) {
             refill(shares, used, units);
-            shares = split(shares, used, wanted, units);
+            shares = split(shares, used, pending, units);
             assertTrue(Arrays.stream(shares).sum() <= LIMIT + 1e-6, "beyond the limit");
         }
         refill(shares, used, units);
@@ -66,10 +71,10 @@
                 unused < Arrays.stream(units).min().orElseThrow(),
                 Arrays.toString(used) + " of tasks of " + Arrays.toString(units));
         // Each change of a share fails the scheduling cycles in flight.
-        assertArrayEquals(shares, split(shares, used, wanted, units), 1e-9);
+        assertArrayEquals(shares, split(shares, used, pending, units), 1e-9);
     }
 
-    /** Of two gangs on two controllers each was once given half of what it needs. */
+    /** Two gangs on two controllers once got half of their need each, so neither could start. */
     @Test
     void oneOfTwoGangsGetsItsWholeNeed() {
         double[] shares = {5, 5, 14};
--- a/src/test/java/io/quincelead/leadership/ReservedQuotaTest.java
+++ b/src/test/java/io/quincelead/leadership/ReservedQuotaTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A team at its limit whose arrays refill each CPU that comes free, and gangs that need theirs at
- * one time. Priorities here: 0 urgent, 1 normal.
+ * Reservations for gangs of a team at its limit, whose arrays refill each CPU that becomes free
+ * while a gang needs all its CPUs at once. Priorities in this test: 0 urgent, 1 normal.
  */
 class ReservedQuotaTest {
     private static final double LIMIT = 24;
     private static final int MEMBERS = 3;
     private static final int NORMAL = 1;
 
-    /** Splits after which a gang whose quota is free must have it. */
+    /** Number of splits after which a gang must have its quota if enough is free. */
     private static final int MAX_SPLITS = 4;
 
     private static double committed(double[] shares, double[] used) {
@@ -39,27 +39,27 @@
         return list.stream().mapToDouble(x -> x).toArray();
     }
 
-    /** A split in which any amount is of use. */
+    /** A split in which any amount is useful. */
     private static double[] split(
             double[] shares,
             double[] used,
-            double[][] wanted,
+            double[][] pending,
             QuotaShareCalculator.Reservation reservation) {
         List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
             members.add(
                     new QuotaShareCalculator.MemberQuota(
-                            shares[i], used[i], wanted[i], new double[wanted[i].length]));
+                            shares[i], used[i], pending[i], new double[pending[i].length]));
         }
         return QuotaShareCalculator.split(LIMIT, 0, members, reservation, false);
     }
 
-    private static double[][] wanted(double[] urgent, double[] normal) {
-        double[][] wanted = new double[urgent.length][];
+    private static double[][] pendingByMember(double[] urgent, double[] normal) {
+        double[][] pending = new double[urgent.length][];
         for (int i = 0; i < urgent.length; i++) {
-            wanted[i] = new double[] {urgent[i], normal[i]};
+            pending[i] = new double[] {urgent[i], normal[i]};
         }
-        return wanted;
+        return pending;
     }
 
     @Property(tries = 2000, seed = "21")
@@ -75,7 +75,7 @@
                 split(
                         array(shares),
                         array(used),
-                        wanted(array(urgent), array(normal)),
+                        pendingByMember(array(urgent), array(normal)),
                         reservation(member, need, priority));
         assertTrue(
                 committed(nextShares, array(used))
@@ -83,29 +83,29 @@
         assertTrue(Arrays.stream(nextShares).allMatch(share -> share >= 0));
     }
 
-    /** A gang that has its whole quota takes nothing from what runs elsewhere. */
+    /** A gang with its whole quota takes none from tasks that run at other members. */
     @Property(tries = 500, seed = "22")
-    void reservationThatIsMetLeavesOthersTheirUse(
+    void satisfiedReservationTakesNothingFromOtherMembers(
             @ForAll @Size(MEMBERS) List<@DoubleRange(max = 6) Double> used,
             @ForAll @DoubleRange(max = 6) double need,
             @ForAll @IntRange(max = MEMBERS - 1) int member) {
         double[] usedArray = array(used);
         double[] shares = usedArray.clone();
         shares[member] += need;
-        double[][] wanted = wanted(new double[MEMBERS], new double[] {100, 100, 100});
-        double[] nextShares = split(shares, usedArray, wanted, reservation(member, need));
+        double[][] pending = pendingByMember(new double[MEMBERS], new double[] {100, 100, 100});
+        double[] nextShares = split(shares, usedArray, pending, reservation(member, need));
         for (int i = 0; i < MEMBERS; i++) {
             assertTrue(nextShares[i] >= usedArray[i] - 1e-9, Arrays.toString(nextShares));
         }
         assertTrue(nextShares[member] >= shares[member] - 1e-9, Arrays.toString(nextShares));
     }
 
-    /** Gangs once waited for ever beside arrays that took each CPU as it came free. */
+    /** Gangs once waited indefinitely because arrays took each CPU as it became free. */
     @Test
-    void arraysThatRefillGiveUpOnlyWhatTheGangLacks() {
+    void refillingArraysGiveUpOnlyWhatTheGangLacks() {
         double[] used = {12, 12, 0};
-        double[][] wanted = wanted(new double[MEMBERS], new double[] {100, 100, 0});
-        double[] shares = split(used, used, wanted, reservation(2, 8));
+        double[][] pending = pendingByMember(new double[MEMBERS], new double[] {100, 100, 0});
+        double[] shares = split(used, used, pending, reservation(2, 8));
         assertArrayEquals(new double[] {4, 4, 0}, shares, 1e-9);
     }
 
@@ -113,8 +113,8 @@
     void urgentDemandGetsFreedQuotaBeforeTheGang() {
         double[] shares = {4, 4, 0};
         double[] used = {10, 6, 0};
-        double[][] wanted = wanted(new double[] {0, 5, 0}, new double[] {100, 100, 0});
-        double[] nextShares = split(shares, used, wanted, reservation(2, 8));
+        double[][] pending = pendingByMember(new double[] {0, 5, 0}, new double[] {100, 100, 0});
+        double[] nextShares = split(shares, used, pending, reservation(2, 8));
         assertEquals(11, nextShares[1], 1e-9);
         assertEquals(3, nextShares[2], 1e-9);
     }
@@ -130,8 +130,8 @@
         return new QuotaShareCalculator.Reservation(amounts, priority);
     }
 
-    /** A small service: each member's array refills its share, and gangs wait at two members. */
-    private static final class Service {
+    /** Simulates a team: each member's array refills its share, and two gangs are pending. */
+    private static final class TeamSimulation {
         final SplittableRandom random;
         final double[] shares;
         final double[] used;
@@ -139,7 +139,7 @@
         final double[] gangNeeds;
         int startedGangs;
 
-        Service(long seed) {
+        TeamSimulation(long seed) {
             random = new SplittableRandom(seed);
             used = new double[] {8, 8, 8};
             shares = used.clone();
@@ -147,19 +147,19 @@
             gangNeeds = new double[] {1 + random.nextInt(24), 1 + random.nextInt(24)};
         }
 
-        private boolean gangWaits() {
+        private boolean isGangPending() {
             return startedGangs < gangNeeds.length;
         }
 
-        /** One of the member's running tasks of one CPU ends. */
+        /** Ends one of the member's running tasks of one CPU. */
         void endTask(int member) {
             used[member] = Math.max(0, used[member] - 1);
         }
 
-        /** The member's array takes what its share leaves beside the reserved gang. */
+        /** Starts tasks of the member's array on the share not withheld for the reserved gang. */
         void refill(int member) {
             double withheld =
-                    gangWaits() && gangMembers[startedGangs] == member
+                    isGangPending() && gangMembers[startedGangs] == member
                             ? gangNeeds[startedGangs]
                             : 0;
             while (shares[member] - used[member] - withheld >= 1 - 1e-9) {
@@ -168,17 +168,17 @@
         }
 
         void split() {
-            double[][] wanted = wanted(new double[MEMBERS], new double[] {200, 200, 200});
+            double[][] pending = pendingByMember(new double[MEMBERS], new double[] {200, 200, 200});
             QuotaShareCalculator.Reservation reservation =
-                    gangWaits()
+                    isGangPending()
                             ? reservation(gangMembers[startedGangs], gangNeeds[startedGangs])
                             : QuotaShareCalculator.Reservation.none(MEMBERS);
-            double[] next = ReservedQuotaTest.split(shares, used, wanted, reservation);
+            double[] next = ReservedQuotaTest.split(shares, used, pending, reservation);
             System.arraycopy(next, 0, shares, 0, MEMBERS);
         }
 
-        void startGangIfWhole() {
-            if (gangWaits()) {
+        void startGangIfQuotaSuffices() {
+            if (isGangPending()) {
                 int member = gangMembers[startedGangs];
                 if (shares[member] - used[member] >= gangNeeds[startedGangs] - 1e-9) {
                     used[member] += gangNeeds[startedGangs];
@@ -193,54 +193,56 @@
     }
 
     /**
-     * Whatever the order in which tasks end, arrays refill and splits are written after the first
-     * one: when each task that ran at that split has ended, the first gang has started, and the
-     * second likewise.
+     * After the first split, tasks end, arrays refill and splits are written in random order. Once
+     * all tasks that ran at that split have ended, the first gang has started; the same holds for
+     * the second gang.
      */
     @Property(tries = 500, seed = "23")
     void gangsGetTheirWholeQuotaInTurn(@ForAll long seed) {
-        Service service = new Service(seed);
+        TeamSimulation simulation = new TeamSimulation(seed);
         for (int gang = 1; gang <= 2; gang++) {
-            service.split();
+            simulation.split();
             int[] tasksToEnd =
-                    Arrays.stream(service.used).mapToInt(used -> (int) Math.round(used)).toArray();
-            while (Arrays.stream(tasksToEnd).sum() > 0 && service.startedGangs < gang) {
-                int member = service.random.nextInt(MEMBERS);
-                switch (service.random.nextInt(3)) {
-                    case 0 -> service.split();
-                    case 1 -> service.refill(member);
+                    Arrays.stream(simulation.used)
+                            .mapToInt(used -> (int) Math.round(used))
+                            .toArray();
+            while (Arrays.stream(tasksToEnd).sum() > 0 && simulation.startedGangs < gang) {
+                int member = simulation.random.nextInt(MEMBERS);
+                switch (simulation.random.nextInt(3)) {
+                    case 0 -> simulation.split();
+                    case 1 -> simulation.refill(member);
                     default -> {
                         if (tasksToEnd[member] > 0) {
                             tasksToEnd[member]--;
-                            service.endTask(member);
+                            simulation.endTask(member);
                         }
                     }
                 }
-                service.startGangIfWhole();
-                service.checkLimit();
+                simulation.startGangIfQuotaSuffices();
+                simulation.checkLimit();
             }
-            for (int split = 0; split < MAX_SPLITS && service.startedGangs < gang; split++) {
-                service.split();
-                service.startGangIfWhole();
-                service.checkLimit();
+            for (int split = 0; split < MAX_SPLITS && simulation.startedGangs < gang; split++) {
+                simulation.split();
+                simulation.startGangIfQuotaSuffices();
+                simulation.checkLimit();
             }
-            assertTrue(service.startedGangs >= gang, "gang " + gang + " has not started");
+            assertTrue(simulation.startedGangs >= gang, "gang " + gang + " has not started");
         }
     }
 
-    /** When no gang waits any more, the arrays have the whole limit again. */
+    /** Once no gang is pending any more, the arrays can use the whole limit again. */
     @Property(tries = 200, seed = "24")
     void quotaReturnsToTheArraysWhenTheGangHasStarted(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] used = {8, 8, 8};
         double[] shares = used.clone();
-        double[][] wanted = wanted(new double[MEMBERS], new double[] {200, 200, 200});
+        double[][] pending = pendingByMember(new double[MEMBERS], new double[] {200, 200, 200});
         double need = 1 + random.nextInt(20);
         int member = random.nextInt(MEMBERS);
-        shares = split(shares, used, wanted, reservation(member, need));
+        shares = split(shares, used, pending, reservation(member, need));
         used = new double[] {4, 2, 6};
         for (int split = 0; split < MAX_SPLITS; split++) {
-            shares = split(shares, used, wanted, QuotaShareCalculator.Reservation.none(MEMBERS));
+            shares = split(shares, used, pending, QuotaShareCalculator.Reservation.none(MEMBERS));
             for (int i = 0; i < MEMBERS; i++) {
                 used[i] += Math.max(0, Math.floor(shares[i] - used[i] + 1e-9));
             }
--- a/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
+++ b/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
@@ -23,7 +23,7 @@
 
 class ShardUpdateTest {
     private static final int UNLIMITED = Integer.MAX_VALUE;
-    private static final EventLoop STANDING_LOOP =
+    private static final EventLoop FROZEN_EVENT_LOOP =
             new EventLoop() {
                 @Override
                 public long nowMillis() {
@@ -45,10 +45,13 @@
                     Map.of("red", new Settings.Team("red", 0, 100, 0, 0)),
                     new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
                     new Settings.StoreLimits(600, 250, 8, 12));
-    private final WatchCache watchCache = UnresponsiveStore.watchCache(STANDING_LOOP, settings);
+    private final WatchCache watchCache = UnresponsiveStore.watchCache(FROZEN_EVENT_LOOP, settings);
     private final ClusterMembership membership = new ClusterMembership(settings, watchCache);
 
-    /** Two live members; the first has a shard with one machine, under token 5 of 5. */
+    /**
+     * Records two live members. The first one has a shard with one machine under fencing token 5;
+     * the counter is at 5.
+     */
     ShardUpdateTest() {
         Shard shard = new Shard("one", new LinkedHashMap<>(), new LinkedHashMap<>());
         shard.fencingTokensByHost().put("old", 5L);
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void updateLeavesTheShardsOnRecordAlone() {
+    void updateDoesNotChangeTheShardsOnRecord() {
         ShardUpdate update = new ShardUpdate(membership);
 
         update.revokeIf(host -> true);
@@ -120,7 +123,7 @@
     }
 
     @Test
-    void whatDoesNotFitARecordIsRevokedLastFirstAndOnlyOfThisUpdate() {
+    void assignmentsOfThisUpdateBeyondTheRecordLimitAreRevokedLastFirst() {
         ShardUpdate update = new ShardUpdate(membership);
         update.assign("new-1", "one");
         int lengthWithOne = update.shardOf("one").encode().toString().length();
--- a/src/test/java/io/quincelead/leadership/UrgentGangQuotaTest.java
+++ b/src/test/java/io/quincelead/leadership/UrgentGangQuotaTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Two urgent gangs on GPUs at different controllers, in a team whose less urgent arrays refill each
- * CPU that comes free. Priorities here: 0 urgent, 1 normal.
+ * Two urgent gangs with GPUs at different controllers, in a team whose less urgent arrays refill
+ * each CPU that becomes free. Priorities in this test: 0 urgent, 1 normal.
  */
 class UrgentGangQuotaTest {
     private static final double LIMIT_CPUS = 24;
@@ -19,36 +19,37 @@
     private static final int MEMBERS = 3;
     private static final int URGENT = 0;
 
-    /** Splits after which a gang whose quota is free must have it. */
+    /** Number of splits after which a gang must have its quota if enough is free. */
     private static final int MAX_SPLITS = 4;
 
-    /** What a gang needs at one time. */
+    /** A gang at a member, with the CPUs and GPUs that it needs at once. */
     private record Gang(int member, double cpus, double gpus) {}
 
-    private static final class Service {
+    /** Simulates a team: each member's array refills its CPU share, and two gangs are pending. */
+    private static final class TeamSimulation {
         final SplittableRandom random;
         final double[] cpuShares = {8, 8, 8};
         final double[] cpusUsed = {8, 8, 8};
         final double[] gpuShares = {2, 1, 1};
         final double[] gpusUsed = new double[MEMBERS];
-        final List<Gang> waitingGangs = new ArrayList<>();
+        final List<Gang> pendingGangs = new ArrayList<>();
 
-        Service(long seed) {
+        TeamSimulation(long seed) {
             random = new SplittableRandom(seed);
             int first = random.nextInt(MEMBERS);
             int second = (first + 1 + random.nextInt(MEMBERS - 1)) % MEMBERS;
-            waitingGangs.add(new Gang(first, 1 + random.nextInt(24), 3 + random.nextInt(2)));
-            waitingGangs.add(new Gang(second, 1 + random.nextInt(24), 3 + random.nextInt(2)));
+            pendingGangs.add(new Gang(first, 1 + random.nextInt(24), 3 + random.nextInt(2)));
+            pendingGangs.add(new Gang(second, 1 + random.nextInt(24), 3 + random.nextInt(2)));
         }
 
-        /** One of the member's array tasks of one CPU ends. */
+        /** Ends one of the member's array tasks of one CPU. */
         void endTask(int member) {
             cpusUsed[member] = Math.max(0, cpusUsed[member] - 1);
         }
 
-        /** The member's array takes what its share leaves beside the reserved gang. */
+        /** Starts tasks of the member's array on the share not withheld for the reserved gang. */
         void refill(int member) {
-            Gang reserved = waitingGangs.get(0);
+            Gang reserved = pendingGangs.get(0);
             double withheld = reserved.member == member ? reserved.cpus : 0;
             while (cpuShares[member] - cpusUsed[member] - withheld >= 1 - 1e-9) {
                 cpusUsed[member]++;
@@ -56,10 +57,10 @@
         }
 
         void split() {
-            Gang reserved = waitingGangs.get(0);
+            Gang reserved = pendingGangs.get(0);
             double[] urgentCpus = new double[MEMBERS];
             double[] urgentGpus = new double[MEMBERS];
-            for (Gang gang : waitingGangs.subList(1, waitingGangs.size())) {
+            for (Gang gang : pendingGangs.subList(1, pendingGangs.size())) {
                 urgentCpus[gang.member] += gang.cpus;
                 urgentGpus[gang.member] += gang.gpus;
             }
@@ -80,10 +81,11 @@
             double before = committed(shares, used);
             List<QuotaShareCalculator.MemberQuota> members = new ArrayList<>();
             for (int i = 0; i < MEMBERS; i++) {
-                double[] wanted = {urgent[i], normal};
+                double[] pendingByPriority = {urgent[i], normal};
                 double[] units = {urgent[i], normal > 0 ? 1 : 0};
                 members.add(
-                        new QuotaShareCalculator.MemberQuota(shares[i], used[i], wanted, units));
+                        new QuotaShareCalculator.MemberQuota(
+                                shares[i], used[i], pendingByPriority, units));
             }
             double[] next =
                     QuotaShareCalculator.split(
@@ -105,9 +107,9 @@
             return sum;
         }
 
-        /** Whether some gang has its whole need of both resources. */
+        /** Whether some gang has all CPUs and GPUs that it needs. */
         boolean canAnyGangStart() {
-            return waitingGangs.stream()
+            return pendingGangs.stream()
                     .anyMatch(
                             gang ->
                                     cpuShares[gang.member] - cpusUsed[gang.member]
@@ -117,36 +119,41 @@
         }
     }
 
-    /** CPUs once gathered at one controller and GPUs at another, or half of each at both. */
+    /**
+     * One controller once accumulated the CPUs and another one the GPUs, or both got half of each,
+     * so neither gang could start.
+     */
     @Property(tries = 500, seed = "41")
     void oneOfTwoUrgentGangsGetsItsWholeNeedOfBothResources(@ForAll long seed) {
-        Service service = new Service(seed);
-        service.split();
+        TeamSimulation simulation = new TeamSimulation(seed);
+        simulation.split();
         int[] tasksToEnd =
-                Arrays.stream(service.cpusUsed).mapToInt(used -> (int) Math.round(used)).toArray();
-        while (Arrays.stream(tasksToEnd).sum() > 0 && !service.canAnyGangStart()) {
-            int member = service.random.nextInt(MEMBERS);
-            switch (service.random.nextInt(3)) {
-                case 0 -> service.split();
-                case 1 -> service.refill(member);
+                Arrays.stream(simulation.cpusUsed)
+                        .mapToInt(used -> (int) Math.round(used))
+                        .toArray();
+        while (Arrays.stream(tasksToEnd).sum() > 0 && !simulation.canAnyGangStart()) {
+            int member = simulation.random.nextInt(MEMBERS);
+            switch (simulation.random.nextInt(3)) {
+                case 0 -> simulation.split();
+                case 1 -> simulation.refill(member);
                 default -> {
                     if (tasksToEnd[member] > 0) {
                         tasksToEnd[member]--;
-                        service.endTask(member);
+                        simulation.endTask(member);
                     }
                 }
             }
         }
-        for (int split = 0; split < MAX_SPLITS && !service.canAnyGangStart(); split++) {
-            service.split();
+        for (int split = 0; split < MAX_SPLITS && !simulation.canAnyGangStart(); split++) {
+            simulation.split();
         }
         assertTrue(
-                service.canAnyGangStart(),
+                simulation.canAnyGangStart(),
                 () ->
-                        service.waitingGangs
+                        simulation.pendingGangs
                                 + " with CPUs "
-                                + Arrays.toString(service.cpuShares)
+                                + Arrays.toString(simulation.cpuShares)
                                 + " and GPUs "
-                                + Arrays.toString(service.gpuShares));
+                                + Arrays.toString(simulation.gpuShares));
     }
 }
