--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -148,8 +148,8 @@
         CapacityForecast capacity = forecastCapacity(readyMachines);
         CpuDemand demand = estimateDemand(capacity);
         if (!committer.isBusy()) {
-            scaleInController.returnExcess(
-                    readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToStarvedWork);
+            scaleInController.releaseExcess(
+                    readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToBlockedWork);
         }
         // While heartbeats of machines on no record arrive here, nothing is rented: they may be
         // what is missing.
@@ -174,7 +174,7 @@
         long wallClockMillis = eventLoop.wallClockMillis();
         return demandForecast
                 .estimate(cluster.jobs(), capacity, wallClockMillis)
-                .withBookedCpus(
+                .withCalendarCpus(
                         cluster.policy()
                                 .forecastCpus(
                                         cluster.jobs().all(),
--- a/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
@@ -57,7 +57,7 @@
      * Whether a machine of this offering that is only kept for recent demand should be returned:
      * the cloud lacks machines for work that can't use this one.
      */
-    boolean shouldYieldToStarvedWork(InstanceOffering offering) {
+    boolean shouldYieldToBlockedWork(InstanceOffering offering) {
         return !starvedSpecs.isEmpty() && starvedSpecs.stream().noneMatch(offering::allows);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Plans machines for the job's pending tasks, as far as its team's limits allow them. */
-    void plan(Job job, PurchasePlan plan) {
+    void plan(Job job, ProvisioningPlan plan) {
         JobSpec spec = job.spec;
         int neededTasks = neededTasks(job);
         if (neededTasks <= 0) {
@@ -95,7 +95,7 @@
             }
             PlannedMachine machine = new PlannedMachine(offering);
             neededTasks -= reserve(spec, neededTasks, machine, zoneLimits);
-            plan.purchase(machine);
+            plan.addNew(machine);
         }
     }
 
@@ -127,7 +127,7 @@
 
     /** Returns how many tasks are left over. */
     private int reserveOnExisting(
-            JobSpec spec, int neededTasks, ZoneLimits zoneLimits, PurchasePlan plan) {
+            JobSpec spec, int neededTasks, ZoneLimits zoneLimits, ProvisioningPlan plan) {
         int leftTasks = neededTasks;
         for (PlannedMachine machine : plan.machines()) {
             if (leftTasks <= 0) {
@@ -180,7 +180,7 @@
 
     /** The offering that costs least per task; null when there is none. */
     private InstanceOffering cheapestOffering(
-            JobSpec spec, int neededTasks, ZoneLimits zoneLimits, PurchasePlan plan) {
+            JobSpec spec, int neededTasks, ZoneLimits zoneLimits, ProvisioningPlan plan) {
         InstanceOffering best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType machineType : cluster.machineTypes().all()) {
--- a/src/main/java/io/quincelead/autoscaler/CpuDemand.java
+++ b/src/main/java/io/quincelead/autoscaler/CpuDemand.java
@@ -10,7 +10,7 @@
  * @param usedCpus CPUs that placed tasks use now
  * @param deadlineCpus CPUs that all placed and queued work needs to end by its deadlines
  * @param pendingCpus CPUs that the pending tasks ask for, as far as their teams' limits allow them
- * @param bookedCpus CPUs that calendar windows will need beyond what is there
+ * @param calendarCpus CPUs that calendar windows will need beyond what is there
  */
 record CpuDemand(
         double steadyStateCpus,
@@ -18,10 +18,10 @@
         double usedCpus,
         double deadlineCpus,
         double pendingCpus,
-        double bookedCpus) {
+        double calendarCpus) {
 
     /** The same demand with another number of CPUs that calendar windows will need. */
-    CpuDemand withBookedCpus(double cpus) {
+    CpuDemand withCalendarCpus(double cpus) {
         return new CpuDemand(
                 steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
     }
@@ -38,7 +38,7 @@
                         * Math.min(
                                 usedCpus,
                                 Math.sqrt(usedCpus * AutoscalerConstants.LINEAR_RESERVE_MAX_CPUS));
-        return Math.max(usedCpus + reserveCpus, deadlineCpus) + bookedCpus;
+        return Math.max(usedCpus + reserveCpus, deadlineCpus) + calendarCpus;
     }
 
     /**
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -21,7 +21,7 @@
     private final EventLoop eventLoop;
     private final QueueOrder queueOrder;
     private final Settings settings;
-    private final ArrivingLoad arrivingLoad = new ArrivingLoad();
+    private final OfferedLoad arrivingLoad = new OfferedLoad();
 
     DemandForecast(EventLoop eventLoop, QueueOrder queueOrder, Settings settings) {
         this.eventLoop = eventLoop;
--- a/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -125,7 +125,7 @@
     private void updateMachine(
             MachineChanges changes, MachineTable.Machine machine, InstancePage.Instance instance) {
         if (instance.hasFailed() && !machine.releasing()) {
-            if (!changes.addReturn(machine, "failed")) {
+            if (!changes.tryMarkForRelease(machine, "failed")) {
                 readAgainSoon();
             }
         } else if (machine.address() == null && instance.address() != null && changes.fits(1, 1)) {
--- a/src/main/java/io/quincelead/autoscaler/MachineChanges.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -47,7 +47,7 @@
      * @param reason for the log
      * @return false when it does not fit the transaction, or its owner's membership isn't known
      */
-    boolean addReturn(MachineTable.Machine machine, String reason) {
+    boolean tryMarkForRelease(MachineTable.Machine machine, String reason) {
         if (!fits(2, 2)) {
             return false;
         }
--- a/src/main/java/io/quincelead/autoscaler/ArrivingLoad.java
+++ b/src/main/java/io/quincelead/autoscaler/OfferedLoad.java
@@ -11,7 +11,7 @@
  * The rate at which unconstrained work arrives, as decaying averages by priority. The averages are
  * this process's own memory: a new leader starts them anew.
  */
-final class ArrivingLoad {
+final class OfferedLoad {
     private static final double[] WINDOWS_SECONDS = {
         AutoscalerConstants.SHORT_LOAD_WINDOW_SECONDS, AutoscalerConstants.LONG_LOAD_WINDOW_SECONDS
     };
--- a/src/main/java/io/quincelead/autoscaler/PurchasePlan.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningPlan.java
@@ -11,9 +11,9 @@
  * The plan of one scaling pass: all machines there will be, and how many of which offering are to
  * be rented for it.
  */
-final class PurchasePlan {
+final class ProvisioningPlan {
     private final List<PlannedMachine> machines = new ArrayList<>();
-    private final Map<InstanceOffering, Integer> purchases = new LinkedHashMap<>();
+    private final Map<InstanceOffering, Integer> newMachineCounts = new LinkedHashMap<>();
 
     /** CPUs that are up, requested or planned: of equal offerings, the zone with least is taken. */
     private final Map<String, Double> cpusByZone = new HashMap<>();
@@ -25,15 +25,15 @@
     }
 
     /** Plans to rent a machine on which no tasks are reserved. */
-    void purchase(InstanceOffering offering) {
-        purchases.merge(offering, 1, Integer::sum);
+    void addNew(InstanceOffering offering) {
+        newMachineCounts.merge(offering, 1, Integer::sum);
         addCpus(offering);
     }
 
     /** Plans to rent a machine; further tasks may be reserved on what it has left. */
-    void purchase(PlannedMachine machine) {
+    void addNew(PlannedMachine machine) {
         machines.add(machine);
-        purchase(machine.offering());
+        addNew(machine.offering());
     }
 
     private void addCpus(InstanceOffering offering) {
@@ -46,12 +46,12 @@
     }
 
     /** What is to be rented, in the order in which it was planned. */
-    Map<InstanceOffering, Integer> purchases() {
-        return Collections.unmodifiableMap(purchases);
+    Map<InstanceOffering, Integer> newMachineCounts() {
+        return Collections.unmodifiableMap(newMachineCounts);
     }
 
-    int purchaseCount(InstanceOffering offering) {
-        return purchases.getOrDefault(offering, 0);
+    int newMachineCount(InstanceOffering offering) {
+        return newMachineCounts.getOrDefault(offering, 0);
     }
 
     /**
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -53,7 +53,7 @@
      * @param shouldYieldToStarvedWork whether a machine that is only kept for recent demand should
      *     go, because the cloud lacks machines for work that waits now
      */
-    void returnExcess(
+    void releaseExcess(
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity,
@@ -96,13 +96,13 @@
             }
             double machineCpus = machineType(machine).cpus();
             if (machine.cordoned()) {
-                changes.addReturn(machine, "cordoned and empty");
+                changes.tryMarkForRelease(machine, "cordoned and empty");
             } else if (machine.spot() && hasUncordonedOnDemandMachine) {
                 continue;
             } else if (nowMillis - idleSinceMillis > operatorSettings.idleReturnSeconds() * 1000
                     && demand.shortfallCpus() <= 0
                     && (machine.spot() ? spareSpotCpus : spareOnDemandCpus) >= machineCpus / 2
-                    && changes.addReturn(machine, "idle")) {
+                    && changes.tryMarkForRelease(machine, "idle")) {
                 spareOnDemandCpus -= machineCpus;
                 spareSpotCpus -= machineCpus;
             }
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -56,8 +56,8 @@
      * Whether a machine of this offering that is only kept for recent demand should be returned,
      * because the cloud lacks machines for work that can't use this one; as of the last plan.
      */
-    boolean shouldYieldToStarvedWork(InstanceOffering offering) {
-        return constrainedWork.shouldYieldToStarvedWork(offering);
+    boolean shouldYieldToBlockedWork(InstanceOffering offering) {
+        return constrainedWork.shouldYieldToBlockedWork(offering);
     }
 
     /**
@@ -68,7 +68,7 @@
     Map<InstanceOffering, Integer> planScaleOut(CpuDemand demand, CapacityForecast capacity) {
         constrainedWork.begin(cluster.jobs());
         List<QueueOrder.QueueEntry> pendingJobs = pendingJobs();
-        PurchasePlan plan = new PurchasePlan();
+        ProvisioningPlan plan = new ProvisioningPlan();
         addExistingMachines(plan);
         for (QueueOrder.QueueEntry ranked : pendingJobs) {
             if (!ranked.job().spec.isUnconstrained()) {
@@ -79,7 +79,7 @@
                 .rebalanceDemand()
                 .forEach((zone, specs) -> specs.forEach(spec -> planRebalance(spec, zone, plan)));
         unconstrainedWork.plan(demand, capacity, plan);
-        return plan.purchases();
+        return plan.newMachineCounts();
     }
 
     /** The jobs with pending tasks, in the order of the queue. */
@@ -97,7 +97,7 @@
         return pendingJobs;
     }
 
-    private void addExistingMachines(PurchasePlan plan) {
+    private void addExistingMachines(ProvisioningPlan plan) {
         for (MachineTable.Machine machine : cluster.machines().all()) {
             MachineType machineType = cluster.machineTypes().get(machine.machineType());
             if (!machine.releasing() && machineType != null) {
@@ -121,7 +121,7 @@
     }
 
     /** Plans capacity for one replica that would move to a zone which came back. */
-    private void planRebalance(JobSpec spec, String zone, PurchasePlan plan) {
+    private void planRebalance(JobSpec spec, String zone, ProvisioningPlan plan) {
         for (PlannedMachine machine : plan.machines()) {
             if (machine.offering().zone().equals(zone)
                     && machine.offering().allows(spec)
@@ -134,7 +134,7 @@
         if (offering != null) {
             PlannedMachine machine = new PlannedMachine(offering);
             machine.reserve(spec, 1);
-            plan.purchase(machine);
+            plan.addNew(machine);
         }
     }
 
--- a/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -26,7 +26,7 @@
         this.isZoneUnavailable = isZoneUnavailable;
     }
 
-    void plan(CpuDemand demand, CapacityForecast capacity, PurchasePlan plan) {
+    void plan(CpuDemand demand, CapacityForecast capacity, ProvisioningPlan plan) {
         double strandedCpus = strandedCpus(plan);
         double spotTargetCpus =
                 Math.max(
@@ -35,20 +35,20 @@
                                         + Math.min(strandedCpus, demand.pendingCpus())
                                         + demand.pendingCpus()
                                                 * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION)
-                        + demand.bookedCpus();
+                        + demand.calendarCpus();
         double missingCpus =
                 Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
         double overdueCpus =
                 demand.shortfallCpus()
                         - capacity.totalCpus()
                                 * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
-        if (demand.bookedCpus() > 0) {
+        if (demand.calendarCpus() > 0) {
             // What the calendar books must be there, spot or not; but not more of it than is
             // missing.
-            overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
+            overdueCpus = Math.max(overdueCpus, Math.min(demand.calendarCpus(), missingCpus));
         }
         double toleratedCpus =
-                demand.pendingCpus() + demand.bookedCpus() > 0
+                demand.pendingCpus() + demand.calendarCpus() > 0
                         ? 0.5
                         : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
         while (missingCpus > toleratedCpus) {
@@ -56,7 +56,7 @@
             if (offering == null) {
                 return;
             }
-            plan.purchase(offering);
+            plan.addNew(offering);
             missingCpus -= offering.machineType().cpus();
             overdueCpus -= offering.machineType().cpus();
         }
@@ -66,7 +66,7 @@
      * CPUs that are free on machines with too little left for any unconstrained task that waits:
      * whole-machine tasks wait beside half-filled machines.
      */
-    private double strandedCpus(PurchasePlan plan) {
+    private double strandedCpus(ProvisioningPlan plan) {
         JobSpec smallestSpec = smallestPendingSpec();
         if (smallestSpec == null) {
             return 0;
@@ -97,7 +97,7 @@
 
     /** The offering without GPUs that costs least per useful CPU; null when there is none. */
     private InstanceOffering cheapestOffering(
-            double missingCpus, boolean mayBeOnDemand, PurchasePlan plan) {
+            double missingCpus, boolean mayBeOnDemand, ProvisioningPlan plan) {
         InstanceOffering best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType machineType : cluster.machineTypes().all()) {
@@ -121,10 +121,10 @@
         return best;
     }
 
-    private boolean isAvailable(InstanceOffering offering, PurchasePlan plan) {
+    private boolean isAvailable(InstanceOffering offering, ProvisioningPlan plan) {
         return !provisioningRequests.isRefused(offering)
                 && !isZoneUnavailable.test(offering.zone())
-                && plan.purchaseCount(offering)
+                && plan.newMachineCount(offering)
                         < AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST;
     }
 
