--- a/src/main/java/io/quincelead/cli/CalendarCommands.java
+++ b/src/main/java/io/quincelead/cli/CalendarCommands.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) throws Settings.InvalidSettingsException {
+        void addChangeFields(ObjectNode request) throws Settings.InvalidSettingsException {
             request.put("file", file.getName())
                     .put("replace", replace)
                     .set("entry", ValidatedFile.read(file, "calendar.schema.json"));
@@ -62,7 +62,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) {
+        void addChangeFields(ObjectNode request) {
             request.put("name", name).put("date", date);
         }
     }
@@ -80,8 +80,8 @@
         }
 
         @Override
-        void addChange(ObjectNode request) {
-            super.addChange(request);
+        void addChangeFields(ObjectNode request) {
+            super.addChangeFields(request);
             request.put("time", time);
         }
     }
@@ -106,7 +106,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) {
+        void addChangeFields(ObjectNode request) {
             request.put("name", name);
         }
     }
--- a/src/main/java/io/quincelead/cli/ChangeCommand.java
+++ b/src/main/java/io/quincelead/cli/ChangeCommand.java
@@ -25,7 +25,7 @@
      *
      * @throws Settings.InvalidSettingsException if a file that the command names can't be used
      */
-    abstract void addChange(ObjectNode request) throws Settings.InvalidSettingsException;
+    abstract void addChangeFields(ObjectNode request) throws Settings.InvalidSettingsException;
 
     @Override
     final void addRequestFields(ObjectNode request) throws Settings.InvalidSettingsException {
@@ -34,6 +34,6 @@
         } else {
             request.put("change", changeId == null ? UUID.randomUUID().toString() : changeId);
         }
-        addChange(request);
+        addChangeFields(request);
     }
 }
--- a/src/main/java/io/quincelead/cli/ClassesCommands.java
+++ b/src/main/java/io/quincelead/cli/ClassesCommands.java
@@ -34,7 +34,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) throws Settings.InvalidSettingsException {
+        void addChangeFields(ObjectNode request) throws Settings.InvalidSettingsException {
             request.put("file", file.getName())
                     .set("classes", ValidatedFile.read(file, "classes.schema.json").get("classes"));
         }
@@ -86,7 +86,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) {
+        void addChangeFields(ObjectNode request) {
             if (generation != null) {
                 request.put("to", generation);
             }
--- a/src/main/java/io/quincelead/cli/ZonesCommands.java
+++ b/src/main/java/io/quincelead/cli/ZonesCommands.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        void addChange(ObjectNode request) {
+        void addChangeFields(ObjectNode request) {
             request.put("zone", zone);
         }
     }
--- a/src/main/java/io/quincelead/leadership/QuotaReservations.java
+++ b/src/main/java/io/quincelead/leadership/QuotaReservations.java
@@ -179,7 +179,7 @@
 
     private double overdueSeconds(Job job, long wallMillis) {
         return (wallMillis - job.acceptedAtEpochMillis()) / 1000.0
-                - policy.priorityOf(job).startWithinSeconds()
+                - policy.effectivePriorityOf(job).startWithinSeconds()
                         * SchedulerConstants.OVERDUE_RAMP_START_FRACTION;
     }
 
--- a/src/main/java/io/quincelead/policy/CalendarHead.java
+++ b/src/main/java/io/quincelead/policy/CalendarHead.java
@@ -19,12 +19,12 @@
     }
 
     /** After a change that isn't an operator's. */
-    CalendarHead next() {
+    CalendarHead withNextGeneration() {
         return new CalendarHead(generation + 1, recentChangeIds);
     }
 
     /** After an operator's change. */
-    CalendarHead next(String changeId) {
+    CalendarHead withNextGeneration(String changeId) {
         int forgotten = recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1;
         List<String> changeIds =
                 new ArrayList<>(
--- a/src/main/java/io/quincelead/policy/CalendarOperations.java
+++ b/src/main/java/io/quincelead/policy/CalendarOperations.java
@@ -187,7 +187,8 @@
                                 watchCache.modRevision(StoreKeys.CALENDAR_HEAD))
                         .put(
                                 StoreKeys.CALENDAR_HEAD,
-                                CalendarCodec.encodeHead(records.calendarHead().next(changeId)));
+                                CalendarCodec.encodeHead(
+                                        records.calendarHead().withNextGeneration(changeId)));
         if (updated == null) {
             txn.remove(key);
         } else {
--- a/src/main/java/io/quincelead/policy/CalendarReconciler.java
+++ b/src/main/java/io/quincelead/policy/CalendarReconciler.java
@@ -67,7 +67,7 @@
     }
 
     /** Forgets what only a leader keeps. */
-    void forgetProgress() {
+    void forgetLeaderState() {
         counter.forgetCompletions();
         countsWrittenAtMillis.clear();
     }
@@ -90,7 +90,7 @@
         boolean due =
                 loop.nowMillis() - plannedAtMillis
                         >= PolicyConstants.OCCURRENCE_PLANNING_INTERVAL_MILLIS;
-        if (!due && plannedVersion == records.version()) {
+        if (!due && plannedVersion == records.priorityVersion()) {
             return null;
         }
         Set<String> plannedLedgerKeys = new HashSet<>();
@@ -103,7 +103,7 @@
         forgetUnneeded(plannedLedgerKeys);
         // All are planned: a thousand entries need not be gone through each time.
         plannedAtMillis = loop.nowMillis();
-        plannedVersion = records.version();
+        plannedVersion = records.priorityVersion();
         return null;
     }
 
@@ -306,7 +306,7 @@
     }
 
     private void advanceCalendarGeneration(Transaction txn) {
-        CalendarHead next = records.calendarHead().next();
+        CalendarHead next = records.calendarHead().withNextGeneration();
         txn.requireRevision(
                         StoreKeys.CALENDAR_HEAD, watchCache.modRevision(StoreKeys.CALENDAR_HEAD))
                 .put(StoreKeys.CALENDAR_HEAD, CalendarCodec.encodeHead(next));
@@ -320,7 +320,7 @@
         for (String jobId : countedCompletions) {
             String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + jobId;
             UncountedCompletion remainder =
-                    records.uncountedCompletions().get(jobId).countedBy(occurrence.key());
+                    records.uncountedCompletions().get(jobId).withoutOccurrence(occurrence.key());
             txn.requireRevision(key, watchCache.modRevision(key));
             if (remainder.occurrenceKeys().isEmpty()) {
                 txn.remove(key);
--- a/src/main/java/io/quincelead/policy/ClassesOperations.java
+++ b/src/main/java/io/quincelead/policy/ClassesOperations.java
@@ -69,7 +69,7 @@
         if (head.rejectedGeneration() != 0) {
             out.put("refused", head.rejectedGeneration()).put("why", head.rejectionReason());
         }
-        if (!policy.isReady()) {
+        if (!policy.isActiveGenerationReadable()) {
             out.put("unread", head.activeGeneration());
         }
         ObjectNode talliesNode = out.putObject("now");
@@ -89,8 +89,9 @@
     private Map<String, ClassTally> tallyJobs() {
         Map<String, ClassTally> tallies = new TreeMap<>();
         for (Job job : jobs.all()) {
-            EffectivePriority priority = policy.priorityOf(job);
-            String className = priority.jobClass() == null ? "" : priority.jobClass().name();
+            EffectivePriority priority = policy.effectivePriorityOf(job);
+            String className =
+                    priority.priorityClass() == null ? "" : priority.priorityClass().name();
             ClassTally tally = tallies.computeIfAbsent(className, name -> new ClassTally());
             tally.jobs++;
             tally.waitingTasks += job.waitingTaskCount();
--- a/src/main/java/io/quincelead/policy/ClassesPreview.java
+++ b/src/main/java/io/quincelead/policy/ClassesPreview.java
@@ -54,7 +54,7 @@
     }
 
     private void addWaiting(Job job) {
-        JobClass newClass = proposed.classOf(job.spec);
+        PriorityClass newClass = proposed.classOf(job.spec);
         String name = label(current.classOf(job.spec)) + " -> " + label(newClass);
         Transition transition = transitions.computeIfAbsent(name, key -> new Transition());
         transition.jobs++;
@@ -67,13 +67,13 @@
         }
     }
 
-    private static String label(JobClass jobClass) {
+    private static String label(PriorityClass jobClass) {
         return jobClass == null ? "none" : jobClass.name() + " (" + jobClass.rank() + ")";
     }
 
     private void addWarnings(ArrayNode warnings) {
         double totalCpus = 0;
-        for (JobClass jobClass : proposed.all()) {
+        for (PriorityClass jobClass : proposed.all()) {
             totalCpus += wantedCpusByClass.get(jobClass.name());
             if (jobClass.startWithinSeconds() < SchedulerConstants.LONG_WAIT_SECONDS) {
                 warnings.add(
--- a/src/main/java/io/quincelead/policy/ClassesReconciler.java
+++ b/src/main/java/io/quincelead/policy/ClassesReconciler.java
@@ -35,7 +35,7 @@
      * Says on record that the active generation can't be read here, or takes that back. Every
      * controller does this for itself.
      */
-    Transaction unreadableGenerationChange() {
+    Transaction unreadableReportChange() {
         Long reported = records.unreadableGenerationByMember().get(memberId);
         long unreadable = records.unreadableGeneration();
         String key = StoreKeys.CLASSES_UNREADABLE_PREFIX + memberId;
--- a/src/main/java/io/quincelead/policy/CoveredJobCounter.java
+++ b/src/main/java/io/quincelead/policy/CoveredJobCounter.java
@@ -59,7 +59,7 @@
                 }
             }
         }
-        return occurrence.notePeak(usedCpus) || changed;
+        return occurrence.updatePeakCpus(usedCpus) || changed;
     }
 
     private boolean countCompletedJobs(ScheduledOccurrence occurrence) {
--- a/src/main/java/io/quincelead/policy/EffectivePriority.java
+++ b/src/main/java/io/quincelead/policy/EffectivePriority.java
@@ -6,31 +6,34 @@
 /**
  * A job's position among waiting work by the operators' records.
  *
- * @param jobClass the job's priority class; null: none matches it
+ * @param priorityClass the job's priority class; null: none matches it
  * @param rank of the class, the smaller the earlier
  * @param occurrence whose window is open and covers the job; null: none does
  * @param publicationMillis when the occurrence's publication is due, in ms since 1970; 0: none
  */
 public record EffectivePriority(
-        JobClass jobClass, int rank, ScheduledOccurrence occurrence, long publicationMillis) {
+        PriorityClass priorityClass,
+        int rank,
+        ScheduledOccurrence occurrence,
+        long publicationMillis) {
     /** Covered work goes first in its tier. */
     public boolean isCovered() {
         return publicationMillis > 0;
     }
 
     /** Whom the job's running tasks may be preempted for. */
-    public JobClass.PreemptionProtection preemptionProtection() {
-        return jobClass == null
-                ? JobClass.PreemptionProtection.PROTOCOL
-                : jobClass.preemptionProtection();
+    public PriorityClass.PreemptionProtection preemptionProtection() {
+        return priorityClass == null
+                ? PriorityClass.PreemptionProtection.PROTOCOL
+                : priorityClass.preemptionProtection();
     }
 
     /** The priority by which the job is ordered, as a number, the smaller the earlier. */
     public int orderingPriority(JobSpec spec) {
         int ownPriority = spec.priority().ordinal();
-        return jobClass == null
+        return priorityClass == null
                 ? ownPriority
-                : switch (jobClass.orderingPriority()) {
+                : switch (priorityClass.priorityFloor()) {
                     case NONE -> ownPriority;
                     case NORMAL -> Math.min(ownPriority, JobSpec.Priority.NORMAL.ordinal());
                     case HIGH -> Math.min(ownPriority, JobSpec.Priority.HIGH.ordinal());
@@ -40,15 +43,15 @@
 
     /** Seconds within which the job should have started its first tasks. */
     public double startWithinSeconds() {
-        return jobClass == null
+        return priorityClass == null
                 ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
-                : jobClass.startWithinSeconds();
+                : priorityClass.startWithinSeconds();
     }
 
     /** Part of the job's tasks, 0 to 1, that should have started by then. */
     double minStartedShare() {
-        return jobClass == null
+        return priorityClass == null
                 ? PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION
-                : jobClass.minStartedShare();
+                : priorityClass.minStartedShare();
     }
 }
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -50,13 +50,13 @@
     }
 
     /** Whether this controller can read the classes in force, so that it may schedule by them. */
-    public boolean isReady() {
+    public boolean isActiveGenerationReadable() {
         return records.unreadableGeneration() == 0;
     }
 
     /** Whether any operators' record exists that work is ranked by. */
-    public boolean isInForce() {
-        return records.isInForce();
+    public boolean hasPriorityRules() {
+        return records.hasPriorityRules();
     }
 
     /** The priority classes in force here. */
@@ -78,8 +78,8 @@
      * The job's position among waiting work. Of two open windows that cover it, the one that is
      * published first counts.
      */
-    public EffectivePriority priorityOf(Job job) {
-        if (!isInForce()) {
+    public EffectivePriority effectivePriorityOf(Job job) {
+        if (!hasPriorityRules()) {
             return DEFAULT_PRIORITY;
         }
         EffectivePriority priority = priorityByJob.get(job);
@@ -94,7 +94,7 @@
     }
 
     private EffectivePriority computePriority(Job job) {
-        JobClass jobClass = records.activeClasses().classOf(job.spec);
+        PriorityClass jobClass = records.activeClasses().classOf(job.spec);
         ScheduledOccurrence first = null;
         for (ScheduledOccurrence occurrence : records.priorityOccurrences()) {
             if ((first == null || occurrence.publicationMillis() < first.publicationMillis())
@@ -119,7 +119,7 @@
      * @param wallClockMillis now, in ms since 1970
      */
     public int requiredStartedTaskCount(Job job, long wallClockMillis) {
-        EffectivePriority priority = priorityOf(job);
+        EffectivePriority priority = effectivePriorityOf(job);
         return job.requiredStartedTaskCount(
                 wallClockMillis, priority.startWithinSeconds(), priority.minStartedShare());
     }
@@ -169,7 +169,7 @@
     public int maxTasksPerZone(Job job) {
         int taskCount = job.spec.taskCount();
         int maxTasks = job.spec.zoneSpread() ? (taskCount + 1) / 2 : taskCount;
-        JobClass jobClass = priorityOf(job).jobClass();
+        PriorityClass jobClass = effectivePriorityOf(job).priorityClass();
         if (jobClass != null
                 && jobClass.minShareAfterZoneLoss() > 0
                 && job.spec.isService()
@@ -186,11 +186,11 @@
      * How long the job's tasks are left on a silent machine in a zone that can't be reached, in ms;
      * negative: its class doesn't say.
      */
-    public double unreachableZonePatienceMillis(Job job) {
-        JobClass jobClass = priorityOf(job).jobClass();
-        return jobClass == null || jobClass.unreachableZonePatienceSeconds() < 0
+    public double unreachableZoneTimeoutMillis(Job job) {
+        PriorityClass jobClass = effectivePriorityOf(job).priorityClass();
+        return jobClass == null || jobClass.unreachableZoneTimeoutSeconds() < 0
                 ? -1
-                : jobClass.unreachableZonePatienceSeconds() * 1000;
+                : jobClass.unreachableZoneTimeoutSeconds() * 1000;
     }
 
     /** The occurrences that cover the job and whose covered work ranks ahead now. */
--- a/src/main/java/io/quincelead/policy/PolicyReconciler.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -72,7 +72,7 @@
         if (requestInFlight || !watchCache.isSynced() || !store.canAffordUrgentWrite()) {
             return;
         }
-        Transaction txn = classes.unreadableGenerationChange();
+        Transaction txn = classes.unreadableReportChange();
         if (txn == null && leadership.isLeader()) {
             txn = classes.nextChange();
             txn = txn != null ? txn : calendar.nextChange();
@@ -84,7 +84,7 @@
             commit(txn);
         }
         if (!leadership.isLeader()) {
-            calendar.forgetProgress();
+            calendar.forgetLeaderState();
         }
     }
 
--- a/src/main/java/io/quincelead/policy/PolicyRecords.java
+++ b/src/main/java/io/quincelead/policy/PolicyRecords.java
@@ -40,7 +40,7 @@
     private final Map<String, UncountedCompletion> uncountedCompletions = new TreeMap<>();
     private PriorityClasses activeClasses = PriorityClasses.NONE;
     private long unreadableGeneration;
-    private long version;
+    private long priorityVersion;
 
     /**
      * @param onPriorityChange runs after each change that can change a job's effective priority
@@ -116,7 +116,7 @@
     }
 
     private void priorityChanged() {
-        version++;
+        priorityVersion++;
         onPriorityChange.run();
     }
 
@@ -327,12 +327,12 @@
     }
 
     /** Whether any record exists that work is ranked by. */
-    boolean isInForce() {
+    boolean hasPriorityRules() {
         return classesHead.activeGeneration() != 0 || !occurrences.isEmpty();
     }
 
     /** Rises with every change that can change a job's effective priority. */
-    long version() {
-        return version;
+    long priorityVersion() {
+        return priorityVersion;
     }
 }
--- a/src/main/java/io/quincelead/policy/JobClass.java
+++ b/src/main/java/io/quincelead/policy/PriorityClass.java
@@ -10,13 +10,13 @@
  * @param startWithinSeconds seconds within which each of its jobs should have started
  * @param minStartedShare part of a job's tasks, 0 to 1, that should have started by then
  * @param preemptionProtection whom its running tasks may be preempted for
- * @param orderingPriority the priority by which its waiting jobs are ordered
- * @param unreachableZonePatienceSeconds seconds for which replicas in a zone that can't be reached
+ * @param priorityFloor the priority by which its waiting jobs are ordered
+ * @param unreachableZoneTimeoutSeconds seconds for which replicas in a zone that can't be reached
  *     are left there, though they may serve nobody; negative: as without the class
  * @param minShareAfterZoneLoss part of a service's replicas, 0 to 1, that should be left when any
  *     one zone is lost; 0: as without the class
  */
-public record JobClass(
+public record PriorityClass(
         String name,
         String description,
         JobSelector selector,
@@ -24,8 +24,8 @@
         double startWithinSeconds,
         double minStartedShare,
         PreemptionProtection preemptionProtection,
-        OrderingPriority orderingPriority,
-        double unreachableZonePatienceSeconds,
+        PriorityFloor priorityFloor,
+        double unreachableZoneTimeoutSeconds,
         double minShareAfterZoneLoss) {
     /**
      * Whose work its running tasks may be preempted for. It only narrows what the protocol allows.
@@ -54,7 +54,7 @@
      * Up to which priority its waiting jobs are ordered as if they had it; what they may preempt
      * stays as it is.
      */
-    public enum OrderingPriority {
+    public enum PriorityFloor {
         /** By their own priority. */
         NONE("none"),
         /** At least as normal work. */
@@ -66,7 +66,7 @@
 
         private final String wireName;
 
-        OrderingPriority(String wireName) {
+        PriorityFloor(String wireName) {
             this.wireName = wireName;
         }
 
--- a/src/main/java/io/quincelead/policy/PriorityClasses.java
+++ b/src/main/java/io/quincelead/policy/PriorityClasses.java
@@ -12,9 +12,9 @@
     public static final PriorityClasses NONE = new PriorityClasses(0, List.of());
 
     private final long generation;
-    private final List<JobClass> all;
+    private final List<PriorityClass> all;
 
-    PriorityClasses(long generation, List<JobClass> all) {
+    PriorityClasses(long generation, List<PriorityClass> all) {
         this.generation = generation;
         this.all = List.copyOf(all);
     }
@@ -25,13 +25,13 @@
     }
 
     /** The classes in their stated order. */
-    public List<JobClass> all() {
+    public List<PriorityClass> all() {
         return all;
     }
 
     /** The job's class; null if none matches. */
-    public JobClass classOf(JobSpec spec) {
-        for (JobClass jobClass : all) {
+    public PriorityClass classOf(JobSpec spec) {
+        for (PriorityClass jobClass : all) {
             if (jobClass.selector().matches(spec)) {
                 return jobClass;
             }
--- a/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
+++ b/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
@@ -52,12 +52,12 @@
                     "classes",
                     "must be a list of at most " + PolicyConstants.MAX_CLASSES + " classes");
         }
-        List<JobClass> classes = new ArrayList<>();
+        List<PriorityClass> classes = new ArrayList<>();
         List<JobSelector> earlierSelectors = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classNodes.size(); i++) {
             String path = fields.pathOf("classes[" + i + "]");
-            JobClass jobClass = decodeClass(classNodes.get(i), path);
+            PriorityClass jobClass = decodeClass(classNodes.get(i), path);
             if (!names.add(jobClass.name())) {
                 throw new InvalidRecordException(
                         path + ".name", "\"" + jobClass.name() + "\" stands twice");
@@ -93,14 +93,15 @@
         return parts;
     }
 
-    private static JobClass decodeClass(JsonNode node, String path) throws InvalidRecordException {
+    private static PriorityClass decodeClass(JsonNode node, String path)
+            throws InvalidRecordException {
         RecordFieldReader fields = new RecordFieldReader(node, path, CLASS_FIELDS);
         if (!fields.has("rank")) {
             throw fields.invalid(
                     "rank",
                     "a whole number from 0 to " + PolicyConstants.MAX_RANK + " is required");
         }
-        return new JobClass(
+        return new PriorityClass(
                 fields.readName("name"),
                 fields.has("description") ? fields.readText("description", true) : "",
                 fields.has("match")
@@ -115,19 +116,19 @@
                 fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION),
                 fields.readEnum(
                         "keep",
-                        JobClass.PreemptionProtection.values(),
-                        JobClass.PreemptionProtection::wireName,
-                        JobClass.PreemptionProtection.PROTOCOL),
+                        PriorityClass.PreemptionProtection.values(),
+                        PriorityClass.PreemptionProtection::wireName,
+                        PriorityClass.PreemptionProtection.PROTOCOL),
                 fields.readEnum(
                         "passes",
-                        JobClass.OrderingPriority.values(),
-                        JobClass.OrderingPriority::wireName,
-                        JobClass.OrderingPriority.NONE),
+                        PriorityClass.PriorityFloor.values(),
+                        PriorityClass.PriorityFloor::wireName,
+                        PriorityClass.PriorityFloor.NONE),
                 fields.readNumber("zonePatienceS", 0, 86_400, -1),
                 fields.readNumber("zoneSpare", 0, 1, 0));
     }
 
-    private static ObjectNode encodeClass(JobClass jobClass) {
+    private static ObjectNode encodeClass(PriorityClass jobClass) {
         ObjectNode node = WireFormat.newMap().put("name", jobClass.name());
         if (!jobClass.description().isEmpty()) {
             node.put("description", jobClass.description());
@@ -136,14 +137,14 @@
         node.put("rank", jobClass.rank())
                 .put("beginWithinS", jobClass.startWithinSeconds())
                 .put("leastShare", jobClass.minStartedShare());
-        if (jobClass.preemptionProtection() != JobClass.PreemptionProtection.PROTOCOL) {
+        if (jobClass.preemptionProtection() != PriorityClass.PreemptionProtection.PROTOCOL) {
             node.put("keep", jobClass.preemptionProtection().wireName());
         }
-        if (jobClass.orderingPriority() != JobClass.OrderingPriority.NONE) {
-            node.put("passes", jobClass.orderingPriority().wireName());
+        if (jobClass.priorityFloor() != PriorityClass.PriorityFloor.NONE) {
+            node.put("passes", jobClass.priorityFloor().wireName());
         }
-        if (jobClass.unreachableZonePatienceSeconds() >= 0) {
-            node.put("zonePatienceS", jobClass.unreachableZonePatienceSeconds());
+        if (jobClass.unreachableZoneTimeoutSeconds() >= 0) {
+            node.put("zonePatienceS", jobClass.unreachableZoneTimeoutSeconds());
         }
         if (jobClass.minShareAfterZoneLoss() > 0) {
             node.put("zoneSpare", jobClass.minShareAfterZoneLoss());
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -240,7 +240,7 @@
     }
 
     /** Notes the CPUs that covered work uses now; says whether that is a new peak. */
-    boolean notePeak(double usedCpus) {
+    boolean updatePeakCpus(double usedCpus) {
         if (usedCpus <= counts.peakCpus()) {
             return false;
         }
--- a/src/main/java/io/quincelead/policy/UncountedCompletion.java
+++ b/src/main/java/io/quincelead/policy/UncountedCompletion.java
@@ -20,7 +20,7 @@
     }
 
     /** Once this occurrence has counted it. */
-    UncountedCompletion countedBy(String occurrenceKey) {
+    UncountedCompletion withoutOccurrence(String occurrenceKey) {
         return new UncountedCompletion(
                 state,
                 completedAtMillis,
--- a/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
+++ b/src/main/java/io/quincelead/scheduler/ExplanationCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quincelead.cluster.Job;
 import io.quincelead.policy.EffectivePriority;
-import io.quincelead.policy.JobClass;
+import io.quincelead.policy.PriorityClass;
 import io.quincelead.transport.WireFormat;
 import java.util.List;
 
@@ -74,7 +74,7 @@
     }
 
     private static String className(EffectivePriority priority) {
-        JobClass jobClass = priority.jobClass();
+        PriorityClass jobClass = priority.priorityClass();
         return jobClass == null ? "" : jobClass.name();
     }
 }
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -5,8 +5,8 @@
 import io.quincelead.cluster.Placement;
 import io.quincelead.config.Settings;
 import io.quincelead.config.constants.SchedulerConstants;
-import io.quincelead.policy.JobClass;
 import io.quincelead.policy.Policy;
+import io.quincelead.policy.PriorityClass;
 
 /**
  * Decides which tasks a job may preempt, and what that costs. Created for one plan; changes
@@ -40,7 +40,7 @@
         if (placement.job == forJob) {
             return false;
         }
-        if (policy.isInForce() && !policyAllows(forJob, placement, withinGuarantee)) {
+        if (policy.hasPriorityRules() && !policyAllows(forJob, placement, withinGuarantee)) {
             return false;
         }
         if (plan.entitledTasksByStarvingJob.containsKey(placement.job)
@@ -81,10 +81,11 @@
 
     /** Whether the operators' records, which can only restrict preemption, allow it. */
     private boolean policyAllows(Job forJob, Placement placement, boolean withinGuarantee) {
-        JobClass.PreemptionProtection protection =
-                policy.priorityOf(placement.job).preemptionProtection();
-        if (protection == JobClass.PreemptionProtection.NEVER
-                || protection == JobClass.PreemptionProtection.URGENT && !forJob.spec.isUrgent()) {
+        PriorityClass.PreemptionProtection protection =
+                policy.effectivePriorityOf(placement.job).preemptionProtection();
+        if (protection == PriorityClass.PreemptionProtection.NEVER
+                || protection == PriorityClass.PreemptionProtection.URGENT
+                        && !forJob.spec.isUrgent()) {
             return false;
         }
         return !QueueOrder.precedes(
@@ -105,7 +106,7 @@
                 starving,
                 false,
                 0,
-                policy.priorityOf(job),
+                policy.effectivePriorityOf(job),
                 1);
     }
 
--- a/src/main/java/io/quincelead/scheduler/QueueExplainer.java
+++ b/src/main/java/io/quincelead/scheduler/QueueExplainer.java
@@ -9,9 +9,9 @@
 import io.quincelead.config.constants.SchedulerConstants;
 import io.quincelead.eventloop.EventLoop;
 import io.quincelead.policy.EffectivePriority;
-import io.quincelead.policy.JobClass;
 import io.quincelead.policy.OperatorApi;
 import io.quincelead.policy.Policy;
+import io.quincelead.policy.PriorityClass;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
@@ -95,8 +95,8 @@
         }
         return new JobExplanation(
                 ownEntry,
-                classSource(ownEntry.effectivePriority().jobClass()),
-                ownEntry.effectivePriority().jobClass() == null
+                classSource(ownEntry.effectivePriority().priorityClass()),
+                ownEntry.effectivePriority().priorityClass() == null
                         ? "the middle, for no class matches"
                         : "its class",
                 tierName(ownEntry),
@@ -109,7 +109,7 @@
                 job.waitingTaskCount() > 0 ? position : 0);
     }
 
-    private String classSource(JobClass jobClass) {
+    private String classSource(PriorityClass jobClass) {
         return jobClass == null
                 ? "no class matches"
                 : "generation " + policy.activeClasses().generation();
@@ -161,7 +161,7 @@
         if (job.waitingTaskCount() == 0) {
             return "nothing";
         }
-        if (!policy.isReady()) {
+        if (!policy.isActiveGenerationReadable()) {
             return "priority classes that can be read here";
         }
         if (job.notBeforeMillis() > loop.nowMillis()) {
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -310,7 +310,7 @@
                                 job.spec.jobClass(),
                                 2 * runtimeSeconds
                                         + SchedulerConstants.UNSTATED_DEADLINE_SLACK_SECONDS);
-        EffectivePriority effectivePriority = policy.priorityOf(job);
+        EffectivePriority effectivePriority = policy.effectivePriorityOf(job);
         double secondsLeft = dueSeconds - ageSeconds;
         if (effectivePriority.isCovered()) {
             secondsLeft =
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -99,7 +99,7 @@
         collectWaitingJobs(plan, plan.leading ? null : leaderId, candidates, jobsAtLeader);
         collectStarvingJobs(plan);
         candidates.addAll(plan.admittedJobs);
-        if (!cluster.policy().isReady()) {
+        if (!cluster.policy().isActiveGenerationReadable()) {
             // This controller can't read the priority classes in force, and nothing may be placed
             // by any others. Terminations are recorded all the same.
             candidates.clear();
@@ -195,7 +195,7 @@
     private void collectStarvingJobs(SchedulingPlan plan) {
         long wallMillis = loop.wallClockMillis();
         for (Job job : cluster.jobs().jobsOldestFirst()) {
-            if (!cluster.policy().isInForce()
+            if (!cluster.policy().hasPriorityRules()
                     && wallMillis - job.acceptedAtEpochMillis()
                             < PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
                                     * SchedulerConstants.OVERDUE_RAMP_START_FRACTION
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -186,7 +186,7 @@
             double patienceMillis =
                     placement.isTerminated()
                             ? -1
-                            : policy.unreachableZonePatienceMillis(placement.job);
+                            : policy.unreachableZoneTimeoutMillis(placement.job);
             leastMillis = patienceMillis < 0 ? leastMillis : Math.min(leastMillis, patienceMillis);
         }
         return (long)
--- a/src/main/java/io/quincelead/zone/RecoverableService.java
+++ b/src/main/java/io/quincelead/zone/RecoverableService.java
@@ -6,7 +6,7 @@
 /**
  * A service, some of whose replicas may be in lost zones.
  *
- * @param jobClass name of its class; empty when it has none
+ * @param priorityClassName name of its class; empty when it has none
  * @param classRank rank of its class, lower first
  * @param priority ordinal of its priority, lower is more urgent
  * @param taskCount how many replicas it should have
@@ -20,7 +20,7 @@
  */
 record RecoverableService(
         String jobId,
-        String jobClass,
+        String priorityClassName,
         int classRank,
         int priority,
         int taskCount,
--- a/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
+++ b/src/main/java/io/quincelead/zone/RecoveryPlanInputs.java
@@ -39,10 +39,10 @@
 
     private RecoverableService service(Job job) {
         JobSpec spec = job.spec;
-        EffectivePriority priority = view.cluster().policy().priorityOf(job);
+        EffectivePriority priority = view.cluster().policy().effectivePriorityOf(job);
         return new RecoverableService(
                 spec.jobId(),
-                priority.jobClass() == null ? "" : priority.jobClass().name(),
+                priority.priorityClass() == null ? "" : priority.priorityClass().name(),
                 priority.rank(),
                 spec.priority().ordinal(),
                 spec.taskCount(),
--- a/src/main/java/io/quincelead/zone/RecoveryStep.java
+++ b/src/main/java/io/quincelead/zone/RecoveryStep.java
@@ -15,7 +15,7 @@
 record RecoveryStep(
         int position,
         String jobId,
-        String jobClass,
+        String priorityClassName,
         int replicaNumber,
         String capacitySource,
         String location,
--- a/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
+++ b/src/main/java/io/quincelead/zone/ZoneOperatorCodec.java
@@ -89,7 +89,7 @@
             list.addObject()
                     .put("order", step.position())
                     .put("model", step.jobId())
-                    .put("class", step.jobClass())
+                    .put("class", step.priorityClassName())
                     .put("replica", step.replicaNumber())
                     .put("how", step.capacitySource())
                     .put("where", step.location())
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryPlan.java
@@ -126,7 +126,7 @@
                 new RecoveryStep(
                         steps.size() + 1,
                         service.jobId(),
-                        service.jobClass(),
+                        service.priorityClassName(),
                         recovery.replicaCount,
                         source.description,
                         machine.host() + " in " + machine.zone(),
@@ -147,7 +147,7 @@
                 new RecoveryStep(
                         steps.size() + 1,
                         service.jobId(),
-                        service.jobClass(),
+                        service.priorityClassName(),
                         recovery.replicaCount,
                         "can't be had",
                         "-",
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -121,7 +121,7 @@
                                 false,
                                 false,
                                 Integer.MAX_VALUE,
-                                policy.priorityOf(jobs.get("wk-000002")),
+                                policy.effectivePriorityOf(jobs.get("wk-000002")),
                                 1),
                         100,
                         zone -> true);
