--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -153,7 +153,7 @@
         state.records()
                 .machines()
                 .trackLargeImages(
-                        host -> imageCaches.largeImages(host, zoneRecovery.heavyImageGb()),
+                        host -> imageCaches.largeImages(host, zoneRecovery.largeImageGb()),
                         imageCaches::mergeRecorded);
         return new ZoneRecoveryController(
                 loop,
--- a/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
@@ -235,6 +235,6 @@
                         + spec.imageSizeGb() / Math.max(machineType.imagePullGbPerSecond(), 0.01);
         return offering.pricePerHour()
                 / taskCount
-                * (1 + startSeconds / AutoscalerConstants.EXPECTED_STAY_SECONDS);
+                * (1 + startSeconds / AutoscalerConstants.START_COST_AMORTIZATION_SECONDS);
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -64,7 +64,7 @@
                 workByDeadline.compareWith(capacity, steadyCpusBefore);
         return new CpuDemand(
                 arrivingLoad.steadyStateCpus(nowMillis)
-                        * AutoscalerConstants.USUAL_LOAD_MARGIN_FACTOR,
+                        * AutoscalerConstants.STEADY_STATE_LOAD_MARGIN_FACTOR,
                 requirement.shortfallCpus(),
                 usedCpus,
                 requirement.deadlineCpus(),
@@ -125,7 +125,7 @@
                 queueOrder.entryFor(job, true, wallClockMillis).slackSeconds()
                         + runtimeSeconds * SchedulerConstants.ESTIMATE_MARGIN_FACTOR;
         if (dueInSeconds < runtimeSeconds) {
-            dueInSeconds = AutoscalerConstants.OVERDUE_DRAIN_SECONDS;
+            dueInSeconds = AutoscalerConstants.OVERDUE_WORK_DEADLINE_SECONDS;
         }
         // Tasks run in whole waves: of the time until the deadline, only whole run times count.
         double wholeRunsSeconds =
--- a/src/main/java/io/quincelead/autoscaler/OfferedLoad.java
+++ b/src/main/java/io/quincelead/autoscaler/OfferedLoad.java
@@ -65,7 +65,7 @@
                 openCpus[job.spec.priority().ordinal()] +=
                         (1 - decay)
                                 * (job.placedTaskCount()
-                                        + AutoscalerConstants.OPEN_LOAD_WAITING_FRACTION
+                                        + AutoscalerConstants.OPEN_LOAD_PENDING_FRACTION
                                                 * job.pendingTaskCount())
                                 * job.spec.cpus();
             }
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -99,7 +99,7 @@
                 changes.tryMarkForRelease(machine, "cordoned and empty");
             } else if (machine.spot() && hasUncordonedOnDemandMachine) {
                 continue;
-            } else if (nowMillis - idleSinceMillis > operatorSettings.idleReturnSeconds() * 1000
+            } else if (nowMillis - idleSinceMillis > operatorSettings.idleReleaseSeconds() * 1000
                     && demand.shortfallCpus() <= 0
                     && (machine.spot() ? spareSpotCpus : spareOnDemandCpus) >= machineCpus / 2
                     && changes.tryMarkForRelease(machine, "idle")) {
@@ -154,7 +154,7 @@
                     && spareCpus
                             >= Math.min(machineCpus, AutoscalerConstants.MAX_CORDON_SPARE_CPUS)
                                     * AutoscalerConstants.CORDON_SPARE_FACTOR
-                    && rentedSeconds(machine) > AutoscalerConstants.MIN_RENTED_BEFORE_CORDON_SECONDS
+                    && rentedSeconds(machine) > AutoscalerConstants.MIN_BILLED_BEFORE_CORDON_SECONDS
                     && !isWantedByConstrainedWork(machine)
                     && !runsService(machine)) {
                 changes.setCordoned(machine, true);
--- a/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -34,14 +34,14 @@
                                 demand.usedCpus()
                                         + Math.min(strandedCpus, demand.pendingCpus())
                                         + demand.pendingCpus()
-                                                * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION)
+                                                * AutoscalerConstants.SPOT_PENDING_CPUS_FRACTION)
                         + demand.calendarCpus();
         double missingCpus =
                 Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
         double overdueCpus =
                 demand.shortfallCpus()
                         - capacity.totalCpus()
-                                * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
+                                * AutoscalerConstants.MIN_ON_DEMAND_SHORTFALL_FRACTION;
         if (demand.calendarCpus() > 0) {
             // What the calendar books must be there, spot or not; but not more of it than is
             // missing.
@@ -50,7 +50,7 @@
         double toleratedCpus =
                 demand.pendingCpus() + demand.calendarCpus() > 0
                         ? 0.5
-                        : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
+                        : AutoscalerConstants.TOLERATED_MISSING_CPUS;
         while (missingCpus > toleratedCpus) {
             InstanceOffering offering = cheapestOffering(missingCpus, overdueCpus > 0.5, plan);
             if (offering == null) {
@@ -138,10 +138,10 @@
                         / usefulCpus
                         * (1
                                 + machineType.bootSeconds()
-                                        / AutoscalerConstants.EXPECTED_STAY_SECONDS);
+                                        / AutoscalerConstants.START_COST_AMORTIZATION_SECONDS);
         if (!offering.spot()) {
             // An on-demand machine must go again soon, and a large one takes long to run empty.
-            cost *= 1 + machineType.cpus() / AutoscalerConstants.SLOW_DRAIN_MACHINE_CPUS;
+            cost *= 1 + machineType.cpus() / AutoscalerConstants.ON_DEMAND_DOUBLE_COST_CPUS;
         }
         return cost;
     }
--- a/src/main/java/io/quincelead/autoscaler/WorkByDeadline.java
+++ b/src/main/java/io/quincelead/autoscaler/WorkByDeadline.java
@@ -38,7 +38,7 @@
             // A machine rented now can't help what is due at once; that work counts as due when it
             // could.
             double horizonSeconds =
-                    Math.max(deadline.getKey(), AutoscalerConstants.SOONEST_HELP_SECONDS);
+                    Math.max(deadline.getKey(), AutoscalerConstants.MIN_PLANNING_HORIZON_SECONDS);
             double availableCpuSeconds = capacity.cpuSecondsWithin(horizonSeconds);
             for (int priority = 0; priority < steadyCpusBefore.length; priority++) {
                 if (deadline.getValue()[priority] <= 0) {
--- a/src/main/java/io/quincelead/config/OperatorSettings.java
+++ b/src/main/java/io/quincelead/config/OperatorSettings.java
@@ -24,7 +24,7 @@
  * @param clockSpeedByMachineType relative clock speed, 1 where a type isn't named; unmodifiable
  *     (file: {@code frequencyByType})
  * @param drainBacklogSeconds time within which rented machines should work off the backlog
- * @param idleReturnSeconds idle time after which a machine that isn't needed is returned
+ * @param idleReleaseSeconds idle time after which a machine that isn't needed is returned
  * @param reserveFraction spare capacity kept, as a fraction of what is in use (file: {@code
  *     headroom})
  * @param zoneRecovery how lost zones are handled (file: {@code zones})
@@ -35,7 +35,7 @@
         double shardLeaseSeconds,
         Map<String, Double> clockSpeedByMachineType,
         double drainBacklogSeconds,
-        double idleReturnSeconds,
+        double idleReleaseSeconds,
         double reserveFraction,
         ZoneRecovery zoneRecovery) {
 
@@ -46,10 +46,10 @@
      * @param settleSeconds time for which a zone that came back must stay up before work is moved
      *     to it
      * @param movesPerMinute replicas moved at most, of all models together
-     * @param heavyImageGb images from this size on are recorded with their machines
+     * @param largeImageGb images from this size on are recorded with their machines
      */
     public record ZoneRecovery(
-            boolean enabled, double settleSeconds, double movesPerMinute, double heavyImageGb) {
+            boolean enabled, double settleSeconds, double movesPerMinute, double largeImageGb) {
         /** No recovery, with the defaults of the other values. */
         public static final ZoneRecovery DISABLED = new ZoneRecovery(false, 60, 6, 5);
     }
@@ -71,7 +71,7 @@
                 shardLeaseSeconds,
                 clockSpeedByMachineType,
                 drainBacklogSeconds,
-                idleReturnSeconds,
+                idleReleaseSeconds,
                 reserveFraction,
                 zoneRecovery);
     }
@@ -118,7 +118,7 @@
                 root.path("blockLeaseSeconds").asDouble(defaults.shardLeaseSeconds),
                 clockSpeedByMachineType,
                 root.path("drainBacklogSeconds").asDouble(defaults.drainBacklogSeconds),
-                root.path("idleReturnSeconds").asDouble(defaults.idleReturnSeconds),
+                root.path("idleReturnSeconds").asDouble(defaults.idleReleaseSeconds),
                 root.path("headroom").asDouble(defaults.reserveFraction),
                 readZoneRecovery(root.path("zones")));
     }
@@ -131,6 +131,6 @@
                         node.path("on").asBoolean(true),
                         node.path("settleSeconds").asDouble(defaults.settleSeconds),
                         node.path("movesPerMinute").asDouble(defaults.movesPerMinute),
-                        node.path("heavyImageGb").asDouble(defaults.heavyImageGb));
+                        node.path("heavyImageGb").asDouble(defaults.largeImageGb));
     }
 }
--- a/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/AutoscalerConstants.java
@@ -24,7 +24,7 @@
     public static final long NO_CAPACITY_BACKOFF_MAX_MILLIS = 45_000;
 
     /** Time over which the cost of a machine's start is spread. */
-    public static final double EXPECTED_STAY_SECONDS = 300;
+    public static final double START_COST_AMORTIZATION_SECONDS = 300;
 
     /** Short averaging window of the arriving work. */
     public static final double SHORT_LOAD_WINDOW_SECONDS = 60;
@@ -39,31 +39,31 @@
      * Fraction of the capacity that must be missing in time before costly machines are rented for
      * it.
      */
-    public static final double COSTLY_MISSING_CAPACITY_FRACTION = 0.08;
+    public static final double MIN_ON_DEMAND_SHORTFALL_FRACTION = 0.08;
 
     /** Factor on the work of the usual load, for boots, fetches and gaps between tasks. */
-    public static final double USUAL_LOAD_MARGIN_FACTOR = 1.1;
+    public static final double STEADY_STATE_LOAD_MARGIN_FACTOR = 1.1;
 
     /** Time after which a machine rented now counts as helping. */
     public static final double TYPICAL_BOOT_SECONDS = 25;
 
     /** Work due sooner than this is counted as due then. */
-    public static final double SOONEST_HELP_SECONDS = 70;
+    public static final double MIN_PLANNING_HORIZON_SECONDS = 70;
 
     /**
      * Fraction of the waiting CPUs for which spot machines are rented at once, whatever the
      * deadlines.
      */
-    public static final double SPOT_WAITING_CPUS_FRACTION = 0.6;
+    public static final double SPOT_PENDING_CPUS_FRACTION = 0.6;
 
     /** Time within which work that is overdue already should be done. */
-    public static final double OVERDUE_DRAIN_SECONDS = 90;
+    public static final double OVERDUE_WORK_DEADLINE_SECONDS = 90;
 
     /** Fraction of the waiting CPUs that counts as open load. */
-    public static final double OPEN_LOAD_WAITING_FRACTION = 1.0;
+    public static final double OPEN_LOAD_PENDING_FRACTION = 1.0;
 
     /** With nothing waiting, no machine is rented for a smaller usual load, in CPUs, than this. */
-    public static final double MIN_SPOT_LOAD_CPUS = 4;
+    public static final double TOLERATED_MISSING_CPUS = 4;
 
     /** CPUs in use up to which the reserve grows with them; beyond, with their square root. */
     public static final double LINEAR_RESERVE_MAX_CPUS = 200;
@@ -75,13 +75,13 @@
     public static final double CORDON_SPARE_FACTOR = 1.3;
 
     /** Size, in CPUs, at which a costly machine is counted at twice its price. */
-    public static final double SLOW_DRAIN_MACHINE_CPUS = 40;
+    public static final double ON_DEMAND_DOUBLE_COST_CPUS = 40;
 
     /** Of a larger machine only this many CPUs must be spare to cordon it. */
     public static final double MAX_CORDON_SPARE_CPUS = 24;
 
     /** A machine is not cordoned before it has been paid for this long. */
-    public static final double MIN_RENTED_BEFORE_CORDON_SECONDS = 50;
+    public static final double MIN_BILLED_BEFORE_CORDON_SECONDS = 50;
 
     /** Provisioning requests whose outcome is open at one time. */
     public static final int MAX_OPEN_PROVISIONING_REQUESTS = 6;
--- a/src/main/java/io/quincelead/config/constants/PolicyConstants.java
+++ b/src/main/java/io/quincelead/config/constants/PolicyConstants.java
@@ -12,13 +12,13 @@
     public static final int DEFAULT_RANK = 500;
 
     /** Time within which a job should begin unless its class says otherwise. */
-    public static final double DEFAULT_BEGIN_WITHIN_SECONDS = 240;
+    public static final double DEFAULT_START_WITHIN_SECONDS = 240;
 
     /** Longest time that a class may let its jobs wait. */
-    public static final double MAX_BEGIN_WITHIN_SECONDS = 86_400;
+    public static final double MAX_START_WITHIN_SECONDS = 86_400;
 
     /** Fraction of a job's tasks that should have begun by then. */
-    public static final double DEFAULT_MIN_BEGUN_FRACTION = 0.5;
+    public static final double DEFAULT_MIN_STARTED_FRACTION = 0.5;
 
     /** Characters of the classes' text in one record; escaped, they must fit 8 KiB. */
     public static final int MAX_CLASSES_PART_CHARS = 3_500;
--- a/src/main/java/io/quincelead/config/constants/SchedulerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/SchedulerConstants.java
@@ -6,16 +6,16 @@
     public static final long MIN_CYCLE_INTERVAL_MILLIS = 60;
 
     /** The same under full backpressure. */
-    public static final long THROTTLED_CYCLE_INTERVAL_MILLIS = 200;
+    public static final long FULL_BACKPRESSURE_CYCLE_INTERVAL_MILLIS = 200;
 
     /** How long completions that nobody waits for are batched. */
     public static final long COMPLETION_BATCH_MILLIS = 2_000;
 
     /** The same under full backpressure. */
-    public static final long THROTTLED_COMPLETION_BATCH_MILLIS = 12_000;
+    public static final long FULL_BACKPRESSURE_COMPLETION_BATCH_MILLIS = 12_000;
 
     /** How often best-effort work is placed under full backpressure. */
-    public static final long THROTTLED_BEST_EFFORT_INTERVAL_MILLIS = 2_500;
+    public static final long FULL_BACKPRESSURE_BEST_EFFORT_INTERVAL_MILLIS = 2_500;
 
     /** Backpressure (0 to 1) from which saving writes comes before saving work. */
     public static final double BACKPRESSURE_THRESHOLD_FRACTION = 0.5;
@@ -49,7 +49,7 @@
     public static final long ESCALATE_TO_LASTING_CAPACITY_AFTER_MILLIS = 10_000;
 
     /** How long lower priorities leave free capacity to the leader's work of higher priority. */
-    public static final long LEADER_PRECEDENCE_MILLIS = 3_000;
+    public static final long LEADER_RESERVATION_MILLIS = 3_000;
 
     /** Interval of scheduling cycles for waiting work when nothing was received. */
     public static final long IDLE_CYCLE_INTERVAL_MILLIS = 500;
@@ -92,19 +92,19 @@
     /**
      * How long nothing of a job has found a placement before it may use machines left to others.
      */
-    public static final long STARVING_AFTER_MILLIS = 60_000;
+    public static final long MAX_UNSERVED_MILLIS = 60_000;
 
     /**
      * An overdue job begins with one task plus this part (one in so many) of its tasks, before any
      * other overdue job gets more.
      */
-    public static final int OVERDUE_FIRST_TASKS_DIVISOR = 100;
+    public static final int FIRST_STARTS_DIVISOR = 100;
 
     /**
      * Records of each write that are reserved for overdue tasks and, under backpressure, as many as
      * a scheduling cycle writes for them.
      */
-    public static final int OVERDUE_RECORDS_PER_CYCLE = 2;
+    public static final int STARVING_RECORDS_PER_CYCLE = 2;
 
     /**
      * Fraction of a shard's machines that are left to drain for overdue tasks that no machine has
@@ -145,7 +145,7 @@
     /**
      * Time added to twice the estimated run time to get the deadline of a job without a stated one.
      */
-    public static final double UNSTATED_DEADLINE_SLACK_SECONDS = 300;
+    public static final double DEFAULT_DEADLINE_SLACK_SECONDS = 300;
 
     /** A task expected to complete within this time is not preempted. */
     public static final double NEARLY_DONE_SECONDS = 5;
--- a/src/main/java/io/quincelead/config/constants/StoreConstants.java
+++ b/src/main/java/io/quincelead/config/constants/StoreConstants.java
@@ -60,7 +60,7 @@
     public static final double MAX_WRITE_SHARE_FRACTION = 0.7;
 
     /** Submissions and cancellations that may wait to be committed. */
-    public static final int MAX_WAITING_COMMITS = 150;
+    public static final int MAX_PENDING_COMMITS = 150;
 
     /** Fraction of its share of the store's limits that a controller plans with. */
     public static final double PLANNED_RATE_FRACTION = 0.95;
--- a/src/main/java/io/quincelead/config/constants/TransportConstants.java
+++ b/src/main/java/io/quincelead/config/constants/TransportConstants.java
@@ -30,7 +30,7 @@
      * A connection attempt that has taken longer counts only as an open socket: another one may be
      * made.
      */
-    public static final long CONNECT_TIMEOUT_MILLIS = 1_500;
+    public static final long RECENT_CONNECT_ATTEMPT_MILLIS = 1_500;
 
     /** Calls that may wait for a connection to one address. */
     public static final int MAX_WAITING_CALLS_PER_ADDRESS = 200;
@@ -47,7 +47,7 @@
      * Fraction of the connections that users and workers may have before workers' are closed after
      * each response.
      */
-    public static final double CROWDED_CONNECTION_FRACTION = 0.75;
+    public static final double NEAR_LIMIT_CONNECTION_FRACTION = 0.75;
 
     private TransportConstants() {}
 }
--- a/src/main/java/io/quincelead/config/constants/WorkerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/WorkerConstants.java
@@ -39,7 +39,7 @@
      * When a zone is evaluated, a machine counts as heard if a heartbeat arrived within this many
      * heartbeat intervals.
      */
-    public static final double HEARD_WITHIN_HEARTBEATS = 2.5;
+    public static final double REACHABLE_WITHIN_HEARTBEATS = 2.5;
 
     /** A machine that has sent heartbeats to the wrong controller for this long is reassigned. */
     public static final long REASSIGN_MISROUTED_AFTER_MILLIS = 2_500;
@@ -63,7 +63,7 @@
     public static final int UNREACHABLE_INBOUND_AFTER_HEARTBEATS = 2;
 
     /** Consecutive failures, without a success between, that make a machine suspect. */
-    public static final int SUSPECT_AFTER_FAILURES = 3;
+    public static final int FAILURES_BEFORE_DECLARED_LOST = 3;
 
     /** First backoff of a job whose tasks fail everywhere; it doubles with each failure. */
     public static final long JOB_BACKOFF_INITIAL_MILLIS = 1_000;
--- a/src/main/java/io/quincelead/config/constants/ZoneConstants.java
+++ b/src/main/java/io/quincelead/config/constants/ZoneConstants.java
@@ -6,12 +6,12 @@
     public static final int MIN_EVALUATED_MACHINES = 2;
 
     /** A zone with a smaller fraction of its machines heard is considered cut off. */
-    public static final double MIN_HEARD_FRACTION = 0.3;
+    public static final double MIN_REACHABLE_FRACTION = 0.3;
 
     /**
      * Longest silence, in worker leases, that is tolerated of machines in a zone that is cut off.
      */
-    public static final double CUT_OFF_PATIENCE_LEASES = 6;
+    public static final double UNREACHABLE_ZONE_TIMEOUT_LEASES = 6;
 
     /** Interval at which the health of zones is evaluated. */
     public static final long EVALUATION_INTERVAL_MILLIS = 1_000;
--- a/src/main/java/io/quincelead/policy/EffectivePriority.java
+++ b/src/main/java/io/quincelead/policy/EffectivePriority.java
@@ -44,14 +44,14 @@
     /** Seconds within which the job should have started its first tasks. */
     public double startWithinSeconds() {
         return priorityClass == null
-                ? PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
+                ? PolicyConstants.DEFAULT_START_WITHIN_SECONDS
                 : priorityClass.startWithinSeconds();
     }
 
     /** Part of the job's tasks, 0 to 1, that should have started by then. */
     double minStartedShare() {
         return priorityClass == null
-                ? PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION
+                ? PolicyConstants.DEFAULT_MIN_STARTED_FRACTION
                 : priorityClass.minStartedShare();
     }
 }
--- a/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
+++ b/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
@@ -111,9 +111,9 @@
                 fields.readNumber(
                         "beginWithinS",
                         1,
-                        PolicyConstants.MAX_BEGIN_WITHIN_SECONDS,
-                        PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS),
-                fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_BEGUN_FRACTION),
+                        PolicyConstants.MAX_START_WITHIN_SECONDS,
+                        PolicyConstants.DEFAULT_START_WITHIN_SECONDS),
+                fields.readNumber("leastShare", 0, 1, PolicyConstants.DEFAULT_MIN_STARTED_FRACTION),
                 fields.readEnum(
                         "keep",
                         PriorityClass.PreemptionProtection.values(),
--- a/src/main/java/io/quincelead/scheduler/AdmissionQueue.java
+++ b/src/main/java/io/quincelead/scheduler/AdmissionQueue.java
@@ -39,7 +39,7 @@
 
     /** Whether the job may be added: the queue is not full and does not contain the job. */
     boolean accepts(Job job) {
-        return waiting.size() < StoreConstants.MAX_WAITING_COMMITS
+        return waiting.size() < StoreConstants.MAX_PENDING_COMMITS
                 && waiting.stream()
                         .noneMatch(
                                 submission -> submission.job.spec.jobId().equals(job.spec.jobId()));
--- a/src/main/java/io/quincelead/scheduler/CapacityWithholdingTimer.java
+++ b/src/main/java/io/quincelead/scheduler/CapacityWithholdingTimer.java
@@ -31,7 +31,7 @@
         return new CapacityWithholding(
                 withheldSinceMillis != NOT_WITHHELD
                         && loop.nowMillis() - withheldSinceMillis
-                                >= SchedulerConstants.STARVING_AFTER_MILLIS);
+                                >= SchedulerConstants.MAX_UNSERVED_MILLIS);
     }
 
     /** Ends a pass that covered all waiting work. */
--- a/src/main/java/io/quincelead/scheduler/LeaderReservations.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -59,8 +59,8 @@
     /**
      * Closes each pool that could run such work to work of later tiers ({@link
      * MachinePool#maxTier}). A leader that hasn't used the free capacity within {@link
-     * SchedulerConstants#LEADER_PRECEDENCE_MILLIS} can't use it; reserving it for longer would idle
-     * the shard.
+     * SchedulerConstants#LEADER_RESERVATION_MILLIS} can't use it; reserving it for longer would
+     * idle the shard.
      */
     void reserveCapacityForLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         capacitySinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
@@ -73,7 +73,7 @@
                 capacitySinceMillis.remove(job);
             } else if (loop.nowMillis()
                             - capacitySinceMillis.computeIfAbsent(job, j -> loop.nowMillis())
-                    > SchedulerConstants.LEADER_PRECEDENCE_MILLIS) {
+                    > SchedulerConstants.LEADER_RESERVATION_MILLIS) {
                 continue;
             }
             for (MachinePool pool : plan.pools.values()) {
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -261,7 +261,7 @@
             firstStarts =
                     Math.min(
                             overdueTasks,
-                            1 + spec.taskCount() / SchedulerConstants.OVERDUE_FIRST_TASKS_DIVISOR);
+                            1 + spec.taskCount() / SchedulerConstants.FIRST_STARTS_DIVISOR);
         }
         if (firstStarts > 0) {
             queue.add(entry.asStarving(true, firstStarts));
@@ -309,7 +309,7 @@
                         : objectiveSecondsByClass.getOrDefault(
                                 job.spec.jobClass(),
                                 2 * runtimeSeconds
-                                        + SchedulerConstants.UNSTATED_DEADLINE_SLACK_SECONDS);
+                                        + SchedulerConstants.DEFAULT_DEADLINE_SLACK_SECONDS);
         EffectivePriority effectivePriority = policy.effectivePriorityOf(job);
         double secondsLeft = dueSeconds - ageSeconds;
         if (effectivePriority.isCovered()) {
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -197,7 +197,7 @@
         for (Job job : cluster.jobs().jobsOldestFirst()) {
             if (!cluster.policy().hasPriorityRules()
                     && wallMillis - job.acceptedAtEpochMillis()
-                            < PolicyConstants.DEFAULT_BEGIN_WITHIN_SECONDS
+                            < PolicyConstants.DEFAULT_START_WITHIN_SECONDS
                                     * SchedulerConstants.OVERDUE_RAMP_START_FRACTION
                                     * 1000) {
                 break;
@@ -281,7 +281,9 @@
             bestEffortAtMillis =
                     loop.nowMillis()
                             + store.backpressureDelayMillis(
-                                    0, SchedulerConstants.THROTTLED_BEST_EFFORT_INTERVAL_MILLIS);
+                                    0,
+                                    SchedulerConstants
+                                            .FULL_BACKPRESSURE_BEST_EFFORT_INTERVAL_MILLIS);
         }
         return due;
     }
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -101,7 +101,7 @@
         for (QueueOrder.QueueEntry entry : queue) {
             starving += entry.tier() == QueueOrder.TIER_STARVING ? 1 : 0;
         }
-        return Math.min(SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE, starving);
+        return Math.min(SchedulerConstants.STARVING_RECORDS_PER_CYCLE, starving);
     }
 
     /**
@@ -111,7 +111,7 @@
     private boolean mustYield(Job job, boolean bestEffort) {
         return bestEffort && !conditions.bestEffortDue
                 || conditions.storeUnderPressure
-                        && starvingRecords >= SchedulerConstants.OVERDUE_RECORDS_PER_CYCLE
+                        && starvingRecords >= SchedulerConstants.STARVING_RECORDS_PER_CYCLE
                         && !plan.containsRecordOf(job);
     }
 
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -183,7 +183,7 @@
                         ? SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS
                         : store.backpressureDelayMillis(
                                 SchedulerConstants.MIN_CYCLE_INTERVAL_MILLIS,
-                                SchedulerConstants.THROTTLED_CYCLE_INTERVAL_MILLIS));
+                                SchedulerConstants.FULL_BACKPRESSURE_CYCLE_INTERVAL_MILLIS));
     }
 
     private void requestCycleAfterGap(long gapMillis) {
--- a/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
+++ b/src/main/java/io/quincelead/scheduler/UnrecordedTerminations.java
@@ -84,7 +84,7 @@
                 ownJob
                         ? SchedulerConstants.COMPLETION_BATCH_MILLIS
                         : SchedulerConstants.AWAITED_COMPLETION_BATCH_MILLIS,
-                SchedulerConstants.THROTTLED_COMPLETION_BATCH_MILLIS);
+                SchedulerConstants.FULL_BACKPRESSURE_COMPLETION_BATCH_MILLIS);
     }
 
     /** Whether any termination is due to be recorded. */
--- a/src/main/java/io/quincelead/scheduler/UnservedJobTracker.java
+++ b/src/main/java/io/quincelead/scheduler/UnservedJobTracker.java
@@ -25,7 +25,7 @@
     /** Whether the job has been unserved for too long; its time begins with the first call. */
     boolean isUnservedTooLong(Job job) {
         long sinceMillis = unservedSinceMillis.computeIfAbsent(job, j -> loop.nowMillis());
-        return loop.nowMillis() - sinceMillis > SchedulerConstants.STARVING_AFTER_MILLIS;
+        return loop.nowMillis() - sinceMillis > SchedulerConstants.MAX_UNSERVED_MILLIS;
     }
 
     void forgetFinishedJobs() {
--- a/src/main/java/io/quincelead/store/GroupCommitter.java
+++ b/src/main/java/io/quincelead/store/GroupCommitter.java
@@ -34,7 +34,7 @@
 
     /** Whether the queue is full, so that no further transaction should be submitted. */
     public boolean isFull() {
-        return pending.size() >= StoreConstants.MAX_WAITING_COMMITS;
+        return pending.size() >= StoreConstants.MAX_PENDING_COMMITS;
     }
 
     /**
--- a/src/main/java/io/quincelead/transport/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -277,7 +277,7 @@
                         .filter(
                                 startedAtMillis ->
                                         nowMillis - startedAtMillis
-                                                < TransportConstants.CONNECT_TIMEOUT_MILLIS)
+                                                < TransportConstants.RECENT_CONNECT_ATTEMPT_MILLIS)
                         .count();
         int maxConnections =
                 target.critical
--- a/src/main/java/io/quincelead/transport/HttpServer.java
+++ b/src/main/java/io/quincelead/transport/HttpServer.java
@@ -42,7 +42,7 @@
             int maxConnections,
             IncomingRequest.Handler handler) {
         nearLimitThreshold =
-                (int) (maxConnections * TransportConstants.CROWDED_CONNECTION_FRACTION);
+                (int) (maxConnections * TransportConstants.NEAR_LIMIT_CONNECTION_FRACTION);
         int colon = address.lastIndexOf(':');
         undertow =
                 Undertow.builder()
--- a/src/main/java/io/quincelead/worker/ShardWorker.java
+++ b/src/main/java/io/quincelead/worker/ShardWorker.java
@@ -202,7 +202,7 @@
         return phase == Phase.CLAIMED
                 && !isUnreachableInbound()
                 && reclaimNoticeSeconds < 0
-                && consecutiveFailures < WorkerConstants.SUSPECT_AFTER_FAILURES
+                && consecutiveFailures < WorkerConstants.FAILURES_BEFORE_DECLARED_LOST
                 && loop.nowMillis() >= fullUntilMillis
                 && loop.nowMillis() - lastContactAtMillis < silenceTimeoutMillis / 2;
     }
--- a/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
+++ b/src/main/java/io/quincelead/worker/TaskStatusReconciler.java
@@ -226,10 +226,10 @@
                                     >= WorkerConstants.SINGLE_JOB_FAILURES_BEFORE_DECLARED_LOST;
             worker.consecutiveFailures =
                     failsOnlyOnThisHost
-                            ? WorkerConstants.SUSPECT_AFTER_FAILURES
+                            ? WorkerConstants.FAILURES_BEFORE_DECLARED_LOST
                             : Math.min(
                                     worker.consecutiveFailures,
-                                    WorkerConstants.SUSPECT_AFTER_FAILURES - 1);
+                                    WorkerConstants.FAILURES_BEFORE_DECLARED_LOST - 1);
         }
         if (job.consecutiveFailures() >= 2) {
             long backoffMillis =
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -98,10 +98,11 @@
                 lost.put(worker, "silent");
             } else if (worker.isUnreachableInboundFor(
                     zoneUnreachable
-                            ? unreachableZonePatienceMillis(worker)
+                            ? unreachableZoneTimeoutMillis(worker)
                             : silenceTimeoutMillis)) {
                 lost.put(worker, "does not receive responses or commands");
-            } else if (worker.consecutiveFailures >= WorkerConstants.SUSPECT_AFTER_FAILURES) {
+            } else if (worker.consecutiveFailures
+                    >= WorkerConstants.FAILURES_BEFORE_DECLARED_LOST) {
                 lost.put(worker, "repeated task failures");
             } else if (hasOverdueCancellation(worker)) {
                 lost.put(worker, "cancelled task did not terminate in time");
@@ -125,7 +126,7 @@
                         - (long)
                                 (settings.workerTimings().heartbeatSeconds()
                                         * 1000
-                                        * WorkerConstants.HEARD_WITHIN_HEARTBEATS);
+                                        * WorkerConstants.REACHABLE_WITHIN_HEARTBEATS);
         Map<String, int[]> countsByZone = new HashMap<>();
         for (ShardWorker worker : workers) {
             if (!worker.isBooting() || worker.address != null) {
@@ -144,7 +145,7 @@
         countsByZone.forEach(
                 (zone, counts) -> {
                     if (counts[0] >= ZoneConstants.MIN_EVALUATED_MACHINES
-                            && counts[1] < counts[0] * ZoneConstants.MIN_HEARD_FRACTION) {
+                            && counts[1] < counts[0] * ZoneConstants.MIN_REACHABLE_FRACTION) {
                         unreachable.add(zone);
                     }
                 });
@@ -166,7 +167,7 @@
         if (zoneUnreachable) {
             return order == ZoneTable.OperatorOrder.RELEASE
                     ? 0
-                    : unreachableZonePatienceMillis(worker);
+                    : unreachableZoneTimeoutMillis(worker);
         }
         boolean hasService = false;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
@@ -180,21 +181,21 @@
      * classes of its services state, but at least the silence timeout and at most a fixed number of
      * worker leases.
      */
-    private long unreachableZonePatienceMillis(ShardWorker worker) {
+    private long unreachableZoneTimeoutMillis(ShardWorker worker) {
         double leastMillis = Double.MAX_VALUE;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
-            double patienceMillis =
+            double timeoutMillis =
                     placement.isTerminated()
                             ? -1
                             : policy.unreachableZoneTimeoutMillis(placement.job);
-            leastMillis = patienceMillis < 0 ? leastMillis : Math.min(leastMillis, patienceMillis);
+            leastMillis = timeoutMillis < 0 ? leastMillis : Math.min(leastMillis, timeoutMillis);
         }
         return (long)
                 Math.min(
                         Math.max(leastMillis, silenceTimeoutMillis),
                         settings.workerTimings().leaseSeconds()
                                 * 1000
-                                * ZoneConstants.CUT_OFF_PATIENCE_LEASES);
+                                * ZoneConstants.UNREACHABLE_ZONE_TIMEOUT_LEASES);
     }
 
     private boolean isBootOverdue(String host) {
--- a/src/main/java/io/quincelead/zone/ZoneObservation.java
+++ b/src/main/java/io/quincelead/zone/ZoneObservation.java
@@ -26,7 +26,7 @@
                 otherZonesReachable
                         && knownCount >= ZoneConstants.MIN_EVALUATED_MACHINES
                         && knownCount * 2 >= machineCount;
-        return isConclusive && reachableCount < knownCount * ZoneConstants.MIN_HEARD_FRACTION;
+        return isConclusive && reachableCount < knownCount * ZoneConstants.MIN_REACHABLE_FRACTION;
     }
 
     /** Whether half of the known machines (rounded down) are reachable, and at least one. */
--- a/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
+++ b/src/main/java/io/quincelead/zone/ZoneRecoveryController.java
@@ -184,7 +184,7 @@
             if (!machine.releasing()
                     && !view.cluster()
                             .imageCaches()
-                            .largeImages(machine.host(), settings.heavyImageGb())
+                            .largeImages(machine.host(), settings.largeImageGb())
                             .equals(
                                     view.cluster()
                                             .machines()
--- a/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
+++ b/src/test/java/io/quincelead/cluster/CorruptRecordTest.java
@@ -29,7 +29,7 @@
 class CorruptRecordTest {
     private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
     private final WatchCache watchCache =
-            UnresponsiveStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
+            UnresponsiveStore.watchCache(loop, TestSettings.SINGLE_CONTROLLER);
     private long revision;
 
     private void put(String key, ObjectNode value) {
@@ -46,7 +46,7 @@
     @Test
     void unreadableShardKeepsItsMachinesAndQuota() {
         ClusterMembership membership =
-                new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
+                new ClusterMembership(TestSettings.SINGLE_CONTROLLER, watchCache);
         put("a/b/other", shardRecord("7"));
         put("a/b/other", shardRecord("seven"));
         assertEquals("other", membership.ownerOf("i-000001"));
@@ -56,8 +56,8 @@
     @Test
     void localShardIsAbsentWhileItsRecordIsUnreadable() {
         ClusterMembership membership =
-                new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
-        String key = "a/b/" + TestSettings.LONE_CONTROLLER.memberId();
+                new ClusterMembership(TestSettings.SINGLE_CONTROLLER, watchCache);
+        String key = "a/b/" + TestSettings.SINGLE_CONTROLLER.memberId();
         put(key, shardRecord("7"));
         assertNotNull(membership.localShard());
         put(key, shardRecord("seven"));
--- a/src/test/java/io/quincelead/config/TestSettings.java
+++ b/src/test/java/io/quincelead/config/TestSettings.java
@@ -6,8 +6,8 @@
 /** Settings of a lone controller for tests. */
 public final class TestSettings {
     /** Without teams, on a small store. */
-    public static final Settings LONE_CONTROLLER =
-            loneController(
+    public static final Settings SINGLE_CONTROLLER =
+            singleController(
                     "worker-0",
                     Map.of(),
                     new Settings.WorkerTimings(1, 10, 45, 6, 40),
@@ -16,7 +16,7 @@
     private TestSettings() {}
 
     /** With these teams by name, workers and limits of the store. */
-    public static Settings loneController(
+    public static Settings singleController(
             String memberId,
             Map<String, Settings.Team> teams,
             Settings.WorkerTimings workerTimings,
--- a/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
+++ b/src/test/java/io/quincelead/leadership/QuotaReservationsTest.java
@@ -31,7 +31,7 @@
     private static final class Records {
         private final SimulatedClock.SimulatedProcess loop = new SimulatedClock(1).newProcess();
         private final WatchCache watchCache =
-                UnresponsiveStore.watchCache(loop, TestSettings.LONE_CONTROLLER);
+                UnresponsiveStore.watchCache(loop, TestSettings.SINGLE_CONTROLLER);
         private final JobTable jobs = new JobTable(loop, watchCache);
         private final QuotaReservations reservations =
                 new QuotaReservations(
--- a/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
+++ b/src/test/java/io/quincelead/leadership/ShardUpdateTest.java
@@ -40,7 +40,7 @@
             };
 
     private final Settings settings =
-            TestSettings.loneController(
+            TestSettings.singleController(
                     "one",
                     Map.of("red", new Settings.Team("red", 0, 100, 0, 0)),
                     new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
--- a/src/test/java/io/quincelead/policy/CalendarReconcilerTest.java
+++ b/src/test/java/io/quincelead/policy/CalendarReconcilerTest.java
@@ -31,7 +31,7 @@
             new StoreClient(
                     loop,
                     (address, method, path, codec, body, ms, reply) -> {},
-                    TestSettings.LONE_CONTROLLER);
+                    TestSettings.SINGLE_CONTROLLER);
     private final WatchCache watchCache = new WatchCache(loop, store, 100);
     private final PolicyRecords records = new PolicyRecords(watchCache, () -> {});
     private final CalendarReconciler reconciler =
--- a/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -71,9 +71,9 @@
                                         () -> reply.onResponse(200, WireFormat.CBOR.encode(page)));
                             }
                         },
-                        TestSettings.LONE_CONTROLLER);
+                        TestSettings.SINGLE_CONTROLLER);
         WatchCache watchCache = new WatchCache(eventLoop, store, 400);
-        membership = new ClusterMembership(TestSettings.LONE_CONTROLLER, watchCache);
+        membership = new ClusterMembership(TestSettings.SINGLE_CONTROLLER, watchCache);
         jobs = new JobTable(eventLoop, watchCache);
         machines = new MachineTable(watchCache);
         catalog = new MachineTypeCatalog(watchCache);
--- a/src/test/java/io/quincelead/scheduler/AdmissionQueueTest.java
+++ b/src/test/java/io/quincelead/scheduler/AdmissionQueueTest.java
@@ -107,12 +107,12 @@
 
     @Test
     void acceptsAJobOnceAndNoMoreThanItsCapacity() {
-        for (int id = 1; id <= StoreConstants.MAX_WAITING_COMMITS; id++) {
+        for (int id = 1; id <= StoreConstants.MAX_PENDING_COMMITS; id++) {
             assertTrue(queue.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
             add(id, 10);
             assertFalse(queue.accepts(new Job(spec(id), ClusterFixture.MEMBER_ID, 0)));
         }
-        int next = StoreConstants.MAX_WAITING_COMMITS + 1;
+        int next = StoreConstants.MAX_PENDING_COMMITS + 1;
 
         assertFalse(queue.accepts(new Job(spec(next), ClusterFixture.MEMBER_ID, 0)));
     }
--- a/src/test/java/io/quincelead/scheduler/ClusterFixture.java
+++ b/src/test/java/io/quincelead/scheduler/ClusterFixture.java
@@ -59,7 +59,7 @@
                 public void runAfter(long ms, Runnable task) {}
             };
     final Settings settings =
-            TestSettings.loneController(
+            TestSettings.singleController(
                     MEMBER_ID,
                     Map.of("red", new Settings.Team("red", 0, 1e9, 0, 0)),
                     new Settings.WorkerTimings(3, 17.5, 45, 6, 40),
--- a/src/test/java/io/quincelead/scheduler/PreemptionTest.java
+++ b/src/test/java/io/quincelead/scheduler/PreemptionTest.java
@@ -46,7 +46,7 @@
     private final EventLoop loop = new AdvancingLoop();
     private final Settings.Team team = new Settings.Team("red", 1_000, 1_000, 0, 0);
     private final Settings settings =
-            TestSettings.loneController(
+            TestSettings.singleController(
                     "w",
                     Map.of("red", team),
                     new Settings.WorkerTimings(1, 10, 45, 6, 40),
--- a/src/test/java/io/quincelead/store/GroupCommitterTest.java
+++ b/src/test/java/io/quincelead/store/GroupCommitterTest.java
@@ -44,7 +44,7 @@
                                             handler.onResponse(
                                                     status, WireFormat.CBOR.encode(response)));
                         },
-                        TestSettings.LONE_CONTROLLER);
+                        TestSettings.SINGLE_CONTROLLER);
         return new GroupCommitter(loop, store, new WatchCache(loop, store, 400));
     }
 
--- a/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
+++ b/src/test/java/io/quincelead/store/IndeterminateWriteFenceTest.java
@@ -24,7 +24,7 @@
                     loop,
                     (address, method, path, codec, body, timeoutMillis, handler) ->
                             respond(path, handler),
-                    TestSettings.LONE_CONTROLLER);
+                    TestSettings.SINGLE_CONTROLLER);
     private final WatchCache watchCache = new WatchCache(loop, store, 400);
     private final IndeterminateWriteFence fence =
             new IndeterminateWriteFence(loop, store, watchCache, FENCE_KEY, this::rewrite);
--- a/src/test/java/io/quincelead/store/MembershipLeaseTest.java
+++ b/src/test/java/io/quincelead/store/MembershipLeaseTest.java
@@ -34,7 +34,7 @@
                         loop,
                         (address, method, path, codec, body, timeoutMillis, handler) ->
                                 respond(path, timeoutMillis, handler),
-                        TestSettings.LONE_CONTROLLER);
+                        TestSettings.SINGLE_CONTROLLER);
         MembershipLease lease =
                 new MembershipLease(loop, store, "worker-0", "10.0.0.1:8081", LEASE_MILLIS);
         lease.start();
--- a/src/test/java/io/quincelead/store/WatchCacheTest.java
+++ b/src/test/java/io/quincelead/store/WatchCacheTest.java
@@ -38,7 +38,7 @@
                                 clock.schedule(1, () -> handler.onResponse(200, response));
                             }
                         },
-                        TestSettings.LONE_CONTROLLER);
+                        TestSettings.SINGLE_CONTROLLER);
         WatchCache watchCache = new WatchCache(loop, store, 400);
         watchCache.addPrefixListener(
                 "a/",
