--- a/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -60,7 +60,11 @@
         ObjectNode page = WireFormat.newMap().put("truncated", false).put("generation", 10);
         ArrayNode items = page.putArray("items");
         rows.forEach(
-                r -> items.addObject().put("path", r.head()).put("stamp", 5).set("value", r.map()));
+                r ->
+                        items.addObject()
+                                .put("path", r.head())
+                                .put("stamp", 5)
+                                .set("value", r.decodeBody()));
         StoreClient store =
                 new StoreClient(
                         eventLoop,
@@ -129,9 +133,9 @@
                                     OccurrenceCodec.decode(
                                             entry,
                                             rest.substring(rest.indexOf('/') + 1),
-                                            row.map()))
-                            .put("closed", row.map().path("closed").asLong())
-                            .put("unfinished", row.map().path("unfinished").asInt());
+                                            row.decodeBody()))
+                            .put("closed", row.decodeBody().path("closed").asLong())
+                            .put("unfinished", row.decodeBody().path("unfinished").asInt());
             default -> throw new IllegalArgumentException(kind);
         };
     }
@@ -157,7 +161,7 @@
         read(Stream.concat(job.stream(), Stream.of(row)).toList());
         assertEquals(
                 row.toString(),
-                row.with(
+                row.withValue(
                                 written(
                                         kind,
                                         row.head()
@@ -176,17 +180,19 @@
                 GoldenTable.rows("messages", "users POST /v2/runs #")
                         .filter(
                                 r ->
-                                        r.map().path("vcpus").asDouble() < 500
-                                                && r.map().path("members").asInt() > 0)
+                                        r.decodeBody().path("vcpus").asDouble() < 500
+                                                && r.decodeBody().path("members").asInt() > 0)
                         .toList();
         assertTrue(accepted.size() > 4, "" + accepted.size());
         int read = 0;
         for (Row r : accepted) {
             try {
-                assertEquals(r.toString(), r.with(JobSpec.decode(r.map()).encode()).toString());
+                assertEquals(
+                        r.toString(),
+                        r.withValue(JobSpec.decode(r.decodeBody()).encode()).toString());
                 read++;
             } catch (JobSpec.MalformedJobException e) {
-                assertTrue(r.map().size() < 18, r + ": " + e.getMessage());
+                assertTrue(r.decodeBody().size() < 18, r + ": " + e.getMessage());
             }
         }
         assertTrue(read > 4, "" + read);
--- a/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
@@ -74,7 +74,7 @@
         return cluster.cloud.machines.values().stream()
                 .flatMap(worker -> worker.tasks.values().stream())
                 .filter(SimulatedWorker.SimulatedTask::occupiesMachine)
-                .map(task -> cluster.jobOfTask(task.name))
+                .map(task -> cluster.jobOfTask(task.id))
                 .filter(job -> job.team().equals(team))
                 .mapToDouble(JobSpec::cpus)
                 .sum();
--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -114,7 +114,7 @@
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
                 if (task.occupiesMachine() && running.size() < maxCount) {
-                    running.add(cluster.jobOfTask(task.name).jobId());
+                    running.add(cluster.jobOfTask(task.id).jobId());
                 }
             }
         }
@@ -127,7 +127,7 @@
         int faultyMachines = 0;
         for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
             if (worker.tasks.values().stream()
-                            .anyMatch(task -> jobs.contains(cluster.jobOfTask(task.name).jobId()))
+                            .anyMatch(task -> jobs.contains(cluster.jobOfTask(task.id).jobId()))
                     && faultyMachines < 8) {
                 faultyMachines++;
                 breakMachine(cluster, worker, fault, durationMillis);
@@ -220,7 +220,7 @@
     @MethodSource("lastWritesAndSeeds")
     void fastBootingMachinesSurviveLeaderCrashAfterEachWrite(LastLeaderWrite lastWrite, int seed) {
         SimulatedCluster cluster = new SimulatedCluster(200 + seed);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         cluster.cloud.fastBoots = true;
         cluster.start();
         cluster.runUntil(7_000);
@@ -262,8 +262,8 @@
         assertEquals(Set.of(), cluster.violations(), lastWrite + ", seed " + seed);
         assertAllJobsFinished(cluster, 20);
         assertTrue(
-                cluster.cloud.rentedMachineCount() < 60,
-                "rented: " + cluster.cloud.rentedMachineCount());
+                cluster.cloud.provisionedMachineCount() < 60,
+                "rented: " + cluster.cloud.provisionedMachineCount());
         assertEquals(0, cluster.cloud.machines.size(), "machines that nobody returned");
         assertEquals(
                 Set.of(),
@@ -404,7 +404,7 @@
     @EnumSource(BackgroundFault.class)
     void streamOfSingleTaskJobsIsAnsweredInTime(BackgroundFault fault) {
         SimulatedCluster cluster = clusterWithReadyMachines(400 + fault.ordinal(), 3, 12);
-        cluster.storeSettings = new Settings.StoreLimits(400, 60, 8, 12);
+        cluster.storeLimits = new Settings.StoreLimits(400, 60, 8, 12);
         cluster.start();
         cluster.runUntil(8_000);
         long firstRevision = cluster.store.revision();
--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -60,7 +60,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void tenLeaderChangesInTwoMinutesKeepInvariants(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 30; i++) {
             JobSpec job =
@@ -80,7 +80,7 @@
         cluster.faults.onLeaderElected(200_000, () -> elections[0]++);
         cluster.after(8_000, () -> cluster.faults.changeLeadersRepeatedly(11, 11_000));
         if (seed % 2 == 0) {
-            cluster.after(50_000, () -> cluster.faults.storeOutage(30_000));
+            cluster.after(50_000, () -> cluster.faults.injectStoreOutage(30_000));
             for (int k = 0; k < 6; k++) {
                 int controller = k % 3;
                 cluster.faults.crashAfter(52_000 + k * 4_000L, controller, 300);
@@ -182,7 +182,7 @@
         assertEquals(10, unreachable.stream().filter(worker -> !worker.released).count());
         for (int i = 11; i <= 14; i++) {
             assertTrue(
-                    cluster.taskStarts.containsKey("wk-0000" + i),
+                    cluster.taskStartsByJob.containsKey("wk-0000" + i),
                     "job " + i + " waits for quota that nothing uses");
         }
         cluster.runUntil(1_500_000);
@@ -262,7 +262,7 @@
     @ValueSource(longs = {1, 2, 3})
     void jobsSurviveControllersDownLongerThanTheLease(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 20; i++) {
             JobSpec job =
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -51,14 +51,14 @@
         cluster.runUntil(40_000);
         int oldLeader = cluster.leaderIndex();
         long gapMillis = 500 + seed * 950;
-        cluster.faults.refuseByStore(oldLeader, 14_000);
+        cluster.faults.injectStoreRefusal(oldLeader, 14_000);
         List<String> jobsElsewhere =
-                jobsWithoutTaskOnOwnMachines(cluster, cluster.controllers.get(oldLeader).name);
+                jobsWithoutTaskOnOwnMachines(cluster, cluster.controllers.get(oldLeader).memberId);
         for (int i = 1; i <= 40; i++) {
             String id = JobFixtures.id(i);
             cluster.cancelAfter(cluster.random().nextLong(Math.min(gapMillis, 1_000)), id);
         }
-        cluster.after(gapMillis, () -> cluster.faults.storeOutage(64_000));
+        cluster.after(gapMillis, () -> cluster.faults.injectStoreOutage(64_000));
         cluster.runUntil(40_000 + gapMillis + 64_000);
         long confirmedInGap =
                 cluster.jobsById.keySet().stream()
@@ -134,17 +134,17 @@
         cluster.runUntil(30_000);
         int oldLeader = cluster.leaderIndex();
         long gapMillis = 2_000 + seed * 700;
-        cluster.faults.refuseByStore(oldLeader, 14_000);
+        cluster.faults.injectStoreRefusal(oldLeader, 14_000);
         for (int i = 1; i <= 20; i++) {
             String id = JobFixtures.id(i);
             cluster.cancelAfter(cluster.random().nextLong(1_500), id);
         }
-        cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
+        cluster.after(gapMillis, () -> cluster.faults.injectStoreOutage(60_000));
         switch (fault) {
             case SECOND_CONTROLLER_REFUSED ->
                     cluster.after(
                             gapMillis / 2,
-                            () -> cluster.faults.refuseByStore((oldLeader + 1) % 3, 12_000));
+                            () -> cluster.faults.injectStoreRefusal((oldLeader + 1) % 3, 12_000));
             case CONFIRMING_CONTROLLER_CRASH ->
                     cluster.faults.crashAfter(gapMillis - 100, (oldLeader + 1) % 3, 300);
             case OLD_LEADER_RESTARTS_WITH_STORE ->
@@ -153,10 +153,11 @@
                     cluster.after(
                             gapMillis + 75_000,
                             () -> {
-                                cluster.faults.refuseByStore(
+                                cluster.faults.injectStoreRefusal(
                                         Math.max(0, cluster.leaderIndex()), 14_000);
                                 cluster.cancel("wk-000021");
-                                cluster.after(gapMillis, () -> cluster.faults.storeOutage(60_000));
+                                cluster.after(
+                                        gapMillis, () -> cluster.faults.injectStoreOutage(60_000));
                             });
         }
         cluster.runUntil(30_000 + gapMillis + 10);
@@ -209,7 +210,7 @@
         // What ran on the old leader's machines ran on: its successor called the workers away by
         // the addresses on record.
         for (int i = 11; i < 20; i++) {
-            assertEquals(3, cluster.taskStarts.get(JobFixtures.id(i)));
+            assertEquals(3, cluster.taskStartsByJob.get(JobFixtures.id(i)));
         }
     }
 
@@ -230,8 +231,10 @@
         cluster.after(30_000, () -> cluster.store.maxExtraLatencyMillis = 1_900);
         cluster.after(
                 40_000,
-                () -> cluster.faults.refuseByStore(Math.max(0, cluster.leaderIndex()), 12_000));
-        cluster.after(47_000, () -> cluster.faults.storeOutage(55_000));
+                () ->
+                        cluster.faults.injectStoreRefusal(
+                                Math.max(0, cluster.leaderIndex()), 12_000));
+        cluster.after(47_000, () -> cluster.faults.injectStoreOutage(55_000));
         cluster.after(110_000, () -> cluster.store.maxExtraLatencyMillis = 0);
         cluster.expectFaultsUntil(110_000);
         for (int i = 1; i <= 12; i++) {
--- a/src/test/java/io/quincelead/simulation/CompoundFaults.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaults.java
@@ -101,9 +101,9 @@
                 cluster.after(durationMillis, () -> cluster.store.maxExtraLatencyMillis = 0);
             }
             case LEADER_REFUSED_BY_STORE ->
-                    faults.refuseByStore(leaderOrFirst(cluster), durationMillis);
+                    faults.injectStoreRefusal(leaderOrFirst(cluster), durationMillis);
             case STORE_DOWN ->
-                    faults.storeOutage(durationMillis + cluster.random().nextLong(40_000));
+                    faults.injectStoreOutage(durationMillis + cluster.random().nextLong(40_000));
             case LEADER_CRASH -> crashLeader(cluster);
             case MACHINES_PARTITIONED ->
                     forSomeMachines(
@@ -233,12 +233,12 @@
 
     private static void probeConsistency(SimulatedCluster cluster, long durationMillis) {
         cluster.users.consistencyProbes = true;
-        cluster.users.cancelAtOnceRate = 0.2;
+        cluster.users.cancelAtAcceptanceRate = 0.2;
         cluster.after(
                 durationMillis,
                 () -> {
                     cluster.users.consistencyProbes = false;
-                    cluster.users.cancelAtOnceRate = 0;
+                    cluster.users.cancelAtAcceptanceRate = 0;
                 });
     }
 
@@ -315,7 +315,7 @@
     }
 
     private static void play(SimulatedCluster cluster, int firstKind, int kindCount) {
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 45; i++) {
             JobSpec randomJob = JobFixtures.randomJob(i, cluster.random());
--- a/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
+++ b/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
@@ -53,8 +53,8 @@
         cluster.submit(JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 30));
         cluster.runUntil(20_000);
         assertTrue(
-                delayed[0] != null && cluster.taskStarts.getOrDefault("wk-000002", 0) == 12,
-                "the meeting: " + cluster.taskStarts);
+                delayed[0] != null && cluster.taskStartsByJob.getOrDefault("wk-000002", 0) == 12,
+                "the meeting: " + cluster.taskStartsByJob);
         assertEquals(409, status[0]);
         cluster.runUntil(200_000);
         assertAllJobsFinished(cluster, 2);
@@ -91,7 +91,7 @@
         cluster.submitAfter(3_000, JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 12, 2, 10));
         cluster.runUntil(250_000);
         assertEquals(409, status[0]);
-        assertEquals(12, cluster.taskStarts.get("wk-000002"));
+        assertEquals(12, cluster.taskStartsByJob.get("wk-000002"));
         assertAllJobsFinished(cluster, 2);
     }
 
@@ -109,7 +109,7 @@
         cluster.submit(
                 JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 1, 300), lostController);
         cluster.runUntil(16_000);
-        assertEquals(12, cluster.taskStarts.get("wk-000001"));
+        assertEquals(12, cluster.taskStartsByJob.get("wk-000001"));
         int leader = cluster.leaderIndex();
         int[] newOwner = {-1};
         cluster.store.arrivalObserver =
@@ -336,7 +336,9 @@
         assertAllJobsFinished(cluster, 20);
         for (int i = 1; i <= 20; i++) {
             assertEquals(
-                    2 + i % 2, cluster.taskStarts.get(JobFixtures.id(i)), "starts of job " + i);
+                    2 + i % 2,
+                    cluster.taskStartsByJob.get(JobFixtures.id(i)),
+                    "starts of job " + i);
         }
     }
 
@@ -387,8 +389,8 @@
         }
         cluster.runUntil(60_000);
         assertTrue(
-                met[0] && cluster.taskStarts.get("wk-000001") > 0,
-                "the meeting: " + cluster.taskStarts);
+                met[0] && cluster.taskStartsByJob.get("wk-000001") > 0,
+                "the meeting: " + cluster.taskStartsByJob);
         assertTrue(!met[1], "told while tasks were on machines");
         assertAllJobsFinished(cluster, 1);
     }
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -311,14 +311,14 @@
         cluster.expectFaultsUntil(cluster.nowMillis() + releaseAtLatestMillis + 1_000);
     }
 
-    void refuseByStore(int controller, long durationMillis) {
+    void injectStoreRefusal(int controller, long durationMillis) {
         String ip = cluster.controllers.get(controller).ip;
         cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis);
         cluster.store.setRefused(ip, true);
         cluster.after(durationMillis, () -> cluster.store.setRefused(ip, false));
     }
 
-    void storeOutage(long durationMillis) {
+    void injectStoreOutage(long durationMillis) {
         if (cluster.store.down) {
             return;
         }
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -179,7 +179,7 @@
                         3);
         cluster.heartbeatIntervalMillis = 4_000;
         cluster.workerLeaseMillis = 22_000;
-        cluster.storeSettings = new Settings.StoreLimits(150, 35, 8, 12);
+        cluster.storeLimits = new Settings.StoreLimits(150, 35, 8, 12);
         setTeams(
                 cluster,
                 scale,
@@ -225,7 +225,7 @@
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
-        cluster.storeSettings = new Settings.StoreLimits(600, 250, 8, 12);
+        cluster.storeLimits = new Settings.StoreLimits(600, 250, 8, 12);
         setTeams(
                 cluster,
                 scale,
@@ -447,7 +447,7 @@
         double usedCpus = 0;
         for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
             if (!task.hasEnded()) {
-                JobSpec job = cluster.jobsById.get(task.name.substring(0, task.name.indexOf('/')));
+                JobSpec job = cluster.jobsById.get(task.id.substring(0, task.id.indexOf('/')));
                 usedCpus += job.cpus();
                 cpusInUse.merge(job.team() + " " + job.jobClass(), job.cpus(), Double::sum);
             }
@@ -458,7 +458,7 @@
     /** A team's share in each controller's shard; null for a controller without one. */
     private static List<JsonNode> quotaSharesByController(SimulatedCluster cluster, String team) {
         return cluster.controllers.stream()
-                .map(controller -> cluster.store.value("a/b/" + controller.name))
+                .map(controller -> cluster.store.value("a/b/" + controller.memberId))
                 .map(shard -> shard == null ? null : shard.path("al").path(team))
                 .toList();
     }
@@ -513,7 +513,8 @@
                         quantiles(firstStartDelays, group.size()),
                         quantiles(halfStartDelays, group.size()),
                         group.stream()
-                                .mapToInt(job -> cluster.taskStarts.getOrDefault(job.jobId(), 0))
+                                .mapToInt(
+                                        job -> cluster.taskStartsByJob.getOrDefault(job.jobId(), 0))
                                 .sum());
             }
         }
@@ -528,8 +529,8 @@
                         + " broken "
                         + cluster.violations()
                         + " machines "
-                        + cluster.cloud.rentedMachineCount()
+                        + cluster.cloud.provisionedMachineCount()
                         + " largest record "
-                        + cluster.store.largestValue);
+                        + cluster.store.largestValueLength);
     }
 }
--- a/src/test/java/io/quincelead/simulation/GoldenCapture.java
+++ b/src/test/java/io/quincelead/simulation/GoldenCapture.java
@@ -216,7 +216,7 @@
             String kind = row.name().substring(0, row.name().lastIndexOf(" #"));
             forms.add(kind);
             if (row.body() != null) {
-                features(row.map(), kind, forms);
+                features(row.decodeBody(), kind, forms);
             }
         }
         return forms;
--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -114,7 +114,7 @@
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(true, 20, 30, 0.1));
         cluster.store.maxPageSize = 30;
-        cluster.store.retainedChanges = 40;
+        cluster.store.maxRetainedChanges = 40;
         cluster.cloud.addRunningMachines("small", "c", 2);
         capture.observe(cluster);
         cluster.start();
@@ -367,14 +367,14 @@
 
     private static void stopLeaderStoreAndCloud(SimulatedCluster cluster) {
         cluster.faults.crashLeaderAfter(45_000, 12_000);
-        cluster.after(70_000, () -> cluster.faults.storeOutage(8_000));
+        cluster.after(70_000, () -> cluster.faults.injectStoreOutage(8_000));
         cluster.after(85_000, () -> cluster.cloud.down = true);
         cluster.after(93_000, () -> cluster.cloud.down = false);
     }
 
     private static void breakMachines(SimulatedCluster cluster) {
         cluster.after(
-                60_000, () -> cluster.faults.onRandomMachine(m -> m.preemptionWarningSeconds = 25));
+                60_000, () -> cluster.faults.onRandomMachine(m -> m.reclaimNoticeSeconds = 25));
         cluster.after(80_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
         cluster.after(
                 95_000,
@@ -401,7 +401,7 @@
     private static void refuseAndLoseStoreResponses(SimulatedCluster cluster) {
         cluster.after(
                 112_000,
-                () -> cluster.faults.refuseByStore((cluster.leaderIndex() + 1) % 3, 14_000));
+                () -> cluster.faults.injectStoreRefusal((cluster.leaderIndex() + 1) % 3, 14_000));
         ask(cluster, 72_000, 0, "/ops/classes/apply", "{'change':'c5','classes':[]}");
         ask(cluster, 73_000, 1, "/ops/calendar/ledger", "{'name':'morning'}");
         cluster.after(115_000, () -> cluster.store.responseLossRate = 1);
--- a/src/test/java/io/quincelead/simulation/GoldenTable.java
+++ b/src/test/java/io/quincelead/simulation/GoldenTable.java
@@ -25,7 +25,7 @@
      * record. {@code body}: null for none.
      */
     public record Row(String name, String head, WireFormat codec, byte[] body) {
-        static Row read(String line) {
+        static Row parse(String line) {
             String[] f = line.split("\t", -1);
             if (f[2].equals("-")) {
                 return new Row(f[0], f[1], null, null);
@@ -36,12 +36,12 @@
         }
 
         /** The body as a tree, read anew. */
-        public ObjectNode map() {
+        public ObjectNode decodeBody() {
             return codec.decodeMap(body);
         }
 
         /** The row of the same record with its value written again. */
-        public Row with(JsonNode value) {
+        public Row withValue(JsonNode value) {
             return new Row(name, head, codec, codec.encode(value));
         }
 
@@ -68,7 +68,7 @@
         try (InputStream in = GoldenTable.class.getResourceAsStream("/golden/" + table + ".tsv")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
-                    .map(Row::read)
+                    .map(Row::parse)
                     .toList();
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/io/quincelead/simulation/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -21,12 +21,12 @@
         }
     }
 
-    void call(long now, String from, String to, String method, String path, byte[] body) {
+    void recordCall(long now, String from, String to, String method, String path, byte[] body) {
         add(now + from + to + method + path, body);
     }
 
     /** An answer as its caller sees it; status 0 is a time-out. */
-    void answer(long now, int status, int retryAfterS, byte[] body) {
+    void recordResponse(long now, int status, int retryAfterS, byte[] body) {
         add(now + " " + status + retryAfterS, body);
     }
 
--- a/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -33,7 +33,7 @@
         cluster.jobsById.put(job.jobId(), job);
         SimulatedWorker.SimulatedTask task =
                 new SimulatedWorker.SimulatedTask(job.jobId() + "/" + index, attempt);
-        worker.tasks.put(task.name + "#" + attempt, task);
+        worker.tasks.put(task.id + "#" + attempt, task);
         cluster.onTaskStarted(worker, task, job);
         task.status = "running";
         cluster.after(1, () -> {});
@@ -380,7 +380,7 @@
         cluster.submitUnacceptable("wk-700001", new byte[] {1}, 400);
         cluster.runUntil(500);
         assertTripped("accepted: wk-700001 got 422 instead of 400");
-        assertEquals(0, cluster.users.refusedCount);
+        assertEquals(0, cluster.users.expectedRefusalCount);
     }
 
     @Test
@@ -453,7 +453,7 @@
         for (int i = 0; i < 40; i++) {
             SimulatedWorker.SimulatedTask task = runTask(worker, many, i, 1);
             cluster.runUntil(cluster.nowMillis() + 2_000);
-            worker.tasks.remove(task.name + "#1");
+            worker.tasks.remove(task.id + "#1");
             cluster.runUntil(cluster.nowMillis() + 2_000);
         }
         assertTrue(cluster.nowMillis() > 150_000);
@@ -613,7 +613,7 @@
     /** Attempts in the first five seconds after an outage were once excused. */
     @Test
     void submissionThatIsNotAcceptedASecondAfterAnOutageIsStarved() {
-        cluster.submissionRetryMillis = 500;
+        cluster.submissionRetryWindowMillis = 500;
         cluster.after(15_000, () -> cluster.store.setDown(true));
         cluster.after(19_000, () -> cluster.store.setDown(false));
         submissionThatAHealthyControllerNeverAcceptsIsStarved();
--- a/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
+++ b/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
@@ -23,7 +23,7 @@
                     "%d s: %d machines, %d tasks begun, %d jobs open, broken %s%n",
                     second,
                     cluster.cloud.machines.size(),
-                    cluster.taskStarts.values().stream().mapToInt(count -> count).sum(),
+                    cluster.taskStartsByJob.values().stream().mapToInt(count -> count).sum(),
                     cluster.unfinishedJobs().size(),
                     cluster.violations());
         }
@@ -67,7 +67,7 @@
                         5);
         cluster.heartbeatIntervalMillis = 3_000;
         cluster.workerLeaseMillis = 17_500;
-        cluster.storeSettings = new Settings.StoreLimits(600, 250, 8, 12);
+        cluster.storeLimits = new Settings.StoreLimits(600, 250, 8, 12);
         cluster.invariantChecksEnabled = false;
         double scale = machineCount / 742.0;
         cluster.setTeam("red", 5_000 * scale, 12_000 * scale);
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -136,7 +136,7 @@
     @MethodSource("commitsWritersAndSeeds")
     void committedWriteWithLostResponseIsSettled(CommitKind kind, WriterFate writerFate, int seed) {
         SimulatedCluster cluster = new SimulatedCluster(40 + seed);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         int[] occurrences = {0};
         int[] laterWrites = {0};
         cluster.store.dropsResponse =
@@ -344,7 +344,7 @@
             CancellationTarget target, int step, int variant) {
         String context = target + ", step " + step + ", besides " + variant;
         SimulatedCluster cluster = clusterWithReadyMachines(60 + step * 3 + variant, 4, 24);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         cluster.start();
         cluster.runUntil(9_000);
         int lostController = (cluster.leaderIndex() + 1) % 4;
@@ -392,7 +392,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void overtakenReassignmentUndoesNothing(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(70 + seed, 4, 24);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         cluster.start();
         cluster.runUntil(9_000);
         int lostController = (cluster.leaderIndex() + 1) % 4;
@@ -486,10 +486,10 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void jobsSurviveLossOfHalfTheStoreResponses(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         cluster.start();
         cluster.users.consistencyProbes = true;
-        cluster.users.cancelAtOnceRate = 0.2;
+        cluster.users.cancelAtAcceptanceRate = 0.2;
         cluster.store.responseLossRate = 0.5;
         for (int i = 1; i <= 24; i++) {
             JobSpec job =
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -23,7 +23,7 @@
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 4)));
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         cluster.network.maxExtraLatencyMillis = 250 * (int) seed;
         for (int i = 1; i <= 36; i++) {
@@ -163,7 +163,7 @@
         JobSpec largeJob = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 230, 0.2, 20);
         cluster.submit(largeJob, ownController);
         cluster.runUntil(13_000);
-        assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
+        assertEquals(0, cluster.taskStartsByJob.getOrDefault(largeJob.jobId(), 0));
         cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, true);
         int[] attempts = {0};
         cluster.store.arrivalObserver =
@@ -181,7 +181,7 @@
         assertTrue(attempts[0] > 0, "its own controller never tried");
         cluster.store.setWatchDelayed(cluster.controllers.get(ownController).ip, false);
         cluster.runUntil(200_000);
-        assertEquals(0, cluster.taskStarts.getOrDefault(largeJob.jobId(), 0));
+        assertEquals(0, cluster.taskStartsByJob.getOrDefault(largeJob.jobId(), 0));
         assertAllJobsFinished(cluster, 2);
     }
 
--- a/src/test/java/io/quincelead/simulation/RandomScenarios.java
+++ b/src/test/java/io/quincelead/simulation/RandomScenarios.java
@@ -366,7 +366,7 @@
      * and the store fail; what is wrong, in words.
      */
     static ScenarioResult playZoneLoss(long seed) {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(seed, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(seed, true);
         cluster.network.responseLossRate = 0.002;
         if (cluster.random().nextBoolean()) {
             cluster.after(12_000, () -> applyModelClass(cluster));
@@ -377,8 +377,8 @@
                     60_000 + cluster.random().nextLong(190_000),
                     () -> injectCloudOrLeaderFault(cluster));
         }
-        for (int i = 1; i <= ZoneModels.MODELS; i += 3) {
-            String jobId = ZoneModels.modelId(i);
+        for (int i = 1; i <= ThreeZoneFixtures.MODEL_COUNT; i += 3) {
+            String jobId = ThreeZoneFixtures.modelId(i);
             cluster.cancelAfter(380_000, jobId);
         }
         cluster.after(270_000, () -> cluster.network.responseLossRate = 0);
@@ -414,7 +414,7 @@
                     60_000 + 60_000L * i + cluster.random().nextLong(30_000),
                     () -> {
                         if (crashes) {
-                            ZoneModels.crashZone(cluster, zone);
+                            ThreeZoneFixtures.crashZone(cluster, zone);
                             cluster.expectFaultsUntil(cluster.nowMillis() + 60_000);
                         } else {
                             cluster.faults.partitionZone(
@@ -447,11 +447,12 @@
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
         problems.addAll(cluster.serviceLevels().starved());
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) -> {
                             int modelNumber = Integer.parseInt(model.substring(3));
-                            if (ZoneModels.replicaCount(byZone) != (modelNumber % 3 == 1 ? 0 : 6)) {
+                            if (ThreeZoneFixtures.replicaCount(byZone)
+                                    != (modelNumber % 3 == 1 ? 0 : 6)) {
                                 problems.add(model + " has " + byZone);
                             }
                         });
--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -23,7 +23,7 @@
         RandomScenarios.submitRandomJobs(cluster, 40, 2_000);
         cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 40);
-        assertTrue(cluster.store.largestValue < 8 * 1024);
+        assertTrue(cluster.store.largestValueLength < 8 * 1024);
         assertTrue(
                 cluster.cloud.machines.size() <= 4,
                 "idle machines are returned, left: " + cluster.cloud.machines.size());
@@ -133,7 +133,7 @@
         assertAllJobsFinished(cluster, 70);
         assertTrue(maxMachines[0] >= 200, "machines: " + maxMachines[0]);
         assertTrue(
-                cluster.store.largestValue < 8 * 1024,
-                "largest record: " + cluster.store.largestValue);
+                cluster.store.largestValueLength < 8 * 1024,
+                "largest record: " + cluster.store.largestValueLength);
     }
 }
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -34,7 +34,7 @@
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 24);
         cluster.start();
         cluster.users.consistencyProbes = true;
-        cluster.users.cancelAtOnceRate = 0.25;
+        cluster.users.cancelAtAcceptanceRate = 0.25;
         cluster.users.cancelAtCompletionRate = 0.25;
         cluster.store.responseLossRate = seed % 2 == 0 ? 0.25 : 0;
         for (int i = 1; i <= 40; i++) {
@@ -54,11 +54,11 @@
         cluster.store.responseLossRate = 0;
         assertTrue(
                 cluster.users.probeCount > 60
-                        && cluster.users.cancelledAtOnceCount > 3
+                        && cluster.users.cancelledAtAcceptanceCount > 3
                         && cluster.users.cancelledAtCompletionCount > 3,
                 cluster.users.probeCount
                         + " looks, "
-                        + cluster.users.cancelledAtOnceCount
+                        + cluster.users.cancelledAtAcceptanceCount
                         + ", "
                         + cluster.users.cancelledAtCompletionCount);
         assertTrue(
@@ -229,7 +229,7 @@
     @ValueSource(longs = {1, 2, 3})
     void unacceptableRequestsLoseNoJob(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 200_000;
+        cluster.submissionRetryWindowMillis = 200_000;
         cluster.start();
         for (int i = 1; i <= 20; i++) {
             JobSpec job = JobFixtures.array(i, "red", JobSpec.Priority.NORMAL, 1 + i % 3, 1, 10);
@@ -237,13 +237,13 @@
         }
         cluster.after(6_000, () -> cluster.users.sendUnusualRequests(100, 60_000));
         cluster.faults.crashLeaderAfter(15_000, 300);
-        cluster.after(25_000, () -> cluster.faults.storeOutage(10_000));
+        cluster.after(25_000, () -> cluster.faults.injectStoreOutage(10_000));
         cluster.runUntil(200_000);
         assertTrue(
-                cluster.users.refusedCount > 150 && cluster.users.unusualRequestCount > 30,
-                cluster.users.refusedCount
+                cluster.users.expectedRefusalCount > 150 && cluster.users.knownJobRequestCount > 30,
+                cluster.users.expectedRefusalCount
                         + " refused, "
-                        + cluster.users.unusualRequestCount
+                        + cluster.users.knownJobRequestCount
                         + " odd");
         assertAllJobsFinished(cluster, 20);
         cluster.unacceptableJobs.forEach(
--- a/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
@@ -49,8 +49,9 @@
         cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 2);
         assertTrue(
-                cluster.taskStarts.get("wk-000001") + cluster.taskStarts.get("wk-000002") < 45,
-                "starts: " + cluster.taskStarts);
+                cluster.taskStartsByJob.get("wk-000001") + cluster.taskStartsByJob.get("wk-000002")
+                        < 45,
+                "starts: " + cluster.taskStartsByJob);
     }
 
     /**
@@ -193,7 +194,7 @@
         assertNoViolations(cluster);
         int replicas = 0;
         for (int i = 1; i <= 12; i++) {
-            replicas += cluster.taskStarts.getOrDefault(JobFixtures.id(i), 0);
+            replicas += cluster.taskStartsByJob.getOrDefault(JobFixtures.id(i), 0);
         }
         assertEquals(72, replicas);
         Map<String, Long> byZone =
@@ -283,8 +284,8 @@
         }
         cluster.runUntil(60_000);
         assertTrue(
-                cluster.cloud.rentedMachineCount() <= 30,
-                "rented: " + cluster.cloud.rentedMachineCount());
+                cluster.cloud.provisionedMachineCount() <= 30,
+                "rented: " + cluster.cloud.provisionedMachineCount());
         cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 6);
     }
@@ -311,11 +312,11 @@
                         .build());
         cluster.runUntil(12_000);
         assertNoViolations(cluster);
-        assertEquals(800, cluster.taskStarts.get("wk-000001"));
+        assertEquals(800, cluster.taskStartsByJob.get("wk-000001"));
         assertTrue(
                 cluster.store.keys().stream().filter(key -> key.startsWith("a/m/")).count() <= 20,
                 "records: " + cluster.store.keys());
-        assertEquals(150, cluster.cloud.rentedMachineCount());
+        assertEquals(150, cluster.cloud.provisionedMachineCount());
     }
 
     /**
@@ -344,8 +345,8 @@
         cluster.runUntil(300_000);
         assertAllJobsFinished(cluster, 1);
         assertTrue(
-                cluster.taskStarts.get("wk-000001") > 4,
-                "it failed at first: " + cluster.taskStarts);
+                cluster.taskStartsByJob.get("wk-000001") > 4,
+                "it failed at first: " + cluster.taskStartsByJob);
     }
 
     @Test
@@ -380,7 +381,7 @@
         double cpus = 0;
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                JobSpec job = cluster.jobOfTask(task.name);
+                JobSpec job = cluster.jobOfTask(task.id);
                 cpus += !task.hasEnded() && job.team().equals(team) ? job.cpus() : 0;
             }
         }
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -111,7 +111,7 @@
     /** Jobs that were never accepted since no attempt met a controller that could accept them. */
     List<String> unreachedJobs() {
         return submittedJobs.keySet().stream()
-                .filter(cluster.reachability::neverReachedAnybody)
+                .filter(cluster.reachability::neverReachedReadyController)
                 .toList();
     }
 
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -52,7 +52,7 @@
     private int lastInstanceNumber;
 
     /** Machines ever provisioned. */
-    public int rentedMachineCount() {
+    public int provisionedMachineCount() {
         return lastInstanceNumber;
     }
 
@@ -80,7 +80,7 @@
                     .put("site", worker.zone)
                     .put("preemptible", worker.spot)
                     .put("status", worker.dead ? "failed" : worker.up ? "running" : "booting")
-                    .put("ageS", (clock.nowMillis() - worker.rentedAtMillis) / 1000.0);
+                    .put("ageS", (clock.nowMillis() - worker.provisionedAtMillis) / 1000.0);
         }
         inventorySnapshots.add(new InventorySnapshot(clock.nowMillis(), hosts));
         clock.schedule(500, this::takeInventorySnapshot);
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -27,14 +27,14 @@
 
     /** One controller's place; the process on it may be killed and started again. */
     public final class SimulatedController {
-        public final String name;
+        public final String memberId;
         public final String ip;
         final String userAddress;
         final String peerAddress;
         private SimulatedClock.SimulatedProcess process;
 
         SimulatedController(int index) {
-            name = "worker-" + index;
+            memberId = "worker-" + index;
             ip = "10.0.0." + (index + 1);
             userAddress = ip + ":8080";
             peerAddress = ip + ":8081";
@@ -43,10 +43,10 @@
         public void start() {
             process = clock.newProcess();
             Map<String, String> peers = new LinkedHashMap<>();
-            controllers.forEach(peer -> peers.put(peer.name, peer.peerAddress));
+            controllers.forEach(peer -> peers.put(peer.memberId, peer.peerAddress));
             Settings settings =
                     new Settings(
-                            name,
+                            memberId,
                             "a",
                             userAddress,
                             peerAddress,
@@ -63,7 +63,7 @@
                                     SimulatedWorker.GANG_WAIT_MILLIS / 1000.0,
                                     6,
                                     cancellationDeadlineSeconds),
-                            storeSettings,
+                            storeLimits,
                             new Settings.CloudLimits(4, 4),
                             new Settings.ProcessLimits(1, 256, 500));
             SimulatedClock.SimulatedProcess currentProcess = process;
@@ -104,7 +104,7 @@
     public final Map<String, Settings.Team> teams = new LinkedHashMap<>();
     public final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
     public long heartbeatIntervalMillis = 1000;
-    public Settings.StoreLimits storeSettings = new Settings.StoreLimits(400, 200, 8, 12);
+    public Settings.StoreLimits storeLimits = new Settings.StoreLimits(400, 200, 8, 12);
     public long workerLeaseMillis = 10_000;
 
     /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
@@ -117,7 +117,7 @@
     public final double cancellationDeadlineSeconds = 40;
 
     /** ms for which a user repeats a submission. */
-    public long submissionRetryMillis = 60_000;
+    public long submissionRetryWindowMillis = 60_000;
 
     /** ms. The users' own bound: after this time without an answer a job counts as forgotten. */
     static final long UNANSWERED_LIMIT_MILLIS = 75_000;
@@ -151,7 +151,7 @@
     final SimulatedUsers users = new SimulatedUsers(this);
     private final StarvationChecker starvation = new StarvationChecker(this);
     private final Set<String> violations = new HashSet<>();
-    public final Map<String, Integer> taskStarts = new HashMap<>();
+    public final Map<String, Integer> taskStartsByJob = new HashMap<>();
 
     /** Off for measurements of large clusters: the checks look at every task after every event. */
     public boolean invariantChecksEnabled = true;
@@ -180,7 +180,7 @@
         network = new SimulatedNetwork(clock);
         store = new SimulatedStore(clock, 12);
         cloud = new SimulatedCloud(this, machineTypes);
-        network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.sender()));
+        network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.senderIp()));
         network.setHandler(CLOUD_ADDRESS, cloud::handle);
         teams.put("red", new Settings.Team("red", 16, 40, 2, 4));
         teams.put("blue", new Settings.Team("blue", 16, 24, 2, 8));
@@ -230,7 +230,7 @@
 
     int indexOfController(String controllerName) {
         for (int i = 0; i < controllers.size(); i++) {
-            if (controllers.get(i).name.equals(controllerName)) {
+            if (controllers.get(i).memberId.equals(controllerName)) {
                 return i;
             }
         }
@@ -326,8 +326,8 @@
 
     /** Called at the moment a task has its image and begins. */
     void onTaskStarted(SimulatedWorker worker, SimulatedWorker.SimulatedTask task, JobSpec job) {
-        taskStarts.merge(job.jobId(), 1, Integer::sum);
-        serviceLevels.onTaskStarted(job, task.name);
+        taskStartsByJob.merge(job.jobId(), 1, Integer::sum);
+        serviceLevels.onTaskStarted(job, task.id);
         taskStartCount++;
         if (!invariantChecksEnabled) {
             return;
@@ -339,11 +339,11 @@
                 if (!otherTask.occupiesMachine() || otherTask == task) {
                     continue;
                 }
-                if (otherTask.name.equals(task.name)) {
+                if (otherTask.id.equals(task.id)) {
                     recordViolation(
                             "ran_twice",
-                            task.name + " on " + otherWorker.host + " and " + worker.host);
-                } else if (jobOfTask(otherTask.name) == job) {
+                            task.id + " on " + otherWorker.host + " and " + worker.host);
+                } else if (jobOfTask(otherTask.id) == job) {
                     otherZone |= !otherWorker.zone.equals(worker.zone);
                     inZone += otherWorker.zone.equals(worker.zone) ? 1 : 0;
                 }
@@ -357,11 +357,11 @@
                         || job.zoneAffinity() && otherZone
                         || job.zoneSpread() && inZone + 1 > (job.taskCount() + 1) / 2;
         if (misplaced) {
-            recordViolation("wrong_place", task.name + " on " + worker.host);
+            recordViolation("wrong_place", task.id + " on " + worker.host);
         }
         Long confirmedAtMillis = cancellationConfirmedAtMillis.get(job.jobId());
         if (confirmedAtMillis != null) {
-            recordViolation("ran_cancelled", task.name + " starts");
+            recordViolation("ran_cancelled", task.id + " starts");
         }
     }
 
@@ -372,9 +372,9 @@
     void onWorkerResumed(SimulatedWorker worker) {
         for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
             if (task.occupiesMachine()
-                    && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
+                    && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.id).jobId())) {
                 recordViolation(
-                        "ran_cancelled", task.name + " goes on after " + worker.host + " hung");
+                        "ran_cancelled", task.id + " goes on after " + worker.host + " hung");
             }
         }
     }
@@ -396,7 +396,7 @@
                 if (!task.occupiesMachine()) {
                     continue;
                 }
-                JobSpec job = jobOfTask(task.name);
+                JobSpec job = jobOfTask(task.id);
                 double[] usage = usageByTeam.computeIfAbsent(job.team(), key -> new double[2]);
                 usage[0] += job.cpus();
                 usage[1] += job.gpus();
@@ -404,7 +404,7 @@
                 if (confirmedAtMillis != null
                         && clock.nowMillis() - confirmedAtMillis
                                 > cancellationDeadlineSeconds * 1000) {
-                    recordViolation("ran_cancelled", task.name + " on " + worker.host);
+                    recordViolation("ran_cancelled", task.id + " on " + worker.host);
                 }
             }
         }
@@ -418,7 +418,7 @@
     }
 
     void onTaskCompleted(SimulatedWorker.SimulatedTask task, JobSpec job) {
-        completedTasks.add(task.name);
+        completedTasks.add(task.id);
         users.onTaskCompleted(job);
         if (job.isGang()) {
             for (int i = 0; i < job.taskCount(); i++) {
@@ -428,7 +428,7 @@
                 for (SimulatedWorker.SimulatedTask otherTask :
                         new ArrayList<>(worker.tasks.values())) {
                     if (otherTask != task
-                            && jobOfTask(otherTask.name) == job
+                            && jobOfTask(otherTask.id) == job
                             && otherTask.attempt == task.attempt
                             && otherTask.status.equals("running")) {
                         worker.endTask(otherTask, "done");
@@ -442,7 +442,7 @@
         Map<Long, List<Object[]>> waiting = new HashMap<>();
         for (SimulatedWorker worker : cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                if (jobOfTask(task.name) == job && task.status.equals("waiting")) {
+                if (jobOfTask(task.id) == job && task.status.equals("waiting")) {
                     waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>())
                             .add(new Object[] {worker, task});
                 }
@@ -471,7 +471,7 @@
                     for (SimulatedWorker worker : cloud.machines.values()) {
                         for (SimulatedWorker.SimulatedTask task :
                                 new ArrayList<>(worker.tasks.values())) {
-                            if (jobOfTask(task.name) == job
+                            if (jobOfTask(task.id) == job
                                     && task.attempt == attempt
                                     && task.status.equals("running")) {
                                 worker.endTask(task, "peers");
@@ -549,7 +549,7 @@
     public void submit(JobSpec job, int controller) {
         upload(job);
         serviceLevels.onSubmitted(job);
-        submit(job, controller, clock.nowMillis() + submissionRetryMillis);
+        submit(job, controller, clock.nowMillis() + submissionRetryWindowMillis);
     }
 
     private void submit(JobSpec job, int controller, long untilMillis) {
@@ -649,7 +649,7 @@
                     if (status == 200 || status == 201) {
                         recordViolation("accepted", id + " can't run or lacks a field");
                     } else if (status == expected) {
-                        users.refusedCount++;
+                        users.expectedRefusalCount++;
                     } else if (status == 400 || status == 422) {
                         recordViolation(
                                 "accepted", id + " got " + status + " instead of " + expected);
--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -106,7 +106,7 @@
     public BiConsumer<String, byte[]> requestObserver = (path, body) -> {};
 
     /** Who sent what is being handled. */
-    private String sender = "";
+    private String senderIp = "";
 
     /** A call and what its caller gets for it; status 0: no response in time. */
     public record Exchange(
@@ -213,7 +213,7 @@
             }
             answered = true;
             openCalls--;
-            history.answer(clock.nowMillis(), status, retryAfterSeconds, responseBody);
+            history.recordResponse(clock.nowMillis(), status, retryAfterSeconds, responseBody);
             caller.onResponse(status, responseBody, retryAfterSeconds);
             exchangeObserver.accept(
                     new Exchange(
@@ -240,7 +240,7 @@
             long timeoutMillis,
             ResponseHandler onResponse) {
         requestObserver.accept(path, body);
-        history.call(clock.nowMillis(), from, to, method, path, body);
+        history.recordCall(clock.nowMillis(), from, to, method, path, body);
         maxOpenCalls = Math.max(maxOpenCalls, ++openCalls);
         Request request = new Request(from, to, method, path, body);
         PendingCall call = new PendingCall(request, onResponse);
@@ -363,8 +363,8 @@
     }
 
     /** The IP of whoever sent the request that is being handled. */
-    String sender() {
-        return sender;
+    String senderIp() {
+        return senderIp;
     }
 
     private void deliver(Request request, ResponseHandler onResponse) {
@@ -372,7 +372,7 @@
         if (handler == null) {
             return;
         }
-        sender = hostOf(request.from);
+        senderIp = hostOf(request.from);
         int queryStart = request.path.indexOf('?');
         handler.handle(
                 new IncomingRequest(
--- a/src/test/java/io/quincelead/simulation/SimulatedStore.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -42,7 +42,7 @@
     private long lastLeaseId;
 
     /** Changes kept for watches. */
-    public int retainedChanges = 10_000;
+    public int maxRetainedChanges = 10_000;
 
     public boolean down;
     private long downSinceMillis;
@@ -99,7 +99,7 @@
     /** Sees each transaction as it arrives, before anything is done with it. */
     public Consumer<ObjectNode> arrivalObserver = transaction -> {};
 
-    public int largestValue;
+    public int largestValueLength;
 
     public SimulatedStore(SimulatedClock clock, int maxOperations) {
         this.clock = clock;
@@ -394,7 +394,7 @@
             }
             if (operation.has("put")) {
                 int size = operation.path("value").toString().length();
-                largestValue = Math.max(largestValue, size);
+                largestValueLength = Math.max(largestValueLength, size);
                 if (size > MAX_VALUE_LENGTH) {
                     throw new IllegalStateException("a value over the limit: " + size);
                 }
@@ -442,8 +442,8 @@
             if (isUnavailableTo(watch.clientIp) || delayedWatchers.contains(watch.clientIp)) {
                 continue;
             }
-            if (changes.size() > retainedChanges
-                    && changes.get(changes.size() - retainedChanges).revision
+            if (changes.size() > maxRetainedChanges
+                    && changes.get(changes.size() - maxRetainedChanges).revision
                             > watch.afterRevision) {
                 watches.remove(watch);
                 watch.request.respond(410, WireFormat.newMap());
--- a/src/test/java/io/quincelead/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -17,7 +17,7 @@
     boolean consistencyProbes;
 
     /** Share of jobs that are then cancelled at once. */
-    double cancelAtOnceRate;
+    double cancelAtAcceptanceRate;
 
     /** Share of jobs that are cancelled at the moment at which their last task ends. */
     double cancelAtCompletionRate;
@@ -25,14 +25,14 @@
     /** How often each has happened. */
     int probeCount;
 
-    int cancelledAtOnceCount;
+    int cancelledAtAcceptanceCount;
     int cancelledAtCompletionCount;
     int massCancelledCount;
 
     /** Odd requests that got the refusal they should get, and those about jobs that are known. */
-    int refusedCount;
+    int expectedRefusalCount;
 
-    int unusualRequestCount;
+    int knownJobRequestCount;
     private int lastUnacceptableId;
     private int lastJobNumber = 1_000;
 
@@ -47,10 +47,10 @@
 
     /** The first time that anybody is told that the job is accepted. */
     void onAccepted(JobSpec job) {
-        if (cancelAtOnceRate > 0
+        if (cancelAtAcceptanceRate > 0
                 && !job.isService()
-                && cluster.random().nextDouble() < cancelAtOnceRate) {
-            cancelledAtOnceCount++;
+                && cluster.random().nextDouble() < cancelAtAcceptanceRate) {
+            cancelledAtAcceptanceCount++;
             cluster.cancelAfter(cluster.random().nextLong(30), job.jobId());
         }
         probe(job.jobId());
@@ -109,7 +109,7 @@
                                                             task ->
                                                                     task.occupiesMachine()
                                                                             && cluster.jobOfTask(
-                                                                                            task.name)
+                                                                                            task.id)
                                                                                     == job));
             if (isRunning
                     && !job.isService()
@@ -134,7 +134,7 @@
                                                             task ->
                                                                     chosen.contains(
                                                                             cluster.jobOfTask(
-                                                                                            task.name)
+                                                                                            task.id)
                                                                                     .jobId())))
                     .limit(8)
                     .toList()
@@ -162,7 +162,7 @@
                             .findFirst()
                             .ifPresent(
                                     acceptedId -> {
-                                        unusualRequestCount++;
+                                        knownJobRequestCount++;
                                         cluster.submit(cluster.jobsById.get(acceptedId));
                                     });
             case 1 ->
@@ -172,7 +172,7 @@
                             .findFirst()
                             .ifPresent(
                                     acceptedId -> {
-                                        unusualRequestCount++;
+                                        knownJobRequestCount++;
                                         cluster.cancel(acceptedId);
                                     });
             case 2 ->
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -22,7 +22,7 @@
 
     /** A task on the machine, or one that has ended there. */
     public static final class SimulatedTask {
-        final String name;
+        final String id;
         final long attempt;
         String status = "fetching";
         String endReason = "";
@@ -30,7 +30,7 @@
         long doneAt;
 
         SimulatedTask(String name, long attempt) {
-            this.name = name;
+            this.id = name;
             this.attempt = attempt;
         }
 
@@ -51,7 +51,7 @@
     final SimulatedCloud.MachineType machineType;
     final String zone;
     final boolean spot;
-    final long rentedAtMillis;
+    final long provisionedAtMillis;
     boolean up;
     boolean dead;
     boolean released;
@@ -64,7 +64,7 @@
     /** It reaches no controller; direct commands reach it. */
     boolean unreachableOutbound;
 
-    double preemptionWarningSeconds = -1;
+    double reclaimNoticeSeconds = -1;
     private long agentEpoch = 1;
     private long serial;
     private long fencingToken;
@@ -95,7 +95,7 @@
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
-        this.rentedAtMillis = clock.nowMillis();
+        this.provisionedAtMillis = clock.nowMillis();
         this.targetController = clock.random.nextInt(cluster.controllers.size());
     }
 
@@ -167,7 +167,7 @@
                 && !unreachableInbound
                 && !unreachableOutbound
                 && !failsTasks
-                && preemptionWarningSeconds < 0;
+                && reclaimNoticeSeconds < 0;
     }
 
     private void scheduleHeartbeats() {
@@ -199,15 +199,15 @@
                         .put("tenure", agentEpoch)
                         .put("serial", ++serial)
                         .put("epoch", fencingToken);
-        if (preemptionWarningSeconds >= 0) {
-            node.put("warningS", preemptionWarningSeconds);
+        if (reclaimNoticeSeconds >= 0) {
+            node.put("warningS", reclaimNoticeSeconds);
         }
         ArrayNode taskNodes = node.putArray("members");
         for (SimulatedTask task : tasks.values()) {
             ObjectNode taskNode =
                     taskNodes
                             .addObject()
-                            .put("member", task.name)
+                            .put("member", task.id)
                             .put("try", task.attempt)
                             .put("status", task.status);
             if (task.hasEnded()) {
@@ -344,7 +344,7 @@
 
     /** Ends a task, after a last checkpoint if it has one to save and the time for it. */
     private void killTask(SimulatedTask task, double drainSeconds) {
-        JobSpec job = cluster.jobOfTask(task.name);
+        JobSpec job = cluster.jobOfTask(task.id);
         boolean checkpointsFirst =
                 task.status.equals("running")
                         && job.checkpointIntervalSeconds() > 0
@@ -372,7 +372,7 @@
                 () ->
                         runUnlessHung(
                                 () -> {
-                                    if (tasks.get(taskKey(task.name, task.attempt)) == task) {
+                                    if (tasks.get(taskKey(task.id, task.attempt)) == task) {
                                         action.run();
                                     }
                                 }));
@@ -401,11 +401,11 @@
         boolean alreadyHere = false;
         for (SimulatedTask otherTask : tasks.values()) {
             if (!otherTask.hasEnded()) {
-                JobSpec otherJob = cluster.jobOfTask(otherTask.name);
+                JobSpec otherJob = cluster.jobOfTask(otherTask.id);
                 usedCpus += otherJob.cpus();
                 usedMemoryGb += otherJob.memoryGb();
                 usedGpus += otherJob.gpus();
-                alreadyHere |= otherTask.name.equals(name);
+                alreadyHere |= otherTask.id.equals(name);
             }
         }
         if (alreadyHere) {
@@ -426,7 +426,7 @@
         heartbeatDue = true;
         if (failsTasks) {
             failSoon(task);
-        } else if (job.isGang() && cluster.completedTasks.contains(task.name)) {
+        } else if (job.isGang() && cluster.completedTasks.contains(task.id)) {
             endTask(task, "done");
         } else if (job.isGang()) {
             waitForGang(task, job);
@@ -482,7 +482,7 @@
             double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
             scheduleForTask(
                     task,
-                    cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000),
+                    cluster.completedTasks.contains(task.id) ? 0 : (long) (runtimeSeconds * 1000),
                     () -> {
                         if (task.status.equals("running")) {
                             cluster.onTaskCompleted(task, job);
@@ -496,7 +496,7 @@
         task.status = "ended";
         task.endReason = reason;
         heartbeatDue = true;
-        JobSpec job = cluster.jobOfTask(task.name);
+        JobSpec job = cluster.jobOfTask(task.id);
         if (job != null && job.isGang()) {
             cluster.onGangTaskEnded(job, task.attempt, reason);
         }
--- a/src/test/java/io/quincelead/simulation/SingleFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/SingleFaultTest.java
@@ -47,7 +47,9 @@
         cluster.after(20_000, () -> cluster.faults.partitionZone("a", 0, 40_000));
         cluster.runUntil(120_000);
         assertNoViolations(cluster);
-        assertTrue(cluster.taskStarts.get("wk-000001") <= 63, "starts: " + cluster.taskStarts);
+        assertTrue(
+                cluster.taskStartsByJob.get("wk-000001") <= 63,
+                "starts: " + cluster.taskStartsByJob);
     }
 
     /**
@@ -79,7 +81,7 @@
         SimulatedCluster cluster = new SimulatedCluster(seed);
         cluster.workerLeaseMillis = 24_000;
         cluster.start();
-        cluster.after(20_000, () -> cluster.faults.storeOutage(20_000 + 100 * (seed % 6)));
+        cluster.after(20_000, () -> cluster.faults.injectStoreOutage(20_000 + 100 * (seed % 6)));
         for (int controller = 0; controller < 3; controller++) {
             JobSpec job = JobFixtures.array(1 + controller, "red", JobSpec.Priority.HIGH, 1, 1, 5);
             cluster.submitAfter(40_900 + 100 * (seed % 6), job, controller);
@@ -232,7 +234,7 @@
             cluster.faults.crashAfter(i * 2_000L, 1, 100);
         }
         cluster.runUntil(90_000);
-        assertEquals(100, cluster.taskStarts.get("wk-000001"));
+        assertEquals(100, cluster.taskStartsByJob.get("wk-000001"));
         assertTrue(
                 cluster.store.value("a/term").path("n").asLong() - initialToken < 30,
                 "terms: " + (cluster.store.value("a/term").path("n").asLong() - initialToken));
@@ -294,7 +296,9 @@
                         cluster.faults.partition(
                                 cluster.controllers.get(1).ip, List.of("10.2.0.1"), 30_000));
         cluster.runUntil(100_000);
-        assertTrue(cluster.taskStarts.get("wk-000001") <= 48, "starts: " + cluster.taskStarts);
+        assertTrue(
+                cluster.taskStartsByJob.get("wk-000001") <= 48,
+                "starts: " + cluster.taskStartsByJob);
         cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 1);
     }
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -122,8 +122,8 @@
             }
             for (SimulatedWorker.SimulatedTask t : worker.tasks.values()) {
                 if (!t.hasEnded()) {
-                    JobSpec job = cluster.jobOfTask(t.name);
-                    snapshot.presentTasks.add(t.name);
+                    JobSpec job = cluster.jobOfTask(t.id);
+                    snapshot.presentTasks.add(t.id);
                     lastSightings.put(t, new TaskSighting(worker, job, cluster.nowMillis()));
                     snapshot.tasksByZone
                             .computeIfAbsent(job.jobId(), key -> new HashMap<>())
--- a/src/test/java/io/quincelead/simulation/SubmissionReachability.java
+++ b/src/test/java/io/quincelead/simulation/SubmissionReachability.java
@@ -57,7 +57,7 @@
     }
 
     /** Whether no attempt to submit the job met a controller that could have accepted it. */
-    boolean neverReachedAnybody(String jobId) {
+    boolean neverReachedReadyController(String jobId) {
         return attemptedJobs.contains(jobId)
                 && !reachedJobs.contains(jobId)
                 && !cluster.acceptedJobs().contains(jobId);
--- a/src/test/java/io/quincelead/simulation/ZoneModels.java
+++ b/src/test/java/io/quincelead/simulation/ThreeZoneFixtures.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 
 /** Models, services of six replicas each, in a cluster of three zones. */
-final class ZoneModels {
-    static final int MODELS = 12;
+final class ThreeZoneFixtures {
+    static final int MODEL_COUNT = 12;
 
-    private ZoneModels() {}
+    private ThreeZoneFixtures() {}
 
     /** The job id of a model. */
     static String modelId(int model) {
@@ -35,7 +35,7 @@
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(recoveryEnabled, 20, 30, 0.1));
         cluster.start();
-        for (int i = 1; i <= MODELS; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             JobSpec job =
                     JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
                             .cpus(3)
@@ -44,9 +44,9 @@
                             .build();
             cluster.submitAfter(3_000, job);
         }
-        for (int i = MODELS + 1; i < 60; i++) {
+        for (int i = MODEL_COUNT + 1; i < 60; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.submitAfter(4_000 + (i - MODELS - 1) * 3_500L, job);
+            cluster.submitAfter(4_000 + (i - MODEL_COUNT - 1) * 3_500L, job);
         }
         return cluster;
     }
@@ -54,12 +54,12 @@
     /** Replicas that run, by model and zone. */
     static Map<String, Map<String, Integer>> runningReplicas(SimulatedCluster cluster) {
         Map<String, Map<String, Integer>> result = new TreeMap<>();
-        for (int i = 1; i <= MODELS; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             result.put(modelId(i), new TreeMap<>());
         }
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                String jobId = task.name.substring(0, task.name.indexOf('/'));
+                String jobId = task.id.substring(0, task.id.indexOf('/'));
                 if (task.status.equals("running") && result.containsKey(jobId) && !worker.dead) {
                     result.get(jobId).merge(worker.zone, 1, Integer::sum);
                 }
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -115,8 +115,8 @@
         static Expense of(SimulatedCluster cluster) {
             return new Expense(
                     cluster.fetchedImageGb,
-                    cluster.cloud.rentedMachineCount(),
-                    cluster.taskStarts.values().stream().mapToInt(count -> count).sum());
+                    cluster.cloud.provisionedMachineCount(),
+                    cluster.taskStartsByJob.values().stream().mapToInt(count -> count).sum());
         }
     }
 
@@ -182,7 +182,7 @@
         }
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                String jobId = task.name.substring(0, task.name.indexOf('/'));
+                String jobId = task.id.substring(0, task.id.indexOf('/'));
                 if (task.status.equals("running") && !worker.dead) {
                     result.computeIfPresent(jobId, (key, count) -> count + 1);
                 }
--- a/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -24,15 +24,16 @@
     @ParameterizedTest
     @ValueSource(strings = {"none", "leader", "two", "all"})
     void zoneLossLeavesEveryModelServing(String crashing) {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(81, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(81, true);
         cluster.runUntil(85_000);
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertTrue(
-                                        byZone.size() >= 2 && ZoneModels.replicaCount(byZone) == 6,
+                                        byZone.size() >= 2
+                                                && ThreeZoneFixtures.replicaCount(byZone) == 6,
                                         model + " " + byZone));
-        cluster.after(5_000, () -> ZoneModels.crashZone(cluster, "a"));
+        cluster.after(5_000, () -> ThreeZoneFixtures.crashZone(cluster, "a"));
         cluster.after(
                 5_500,
                 () -> {
@@ -56,30 +57,35 @@
                             minReplicas[0] =
                                     Math.min(
                                             minReplicas[0],
-                                            ZoneModels.runningReplicas(cluster).values().stream()
-                                                    .mapToInt(ZoneModels::replicaCount)
+                                            ThreeZoneFixtures.runningReplicas(cluster)
+                                                    .values()
+                                                    .stream()
+                                                    .mapToInt(ThreeZoneFixtures::replicaCount)
                                                     .min()
                                                     .orElse(0)));
         }
         cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 1, "least replicas of a model: " + minReplicas[0]);
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
-                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
+                                        6,
+                                        ThreeZoneFixtures.replicaCount(byZone),
+                                        model + " " + byZone));
         assertTrue(
-                Set.of("lost", "returning", "settled").contains(ZoneModels.zoneState(cluster, "a")),
-                ZoneModels.zoneState(cluster, "a"));
+                Set.of("lost", "returning", "settled")
+                        .contains(ThreeZoneFixtures.zoneState(cluster, "a")),
+                ThreeZoneFixtures.zoneState(cluster, "a"));
     }
 
     /** Everything is gone: one replica of every model is back before any model has many. */
     @Test
     void oneReplicaOfEveryModelComesFirst() {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(82, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(82, true);
         cluster.runUntil(90_000);
-        List.of("a", "b", "c").forEach(z -> ZoneModels.crashZone(cluster, z));
+        List.of("a", "b", "c").forEach(z -> ThreeZoneFixtures.crashZone(cluster, z));
         int[] maxReplicas = {0};
         boolean[] allServing = {false};
         for (long atMillis = 500; atMillis < 120_000; atMillis += 250) {
@@ -87,16 +93,16 @@
                     atMillis,
                     () -> {
                         Map<String, Map<String, Integer>> replicas =
-                                ZoneModels.runningReplicas(cluster);
+                                ThreeZoneFixtures.runningReplicas(cluster);
                         allServing[0] |=
                                 replicas.values().stream()
-                                        .allMatch(z -> ZoneModels.replicaCount(z) > 0);
+                                        .allMatch(z -> ThreeZoneFixtures.replicaCount(z) > 0);
                         if (!allServing[0]) {
                             maxReplicas[0] =
                                     Math.max(
                                             maxReplicas[0],
                                             replicas.values().stream()
-                                                    .mapToInt(ZoneModels::replicaCount)
+                                                    .mapToInt(ThreeZoneFixtures::replicaCount)
                                                     .max()
                                                     .orElse(0));
                         }
@@ -108,11 +114,13 @@
         assertTrue(
                 maxReplicas[0] <= 2,
                 "replicas of one model while another had none: " + maxReplicas[0]);
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
-                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
+                                        6,
+                                        ThreeZoneFixtures.replicaCount(byZone),
+                                        model + " " + byZone));
     }
 
     /**
@@ -122,7 +130,7 @@
     @ParameterizedTest
     @CsvSource({"none, 40000", "one, 40000", "leader, 40000", "one, 1000", "none, 30000"})
     void partitionedZoneKeepsItsPlacements(String inside, long durationMillis) {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(83, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(83, true);
         cluster.runUntil(90_000);
         int leader = cluster.leaderIndex();
         List<Integer> insideControllers =
@@ -132,23 +140,25 @@
         cluster.faults.partitionZone("b", insideControllers, durationMillis);
         List<String> states = new ArrayList<>();
         for (long atMillis = 1_000; atMillis < 100_000; atMillis += 1_000) {
-            cluster.after(atMillis, () -> states.add(ZoneModels.zoneState(cluster, "b")));
+            cluster.after(atMillis, () -> states.add(ThreeZoneFixtures.zoneState(cluster, "b")));
         }
         cluster.runUntil(260_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(!states.contains("lost"), "" + states);
         int starts = 0;
-        for (int i = 1; i <= ZoneModels.MODELS; i++) {
-            starts += cluster.taskStarts.getOrDefault(ZoneModels.modelId(i), 0);
+        for (int i = 1; i <= ThreeZoneFixtures.MODEL_COUNT; i++) {
+            starts += cluster.taskStartsByJob.getOrDefault(ThreeZoneFixtures.modelId(i), 0);
         }
         // With five controllers a worker's lease is too short to look for its owner among them: cut
         // for longer, tasks end by their leases.
         assertTrue(starts <= (durationMillis > 17_500 ? 72 + 36 : 72 + 4), "starts: " + starts);
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
-                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
+                                        6,
+                                        ThreeZoneFixtures.replicaCount(byZone),
+                                        model + " " + byZone));
     }
 
     /**
@@ -157,7 +167,7 @@
      */
     @Test
     void releasedZoneIsLost() {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(84, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(84, true);
         cluster.runUntil(90_000);
         cluster.faults.partitionZone("b", List.of(1), 120_000);
         Map<String, ObjectNode> answers = new HashMap<>();
@@ -172,13 +182,16 @@
         cluster.runUntil(175_000);
         assertEquals(Set.of(), cluster.violations());
         assertTrue(
-                Set.of("lost", "returning", "settled").contains(ZoneModels.zoneState(cluster, "b")),
-                ZoneModels.zoneState(cluster, "b"));
-        ZoneModels.runningReplicas(cluster)
+                Set.of("lost", "returning", "settled")
+                        .contains(ThreeZoneFixtures.zoneState(cluster, "b")),
+                ThreeZoneFixtures.zoneState(cluster, "b"));
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
-                                        6, ZoneModels.replicaCount(byZone), model + " " + byZone));
+                                        6,
+                                        ThreeZoneFixtures.replicaCount(byZone),
+                                        model + " " + byZone));
         cluster.runUntil(400_000);
         assertEquals(Set.of(), cluster.violations());
     }
@@ -186,7 +199,7 @@
     /** A class states how long its replicas may be left in a zone that is cut off. */
     @Test
     void classSetsZonePatience() {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(85, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(85, true);
         cluster.after(
                 10_000,
                 () ->
@@ -200,12 +213,12 @@
         cluster.faults.partitionZone("b", List.of(), 120_000);
         cluster.runUntil(150_000);
         assertEquals(Set.of(), cluster.violations());
-        ZoneModels.runningReplicas(cluster)
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) ->
                                 assertEquals(
                                         6,
-                                        ZoneModels.replicaCount(byZone)
+                                        ThreeZoneFixtures.replicaCount(byZone)
                                                 - byZone.getOrDefault("b", 0),
                                         model + " " + byZone));
     }
@@ -216,12 +229,12 @@
      */
     @Test
     void zoneSpreadIsRestoredGradually() {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(86, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(86, true);
         cluster.runUntil(90_000);
-        ZoneModels.crashZone(cluster, "a");
+        ThreeZoneFixtures.crashZone(cluster, "a");
         int[] minReplicas = {99};
         cluster.runUntil(140_000);
-        int startsBefore = cluster.taskStarts.values().stream().mapToInt(count -> count).sum();
+        int startsBefore = cluster.taskStartsByJob.values().stream().mapToInt(count -> count).sum();
         for (long atMillis = 0; atMillis < 300_000; atMillis += 500) {
             cluster.after(
                     atMillis,
@@ -229,8 +242,10 @@
                             minReplicas[0] =
                                     Math.min(
                                             minReplicas[0],
-                                            ZoneModels.runningReplicas(cluster).values().stream()
-                                                    .mapToInt(ZoneModels::replicaCount)
+                                            ThreeZoneFixtures.runningReplicas(cluster)
+                                                    .values()
+                                                    .stream()
+                                                    .mapToInt(ThreeZoneFixtures::replicaCount)
                                                     .min()
                                                     .orElse(0)));
         }
@@ -238,14 +253,14 @@
         assertEquals(Set.of(), cluster.violations());
         assertTrue(minReplicas[0] >= 5, "least replicas of a model: " + minReplicas[0]);
         assertTrue(startsBefore > 0);
-        Map<String, Map<String, Integer>> replicas = ZoneModels.runningReplicas(cluster);
+        Map<String, Map<String, Integer>> replicas = ThreeZoneFixtures.runningReplicas(cluster);
         long modelsInZoneA =
                 replicas.values().stream()
                         .filter(byZone -> byZone.getOrDefault("a", 0) >= 1)
                         .count();
         assertTrue(
-                modelsInZoneA >= ZoneModels.MODELS - 1,
-                "" + replicas + " " + ZoneModels.zoneState(cluster, "a"));
+                modelsInZoneA >= ThreeZoneFixtures.MODEL_COUNT - 1,
+                "" + replicas + " " + ThreeZoneFixtures.zoneState(cluster, "a"));
     }
 
     /**
@@ -263,20 +278,20 @@
     @ParameterizedTest
     @ValueSource(longs = {82, 84, 88, 89})
     void everyModelGetsReplicasInReturnedZoneByFewMoves(long seed) {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(seed, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(seed, true);
         cluster.runUntil(90_000);
-        ZoneModels.crashZone(cluster, "a");
+        ThreeZoneFixtures.crashZone(cluster, "a");
         cluster.runUntil(140_000);
-        Map<String, Integer> startsBefore = new HashMap<>(cluster.taskStarts);
+        Map<String, Integer> startsBefore = new HashMap<>(cluster.taskStartsByJob);
         cluster.runUntil(440_000);
         assertEquals(Set.of(), cluster.violations());
-        assertEquals("settled", ZoneModels.zoneState(cluster, "a"));
-        ZoneModels.runningReplicas(cluster)
+        assertEquals("settled", ThreeZoneFixtures.zoneState(cluster, "a"));
+        ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
                         (model, byZone) -> {
                             assertTrue(byZone.getOrDefault("a", 0) >= 1, model + " " + byZone);
                             int moves =
-                                    cluster.taskStarts.get(model)
+                                    cluster.taskStartsByJob.get(model)
                                             - startsBefore.getOrDefault(model, 0);
                             // Six replicas in one zone become two in each by four moves.
                             assertTrue(moves <= 4, model + " was moved " + moves + " times");
@@ -289,11 +304,11 @@
      */
     @Test
     void recoveryPlanIsShownWithoutSideEffects() {
-        SimulatedCluster cluster = ZoneModels.clusterWithThreeZones(87, true);
+        SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(87, true);
         cluster.runUntil(90_000);
         long revision = cluster.store.revision();
         int replicasInZoneA =
-                ZoneModels.runningReplicas(cluster).values().stream()
+                ThreeZoneFixtures.runningReplicas(cluster).values().stream()
                         .mapToInt(byZone -> byZone.getOrDefault("a", 0))
                         .sum();
         ObjectNode[] plan = {null};
--- a/src/test/java/io/quincelead/worker/GoldenReportsTest.java
+++ b/src/test/java/io/quincelead/worker/GoldenReportsTest.java
@@ -43,7 +43,7 @@
             parsed.put("warningS", heartbeat.reclaimNoticeSeconds);
         }
         ArrayNode members = parsed.putArray("members");
-        ObjectNode sent = row.map();
+        ObjectNode sent = row.decodeBody();
         for (JsonNode member : sent.path("members")) {
             Heartbeat.ReportedAttempt reported =
                     Heartbeat.ReportedAttempt.find(
@@ -61,6 +61,6 @@
             // it.
             ((ObjectNode) member).remove("stored");
         }
-        assertEquals(row.with(sent).toString(), row.with(parsed).toString());
+        assertEquals(row.withValue(sent).toString(), row.withValue(parsed).toString());
     }
 }
