--- a/src/main/java/io/quincelead/autoscaler/CapacityBackoff.java
+++ b/src/main/java/io/quincelead/autoscaler/CapacityBackoff.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Which offerings the cloud has refused recently for want of capacity. Each refusal soon after the
- * last pause of an offering doubles its pause, up to a maximum.
+ * Tracks the offerings that the cloud has recently refused for lack of capacity. A refusal no later
+ * than one pause length after the end of the offering's last pause doubles the pause, up to a
+ * maximum.
  */
 final class CapacityBackoff {
     private record Pause(long untilMillis, long lengthMillis) {}
--- a/src/main/java/io/quincelead/autoscaler/CapacityForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/CapacityForecast.java
@@ -10,7 +10,7 @@
 final class CapacityForecast {
     private final TreeMap<Integer, Double> cpusByReadySeconds = new TreeMap<>();
 
-    /** Adds CPUs that can run tasks in {@code readyInSeconds}; 0 or less: they can now. */
+    /** Adds CPUs that can run tasks in {@code readyInSeconds}; 0 or less means now. */
     void add(double cpus, double readyInSeconds) {
         cpusByReadySeconds.merge((int) Math.ceil(Math.max(0, readyInSeconds)), cpus, Double::sum);
     }
--- a/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ConstrainedWorkPlanner.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Plans machines for work that only some machines may run, task by task. */
+/** Plans machines for constrained work, which only some machines may run, task by task. */
 final class ConstrainedWorkPlanner {
-    private static final class TeamUse {
+    private static final class TeamUsage {
         private double cpus;
         private double gpus;
 
@@ -34,11 +34,11 @@
     private final ProvisioningRequests provisioningRequests;
     private final Predicate<String> isZoneUnavailable;
 
-    /** Jobs of the last plan that wait for machines which the cloud says it hasn't got. */
-    private final List<JobSpec> starvedSpecs = new ArrayList<>();
+    /** Jobs of the last plan whose suitable offerings the cloud has refused. */
+    private final List<JobSpec> blockedSpecs = new ArrayList<>();
 
-    /** CPUs and GPUs that teams use, with what this pass has planned. */
-    private final Map<String, TeamUse> useByTeam = new HashMap<>();
+    /** CPUs and GPUs that each team uses, including what this pass has planned. */
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
 
     ConstrainedWorkPlanner(
             Settings settings,
@@ -54,24 +54,24 @@
     }
 
     /**
-     * Whether a machine of this offering that is only kept for recent demand should be returned:
-     * the cloud lacks machines for work that can't use this one.
+     * Whether a machine of this offering that is only kept for recent demand should be released,
+     * because the cloud lacks machines for work that can't use this one; as of the last plan.
      */
     boolean shouldYieldToBlockedWork(InstanceOffering offering) {
-        return !starvedSpecs.isEmpty() && starvedSpecs.stream().noneMatch(offering::allows);
+        return !blockedSpecs.isEmpty() && blockedSpecs.stream().noneMatch(offering::allows);
     }
 
     /** Begins a new plan. */
     void begin(JobTable jobs) {
-        starvedSpecs.clear();
-        useByTeam.clear();
+        blockedSpecs.clear();
+        usageByTeam.clear();
         for (Job job : jobs.all()) {
-            teamUse(job.spec).add(job.spec, job.placedTaskCount());
+            teamUsage(job.spec).add(job.spec, job.placedTaskCount());
         }
     }
 
-    private TeamUse teamUse(JobSpec spec) {
-        return useByTeam.computeIfAbsent(spec.team(), team -> new TeamUse());
+    private TeamUsage teamUsage(JobSpec spec) {
+        return usageByTeam.computeIfAbsent(spec.team(), team -> new TeamUsage());
     }
 
     /** Plans machines for the job's pending tasks, as far as its team's limits allow them. */
@@ -81,15 +81,15 @@
         if (neededTasks <= 0) {
             return;
         }
-        teamUse(spec).add(spec, neededTasks);
+        teamUsage(spec).add(spec, neededTasks);
         ZoneLimits zoneLimits = new ZoneLimits(job, cluster);
         neededTasks = reserveOnExisting(spec, neededTasks, zoneLimits, plan);
         while (neededTasks > 0) {
             InstanceOffering offering = cheapestOffering(spec, neededTasks, zoneLimits, plan);
             if (offering == null) {
-                if (starvedSpecs.size() < SchedulerConstants.MAX_CONSTRAINED_DEMANDS
+                if (blockedSpecs.size() < SchedulerConstants.MAX_CONSTRAINED_DEMANDS
                         && isBlockedByRefusalsOnly(spec, zoneLimits)) {
-                    starvedSpecs.add(spec);
+                    blockedSpecs.add(spec);
                 }
                 return;
             }
@@ -99,19 +99,22 @@
         }
     }
 
-    /** Tasks for which there should be machines now: of a long job array, only a part. */
+    /**
+     * How many pending tasks need machines now, within the team's quota; of a job array, only the
+     * part that must run at once to drain its backlog in the time that the operators set.
+     */
     private int neededTasks(Job job) {
         JobSpec spec = job.spec;
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return 0;
         }
-        TeamUse teamUse = teamUse(spec);
+        TeamUsage teamUsage = teamUsage(spec);
         int quotaTasks =
                 Tebas.taskCapacity(
-                        team.maxCpus() - teamUse.cpus,
+                        team.maxCpus() - teamUsage.cpus,
                         Double.MAX_VALUE,
-                        team.maxGpus() - teamUse.gpus,
+                        team.maxGpus() - teamUsage.gpus,
                         spec.cpus(),
                         0,
                         spec.gpus());
@@ -125,30 +128,36 @@
         return Math.min(quotaTasks, (int) Math.ceil(job.pendingTaskCount() * startFraction));
     }
 
-    /** Returns how many tasks are left over. */
+    /**
+     * Reserves capacity for tasks on machines of the plan; returns how many tasks are left over.
+     */
     private int reserveOnExisting(
             JobSpec spec, int neededTasks, ZoneLimits zoneLimits, ProvisioningPlan plan) {
-        int leftTasks = neededTasks;
+        int remainingTasks = neededTasks;
         for (PlannedMachine machine : plan.machines()) {
-            if (leftTasks <= 0) {
+            if (remainingTasks <= 0) {
                 break;
             }
-            if (!isLeftToGpuWork(spec, machine.offering()) && machine.offering().allows(spec)) {
-                leftTasks -= reserve(spec, leftTasks, machine, zoneLimits);
+            if (!isWithheldForGpuWork(spec, machine.offering())
+                    && machine.offering().allows(spec)) {
+                remainingTasks -= reserve(spec, remainingTasks, machine, zoneLimits);
             }
         }
-        return leftTasks;
+        return remainingTasks;
     }
 
-    /** The scheduler leaves machines alone whose GPUs other work seeks; so does the plan. */
-    private boolean isLeftToGpuWork(JobSpec spec, InstanceOffering offering) {
+    /**
+     * Whether the machine is withheld from the job because other work needs its GPUs; the scheduler
+     * withholds it too.
+     */
+    private boolean isWithheldForGpuWork(JobSpec spec, InstanceOffering offering) {
         return spec.gpus() == 0
                 && spec.machineTypes() == null
                 && cluster.constrainedDemand()
                         .isGpuInDemand(offering.machineType(), offering.zone(), offering.spot());
     }
 
-    /** Returns how many tasks were reserved. */
+    /** Reserves capacity for tasks on the machine; returns for how many. */
     private static int reserve(
             JobSpec spec, int neededTasks, PlannedMachine machine, ZoneLimits zoneLimits) {
         String zone = machine.offering().zone();
@@ -161,7 +170,10 @@
         return taskCount;
     }
 
-    /** Whether there are machines for the job that only the cloud's refusals keep it from. */
+    /**
+     * Whether an offering suits the job within its zone limits, so that only the cloud's refusals
+     * block the job.
+     */
     private boolean isBlockedByRefusalsOnly(JobSpec spec, ZoneLimits zoneLimits) {
         for (MachineType machineType : cluster.machineTypes().all()) {
             if (!machineType.fits(spec)) {
@@ -178,7 +190,7 @@
         return false;
     }
 
-    /** The offering that costs least per task; null when there is none. */
+    /** The available offering that costs least per task; null when there is none. */
     private InstanceOffering cheapestOffering(
             JobSpec spec, int neededTasks, ZoneLimits zoneLimits, ProvisioningPlan plan) {
         InstanceOffering best = null;
@@ -220,14 +232,19 @@
                 : 0;
     }
 
-    /** A zone that is unavailable is avoided, unless the job may run nowhere else. */
+    /**
+     * Whether the offering suits the job and can be requested now. An unavailable zone is avoided,
+     * unless the job may run nowhere else.
+     */
     private boolean isAvailable(InstanceOffering offering, JobSpec spec) {
         return offering.allows(spec)
                 && !provisioningRequests.isRefused(offering)
                 && (!isZoneUnavailable.test(offering.zone()) || spec.zone() != null);
     }
 
-    /** A machine is paid while it boots and fetches the image, so a slow start raises the cost. */
+    /**
+     * A machine is paid for while it boots and fetches the image, so a slow start raises the cost.
+     */
     private static double costPerTask(InstanceOffering offering, JobSpec spec, int taskCount) {
         MachineType machineType = offering.machineType();
         double startSeconds =
--- a/src/main/java/io/quincelead/autoscaler/CpuDemand.java
+++ b/src/main/java/io/quincelead/autoscaler/CpuDemand.java
@@ -9,8 +9,9 @@
  * @param shortfallCpus CPUs that are missing for work that would otherwise miss its deadline
  * @param usedCpus CPUs that placed tasks use now
  * @param deadlineCpus CPUs that all placed and queued work needs to end by its deadlines
- * @param pendingCpus CPUs that the pending tasks ask for, as far as their teams' limits allow them
- * @param calendarCpus CPUs that calendar windows will need beyond what is there
+ * @param pendingCpus CPUs that the pending tasks request, as far as their teams' limits allow them
+ * @param calendarCpus CPUs that calendar windows will need beyond what their covered work uses or
+ *     requests already
  */
 record CpuDemand(
         double steadyStateCpus,
@@ -27,8 +28,8 @@
     }
 
     /**
-     * The CPUs up to which on-demand machines are kept: what is in use, with a reserve, or what the
-     * deadlines need.
+     * The CPUs up to which on-demand machines are kept: the larger of what is in use, with a
+     * reserve, and what the deadlines need, plus what calendar windows need.
      *
      * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
      */
@@ -42,8 +43,8 @@
     }
 
     /**
-     * The CPUs up to which spot machines are kept: as for on-demand ones, and for the steady-state
-     * load too.
+     * The CPUs up to which spot machines are kept: as many as for on-demand machines, but at least
+     * the steady-state load.
      *
      * @param reserveFraction the operators' reserve, as a fraction of the CPUs in use
      */
--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * How many CPUs the unconstrained work needs: for the load that goes on arriving, and for the work
- * in the queue to end by its deadlines.
+ * Forecasts how many CPUs the unconstrained work needs: for the load that arrives, and for the
+ * placed and pending work to end by its deadlines.
  */
 final class DemandForecast {
     private final EventLoop eventLoop;
@@ -29,12 +29,18 @@
         this.settings = settings;
     }
 
-    /** Takes in what has arrived since the last call; called once in each scaling pass. */
+    /**
+     * Updates the offered load with the jobs that arrived since the last call; called once in each
+     * scaling pass.
+     */
     void observe(JobTable jobs) {
         arrivingLoad.observe(jobs, eventLoop.nowMillis());
     }
 
-    /** The present demand, compared with this capacity, without what calendar windows need. */
+    /**
+     * The present demand, with the shortfall against this capacity and without what calendar
+     * windows need.
+     */
     CpuDemand estimate(JobTable jobs, CapacityForecast capacity, long wallClockMillis) {
         WorkByDeadline workByDeadline = new WorkByDeadline();
         Map<String, Double> pendingCpusByTeam = new HashMap<>();
@@ -73,9 +79,9 @@
     }
 
     /**
-     * Adds the rest of the job's placed tasks to the work.
+     * Adds the remaining work of the job's placed tasks to {@code workByDeadline}.
      *
-     * @return {@code usedCpus} and the CPUs of these tasks
+     * @return {@code usedCpus} plus the CPUs of these tasks
      */
     private static double addRunningWork(
             Job job, long nowMillis, WorkByDeadline workByDeadline, double usedCpus) {
@@ -90,7 +96,8 @@
                 if (!placement.isTerminated()) {
                     sumCpus += spec.cpus();
                     double elapsedSeconds = (nowMillis - placement.recordSeenAtMillis()) / 1000.0;
-                    // A service never ends; a task that overran its estimate has some time left.
+                    // A service never ends; a task near or past its estimate is assumed to have a
+                    // fifth of it left.
                     double remainingSeconds =
                             spec.isService()
                                     ? 1e6
--- a/src/main/java/io/quincelead/autoscaler/OfferedLoad.java
+++ b/src/main/java/io/quincelead/autoscaler/OfferedLoad.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The rate at which unconstrained work arrives, as decaying averages by priority. The averages are
- * this process's own memory: a new leader starts them anew.
+ * The load that arriving unconstrained work offers, estimated from exponentially decaying averages
+ * by priority. The averages are kept in memory only: a new leader starts without them.
  */
 final class OfferedLoad {
     private static final double[] WINDOWS_SECONDS = {
@@ -30,7 +30,10 @@
     /** When the first observation was made; negative: there was none yet. */
     private long observingSinceMillis = -1;
 
-    /** Takes in what has arrived and what is open, at this time. */
+    /**
+     * Updates the averages with the jobs that have arrived and the tasks that are placed or pending
+     * at this time.
+     */
     void observe(JobTable jobs, long nowMillis) {
         boolean isFirstObservation = observingSinceMillis < 0;
         if (isFirstObservation) {
@@ -75,8 +78,7 @@
     private void addArrivals(JobTable jobs, boolean isFirstObservation) {
         observedJobIds.removeIf(id -> jobs.get(id) == null);
         for (Job job : jobs.all()) {
-            // What was there at the first observation says nothing of the rate at which work
-            // arrives.
+            // Jobs present at the first observation say nothing about the arrival rate.
             if (observedJobIds.add(job.spec.jobId())
                     && job.spec.isUnconstrained()
                     && !isFirstObservation) {
@@ -90,16 +92,16 @@
         }
     }
 
-    /** CPUs that work of every priority keeps busy when it goes on arriving at the present rate. */
+    /** CPUs that work of every priority keeps busy when it arrives at the present rate. */
     double steadyStateCpus(long nowMillis) {
         return steadyStateCpus(openCpus.length, nowMillis);
     }
 
     /**
-     * CPUs that work arriving at the present rate keeps busy, counting only the priorities more
-     * urgent than this one: the smaller of a long and a short average, so neither one large job nor
-     * a load that has ended counts for long; and never more than was open on average, for run time
-     * estimates may be too high throughout.
+     * CPUs that work more urgent than this priority keeps busy when it arrives at the present rate:
+     * the smaller of a long and a short average, so that neither one large job nor a load that has
+     * ended counts for long, and at most the average CPUs of placed and pending tasks, because run
+     * time estimates may be too high for all jobs.
      *
      * @param beforePriority ordinal of the first priority that does not count
      */
--- a/src/main/java/io/quincelead/autoscaler/PlannedMachine.java
+++ b/src/main/java/io/quincelead/autoscaler/PlannedMachine.java
@@ -3,7 +3,9 @@
 import io.quincelead.cluster.JobSpec;
 import io.quincelead.scheduler.Tebas;
 
-/** A machine, on record, requested or planned, with the capacity that the plan has left free. */
+/**
+ * A machine of the plan (on record, requested or new) with the capacity that the plan leaves free.
+ */
 final class PlannedMachine {
     private final InstanceOffering offering;
     private double freeCpus;
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningPlan.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningPlan.java
@@ -8,14 +8,17 @@
 import java.util.Map;
 
 /**
- * The plan of one scaling pass: all machines there will be, and how many of which offering are to
- * be rented for it.
+ * The plan of one scaling pass: the machines on record, requested and new, and how many new
+ * machines of which offering to provision.
  */
 final class ProvisioningPlan {
     private final List<PlannedMachine> machines = new ArrayList<>();
     private final Map<InstanceOffering, Integer> newMachineCounts = new LinkedHashMap<>();
 
-    /** CPUs that are up, requested or planned: of equal offerings, the zone with least is taken. */
+    /**
+     * CPUs on record, requested and new: of equally cheap offerings, the one in the zone with
+     * fewest is taken.
+     */
     private final Map<String, Double> cpusByZone = new HashMap<>();
 
     /** Adds a machine that is on record or requested. */
@@ -24,13 +27,13 @@
         addCpus(machine.offering());
     }
 
-    /** Plans to rent a machine on which no tasks are reserved. */
+    /** Adds a new machine on which no capacity can be reserved for tasks. */
     void addNew(InstanceOffering offering) {
         newMachineCounts.merge(offering, 1, Integer::sum);
         addCpus(offering);
     }
 
-    /** Plans to rent a machine; further tasks may be reserved on what it has left. */
+    /** Adds a new machine; its free capacity can be reserved for further tasks. */
     void addNew(PlannedMachine machine) {
         machines.add(machine);
         addNew(machine.offering());
@@ -40,12 +43,15 @@
         cpusByZone.merge(offering.zone(), offering.machineType().cpus(), Double::sum);
     }
 
-    /** The machines on which tasks can be reserved. */
+    /** The machines on which capacity can be reserved for tasks. */
     List<PlannedMachine> machines() {
         return Collections.unmodifiableList(machines);
     }
 
-    /** What is to be rented, in the order in which it was planned. */
+    /**
+     * How many new machines of each offering to provision, in the order in which the offerings were
+     * first added.
+     */
     Map<InstanceOffering, Integer> newMachineCounts() {
         return Collections.unmodifiableMap(newMachineCounts);
     }
@@ -55,7 +61,8 @@
     }
 
     /**
-     * Whether an offering is the cheaper one, or as cheap in a zone with fewer CPUs.
+     * Whether an offering is cheaper than the best one so far, or as cheap in a zone with fewer
+     * CPUs.
      *
      * @param best the best one so far; null when there is none
      */
--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Decides what is rented: machines for the work that those which are up or on their way can't
- * finish in time.
+ * Decides which machines to provision: those for the work that the machines which are up, booting
+ * or requested can't finish in time.
  */
 final class ScaleOutPlanner {
     private final EventLoop eventLoop;
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Whether a machine of this offering that is only kept for recent demand should be returned,
+     * Whether a machine of this offering that is only kept for recent demand should be released,
      * because the cloud lacks machines for work that can't use this one; as of the last plan.
      */
     boolean shouldYieldToBlockedWork(InstanceOffering offering) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * How many machines of which offering are to be rented now.
+     * How many machines of which offering to provision now.
      *
      * @param demand what the unconstrained work needs; constrained work is planned task by task
      */
@@ -70,9 +70,9 @@
         List<QueueOrder.QueueEntry> pendingJobs = pendingJobs();
         ProvisioningPlan plan = new ProvisioningPlan();
         addExistingMachines(plan);
-        for (QueueOrder.QueueEntry ranked : pendingJobs) {
-            if (!ranked.job().spec.isUnconstrained()) {
-                constrainedWork.plan(ranked.job(), plan);
+        for (QueueOrder.QueueEntry entry : pendingJobs) {
+            if (!entry.job().spec.isUnconstrained()) {
+                constrainedWork.plan(entry.job(), plan);
             }
         }
         callbacks
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Plans capacity for one replica that would move to a zone which came back. */
+    /** Plans capacity for one replica that would move to a zone that has recovered. */
     private void planRebalance(JobSpec spec, String zone, ProvisioningPlan plan) {
         for (PlannedMachine machine : plan.machines()) {
             if (machine.offering().zone().equals(zone)
--- a/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -8,9 +8,9 @@
 import java.util.function.Predicate;
 
 /**
- * Plans machines for work that every machine may run, by the CPUs it needs in all. Spot machines
- * are rented for the steady-state load and for what waits; on-demand ones only for what would miss
- * its deadline otherwise.
+ * Plans machines for unconstrained work, which every machine may run, by the CPUs it needs in all.
+ * Spot machines are provisioned for the steady-state load, pending tasks and calendar windows;
+ * on-demand ones only for work that would miss its deadline otherwise and for calendar windows.
  */
 final class UnconstrainedWorkPlanner {
     private final ClusterView cluster;
@@ -38,33 +38,33 @@
                         + demand.calendarCpus();
         double missingCpus =
                 Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
-        double overdueCpus =
+        double onDemandCpus =
                 demand.shortfallCpus()
                         - capacity.totalCpus()
                                 * AutoscalerConstants.MIN_ON_DEMAND_SHORTFALL_FRACTION;
         if (demand.calendarCpus() > 0) {
-            // What the calendar books must be there, spot or not; but not more of it than is
-            // missing.
-            overdueCpus = Math.max(overdueCpus, Math.min(demand.calendarCpus(), missingCpus));
+            // The CPUs for calendar windows must be provisioned, spot or not, but no more of them
+            // than are missing.
+            onDemandCpus = Math.max(onDemandCpus, Math.min(demand.calendarCpus(), missingCpus));
         }
         double toleratedCpus =
                 demand.pendingCpus() + demand.calendarCpus() > 0
                         ? 0.5
                         : AutoscalerConstants.TOLERATED_MISSING_CPUS;
         while (missingCpus > toleratedCpus) {
-            InstanceOffering offering = cheapestOffering(missingCpus, overdueCpus > 0.5, plan);
+            InstanceOffering offering = cheapestOffering(missingCpus, onDemandCpus > 0.5, plan);
             if (offering == null) {
                 return;
             }
             plan.addNew(offering);
             missingCpus -= offering.machineType().cpus();
-            overdueCpus -= offering.machineType().cpus();
+            onDemandCpus -= offering.machineType().cpus();
         }
     }
 
     /**
-     * CPUs that are free on machines with too little left for any unconstrained task that waits:
-     * whole-machine tasks wait beside half-filled machines.
+     * CPUs that are free on machines with too little free capacity for any pending unconstrained
+     * task: whole-machine tasks stay pending beside half-filled machines.
      */
     private double strandedCpus(ProvisioningPlan plan) {
         JobSpec smallestSpec = smallestPendingSpec();
@@ -140,7 +140,8 @@
                                 + machineType.bootSeconds()
                                         / AutoscalerConstants.START_COST_AMORTIZATION_SECONDS);
         if (!offering.spot()) {
-            // An on-demand machine must go again soon, and a large one takes long to run empty.
+            // An on-demand machine must be released again soon, and a large one takes long to
+            // become idle.
             cost *= 1 + machineType.cpus() / AutoscalerConstants.ON_DEMAND_DOUBLE_COST_CPUS;
         }
         return cost;
--- a/src/main/java/io/quincelead/autoscaler/WorkByDeadline.java
+++ b/src/main/java/io/quincelead/autoscaler/WorkByDeadline.java
@@ -6,13 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * CPU seconds of work, by the second from now by which it must be done and by priority. Running
- * work counts as the most urgent.
+ * CPU seconds of work by deadline, in seconds from now, and by priority. Running work counts as the
+ * most urgent.
  */
 final class WorkByDeadline {
     private final TreeMap<Integer, double[]> cpuSecondsByDeadline = new TreeMap<>();
 
-    /** What the deadlines ask for: CPUs to meet them all, and CPUs that are missing for it. */
+    /** The CPUs needed to meet all deadlines, and the CPUs that are missing for that. */
     record Requirement(double deadlineCpus, double shortfallCpus) {}
 
     /** Adds work that must be done in {@code dueInSeconds}; {@code priority} is an ordinal. */
@@ -35,8 +35,8 @@
         double shortfallCpus = 0;
         double deadlineCpus = 0;
         for (Map.Entry<Integer, double[]> deadline : cpuSecondsByDeadline.entrySet()) {
-            // A machine rented now can't help what is due at once; that work counts as due when it
-            // could.
+            // A machine provisioned now is ready too late for work due at once; that work counts as
+            // due when the machine could run it.
             double horizonSeconds =
                     Math.max(deadline.getKey(), AutoscalerConstants.MIN_PLANNING_HORIZON_SECONDS);
             double availableCpuSeconds = capacity.cpuSecondsWithin(horizonSeconds);
@@ -46,7 +46,7 @@
                 }
                 dueCpuSeconds += deadline.getValue()[priority];
                 deadlineCpus = Math.max(deadlineCpus, dueCpuSeconds / horizonSeconds);
-                // Until then, more urgent work will arrive and go first.
+                // More urgent work that arrives before the deadline runs first.
                 double missingCpuSeconds =
                         dueCpuSeconds
                                 + steadyCpusBefore[priority] * horizonSeconds
--- a/src/main/java/io/quincelead/autoscaler/ZoneLimits.java
+++ b/src/main/java/io/quincelead/autoscaler/ZoneLimits.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * How many more tasks of one job its zone spread and zone affinity let into each zone, given where
- * its tasks are and are planned to be.
+ * How many more tasks of one job its zone spread and zone affinity allow in each zone, given where
+ * its tasks are placed and planned.
  */
 final class ZoneLimits {
     private final JobSpec spec;
