--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -20,14 +20,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Scale-out and scale-in by the leader: rents machines ahead of demand, and returns those that are
- * idle, failed or unexpected. Every controller has one; only the leader's acts.
+ * Scale-out and scale-in by the leader: provisions machines ahead of demand, registers machines
+ * that are on no record, and releases those that are idle or failed. Every controller has an
+ * instance; only the leader's takes effect.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
     /**
-     * A boot is counted as completed after this many times its nominal time when nobody reports it.
+     * Multiple of the nominal boot time after which a boot counts as completed when the machine's
+     * owner has not reported its state.
      */
     private static final double ASSUMED_BOOT_FACTOR = 1.2;
 
@@ -44,27 +46,29 @@
     private final MachineTypeReader machineTypeReader;
     private final InstanceInventory inventory;
 
-    /** What the autoscaler asks of, and tells, the rest of the controller. */
+    /** Queries and notifications from the autoscaler to the rest of the controller. */
     public interface Callbacks {
         /**
-         * Whether a machine is still booting, as the controller says that owns its shard; null when
-         * that isn't known.
+         * Whether a machine is still booting, as reported by the controller that holds its shard;
+         * null when that isn't known.
          *
          * @param ownerId the owner's member id; null when no shard holds the machine
          */
         Boolean isBooting(String ownerId, String host);
 
-        /** A task has terminated, for its machine was released. */
+        /** Called when a task has terminated because its machine was released. */
         void onTaskTerminated(Placement placement);
 
-        /** Whether no machine should be rented in the zone now, for it may be lost. */
+        /**
+         * Whether no machine should be provisioned in the zone now because the zone may be lost.
+         */
         boolean isZoneUnavailable(String zone);
 
         /** Replicas that would move to a zone if it had free capacity, by zone; never null. */
         Map<String, List<JobSpec>> rebalanceDemand();
     }
 
-    /** Starts the scaling passes; nothing is done in them until this controller leads. */
+    /** Schedules the scaling passes; they change nothing until this controller leads. */
     public Autoscaler(
             EventLoop eventLoop,
             Transport transport,
@@ -151,14 +155,14 @@
             scaleInController.releaseExcess(
                     readyMachines, demand, capacity, scaleOutPlanner::shouldYieldToBlockedWork);
         }
-        // While heartbeats of machines on no record arrive here, nothing is rented: they may be
-        // what is missing.
+        // No machine is provisioned while heartbeats of machines on no record arrive at this
+        // controller: these machines may be the missing capacity.
         if (!committer.isBusy() && !leaderStore.leader().hasUnregisteredMachines()) {
-            Map<InstanceOffering, Integer> purchases =
+            Map<InstanceOffering, Integer> newMachineCounts =
                     scaleOutPlanner.planScaleOut(demand, capacity);
-            if (!purchases.isEmpty()) {
-                LOG.debug("{} with {} CPUs up or coming", demand, capacity.totalCpus());
-                provisioningRequests.provision(purchases);
+            if (!newMachineCounts.isEmpty()) {
+                LOG.debug("{} with {} CPUs up, booting or requested", demand, capacity.totalCpus());
+                provisioningRequests.provision(newMachineCounts);
             }
         }
     }
@@ -183,9 +187,9 @@
     }
 
     /**
-     * Counts the machines that are up, that boot, and that are requested.
+     * Adds up the CPUs of the machines that are up, booting or requested.
      *
-     * @param readyMachines gets the machines that are up, cordoned ones too
+     * @param readyMachines receives the machines that are up, including cordoned ones
      */
     private CapacityForecast forecastCapacity(List<MachineTable.Machine> readyMachines) {
         Set<String> presentHosts = new HashSet<>();
@@ -205,7 +209,7 @@
                 continue;
             }
             double bootRemainingSeconds =
-                    machineType.bootSeconds() * ASSUMED_BOOT_FACTOR - rentedSeconds(machine);
+                    machineType.bootSeconds() * ASSUMED_BOOT_FACTOR - ageSeconds(machine);
             if (isBooting(machine, machineType)) {
                 capacity.add(machineType.cpus(), Math.max(5, bootRemainingSeconds));
                 continue;
@@ -224,10 +228,10 @@
                 callbacks.isBooting(cluster.membership().ownerOf(machine.host()), machine.host());
         return reportedBooting != null
                 ? reportedBooting
-                : rentedSeconds(machine) < machineType.bootSeconds() * ASSUMED_BOOT_FACTOR;
+                : ageSeconds(machine) < machineType.bootSeconds() * ASSUMED_BOOT_FACTOR;
     }
 
-    private double rentedSeconds(MachineTable.Machine machine) {
+    private double ageSeconds(MachineTable.Machine machine) {
         return (eventLoop.wallClockMillis() - machine.provisionedAtEpochMillis()) / 1000.0;
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/CloudClient.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudClient.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The client of the cloud's protocol, within its limit of requests per second. Urgent calls (the
- * catalog and releases) overtake those that wait.
+ * Client of the cloud's protocol that keeps its limit of requests per second. Urgent calls (the
+ * catalog and releases) go to the head of the queue.
  */
 final class CloudClient {
     private final EventLoop eventLoop;
@@ -32,18 +32,20 @@
                 new RateLimiter(eventLoop, settings.cloudLimits().requestsPerSecond() * 0.9, 1.5);
     }
 
-    /** {@code body} is null when there is none that can be read; never with status 200. */
+    /**
+     * {@code body} is null when there is none that can be read; with status 200 only for a release.
+     */
     @FunctionalInterface
     private interface ResponseHandler {
         void onResponse(int status, ObjectNode body);
     }
 
-    /** Whether a call that is not urgent should wait its turn. */
+    /** Whether so many calls are queued that a call that is not urgent should be postponed. */
     boolean isBacklogged() {
         return pendingCalls.size() > 2;
     }
 
-    /** Reads the catalog; exactly one of the two is run. */
+    /** Reads the catalog; exactly one of {@code onCatalog} and {@code onFailure} is run. */
     void readCatalog(Consumer<List<MachineType>> onCatalog, Runnable onFailure) {
         call(
                 "GET",
@@ -91,8 +93,8 @@
     /**
      * Releases machines.
      *
-     * @param onResponse gets true when the cloud has confirmed that all of them are gone; false
-     *     says nothing
+     * @param onResponse receives true when the cloud has confirmed the release of all of them;
+     *     after false, their state is unknown
      */
     void release(List<String> hosts, Consumer<Boolean> onResponse) {
         call(
@@ -104,7 +106,11 @@
     }
 
     private void call(
-            String method, String path, ObjectNode body, boolean isUrgent, ResponseHandler onBody) {
+            String method,
+            String path,
+            ObjectNode body,
+            boolean isUrgent,
+            ResponseHandler handler) {
         Runnable sendCall =
                 () ->
                         transport.call(
@@ -115,7 +121,7 @@
                                 body == null ? null : WireFormat.CBOR.encode(body),
                                 AutoscalerConstants.CLOUD_REQUEST_TIMEOUT_MILLIS,
                                 (status, responseBytes) ->
-                                        handleResponse(path, status, responseBytes, onBody));
+                                        handleResponse(path, status, responseBytes, handler));
         if (isUrgent) {
             pendingCalls.addFirst(sendCall);
         } else {
@@ -125,14 +131,14 @@
     }
 
     private void handleResponse(
-            String path, int status, byte[] responseBytes, ResponseHandler onBody) {
+            String path, int status, byte[] responseBytes, ResponseHandler handler) {
         ObjectNode body = WireFormat.CBOR.decodeMap(responseBytes);
         if (status == 429) {
             rateLimiter.drain();
         }
         // The response to a release has no body.
         boolean isUnreadable = status == 200 && body == null && !path.endsWith("/release");
-        onBody.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, body);
+        handler.onResponse(isUnreadable ? Transport.NO_RESPONSE : status, body);
     }
 
     private void sendPending() {
--- a/src/main/java/io/quincelead/autoscaler/CloudCodec.java
+++ b/src/main/java/io/quincelead/autoscaler/CloudCodec.java
@@ -10,18 +10,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The messages of the cloud's protocol. What is missing in a response is empty, false or 0. */
+/**
+ * The messages of the cloud's protocol. Fields missing in a response are read as empty, false or 0,
+ * a missing address as null.
+ */
 final class CloudCodec {
     private static final Logger LOG = LoggerFactory.getLogger(CloudCodec.class);
 
     private CloudCodec() {}
 
-    /** Whether the response with status 200 is a catalog at all. */
+    /** Whether the body of a response with status 200 is a catalog. */
     static boolean isCatalog(ObjectNode response) {
         return response.path("shapes").isArray();
     }
 
-    /** The machine types of a catalog; one that lacks what we need is left out and logged. */
+    /**
+     * The machine types of a catalog; one without a name, CPUs, memory or zones is left out and
+     * logged.
+     */
     static List<MachineType> decodeCatalog(ObjectNode response) {
         List<MachineType> machineTypes = new ArrayList<>();
         for (JsonNode node : response.path("shapes")) {
@@ -63,7 +69,10 @@
                 .put("howMany", request.machineCount());
     }
 
-    /** Reads the response to a request; {@code response} may be null unless the status is 200. */
+    /**
+     * Reads the response to a provisioning request; {@code response} may be null unless the status
+     * is 200.
+     */
     static ProvisioningResult decodeResult(int status, ObjectNode response) {
         if (status == 200 && response.path("hosts").isArray()) {
             List<String> hosts = new ArrayList<>();
--- a/src/main/java/io/quincelead/autoscaler/IdleMachines.java
+++ b/src/main/java/io/quincelead/autoscaler/IdleMachines.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Since when machines that are up have had no task. This process's own memory: a new leader starts
- * it anew.
+ * Tracks since when machines that are up have had no task. The times are kept in memory only: a new
+ * leader starts without them.
  */
 final class IdleMachines {
     private final EventLoop eventLoop;
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Notes which of the machines that are up have no task.
+     * Records which of the machines that are up have no task.
      *
      * @param presentHosts all hosts on record; others are forgotten
      */
@@ -38,7 +38,10 @@
         idleSinceMillisByHost.keySet().retainAll(presentHosts);
     }
 
-    /** On the event loop's clock; null when the machine has tasks or isn't known to be up. */
+    /**
+     * Since when the machine has had no task, on the event loop's clock; null when it has tasks or
+     * isn't known to be up.
+     */
     Long idleSinceMillis(String host) {
         return idleSinceMillisByHost.get(host);
     }
--- a/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceInventory.java
@@ -9,8 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the cloud's list of machines at intervals: registers machines that no record knows, returns
- * failed ones, and records the addresses of new ones. The list lags: absence from it means nothing.
+ * Reads the cloud's list of machines at intervals: registers machines that are on no record,
+ * releases failed ones, and records the addresses of new ones. The list lags: absence from it means
+ * nothing.
  */
 final class InstanceInventory {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceInventory.class);
@@ -42,12 +43,12 @@
         this.releaser = releaser;
     }
 
-    /** This controller doesn't lead at present; called in each scaling pass. */
+    /** Called in each scaling pass while this controller doesn't lead. */
     void onNotLeading() {
         notLeadingAtMillis = eventLoop.nowMillis();
     }
 
-    /** Reads the whole list unless that was done lately or other calls wait. */
+    /** Reads the whole list unless it was read recently or calls to the cloud are queued. */
     void readIfDue() {
         if (eventLoop.nowMillis() - readAtMillis > AutoscalerConstants.INVENTORY_INTERVAL_MILLIS
                 && !cloudClient.isBacklogged()) {
@@ -109,9 +110,9 @@
     }
 
     /**
-     * Whether machines on no record may be registered now. What a predecessor returned stays listed
-     * for a while, so a new leader waits; a service that starts on a cluster that is up has no
-     * predecessor.
+     * Whether machines on no record may be registered now. Machines that the previous leader
+     * released stay listed for a while, so a new leader waits; a service that starts on a running
+     * cluster, with no machine on record, has no previous leader and doesn't wait.
      */
     private boolean mayRegister() {
         return leaderStore.leader().mayRegisterUnexpectedMachines()
@@ -134,8 +135,8 @@
     }
 
     /**
-     * The machines of a zone may fail together: what does not fit one transaction is looked at
-     * again at once.
+     * Makes the next read due after one scaling interval: the machines of a zone may fail together,
+     * and not all of their changes may fit one transaction.
      */
     private void readAgainSoon() {
         readAtMillis =
--- a/src/main/java/io/quincelead/autoscaler/InstanceOffering.java
+++ b/src/main/java/io/quincelead/autoscaler/InstanceOffering.java
@@ -5,7 +5,7 @@
 
 /** What the cloud offers: machines of a type, in a zone, spot or not. */
 record InstanceOffering(MachineTypeCatalog.MachineType machineType, String zone, boolean spot) {
-    /** Identifies an offering by the name of its machine type. */
+    /** The id of an offering, from the name of its machine type. */
     static String id(String machineType, String zone, boolean spot) {
         return machineType + "/" + zone + "/" + (spot ? "spot" : "ordinary");
     }
@@ -14,7 +14,7 @@
         return id(machineType.name(), zone, spot);
     }
 
-    /** Of one machine, per hour. */
+    /** The price of one machine per hour. */
     double pricePerHour() {
         return machineType.pricePerHour(spot);
     }
--- a/src/main/java/io/quincelead/autoscaler/LeaderStore.java
+++ b/src/main/java/io/quincelead/autoscaler/LeaderStore.java
@@ -7,18 +7,18 @@
 import io.quincelead.store.WatchCache;
 
 /**
- * The leader's way to the store: transactions under the precondition that it still leads, and the
- * account of their outcomes. None of the parts may be null.
+ * The leader's access to the store: transactions with the precondition that it still leads, and the
+ * handling of their outcomes. No component may be null.
  *
- * @param leader says whether this controller leads and whether its writes have outcomes
+ * @param leader tells whether this controller leads and whether one of its writes is indeterminate
  * @param membershipLease this process's lease, with its incarnation
  * @param store the store's client, with its limits
- * @param watchCache the records and their revisions, as far as the watch has brought them
+ * @param watchCache the records and their revisions, as far as the watch has delivered them
  */
 public record LeaderStore(
         Leader leader, MembershipLease membershipLease, StoreClient store, WatchCache watchCache) {
 
-    /** A transaction that can only be carried out while this controller leads. */
+    /** A new transaction that can only be committed while this controller leads. */
     Transaction newTransaction() {
         return leader.newTransaction();
     }
@@ -29,14 +29,17 @@
                 moreOperations, morePreconditions, store.maxTransactionOperations());
     }
 
-    /** Adds the precondition that the record is still the one that the decision was made from. */
+    /**
+     * Adds the precondition that the record still has the mod revision that the watch cache holds,
+     * the one that the decision is based on.
+     */
     Transaction requireUnchanged(Transaction transaction, String storeKey) {
         return transaction.requireRevision(storeKey, watchCache.modRevision(storeKey));
     }
 
     /**
-     * Takes in the outcome of a transaction made by {@link #newTransaction}; what was committed is
-     * seen in the watch cache at once.
+     * Handles the outcome of a transaction made by {@link #newTransaction}; a committed one is
+     * applied to the watch cache at once.
      *
      * @return whether it was committed
      */
--- a/src/main/java/io/quincelead/autoscaler/MachineChanges.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineChanges.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes of machines that go into one transaction: several machines of one shard or one record may
+ * Collects changes of machines for one transaction: several machines of one shard or one record may
  * change together.
  */
 final class MachineChanges {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Adds a machine's return: it is marked on record and taken out of its shard at once, so
-     * nothing more is placed there.
+     * Adds the marking of a machine for release: the transaction marks it on record and takes it
+     * out of its shard, so no more tasks are placed there.
      *
      * @param reason for the log
      * @return false when it does not fit the transaction, or its owner's membership isn't known
@@ -66,7 +66,7 @@
                     .put(shard.storeKey(), shard.encode(), membership.member(ownerId).leaseId());
         }
         LOG.info(
-                "machine {} ({}, {}{}) is returned: {}",
+                "machine {} ({}, {}{}) is marked for release: {}",
                 machine.host(),
                 machine.machineType(),
                 machine.zone(),
@@ -81,15 +81,15 @@
         edits.put(machine.withCordoned(cordoned));
     }
 
-    /** Registers a machine that the cloud lists and no record knows. */
-    void register(InstancePage.Instance instance, long rentedAtEpochMillis) {
+    /** Registers a machine that the cloud lists and that is on no record. */
+    void register(InstancePage.Instance instance, long provisionedAtEpochMillis) {
         edits.addUnexpected(
                 instance.host(),
                 instance.machineType(),
                 instance.zone(),
                 instance.spot(),
                 instance.address(),
-                rentedAtEpochMillis);
+                provisionedAtEpochMillis);
     }
 
     /** Records where a machine's worker listens. */
@@ -97,7 +97,7 @@
         edits.put(machine.withAddress(address));
     }
 
-    /** Forgets a machine that is gone. */
+    /** Removes a released machine from the record. */
     void remove(MachineTable.Machine machine) {
         edits.remove(machine);
     }
--- a/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * Releases the machines that are marked for it on record, and takes the cloud's confirmation as
- * evidence that every task on them has terminated.
+ * Releases the machines that are marked for release on record, and takes the cloud's confirmation
+ * as evidence that every task on them has terminated.
  */
 final class MachineReleaser {
     private final EventLoop eventLoop;
@@ -31,7 +31,10 @@
     /** When the cloud confirmed a release, by host; forgotten after a while. */
     private final Map<String, Long> releasedAtMillisByHost = new HashMap<>();
 
-    /** For hosts that are released and still on record: the revision of the mark on record. */
+    /**
+     * For hosts that are released and still on record: the mod revision of the record that marks
+     * the host for release.
+     */
     private final Map<String, Long> markRevisionByReleasedHost = new HashMap<>();
 
     /**
@@ -56,7 +59,10 @@
         eventLoop.runEvery(AutoscalerConstants.RELEASE_INTERVAL_MILLIS, this::releaseMarked);
     }
 
-    /** Whether the cloud has said recently that the machine is gone, though it may be listed. */
+    /**
+     * Whether the cloud has recently confirmed the machine's release, though it may still be
+     * listed.
+     */
     boolean wasReleased(String host) {
         return releasedAtMillisByHost.containsKey(host);
     }
@@ -72,8 +78,8 @@
     }
 
     /**
-     * Asks the cloud to release the marked machines that no shard holds any more, and takes those
-     * it has released off the record.
+     * Asks the cloud to release the marked machines that no shard holds any more, and removes those
+     * it has released from the record.
      */
     void releaseMarked() {
         if (!leaderStore.leader().isLeading()) {
@@ -109,8 +115,9 @@
     }
 
     /**
-     * Nothing can have been placed on the machine after it was marked, and what was placed before
-     * is known here by now: with the machine gone, all of it has terminated.
+     * Marks all tasks on a released machine as terminated. No task can have been placed there after
+     * the machine was marked, and the watch cache has reached the mark's revision, so all earlier
+     * placements are known.
      */
     private void terminateTasks(String host) {
         JobTable jobs = cluster.jobs();
--- a/src/main/java/io/quincelead/autoscaler/MachineTypeReader.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineTypeReader.java
@@ -34,7 +34,9 @@
         this.committer = committer;
     }
 
-    /** Reads the catalog unless that was done lately; sooner while no type is known at all. */
+    /**
+     * Reads the catalog unless it was read recently; at shorter intervals while no type is known.
+     */
     void readIfDue() {
         long intervalMillis =
                 catalog.isLoaded()
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequest.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequest.java
@@ -1,8 +1,8 @@
 package io.quincelead.autoscaler;
 
 /**
- * A request for machines of one offering. Its outcome is not known until the cloud has answered
- * under this very name.
+ * A request for machines of one offering. Its outcome is not known until the cloud has answered a
+ * submission under this name.
  *
  * @param name unique for ever: it is never used for another request
  * @param machineType name of the machine type
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequestCodec.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequestCodec.java
@@ -17,7 +17,9 @@
                 .put("n", request.machineCount());
     }
 
-    /** Reads the record of the request with this name; what is missing is empty, false or 0. */
+    /**
+     * Reads the record of the request with this name; missing fields are read as empty, false or 0.
+     */
     static ProvisioningRequest decode(String name, JsonNode node) {
         return new ProvisioningRequest(
                 name,
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -23,8 +23,8 @@
 
 /**
  * The provisioning requests whose outcome is not on record yet. Each is recorded before it is
- * submitted, under a name that is never used again, and submitted again under that name until the
- * cloud has said yes or no; then the machines replace it on record, in one transaction.
+ * submitted, under a name that is never reused, and resubmitted under that name until the cloud
+ * gives a definitive response; one transaction then replaces it on record by its machines.
  */
 final class ProvisioningRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ProvisioningRequests.class);
@@ -37,7 +37,7 @@
     private final CapacityBackoff capacityBackoff;
     private final Map<String, ProvisioningRequest> openRequests = new LinkedHashMap<>();
 
-    /** Names that were submitted and wait for their response, or to be submitted again. */
+    /** Names of the requests that await a response or the delay before they are submitted again. */
     private final Set<String> requestsInFlight = new HashSet<>();
 
     private long lastRequestNumber;
@@ -94,12 +94,12 @@
         return storeKey.substring(StoreKeys.PROVISIONING_REQUEST_PREFIX.length());
     }
 
-    /** Those whose outcome is not on record yet; a view. */
+    /** A view of the requests whose outcome is not on record yet. */
     Collection<ProvisioningRequest> openRequests() {
         return Collections.unmodifiableCollection(openRequests.values());
     }
 
-    /** Whether the cloud said recently that it has no more machines of this offering. */
+    /** Whether the cloud recently provided fewer machines of this offering than requested. */
     boolean isRefused(InstanceOffering offering) {
         return capacityBackoff.isPaused(offering.id());
     }
@@ -108,24 +108,24 @@
      * Records requests for these machines, as many as may be open at one time, and submits them
      * once they are on record.
      */
-    void provision(Map<InstanceOffering, Integer> purchases) {
+    void provision(Map<InstanceOffering, Integer> newMachineCounts) {
         Transaction transaction = leaderStore.newTransaction();
-        // A duplicate of this write, applied minutes later, would record requests again whose
-        // machines are long gone: the counter's revision forbids it.
+        // A duplicate of this write, applied minutes later, would record the requests again after
+        // their machines were released: the precondition on the counter's revision prevents it.
         leaderStore
                 .requireUnchanged(transaction, StoreKeys.PROVISIONING_REQUEST_COUNTER)
                 .put(
                         StoreKeys.PROVISIONING_REQUEST_COUNTER,
                         ProvisioningRequestCodec.encodeCounter(
-                                recordedRequestCount + purchases.size()));
+                                recordedRequestCount + newMachineCounts.size()));
         List<ProvisioningRequest> newRequests = new ArrayList<>();
-        for (Map.Entry<InstanceOffering, Integer> purchase : purchases.entrySet()) {
+        for (Map.Entry<InstanceOffering, Integer> entry : newMachineCounts.entrySet()) {
             if (openRequests.size() + newRequests.size()
                             >= AutoscalerConstants.MAX_OPEN_PROVISIONING_REQUESTS
                     || !leaderStore.fits(transaction, 1, 0)) {
                 break;
             }
-            ProvisioningRequest request = newRequest(purchase.getKey(), purchase.getValue());
+            ProvisioningRequest request = newRequest(entry.getKey(), entry.getValue());
             transaction.put(
                     StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name(),
                     ProvisioningRequestCodec.encode(request));
@@ -137,8 +137,8 @@
     }
 
     private ProvisioningRequest newRequest(InstanceOffering offering, int machineCount) {
-        // The fencing token and the incarnation keep names of other leaders and of this process's
-        // predecessors apart.
+        // The fencing token and the incarnation make the name differ from those of other leaders
+        // and of earlier processes of this member.
         String name =
                 "r-"
                         + cluster.membership().leaderRecord().fencingToken()
@@ -154,7 +154,7 @@
                 Math.min(machineCount, AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST));
     }
 
-    /** Submits a recorded request to the cloud, unless it was and has no response yet. */
+    /** Submits a recorded request to the cloud, unless a submission is in flight. */
     void submit(ProvisioningRequest request) {
         if (!leaderStore.leader().isLeading()
                 || !leaderStore.leader().trySettleWrites()
@@ -165,8 +165,8 @@
     }
 
     private void onResult(ProvisioningRequest request, ProvisioningResult result) {
-        // Applied only while the request is on record: later, after the machines have gone again,
-        // it would bring their records back.
+        // A result is applied only while the request is on record: later, after the machines were
+        // released, it would bring their records back.
         String recordKey = StoreKeys.PROVISIONING_REQUEST_PREFIX + request.name();
         if (leaderStore.watchCache().modRevision(recordKey) == 0) {
             requestsInFlight.remove(request.name());
@@ -228,8 +228,8 @@
                         transaction,
                         outcome -> {
                             leaderStore.onOutcome(transaction, outcome);
-                            // Unless it was committed, the record stands and the same name is
-                            // submitted again; the response will be the same.
+                            // Unless it was committed, the request stays on record and is submitted
+                            // again under the same name; the response will be the same.
                             eventLoop.runAfter(
                                     StoreConstants.RETRY_DELAY_MILLIS,
                                     () -> requestsInFlight.remove(request.name()));
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningResult.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningResult.java
@@ -7,12 +7,12 @@
     /** These machines were provisioned; they may be fewer than were asked for. */
     record Provisioned(List<String> hosts) implements ProvisioningResult {}
 
-    /** The cloud has none of these machines now. */
+    /** The cloud has no capacity for these machines now. */
     record NoCapacity() implements ProvisioningResult {}
 
-    /** The cloud calls the request malformed: asking again would not help. */
+    /** The cloud rejects the request as malformed: submitting it again would not help. */
     record Malformed() implements ProvisioningResult {}
 
-    /** No response, or one that says nothing of the outcome: the request must be repeated. */
+    /** No response, or one that doesn't tell the outcome: the request must be submitted again. */
     record Unknown() implements ProvisioningResult {}
 }
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -16,8 +16,8 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which machines beyond the demand are returned because they are idle, and which on-demand
- * ones are cordoned so that they run empty.
+ * Decides which machines beyond the demand are released because they are idle, and which on-demand
+ * machines are cordoned so that they become idle.
  */
 final class ScaleInController {
     private final EventLoop eventLoop;
@@ -46,20 +46,20 @@
     }
 
     /**
-     * Returns idle machines beyond the demand, or, when there are none, cordons machines or lifts
-     * cordons, all in one transaction.
+     * Marks idle machines beyond the demand for release or, when there are none, cordons machines
+     * or lifts cordons, all in one transaction.
      *
-     * @param readyMachines the machines that are up; sorted anew in place
-     * @param shouldYieldToStarvedWork whether a machine that is only kept for recent demand should
-     *     go, because the cloud lacks machines for work that waits now
+     * @param readyMachines the machines that are up; reordered in place
+     * @param shouldYieldToBlockedWork whether a machine that is only kept for recent demand should
+     *     be released, because the cloud lacks machines for other pending work
      */
     void releaseExcess(
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity,
-            Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+            Predicate<InstanceOffering> shouldYieldToBlockedWork) {
         MachineChanges changes = new MachineChanges(cluster, leaderStore);
-        returnIdleMachines(changes, readyMachines, demand, capacity, shouldYieldToStarvedWork);
+        releaseIdleMachines(changes, readyMachines, demand, capacity, shouldYieldToBlockedWork);
         if (changes.transaction().isEmpty()) {
             cordonExcess(changes, readyMachines, demand, capacity);
         }
@@ -68,12 +68,12 @@
         }
     }
 
-    private void returnIdleMachines(
+    private void releaseIdleMachines(
             MachineChanges changes,
             List<MachineTable.Machine> readyMachines,
             CpuDemand demand,
             CapacityForecast capacity,
-            Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+            Predicate<InstanceOffering> shouldYieldToBlockedWork) {
         long nowMillis = eventLoop.nowMillis();
         double spareOnDemandCpus =
                 capacity.readyCpus()
@@ -81,17 +81,16 @@
         double spareSpotCpus =
                 capacity.readyCpus() - demand.spotCpusToKeep(operatorSettings.reserveFraction());
         readyMachines.sort(Comparator.comparingDouble(machine -> -pricePerCpu(machine)));
-        // Spot machines stay while on-demand ones take tasks: the latter go first, even if they
-        // take
-        // longer to run empty.
+        // Spot machines are kept while on-demand ones take tasks: on-demand machines are released
+        // first, even if they take longer to become idle.
         boolean hasUncordonedOnDemandMachine =
                 readyMachines.stream().anyMatch(machine -> !machine.spot() && !machine.cordoned());
         for (MachineTable.Machine machine : readyMachines) {
             Long idleSinceMillis = idleMachines.idleSinceMillis(machine.host());
             if (idleSinceMillis == null
-                    || rentedSeconds(machine) < AutoscalerConstants.MIN_CHARGE_SECONDS - 2
+                    || ageSeconds(machine) < AutoscalerConstants.MIN_CHARGE_SECONDS - 2
                     || isKeptForConstrainedWork(
-                            machine, nowMillis - idleSinceMillis, shouldYieldToStarvedWork)) {
+                            machine, nowMillis - idleSinceMillis, shouldYieldToBlockedWork)) {
                 continue;
             }
             double machineCpus = machineType(machine).cpus();
@@ -110,24 +109,24 @@
     }
 
     /**
-     * Whether an idle machine stays because recent constrained work could use it. The demand
-     * forecast knows nothing of such work.
+     * Whether an idle machine is kept because recent constrained work could use it. The demand
+     * forecast does not cover such work.
      */
     private boolean isKeptForConstrainedWork(
             MachineTable.Machine machine,
             long idleMillis,
-            Predicate<InstanceOffering> shouldYieldToStarvedWork) {
+            Predicate<InstanceOffering> shouldYieldToBlockedWork) {
         return !machine.cordoned()
                 && idleMillis < SchedulerConstants.CONSTRAINED_DEMAND_RETENTION_MILLIS
                 && isWantedByConstrainedWork(machine)
-                && !shouldYieldToStarvedWork.test(
+                && !shouldYieldToBlockedWork.test(
                         new InstanceOffering(machineType(machine), machine.zone(), machine.spot()));
     }
 
     /**
-     * Tasks are spread over all machines, so an on-demand machine beyond the demand would never run
-     * empty: it is cordoned, and returned when its last task has ended. When the demand comes back
-     * first, the cordon is lifted.
+     * Cordons on-demand machines beyond the demand. Tasks are spread over all machines, so such a
+     * machine would never become idle otherwise; it is released when its last task has ended. When
+     * demand rises before that, the cordon is lifted.
      */
     private void cordonExcess(
             MachineChanges changes,
@@ -154,7 +153,7 @@
                     && spareCpus
                             >= Math.min(machineCpus, AutoscalerConstants.MAX_CORDON_SPARE_CPUS)
                                     * AutoscalerConstants.CORDON_SPARE_FACTOR
-                    && rentedSeconds(machine) > AutoscalerConstants.MIN_BILLED_BEFORE_CORDON_SECONDS
+                    && ageSeconds(machine) > AutoscalerConstants.MIN_BILLED_BEFORE_CORDON_SECONDS
                     && !isWantedByConstrainedWork(machine)
                     && !runsService(machine)) {
                 changes.setCordoned(machine, true);
@@ -164,8 +163,8 @@
     }
 
     /**
-     * On-demand machines first, and of these the ones that run empty soonest: a cordoned machine is
-     * paid for until its last task has ended.
+     * Sorts on-demand machines first, and of these the ones that become idle soonest: a cordoned
+     * machine is paid for until its last task has ended.
      */
     private void sortSoonestEmptyFirst(List<MachineTable.Machine> readyMachines) {
         long nowMillis = eventLoop.nowMillis();
@@ -179,7 +178,10 @@
                                 machine -> secondsUntilEmptyByHost.get(machine.host())));
     }
 
-    /** About when the last task on the machine ends; endless with a service's replica. */
+    /**
+     * Estimated time until the last task on the machine ends; {@code Double.MAX_VALUE} with a
+     * service's replica.
+     */
     private double secondsUntilEmpty(MachineTable.Machine machine, long nowMillis) {
         double latestEndSeconds = 0;
         for (Placement placement : cluster.jobs().placementsOn(machine.host()).values()) {
@@ -198,8 +200,9 @@
     }
 
     /**
-     * Services never end by themselves: on a cordoned machine they were stopped to be moved, a new
-     * machine was rented for them, another one was cordoned in turn, and so on without end.
+     * Whether a service has a replica on the machine; such a machine is not cordoned. Services
+     * never end by themselves: on a cordoned machine they were stopped to be moved, a new machine
+     * was provisioned for them, another one was cordoned in turn, and so on without end.
      */
     private boolean runsService(MachineTable.Machine machine) {
         return cluster.jobs().placementsOn(machine.host()).values().stream()
@@ -220,7 +223,7 @@
         return machineType.pricePerHour(machine.spot()) / machineType.cpus();
     }
 
-    private double rentedSeconds(MachineTable.Machine machine) {
+    private double ageSeconds(MachineTable.Machine machine) {
         return (eventLoop.wallClockMillis() - machine.provisionedAtEpochMillis()) / 1000.0;
     }
 }
--- a/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
+++ b/src/main/java/io/quincelead/autoscaler/SingleFlightCommitter.java
@@ -4,7 +4,7 @@
 
 /**
  * Commits the autoscaler's changes of machines and provisioning requests one at a time, so that
- * each is decided from records that hold the one before.
+ * each is decided from records that include the previous one.
  */
 final class SingleFlightCommitter {
     private final LeaderStore leaderStore;
@@ -15,8 +15,8 @@
     }
 
     /**
-     * Whether another change has to wait: one is on its way, or an indeterminate write of the
-     * leader may still apply.
+     * Whether another change has to wait: a commit is in flight, or an indeterminate write of the
+     * leader may still be applied.
      */
     boolean isBusy() {
         return isCommitInFlight || !leaderStore.leader().trySettleWrites();
@@ -42,7 +42,7 @@
                         });
     }
 
-    /** Commits a transaction after which nothing is left to be done. */
+    /** Commits a transaction that needs no further action once committed. */
     void commit(Transaction transaction) {
         commit(transaction, () -> {});
     }
--- a/src/test/java/io/quincelead/autoscaler/CloudCodecTest.java
+++ b/src/test/java/io/quincelead/autoscaler/CloudCodecTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The cloud's messages and the records of requests, in the forms they have always had. */
+/**
+ * Guards the encoding of the cloud's messages and of the stored provisioning requests against
+ * changes.
+ */
 class CloudCodecTest {
     private static final ProvisioningRequest REQUEST =
             new ProvisioningRequest("r-7-3-1", "small", "a", true, 12);
@@ -41,7 +44,7 @@
     }
 
     @Test
-    void recordWithoutFieldsIsEmpty() throws JsonProcessingException {
+    void recordWithoutFieldsHasDefaults() throws JsonProcessingException {
         assertEquals(
                 new ProvisioningRequest("r", "", "", false, 0),
                 ProvisioningRequestCodec.decode("r", json("{}")));
@@ -49,7 +52,7 @@
     }
 
     @Test
-    void onlyAClearAnswerSettlesARequest() throws JsonProcessingException {
+    void onlyDefinitiveResponseResolvesRequest() throws JsonProcessingException {
         assertEquals(
                 new ProvisioningResult.Provisioned(List.of("h1", "h2")),
                 CloudCodec.decodeResult(200, json("{'hosts':['h1','h2']}")));
@@ -88,7 +91,7 @@
     }
 
     @Test
-    void machineTypeWithoutWhatWeNeedIsLeftOut() throws JsonProcessingException {
+    void machineTypeWithoutRequiredFieldIsLeftOut() throws JsonProcessingException {
         ObjectNode catalog =
                 json(
                         "{'shapes':[{'label':'small','vcpus':8,'ramGb':32,'sites':['a']},"
