--- a/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/UnconstrainedWorkPlanner.java
@@ -8,9 +8,9 @@
 import java.util.function.Predicate;
 
 /**
- * Plans machines for work that every machine may run, by the CPUs it needs in all. Spot machines
- * are rented for the steady-state load and for what waits; on-demand ones only for what would miss
- * its deadline otherwise.
+ * Plans machines for unconstrained work, which every machine may run, by the CPUs it needs in all.
+ * Spot machines are provisioned for the steady-state load, pending tasks and calendar windows;
+ * on-demand ones only for work that would miss its deadline otherwise and for calendar windows.
  */
 final class UnconstrainedWorkPlanner {
     private final ClusterView cluster;
@@ -26,7 +26,7 @@
         this.isZoneUnavailable = isZoneUnavailable;
     }
 
-    void plan(CpuDemand demand, CapacityForecast capacity, PurchasePlan plan) {
+    void plan(CpuDemand demand, CapacityForecast capacity, ProvisioningPlan plan) {
         double strandedCpus = strandedCpus(plan);
         double spotTargetCpus =
                 Math.max(
@@ -34,39 +34,39 @@
                                 demand.usedCpus()
                                         + Math.min(strandedCpus, demand.pendingCpus())
                                         + demand.pendingCpus()
-                                                * AutoscalerConstants.SPOT_WAITING_CPUS_FRACTION)
-                        + demand.bookedCpus();
+                                                * AutoscalerConstants.SPOT_PENDING_CPUS_FRACTION)
+                        + demand.calendarCpus();
         double missingCpus =
                 Math.max(demand.shortfallCpus(), spotTargetCpus - capacity.totalCpus());
-        double overdueCpus =
+        double onDemandCpus =
                 demand.shortfallCpus()
                         - capacity.totalCpus()
-                                * AutoscalerConstants.COSTLY_MISSING_CAPACITY_FRACTION;
-        if (demand.bookedCpus() > 0) {
-            // What the calendar books must be there, spot or not; but not more of it than is
-            // missing.
-            overdueCpus = Math.max(overdueCpus, Math.min(demand.bookedCpus(), missingCpus));
+                                * AutoscalerConstants.MIN_ON_DEMAND_SHORTFALL_FRACTION;
+        if (demand.calendarCpus() > 0) {
+            // The CPUs for calendar windows must be provisioned, spot or not, but no more of them
+            // than are missing.
+            onDemandCpus = Math.max(onDemandCpus, Math.min(demand.calendarCpus(), missingCpus));
         }
         double toleratedCpus =
-                demand.pendingCpus() + demand.bookedCpus() > 0
+                demand.pendingCpus() + demand.calendarCpus() > 0
                         ? 0.5
-                        : AutoscalerConstants.MIN_SPOT_LOAD_CPUS;
+                        : AutoscalerConstants.TOLERATED_MISSING_CPUS;
         while (missingCpus > toleratedCpus) {
-            InstanceOffering offering = cheapestOffering(missingCpus, overdueCpus > 0.5, plan);
+            InstanceOffering offering = cheapestOffering(missingCpus, onDemandCpus > 0.5, plan);
             if (offering == null) {
                 return;
             }
-            plan.purchase(offering);
+            plan.addNew(offering);
             missingCpus -= offering.machineType().cpus();
-            overdueCpus -= offering.machineType().cpus();
+            onDemandCpus -= offering.machineType().cpus();
         }
     }
 
     /**
-     * CPUs that are free on machines with too little left for any unconstrained task that waits:
-     * whole-machine tasks wait beside half-filled machines.
+     * CPUs that are free on machines with too little free capacity for any pending unconstrained
+     * task: whole-machine tasks stay pending beside half-filled machines.
      */
-    private double strandedCpus(PurchasePlan plan) {
+    private double strandedCpus(ProvisioningPlan plan) {
         JobSpec smallestSpec = smallestPendingSpec();
         if (smallestSpec == null) {
             return 0;
@@ -97,7 +97,7 @@
 
     /** The offering without GPUs that costs least per useful CPU; null when there is none. */
     private InstanceOffering cheapestOffering(
-            double missingCpus, boolean mayBeOnDemand, PurchasePlan plan) {
+            double missingCpus, boolean mayBeOnDemand, ProvisioningPlan plan) {
         InstanceOffering best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType machineType : cluster.machineTypes().all()) {
@@ -121,10 +121,10 @@
         return best;
     }
 
-    private boolean isAvailable(InstanceOffering offering, PurchasePlan plan) {
+    private boolean isAvailable(InstanceOffering offering, ProvisioningPlan plan) {
         return !provisioningRequests.isRefused(offering)
                 && !isZoneUnavailable.test(offering.zone())
-                && plan.purchaseCount(offering)
+                && plan.newMachineCount(offering)
                         < AutoscalerConstants.MAX_MACHINES_PER_PROVISIONING_REQUEST;
     }
 
@@ -138,10 +138,11 @@
                         / usefulCpus
                         * (1
                                 + machineType.bootSeconds()
-                                        / AutoscalerConstants.EXPECTED_STAY_SECONDS);
+                                        / AutoscalerConstants.START_COST_AMORTIZATION_SECONDS);
         if (!offering.spot()) {
-            // An on-demand machine must go again soon, and a large one takes long to run empty.
-            cost *= 1 + machineType.cpus() / AutoscalerConstants.SLOW_DRAIN_MACHINE_CPUS;
+            // An on-demand machine must be released again soon, and a large one takes long to
+            // become idle.
+            cost *= 1 + machineType.cpus() / AutoscalerConstants.ON_DEMAND_DOUBLE_COST_CPUS;
         }
         return cost;
     }
