--- a/src/main/java/io/quincelead/policy/CalendarCodec.java
+++ b/src/main/java/io/quincelead/policy/CalendarCodec.java
@@ -19,7 +19,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The form of calendar entries in operators' files, and of the calendar's records in the store. */
+/**
+ * Encodes and decodes calendar entries in operators' files, and the calendar's records in the
+ * store.
+ */
 final class CalendarCodec {
     private static final Set<String> ENTRY_FIELDS =
             Set.of(
@@ -31,9 +34,9 @@
     private CalendarCodec() {}
 
     /**
-     * Reads an entry.
+     * Decodes an entry.
      *
-     * @param path named in errors
+     * @param path the entry's path, named in errors
      * @throws InvalidRecordException if a field is missing, unknown or wrong
      */
     static CalendarEntry decodeEntry(JsonNode node, String path) throws InvalidRecordException {
@@ -158,7 +161,7 @@
         }
     }
 
-    /** A date as it stands in commands and records; {@code path} is named in errors. */
+    /** Parses a date in a command or record; {@code path} is named in errors. */
     static LocalDate parseDate(String text, String path) throws InvalidRecordException {
         try {
             return LocalDate.parse(text);
@@ -168,7 +171,7 @@
         }
     }
 
-    /** A time of day as it stands in commands; {@code path} is named in errors. */
+    /** Parses a time of day in a command; {@code path} is named in errors. */
     static LocalTime parseTime(String text, String path) throws InvalidRecordException {
         try {
             return LocalTime.parse(text);
@@ -193,7 +196,10 @@
             entry.yearlyDates().forEach(date -> dateNodes.add(date.toString()));
         }
         ArrayNode selectorNodes = node.putArray("covers");
-        entry.selectors().forEach(s -> selectorNodes.add(PriorityClassesCodec.encodeSelector(s)));
+        entry.selectors()
+                .forEach(
+                        selector ->
+                                selectorNodes.add(PriorityClassesCodec.encodeSelector(selector)));
         node.put("leadS", entry.leadSeconds()).put("graceS", entry.graceSeconds());
         if (!entry.skippedDates().isEmpty()) {
             ArrayNode skippedNodes = node.putArray("skipped");
@@ -255,12 +261,12 @@
     }
 
     /**
-     * How a job completed, by its final record.
+     * Decodes from a job's final record how the job completed.
      *
-     * @param otherwiseMillis stands for the time if the record doesn't say it, in ms since 1970
+     * @param defaultMillis time of completion if the record doesn't hold it, in ms since 1970
      */
-    static JobCompletion decodeFinalState(JsonNode node, long otherwiseMillis) {
+    static JobCompletion decodeFinalState(JsonNode node, long defaultMillis) {
         return new JobCompletion(
-                node.path("s").asText().equals("done"), node.path("t").asLong(otherwiseMillis));
+                node.path("s").asText().equals("done"), node.path("t").asLong(defaultMillis));
     }
 }
--- a/src/main/java/io/quincelead/policy/CalendarEntry.java
+++ b/src/main/java/io/quincelead/policy/CalendarEntry.java
@@ -16,25 +16,28 @@
 import java.util.TreeSet;
 
 /**
- * An entry of the deadline calendar: on its days, covered work is to be published at a time of day.
- * From the lead before, covered work is due by then; what isn't done within the grace is missed.
+ * An entry of the deadline calendar: on each of its days, the work that it covers is to be
+ * published at a time of day. A publication's window opens the lead time before it; from then on,
+ * covered work is due by the publication. If the work isn't done by the end of the grace period,
+ * the publication is missed.
  *
- * <p>Nights when clocks change: a time that a day lacks is published as much later as the clock
- * jumps; one that it has twice, at the first of the two. Yearly dates (month and day) that a year
- * lacks, 29 February, have no occurrence in it.
+ * <p>When clocks change, a time that a day lacks moves later by the length of the gap; of a time
+ * that occurs twice, the first one is taken. A yearly date (month and day) that a year lacks, such
+ * as 29 February, has no occurrence in that year.
  *
- * @param name names the entry among all
- * @param timeOfDay when the publication is due
- * @param timeZone the zone of all dates and times of day here
+ * @param name unique among all entries
+ * @param timeOfDay time of day at which the publication is due
+ * @param timeZone time zone of all dates and times of day of the entry
  * @param weekdays days of each week; empty if dates are stated
  * @param dates single days
  * @param yearlyDates days of each year
- * @param selectors the jobs that it covers: those that any selector matches
- * @param leadSeconds how long before the publication its window opens
- * @param graceSeconds how long after the publication covered work still counts as in time
- * @param skippedDates days that operators took out
- * @param movedTimes times of day of single days that operators moved
- * @param effectiveFromMillis publications before this time, in ms since 1970, don't count
+ * @param selectors select the covered jobs: those that any selector matches
+ * @param leadSeconds seconds before the publication at which its window opens
+ * @param graceSeconds seconds after the publication within which covered work still counts as in
+ *     time
+ * @param skippedDates days that operators removed
+ * @param movedTimes times of day of publications that operators moved, by date
+ * @param effectiveFromMillis publications up to this time, in ms since 1970, are ignored
  */
 public record CalendarEntry(
         String name,
@@ -49,7 +52,9 @@
         Set<LocalDate> skippedDates,
         Map<LocalDate, LocalTime> movedTimes,
         long effectiveFromMillis) {
-    /** The sets and maps are taken over as they are and returned as views. */
+    /**
+     * Keeps the sets and maps without copying them; accessors return them as unmodifiable views.
+     */
     public CalendarEntry {
         weekdays = Collections.unmodifiableSet(weekdays);
         dates = Collections.unmodifiableSet(dates);
@@ -60,7 +65,7 @@
     }
 
     /**
-     * One publication.
+     * One publication of an entry.
      *
      * @param date its day in the entry's time zone
      * @param epochMillis its time in ms since 1970
@@ -68,22 +73,22 @@
     public record Publication(LocalDate date, long epochMillis) {}
 
     CalendarEntry withEffectiveFrom(long epochMillis) {
-        return with(skippedDates, movedTimes, epochMillis);
+        return copyWith(skippedDates, movedTimes, epochMillis);
     }
 
     CalendarEntry withSkippedDate(LocalDate date) {
         Set<LocalDate> updatedDates = new TreeSet<>(skippedDates);
         updatedDates.add(date);
-        return with(updatedDates, movedTimes, effectiveFromMillis);
+        return copyWith(updatedDates, movedTimes, effectiveFromMillis);
     }
 
     CalendarEntry withMovedTime(LocalDate date, LocalTime newTime) {
         Map<LocalDate, LocalTime> updatedTimes = new TreeMap<>(movedTimes);
         updatedTimes.put(date, newTime);
-        return with(skippedDates, updatedTimes, effectiveFromMillis);
+        return copyWith(skippedDates, updatedTimes, effectiveFromMillis);
     }
 
-    private CalendarEntry with(
+    private CalendarEntry copyWith(
             Set<LocalDate> skipped, Map<LocalDate, LocalTime> moved, long effectiveFrom) {
         return new CalendarEntry(
                 name,
@@ -100,32 +105,32 @@
                 effectiveFrom);
     }
 
-    /** Whether its publication falls on that day, skipped or not. */
+    /** Whether the entry has a publication on that day, skipped or not. */
     boolean isScheduledOn(LocalDate date) {
         return weekdays.contains(date.getDayOfWeek())
                 || dates.contains(date)
                 || yearlyDates.stream()
                         .anyMatch(
-                                y ->
-                                        y.isValidYear(date.getYear())
-                                                && y.equals(MonthDay.from(date)));
+                                yearlyDate ->
+                                        yearlyDate.isValidYear(date.getYear())
+                                                && yearlyDate.equals(MonthDay.from(date)));
     }
 
-    /** When that day's publication is, in ms since 1970. */
+    /** Time of the entry's publication on that day, in ms since 1970. */
     long publicationMillis(LocalDate date) {
         return ZonedDateTime.of(date, movedTimes.getOrDefault(date, timeOfDay), timeZone)
                 .toInstant()
                 .toEpochMilli();
     }
 
-    /** When the window of a publication opens, both in ms since 1970. */
+    /** Time at which the window of a publication opens; both times in ms since 1970. */
     long opensAtMillis(long publicationMillis) {
         return publicationMillis - (long) (leadSeconds * 1000);
     }
 
     /**
-     * Its publications after {@code fromMillis} and up to {@code toMillis}, both in ms since 1970,
-     * in order; days that are skipped are left out.
+     * The entry's publications after {@code fromMillis} and up to {@code toMillis}, both in ms
+     * since 1970, in order, without those on skipped days.
      */
     public List<Publication> publicationsBetween(long fromMillis, long toMillis) {
         List<Publication> publications = new ArrayList<>();
--- a/src/main/java/io/quincelead/policy/CalendarHead.java
+++ b/src/main/java/io/quincelead/policy/CalendarHead.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * Generation of the calendar: rises with each change of an entry and of an occurrence's state.
+ * Head record of the calendar, whose generation rises with each change of an entry and of an
+ * occurrence's state.
  *
  * @param generation 0 before the first change
  * @param recentChangeIds ids of the operators' last changes, the oldest first
@@ -18,17 +19,17 @@
         recentChangeIds = List.copyOf(recentChangeIds);
     }
 
-    /** After a change that isn't an operator's. */
+    /** The head after a change that isn't an operator's. */
     CalendarHead withNextGeneration() {
         return new CalendarHead(generation + 1, recentChangeIds);
     }
 
-    /** After an operator's change. */
+    /** The head after an operator's change. */
     CalendarHead withNextGeneration(String changeId) {
-        int forgotten = recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1;
+        int droppedCount = recentChangeIds.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1;
         List<String> changeIds =
                 new ArrayList<>(
-                        recentChangeIds.subList(Math.max(0, forgotten), recentChangeIds.size()));
+                        recentChangeIds.subList(Math.max(0, droppedCount), recentChangeIds.size()));
         changeIds.add(changeId);
         return new CalendarHead(generation + 1, changeIds);
     }
--- a/src/main/java/io/quincelead/policy/CalendarOperations.java
+++ b/src/main/java/io/quincelead/policy/CalendarOperations.java
@@ -71,13 +71,13 @@
         api.register("/ops/calendar/ledger", this::listLedger);
     }
 
-    /** What a command makes of an entry. */
+    /** A command's edit of an entry. */
     private interface EntryEdit {
-        /** The entry as it should be; null: removed. */
+        /** The entry after the edit; null: removed. */
         CalendarEntry apply(CalendarEntry current) throws InvalidRecordException;
     }
 
-    /** The command's date, if the entry has a publication then whose verdict isn't given. */
+    /** The command's date, which must be that of a publication whose verdict isn't given yet. */
     private LocalDate requireChangeableDate(ObjectNode body, CalendarEntry entry)
             throws InvalidRecordException {
         LocalDate date = CalendarCodec.parseDate(body.path("date").asText(), "date");
@@ -99,8 +99,8 @@
     }
 
     /**
-     * The id of a change of the calendar, empty for a dry run; null if it is missing or repeated:
-     * that is answered.
+     * The id of a change of the calendar, empty for a dry run; null if it is missing, invalid or
+     * repeated, after a response that says so.
      */
     private String requireCalendarChangeId(ObjectNode body, Responder responder) {
         String changeId =
@@ -200,7 +200,7 @@
     private void listEntries(ObjectNode body, Responder responder) {
         ObjectNode out = WireFormat.newMap();
         ArrayNode list = out.putArray("list");
-        records.entries().values().forEach(e -> list.add(CalendarCodec.encodeEntry(e)));
+        records.entries().values().forEach(entry -> list.add(CalendarCodec.encodeEntry(entry)));
         ArrayNode occurrenceNodes = out.putArray("occurrences");
         for (ScheduledOccurrence occurrence : records.occurrences().values()) {
             occurrenceNodes.add(
--- a/src/main/java/io/quincelead/policy/CalendarReconciler.java
+++ b/src/main/java/io/quincelead/policy/CalendarReconciler.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides the leader's changes of the calendar's records: plans occurrences, opens them, gives
- * their verdict and closes them into the ledger. Methods that return a transaction return null when
- * there is nothing to change.
+ * Decides the leader's changes to the calendar's records: plans occurrences, opens them, gives
+ * their verdicts and closes them, which moves them to the ledger. Methods that return a transaction
+ * return null when there is nothing to change.
  */
 final class CalendarReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CalendarReconciler.class);
@@ -34,11 +34,14 @@
     private final CoveredJobCounter counter;
     private final Map<String, Long> countsWrittenAtMillis = new HashMap<>();
 
-    /** Keys of the ledger that turned out to exist, so their occurrences aren't planned again. */
+    /**
+     * Ledger keys on which a transaction failed because they exist; their occurrences aren't
+     * planned again.
+     */
     private final Set<String> knownLedgerKeys = new HashSet<>();
 
     private long plannedAtMillis = LONG_AGO_MILLIS;
-    private long plannedVersion = -1;
+    private long plannedPriorityVersion = -1;
 
     CalendarReconciler(
             EventLoop loop,
@@ -66,20 +69,20 @@
         return planned != null ? planned : removeUnreferencedCompletion();
     }
 
-    /** Forgets what only a leader keeps. */
+    /** Clears the state that only a leader keeps. */
     void forgetLeaderState() {
         counter.forgetCompletions();
         countsWrittenAtMillis.clear();
     }
 
-    /** Takes the keys on which a change of this class failed. */
+    /** Records the keys whose preconditions failed a transaction of this reconciler. */
     void onConflict(Collection<String> failedKeys) {
         failedKeys.stream()
                 .filter(key -> key.startsWith(StoreKeys.LEDGER_PREFIX))
                 .forEach(knownLedgerKeys::add);
     }
 
-    /** How many keys of the ledger are known to exist. */
+    /** Number of ledger keys that are known to exist. */
     int knownLedgerKeyCount() {
         return knownLedgerKeys.size();
     }
@@ -90,7 +93,7 @@
         boolean due =
                 loop.nowMillis() - plannedAtMillis
                         >= PolicyConstants.OCCURRENCE_PLANNING_INTERVAL_MILLIS;
-        if (!due && plannedVersion == records.priorityVersion()) {
+        if (!due && plannedPriorityVersion == records.priorityVersion()) {
             return null;
         }
         Set<String> plannedLedgerKeys = new HashSet<>();
@@ -101,13 +104,13 @@
             }
         }
         forgetUnneeded(plannedLedgerKeys);
-        // All are planned: a thousand entries need not be gone through each time.
+        // All occurrences are planned: a thousand entries need not be checked on each pass.
         plannedAtMillis = loop.nowMillis();
-        plannedVersion = records.priorityVersion();
+        plannedPriorityVersion = records.priorityVersion();
         return null;
     }
 
-    /** Keeps what later plans can ask for: both collections are bounded by the records. */
+    /** Drops what no later planning needs, so that the records bound both collections. */
     private void forgetUnneeded(Set<String> plannedLedgerKeys) {
         knownLedgerKeys.retainAll(plannedLedgerKeys);
         Set<String> liveKeys = new HashSet<>();
@@ -116,9 +119,9 @@
     }
 
     /**
-     * Puts the entry's next occurrence on record, counted from the last that is closed.
+     * Records the entry's next occurrence after the last closed one.
      *
-     * @param plannedLedgerKeys takes the keys in the ledger of all publications that are looked at
+     * @param plannedLedgerKeys receives the ledger keys of all publications that are checked
      */
     private Transaction planNextOccurrence(CalendarEntry entry, Set<String> plannedLedgerKeys) {
         long nowMillis = loop.wallClockMillis();
@@ -148,13 +151,13 @@
         return null;
     }
 
-    // ---- the way of an occurrence from its plan to the ledger
+    // ---- state transitions of occurrences
 
     private Transaction advance(ScheduledOccurrence current) {
         ScheduledOccurrence occurrence = current.copy();
         LocalDate date = LocalDate.parse(occurrence.date);
         if (occurrence.isBeforeVerdict()) {
-            Transaction change = followEntry(occurrence, date);
+            Transaction change = applyEntryChange(occurrence, date);
             if (change != null) {
                 return change;
             }
@@ -168,8 +171,8 @@
         };
     }
 
-    /** Before the verdict an occurrence follows changes of its entry. */
-    private Transaction followEntry(ScheduledOccurrence occurrence, LocalDate date) {
+    /** Reschedules or skips an occurrence, before its verdict, after a change of its entry. */
+    private Transaction applyEntryChange(ScheduledOccurrence occurrence, LocalDate date) {
         CalendarEntry entry = records.entries().get(occurrence.entryName);
         if (entry == null || entry.skippedDates().contains(date) || !entry.isScheduledOn(date)) {
             occurrence.transitionTo(ScheduledOccurrence.State.SKIPPED);
@@ -236,7 +239,7 @@
         return writeCountsWhenDue(occurrence, changed, countedCompletions);
     }
 
-    /** Counts alone are written at most once in an interval. */
+    /** Writes an occurrence of which only counts have changed, at most once in an interval. */
     private Transaction writeCountsWhenDue(
             ScheduledOccurrence occurrence, boolean changed, List<String> countedCompletions) {
         if (!changed) {
@@ -254,11 +257,11 @@
     // ---- transactions
 
     /**
-     * Writes an occurrence, on condition that its record is as it was read.
+     * Writes an occurrence, with the precondition that its record hasn't changed since it was read.
      *
-     * @param priorityChanged whether its state or time has changed, and with it the calendar's
+     * @param priorityChanged whether its state or time has changed, which advances the calendar's
      *     generation
-     * @param countedCompletions ids of the jobs whose uncounted completions it has counted now
+     * @param countedCompletions ids of the jobs whose uncounted completions this write counts
      */
     private Transaction write(
             ScheduledOccurrence occurrence,
@@ -271,18 +274,18 @@
         if (priorityChanged) {
             advanceCalendarGeneration(txn);
         }
-        return removeCounted(txn, occurrence, countedCompletions);
+        return removeFromUncounted(txn, occurrence, countedCompletions);
     }
 
     /**
-     * The one final record of an occurrence: into the ledger, out of the live ones, and remembered
-     * with its peak, in one transaction.
+     * Closes an occurrence: in one transaction, its one final record is written to the ledger, its
+     * live record is removed and its peak is added to the entry's history.
      */
     private Transaction close(ScheduledOccurrence occurrence, List<String> countedCompletions) {
         occurrence.addLeaderToken(leadership.fencingToken());
         String historyKey = StoreKeys.ENTRY_HISTORY_PREFIX + occurrence.entryName;
         boolean skipped = occurrence.state() == ScheduledOccurrence.State.SKIPPED;
-        // The ledger keeps the verdict, so its record is made before the last transition.
+        // The ledger keeps the verdict, so the final record is encoded before the last transition.
         ObjectNode finalRecord = OccurrenceCodec.encodeFinal(occurrence, loop.wallClockMillis());
         occurrence.transitionTo(ScheduledOccurrence.State.CLOSED);
         EntryHistory history =
@@ -295,7 +298,7 @@
                         .requireRevision(historyKey, watchCache.modRevision(historyKey))
                         .put(historyKey, CalendarCodec.encodeHistory(history));
         advanceCalendarGeneration(txn);
-        return removeCounted(txn, occurrence, countedCompletions);
+        return removeFromUncounted(txn, occurrence, countedCompletions);
     }
 
     private Transaction newOccurrenceTransaction(ScheduledOccurrence occurrence) {
@@ -313,9 +316,10 @@
     }
 
     /**
-     * Removes the occurrence from the completions that it has counted, and those left with none.
+     * Removes the occurrence from the uncounted completions that it has counted now, and removes
+     * completions that no other occurrence has to count.
      */
-    private Transaction removeCounted(
+    private Transaction removeFromUncounted(
             Transaction txn, ScheduledOccurrence occurrence, List<String> countedCompletions) {
         for (String jobId : countedCompletions) {
             String key = StoreKeys.UNCOUNTED_COMPLETION_PREFIX + jobId;
@@ -331,7 +335,7 @@
         return txn;
     }
 
-    /** Removes a completion whose occurrences are all closed. */
+    /** Removes an uncounted completion whose occurrences are all closed. */
     private Transaction removeUnreferencedCompletion() {
         for (Map.Entry<String, UncountedCompletion> completion :
                 records.uncountedCompletions().entrySet()) {
--- a/src/main/java/io/quincelead/policy/ClassesHead.java
+++ b/src/main/java/io/quincelead/policy/ClassesHead.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Which generations of the priority classes exist. 0 stands for no generation.
+ * Head record of the priority classes: which generations are in force, proposed and rejected.
+ * Generation 0 means none.
  *
  * @param activeGeneration the generation in force
- * @param previousGeneration the one before it that all controllers could read
- * @param proposedGeneration waits for the leader to put it in force
+ * @param previousGeneration the generation in force before, which all controllers could read
+ * @param proposedGeneration generation that waits for the leader to put it in force
  * @param highestGeneration the highest number ever given
- * @param generationByChangeId generations by the operators' last change ids, the oldest first
- * @param rejectedGeneration the last one that a controller couldn't read
- * @param rejectionReason why, for people
+ * @param generationByChangeId generations by the ids of operators' last changes, the oldest first
+ * @param rejectedGeneration the last generation that a controller couldn't read
+ * @param rejectionReason reason of that rejection, as text for operators
  */
 record ClassesHead(
         long activeGeneration,
@@ -31,12 +32,12 @@
         generationByChangeId = Collections.unmodifiableMap(generationByChangeId);
     }
 
-    /** After an operator's proposal of a generation with a number not given before. */
+    /** The head after an operator's proposal of a generation with a number not given before. */
     ClassesHead withProposal(String changeId, long generation) {
         Map<String, Long> changes = new LinkedHashMap<>();
-        int forgotten = generationByChangeId.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1;
+        int droppedCount = generationByChangeId.size() - PolicyConstants.MAX_REMEMBERED_CHANGES + 1;
         generationByChangeId.entrySet().stream()
-                .skip(Math.max(0, forgotten))
+                .skip(Math.max(0, droppedCount))
                 .forEach(change -> changes.put(change.getKey(), change.getValue()));
         changes.put(changeId, generation);
         return new ClassesHead(
@@ -49,7 +50,7 @@
                 rejectionReason);
     }
 
-    /** The proposed generation is in force. */
+    /** The head after the proposed generation is put in force. */
     ClassesHead activateProposed() {
         return new ClassesHead(
                 proposedGeneration,
@@ -61,7 +62,7 @@
                 rejectionReason);
     }
 
-    /** The proposed generation is dropped; what was in force stays. */
+    /** The head after the proposed generation is rejected; the active one stays in force. */
     ClassesHead rejectProposed(String reason) {
         return new ClassesHead(
                 activeGeneration,
@@ -73,7 +74,7 @@
                 reason);
     }
 
-    /** The generation in force is taken back, for the one before it. */
+    /** The head after the active generation is rejected and replaced by the previous one. */
     ClassesHead revertToPrevious(String reason) {
         return new ClassesHead(
                 previousGeneration,
@@ -86,17 +87,17 @@
     }
 
     /**
-     * A generation's state as operators are told it.
+     * A generation's state as reported to operators.
      *
-     * @param otherwise the word for one that is neither in force, proposed nor rejected
+     * @param defaultState state of a generation that is neither in force, proposed nor rejected
      */
-    String stateOf(long generation, String otherwise) {
+    String stateOf(long generation, String defaultState) {
         if (generation == activeGeneration) {
             return "rules";
         }
         if (generation == proposedGeneration) {
             return "proposed";
         }
-        return generation == rejectedGeneration ? "refused" : otherwise;
+        return generation == rejectedGeneration ? "refused" : defaultState;
     }
 }
--- a/src/main/java/io/quincelead/policy/ClassesOperations.java
+++ b/src/main/java/io/quincelead/policy/ClassesOperations.java
@@ -17,10 +17,11 @@
 import java.util.TreeMap;
 
 /**
- * Operators' commands on priority classes. A change is proposed here; the leader puts it in force.
+ * Operators' commands on priority classes. A command only proposes a change; the leader puts it in
+ * force.
  */
 final class ClassesOperations {
-    /** How the jobs of one class fare. */
+    /** Counts of the jobs and tasks of one class. */
     private static final class ClassTally {
         private int jobs;
         private int waitingTasks;
--- a/src/main/java/io/quincelead/policy/ClassesPreview.java
+++ b/src/main/java/io/quincelead/policy/ClassesPreview.java
@@ -11,9 +11,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What other classes would change for the jobs that wait now, and which bounds can't be kept. */
+/**
+ * Previews proposed classes: which waiting jobs change their class, and which limits can't be kept.
+ */
 final class ClassesPreview {
-    /** Jobs and their waiting tasks that would go from one class to another. */
+    /** Counts of jobs and their waiting tasks that would move from one class to another. */
     private static final class Transition {
         private int jobs;
         private int tasks;
@@ -23,7 +25,7 @@
     private final PriorityClasses current;
     private final PriorityClasses proposed;
     private final Map<String, Transition> transitions = new TreeMap<>();
-    private final Map<String, Double> wantedCpusByClass = new LinkedHashMap<>();
+    private final Map<String, Double> requiredCpusByClass = new LinkedHashMap<>();
     private double runningCpus;
 
     ClassesPreview(JobTable jobs, PriorityClasses current, PriorityClasses proposed) {
@@ -32,9 +34,9 @@
         this.proposed = proposed;
     }
 
-    /** The preview as operators are told it. */
+    /** The preview as the body of the operators' response. */
     ObjectNode compute() {
-        proposed.all().forEach(jobClass -> wantedCpusByClass.put(jobClass.name(), 0.0));
+        proposed.all().forEach(priorityClass -> requiredCpusByClass.put(priorityClass.name(), 0.0));
         for (Job job : jobs.all()) {
             runningCpus += job.possiblyRunningTaskCount() * job.spec.cpus();
             if (job.waitingTaskCount() > 0 && !job.isCancelled()) {
@@ -60,26 +62,28 @@
         transition.jobs++;
         transition.tasks += job.waitingTaskCount();
         if (newClass != null) {
-            wantedCpusByClass.merge(
+            requiredCpusByClass.merge(
                     newClass.name(),
                     job.waitingTaskCount() * newClass.minStartedShare() * job.spec.cpus(),
                     Double::sum);
         }
     }
 
-    private static String label(PriorityClass jobClass) {
-        return jobClass == null ? "none" : jobClass.name() + " (" + jobClass.rank() + ")";
+    private static String label(PriorityClass priorityClass) {
+        return priorityClass == null
+                ? "none"
+                : priorityClass.name() + " (" + priorityClass.rank() + ")";
     }
 
     private void addWarnings(ArrayNode warnings) {
         double totalCpus = 0;
-        for (PriorityClass jobClass : proposed.all()) {
-            totalCpus += wantedCpusByClass.get(jobClass.name());
-            if (jobClass.startWithinSeconds() < SchedulerConstants.LONG_WAIT_SECONDS) {
+        for (PriorityClass priorityClass : proposed.all()) {
+            totalCpus += requiredCpusByClass.get(priorityClass.name());
+            if (priorityClass.startWithinSeconds() < SchedulerConstants.LONG_WAIT_SECONDS) {
                 warnings.add(
-                        jobClass.name()
+                        priorityClass.name()
                                 + ": beginWithinS is "
-                                + jobClass.startWithinSeconds()
+                                + priorityClass.startWithinSeconds()
                                 + " s; a machine rented for it takes "
                                 + (long) AutoscalerConstants.TYPICAL_BOOT_SECONDS
                                 + " s and more to be up");
--- a/src/main/java/io/quincelead/policy/ClassesReconciler.java
+++ b/src/main/java/io/quincelead/policy/ClassesReconciler.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides the changes of the priority classes' records: which generation is in force and which are
- * removed. Methods return null when there is nothing to change.
+ * Decides the changes to the priority classes' records: which generation is in force and which are
+ * removed. Methods that return a transaction return null when there is nothing to change.
  */
 final class ClassesReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(ClassesReconciler.class);
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Says on record that the active generation can't be read here, or takes that back. Every
+     * Records that this controller can't read the active generation, or removes that record. Every
      * controller does this for itself.
      */
     Transaction unreadableReportChange() {
@@ -49,7 +49,7 @@
                 : null;
     }
 
-    /** The leader's next change: a generation taken back, put in force or removed. */
+    /** The leader's next change: a generation reverted, put in force or removed. */
     Transaction nextChange() {
         ClassesHead head = records.classesHead();
         Transaction change = revertUnreadable(head);
@@ -87,8 +87,8 @@
             return headChange(head.activateProposed());
         } catch (InvalidRecordException e) {
             LOG.error(
-                    "the proposed priority classes can't be read ({}); generation {} goes on"
-                            + " ruling",
+                    "the proposed priority classes can't be read ({}); generation {}"
+                            + " stays in force",
                     e.getMessage(),
                     head.activeGeneration());
             return headChange(head.rejectProposed(e.getMessage()));
--- a/src/main/java/io/quincelead/policy/CoveredJobCounter.java
+++ b/src/main/java/io/quincelead/policy/CoveredJobCounter.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * Counts the jobs that occurrences cover. A job that is gone from the job table has a final record;
- * it is read from the store and remembered until each occurrence has counted it.
+ * Counts the jobs that occurrences cover. A job that is gone from the job table has a final record,
+ * which is read from the store and kept in memory until each occurrence has counted the job.
  */
 final class CoveredJobCounter {
     private final EventLoop loop;
@@ -33,10 +33,11 @@
     }
 
     /**
-     * Brings an occurrence's counts up to date with what is known here.
+     * Updates an occurrence's counts from the job table, the final records read so far and the
+     * uncounted completions.
      *
-     * @param countedCompletions gets the ids of the jobs whose uncounted completions are counted
-     *     now
+     * @param countedCompletions receives the ids of the jobs whose uncounted completions are
+     *     counted now
      * @return whether any count has changed
      */
     boolean updateCounts(ScheduledOccurrence occurrence, List<String> countedCompletions) {
@@ -97,7 +98,7 @@
         return changed;
     }
 
-    /** A covered job's record is gone: its final record says how it completed. */
+    /** Reads the final record of a covered job that is gone from the job table. */
     private void readCompletion(String jobId) {
         if (readsInFlight.size() >= PolicyConstants.MAX_CONCURRENT_FINAL_STATE_READS
                 || !readsInFlight.add(jobId)) {
@@ -116,17 +117,19 @@
                 });
     }
 
-    /** Forgets completions that no live occurrence waits for. */
+    /** Drops completions that no live occurrence has yet to count. */
     void dropUnreferencedCompletions() {
         completionByJobId
                 .keySet()
                 .removeIf(
                         jobId ->
                                 records.occurrences().values().stream()
-                                        .noneMatch(o -> o.openJobIds().contains(jobId)));
+                                        .noneMatch(
+                                                occurrence ->
+                                                        occurrence.openJobIds().contains(jobId)));
     }
 
-    /** Forgets all completions that were read. */
+    /** Drops all completions that were read. */
     void forgetCompletions() {
         completionByJobId.clear();
     }
--- a/src/main/java/io/quincelead/policy/EffectivePriority.java
+++ b/src/main/java/io/quincelead/policy/EffectivePriority.java
@@ -7,8 +7,8 @@
  * A job's position among waiting work by the operators' records.
  *
  * @param priorityClass the job's priority class; null: none matches it
- * @param rank of the class, the smaller the earlier
- * @param occurrence whose window is open and covers the job; null: none does
+ * @param rank rank of the class; smaller ranks go first
+ * @param occurrence occurrence that covers the job and raises its priority; null: none does
  * @param publicationMillis when the occurrence's publication is due, in ms since 1970; 0: none
  */
 public record EffectivePriority(
@@ -16,19 +16,19 @@
         int rank,
         ScheduledOccurrence occurrence,
         long publicationMillis) {
-    /** Covered work goes first in its tier. */
+    /** Whether an occurrence covers the job; covered work goes first in its tier. */
     public boolean isCovered() {
         return publicationMillis > 0;
     }
 
-    /** Whom the job's running tasks may be preempted for. */
+    /** Which work may preempt the job's running tasks. */
     public PriorityClass.PreemptionProtection preemptionProtection() {
         return priorityClass == null
                 ? PriorityClass.PreemptionProtection.PROTOCOL
                 : priorityClass.preemptionProtection();
     }
 
-    /** The priority by which the job is ordered, as a number, the smaller the earlier. */
+    /** The priority by which the job is ordered, as a number; smaller ones go first. */
     public int orderingPriority(JobSpec spec) {
         int ownPriority = spec.priority().ordinal();
         return priorityClass == null
@@ -48,7 +48,10 @@
                 : priorityClass.startWithinSeconds();
     }
 
-    /** Part of the job's tasks, 0 to 1, that should have started by then. */
+    /**
+     * Share of the job's tasks, 0 to 1, that should have started within {@link
+     * #startWithinSeconds}.
+     */
     double minStartedShare() {
         return priorityClass == null
                 ? PolicyConstants.DEFAULT_MIN_STARTED_FRACTION
--- a/src/main/java/io/quincelead/policy/EntryHistory.java
+++ b/src/main/java/io/quincelead/policy/EntryHistory.java
@@ -6,10 +6,12 @@
 import java.util.OptionalDouble;
 
 /**
- * What is remembered of a calendar entry's closed occurrences.
+ * What is recorded of a calendar entry's closed occurrences.
  *
- * @param closedThroughMillis publication of the latest closed one, in ms since 1970; 0: none
- * @param peakCpus CPUs that covered work used at the peak of the last ones, the oldest first
+ * @param closedThroughMillis publication time of the latest closed occurrence, in ms since 1970; 0:
+ *     none
+ * @param peakCpus peaks of the CPUs that covered work used in the last closed occurrences, the
+ *     oldest first
  */
 record EntryHistory(long closedThroughMillis, List<Double> peakCpus) {
     /** No occurrence was closed yet. */
@@ -19,15 +21,18 @@
         peakCpus = List.copyOf(peakCpus);
     }
 
-    /** After one more occurrence is closed; the peak of a skipped one says nothing. */
+    /**
+     * The history after one more occurrence is closed; the peak of a skipped one isn't
+     * representative and is left out.
+     */
     EntryHistory withClosed(ScheduledOccurrence occurrence, boolean skipped) {
         long closedThrough = Math.max(closedThroughMillis, occurrence.publicationMillis());
         if (skipped) {
             return new EntryHistory(closedThrough, peakCpus);
         }
-        int forgotten = peakCpus.size() - PolicyConstants.MAX_REMEMBERED_PEAKS + 1;
+        int droppedCount = peakCpus.size() - PolicyConstants.MAX_REMEMBERED_PEAKS + 1;
         List<Double> peaks =
-                new ArrayList<>(peakCpus.subList(Math.max(0, forgotten), peakCpus.size()));
+                new ArrayList<>(peakCpus.subList(Math.max(0, droppedCount), peakCpus.size()));
         peaks.add(occurrence.counts().peakCpus());
         return new EntryHistory(closedThrough, peaks);
     }
--- a/src/main/java/io/quincelead/policy/JobCompletion.java
+++ b/src/main/java/io/quincelead/policy/JobCompletion.java
@@ -1,9 +1,9 @@
 package io.quincelead.policy;
 
 /**
- * How a covered job terminated.
+ * How a covered job completed.
  *
- * @param done whether it was done; otherwise it was cancelled
- * @param completedAtMillis when, in ms since 1970
+ * @param done whether the job was done; otherwise it was cancelled
+ * @param completedAtMillis when the job completed, in ms since 1970
  */
 record JobCompletion(boolean done, long completedAtMillis) {}
--- a/src/main/java/io/quincelead/policy/JobSelector.java
+++ b/src/main/java/io/quincelead/policy/JobSelector.java
@@ -8,7 +8,8 @@
 import java.util.Set;
 
 /**
- * Which jobs an operators' rule is about: all that agree in each stated field.
+ * Selects the jobs that an operators' rule applies to: those that equal the selector in each stated
+ * field.
  *
  * @param jobClass the job class that users state; null: any
  * @param team null: any
@@ -35,7 +36,7 @@
                 && (mode == null || mode == candidateMode);
     }
 
-    /** Whether each job that the other matches is matched here too. */
+    /** Whether this selector matches each job that the other one matches. */
     private boolean subsumes(JobSelector other) {
         return (jobClass == null || jobClass.equals(other.jobClass))
                 && (team == null || team.equals(other.team))
@@ -43,13 +44,13 @@
                 && (mode == null || mode == other.mode);
     }
 
-    /** Whether no job is left that this one matches and none of the earlier ones does. */
+    /** Whether each job that this selector matches is matched by one of the earlier ones. */
     boolean isShadowedBy(List<JobSelector> earlier) {
-        if (earlier.stream().anyMatch(e -> e.subsumes(this))) {
+        if (earlier.stream().anyMatch(selector -> selector.subsumes(this))) {
             return true;
         }
-        // Several earlier ones may share it out among them: every value that they name is tried,
-        // and one that they don't.
+        // Several earlier selectors may match these jobs together: every value that they name is
+        // tried, and one that none of them names.
         List<String> classes =
                 candidateValues(jobClass, earlier.stream().map(JobSelector::jobClass).toList());
         List<String> teams =
@@ -64,8 +65,8 @@
                     for (JobSpec.Mode candidateMode : modes) {
                         if (earlier.stream()
                                 .noneMatch(
-                                        e ->
-                                                e.matchesValues(
+                                        selector ->
+                                                selector.matchesValues(
                                                         candidateClass,
                                                         candidateTeam,
                                                         candidatePriority,
@@ -86,13 +87,13 @@
         Set<String> distinct = new LinkedHashSet<>(namedValues);
         distinct.remove(null);
         List<String> candidates = new ArrayList<>();
-        // No job can bear this name, so it stands for all that nobody names.
+        // No job can have this value, so it stands for all values that no selector names.
         candidates.add("\n");
         candidates.addAll(distinct);
         return candidates;
     }
 
-    /** In words, for people. */
+    /** The selector's description for people. */
     String describe() {
         List<String> parts = new ArrayList<>();
         if (jobClass != null) {
--- a/src/main/java/io/quincelead/policy/LedgerSweeper.java
+++ b/src/main/java/io/quincelead/policy/LedgerSweeper.java
@@ -11,7 +11,7 @@
 import java.time.ZoneOffset;
 import java.util.function.Consumer;
 
-/** Bounds the ledger: finds records that are past their retention, a page at a time. */
+/** Bounds the ledger's size: finds records past their retention time, one page at a time. */
 final class LedgerSweeper {
     private final EventLoop loop;
     private final StoreClient store;
@@ -19,7 +19,7 @@
     private final PolicyReconciler.Leadership leadership;
     private long sweptAtMillis = Long.MIN_VALUE / 2;
 
-    /** The last key of the page before; null: the next page is the first one. */
+    /** The last key of the previous page; null: the next page is the first one. */
     private String cursor;
 
     LedgerSweeper(
@@ -33,7 +33,7 @@
         this.leadership = leadership;
     }
 
-    /** Whether a page should be looked at now. */
+    /** Whether the next page should be read now. */
     boolean isDue() {
         boolean nothingToSweep = records.entries().isEmpty() && cursor == null && sweptAtMillis > 0;
         return !nothingToSweep
@@ -41,17 +41,17 @@
     }
 
     /**
-     * Looks at the next page.
+     * Reads the next page.
      *
-     * @param removal gets the transaction that removes what has expired, empty if nothing has; null
-     *     if the page couldn't be read
+     * @param onResult receives the transaction that removes the page's expired records, empty if
+     *     there are none; null if the page couldn't be read
      */
-    void findExpired(Consumer<Transaction> removal) {
+    void findExpired(Consumer<Transaction> onResult) {
         sweptAtMillis = loop.nowMillis();
         store.list(
                 StoreKeys.LEDGER_PREFIX,
                 cursor,
-                (status, body) -> removal.accept(status == 200 ? removeExpired(body) : null));
+                (status, body) -> onResult.accept(status == 200 ? removeExpired(body) : null));
     }
 
     private Transaction removeExpired(ObjectNode page) {
@@ -77,7 +77,7 @@
             cursor = page.path("truncated").asBoolean() ? lastKey : null;
         }
         if (batchFull || cursor != null) {
-            // More to remove, or another page: looked at the next time.
+            // There is more to remove or another page: read at the next reconcile interval.
             sweptAtMillis =
                     loop.nowMillis()
                             - PolicyConstants.LEDGER_SWEEP_INTERVAL_MILLIS
--- a/src/main/java/io/quincelead/policy/OccurrenceCodec.java
+++ b/src/main/java/io/quincelead/policy/OccurrenceCodec.java
@@ -10,14 +10,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The stored form of occurrences: live records and their last ones in the ledger. */
+/**
+ * Encodes and decodes the stored forms of occurrences: live records, and final records in the
+ * ledger.
+ */
 final class OccurrenceCodec {
     private OccurrenceCodec() {}
 
     /**
-     * Reads a live record or one of the ledger.
+     * Decodes a live record or one of the ledger.
      *
-     * @throws InvalidRecordException if its state isn't known or a selector can't be read
+     * @throws InvalidRecordException if the date is invalid, the state isn't known or a selector
+     *     can't be read
      */
     static ScheduledOccurrence decode(String entryName, String date, JsonNode node)
             throws InvalidRecordException {
@@ -26,7 +30,7 @@
         } catch (DateTimeParseException e) {
             throw new InvalidRecordException("key", "must end with a date", e);
         }
-        // Any case is accepted.
+        // The state is accepted in upper or lower case.
         ScheduledOccurrence.State state;
         try {
             state =
@@ -64,19 +68,21 @@
         return occurrence;
     }
 
-    /** The live record. */
+    /** Encodes the live record. */
     static ObjectNode encode(ScheduledOccurrence occurrence) {
         ObjectNode node = encodeSummary(occurrence);
         ArrayNode selectorNodes = node.putArray("cov");
         occurrence
                 .selectors()
-                .forEach(s -> selectorNodes.add(PriorityClassesCodec.encodeSelector(s)));
+                .forEach(
+                        selector ->
+                                selectorNodes.add(PriorityClassesCodec.encodeSelector(selector)));
         ArrayNode jobIdNodes = node.putArray("ids");
         occurrence.openJobIds().forEach(jobIdNodes::add);
         return node;
     }
 
-    /** The record's part that the ledger keeps. */
+    /** Encodes the fields that the live and the final record share. */
     static ObjectNode encodeSummary(ScheduledOccurrence occurrence) {
         OccurrenceCounts counts = occurrence.counts();
         ObjectNode node =
@@ -95,7 +101,7 @@
         return node;
     }
 
-    /** The one final record, in the ledger. */
+    /** Encodes the one final record, for the ledger. */
     static ObjectNode encodeFinal(ScheduledOccurrence occurrence, long closedAtMillis) {
         return encodeSummary(occurrence)
                 .put("closed", closedAtMillis)
--- a/src/main/java/io/quincelead/policy/OccurrenceCounts.java
+++ b/src/main/java/io/quincelead/policy/OccurrenceCounts.java
@@ -1,13 +1,13 @@
 package io.quincelead.policy;
 
 /**
- * What is counted of the work that an occurrence covers.
+ * Counts of the jobs that an occurrence covers.
  *
  * @param jobs covered jobs seen so far
- * @param done those that are done
- * @param cancelled those that were cancelled
- * @param lastDoneMillis when the last one was done, in ms since 1970; 0: none yet
- * @param peakCpus CPUs that they used at their peak
+ * @param done covered jobs that are done
+ * @param cancelled covered jobs that were cancelled
+ * @param lastDoneMillis when the last covered job was done, in ms since 1970; 0: none yet
+ * @param peakCpus peak of the CPUs that covered jobs used
  */
 record OccurrenceCounts(int jobs, int done, int cancelled, long lastDoneMillis, double peakCpus) {
     /** Nothing is counted yet. */
--- a/src/main/java/io/quincelead/policy/OperatorApi.java
+++ b/src/main/java/io/quincelead/policy/OperatorApi.java
@@ -13,36 +13,37 @@
 import java.util.Map;
 
 /**
- * Answers operators' commands, in JSON, on any controller. Neither reading nor changing needs a
- * leader. A change is one transaction, with the records it was decided from as preconditions; one
- * of classes or calendar bears the operator's change id, so a repeat takes effect once. When the
- * store doesn't answer, the outcome is told as unknown, never as refused.
+ * Answers operators' commands, in JSON, on any controller. Neither reads nor changes need a leader.
+ * A change is one transaction, with the revisions of the records it was decided from as
+ * preconditions. A change of classes or calendar carries the operator's change id, so that a
+ * repeated request takes effect once. When the store doesn't answer, the outcome is reported as
+ * unknown, never as rejected.
  */
 public final class OperatorApi {
-    /** Answers one command. */
+    /** Handles one command. */
     public interface CommandHandler {
         /**
-         * Answers the command, now or later.
+         * Handles the command and responds, now or later.
          *
          * @param body the command's arguments
          */
         void handle(ObjectNode body, Responder responder);
     }
 
-    /** Where a command's response goes, once. */
+    /** Sends the one response to a command. */
     public interface Responder {
         /**
-         * Answers with an HTTP status and a body, to which it is added who answers and by which
-         * generations.
+         * Responds with an HTTP status and a body, to which this controller's member id and the
+         * generations in force are added.
          */
         void respond(int status, ObjectNode body);
 
-        /** Answers that the command is carried out. */
+        /** Responds that the command is carried out. */
         default void respondOk(ObjectNode body) {
             respond(200, body);
         }
 
-        /** Answers that nothing has changed, with the reason for people. */
+        /** Responds that nothing has changed, with the reason as text for people. */
         default void respondError(int status, String reason) {
             respond(status, WireFormat.newMap().put("error", reason));
         }
@@ -55,9 +56,9 @@
     private final Map<String, CommandHandler> handlers = new HashMap<>();
 
     /**
-     * Serves the commands on classes and calendar.
+     * Registers the commands on classes and calendar.
      *
-     * @param memberId this controller's id, told in each response
+     * @param memberId this controller's member id, included in each response
      */
     public OperatorApi(
             EventLoop loop,
@@ -74,17 +75,17 @@
         new CalendarOperations(loop, watchCache, store, policy.records(), this).registerHandlers();
     }
 
-    /** Has another package's command served at the path. */
+    /** Registers a command, also another package's, to be served at the path. */
     public void register(String path, CommandHandler handler) {
         handlers.put(path, handler);
     }
 
-    /** Whether the path is a command's. */
+    /** Whether a command is registered at the path. */
     public boolean handles(String path) {
         return handlers.containsKey(path);
     }
 
-    /** Answers a request whose path is a command's. */
+    /** Answers a request at a path where a command is registered. */
     public void handle(IncomingRequest request) {
         ObjectNode body = WireFormat.JSON.decodeMap(request.body);
         Responder responder =
@@ -108,7 +109,10 @@
         }
     }
 
-    /** The change's id, under which a repeat is known; null if it is missing: that is answered. */
+    /**
+     * The change's id, by which a repeated request is recognized; null if it is missing or invalid,
+     * after an error response.
+     */
     static String requireChangeId(ObjectNode body, Responder responder) {
         String changeId = body.path("change").asText();
         if (!changeId.matches("[A-Za-z0-9._-]{1,60}")) {
@@ -122,7 +126,7 @@
     }
 
     /**
-     * Commits a change and answers what came of it.
+     * Commits a change and responds with its outcome.
      *
      * @param successBody the response if the transaction is committed
      */
--- a/src/main/java/io/quincelead/policy/Policy.java
+++ b/src/main/java/io/quincelead/policy/Policy.java
@@ -15,36 +15,36 @@
 import java.util.OptionalDouble;
 
 /**
- * What operators' records mean for jobs: their effective priority, how soon and how widely they
- * should run, and the CPUs that the calendar will need. All it says is a function of the records
- * alone, so every controller says the same at equal generations.
+ * Applies operators' records to jobs: their effective priority, how soon they should start, how
+ * widely they are spread, and the CPUs that the calendar will need. All rules are functions of the
+ * records alone, so all controllers apply the same ones at equal generations.
  */
 public final class Policy {
     private static final EffectivePriority DEFAULT_PRIORITY =
             new EffectivePriority(null, PolicyConstants.DEFAULT_RANK, null, 0);
 
-    /** Keeps a share of replicas that is a whole number from being rounded below it. */
+    /** Keeps a share that comes to a whole number of replicas from being rounded down below it. */
     private static final double ROUNDING_SLACK = 1e-9;
 
     private final WatchCache watchCache;
-    private final Map<Job, EffectivePriority> priorityByJob = new IdentityHashMap<>();
+    private final Map<Job, EffectivePriority> effectivePriorityByJob = new IdentityHashMap<>();
     private final PolicyRecords records;
 
     /**
-     * Follows the operators' records.
+     * Subscribes to the operators' records.
      *
-     * @param watchCache calls back on the event loop
+     * @param watchCache delivers the records on the event loop
      */
     public Policy(WatchCache watchCache) {
         this.watchCache = watchCache;
-        this.records = new PolicyRecords(watchCache, priorityByJob::clear);
+        this.records = new PolicyRecords(watchCache, effectivePriorityByJob::clear);
     }
 
     PolicyRecords records() {
         return records;
     }
 
-    /** Generation of the calendar that is in force here. */
+    /** Generation of the calendar that this controller has in force. */
     public long calendarGeneration() {
         return records.calendarHead().generation();
     }
@@ -59,14 +59,14 @@
         return records.hasPriorityRules();
     }
 
-    /** The priority classes in force here. */
+    /** The priority classes that this controller has in force. */
     public PriorityClasses activeClasses() {
         return records.activeClasses();
     }
 
     /**
-     * Adds preconditions by which the transaction fails if other generations of the classes or the
-     * calendar are in force when it is carried out than those it was decided by.
+     * Adds preconditions by which the transaction fails if the classes or the calendar have changed
+     * since it was decided.
      */
     public void requireCurrentPolicy(Transaction txn) {
         txn.requireRevision(StoreKeys.CLASSES_HEAD, watchCache.modRevision(StoreKeys.CLASSES_HEAD))
@@ -75,45 +75,45 @@
     }
 
     /**
-     * The job's position among waiting work. Of two open windows that cover it, the one that is
-     * published first counts.
+     * The job's position among waiting work. Of several open windows that cover the job, the one
+     * with the earliest publication counts.
      */
     public EffectivePriority effectivePriorityOf(Job job) {
         if (!hasPriorityRules()) {
             return DEFAULT_PRIORITY;
         }
-        EffectivePriority priority = priorityByJob.get(job);
+        EffectivePriority priority = effectivePriorityByJob.get(job);
         if (priority == null) {
             priority = computePriority(job);
-            if (priorityByJob.size() >= ApiConstants.MAX_OPEN_JOBS) {
-                priorityByJob.clear();
+            if (effectivePriorityByJob.size() >= ApiConstants.MAX_OPEN_JOBS) {
+                effectivePriorityByJob.clear();
             }
-            priorityByJob.put(job, priority);
+            effectivePriorityByJob.put(job, priority);
         }
         return priority;
     }
 
     private EffectivePriority computePriority(Job job) {
-        PriorityClass jobClass = records.activeClasses().classOf(job.spec);
-        ScheduledOccurrence first = null;
+        PriorityClass priorityClass = records.activeClasses().classOf(job.spec);
+        ScheduledOccurrence earliest = null;
         for (ScheduledOccurrence occurrence : records.priorityOccurrences()) {
-            if ((first == null || occurrence.publicationMillis() < first.publicationMillis())
+            if ((earliest == null || occurrence.publicationMillis() < earliest.publicationMillis())
                     && occurrence.covers(job.spec, job.acceptedAtEpochMillis())) {
-                first = occurrence;
+                earliest = occurrence;
             }
         }
-        if (jobClass == null && first == null) {
+        if (priorityClass == null && earliest == null) {
             return DEFAULT_PRIORITY;
         }
         return new EffectivePriority(
-                jobClass,
-                jobClass == null ? PolicyConstants.DEFAULT_RANK : jobClass.rank(),
-                first,
-                first == null ? 0 : first.publicationMillis());
+                priorityClass,
+                priorityClass == null ? PolicyConstants.DEFAULT_RANK : priorityClass.rank(),
+                earliest,
+                earliest == null ? 0 : earliest.publicationMillis());
     }
 
     /**
-     * How many of the job's tasks must have started by now for the job not to starve, by the bounds
+     * How many of the job's tasks must have started by now for the job not to starve, by the limits
      * of its class.
      *
      * @param wallClockMillis now, in ms since 1970
@@ -125,9 +125,10 @@
     }
 
     /**
-     * Adds a covered job's completion to the transaction that writes the job's final record: the
-     * final record says when it was, and what no occurrence's record names yet is recorded beside
-     * it, so that every covered job is counted though no leader ever saw it.
+     * Adds a covered job's completion to the transaction that writes the job's final record. The
+     * final record gets the time of completion. If the records of some covering occurrences don't
+     * list the job yet, an uncounted completion is written as well, so that every covered job is
+     * counted even if no leader ever saw it.
      *
      * @param finalRecord gets the time of the completion
      * @param wallClockMillis now, in ms since 1970
@@ -163,37 +164,38 @@
     }
 
     /**
-     * How many of the job's tasks may be in one zone: by its own spread and, for a service, by the
-     * share of replicas that its class wants left when any zone is lost.
+     * How many of the job's tasks may be in one zone, by the job's own spread and, for a service,
+     * by the share of replicas that its class requires to remain when any zone is lost.
      */
     public int maxTasksPerZone(Job job) {
         int taskCount = job.spec.taskCount();
         int maxTasks = job.spec.zoneSpread() ? (taskCount + 1) / 2 : taskCount;
-        PriorityClass jobClass = effectivePriorityOf(job).priorityClass();
-        if (jobClass != null
-                && jobClass.minShareAfterZoneLoss() > 0
+        PriorityClass priorityClass = effectivePriorityOf(job).priorityClass();
+        if (priorityClass != null
+                && priorityClass.minShareAfterZoneLoss() > 0
                 && job.spec.isService()
                 && !job.spec.zoneAffinity()
                 && job.spec.zone() == null) {
-            double mayBeLost = taskCount * (1 - jobClass.minShareAfterZoneLoss());
+            double maxLostTasks = taskCount * (1 - priorityClass.minShareAfterZoneLoss());
             maxTasks =
-                    Math.min(maxTasks, Math.max(1, (int) Math.floor(mayBeLost + ROUNDING_SLACK)));
+                    Math.min(
+                            maxTasks, Math.max(1, (int) Math.floor(maxLostTasks + ROUNDING_SLACK)));
         }
         return maxTasks;
     }
 
     /**
-     * How long the job's tasks are left on a silent machine in a zone that can't be reached, in ms;
-     * negative: its class doesn't say.
+     * How long the job's tasks are left on a silent machine in an unreachable zone, in ms;
+     * negative: the job's class doesn't set it.
      */
     public double unreachableZoneTimeoutMillis(Job job) {
-        PriorityClass jobClass = effectivePriorityOf(job).priorityClass();
-        return jobClass == null || jobClass.unreachableZoneTimeoutSeconds() < 0
+        PriorityClass priorityClass = effectivePriorityOf(job).priorityClass();
+        return priorityClass == null || priorityClass.unreachableZoneTimeoutSeconds() < 0
                 ? -1
-                : jobClass.unreachableZoneTimeoutSeconds() * 1000;
+                : priorityClass.unreachableZoneTimeoutSeconds() * 1000;
     }
 
-    /** The occurrences that cover the job and whose covered work ranks ahead now. */
+    /** The occurrences that cover the job and raise the priority of covered work now. */
     private List<ScheduledOccurrence> occurrencesCovering(Job job) {
         List<ScheduledOccurrence> covering = new ArrayList<>();
         for (ScheduledOccurrence occurrence : records.priorityOccurrences()) {
@@ -205,12 +207,13 @@
     }
 
     /**
-     * CPUs that windows which open soon or have just opened will need, by what earlier ones took:
-     * the median of their peaks, less what their covered work uses or waits for already.
+     * CPUs that windows which open soon or have just opened are expected to need: the median peak
+     * of the entry's earlier occurrences, less what covered work already uses or waits for.
      *
      * @param jobs the open jobs
      * @param wallClockMillis now, in ms since 1970
-     * @param provisioningSeconds how long before the opening a machine must be rented to be up
+     * @param provisioningSeconds how long before the opening a machine must be provisioned to be up
+     *     by then
      */
     public double forecastCpus(
             Collection<Job> jobs, long wallClockMillis, double provisioningSeconds) {
--- a/src/main/java/io/quincelead/policy/PolicyReconciler.java
+++ b/src/main/java/io/quincelead/policy/PolicyReconciler.java
@@ -9,25 +9,25 @@
 import java.util.Collection;
 
 /**
- * The leader's control loop over operators' records: puts proposed classes in force, takes back
- * what a controller can't read, and keeps the calendar's occurrences and ledger. Every change has
- * the leader's key and the revisions it was decided from as preconditions, and one change is made
- * at a time, so whoever leads goes on where the last leader stopped. A controller that can't read
- * the classes in force says so on record, whoever leads.
+ * The leader's control loop over operators' records: puts proposed classes in force, reverts a
+ * generation that a controller can't read, and maintains the calendar's occurrences and ledger.
+ * Every change has the leader's key and the revisions it was decided from as preconditions, and one
+ * change is made at a time, so a new leader continues where the last one stopped. A controller that
+ * can't read the classes in force records that, whether it is the leader or not.
  */
 public final class PolicyReconciler {
-    /** The leadership, as this controller has it. */
+    /** This controller's view of the leadership. */
     public interface Leadership {
-        /** Whether this controller leads. */
+        /** Whether this controller is the leader. */
         boolean isLeader();
 
-        /** A new transaction that is carried out only while this controller leads. */
+        /** A new transaction that is committed only while this controller is the leader. */
         Transaction newTransaction();
 
         /** The leader's fencing token; 0: there is no leader. */
         long fencingToken();
 
-        /** Ids of the controllers that are members now. */
+        /** Member ids of the controllers that are in the membership now. */
         Collection<String> activeMemberIds();
     }
 
@@ -40,9 +40,9 @@
     private boolean requestInFlight;
 
     /**
-     * Starts to reconcile at regular intervals.
+     * Starts reconciling at a fixed interval.
      *
-     * @param memberId this controller's id
+     * @param memberId this controller's member id
      */
     public PolicyReconciler(
             EventLoop loop,
@@ -99,8 +99,8 @@
                     } else if (outcome.result() == Transaction.Result.CONFLICT) {
                         calendar.onConflict(outcome.failedKeys());
                     }
-                    // Otherwise it is decided anew from what the watch brings; if it was carried
-                    // out all the same, the next one fails its preconditions.
+                    // Otherwise the change is decided again from what the watch delivers; if this
+                    // transaction was committed after all, the next one fails its preconditions.
                 });
     }
 
--- a/src/main/java/io/quincelead/policy/PolicyRecords.java
+++ b/src/main/java/io/quincelead/policy/PolicyRecords.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' records as the watch cache brings them, in typed form. A record that can't be read
- * leaves the one before it in force.
+ * The operators' records, decoded from the watch cache. If a record can't be read, its previous
+ * version stays in force.
  */
 final class PolicyRecords {
     private static final Logger LOG = LoggerFactory.getLogger(PolicyRecords.class);
@@ -60,7 +60,7 @@
                                         ? null
                                         : PriorityClassesCodec.decodeUnreadable(value)));
         subscribe(watchCache, StoreKeys.CALENDAR_ENTRY_PREFIX, this::onEntry);
-        // An occurrence is written often: whether its change counts is decided by its content.
+        // Occurrences are written often; their content decides whether a change affects priorities.
         watchCache.addPrefixListener(
                 StoreKeys.OCCURRENCE_PREFIX,
                 listener(StoreKeys.OCCURRENCE_PREFIX, this::onOccurrence));
@@ -81,11 +81,11 @@
                                 id,
                                 value == null ? null : CalendarCodec.decodeCompletion(value)));
         subscribe(watchCache, StoreKeys.CALENDAR_HEAD, (rest, value) -> onCalendarHead(value));
-        // Only when a whole batch is in: a generation's head and its parts come together.
+        // Runs after a whole batch, since a generation's head and its parts arrive together.
         watchCache.addChangeListener(this::refreshActiveClasses);
     }
 
-    /** Takes a record by the rest of its key after the prefix; a null value: it is gone. */
+    /** Receives a record and its key's suffix after the prefix; a null value: it was removed. */
     private interface RecordConsumer {
         void accept(String keySuffix, JsonNode value);
     }
@@ -153,7 +153,7 @@
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             LOG.error(
-                    "the record {}{} does not belong to any classes; it is left alone",
+                    "the record {}{} does not belong to any classes; it is ignored",
                     StoreKeys.CLASSES_PART_PREFIX,
                     keySuffix);
         }
@@ -163,9 +163,11 @@
         try {
             putOrRemove(entries, name, node == null ? null : CalendarCodec.decodeEntry(node, name));
         } catch (InvalidRecordException e) {
-            // The entry as it was stays in force; occurrences under way hold what they cover.
+            // The entry's previous version stays in force; existing occurrences hold their own
+            // selectors.
             LOG.error(
-                    "the calendar's entry {} can't be read ({}); as it was it stays in force",
+                    "the calendar's entry {} can't be read ({}); its previous version stays in"
+                            + " force",
                     name,
                     e.getMessage());
         }
@@ -189,7 +191,7 @@
                                     node));
         } catch (InvalidRecordException e) {
             LOG.error(
-                    "the occurrence {} can't be read ({}); as it was it stays in force",
+                    "the occurrence {} can't be read ({}); its previous version stays in force",
                     keySuffix,
                     e.getMessage());
         }
@@ -198,21 +200,21 @@
         occurrences.values().stream()
                 .filter(ScheduledOccurrence::raisesPriority)
                 .forEach(priorityOccurrences::add);
-        // Counts are written often and change nobody's priority.
+        // Counts are written often and don't affect priorities.
         if (before == null || after == null || !before.hasSamePriorityEffect(after)) {
             priorityChanged();
         }
     }
 
     /**
-     * Reads the active generation, once its parts are here. Until then nothing is scheduled by
-     * another one.
+     * Reads the active generation once its parts have arrived. Until then nothing is scheduled by
+     * another generation.
      */
     private void refreshActiveClasses() {
         PriorityClasses before = activeClasses;
         loadActiveClasses();
         if (before != activeClasses) {
-            LOG.info("priority classes: generation {} rules", activeClasses.generation());
+            LOG.info("priority classes: generation {} is in force", activeClasses.generation());
             priorityChanged();
         }
     }
@@ -234,8 +236,8 @@
         } catch (InvalidRecordException e) {
             if (unreadableGeneration != active) {
                 LOG.error(
-                        "generation {} of the priority classes can't be read here ({}); nothing is"
-                                + " placed until one can be read",
+                        "generation {} of the priority classes can't be read by this controller"
+                            + " ({}); nothing is placed until a readable generation is in force",
                         active,
                         e.getMessage());
                 unreadableGeneration = active;
@@ -244,9 +246,9 @@
     }
 
     /**
-     * A generation, from its parts.
+     * Decodes a generation from its parts.
      *
-     * @throws InvalidRecordException while a part is missing, and if they can't be read
+     * @throws InvalidRecordException if a part is missing or the text can't be read
      */
     PriorityClasses loadGeneration(long generation) throws InvalidRecordException {
         Map<Integer, String> partTexts = partsOf(generation);
@@ -267,7 +269,7 @@
         return parts == null ? Map.of() : parts;
     }
 
-    /** Generations of which any part is on record, in rising order. */
+    /** Generations of which any part is on record, in ascending order. */
     Collection<Long> recordedGenerations() {
         return Collections.unmodifiableSet(classesParts.keySet());
     }
@@ -287,17 +289,20 @@
         return calendarHead;
     }
 
-    /** The generations that controllers say they can't read, by member id. */
+    /** The generations that controllers report as unreadable, by member id. */
     Map<String, Long> unreadableGenerationByMember() {
         return Collections.unmodifiableMap(unreadableGenerationByMember);
     }
 
-    /** The active generation if it can't be read here; 0: it can. */
+    /** The active generation if this controller can't read it; 0: it can. */
     long unreadableGeneration() {
         return unreadableGeneration;
     }
 
-    /** The classes in force here: behind the head while its generation can't be read. */
+    /**
+     * The classes that this controller has in force; they lag behind the head while its generation
+     * can't be read.
+     */
     PriorityClasses activeClasses() {
         return activeClasses;
     }
@@ -312,7 +317,7 @@
         return occurrencesView;
     }
 
-    /** The live occurrences whose covered work ranks ahead now. */
+    /** The live occurrences that raise the priority of covered work now. */
     List<ScheduledOccurrence> priorityOccurrences() {
         return priorityOccurrencesView;
     }
--- a/src/main/java/io/quincelead/policy/PriorityClass.java
+++ b/src/main/java/io/quincelead/policy/PriorityClass.java
@@ -3,18 +3,18 @@
 /**
  * A priority class that operators define.
  *
- * @param name names the class among all of its generation
+ * @param name unique among the classes of a generation
  * @param description for people; may be empty
- * @param selector the jobs that are of the class, unless an earlier one matches them
- * @param rank the smaller, the earlier among waiting work of one tier
+ * @param selector selects the jobs of the class, unless an earlier class matches them
+ * @param rank order among waiting work of one tier; smaller ranks go first
  * @param startWithinSeconds seconds within which each of its jobs should have started
- * @param minStartedShare part of a job's tasks, 0 to 1, that should have started by then
- * @param preemptionProtection whom its running tasks may be preempted for
- * @param priorityFloor the priority by which its waiting jobs are ordered
- * @param unreachableZoneTimeoutSeconds seconds for which replicas in a zone that can't be reached
- *     are left there, though they may serve nobody; negative: as without the class
- * @param minShareAfterZoneLoss part of a service's replicas, 0 to 1, that should be left when any
- *     one zone is lost; 0: as without the class
+ * @param minStartedShare share of a job's tasks, 0 to 1, that should have started within that time
+ * @param preemptionProtection which work may preempt its running tasks
+ * @param priorityFloor lowest priority by which its waiting jobs are ordered
+ * @param unreachableZoneTimeoutSeconds seconds for which replicas in an unreachable zone are left
+ *     there, though they may serve nobody; negative: the class doesn't set it
+ * @param minShareAfterZoneLoss share of a service's replicas, 0 to 1, that should remain when any
+ *     one zone is lost; 0: the class doesn't set it
  */
 public record PriorityClass(
         String name,
@@ -28,14 +28,14 @@
         double unreachableZoneTimeoutSeconds,
         double minShareAfterZoneLoss) {
     /**
-     * Whose work its running tasks may be preempted for. It only narrows what the protocol allows.
+     * Which work may preempt running tasks of the class. It only narrows what the protocol allows.
      */
     public enum PreemptionProtection {
-        /** Whatever the protocol allows. */
+        /** Any work that the protocol allows. */
         PROTOCOL("protocol"),
-        /** Production and high work alone. */
+        /** Only production and high work. */
         URGENT("urgent"),
-        /** Nobody's; drains and cancellations apart. */
+        /** No work; drains and cancellations still stop the tasks. */
         NEVER("never");
 
         private final String wireName;
@@ -51,11 +51,11 @@
     }
 
     /**
-     * Up to which priority its waiting jobs are ordered as if they had it; what they may preempt
-     * stays as it is.
+     * Lowest priority by which waiting jobs of the class are ordered; a job with a higher priority
+     * keeps its own. What the jobs may preempt doesn't change.
      */
     public enum PriorityFloor {
-        /** By their own priority. */
+        /** The jobs' own priority. */
         NONE("none"),
         /** At least as normal work. */
         NORMAL("normal"),
--- a/src/main/java/io/quincelead/policy/PriorityClasses.java
+++ b/src/main/java/io/quincelead/policy/PriorityClasses.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * One generation of the priority classes, in their stated order; the first that matches a job is
- * its class.
+ * One generation of the priority classes, in their stated order; the first class that matches a job
+ * is the job's class.
  */
 public final class PriorityClasses {
-    /** No record: every job is ranked as the protocol and the settings say. */
+    /** No classes on record: jobs are ranked by the protocol and the settings alone. */
     public static final PriorityClasses NONE = new PriorityClasses(0, List.of());
 
     private final long generation;
@@ -31,9 +31,9 @@
 
     /** The job's class; null if none matches. */
     public PriorityClass classOf(JobSpec spec) {
-        for (PriorityClass jobClass : all) {
-            if (jobClass.selector().matches(spec)) {
-                return jobClass;
+        for (PriorityClass priorityClass : all) {
+            if (priorityClass.selector().matches(spec)) {
+                return priorityClass;
             }
         }
         return null;
--- a/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
+++ b/src/main/java/io/quincelead/policy/PriorityClassesCodec.java
@@ -13,7 +13,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The form of priority classes and their head in operators' files and in the store. */
+/**
+ * Encodes and decodes priority classes in operators' files and in the store, and their head record.
+ */
 final class PriorityClassesCodec {
     private static final Set<String> SELECTOR_FIELDS =
             Set.of("jobClass", "owner", "urgency", "mode");
@@ -34,10 +36,10 @@
     private PriorityClassesCodec() {}
 
     /**
-     * Reads {@code {"classes":[...]}}.
+     * Decodes {@code {"classes":[...]}}.
      *
-     * @param source named in errors
-     * @throws InvalidRecordException if a field is missing, unknown or wrong, a name stands twice
+     * @param source name of the file or generation, for errors
+     * @throws InvalidRecordException if a field is missing, unknown or wrong, a name occurs twice
      *     or a class can never match
      */
     static PriorityClasses decode(JsonNode root, long generation, String source)
@@ -57,20 +59,20 @@
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classNodes.size(); i++) {
             String path = fields.pathOf("classes[" + i + "]");
-            PriorityClass jobClass = decodeClass(classNodes.get(i), path);
-            if (!names.add(jobClass.name())) {
+            PriorityClass priorityClass = decodeClass(classNodes.get(i), path);
+            if (!names.add(priorityClass.name())) {
                 throw new InvalidRecordException(
-                        path + ".name", "\"" + jobClass.name() + "\" stands twice");
+                        path + ".name", "\"" + priorityClass.name() + "\" stands twice");
             }
-            if (jobClass.selector().isShadowedBy(earlierSelectors)) {
+            if (priorityClass.selector().isShadowedBy(earlierSelectors)) {
                 throw new InvalidRecordException(
                         path + ".match",
                         "never matches: every such job ("
-                                + jobClass.selector().describe()
+                                + priorityClass.selector().describe()
                                 + ") is matched by a class before it");
             }
-            earlierSelectors.add(jobClass.selector());
-            classes.add(jobClass);
+            earlierSelectors.add(priorityClass.selector());
+            classes.add(priorityClass);
         }
         return new PriorityClasses(generation, classes);
     }
@@ -78,11 +80,11 @@
     static ObjectNode encode(PriorityClasses classes) {
         ObjectNode node = WireFormat.newMap();
         ArrayNode classNodes = node.putArray("classes");
-        classes.all().forEach(jobClass -> classNodes.add(encodeClass(jobClass)));
+        classes.all().forEach(priorityClass -> classNodes.add(encodeClass(priorityClass)));
         return node;
     }
 
-    /** The text of {@link #encode} in parts that each fit one record. */
+    /** Splits the text of {@link #encode} into parts that each fit one record. */
     static List<String> encodeParts(PriorityClasses classes) {
         String text = encode(classes).toString();
         List<String> parts = new ArrayList<>();
@@ -128,34 +130,34 @@
                 fields.readNumber("zoneSpare", 0, 1, 0));
     }
 
-    private static ObjectNode encodeClass(PriorityClass jobClass) {
-        ObjectNode node = WireFormat.newMap().put("name", jobClass.name());
-        if (!jobClass.description().isEmpty()) {
-            node.put("description", jobClass.description());
+    private static ObjectNode encodeClass(PriorityClass priorityClass) {
+        ObjectNode node = WireFormat.newMap().put("name", priorityClass.name());
+        if (!priorityClass.description().isEmpty()) {
+            node.put("description", priorityClass.description());
         }
-        node.set("match", encodeSelector(jobClass.selector()));
-        node.put("rank", jobClass.rank())
-                .put("beginWithinS", jobClass.startWithinSeconds())
-                .put("leastShare", jobClass.minStartedShare());
-        if (jobClass.preemptionProtection() != PriorityClass.PreemptionProtection.PROTOCOL) {
-            node.put("keep", jobClass.preemptionProtection().wireName());
+        node.set("match", encodeSelector(priorityClass.selector()));
+        node.put("rank", priorityClass.rank())
+                .put("beginWithinS", priorityClass.startWithinSeconds())
+                .put("leastShare", priorityClass.minStartedShare());
+        if (priorityClass.preemptionProtection() != PriorityClass.PreemptionProtection.PROTOCOL) {
+            node.put("keep", priorityClass.preemptionProtection().wireName());
         }
-        if (jobClass.priorityFloor() != PriorityClass.PriorityFloor.NONE) {
-            node.put("passes", jobClass.priorityFloor().wireName());
+        if (priorityClass.priorityFloor() != PriorityClass.PriorityFloor.NONE) {
+            node.put("passes", priorityClass.priorityFloor().wireName());
         }
-        if (jobClass.unreachableZoneTimeoutSeconds() >= 0) {
-            node.put("zonePatienceS", jobClass.unreachableZoneTimeoutSeconds());
+        if (priorityClass.unreachableZoneTimeoutSeconds() >= 0) {
+            node.put("zonePatienceS", priorityClass.unreachableZoneTimeoutSeconds());
         }
-        if (jobClass.minShareAfterZoneLoss() > 0) {
-            node.put("zoneSpare", jobClass.minShareAfterZoneLoss());
+        if (priorityClass.minShareAfterZoneLoss() > 0) {
+            node.put("zoneSpare", priorityClass.minShareAfterZoneLoss());
         }
         return node;
     }
 
     /**
-     * Reads a selector; a missing field matches any job.
+     * Decodes a selector; a missing field matches any job.
      *
-     * @param path named in errors
+     * @param path the selector's path, named in errors
      * @throws InvalidRecordException if a field is unknown or wrong
      */
     static JobSelector decodeSelector(JsonNode node, String path) throws InvalidRecordException {
@@ -224,7 +226,7 @@
         return node;
     }
 
-    /** The text in a record that holds a part of a generation. */
+    /** Decodes the text of a record that holds a part of a generation. */
     static String decodePart(JsonNode node) {
         return node.path("t").asText();
     }
@@ -233,7 +235,7 @@
         return WireFormat.newMap().put("t", text);
     }
 
-    /** The generation that a controller says it can't read. */
+    /** Decodes the generation that a controller reports as unreadable. */
     static long decodeUnreadable(JsonNode node) {
         return node.path("g").asLong();
     }
--- a/src/main/java/io/quincelead/policy/RecordFieldReader.java
+++ b/src/main/java/io/quincelead/policy/RecordFieldReader.java
@@ -10,8 +10,8 @@
 
 /**
  * Reads the fields of a map in an operators' record; errors name the field's path and what is
- * allowed. Fields that this build doesn't know are refused: a rule half understood would be
- * enforced otherwise here than elsewhere.
+ * allowed. Fields that this build doesn't know are rejected: a controller that understood only half
+ * of a rule would enforce it differently from the others.
  */
 final class RecordFieldReader {
     private final JsonNode node;
@@ -54,7 +54,7 @@
         return node.get(field);
     }
 
-    /** A text of 1 to 200 characters; null if it is missing and may be. */
+    /** Reads a text of 1 to 200 characters; null if it is missing and not required. */
     String readText(String field, boolean required) throws InvalidRecordException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
@@ -69,7 +69,7 @@
         return value.asText();
     }
 
-    /** A name that may be part of a key. */
+    /** Reads a name that may be part of a store key. */
     String readName(String field) throws InvalidRecordException {
         String value = readText(field, true);
         if (!value.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,39}")) {
@@ -106,9 +106,7 @@
         return (int) readNumber(field, min, max, defaultValue);
     }
 
-    /**
-     * Reads one of the constants by its name in records; the default where the field is missing.
-     */
+    /** Reads one of the constants by its name in records; the default if the field is missing. */
     <E> E readEnum(String field, E[] constants, Function<E, String> wireName, E defaultValue)
             throws InvalidRecordException {
         String text = readText(field, false);
--- a/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
+++ b/src/main/java/io/quincelead/policy/ScheduledOccurrence.java
@@ -10,24 +10,26 @@
 import java.util.Set;
 
 /**
- * One publication of a calendar entry as it stands on record, from before its window opens until it
- * is closed; then the ledger has it. The record holds what it covers, so that a change of the entry
- * never changes what an occurrence under way is about.
+ * The record of one publication of a calendar entry, kept from before the window opens until the
+ * occurrence is closed and moved to the ledger. The record holds its own selectors, so that a
+ * change of the entry never changes which jobs an existing occurrence covers.
  */
 public final class ScheduledOccurrence {
-    /** States; {@link CalendarReconciler} alone changes them, by {@link #transitionTo}. */
+    /**
+     * State of an occurrence. Only {@link CalendarReconciler} changes it, by {@link #transitionTo}.
+     */
     public enum State {
-        /** Its window hasn't opened. */
+        /** The window hasn't opened. */
         PLANNED("planned"),
         /** Covered work is due by the publication and ranks ahead of routine work. */
         OPEN("open"),
-        /** All covered work was done by the publication and its grace. */
+        /** All covered work was done by the end of the grace period. */
         PUBLISHED("published"),
-        /** Some wasn't. */
+        /** Some covered work wasn't done by the end of the grace period. */
         MISSED("missed"),
-        /** Operators took the day out before a verdict. */
+        /** Operators removed the day before a verdict was given. */
         SKIPPED("skipped"),
-        /** In the ledger. */
+        /** Moved to the ledger. */
         CLOSED("closed");
 
         private final String wireName;
@@ -36,7 +38,7 @@
             this.wireName = wireName;
         }
 
-        /** The name on record. */
+        /** The name in stored records. */
         public String wireName() {
             return wireName;
         }
@@ -86,7 +88,7 @@
                 entry.selectors());
     }
 
-    /** The same with nothing shared, to be changed without a trace in the original. */
+    /** A deep copy, whose changes don't affect this occurrence. */
     ScheduledOccurrence copy() {
         ScheduledOccurrence copy =
                 new ScheduledOccurrence(
@@ -101,11 +103,14 @@
         return copy;
     }
 
-    /** Sets what was counted before. */
-    void restore(OccurrenceCounts counted, Collection<String> openJobs, Collection<Long> terms) {
-        counts = counted;
-        openJobIds.addAll(openJobs);
-        leaderTokens.addAll(terms);
+    /** Adds the counts, open jobs and leaders' fencing tokens of an existing record. */
+    void restore(
+            OccurrenceCounts restoredCounts,
+            Collection<String> jobIds,
+            Collection<Long> fencingTokens) {
+        counts = restoredCounts;
+        openJobIds.addAll(jobIds);
+        leaderTokens.addAll(fencingTokens);
     }
 
     /** The occurrence's state. */
@@ -114,9 +119,10 @@
     }
 
     /**
-     * Verdicts are absorbing: what is published is never missed afterwards, nor the reverse.
+     * Changes the state. A verdict is final: a published occurrence is never missed afterwards, nor
+     * the reverse.
      *
-     * @throws IllegalStateException if the state can't follow the one before
+     * @throws IllegalStateException if the state can't follow the current one
      */
     void transitionTo(State next) {
         boolean allowed =
@@ -136,12 +142,14 @@
         state = next;
     }
 
-    /** Whether no verdict was given: operators can still move or skip the publication. */
+    /**
+     * Whether no verdict was given yet, so that operators can still move or skip the publication.
+     */
     boolean isBeforeVerdict() {
         return state == State.PLANNED || state == State.OPEN;
     }
 
-    /** What names it among all occurrences: the entry and the date. */
+    /** Identifies the occurrence among all: the entry's name and the date. */
     String key() {
         return entryName + "/" + date;
     }
@@ -159,17 +167,17 @@
         return publicationMillis;
     }
 
-    /** When its window opens, in ms since 1970. */
+    /** When the window opens, in ms since 1970. */
     public long opensAtMillis() {
         return opensAtMillis;
     }
 
-    /** Seconds after the publication in which covered work still counts as in time. */
+    /** Seconds after the publication within which covered work still counts as in time. */
     double graceSeconds() {
         return graceSeconds;
     }
 
-    /** When covered work has to be done, grace included, in ms since 1970. */
+    /** End of the grace period, by which covered work has to be done, in ms since 1970. */
     long graceEndsAtMillis() {
         return publicationMillis + (long) (graceSeconds * 1000);
     }
@@ -178,7 +186,7 @@
         return selectors;
     }
 
-    /** Covered jobs that have been counted and aren't known to have completed. */
+    /** Ids of covered jobs that have been counted and aren't known to have completed. */
     Set<String> openJobIds() {
         return openJobIdsView;
     }
@@ -187,34 +195,40 @@
         return counts;
     }
 
-    /** Fencing tokens of the leaders that have written it. */
+    /** Fencing tokens of the leaders that have written this occurrence. */
     Set<Long> leaderTokens() {
         return Collections.unmodifiableSet(leaderTokens);
     }
 
     /**
-     * Whether it covers a job.
+     * Whether the occurrence covers a job: one accepted by the publication that a selector matches.
      *
      * @param acceptedAtMillis when the job was accepted, in ms since 1970
      */
     public boolean covers(JobSpec spec, long acceptedAtMillis) {
         return acceptedAtMillis <= publicationMillis
-                && selectors.stream().anyMatch(m -> m.matches(spec));
+                && selectors.stream().anyMatch(selector -> selector.matches(spec));
     }
 
-    /** Whether covered work ranks ahead now: from the opening until the occurrence is closed. */
+    /**
+     * Whether covered work ranks ahead of other work: from the opening until the occurrence is
+     * closed.
+     */
     public boolean raisesPriority() {
         return state == State.OPEN || state == State.PUBLISHED || state == State.MISSED;
     }
 
-    /** Whether no job's priority differs between the two; counts may. */
+    /** Whether both occurrences affect jobs' priorities alike; their counts may differ. */
     boolean hasSamePriorityEffect(ScheduledOccurrence other) {
         return state == other.state
                 && publicationMillis == other.publicationMillis
                 && selectors.equals(other.selectors);
     }
 
-    /** Follows the entry to its publication of that day. A window that is open stays open. */
+    /**
+     * Takes over the entry's current publication time of that day. A window that is open stays
+     * open.
+     */
     void reschedule(CalendarEntry entry, LocalDate day) {
         publicationMillis = entry.publicationMillis(day);
         opensAtMillis = entry.opensAtMillis(publicationMillis);
@@ -234,12 +248,12 @@
         counts = counts.plusCompletion(completion);
     }
 
-    /** Counts a job that wasn't seen before it completed. */
+    /** Counts a job that completed before it was counted as open. */
     void addCompletedJob(JobCompletion completion) {
         counts = counts.plusJob().plusCompletion(completion);
     }
 
-    /** Notes the CPUs that covered work uses now; says whether that is a new peak. */
+    /** Updates the peak with the CPUs that covered work uses now; returns whether it has risen. */
     boolean updatePeakCpus(double usedCpus) {
         if (usedCpus <= counts.peakCpus()) {
             return false;
