--- a/src/main/java/io/quincelead/cli/CalendarCommands.java
+++ b/src/main/java/io/quincelead/cli/CalendarCommands.java
@@ -10,7 +10,7 @@
 /** The commands on the deadline calendar. */
 @Command(
         name = "calendar",
-        description = "Times of publication.",
+        description = "The deadline calendar of publications.",
         mixinStandardHelpOptions = true,
         subcommands = {
             CalendarCommands.Add.class,
@@ -24,7 +24,7 @@
 final class CalendarCommands {
     @Command(
             name = "add",
-            description = "Adds the entry of a file.",
+            description = "Adds the entry in a file.",
             mixinStandardHelpOptions = true)
     static final class Add extends ChangeCommand {
         @Parameters(
@@ -32,9 +32,7 @@
                 description = "An entry (JSON, see deploy/calendar.example.json).")
         private File file;
 
-        @Option(
-                names = "--replace",
-                description = "Put it in the place of the entry of the same name.")
+        @Option(names = "--replace", description = "Replace the entry of the same name.")
         private boolean replace;
 
         Add() {
@@ -88,7 +86,7 @@
 
     @Command(
             name = "skip",
-            description = "Leaves one day's publication out.",
+            description = "Skips one day's publication.",
             mixinStandardHelpOptions = true)
     static final class Skip extends DateChange {
         Skip() {
@@ -113,7 +111,7 @@
 
     @Command(
             name = "next",
-            description = "The publications to come.",
+            description = "The upcoming publications.",
             mixinStandardHelpOptions = true)
     static final class ListUpcoming extends OperatorCommand {
         @Option(names = "--days", paramLabel = "N", description = "Days to look ahead, at most 31.")
@@ -131,7 +129,7 @@
 
     @Command(
             name = "list",
-            description = "The entries, and the occurrences under way.",
+            description = "The entries and the live occurrences.",
             mixinStandardHelpOptions = true)
     static final class ListEntries extends OperatorCommand {
         ListEntries() {
@@ -152,7 +150,7 @@
 
     @Command(
             name = "ledger",
-            description = "What became of an entry's publications.",
+            description = "The outcomes of an entry's past publications.",
             mixinStandardHelpOptions = true)
     static final class ListLedger extends OperatorCommand {
         @Parameters(paramLabel = "NAME")
--- a/src/main/java/io/quincelead/cli/ChangeCommand.java
+++ b/src/main/java/io/quincelead/cli/ChangeCommand.java
@@ -13,7 +13,7 @@
     @Option(
             names = "--change",
             paramLabel = "ID",
-            description = "Name of the change: a repeat with the same name takes effect once.")
+            description = "Id of the change: a repeat with the same id takes effect once.")
     private String changeId;
 
     ChangeCommand(String path) {
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Adds what the change is about to the request.
+     * Adds the fields of the change to the request.
      *
      * @throws Settings.InvalidSettingsException if a file that the command names can't be used
      */
--- a/src/main/java/io/quincelead/cli/ClassesCommands.java
+++ b/src/main/java/io/quincelead/cli/ClassesCommands.java
@@ -21,7 +21,7 @@
 final class ClassesCommands {
     @Command(
             name = "apply",
-            description = "Proposes the classes of a file; the leader puts them in force.",
+            description = "Proposes the classes in a file; the leader puts them in force.",
             mixinStandardHelpOptions = true)
     static final class Apply extends ChangeCommand {
         @Parameters(
@@ -42,7 +42,7 @@
 
     @Command(
             name = "list",
-            description = "The classes in force, and how their jobs fare.",
+            description = "The classes in force and the counts of their jobs.",
             mixinStandardHelpOptions = true)
     static final class ListActive extends OperatorCommand {
         ListActive() {
@@ -72,13 +72,14 @@
 
     @Command(
             name = "rollback",
-            description = "Proposes an earlier generation anew.",
+            description = "Proposes an earlier generation again.",
             mixinStandardHelpOptions = true)
     static final class RollBack extends ChangeCommand {
         @Option(
                 names = "--to",
                 paramLabel = "N",
-                description = "Generation; the one before the ruling one if left out, 0 for none.")
+                description =
+                        "Generation; the one before the active one if left out, 0 for no classes.")
         private Long generation;
 
         RollBack() {
--- a/src/main/java/io/quincelead/cli/ControllerClient.java
+++ b/src/main/java/io/quincelead/cli/ControllerClient.java
@@ -25,7 +25,7 @@
 
 /** Sends one request to the first controller that can answer it. */
 final class ControllerClient {
-    /** Where controllers listen for each other, as the command line says. */
+    /** The addresses at which controllers listen for each other, as stated on the command line. */
     static final class ControllerAddresses {
         @CommandLine.Option(
                 names = "--at",
@@ -83,8 +83,9 @@
     }
 
     /**
-     * The first response of a controller that is ready, else the last of one that isn't. A response
-     * that leaves a change's outcome unknown is returned; the next controller isn't asked then.
+     * Returns the first response of a controller that is ready, or else the last one of a
+     * controller that isn't. A response that leaves a change's outcome unknown is returned without
+     * asking the next controller.
      *
      * @return null if no controller answers in time
      * @throws Settings.InvalidSettingsException if no address is stated, the settings can't be read
@@ -138,9 +139,10 @@
     }
 
     /**
-     * Asks the controller at {@code index} and, while none gives a final response, those after it.
+     * Sends the request to the address at {@code index} and, while no response is final, to those
+     * after it.
      *
-     * @param fallback what the last controller that wasn't ready said; null: none has said anything
+     * @param fallback response of the last controller that wasn't ready; null: none has responded
      */
     private void tryAddress(int index, Response fallback) {
         if (index == addresses.size()) {
@@ -160,7 +162,7 @@
     private void onResponse(int index, Response fallback, int status, byte[] bytes) {
         ObjectNode responseBody = WireFormat.JSON.decodeMap(bytes);
         if (responseBody == null) {
-            // The request may have been carried out all the same: the next controller knows the
+            // The request may have been carried out after all: the next controller recognizes the
             // change by its id.
             tryAddress(index + 1, fallback);
             return;
--- a/src/main/java/io/quincelead/cli/OperatorCli.java
+++ b/src/main/java/io/quincelead/cli/OperatorCli.java
@@ -5,7 +5,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * The operators' command line: each command asks one controller, in JSON, and prints its response.
+ * The operators' command line: each command sends one JSON request to a controller and prints the
+ * response.
  */
 @Command(
         name = "quincelead",
--- a/src/main/java/io/quincelead/cli/OperatorCommand.java
+++ b/src/main/java/io/quincelead/cli/OperatorCommand.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** One command: a request to any controller, and the response as a table or as JSON. */
+/**
+ * Base of the commands: sends a request to any controller and prints the response as a table or as
+ * JSON.
+ */
 abstract class OperatorCommand implements Callable<Integer> {
     private static final int EXIT_DONE = 0;
     private static final int EXIT_UNUSABLE_INPUT = 1;
@@ -25,13 +28,13 @@
 
     @Mixin private ControllerClient.ControllerAddresses controllerAddresses;
 
-    @Option(names = "--json", description = "Print the answer as it came.")
+    @Option(names = "--json", description = "Print the response as JSON, as it was received.")
     private boolean printJson;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /**
-     * @param path where controllers serve the command
+     * @param path path at which controllers serve the command
      * @param columns fields of the response's list that are printed, in order; none if it has no
      *     list
      */
@@ -74,7 +77,10 @@
         };
     }
 
-    /** A change may have been made though nobody answered, so its outcome is unknown. */
+    /**
+     * Reports that no controller answers. A change may have been made all the same, so its outcome
+     * is unknown.
+     */
     private static int reportUnreachable(ObjectNode request, PrintWriter err) {
         if (!request.has("change")) {
             err.println("quincelead: no controller answers");
--- a/src/main/java/io/quincelead/cli/ResponsePrinter.java
+++ b/src/main/java/io/quincelead/cli/ResponsePrinter.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Prints a response for people: single values a line each, lists as tables. */
+/** Prints a response for people: each single value on a line, lists as tables. */
 final class ResponsePrinter {
     private static final Set<String> EPOCH_MILLIS_FIELDS =
             Set.of("pub", "last", "open", "closed", "since");
@@ -85,16 +85,17 @@
             List<String> parts = new ArrayList<>();
             value.fields()
                     .forEachRemaining(
-                            f ->
+                            field ->
                                     parts.add(
-                                            f.getKey()
+                                            field.getKey()
                                                     + "="
-                                                    + formatCell(f.getKey(), f.getValue())));
+                                                    + formatCell(
+                                                            field.getKey(), field.getValue())));
             return parts.isEmpty() ? "all" : String.join(" ", parts);
         }
         if (value.isArray()) {
             List<String> parts = new ArrayList<>();
-            value.forEach(x -> parts.add(formatCell("", x)));
+            value.forEach(element -> parts.add(formatCell("", element)));
             return String.join(",", parts);
         }
         return value.asText();
--- a/src/main/java/io/quincelead/cli/ValidatedFile.java
+++ b/src/main/java/io/quincelead/cli/ValidatedFile.java
@@ -17,7 +17,7 @@
     private ValidatedFile() {}
 
     /**
-     * The file's content.
+     * Reads a file and checks it against a schema.
      *
      * @param schemaName resource name of the schema
      * @throws Settings.InvalidSettingsException if the file isn't JSON or violates the schema; the
--- a/src/main/java/io/quincelead/cli/ZonesCommands.java
+++ b/src/main/java/io/quincelead/cli/ZonesCommands.java
@@ -10,7 +10,7 @@
 /** The commands on lost and returning zones. */
 @Command(
         name = "zones",
-        description = "Zones that are lost and come back.",
+        description = "Lost and returning zones.",
         mixinStandardHelpOptions = true,
         subcommands = {
             ZonesCommands.ListZones.class,
@@ -21,7 +21,7 @@
 final class ZonesCommands {
     @Command(
             name = "list",
-            description = "The zones, their states, and what led there.",
+            description = "The zones, their states and the reasons for them.",
             mixinStandardHelpOptions = true)
     static final class ListZones extends OperatorCommand {
         ListZones() {
@@ -40,13 +40,13 @@
 
     @Command(
             name = "plan",
-            description = "Which models return first and where to, now or if a zone went.",
+            description = "Which models are recovered first and where, now or if zones were lost.",
             mixinStandardHelpOptions = true)
     static final class PlanRecovery extends OperatorCommand {
         @Option(
                 names = "--lost",
                 paramLabel = "ZONE",
-                description = "As if this zone were gone now.")
+                description = "Plan as if this zone were lost now; may be repeated.")
         private List<String> lostZones = new ArrayList<>();
 
         PlanRecovery() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** An order about one zone. */
+    /** An operator's order for one zone. */
     abstract static class ZoneOrder extends ChangeCommand {
         @Parameters(paramLabel = "ZONE")
         private String zone;
@@ -86,8 +86,7 @@
 
     @Command(
             name = "hold",
-            description =
-                    "Gives up no machine of a zone that can't be reached, until it is released.",
+            description = "Keeps all machines of an unreachable zone until the zone is released.",
             mixinStandardHelpOptions = true)
     static final class Hold extends ZoneOrder {
         Hold() {
@@ -98,8 +97,8 @@
     @Command(
             name = "release",
             description =
-                    "Returns the machines of a zone that can't be reached, at once; what serves on"
-                            + " inside ends.",
+                    "Releases the machines of an unreachable zone at once; services that still run"
+                            + " there end.",
             mixinStandardHelpOptions = true)
     static final class Release extends ZoneOrder {
         Release() {
