--- a/src/test/java/io/quincelead/cli/OperatorCliTest.java
+++ b/src/test/java/io/quincelead/cli/OperatorCliTest.java
@@ -26,7 +26,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * The commands against a stand-in controller on loopback: what is asked, what is printed, and the
+ * Runs the commands against a fake controller on loopback: checks the requests, the output and the
  * exit codes.
  */
 class OperatorCliTest {
@@ -40,9 +40,9 @@
     private final StringWriter err = new StringWriter();
 
     private static int freePort() throws Exception {
-        try (ServerSocket s = new ServerSocket()) {
-            s.bind(new InetSocketAddress("127.0.0.1", 0));
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket()) {
+            socket.bind(new InetSocketAddress("127.0.0.1", 0));
+            return socket.getLocalPort();
         }
     }
 
@@ -148,7 +148,7 @@
 
     @Test
     void mainKnowsAllOperatorCommands() {
-        Main.OPERATOR_COMMANDS.forEach(c -> assertEquals(0, run(c, "--help"), c));
+        Main.OPERATOR_COMMANDS.forEach(command -> assertEquals(0, run(command, "--help"), command));
         assertEquals(2, run("jobs"));
     }
 
--- a/src/test/java/io/quincelead/policy/CalendarReconcilerTest.java
+++ b/src/test/java/io/quincelead/policy/CalendarReconcilerTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The leader's calendar. Found by reading: an occurrence whose key holds no date ended each pass
- * with an exception before any other occurrence was looked at, so that no deadline was judged any
- * more; and the keys of the ledger that a leader had run into were kept for as long as the process
- * lived, one for each publication that a predecessor had closed.
+ * Guards the leader's calendar against two faults. An occurrence whose key holds no date ended each
+ * pass with an exception before any other occurrence was processed, so that no verdict was given
+ * any more. And the ledger keys that a leader had found to exist, one for each publication that an
+ * earlier leader had closed, were kept for the lifetime of the process.
  */
 class CalendarReconcilerTest {
     private final SimulatedClock clock = new SimulatedClock(1);
@@ -77,11 +77,11 @@
     }
 
     @Test
-    void occurrenceWithoutDateIsLeftAlone() {
+    void occurrenceWithoutDateIsIgnored() {
         putOccurrence("tomorrow");
         assertNull(reconciler.nextChange());
         putOccurrence("2026-12-07");
-        // Its entry is gone: the occurrence that can be read is skipped.
+        // The readable occurrence is skipped because it has no entry.
         assertNotNull(reconciler.nextChange());
     }
 
--- a/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/GoldenRecordsTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Each stored record of {@code golden/records.tsv} is read from the store into its value and
- * written again, byte for byte.
+ * Each stored record of {@code golden/records.tsv} is decoded from the store and encoded again,
+ * byte for byte.
  */
 class GoldenRecordsTest {
     /**
-     * What nothing but its writer reads: its bytes are compared as they are written, with the
-     * messages.
+     * Kinds of records that only their writer reads; their bytes are compared where they are
+     * written, together with the messages.
      */
     private static final Set<String> WRITTEN_ONLY = Set.of("a/r/", "a/rn", "a/ti", "z/");
 
@@ -46,25 +46,26 @@
     private Policy policy;
 
     static Stream<Row> records() {
-        return GoldenTable.rows("records").stream().filter(r -> !WRITTEN_ONLY.contains(kind(r)));
+        return GoldenTable.rows("records").stream()
+                .filter(row -> !WRITTEN_ONLY.contains(kind(row)));
     }
 
     private static String kind(Row row) {
         return row.name().substring(0, row.name().indexOf(' '));
     }
 
-    /** A controller's views of a store that has these records. */
-    private void read(List<Row> rows) {
+    /** Loads a controller's views from a store that holds these records. */
+    private void loadRecords(List<Row> rows) {
         SimulatedClock clock = new SimulatedClock(1);
         SimulatedClock.SimulatedProcess eventLoop = clock.newProcess();
         ObjectNode page = WireFormat.newMap().put("truncated", false).put("generation", 10);
         ArrayNode items = page.putArray("items");
         rows.forEach(
-                r ->
+                row ->
                         items.addObject()
-                                .put("path", r.head())
+                                .put("path", row.head())
                                 .put("stamp", 5)
-                                .set("value", r.decodeBody()));
+                                .set("value", row.decodeBody()));
         StoreClient store =
                 new StoreClient(
                         eventLoop,
@@ -88,7 +89,7 @@
         assertTrue(watchCache.isSynced());
     }
 
-    private JsonNode written(String kind, String rest, Row row) throws InvalidRecordException {
+    private JsonNode reencode(String kind, String rest, Row row) throws InvalidRecordException {
         String entry = rest.contains("/") ? rest.substring(0, rest.indexOf('/')) : rest;
         return switch (kind) {
             case "a/lead" -> membership.leaderRecord().encode();
@@ -144,7 +145,7 @@
     @MethodSource("records")
     void recordIsReadAndWrittenAgain(Row row) throws InvalidRecordException {
         String kind = kind(row);
-        // A page of task states is read with its job.
+        // A page of task states is read together with its job.
         List<Row> job =
                 kind.equals("a/t/")
                         ? GoldenTable.rows("records", "a/j/")
@@ -158,11 +159,11 @@
                                 .limit(1)
                                 .toList()
                         : List.of();
-        read(Stream.concat(job.stream(), Stream.of(row)).toList());
+        loadRecords(Stream.concat(job.stream(), Stream.of(row)).toList());
         assertEquals(
                 row.toString(),
                 row.withValue(
-                                written(
+                                reencode(
                                         kind,
                                         row.head()
                                                 .substring(
@@ -173,28 +174,28 @@
                         .toString());
     }
 
-    /** A submission is the job's record, field by field. */
+    /** A submission has the form of the job's record, field by field. */
     @Test
     void submissionsAreReadAndWrittenAgain() throws JobSpec.MalformedJobException {
         List<Row> accepted =
                 GoldenTable.rows("messages", "users POST /v2/runs #")
                         .filter(
-                                r ->
-                                        r.decodeBody().path("vcpus").asDouble() < 500
-                                                && r.decodeBody().path("members").asInt() > 0)
+                                row ->
+                                        row.decodeBody().path("vcpus").asDouble() < 500
+                                                && row.decodeBody().path("members").asInt() > 0)
                         .toList();
         assertTrue(accepted.size() > 4, "" + accepted.size());
-        int read = 0;
-        for (Row r : accepted) {
+        int decodedCount = 0;
+        for (Row row : accepted) {
             try {
                 assertEquals(
-                        r.toString(),
-                        r.withValue(JobSpec.decode(r.decodeBody()).encode()).toString());
-                read++;
+                        row.toString(),
+                        row.withValue(JobSpec.decode(row.decodeBody()).encode()).toString());
+                decodedCount++;
             } catch (JobSpec.MalformedJobException e) {
-                assertTrue(r.decodeBody().size() < 18, r + ": " + e.getMessage());
+                assertTrue(row.decodeBody().size() < 18, row + ": " + e.getMessage());
             }
         }
-        assertTrue(read > 4, "" + read);
+        assertTrue(decodedCount > 4, "" + decodedCount);
     }
 }
--- a/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/policy/OperatorRecordsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What operators write: read, refused in words, and at the edges of the calendar. */
+/** Decoding of operators' records, the errors that reject them, and edge cases of the calendar. */
 class OperatorRecordsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -24,7 +24,7 @@
         }
     }
 
-    private static String refusal(String classes) {
+    private static String rejectionMessage(String classes) {
         return assertThrows(
                         InvalidRecordException.class,
                         () ->
@@ -33,17 +33,22 @@
                 .getMessage();
     }
 
-    private static CalendarEntry entry(String rest) throws InvalidRecordException {
+    private static CalendarEntry entry(String otherFields) throws InvalidRecordException {
         return CalendarCodec.decodeEntry(
-                json("{'name':'e','zone':'America/Toronto','covers':[{}]," + rest + "}"), "entry");
+                json("{'name':'e','zone':'America/Toronto','covers':[{}]," + otherFields + "}"),
+                "entry");
     }
 
-    private static List<String> published(CalendarEntry e, String from, String to) {
-        return e
+    private static List<String> publications(CalendarEntry entry, String from, String to) {
+        return entry
                 .publicationsBetween(
                         Instant.parse(from).toEpochMilli(), Instant.parse(to).toEpochMilli())
                 .stream()
-                .map(w -> w.date() + " " + Instant.ofEpochMilli(w.epochMillis()))
+                .map(
+                        publication ->
+                                publication.date()
+                                        + " "
+                                        + Instant.ofEpochMilli(publication.epochMillis()))
                 .toList();
     }
 
@@ -51,30 +56,31 @@
     void errorsNameFileFieldAndConstraint() {
         assertEquals(
                 "f.json.classes[0].rank: a whole number from 0 to 1000 is required",
-                refusal("{'name':'a'}"));
+                rejectionMessage("{'name':'a'}"));
         assertEquals(
                 "f.json.classes[0].rank: must be a whole number from 0 to 1000",
-                refusal("{'name':'a','rank':1.5}"));
+                rejectionMessage("{'name':'a','rank':1.5}"));
         assertEquals(
                 "f.json.classes[0].keep: must be one of [protocol, urgent, never]",
-                refusal("{'name':'a','rank':1,'keep':'always'}"));
+                rejectionMessage("{'name':'a','rank':1,'keep':'always'}"));
         assertTrue(
-                refusal("{'name':'a','rank':1,'color':'red'}")
+                rejectionMessage("{'name':'a','rank':1,'color':'red'}")
                         .startsWith("f.json.classes[0].color: is not known here"));
         assertEquals(
                 "f.json.classes[1].name: \"a\" stands twice",
-                refusal("{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'a','rank':2}"));
+                rejectionMessage(
+                        "{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'a','rank':2}"));
     }
 
     @Test
     void classThatNeverMatchesIsRejected() throws InvalidRecordException {
         assertTrue(
-                refusal(
+                rejectionMessage(
                                 "{'name':'a','rank':1,'match':{'owner':'x'}},{'name':'b','rank':2,'match':{'owner':'x','mode':'array'}}")
                         .contains("never matches"));
-        // Three modes that share all jobs of a team out among them.
+        // Three classes, one for each mode, together match all jobs of the team.
         assertTrue(
-                refusal(
+                rejectionMessage(
                                 "{'name':'a','rank':1,'match':{'mode':'array'}},{'name':'b','rank':1,'match':{'mode':'ensemble'}},"
                                     + "{'name':'c','rank':1,'match':{'mode':'standing'}},{'name':'d','rank':2,'match':{'owner':'x'}}")
                         .contains("classes[3].match"));
@@ -91,7 +97,7 @@
 
     @Test
     void encodedRecordsDecodeToEqualValues() throws InvalidRecordException {
-        PriorityClasses c =
+        PriorityClasses classes =
                 PriorityClassesCodec.decode(
                         json(
                                 "{'classes':[{'name':'a','rank':1,'match':{'owner':'x','urgency':'high'},'keep':'urgent','passes':'normal','beginWithinS':60,"
@@ -99,47 +105,48 @@
                         1,
                         "f");
         assertEquals(
-                c.all(), PriorityClassesCodec.decode(PriorityClassesCodec.encode(c), 1, "f").all());
-        CalendarEntry e =
+                classes.all(),
+                PriorityClassesCodec.decode(PriorityClassesCodec.encode(classes), 1, "f").all());
+        CalendarEntry entry =
                 entry("'time':'06:30','days':['mon','fri'],'leadS':600,'graceS':60")
                         .withSkippedDate(LocalDate.parse("2026-12-04"))
                         .withMovedTime(LocalDate.parse("2026-12-07"), LocalTime.parse("07:00"));
-        assertEquals(e, CalendarCodec.decodeEntry(CalendarCodec.encodeEntry(e), "e"));
+        assertEquals(entry, CalendarCodec.decodeEntry(CalendarCodec.encodeEntry(entry), "e"));
     }
 
     /** On 14 March 2027 clocks go from 02:00 to 03:00, on 7 November from 02:00 back to 01:00. */
     @Test
     void publicationTimesFollowClockChanges() throws InvalidRecordException {
-        CalendarEntry gap = entry("'time':'02:30','days':['sat','sun','mon']");
+        CalendarEntry inSkippedHour = entry("'time':'02:30','days':['sat','sun','mon']");
         assertEquals(
                 List.of(
                         "2027-03-13 2027-03-13T07:30:00Z",
                         "2027-03-14 2027-03-14T07:30:00Z",
                         "2027-03-15 2027-03-15T06:30:00Z"),
-                published(gap, "2027-03-13T00:00:00Z", "2027-03-16T00:00:00Z"));
-        CalendarEntry twice = entry("'time':'01:30','days':['sun']");
+                publications(inSkippedHour, "2027-03-13T00:00:00Z", "2027-03-16T00:00:00Z"));
+        CalendarEntry inRepeatedHour = entry("'time':'01:30','days':['sun']");
         assertEquals(
                 List.of("2027-11-07 2027-11-07T05:30:00Z"),
-                published(twice, "2027-11-06T12:00:00Z", "2027-11-08T00:00:00Z"));
+                publications(inRepeatedHour, "2027-11-06T12:00:00Z", "2027-11-08T00:00:00Z"));
     }
 
     @Test
     void leapDayOccursInLeapYearsOnly() throws InvalidRecordException {
-        CalendarEntry e = entry("'time':'12:00','dates':['--02-29']");
+        CalendarEntry entry = entry("'time':'12:00','dates':['--02-29']");
         assertEquals(
                 List.of("2028-02-29 2028-02-29T17:00:00Z"),
-                published(e, "2026-01-01T00:00:00Z", "2031-01-01T00:00:00Z"));
+                publications(entry, "2026-01-01T00:00:00Z", "2031-01-01T00:00:00Z"));
     }
 
     @Test
     void skippedAndMovedDatesChangePublications() throws InvalidRecordException {
-        CalendarEntry e =
+        CalendarEntry entry =
                 entry("'time':'06:00','days':['mon','tue','wed']")
                         .withSkippedDate(LocalDate.parse("2026-12-08"))
                         .withMovedTime(LocalDate.parse("2026-12-09"), LocalTime.parse("08:15"));
         assertEquals(
                 List.of("2026-12-07 2026-12-07T11:00:00Z", "2026-12-09 2026-12-09T13:15:00Z"),
-                published(e, "2026-12-07T00:00:00Z", "2026-12-10T23:00:00Z"));
+                publications(entry, "2026-12-07T00:00:00Z", "2026-12-10T23:00:00Z"));
         assertThrows(InvalidRecordException.class, () -> entry("'time':'25:00','days':['mon']"));
         assertThrows(
                 InvalidRecordException.class,
@@ -155,23 +162,24 @@
 
     @Test
     void verdictsAreFinal() throws InvalidRecordException {
-        ScheduledOccurrence o =
+        ScheduledOccurrence occurrence =
                 ScheduledOccurrence.planned(
                         entry("'time':'06:00','days':['mon']"),
                         new CalendarEntry.Publication(LocalDate.parse("2026-12-07"), 1_000_000));
         assertThrows(
                 IllegalStateException.class,
-                () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
-        o.transitionTo(ScheduledOccurrence.State.OPEN);
-        o.transitionTo(ScheduledOccurrence.State.MISSED);
+                () -> occurrence.transitionTo(ScheduledOccurrence.State.PUBLISHED));
+        occurrence.transitionTo(ScheduledOccurrence.State.OPEN);
+        occurrence.transitionTo(ScheduledOccurrence.State.MISSED);
         assertThrows(
                 IllegalStateException.class,
-                () -> o.transitionTo(ScheduledOccurrence.State.PUBLISHED));
+                () -> occurrence.transitionTo(ScheduledOccurrence.State.PUBLISHED));
         assertThrows(
                 IllegalStateException.class,
-                () -> o.transitionTo(ScheduledOccurrence.State.SKIPPED));
-        o.transitionTo(ScheduledOccurrence.State.CLOSED);
+                () -> occurrence.transitionTo(ScheduledOccurrence.State.SKIPPED));
+        occurrence.transitionTo(ScheduledOccurrence.State.CLOSED);
         assertThrows(
-                IllegalStateException.class, () -> o.transitionTo(ScheduledOccurrence.State.OPEN));
+                IllegalStateException.class,
+                () -> occurrence.transitionTo(ScheduledOccurrence.State.OPEN));
     }
 }
