--- a/src/main/java/io/quincelead/policy/PolicyRecords.java
+++ b/src/main/java/io/quincelead/policy/PolicyRecords.java
@@ -153,7 +153,7 @@
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             LOG.error(
-                    "the record {}{} does not belong to any classes; it is ignored",
+                    "the record {}{} does not belong to any classes; ignoring the record",
                     StoreKeys.CLASSES_PART_PREFIX,
                     keySuffix);
         }
@@ -166,8 +166,7 @@
             // The entry's previous version stays in force; existing occurrences hold their own
             // selectors.
             LOG.error(
-                    "the calendar's entry {} can't be read ({}); its previous version stays in"
-                            + " force",
+                    "the calendar's entry {} can't be read ({}); keeping its previous version",
                     name,
                     e.getMessage());
         }
@@ -191,7 +190,7 @@
                                     node));
         } catch (InvalidRecordException e) {
             LOG.error(
-                    "the occurrence {} can't be read ({}); its previous version stays in force",
+                    "the occurrence {} can't be read ({}); keeping its previous version",
                     keySuffix,
                     e.getMessage());
         }
