--- a/src/main/java/io/quincelead/config/OperatorSettings.java
+++ b/src/main/java/io/quincelead/config/OperatorSettings.java
@@ -14,17 +14,18 @@
 
 /**
  * The operators' own settings (JSON, checked against {@code operator-settings.schema.json}). Every
- * field of the file is optional; {@link #DEFAULTS} has the values of those left out.
+ * field of the file is optional; a missing one has its value in {@link #DEFAULTS}.
  *
- * @param parallelFraction parallel part, 0 to 1, of a task in the fitness formula (file: {@code
- *     alpha})
+ * @param parallelFraction fraction of a task, 0 to 1, that runs in parallel, in the fitness formula
+ *     (file: {@code alpha})
  * @param tebasGroupSize machines in one group of a TEBAS pass (file: {@code beta})
- * @param shardLeaseSeconds longest lease of a shard; shortened where workers' own leases are
- *     shorter (file: {@code blockLeaseSeconds})
- * @param clockSpeedByMachineType relative clock speed, 1 where a type isn't named; unmodifiable
+ * @param shardLeaseSeconds longest lease of a shard; reduced if workers' own leases are shorter
+ *     (file: {@code blockLeaseSeconds})
+ * @param clockSpeedByMachineType relative clock speed, 1 for types that aren't named; unmodifiable
  *     (file: {@code frequencyByType})
- * @param drainBacklogSeconds time within which rented machines should work off the backlog
- * @param idleReleaseSeconds idle time after which a machine that isn't needed is returned
+ * @param drainBacklogSeconds time within which provisioned machines should complete the backlog
+ * @param idleReleaseSeconds idle time after which a machine that isn't needed is released (file:
+ *     {@code idleReturnSeconds})
  * @param reserveFraction spare capacity kept, as a fraction of what is in use (file: {@code
  *     headroom})
  * @param zoneRecovery how lost zones are handled (file: {@code zones})
@@ -40,30 +41,31 @@
         ZoneRecovery zoneRecovery) {
 
     /**
-     * How lost zones are handled; disabled unless stated.
+     * How lost zones are handled; recovery is disabled by default.
      *
      * @param enabled whether controllers recover from lost zones (file: {@code on})
-     * @param settleSeconds time for which a zone that came back must stay up before work is moved
-     *     to it
-     * @param movesPerMinute replicas moved at most, of all models together
-     * @param largeImageGb images from this size on are recorded with their machines
+     * @param settleSeconds time for which a zone that is available again must stay up before work
+     *     is moved to it
+     * @param movesPerMinute maximum number of replicas moved per minute, of all services together
+     * @param largeImageGb size from which on cached images are recorded with their machines (file:
+     *     {@code heavyImageGb})
      */
     public record ZoneRecovery(
             boolean enabled, double settleSeconds, double movesPerMinute, double largeImageGb) {
-        /** No recovery, with the defaults of the other values. */
+        /** Recovery is disabled; the other values are the defaults. */
         public static final ZoneRecovery DISABLED = new ZoneRecovery(false, 60, 6, 5);
     }
 
-    /** The settings without a file. */
+    /** The settings that apply without a file. */
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(0.9, 3, 20, Map.of(), 30, 15, 0.15, ZoneRecovery.DISABLED);
 
-    /** Makes the map unmodifiable. */
+    /** Wraps the map so that it is unmodifiable. */
     public OperatorSettings {
         clockSpeedByMachineType = Collections.unmodifiableMap(clockSpeedByMachineType);
     }
 
-    /** The same settings with other ones for zone recovery. */
+    /** Returns a copy with these settings for zone recovery. */
     public OperatorSettings withZoneRecovery(ZoneRecovery zoneRecovery) {
         return new OperatorSettings(
                 parallelFraction,
@@ -77,7 +79,7 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
      * @throws Settings.InvalidSettingsException if it can't be read or doesn't match the schema;
      *     the message names the file and what is wrong
--- a/src/main/java/io/quincelead/config/Settings.java
+++ b/src/main/java/io/quincelead/config/Settings.java
@@ -11,25 +11,27 @@
 import java.util.Map;
 
 /**
- * The settings file that the platform provides (TOML), checked once at the start. Unknown fields of
+ * The settings file that the platform provides (TOML), validated once at startup. Unknown fields of
  * the file are ignored; all collections are unmodifiable.
  *
- * @param memberId this controller's name (file: {@code member})
+ * @param memberId this controller's member id (file: {@code member})
  * @param zone this controller's zone (file: {@code domain})
- * @param listenAddress where users and workers reach this controller (file: {@code listen})
- * @param clusterListenAddress where other controllers reach this one (file: {@code cluster_listen})
+ * @param listenAddress address on which this controller serves users and workers (file: {@code
+ *     listen})
+ * @param clusterListenAddress address on which this controller serves other controllers and
+ *     operators (file: {@code cluster_listen})
  * @param peerAddresses cluster addresses of the other controllers by member id, in the file's order
  *     (file: {@code known})
  * @param cloudAddress the cloud's address (file: {@code external.cloud})
  * @param storeAddress the state service's address (file: {@code external.state})
- * @param controllerCount controllers of the cluster, this one included
- * @param clockErrorMillis bound of the wall clock's error
+ * @param controllerCount number of controllers in the cluster, including this one
+ * @param clockErrorMillis maximum error of the wall clock
  * @param teams the teams by name, in the file's order
  * @param objectives service-level objectives of job classes
- * @param workerTimings what the platform says of workers
+ * @param workerTimings timings of the protocol with workers
  * @param storeLimits limits of the state service
  * @param cloudLimits limits of the cloud
- * @param processLimits what this process may use
+ * @param processLimits resource limits of this process
  */
 public record Settings(
         String memberId,
@@ -48,7 +50,10 @@
         CloudLimits cloudLimits,
         ProcessLimits processLimits) {
 
-    /** A team's quota: what it is guaranteed, and the limit of what it may use at one time. */
+    /**
+     * A team's quota: the guaranteed CPUs and GPUs, and the maximum that the team may use at one
+     * time.
+     */
     public record Team(
             String name,
             double guaranteedCpus,
@@ -60,16 +65,17 @@
      * A service-level objective of a class of jobs.
      *
      * @param metric what is measured (file: {@code kind})
-     * @param jobClass the class; empty where none is named
-     * @param withinSeconds the time within which
+     * @param jobClass the class; empty if the file names none
+     * @param withinSeconds the time limit of the objective
      * @param fraction the fraction of the jobs that should meet it (file: {@code share})
-     * @param factor a multiple for objectives relative to another time (file: {@code times})
+     * @param factor a multiple, for objectives that are relative to another time (file: {@code
+     *     times})
      */
     public record ServiceLevelObjective(
             String metric, String jobClass, double withinSeconds, double fraction, double factor) {}
 
     /**
-     * What the platform says of workers.
+     * Timings of the protocol with workers.
      *
      * @param heartbeatSeconds interval of heartbeats (file: {@code report_s})
      * @param leaseSeconds time since the sending of the last answered heartbeat after which a
@@ -90,10 +96,11 @@
     /**
      * Limits of the state service, for all controllers together.
      *
-     * @param requestsPerSecond requests of all kinds (file: {@code rps})
-     * @param writesPerSecond operations of transactions (file: {@code write_rps})
+     * @param requestsPerSecond maximum rate of requests of all kinds (file: {@code rps})
+     * @param writesPerSecond maximum rate of operations in transactions (file: {@code write_rps})
      * @param maxValueKb largest value, in KiB
-     * @param maxTransactionOperations operations of one transaction (file: {@code txn_ops})
+     * @param maxTransactionOperations maximum number of operations in one transaction (file: {@code
+     *     txn_ops})
      */
     public record StoreLimits(
             double requestsPerSecond,
@@ -104,30 +111,33 @@
     /**
      * Limits of the cloud.
      *
-     * @param requestsPerSecond requests of all controllers together
-     * @param listLagSeconds how far the machine list may lag behind
+     * @param requestsPerSecond maximum request rate of all controllers together
+     * @param listLagSeconds maximum lag of the machine list
      */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-    /** What this process may use: CPUs, memory in MB, open connections. */
+    /** Resource limits of this process: CPUs, memory in MB, open connections. */
     public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) {}
 
-    /** A settings file that can't be used: the message names file, field and what is allowed. */
+    /**
+     * Thrown if a settings file can't be used. The message names the file, the field and what is
+     * allowed.
+     */
     public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** A finding in a file that could be read. */
+        /** Creates the exception for an invalid file that could be read. */
         public InvalidSettingsException(String message) {
             super(message);
         }
 
-        /** A file that couldn't be read. */
+        /** Creates the exception for a file that couldn't be read. */
         public InvalidSettingsException(String message, Throwable cause) {
             super(message, cause);
         }
     }
 
-    /** Makes the collections unmodifiable. */
+    /** Wraps the collections so that they are unmodifiable. */
     public Settings {
         peerAddresses = Collections.unmodifiableMap(peerAddresses);
         teams = Collections.unmodifiableMap(teams);
@@ -135,7 +145,7 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
      * @throws InvalidSettingsException if it can't be read or used; the message names the file, the
      *     field and what is allowed
@@ -153,10 +163,10 @@
     }
 
     /**
-     * Reads and checks the settings of a parsed file.
+     * Reads and validates the settings of a parsed file.
      *
-     * @param fileName named in the error
-     * @throws InvalidSettingsException on the first field that is wrong
+     * @param fileName name of the file in error messages
+     * @throws InvalidSettingsException for the first invalid field
      */
     public static Settings read(JsonNode root, String fileName) throws InvalidSettingsException {
         TableReader rootTable = new TableReader(fileName, "", root);
@@ -202,7 +212,7 @@
                         (int) limitsTable.number("max_connections", 8, 500)));
     }
 
-    /** Addresses by member id. */
+    /** Returns the peers' addresses by member id. */
     private static Map<String, String> readPeerAddresses(TableReader rootTable)
             throws InvalidSettingsException {
         Map<String, String> peerAddresses = new LinkedHashMap<>();
@@ -212,7 +222,7 @@
         return peerAddresses;
     }
 
-    /** Teams by name. */
+    /** Returns the teams by name. */
     private static Map<String, Team> readTeams(TableReader settingsTable)
             throws InvalidSettingsException {
         Map<String, Team> teams = new LinkedHashMap<>();
@@ -229,7 +239,7 @@
         return teams;
     }
 
-    /** Objectives, in order. */
+    /** Returns the objectives in the file's order. */
     private static List<ServiceLevelObjective> readObjectives(TableReader settingsTable)
             throws InvalidSettingsException {
         List<ServiceLevelObjective> objectives = new ArrayList<>();
@@ -245,7 +255,7 @@
         return objectives;
     }
 
-    /** Reads one table of the file and names the place of whatever is wrong. */
+    /** Reads one table of the file. Exceptions name the path of the invalid field. */
     private record TableReader(String fileName, String path, JsonNode node) {
         InvalidSettingsException invalid(String field, String allowed) {
             return new InvalidSettingsException(fileName + ": " + path + field + ": " + allowed);
@@ -300,7 +310,7 @@
                     return address;
                 }
             } catch (NumberFormatException e) {
-                // falls through to the refusal below
+                // rejected below
             }
             throw invalid(
                     field, "an address like 10.0.0.1:8080 is required, not \"" + address + "\"");
--- a/src/main/java/io/quincelead/config/constants/PeerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/PeerConstants.java
@@ -1,10 +1,10 @@
 package io.quincelead.config.constants;
 
-/** Messages between controllers. The unit ends each name. */
+/** Constants of messages between controllers. Each name ends with the unit of its value. */
 public final class PeerConstants {
     /**
-     * How long a peer's status of its machines is valid; without one the leader leaves that shard
-     * alone.
+     * Time for which a peer's status of its machines is valid. The leader doesn't place work on a
+     * shard without a valid status.
      */
     public static final long STATUS_VALID_MILLIS = 3_000;
 
--- a/src/main/java/io/quincelead/config/constants/RecordConstants.java
+++ b/src/main/java/io/quincelead/config/constants/RecordConstants.java
@@ -1,11 +1,14 @@
 package io.quincelead.config.constants;
 
-/** Stored records. The unit ends each name. */
+/** Constants of stored records. Each name ends with the unit of its value. */
 public final class RecordConstants {
-    /** Tasks in one task state page; its record must fit a value of 8 KiB. */
+    /** Number of tasks in one task state page. The record of a page must fit a value of 8 KiB. */
     public static final int TASKS_PER_STATE_PAGE = 200;
 
-    /** Characters of a record of machines up to which their images are recorded with them. */
+    /**
+     * Length in characters up to which a record of machines also lists the large images that they
+     * have cached.
+     */
     public static final int MAX_MACHINE_RECORD_CHARS = 7_000;
 
     private RecordConstants() {}
--- a/src/main/java/io/quincelead/config/constants/StoreConstants.java
+++ b/src/main/java/io/quincelead/config/constants/StoreConstants.java
@@ -1,32 +1,40 @@
 package io.quincelead.config.constants;
 
-/** The store client, the watch cache and the group commit. The unit ends each name. */
+/**
+ * Constants of the store client, the watch cache and the group commit. Each name ends with the unit
+ * of its value.
+ */
 public final class StoreConstants {
     /** Protocol limit on the preconditions of a transaction for each of its operations. */
     public static final int MAX_PRECONDITIONS_PER_OPERATION = 4;
 
-    /** Items requested in one page of a store listing (protocol limit: 1,000). */
+    /** Number of items requested in one page of a store listing (protocol limit: 1,000). */
     public static final int MAX_ITEMS_PER_LIST_PAGE = 500;
 
     /** Timeout of a store request. */
     public static final long REQUEST_TIMEOUT_MILLIS = 1500;
 
-    /** How long the store keeps a watch request open when nothing changes. */
+    /** Time for which the store keeps a watch request open when nothing changes. */
     public static final long WATCH_LONG_POLL_MILLIS = 10_000;
 
-    /** Time after the long poll's end at which a watch without a response is considered lost. */
+    /**
+     * Time after the end of the long poll at which a watch without a response is considered lost.
+     */
     public static final long WATCH_TIMEOUT_SLACK_MILLIS = 3_000;
 
     /**
-     * Increase of the backpressure, which is between 0 and 1, for each interval in which writes
+     * Increase of the backpressure (0 to 1) for each interval in which this controller's writes
      * were delayed or throttled.
      */
     public static final double BACKPRESSURE_RISE_PER_INTERVAL_FRACTION = 0.25;
 
-    /** Decrease of the backpressure for each other interval. */
+    /**
+     * Decrease of the backpressure (0 to 1) for each interval in which none of this controller's
+     * writes was delayed or throttled.
+     */
     public static final double BACKPRESSURE_FALL_PER_INTERVAL_FRACTION = 0.1;
 
-    /** Delay before a failed request to the store is repeated. */
+    /** Delay before a failed request to the store is retried. */
     public static final long RETRY_DELAY_MILLIS = 200;
 
     /**
@@ -34,38 +42,49 @@
      */
     public static final double WATCH_REQUESTS_FRACTION = 0.36;
 
-    /** Minimum time between two watch requests. */
+    /** Minimum time between two watch requests of a controller. */
     public static final long MIN_WATCH_INTERVAL_MILLIS = 80;
 
     /**
-     * Delay of a commit that users wait for when the store's write limit is used up for the moment.
+     * Delay of a commit that users wait for while this controller's share of the store's write
+     * limit is used up.
      */
     public static final long THROTTLED_COMMIT_DELAY_MILLIS = 80;
 
     /** Interval at which a controller adjusts its share of the store's write limit. */
     public static final long WRITE_SHARE_INTERVAL_MILLIS = 1_000;
 
-    /** Factor by which a controller whose writes were delayed raises its share. */
+    /**
+     * Factor by which a controller whose writes were delayed raises its share of the store's write
+     * limit.
+     */
     public static final double WRITE_SHARE_GROWTH_FACTOR = 1.2;
 
-    /** Factor by which a controller whose writes were throttled lowers its share. */
+    /**
+     * Factor by which a controller whose writes were throttled lowers its share of the store's
+     * write limit.
+     */
     public static final double WRITE_SHARE_SHRINK_FACTOR = 0.7;
 
-    /** Fraction of an even share below which no controller's share falls. */
+    /**
+     * Smallest share of the store's write limit that a controller keeps, as a fraction of an even
+     * share.
+     */
     public static final double MIN_WRITE_SHARE_FRACTION = 0.8;
 
     /**
-     * Fraction of the store's write limit that one controller may take when the others need little.
+     * Fraction of the store's write limit that one controller may take while the others need
+     * little.
      */
     public static final double MAX_WRITE_SHARE_FRACTION = 0.7;
 
-    /** Submissions and cancellations that may wait to be committed. */
+    /** Maximum number of submissions and cancellations that wait to be committed. */
     public static final int MAX_PENDING_COMMITS = 150;
 
-    /** Fraction of its share of the store's limits that a controller plans with. */
+    /** Fraction of its share of the store's limits that a controller plans to use. */
     public static final double PLANNED_RATE_FRACTION = 0.95;
 
-    /** Seconds of its request rate that a controller may send at once. */
+    /** Size of a controller's largest burst of store requests, in seconds of its request rate. */
     public static final double REQUEST_BURST_SECONDS = 0.9;
 
     private StoreConstants() {}
--- a/src/main/java/io/quincelead/config/constants/TransportConstants.java
+++ b/src/main/java/io/quincelead/config/constants/TransportConstants.java
@@ -1,6 +1,9 @@
 package io.quincelead.config.constants;
 
-/** Connections, HTTP requests and calls inside the cluster. The unit ends each name. */
+/**
+ * Constants of connections, HTTP requests and calls inside the cluster. Each name ends with the
+ * unit of its value.
+ */
 public final class TransportConstants {
     /** Protocol limit, in bytes, of a request body and of a response to workers and users. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
@@ -8,44 +11,46 @@
     /** Largest response, in bytes, accepted from another service. */
     public static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-    /** Timeout of a direct call to a worker or a peer. */
+    /** Timeout of a direct call to a worker or to another controller. */
     public static final long CLUSTER_CALL_TIMEOUT_MILLIS = 1_500;
 
-    /** Idle or half-open inbound connections are closed after this time. */
+    /** Time after which inbound connections that are idle or half open are closed. */
     public static final int SERVER_IDLE_TIMEOUT_MILLIS = 75_000;
 
-    /** Time within which a request must have arrived completely. */
+    /** Time within which an inbound request must have arrived completely. */
     public static final int REQUEST_PARSE_TIMEOUT_MILLIS = 10_000;
 
-    /** Outbound connections idle for this time are closed before the other side may do so. */
+    /**
+     * Idle time after which outbound connections are closed, before the other side may close them.
+     */
     public static final long CLIENT_IDLE_TIMEOUT_MILLIS = 60_000;
 
-    /** Outbound connections to one address. */
+    /** Maximum number of outbound connections to one address. */
     public static final int MAX_CONNECTIONS_PER_ADDRESS = 6;
 
-    /** Inbound connections that other controllers may open. */
+    /** Maximum number of inbound connections from other controllers. */
     public static final int MAX_PEER_CONNECTIONS = 32;
 
     /**
-     * A connection attempt that has taken longer counts only as an open socket: another one may be
-     * made.
+     * Time after which a connection attempt counts only as an open socket, so that another attempt
+     * may be made.
      */
     public static final long RECENT_CONNECT_ATTEMPT_MILLIS = 1_500;
 
-    /** Calls that may wait for a connection to one address. */
+    /** Maximum number of calls that wait for a connection to one address. */
     public static final int MAX_WAITING_CALLS_PER_ADDRESS = 200;
 
     /**
-     * Connections of the limit that are left to probes, files and whatever else a process opens.
+     * Connections of the process limit that are reserved for probes, files and other descriptors.
      */
     public static final int RESERVED_CONNECTIONS = 24;
 
-    /** Fraction of the connection limit for direct calls to workers. */
+    /** Fraction of the connection limit that is used for direct calls to workers. */
     public static final double WORKER_CALLS_CONNECTION_FRACTION = 0.1;
 
     /**
-     * Fraction of the connections that users and workers may have before workers' are closed after
-     * each response.
+     * Fraction of the inbound connections of users and workers above which workers' connections are
+     * closed after each response.
      */
     public static final double NEAR_LIMIT_CONNECTION_FRACTION = 0.75;
 
--- a/src/main/java/io/quincelead/config/constants/package-info.java
+++ b/src/main/java/io/quincelead/config/constants/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Every fixed number of the service, one class for each concern, each with its unit in its name.
+ * All numeric constants of the service, one class for each concern. Each name ends with the unit of
+ * its value.
  *
- * <p>Owned state: none. Numbers that an operator may want to change belong in {@link
+ * <p>The package holds no state. Numbers that an operator may want to change belong in {@link
  * io.quincelead.config.OperatorSettings}, numbers that the platform provides in {@link
  * io.quincelead.config.Settings}. These classes must not contain logic.
  */
