--- a/src/main/java/io/quincelead/transport/BodyReader.java
+++ b/src/main/java/io/quincelead/transport/BodyReader.java
@@ -8,7 +8,10 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads a body as it comes, on the loop. Undertow's own receiver copies it byte by byte. */
+/**
+ * Reads a body on the event loop as it arrives. It replaces Undertow's receiver, which copies a
+ * body byte by byte.
+ */
 final class BodyReader implements ChannelListener<StreamSourceChannel> {
     private final ByteBuffer buffer;
     private final int maxBytes;
@@ -17,12 +20,13 @@
     private final ByteArrayOutputStream body;
 
     /**
-     * @param buffer takes what one reading brings until it is copied, in the same task of the event
-     *     loop: one serves all bodies
-     * @param expectedBytes length stated by the sender, a hint; negative: none
-     * @param maxBytes a larger body fails
-     * @param onComplete gets the whole body
-     * @param onFailure gets why the body can't be read
+     * @param buffer holds the bytes of one read until they are copied in the same task of the event
+     *     loop, so that all bodies can share one buffer
+     * @param expectedBytes length that the sender has announced, used as a hint; negative if
+     *     unknown
+     * @param maxBytes maximum length; a larger body is a failure
+     * @param onComplete receives the complete body
+     * @param onFailure receives the reason if the body can't be read
      */
     BodyReader(
             ByteBuffer buffer,
--- a/src/main/java/io/quincelead/transport/HttpClient.java
+++ b/src/main/java/io/quincelead/transport/HttpClient.java
@@ -33,8 +33,8 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * HTTP calls on Undertow's client: kept connections, a bounded number a target, one call at a time
- * on each.
+ * Makes HTTP calls with Undertow's client. Connections are kept open, their number is bounded for
+ * each target, and each carries one call at a time.
  */
 public final class HttpClient implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
@@ -45,26 +45,27 @@
     private final Set<String> criticalAddresses;
     private final int maxSharedConnections;
 
-    /** Connections to all targets that aren't critical, attempts among them. */
+    /** Number of connections to all targets that aren't critical, including attempts. */
     private int sharedConnections;
 
     /**
-     * Kept connections of all targets, the longest unused first; those in use again are skipped.
+     * Idle connections to all targets that aren't critical, the longest unused first. Those marked
+     * as removed are skipped.
      */
     private final ArrayDeque<IdleConnection> idleByAge = new ArrayDeque<>();
 
-    /** Targets whose calls wait because all connections are in use. */
+    /** Addresses of targets whose calls wait because all shared connections are in use. */
     private final LinkedHashSet<String> stalledAddresses = new LinkedHashSet<>();
 
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     /**
-     * A client without connections.
+     * Creates a client without connections.
      *
-     * @param thread the event loop's
-     * @param criticalAddresses addresses that the service can't do without; each has connections of
-     *     its own
-     * @param maxSharedConnections connections to all other addresses together
+     * @param thread the event loop's thread
+     * @param criticalAddresses addresses of services that are essential to this one; each has
+     *     connections of its own
+     * @param maxSharedConnections maximum number of connections to all other addresses together
      */
     public HttpClient(
             EventLoop loop,
@@ -78,7 +79,7 @@
         loop.runEvery(TransportConstants.CLIENT_IDLE_TIMEOUT_MILLIS, this::closeExpiredConnections);
     }
 
-    /** States of a call; {@link Call#transitionTo} is the one function that changes them. */
+    /** States of a call; only {@link Call#transitionTo} changes them. */
     private enum CallState {
         WAITING,
         SENT,
@@ -86,27 +87,27 @@
     }
 
     /**
-     * An address that is called. Connections are made for the target, not for a call: one that is
-     * established late serves whatever waits then.
+     * An address that is called. Connections are made for the target, not for a single call: a
+     * connection that is established late serves whichever call waits then.
      */
     private static final class Target {
         final String address;
 
         /**
-         * Whether it is one that the service can't do without: others never take its connections
-         * away.
+         * Whether the target is essential to this service: its connections are never closed in
+         * favour of other targets.
          */
         final boolean critical;
 
         final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
         final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
 
-        /** Connections that are established. */
+        /** Number of established connections. */
         int openConnections;
 
         /**
-         * When the attempts began that have neither succeeded nor failed; to a silent machine that
-         * takes minutes.
+         * Start times of the connection attempts that have neither succeeded nor failed. An attempt
+         * to reach an unresponsive machine takes minutes to fail.
          */
         final ArrayDeque<Long> connectAttemptsSinceMillis = new ArrayDeque<>();
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /** A kept connection. */
+    /** An idle connection that is kept open. */
     private static final class IdleConnection {
         final Target target;
         final ClientConnection connection;
@@ -197,7 +198,7 @@
         }
     }
 
-    /** Connections to all targets that aren't critical, attempts among them. */
+    /** Number of connections to all targets that aren't critical, including attempts. */
     int sharedConnectionCount() {
         return sharedConnections;
     }
@@ -208,8 +209,8 @@
     }
 
     /**
-     * Makes one more shared connection possible, closing the longest unused one, whatever its
-     * target; says whether it is.
+     * Makes room for one more shared connection by closing the longest unused ones, whatever their
+     * targets. Returns whether there is room.
      */
     private boolean ensureSharedCapacity() {
         while (sharedConnections >= maxSharedConnections) {
@@ -227,7 +228,7 @@
         return true;
     }
 
-    /** Tries again for targets that had to wait until a shared connection is free. */
+    /** Dispatches the calls of targets that had to wait for a shared connection. */
     private void dispatchStalledCalls() {
         if (!stalledAddresses.isEmpty()) {
             List<String> addresses = new ArrayList<>(stalledAddresses);
@@ -251,7 +252,10 @@
             long timeoutMillis,
             ResponseHandler responseHandler) {
         Target target =
-                targets.computeIfAbsent(address, a -> new Target(a, criticalAddresses.contains(a)));
+                targets.computeIfAbsent(
+                        address,
+                        newAddress ->
+                                new Target(newAddress, criticalAddresses.contains(newAddress)));
         Call call = new Call(address, method, path, format, body, responseHandler);
         if (target.waitingCalls.size() >= TransportConstants.MAX_WAITING_CALLS_PER_ADDRESS) {
             loop.runAfter(0, () -> responseHandler.onResponse(NO_RESPONSE, null));
@@ -267,8 +271,8 @@
     }
 
     /**
-     * Whether one more attempt should be made: each waiting call has one of its own, but of a
-     * silent target few are tried at one time.
+     * Whether one more connection attempt should be made. Each waiting call has an attempt of its
+     * own, but few are made at the same time to a target that doesn't respond.
      */
     private boolean shouldConnect(Target target) {
         long nowMillis = loop.nowMillis();
@@ -289,7 +293,7 @@
                 && target.openConnections + recentAttempts < maxConnections;
     }
 
-    /** Sends waiting calls on idle connections, and makes connections for the others. */
+    /** Sends waiting calls on idle connections, and opens connections for the others. */
     private void dispatchCalls(Target target) {
         while (!target.waitingCalls.isEmpty()) {
             IdleConnection idle = target.idleConnections.pollLast();
@@ -332,9 +336,9 @@
                             public void failed(IOException e) {
                                 target.connectAttemptsSinceMillis.remove(startedAtMillis);
                                 sharedConnections -= target.critical ? 0 : 1;
-                                Call first = target.waitingCalls.peekFirst();
-                                if (first != null) {
-                                    first.complete(NO_RESPONSE, null, false);
+                                Call firstWaiting = target.waitingCalls.peekFirst();
+                                if (firstWaiting != null) {
+                                    firstWaiting.complete(NO_RESPONSE, null, false);
                                 } else {
                                     dispatchStalledCalls();
                                 }
@@ -388,21 +392,21 @@
         ChannelListener<StreamSinkChannel> writer =
                 new ChannelListener<>() {
                     @Override
-                    public void handleEvent(StreamSinkChannel ch) {
+                    public void handleEvent(StreamSinkChannel sink) {
                         try {
                             while (remaining.hasRemaining()) {
-                                if (ch.write(remaining) == 0) {
-                                    ch.getWriteSetter().set(this);
-                                    ch.resumeWrites();
+                                if (sink.write(remaining) == 0) {
+                                    sink.getWriteSetter().set(this);
+                                    sink.resumeWrites();
                                     return;
                                 }
                             }
-                            ch.shutdownWrites();
-                            if (!ch.flush()) {
-                                ch.getWriteSetter().set(this);
-                                ch.resumeWrites();
+                            sink.shutdownWrites();
+                            if (!sink.flush()) {
+                                sink.getWriteSetter().set(this);
+                                sink.resumeWrites();
                             } else {
-                                ch.suspendWrites();
+                                sink.suspendWrites();
                             }
                         } catch (IOException e) {
                             LOG.debug(
@@ -420,7 +424,7 @@
 
     private void readResponse(Call call, ClientExchange exchange) {
         int status = exchange.getResponse().getResponseCode();
-        boolean closing =
+        boolean closesConnection =
                 "close"
                         .equalsIgnoreCase(
                                 exchange.getResponse()
@@ -433,7 +437,7 @@
                                         .getResponseHeaders()
                                         .getFirst(Headers.CONTENT_LENGTH)),
                         TransportConstants.MAX_RESPONSE_BYTES,
-                        body -> call.complete(status, body, !closing),
+                        body -> call.complete(status, body, !closesConnection),
                         failure -> {
                             LOG.debug(
                                     "{} {}{}: {}",
--- a/src/main/java/io/quincelead/transport/HttpServer.java
+++ b/src/main/java/io/quincelead/transport/HttpServer.java
@@ -17,24 +17,25 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP server of one address, on Undertow. Handlers run on the I/O thread, which is the loop.
+ * The HTTP server of one address, implemented with Undertow. Handlers run on the I/O thread, which
+ * is the event loop's.
  */
 public final class HttpServer {
     private static final AttachmentKey<Boolean> TRACKED = AttachmentKey.create(Boolean.class);
     private final Undertow undertow;
 
-    /** Connections on which a request has come and that are open. */
+    /** Number of open connections on which a request has arrived. */
     private int openConnections;
 
     private final int nearLimitThreshold;
     private final ByteBuffer readBuffer = ByteBuffer.allocate(8 * 1024);
 
     /**
-     * Prepares the server; {@link #start} opens its socket.
+     * Configures the server; {@link #start} opens its socket.
      *
      * @param worker with one I/O thread, on which the handler runs
      * @param address host and port to listen on
-     * @param maxConnections further ones wait in the backlog
+     * @param maxConnections maximum number of connections; further ones wait in the backlog
      */
     public HttpServer(
             XnioWorker worker,
@@ -105,7 +106,7 @@
                         TransportConstants.MAX_BODY_BYTES,
                         bytes -> handler.handle(new UndertowRequest(exchange, bytes)),
                         failure -> {
-                            // Larger than allowed, or its sender is gone.
+                            // The body is too large, or its sender has disconnected.
                             exchange.setPersistent(false);
                             handler.handle(new UndertowRequest(exchange, null));
                         });
--- a/src/main/java/io/quincelead/transport/IncomingRequest.java
+++ b/src/main/java/io/quincelead/transport/IncomingRequest.java
@@ -4,15 +4,15 @@
 import io.quincelead.config.constants.ApiConstants;
 import java.util.Map;
 
-/** A request that came in, to be answered once, now or later, on the event loop. */
+/** An inbound request. It is answered once, immediately or later, on the event loop. */
 public abstract class IncomingRequest {
-    /** The HTTP method, in capitals. */
+    /** The HTTP method, in upper case. */
     public final String method;
 
     /** The path, without the query. */
     public final String path;
 
-    /** The first value of each query parameter, not to be changed; empty without a query. */
+    /** The first value of each query parameter, unmodifiable; empty without a query. */
     public final Map<String, String> queryParameters;
 
     /** The body; null if it was larger than allowed or could not be read. */
@@ -31,30 +31,33 @@
     /**
      * Sends the response; called once.
      *
-     * @param body may be empty
-     * @param retryAfterSeconds for the header Retry-After; 0: without it
+     * @param body the encoded body; may be empty
+     * @param retryAfterSeconds value of the header Retry-After; 0 for no header
      */
     protected abstract void sendResponse(
             int status, WireFormat format, byte[] body, int retryAfterSeconds);
 
-    /** Whether a response was sent. */
+    /** Whether a response has been sent. */
     public final boolean isResponded() {
         return responded;
     }
 
-    /** Whether the server is so near its connection limit that none should be kept for later. */
+    /**
+     * Whether the server is so near its connection limit that connections should not be kept open.
+     */
     public boolean isNearConnectionLimit() {
         return false;
     }
 
-    /** Has the connection closed after the response. */
+    /** Makes the server close the connection after the response. */
     public void closeConnectionAfterResponse() {}
 
     /**
-     * Sends the response; a second one is ignored, so a timeout and a late result can't collide.
+     * Sends the response. Any further response is ignored, so that a timeout and a late result
+     * don't conflict.
      *
-     * @param body null: an empty one
-     * @param retryAfterSeconds for the header Retry-After; 0: without it
+     * @param body the body; null for an empty one
+     * @param retryAfterSeconds value of the header Retry-After; 0 for no header
      */
     public final void respond(
             int status, WireFormat format, ObjectNode body, int retryAfterSeconds) {
@@ -68,17 +71,17 @@
         }
     }
 
-    /** Sends a response in CBOR; a null body: an empty one. */
+    /** Sends a response in CBOR. A null body is sent as an empty one. */
     public final void respond(int status, ObjectNode body) {
         respond(status, WireFormat.CBOR, body, 0);
     }
 
-    /** Sends an error in CBOR, with its reason for people. */
+    /** Sends an error in CBOR with a human-readable reason. */
     public final void respondError(int status, String reason) {
         respond(status, WireFormat.CBOR, WireFormat.newMap().put("error", reason), 0);
     }
 
-    /** Sends an error that passes, with the time after which to try again. */
+    /** Sends a transient error in CBOR with the time after which to retry. */
     public final void respondRetryLater(int status, String reason) {
         respond(
                 status,
@@ -87,10 +90,10 @@
                 ApiConstants.RETRY_AFTER_SECONDS);
     }
 
-    /** What serves requests. */
+    /** Handles inbound requests. */
     @FunctionalInterface
     public interface Handler {
-        /** Answers the request, now or later. */
+        /** Answers the request, immediately or later. */
         void handle(IncomingRequest request);
     }
 }
--- a/src/main/java/io/quincelead/transport/RateLimiter.java
+++ b/src/main/java/io/quincelead/transport/RateLimiter.java
@@ -2,7 +2,7 @@
 
 import io.quincelead.eventloop.EventLoop;
 
-/** A token bucket: bounds the rate of calls to a service below what it allows. */
+/** A token bucket that keeps the rate of calls to a service below the service's limit. */
 public final class RateLimiter {
     private final EventLoop loop;
     private double ratePerSecond;
@@ -13,10 +13,11 @@
     private long refilledAtMillis;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param ratePerSecond tokens that come back in a second
-     * @param burstSeconds how many seconds' tokens it holds; at least one token
+     * @param ratePerSecond number of tokens that are added per second
+     * @param burstSeconds capacity of the bucket, in seconds of the rate; it holds at least one
+     *     token
      */
     public RateLimiter(EventLoop loop, double ratePerSecond, double burstSeconds) {
         this.loop = loop;
@@ -28,14 +29,14 @@
         this.refilledAtMillis = loop.nowMillis();
     }
 
-    /** Sets the bounds of {@link #scaleRate}; returns this. */
+    /** Sets the bounds of the rate for {@link #scaleRate} and returns this limiter. */
     public RateLimiter withRateBounds(double minPerSecond, double maxPerSecond) {
         minRatePerSecond = minPerSecond;
         maxRatePerSecond = Math.max(minPerSecond, maxPerSecond);
         return this;
     }
 
-    /** Changes the rate by this factor, within its bounds. */
+    /** Multiplies the rate by a factor, within the bounds of the rate. */
     public void scaleRate(double factor) {
         refill();
         ratePerSecond =
@@ -50,7 +51,9 @@
         refilledAtMillis = nowMillis;
     }
 
-    /** Takes tokens if there are enough, or the bucket is full; says whether it did. */
+    /**
+     * Takes tokens if enough are available or the bucket is full. Returns whether they were taken.
+     */
     public boolean tryTake(double amount) {
         refill();
         if (tokens < Math.min(amount, capacity)) {
@@ -60,26 +63,31 @@
         return true;
     }
 
-    /** Takes tokens for a call that can't wait, even into debt. */
+    /** Takes tokens for a call that can't wait, even if the balance becomes negative. */
     public void takeUnconditionally(double amount) {
         refill();
         tokens -= amount;
     }
 
-    /** Tokens that can be taken now; below zero while in debt. */
+    /**
+     * Returns the number of tokens that are available now; negative while the bucket is overdrawn.
+     */
     public double availableTokens() {
         refill();
         return tokens;
     }
 
-    /** Milliseconds until {@link #tryTake} succeeds, if nothing is taken before; 0: now. */
+    /**
+     * Returns the milliseconds until {@link #tryTake} succeeds if no tokens are taken before; 0 if
+     * it succeeds now.
+     */
     public long millisUntilAvailable(double amount) {
         refill();
         double missing = Math.min(amount, capacity) - tokens;
         return missing <= 0 ? 0 : (long) Math.ceil(missing / ratePerSecond * 1000);
     }
 
-    /** Empties the bucket: the service says that its limit is passed. */
+    /** Empties the bucket after the service has reported that its limit is exceeded. */
     public void drain() {
         tokens = Math.min(tokens, 0);
     }
--- a/src/main/java/io/quincelead/transport/Transport.java
+++ b/src/main/java/io/quincelead/transport/Transport.java
@@ -1,21 +1,21 @@
 package io.quincelead.transport;
 
-/** Calls to other hosts. The response arrives on the event loop. */
+/** Makes calls to other hosts. Responses are delivered on the event loop. */
 public interface Transport {
     /**
-     * Status of a call that may or may not have been executed: no response, or one that can't be
-     * read.
+     * Status of a call that may or may not have been executed: there was no response, or one that
+     * can't be read.
      */
     int NO_RESPONSE = 0;
 
-    /** Takes one call's response. */
+    /** Receives the response to one call. */
     @FunctionalInterface
     interface ResponseHandler {
         /**
-         * Called once.
+         * Called once per call.
          *
          * @param status HTTP status, or {@link Transport#NO_RESPONSE}
-         * @param body null without a response
+         * @param body the body; null without a response
          */
         void onResponse(int status, byte[] body);
     }
@@ -24,10 +24,10 @@
      * Makes a call.
      *
      * @param address host and port
-     * @param path with its query, if any
-     * @param format of the body, for the header Content-Type
-     * @param body null: none
-     * @param timeoutMillis from now; waiting for a connection counts
+     * @param path the path, with the query if there is one
+     * @param format format of the body, for the header Content-Type
+     * @param body the encoded body; null for none
+     * @param timeoutMillis timeout of the call, including the wait for a connection
      */
     void call(
             String address,
--- a/src/main/java/io/quincelead/transport/WireFormat.java
+++ b/src/main/java/io/quincelead/transport/WireFormat.java
@@ -27,24 +27,24 @@
         this.contentType = contentType;
     }
 
-    /** Value of the header Content-Type. */
+    /** Returns the value of the header Content-Type. */
     public String contentType() {
         return contentType;
     }
 
-    /** The bytes of a value. */
+    /** Encodes a value. */
     public byte[] encode(JsonNode node) {
         try {
             return mapper.writeValueAsBytes(node);
         } catch (IOException e) {
-            // Nothing is written to but memory, so it is the node that can't be encoded.
+            // Only memory is written to, so the node itself can't be encoded.
             throw new UncheckedIOException(e);
         }
     }
 
     /**
-     * The map in a body; null if the body is null or anything else: malformed input is never an
-     * exception.
+     * Decodes a body that is a map. Returns null if the body is null or anything else, so that
+     * malformed input never causes an exception.
      */
     public ObjectNode decodeMap(byte[] body) {
         if (body == null || body.length == 0) {
@@ -54,26 +54,26 @@
             JsonNode root = mapper.readTree(parser);
             return root instanceof ObjectNode object && parser.nextToken() == null ? object : null;
         } catch (IOException | RuntimeException e) {
-            // The parsers throw either on input of the right damage.
+            // Depending on how the input is malformed, the parsers throw either.
             return null;
         }
     }
 
     /**
-     * Reads a body piece by piece; the caller closes the parser.
+     * Creates a parser that reads a body incrementally. The caller closes it.
      *
-     * @throws IOException if the body doesn't begin as the format does
+     * @throws IOException if the beginning of the body isn't valid in this format
      */
     public JsonParser createParser(byte[] body) throws IOException {
         return mapper.createParser(body);
     }
 
-    /** A new map without fields. */
+    /** Creates an empty map. */
     public static ObjectNode newMap() {
         return NODES.objectNode();
     }
 
-    /** A new list without elements. */
+    /** Creates an empty list. */
     public static ArrayNode newList() {
         return NODES.arrayNode();
     }
--- a/src/main/java/io/quincelead/transport/XnioEventLoop.java
+++ b/src/main/java/io/quincelead/transport/XnioEventLoop.java
@@ -7,13 +7,14 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The event loop of a real process: the single I/O thread of XNIO, so no message changes threads.
+ * The event loop of a real process. It is XNIO's single I/O thread, so that messages aren't passed
+ * between threads.
  */
 public final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private final XnioIoThread thread;
 
-    /** The loop that runs on this thread. */
+    /** Creates the loop that runs on this thread. */
     public XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
@@ -35,7 +36,7 @@
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        // XNIO would swallow it; the other tasks go on.
+                        // XNIO would discard the exception. The other tasks still run.
                         LOG.error("a task of the event loop failed", e);
                     }
                 };
--- a/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
+++ b/src/test/java/io/quincelead/transport/ConnectionLimitsTest.java
@@ -26,8 +26,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Connections are short: a controller left alone once spent all of them on workers, and users and
- * the platform's probe found none.
+ * The number of connections is limited. The only controller left running once used all of them for
+ * workers, so that users and the platform's probe could not connect.
  */
 class ConnectionLimitsTest {
     private XnioWorker worker;
@@ -50,20 +50,20 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket()) {
-            s.bind(new InetSocketAddress("127.0.0.1", 0));
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket()) {
+            socket.bind(new InetSocketAddress("127.0.0.1", 0));
+            return socket.getLocalPort();
         }
     }
 
-    /** Sends one request and reads the head of the answer. */
-    private static String ask(Socket s, String path) throws IOException {
-        s.getOutputStream()
+    /** Sends a GET request and returns the head of the response. */
+    private static String sendGet(Socket socket, String path) throws IOException {
+        socket.getOutputStream()
                 .write(
                         ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
         StringBuilder head = new StringBuilder();
-        InputStream in = s.getInputStream();
+        InputStream in = socket.getInputStream();
         for (int c = in.read(); c >= 0 && head.indexOf("\r\n\r\n") < 0; c = in.read()) {
             head.append((char) c);
         }
@@ -85,50 +85,50 @@
                             request.respond(200, WireFormat.newMap());
                         })
                 .start();
-        List<Socket> open = new ArrayList<>();
-        int closed = 0;
+        List<Socket> keptSockets = new ArrayList<>();
+        int closedCount = 0;
         for (int i = 0; i < 120; i++) {
-            Socket s = new Socket();
-            s.connect(new InetSocketAddress("127.0.0.1", port), 2_000);
-            s.setSoTimeout(2_000);
-            String head = ask(s, "/v1/report");
+            Socket socket = new Socket();
+            socket.connect(new InetSocketAddress("127.0.0.1", port), 2_000);
+            socket.setSoTimeout(2_000);
+            String head = sendGet(socket, "/v1/report");
             assertTrue(head.startsWith("HTTP/1.1 200"), head);
             if (head.toLowerCase().contains("connection: close")) {
-                closed++;
-                s.close();
+                closedCount++;
+                socket.close();
             } else {
-                open.add(s);
+                keptSockets.add(socket);
             }
         }
-        assertEquals(120, closed + open.size());
-        assertTrue(open.size() <= 31, "kept: " + open.size());
+        assertEquals(120, closedCount + keptSockets.size());
+        assertTrue(keptSockets.size() <= 31, "kept: " + keptSockets.size());
         try (Socket user = new Socket()) {
             user.connect(new InetSocketAddress("127.0.0.1", port), 2_000);
             user.setSoTimeout(2_000);
-            String head = ask(user, "/ready");
+            String head = sendGet(user, "/ready");
             assertTrue(
                     head.startsWith("HTTP/1.1 200")
                             && !head.toLowerCase().contains("connection: close"),
                     head);
         }
-        for (Socket s : open) {
-            s.close();
+        for (Socket socket : keptSockets) {
+            socket.close();
         }
     }
 
-    /** Starts servers of which every third never responds; gives their ports. */
+    /** Starts servers, every third of which never responds, and returns their ports. */
     private List<Integer> startServers(int count) throws IOException {
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int port = freePort();
             ports.add(port);
-            boolean silent = i % 3 == 0;
+            boolean neverResponds = i % 3 == 0;
             new HttpServer(
                             worker,
                             "127.0.0.1:" + port,
                             40,
                             request -> {
-                                if (!silent) {
+                                if (!neverResponds) {
                                     request.respond(200, WireFormat.newMap());
                                 }
                             })
@@ -150,31 +150,35 @@
             }
 
             @Override
-            public void runAfter(long ms, Runnable task) {
-                worker.getIoThread().executeAfter(task, Math.max(ms, 1), TimeUnit.MILLISECONDS);
+            public void runAfter(long delayMillis, Runnable task) {
+                worker.getIoThread()
+                        .executeAfter(task, Math.max(delayMillis, 1), TimeUnit.MILLISECONDS);
             }
         };
     }
 
     /**
-     * Calls to many workers, some of which never answer, share few connections; the store is
-     * reached all the same.
+     * Calls to many workers, some of which never respond, share a bounded number of connections,
+     * and the store can still be called.
      */
     @Test
     void callsToWorkersShareBoundedConnections() throws Exception {
-        Set<String> seen = new HashSet<>();
-        AtomicInteger most = new AtomicInteger();
+        Set<String> storeResponses = new HashSet<>();
+        AtomicInteger peakConnections = new AtomicInteger();
         List<Integer> ports = startServers(12);
-        String store = "127.0.0.1:" + ports.get(1);
-        CountDownLatch answered = new CountDownLatch(48);
-        AtomicInteger good = new AtomicInteger();
-        CountDownLatch stored = new CountDownLatch(1);
+        String storeAddress = "127.0.0.1:" + ports.get(1);
+        CountDownLatch pendingWorkerCalls = new CountDownLatch(48);
+        AtomicInteger successCount = new AtomicInteger();
+        CountDownLatch storeResponded = new CountDownLatch(1);
         worker.getIoThread()
                 .execute(
                         () -> {
                             HttpClient client =
                                     new HttpClient(
-                                            eventLoop(), worker.getIoThread(), Set.of(store), 5);
+                                            eventLoop(),
+                                            worker.getIoThread(),
+                                            Set.of(storeAddress),
+                                            5);
                             for (int round = 0; round < 4; round++) {
                                 for (int port : ports) {
                                     client.call(
@@ -185,29 +189,29 @@
                                             null,
                                             3_000,
                                             (status, body) -> {
-                                                good.addAndGet(status == 200 ? 1 : 0);
-                                                most.accumulateAndGet(
+                                                successCount.addAndGet(status == 200 ? 1 : 0);
+                                                peakConnections.accumulateAndGet(
                                                         client.sharedConnectionCount(), Math::max);
-                                                answered.countDown();
+                                                pendingWorkerCalls.countDown();
                                             });
                                 }
                             }
                             client.call(
-                                    store,
+                                    storeAddress,
                                     "GET",
                                     "/x",
                                     WireFormat.CBOR,
                                     null,
                                     1_000,
                                     (status, body) -> {
-                                        seen.add("store " + status);
-                                        stored.countDown();
+                                        storeResponses.add("store " + status);
+                                        storeResponded.countDown();
                                     });
                         });
-        assertTrue(stored.await(2, TimeUnit.SECONDS));
-        assertEquals(Set.of("store 200"), seen);
-        assertTrue(answered.await(20, TimeUnit.SECONDS));
-        assertTrue(most.get() <= 5, "connections: " + most.get());
-        assertTrue(good.get() >= 20, "answered: " + good.get());
+        assertTrue(storeResponded.await(2, TimeUnit.SECONDS));
+        assertEquals(Set.of("store 200"), storeResponses);
+        assertTrue(pendingWorkerCalls.await(20, TimeUnit.SECONDS));
+        assertTrue(peakConnections.get() <= 5, "connections: " + peakConnections.get());
+        assertTrue(successCount.get() >= 20, "answered: " + successCount.get());
     }
 }
