--- a/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
+++ b/src/main/java/io/quincelead/app/ClassDataArchiveTraining.java
@@ -19,8 +19,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Starts a controller on loopback against a store that only refuses, and sends it a few requests,
- * so that the classes of a real start are loaded and the build can archive them.
+ * Starts a controller on loopback against a stub of the store and sends it a few requests, so that
+ * the classes of a real start are loaded and the build can archive them.
  */
 final class ClassDataArchiveTraining {
     private static final String SETTINGS =
@@ -60,8 +60,8 @@
             """;
 
     private static final int CALL_TIMEOUT_MILLIS = 2_000;
-    private static final long START_MILLIS = 1_500;
-    private static final long SETTLE_MILLIS = 500;
+    private static final long STARTUP_WAIT_MILLIS = 1_500;
+    private static final long SETTLE_WAIT_MILLIS = 500;
 
     private final HttpClient client;
     private final CountDownLatch responses = new CountDownLatch(4);
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Starts the controller, calls it and returns; the caller ends the process.
+     * Starts the controller, calls it and returns. The caller exits the process.
      *
-     * @throws IOException if no ports are free or no I/O thread can be made
-     * @throws InterruptedException if the thread is interrupted while it waits
+     * @throws IOException if no port is free or no I/O thread can be created
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     static void run() throws IOException, InterruptedException, Settings.InvalidSettingsException {
         int userPort = Main.freePort();
@@ -93,11 +93,11 @@
                 .start();
         Main.start(settings, OperatorSettings.DEFAULTS);
         HttpClient client = new HttpClient(new XnioEventLoop(thread), thread, Set.of(), 8);
-        Thread.sleep(START_MILLIS);
+        Thread.sleep(STARTUP_WAIT_MILLIS);
         ClassDataArchiveTraining training = new ClassDataArchiveTraining(client);
         thread.execute(() -> training.callController(userPort, peerPort));
         training.responses.await(5, TimeUnit.SECONDS);
-        Thread.sleep(SETTLE_MILLIS);
+        Thread.sleep(SETTLE_WAIT_MILLIS);
     }
 
     private void callController(int userPort, int peerPort) {
@@ -121,7 +121,10 @@
                 (status, response) -> responses.countDown());
     }
 
-    /** A store with nothing in it that grants leases, so the start goes as far as a real one. */
+    /**
+     * Responds as an empty store that grants leases, so that the start proceeds as far as a real
+     * one.
+     */
     private static void respondAsStore(IncomingRequest request) {
         if (request.path.equals("/holds") || request.path.endsWith("/touch")) {
             request.respond(200, WireFormat.newMap().put("grant", 1));
--- a/src/main/java/io/quincelead/app/ClusterState.java
+++ b/src/main/java/io/quincelead/app/ClusterState.java
@@ -22,7 +22,8 @@
 
 /**
  * One controller's access to the store and its copy of the cluster's state: the watch cache and the
- * tables that follow it. The tables listen to the cache in the order in which they are made here.
+ * tables that follow it. The watch cache notifies the tables in the order in which they are created
+ * here.
  */
 final class ClusterState {
     private final StoreAccess store;
@@ -88,7 +89,7 @@
         return records;
     }
 
-    /** The records and what is derived from them. */
+    /** Returns the records and the tables that are derived from them. */
     ClusterView view() {
         return view;
     }
--- a/src/main/java/io/quincelead/app/ConnectionLimits.java
+++ b/src/main/java/io/quincelead/app/ConnectionLimits.java
@@ -7,12 +7,13 @@
 import java.util.Set;
 
 /**
- * How a process shares out the connections it may have.
+ * How a process divides the connections that it may open.
  *
- * @param criticalAddresses the other controllers, the store and the cloud, whose connections nobody
- *     else takes
- * @param maxSharedConnections connections of calls to all other addresses, the workers
- * @param maxServerConnections connections of users and workers
+ * @param criticalAddresses addresses of the other controllers, the store and the cloud, which have
+ *     connections of their own
+ * @param maxSharedConnections maximum number of connections for calls to all other addresses, which
+ *     are workers'
+ * @param maxServerConnections maximum number of inbound connections from users and workers
  */
 record ConnectionLimits(
         Set<String> criticalAddresses, int maxSharedConnections, int maxServerConnections) {
@@ -20,15 +21,18 @@
         int maxConnections = settings.processLimits().maxConnections();
         Set<String> criticalAddresses = new HashSet<>(settings.peerAddresses().values());
         criticalAddresses.addAll(List.of(settings.storeAddress(), settings.cloudAddress()));
-        double workerCalls = maxConnections * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION;
-        int maxSharedConnections = Math.max(1, (int) workerCalls);
-        int left =
+        double workerCallConnections =
+                maxConnections * TransportConstants.WORKER_CALLS_CONNECTION_FRACTION;
+        int maxSharedConnections = Math.max(1, (int) workerCallConnections);
+        int remainingConnections =
                 maxConnections
                         - maxSharedConnections
                         - criticalAddresses.size() * TransportConstants.MAX_CONNECTIONS_PER_ADDRESS
                         - TransportConstants.MAX_PEER_CONNECTIONS
                         - TransportConstants.RESERVED_CONNECTIONS;
         return new ConnectionLimits(
-                criticalAddresses, maxSharedConnections, Math.max(maxConnections / 2, left));
+                criticalAddresses,
+                maxSharedConnections,
+                Math.max(maxConnections / 2, remainingConnections));
     }
 }
--- a/src/main/java/io/quincelead/app/Controller.java
+++ b/src/main/java/io/quincelead/app/Controller.java
@@ -42,8 +42,8 @@
 import java.util.Map;
 
 /**
- * One controller: makes its parts, connects them and routes requests to them. It knows no sockets
- * and no clocks but the event loop's and the transport's.
+ * One controller. It creates its components, connects them and routes requests to them. It uses
+ * sockets and clocks only through the transport and the event loop.
  */
 public final class Controller {
     private final Settings settings;
@@ -57,10 +57,10 @@
     private final Autoscaler autoscaler;
 
     /**
-     * Makes a controller and has it join the cluster.
+     * Creates a controller, which then joins the cluster.
      *
-     * @param loop runs everything the controller does
-     * @param transport calls other hosts; its responses come on the loop
+     * @param loop runs all of the controller's code
+     * @param transport makes calls to other hosts; responses are delivered on the loop
      */
     public Controller(
             EventLoop loop,
@@ -124,7 +124,10 @@
         start(loop);
     }
 
-    /** The parts are complete: follows the records, schedules and joins the cluster. */
+    /**
+     * Starts to follow the records, to schedule and to join the cluster; called when all components
+     * exist.
+     */
     private void start(EventLoop loop) {
         state.store().watchCache().addChangeListener(this::onRecordsChanged);
         loop.runEvery(
@@ -142,7 +145,7 @@
                 machineVisibility());
     }
 
-    /** Returns null where zone recovery is turned off. */
+    /** Returns null if zone recovery is disabled. */
     private ZoneRecoveryController newZoneRecovery(
             EventLoop loop, OperatorSettings operatorSettings, ZoneView zoneView, Leader leader) {
         OperatorSettings.ZoneRecovery zoneRecovery = operatorSettings.zoneRecovery();
@@ -285,7 +288,10 @@
         };
     }
 
-    /** {@code zoneRecovery} is null when zone recovery is turned off. */
+    /**
+     * Creates the autoscaler's callbacks; {@code zoneRecovery} is null if zone recovery is
+     * disabled.
+     */
     private Autoscaler.Callbacks autoscalerCallbacks(ZoneRecoveryController zoneRecovery) {
         ZoneTable zones = state.records().zones();
         return new Autoscaler.Callbacks() {
@@ -322,17 +328,17 @@
         workerGateway.dispatchPendingCommands();
     }
 
-    /** Asked by the peer messenger, whose first status is due after the gateway is made. */
+    /** Called by the peer messenger, whose first status is due after the gateway is created. */
     private Iterable<ShardWorker> localWorkers() {
         return workerGateway.workers();
     }
 
-    /** Asked by the leader, whose cycles begin after the autoscaler is made. */
+    /** Called by the leader, whose cycles begin after the autoscaler is created. */
     private boolean hasOpenProvisioningRequests() {
         return autoscaler.hasOpenProvisioningRequests();
     }
 
-    /** Whether a machine, as its owner says, has not come up yet; null when that isn't known. */
+    /** Whether a machine is still booting according to its owner; null if that isn't known. */
     private Boolean isBooting(String owner, String host) {
         if (!settings.memberId().equals(owner)) {
             return peerMessenger.reportedBooting(owner, host);
@@ -341,7 +347,7 @@
         return shardWorker == null ? null : shardWorker.isBooting();
     }
 
-    /** Answers a request of a user, a worker or a health check. */
+    /** Handles a request of a user, a worker or a health check. */
     public void handle(IncomingRequest request) {
         switch (request.path) {
             case "/ready" -> {
@@ -364,7 +370,7 @@
         }
     }
 
-    /** Answers a request of another controller or an operator. */
+    /** Handles a request of another controller or an operator. */
     public void handlePeerRequest(IncomingRequest request) {
         if (request.method.equals("POST") && operatorApi.handles(request.path)) {
             operatorApi.handle(request);
--- a/src/main/java/io/quincelead/app/Main.java
+++ b/src/main/java/io/quincelead/app/Main.java
@@ -23,7 +23,10 @@
 import org.xnio.XnioWorker;
 import picocli.CommandLine;
 
-/** The program: checks settings, starts a controller, or passes on to the operators' commands. */
+/**
+ * The program's entry point: checks the settings and starts a controller, or runs an operator's
+ * command.
+ */
 @CommandLine.Command(
         name = "quincelead",
         mixinStandardHelpOptions = true,
@@ -36,10 +39,13 @@
             "Exit: 1 when settings can't be used, 2 for a wrong command line."
         })
 public final class Main implements Callable<Integer> {
-    /** Stands for no exit code: the controller runs. */
+    /** Result of {@link #call} when the controller runs and the process must not exit. */
     private static final int KEEP_RUNNING = -1;
 
-    /** First words of operators' commands, known without loading them. */
+    /**
+     * First arguments of the operators' commands, listed here so that the commands' classes needn't
+     * be loaded.
+     */
     public static final Set<String> OPERATOR_COMMANDS =
             Set.of("classes", "calendar", "zones", "explain");
 
@@ -66,11 +72,11 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Runs the command line; a controller goes on running after it returns. */
+    /** Runs the command line. A controller keeps running after this method returns. */
     public static void main(String[] args) {
         configureLogging();
         if (args.length > 0 && OPERATOR_COMMANDS.contains(args[0])) {
-            // Loaded only here: a controller has no use for them.
+            // The commands' classes are loaded only here: a controller doesn't need them.
             System.exit(OperatorCli.run(args));
         }
         int exitCode = new CommandLine(new Main()).execute(args);
@@ -79,7 +85,7 @@
         }
     }
 
-    /** Must run before the first logger is made. */
+    /** Configures logging; must run before the first logger is created. */
     private static void configureLogging() {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         if (!Set.of("error", "info", "debug").contains(level)) {
@@ -126,7 +132,7 @@
     /**
      * Starts a controller on real sockets.
      *
-     * @throws IOException if its I/O thread can't be made
+     * @throws IOException if its I/O thread can't be created
      */
     static void start(Settings settings, OperatorSettings operatorSettings) throws IOException {
         XnioWorker worker =
@@ -175,15 +181,19 @@
                             TransportConstants.MAX_PEER_CONNECTIONS,
                             controller::handlePeerRequest)
                     .start();
-            log.info("{} serves on {} and {}", settings.memberId(), address, peerAddress);
+            log.info(
+                    "controller {} is listening on {} and {}",
+                    settings.memberId(),
+                    address,
+                    peerAddress);
         } catch (RuntimeException e) {
-            // Undertow wraps what binding throws; a controller that can't listen is of no use.
+            // Undertow wraps the exceptions of binding. A controller that can't listen exits.
             log.error("can't listen on {} or {}: {}", address, peerAddress, e.getMessage());
             System.exit(1);
         }
     }
 
-    /** A free port on loopback, for a start without settings of its own. */
+    /** Returns a free port on loopback, for starts without a settings file. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket()) {
             socket.bind(new InetSocketAddress("127.0.0.1", 0));
--- a/src/test/java/io/quincelead/app/CiVerdictTest.java
+++ b/src/test/java/io/quincelead/app/CiVerdictTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What {@code .ci/run} says of test reports, on small made-up ones. */
+/** Tests how {@code .ci/run} judges test reports, with small sample reports. */
 class CiVerdictTest {
     private static final String LISTED = "a.OneTest#first: tools/simulate rough 1 1; late; issue 1";
 
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void passesOverListedTestsThatFailAndPrintsThem() throws IOException, InterruptedException {
+    void toleratesListedFailuresAndPrintsThem() throws IOException, InterruptedException {
         writeReport("a.OneTest", FAILED_FIRST, PASSED_SECOND);
         Verdict verdict = judge(LISTED);
         assertEquals(new Verdict(0, "KNOWN RED: " + LISTED + "\n2 tests ran, 1 failed\n"), verdict);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void failsOnAnyOtherRedTest() throws IOException, InterruptedException {
+    void failsOnUnlistedFailedTest() throws IOException, InterruptedException {
         writeReport("a.OneTest", FAILED_FIRST, FAILED_SECOND, PASSED_SECOND);
         assertFails(judge(LISTED), "FAILED: a.OneTest#second\n");
     }
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void failsOnLineOfNeitherForm() throws IOException, InterruptedException {
+    void failsOnMalformedLine() throws IOException, InterruptedException {
         writeReport("a.OneTest", PASSED_FIRST);
         assertFails(judge("some test"), "NEITHER CLASS#METHOD NOR BENCH: some test\n");
     }
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void takesMoreThanThreeEntries() throws IOException, InterruptedException {
+    void acceptsMoreThanThreeEntries() throws IOException, InterruptedException {
         writeReport("a.OneTest", FAILED_FIRST);
         String bench = "bench: hunt, seed 7; late; issue 2";
         assertEquals(0, judge(LISTED, bench, bench, bench).exitStatus);
--- a/src/test/java/io/quincelead/app/ClassDataArchiveBuildTest.java
+++ b/src/test/java/io/quincelead/app/ClassDataArchiveBuildTest.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** How the build makes the class-data archive that the deploy file's command runs from. */
+/** Checks how the build creates the class-data archive that the command in the deploy file uses. */
 class ClassDataArchiveBuildTest {
     private static String find(String file, String pattern) throws IOException {
         Matcher matcher = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
@@ -19,7 +19,10 @@
         return matcher.group(1);
     }
 
-    /** A running service crashed when its archive was rewritten (docs/incidents/jvm-crash.md). */
+    /**
+     * A running service crashed when its archive was rewritten in place
+     * (docs/incidents/jvm-crash.md).
+     */
     @Test
     void archiveIsWrittenAsideAndRenamed() throws IOException {
         String inUse = find("deploy/service.toml", "-XX:SharedArchiveFile=target/(\\S+)");
--- a/src/test/java/io/quincelead/app/PackageDependencyTest.java
+++ b/src/test/java/io/quincelead/app/PackageDependencyTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The direction of dependencies, and who may touch sockets, threads and the system's clock: see the
- * table in docs/architecture.md.
+ * Checks the direction of dependencies, and which packages may use sockets, threads and the system
+ * clock: see the table in docs/architecture.md.
  */
 class PackageDependencyTest {
-    /** Each may use those before it, none those behind it. */
+    /** The packages in order: each may depend on those before it and on none after it. */
     private static final List<String> ORDER =
             List.of(
                     "config",
@@ -38,8 +38,8 @@
                     .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                     .importPackages("io.quincelead");
 
-    private static String[] packages(List<String> names) {
-        return names.stream().map(n -> "io.quincelead." + n + "..").toArray(String[]::new);
+    private static String[] packagePatterns(List<String> names) {
+        return names.stream().map(name -> "io.quincelead." + name + "..").toArray(String[]::new);
     }
 
     @Test
@@ -50,16 +50,16 @@
                     .resideInAPackage("io.quincelead." + ORDER.get(i) + "..")
                     .should()
                     .dependOnClassesThat()
-                    .resideInAnyPackage(packages(ORDER.subList(i + 1, ORDER.size())))
+                    .resideInAnyPackage(packagePatterns(ORDER.subList(i + 1, ORDER.size())))
                     .check(CLASSES);
         }
         slices().matching("io.quincelead.(*)..").should().beFreeOfCycles().check(CLASSES);
-        noClasses().should().resideOutsideOfPackages(packages(ORDER)).check(CLASSES);
+        noClasses().should().resideOutsideOfPackages(packagePatterns(ORDER)).check(CLASSES);
     }
 
-    /** What runs in simulated time gets its clock, turns and calls handed in. */
+    /** Code that runs in simulated time has its clock, event loop and transport injected. */
     @Test
-    void onlyTransportAndProgramsTouchSocketsThreadsAndClocks() {
+    void onlyTransportAndProgramsUseSocketsThreadsAndClocks() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
--- a/src/test/java/io/quincelead/app/PackagedJarIT.java
+++ b/src/test/java/io/quincelead/app/PackagedJarIT.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One start of the packaged jar on loopback, against a store that is in trouble: it serves, and
- * says "not now" at once.
+ * Starts the packaged jar on loopback against a store that answers every request with an error. The
+ * controller must serve requests and tell clients at once to retry later.
  */
 class PackagedJarIT {
     private static final String SETTINGS =
@@ -66,8 +66,8 @@
                 });
         failingStore.setExecutor(
                 Executors.newCachedThreadPool(
-                        r -> {
-                            Thread thread = new Thread(r);
+                        runnable -> {
+                            Thread thread = new Thread(runnable);
                             thread.setDaemon(true);
                             return thread;
                         }));
@@ -89,21 +89,21 @@
                 .start();
     }
 
-    /** The first status of the readiness check; 0: none within 15 s. */
-    private static int pollReadiness(HttpClient http, URI base) throws Exception {
-        int ready = 0;
-        for (int i = 0; i < 150 && ready == 0; i++) {
+    /** Returns the first status of the readiness check; 0 if there is none within 15 s. */
+    private static int pollReadiness(HttpClient http, URI baseUri) throws Exception {
+        int status = 0;
+        for (int i = 0; i < 150 && status == 0; i++) {
             try {
-                ready =
+                status =
                         http.send(
-                                        HttpRequest.newBuilder(base.resolve("/ready")).build(),
+                                        HttpRequest.newBuilder(baseUri.resolve("/ready")).build(),
                                         HttpResponse.BodyHandlers.discarding())
                                 .statusCode();
             } catch (IOException e) {
                 Thread.sleep(100);
             }
         }
-        return ready;
+        return status;
     }
 
     @Test
@@ -116,7 +116,7 @@
                         dir.resolve("s.toml"),
                         SETTINGS.formatted(port, Main.freePort(), externalPort, externalPort));
         Process process = startJar(settings);
-        try (var closing =
+        try (var cleanup =
                 new AutoCloseable() {
                     @Override
                     public void close() {
@@ -125,34 +125,34 @@
                     }
                 }) {
             HttpClient http = HttpClient.newHttpClient();
-            URI base = URI.create("http://127.0.0.1:" + port);
-            assertEquals(503, pollReadiness(http, base));
+            URI baseUri = URI.create("http://127.0.0.1:" + port);
+            assertEquals(503, pollReadiness(http, baseUri));
             byte[] oversizedBody = new byte[70 * 1024];
             assertEquals(
                     400,
                     http.send(
-                                    HttpRequest.newBuilder(base.resolve("/v2/runs"))
+                                    HttpRequest.newBuilder(baseUri.resolve("/v2/runs"))
                                             .POST(
                                                     HttpRequest.BodyPublishers.ofByteArray(
                                                             oversizedBody))
                                             .build(),
                                     HttpResponse.BodyHandlers.discarding())
                             .statusCode());
-            // A body that is too large is not read, so its connection ends; the client may not have
-            // seen that yet.
+            // A body that is too large is not read, so its connection is closed; the first client
+            // may not have noticed that yet.
             HttpClient freshClient = HttpClient.newHttpClient();
-            HttpResponse<byte[]> poll =
+            HttpResponse<byte[]> queryResponse =
                     freshClient.send(
-                            HttpRequest.newBuilder(base.resolve("/v2/runs/wk-1")).build(),
+                            HttpRequest.newBuilder(baseUri.resolve("/v2/runs/wk-1")).build(),
                             HttpResponse.BodyHandlers.ofByteArray());
-            assertEquals(503, poll.statusCode());
-            assertEquals("1", poll.headers().firstValue("Retry-After").orElse(""));
-            assertTrue(WireFormat.CBOR.decodeMap(poll.body()).has("error"));
+            assertEquals(503, queryResponse.statusCode());
+            assertEquals("1", queryResponse.headers().firstValue("Retry-After").orElse(""));
+            assertTrue(WireFormat.CBOR.decodeMap(queryResponse.body()).has("error"));
             assertEquals(
                     404,
                     freshClient
                             .send(
-                                    HttpRequest.newBuilder(base.resolve("/nothing")).build(),
+                                    HttpRequest.newBuilder(baseUri.resolve("/nothing")).build(),
                                     HttpResponse.BodyHandlers.discarding())
                             .statusCode());
         }
