--- a/src/main/java/io/quincelead/config/constants/WorkerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/WorkerConstants.java
@@ -89,8 +89,8 @@
     public static final long REFUSED_START_PAUSE_MILLIS = 2_000;
 
     /**
-     * Fraction of the cancellation time ({@code cancel_s}) after which a machine is released if it
-     * hasn't shown that a cancelled task is gone.
+     * Fraction of the cancellation time ({@code cancel_s}) after which a machine is declared lost
+     * if it hasn't shown that a cancelled task is gone.
      */
     public static final double CANCEL_RELEASE_FRACTION = 0.5;
 
