--- a/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
@@ -44,8 +44,8 @@
     }
 
     /** The machines of a controller's shard. */
-    static Set<String> machinesOf(SimulatedCluster cluster, String controllerName) {
-        JsonNode shard = cluster.store.value("a/b/" + controllerName);
+    static Set<String> machinesOf(SimulatedCluster cluster, String memberId) {
+        JsonNode shard = cluster.store.value("a/b/" + memberId);
         Set<String> result = new HashSet<>();
         shard.path("ms")
                 .forEach(
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -210,7 +210,7 @@
                                 operation.path("put").asText().startsWith("a/b/")
                                         && cluster.store.value("a/lead") != null;
                         if (phase == ElectionPhase.FIRST_GRANT ? grant : candidacy) {
-                            int next =
+                            int successor =
                                     cluster.indexOfController(
                                             phase == ElectionPhase.FIRST_GRANT
                                                     ? cluster.store
@@ -221,7 +221,7 @@
                             cluster.store.arrivalObserver = previousObserver;
                             cluster.after(
                                     phase == ElectionPhase.ELECTED ? 15 : 0,
-                                    () -> crashController(next, quickRestartDelayMillis()));
+                                    () -> crashController(successor, quickRestartDelayMillis()));
                             return;
                         }
                     }
--- a/src/test/java/io/quincelead/simulation/GoldenCapture.java
+++ b/src/test/java/io/quincelead/simulation/GoldenCapture.java
@@ -20,7 +20,7 @@
  */
 final class GoldenCapture {
     /** Fields whose texts are words of an enumeration or fixed sentences. */
-    private static final Set<String> WORDS =
+    private static final Set<String> ENUMERATION_FIELDS =
             Set.of(
                     "status",
                     "verb",
@@ -43,9 +43,9 @@
                     "what");
 
     /** Fields of the store's messages that name keys, of which the kind matters. */
-    private static final Set<String> KEYS = Set.of("put", "remove", "path");
+    private static final Set<String> KEY_FIELDS = Set.of("put", "remove", "path");
 
-    private static final List<String> PREFIXES =
+    private static final List<String> KEY_PREFIXES =
             List.of(
                     "a/b/", "a/c/", "a/j/", "a/m/", "a/n/", "a/oc/p/", "a/oc/x/", "a/ok/e/",
                     "a/ok/m/", "a/ok/o/", "a/ok/s/", "a/oz/", "a/r/", "a/t/", "z/oe/", "z/");
@@ -56,16 +56,16 @@
     private final Map<String, Example> records = new TreeMap<>();
 
     /** The newest record of each job of the cluster that is observed. */
-    private final Map<String, ObjectNode> jobs = new LinkedHashMap<>();
+    private final Map<String, ObjectNode> latestJobRecords = new LinkedHashMap<>();
 
     /** By the number of a page of task states: the record of its job, which it is read with. */
-    private final Map<Long, ObjectNode> jobOfPage = new HashMap<>();
+    private final Map<Long, ObjectNode> jobRecordByExampleNumber = new HashMap<>();
 
-    private long number;
+    private long nextNumber;
 
     /** Picks examples of what is sent in this cluster from now on. */
     void observe(SimulatedCluster cluster) {
-        jobs.clear();
+        latestJobRecords.clear();
         cluster.network.exchangeObserver = exchange -> onExchange(cluster, exchange);
         cluster.store.commitObserver = this::onCommit;
     }
@@ -85,43 +85,46 @@
         }
         String path =
                 exchange.path().startsWith("/store/")
-                        ? "/store/" + kind(exchange.path().substring(7))
+                        ? "/store/" + keyKind(exchange.path().substring(7))
                         : exchange.path();
-        int query = path.indexOf('?');
-        String line =
-                protocol(cluster, exchange)
+        int queryStart = path.indexOf('?');
+        String kind =
+                protocolOf(cluster, exchange)
                         + " "
                         + exchange.method()
                         + " "
-                        + path.substring(0, query < 0 ? path.length() : query)
+                        + path.substring(0, queryStart < 0 ? path.length() : queryStart)
                                 .replaceAll("/[^/]*[0-9]{2,}[^/]*|(?<=holds)/[0-9]+", "/*")
-                        + (query < 0
+                        + (queryStart < 0
                                 ? ""
-                                : "?" + path.substring(query + 1).replaceAll("=[^&]*", ""));
+                                : "?" + path.substring(queryStart + 1).replaceAll("=[^&]*", ""));
         WireFormat codec =
                 exchange.path().startsWith("/peer") || exchange.path().startsWith("/ops")
                         ? WireFormat.JSON
                         : WireFormat.CBOR;
-        add(messages, line, exchange.method() + " " + exchange.path(), codec, exchange.body());
+        addExample(
+                messages, kind, exchange.method() + " " + exchange.path(), codec, exchange.body());
         if (exchange.status() != 0) {
-            add(
+            addExample(
                     messages,
-                    line + " -> " + exchange.status(),
+                    kind + " -> " + exchange.status(),
                     exchange.status() + " " + exchange.retryAfterSeconds(),
                     codec,
                     exchange.responseBody());
         }
     }
 
-    private static String protocol(SimulatedCluster cluster, SimulatedNetwork.Exchange exchange) {
+    private static String protocolOf(SimulatedCluster cluster, SimulatedNetwork.Exchange exchange) {
         if (exchange.to().equals(SimulatedCluster.STORE_ADDRESS)
                 || exchange.to().equals(SimulatedCluster.CLOUD_ADDRESS)) {
             return exchange.to().equals(SimulatedCluster.STORE_ADDRESS) ? "store" : "cloud";
         }
-        if (cluster.controllers.stream().anyMatch(c -> c.peerAddress.equals(exchange.to()))) {
+        if (cluster.controllers.stream()
+                .anyMatch(controller -> controller.peerAddress.equals(exchange.to()))) {
             return exchange.path().startsWith("/ops") ? "operators" : "peers";
         }
-        return cluster.controllers.stream().noneMatch(c -> c.userAddress.equals(exchange.to()))
+        return cluster.controllers.stream()
+                        .noneMatch(controller -> controller.userAddress.equals(exchange.to()))
                 ? "commands"
                 : exchange.path().equals("/v1/report") ? "reports" : "users";
     }
@@ -130,82 +133,97 @@
         if (isWrittenByScenario(transaction)) {
             return;
         }
-        for (JsonNode op : transaction.path("then")) {
-            String key = op.path("put").asText();
+        for (JsonNode operation : transaction.path("then")) {
+            String key = operation.path("put").asText();
             if (key.startsWith("a/j/")) {
-                jobs.put(key.substring(4), (ObjectNode) op.path("value"));
+                latestJobRecords.put(key.substring(4), (ObjectNode) operation.path("value"));
             }
             if (key.startsWith("a/t/")) {
-                jobOfPage.put(number, jobs.get(key.substring(4, key.lastIndexOf('/'))));
+                jobRecordByExampleNumber.put(
+                        nextNumber, latestJobRecords.get(key.substring(4, key.lastIndexOf('/'))));
             }
-            if (op.has("put")) {
-                add(
+            if (operation.has("put")) {
+                addExample(
                         records,
-                        kind(key),
+                        keyKind(key),
                         key,
                         WireFormat.CBOR,
-                        WireFormat.CBOR.encode(op.path("value")));
+                        WireFormat.CBOR.encode(operation.path("value")));
             }
         }
     }
 
     /** The key without what it names: {@code a/j/wk-000001} is {@code a/j/}. */
-    private static String kind(String key) {
-        return PREFIXES.stream().filter(key::startsWith).findFirst().orElse(key);
+    private static String keyKind(String key) {
+        return KEY_PREFIXES.stream().filter(key::startsWith).findFirst().orElse(key);
     }
 
-    private void add(
-            Map<String, Example> all, String kind, String head, WireFormat codec, byte[] body) {
+    private void addExample(
+            Map<String, Example> examplesByFeature,
+            String kind,
+            String head,
+            WireFormat codec,
+            byte[] body) {
         Set<String> features = new TreeSet<>(Set.of(kind));
-        ObjectNode map = codec.decodeMap(body);
-        if (map != null) {
-            features(map, kind, features);
+        ObjectNode decodedBody = codec.decodeMap(body);
+        if (decodedBody != null) {
+            collectFeatures(decodedBody, kind, features);
         }
-        Example e = new Example(number++, kind, head, codec, map == null ? null : body);
-        for (String f : features) {
-            Example best = all.get(f);
-            if (best == null
-                    || body != null && best.body != null && body.length < best.body.length) {
-                all.put(f, e);
+        Example example =
+                new Example(nextNumber++, kind, head, codec, decodedBody == null ? null : body);
+        for (String feature : features) {
+            Example shortest = examplesByFeature.get(feature);
+            if (shortest == null
+                    || body != null
+                            && shortest.body != null
+                            && body.length < shortest.body.length) {
+                examplesByFeature.put(feature, example);
             }
         }
     }
 
-    private static void features(JsonNode n, String at, Set<String> out) {
-        if (n.isObject()) {
-            n.fields()
+    private static void collectFeatures(JsonNode node, String path, Set<String> features) {
+        if (node.isObject()) {
+            node.fields()
                     .forEachRemaining(
-                            f -> {
+                            field -> {
                                 String name =
-                                        f.getKey().matches(".*[0-9].*|red|blue") ? "*" : f.getKey();
-                                boolean word =
-                                        f.getValue().isTextual()
-                                                && (WORDS.contains(name) || KEYS.contains(name));
+                                        field.getKey().matches(".*[0-9].*|red|blue")
+                                                ? "*"
+                                                : field.getKey();
+                                boolean isEnumerationOrKey =
+                                        field.getValue().isTextual()
+                                                && (ENUMERATION_FIELDS.contains(name)
+                                                        || KEY_FIELDS.contains(name));
                                 if (name.equals("value")
-                                        && !at.startsWith("a/")
-                                        && !at.startsWith("z/")) {
-                                    out.add(at + ".value");
-                                } else if (word) {
-                                    out.add(
-                                            at
+                                        && !path.startsWith("a/")
+                                        && !path.startsWith("z/")) {
+                                    features.add(path + ".value");
+                                } else if (isEnumerationOrKey) {
+                                    features.add(
+                                            path
                                                     + "."
                                                     + name
                                                     + "="
-                                                    + (KEYS.contains(name)
-                                                            ? kind(f.getValue().asText())
-                                                            : f.getValue()
+                                                    + (KEY_FIELDS.contains(name)
+                                                            ? keyKind(field.getValue().asText())
+                                                            : field.getValue()
                                                                     .asText()
                                                                     .replaceAll(
                                                                             "[0-9.]+|wk-[0-9]+|\".*\"",
                                                                             "*")));
                                 } else {
-                                    features(f.getValue(), at + "." + name, out);
+                                    collectFeatures(field.getValue(), path + "." + name, features);
                                 }
                             });
-        } else if (n.isArray() && !n.isEmpty()) {
-            n.forEach(x -> features(x, at + "[]", out));
+        } else if (node.isArray() && !node.isEmpty()) {
+            node.forEach(element -> collectFeatures(element, path + "[]", features));
         } else {
-            out.add(at + ":" + n.getNodeType() + (n.isNumber() ? n.isIntegralNumber() : ""));
+            features.add(
+                    path
+                            + ":"
+                            + node.getNodeType()
+                            + (node.isNumber() ? node.isIntegralNumber() : ""));
         }
     }
 
@@ -216,7 +234,7 @@
             String kind = row.name().substring(0, row.name().lastIndexOf(" #"));
             forms.add(kind);
             if (row.body() != null) {
-                features(row.decodeBody(), kind, forms);
+                collectFeatures(row.decodeBody(), kind, forms);
             }
         }
         return forms;
@@ -229,16 +247,17 @@
     /** Examples of the stored records; with each page of task states its job's record. */
     List<GoldenTable.Row> records() {
         List<Example> all = new ArrayList<>(records.values());
-        for (Example e : records.values()) {
-            if (e.kind.equals("a/t/")) {
-                String id = e.head.substring(4, e.head.lastIndexOf('/'));
+        for (Example example : records.values()) {
+            if (example.kind.equals("a/t/")) {
+                String id = example.head.substring(4, example.head.lastIndexOf('/'));
                 all.add(
                         new Example(
-                                number++,
+                                nextNumber++,
                                 "a/j/",
                                 "a/j/" + id,
                                 WireFormat.CBOR,
-                                WireFormat.CBOR.encode(jobOfPage.get(e.number))));
+                                WireFormat.CBOR.encode(
+                                        jobRecordByExampleNumber.get(example.number))));
             }
         }
         return rows(all);
@@ -247,20 +266,22 @@
     private static List<GoldenTable.Row> rows(Collection<Example> examples) {
         Map<String, TreeMap<Long, Example>> byKind = new TreeMap<>();
         examples.forEach(
-                e -> byKind.computeIfAbsent(e.kind, k -> new TreeMap<>()).put(e.number, e));
-        List<GoldenTable.Row> out = new ArrayList<>();
+                example ->
+                        byKind.computeIfAbsent(example.kind, key -> new TreeMap<>())
+                                .put(example.number, example));
+        List<GoldenTable.Row> rows = new ArrayList<>();
         byKind.forEach(
-                (kind, of) -> {
+                (kind, examplesOfKind) -> {
                     int i = 0;
-                    for (Example e : of.values()) {
-                        out.add(
+                    for (Example example : examplesOfKind.values()) {
+                        rows.add(
                                 new GoldenTable.Row(
                                         kind + " #" + ++i,
-                                        e.head,
-                                        e.body == null ? null : e.codec,
-                                        e.body));
+                                        example.head,
+                                        example.body == null ? null : example.codec,
+                                        example.body));
                     }
                 });
-        return out;
+        return rows;
     }
 }
--- a/src/test/java/io/quincelead/simulation/GoldenTable.java
+++ b/src/test/java/io/quincelead/simulation/GoldenTable.java
@@ -26,13 +26,21 @@
      */
     public record Row(String name, String head, WireFormat codec, byte[] body) {
         static Row parse(String line) {
-            String[] f = line.split("\t", -1);
-            if (f[2].equals("-")) {
-                return new Row(f[0], f[1], null, null);
+            String[] columns = line.split("\t", -1);
+            if (columns[2].equals("-")) {
+                return new Row(columns[0], columns[1], null, null);
             }
-            return f[2].startsWith("{")
-                    ? new Row(f[0], f[1], WireFormat.JSON, f[2].getBytes(StandardCharsets.UTF_8))
-                    : new Row(f[0], f[1], WireFormat.CBOR, HexFormat.of().parseHex(f[2]));
+            return columns[2].startsWith("{")
+                    ? new Row(
+                            columns[0],
+                            columns[1],
+                            WireFormat.JSON,
+                            columns[2].getBytes(StandardCharsets.UTF_8))
+                    : new Row(
+                            columns[0],
+                            columns[1],
+                            WireFormat.CBOR,
+                            HexFormat.of().parseHex(columns[2]));
         }
 
         /** The body as a tree, read anew. */
@@ -77,7 +85,7 @@
 
     /** The rows whose names begin so. */
     public static Stream<Row> rows(String table, String prefix) {
-        return rows(table).stream().filter(r -> r.name().startsWith(prefix));
+        return rows(table).stream().filter(row -> row.name().startsWith(prefix));
     }
 
     static void write(String table, List<Row> rows) throws IOException {
--- a/src/test/java/io/quincelead/simulation/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -11,7 +11,7 @@
  */
 final class HistoryDigest {
     private final MessageDigest sha256;
-    private long messages;
+    private long messageCount;
 
     HistoryDigest() {
         try {
@@ -21,17 +21,18 @@
         }
     }
 
-    void recordCall(long now, String from, String to, String method, String path, byte[] body) {
-        add(now + from + to + method + path, body);
+    void recordCall(
+            long nowMillis, String from, String to, String method, String path, byte[] body) {
+        add(nowMillis + from + to + method + path, body);
     }
 
     /** An answer as its caller sees it; status 0 is a time-out. */
-    void recordResponse(long now, int status, int retryAfterS, byte[] body) {
-        add(now + " " + status + retryAfterS, body);
+    void recordResponse(long nowMillis, int status, int retryAfterSeconds, byte[] body) {
+        add(nowMillis + " " + status + retryAfterSeconds, body);
     }
 
     private void add(String head, byte[] body) {
-        messages++;
+        messageCount++;
         sha256.update(head.getBytes(StandardCharsets.UTF_8));
         if (body != null) {
             sha256.update(body);
@@ -40,6 +41,6 @@
 
     /** The number of calls and answers, and the digest in hexadecimal; ends the history. */
     String finish() {
-        return messages + "\t" + HexFormat.of().formatHex(sha256.digest());
+        return messageCount + "\t" + HexFormat.of().formatHex(sha256.digest());
     }
 }
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -180,12 +180,12 @@
     public static JobSpec randomJob(int id, SplittableRandom random) {
         JobSpec.Priority priority = JobSpec.Priority.values()[random.nextInt(4)];
         String team = random.nextBoolean() ? "red" : "blue";
-        double run = 2 + random.nextInt(25);
+        double runtimeSeconds = 2 + random.nextInt(25);
         return switch (random.nextInt(8)) {
             case 0 ->
                     gang(id, team, priority, 2 + random.nextInt(4))
                             .cpus(2)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zoneAffinity(random.nextBoolean())
                             .checkpointIntervalSeconds(random.nextBoolean() ? 5 : 0)
                             .build();
@@ -199,13 +199,13 @@
                     arrayJob(id, team, priority, 1 + random.nextInt(3))
                             .cpus(1)
                             .gpus(1)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .machineTypes(List.of("big"))
                             .build();
             case 3 ->
                     arrayJob(id, team, priority, 1 + random.nextInt(6))
                             .cpus(2)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zone("b")
                             .preemptible(false)
                             .checkpointIntervalSeconds(5)
@@ -213,11 +213,17 @@
             case 4 ->
                     arrayJob(id, team, priority, 1 + random.nextInt(5))
                             .cpus(1)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zoneAffinity(true)
                             .build();
             default ->
-                    array(id, team, priority, 1 + random.nextInt(20), 1 + random.nextInt(3), run);
+                    array(
+                            id,
+                            team,
+                            priority,
+                            1 + random.nextInt(20),
+                            1 + random.nextInt(3),
+                            runtimeSeconds);
         };
     }
 }
--- a/src/test/java/io/quincelead/simulation/ScenarioArguments.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioArguments.java
@@ -13,24 +13,25 @@
     static Stream<Arguments> withSeeds(Object[] cases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
-                        each ->
+                        testCase ->
                                 IntStream.rangeClosed(1, seeds)
-                                        .mapToObj(seed -> Arguments.of(each, seed)));
+                                        .mapToObj(seed -> Arguments.of(testCase, seed)));
     }
 
     /** Each combination of two kinds of cases with each of the seeds from 1 on. */
-    static Stream<Arguments> withSeeds(Object[] cases, Object[] others, int seeds) {
+    static Stream<Arguments> withSeeds(Object[] cases, Object[] otherCases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
-                        each ->
-                                Arrays.stream(others)
+                        testCase ->
+                                Arrays.stream(otherCases)
                                         .flatMap(
-                                                other ->
+                                                otherCase ->
                                                         IntStream.rangeClosed(1, seeds)
                                                                 .mapToObj(
                                                                         seed ->
                                                                                 Arguments.of(
-                                                                                        each, other,
+                                                                                        testCase,
+                                                                                        otherCase,
                                                                                         seed))));
     }
 }
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -27,12 +27,12 @@
 
     public static void main(String[] args)
             throws IOException, InterruptedException, ExecutionException {
-        boolean listed = args[0].startsWith("@");
+        boolean readsFile = args[0].startsWith("@");
         List<Scenario> scenarios =
-                listed
+                readsFile
                         ? readList(Path.of(args[0].substring(1)))
                         : range(args[0], Long.parseLong(args[1]), Long.parseLong(args[2]));
-        int threadArgument = listed ? 1 : 3;
+        int threadArgument = readsFile ? 1 : 3;
         int threads = args.length > threadArgument ? Integer.parseInt(args[threadArgument]) : 1;
         int failures = playAll(scenarios, threads);
         System.err.println(
@@ -75,19 +75,18 @@
         }
     }
 
-    private static boolean playAndReport(String scenario, long seed) {
-        ScenarioResult result = play(scenario, seed);
-        System.out.println(
-                scenario + "\t" + seed + "\t" + result.cluster().network.history.finish());
+    private static boolean playAndReport(String kind, long seed) {
+        ScenarioResult result = play(kind, seed);
+        System.out.println(kind + "\t" + seed + "\t" + result.cluster().network.history.finish());
         if (!result.problems().isEmpty()) {
-            System.err.println(scenario + " " + seed + ": " + result.problems());
+            System.err.println(kind + " " + seed + ": " + result.problems());
         }
         return result.problems().isEmpty();
     }
 
-    private static ScenarioResult play(String scenario, long seed) {
+    private static ScenarioResult play(String kind, long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
-        switch (scenario) {
+        switch (kind) {
             case "operators" -> {
                 return RandomScenarios.playOperatorRecords(seed);
             }
@@ -99,13 +98,13 @@
             case "meetings" -> CompoundFaults.playAllKinds(cluster);
             case "first" -> CompoundFaults.playInitialKinds(cluster);
             case "rough" -> RandomScenarios.playRandomFaults(cluster);
-            default -> throw new IllegalArgumentException("no such kind of scenario: " + scenario);
+            default -> throw new IllegalArgumentException("no such kind of scenario: " + kind);
         }
         List<String> starved =
-                scenario.equals("meetings") || scenario.equals("first")
+                kind.equals("meetings") || kind.equals("first")
                         ? CompoundFaults.starved(cluster)
                         : cluster.serviceLevels().starved();
-        if (scenario.equals("meetings") && !starved.isEmpty()) {
+        if (kind.equals("meetings") && !starved.isEmpty()) {
             List<String> starvedDespiteCapacity = CompoundFaults.starvedDespiteCapacity(cluster);
             starved =
                     starved.stream()
@@ -120,7 +119,7 @@
         }
         List<String> unreached = cluster.serviceLevels().unreachedJobs();
         if (!unreached.isEmpty()) {
-            System.err.println(scenario + " " + seed + ": reached nobody: " + unreached);
+            System.err.println(kind + " " + seed + ": reached nobody: " + unreached);
         }
         boolean passed =
                 cluster.violations().isEmpty()
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -82,14 +82,15 @@
                 result.computeIfAbsent("team " + job.team(), key -> new ArrayList<>()).add(job);
             }
         }
-        for (String name : new ArrayList<>(result.keySet())) {
-            if (name.startsWith("class ")) {
-                List<JobSpec> bySize = new ArrayList<>(result.get(name));
+        for (String groupName : new ArrayList<>(result.keySet())) {
+            if (groupName.startsWith("class ")) {
+                List<JobSpec> bySize = new ArrayList<>(result.get(groupName));
                 bySize.sort(
                         Comparator.comparingInt((JobSpec job) -> -job.taskCount())
                                 .thenComparing(JobSpec::jobId));
                 result.put(
-                        "largest of " + name, bySize.subList(0, Math.max(1, bySize.size() / 10)));
+                        "largest of " + groupName,
+                        bySize.subList(0, Math.max(1, bySize.size() / 10)));
             }
         }
         return result;
@@ -100,9 +101,9 @@
         Map<String, Double> result = new TreeMap<>();
         jobGroups()
                 .forEach(
-                        (name, jobs) ->
+                        (groupName, jobs) ->
                                 result.put(
-                                        name,
+                                        groupName,
                                         jobs.stream().filter(this::isServed).count()
                                                 / (double) jobs.size()));
         return result;
@@ -125,9 +126,9 @@
         List<String> result = new ArrayList<>();
         servedShares()
                 .forEach(
-                        (name, share) -> {
+                        (groupName, share) -> {
                             if (share < 0.5) {
-                                result.add(name + ": " + share + " served");
+                                result.add(groupName + ": " + share + " served");
                             }
                         });
         List<String> unreached = unreachedJobs();
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -150,16 +150,16 @@
     }
 
     /** Machines that are there and up before any controller is. */
-    public void addRunningMachines(String name, String zone, int count) {
+    public void addRunningMachines(String machineTypeName, String zone, int count) {
         for (int i = 0; i < count; i++) {
-            SimulatedWorker worker = createMachine(machineType(name), zone, false);
+            SimulatedWorker worker = createMachine(machineType(machineTypeName), zone, false);
             clock.schedule(clock.random.nextInt(1_000), worker::boot);
         }
     }
 
     private void provision(IncomingRequest request, ObjectNode body) {
-        String name = body.path("rental").asText();
-        ArrayNode hosts = hostsByRequest.get(name);
+        String requestName = body.path("rental").asText();
+        ArrayNode hosts = hostsByRequest.get(requestName);
         if (hosts == null) {
             MachineType type = machineType(body.path("shape").asText());
             long used =
@@ -191,7 +191,7 @@
                 }
                 hosts.add(host);
             }
-            hostsByRequest.put(name, hosts);
+            hostsByRequest.put(requestName, hosts);
         }
         ObjectNode response = WireFormat.newMap();
         response.set("hosts", hosts);
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -228,9 +228,9 @@
         controllers.forEach(SimulatedController::start);
     }
 
-    int indexOfController(String controllerName) {
+    int indexOfController(String memberId) {
         for (int i = 0; i < controllers.size(); i++) {
-            if (controllers.get(i).memberId.equals(controllerName)) {
+            if (controllers.get(i).memberId.equals(memberId)) {
                 return i;
             }
         }
@@ -310,8 +310,8 @@
         teams.put(name, new Settings.Team(name, guaranteedCpus, maxCpus, guaranteedGpus, maxGpus));
     }
 
-    JobSpec jobOfTask(String task) {
-        return jobsById.get(task.substring(0, task.indexOf('/')));
+    JobSpec jobOfTask(String taskId) {
+        return jobsById.get(taskId.substring(0, taskId.indexOf('/')));
     }
 
     public Set<String> violations() {
@@ -449,15 +449,15 @@
             }
         }
         waiting.values().stream()
-                .filter(members -> members.size() == job.taskCount())
+                .filter(gangTasks -> gangTasks.size() == job.taskCount())
                 .forEach(
-                        members ->
-                                members.forEach(
-                                        member ->
-                                                ((SimulatedWorker) member[0])
+                        gangTasks ->
+                                gangTasks.forEach(
+                                        gangTask ->
+                                                ((SimulatedWorker) gangTask[0])
                                                         .beginRunning(
                                                                 (SimulatedWorker.SimulatedTask)
-                                                                        member[1],
+                                                                        gangTask[1],
                                                                 job)));
     }
 
@@ -515,7 +515,7 @@
     }
 
     /** Some users stay with one controller, whatever becomes of it. */
-    private SimulatedController controllerAskedAbout(String id) {
+    private SimulatedController controllerForQuery(String id) {
         SimulatedController any = randomController();
         int number = id.hashCode() & 0xffff;
         return number % 3 == 0 ? controllers.get(number / 3 % controllers.size()) : any;
@@ -553,7 +553,7 @@
     }
 
     private void submit(JobSpec job, int controller, long untilMillis) {
-        boolean known = acceptedJobs.contains(job.jobId());
+        boolean alreadyAccepted = acceptedJobs.contains(job.jobId());
         String previousFinalStatus = finalStatusByJob.get(job.jobId());
         int previouslyDone = maxReportedDoneTasks.getOrDefault(job.jobId(), 0);
         SimulatedController target =
@@ -577,7 +577,7 @@
                             clock.schedule(5000, () -> pollRepeatedly(job.jobId()));
                             users.onAccepted(job);
                         }
-                        if (status == 201 && known) {
+                        if (status == 201 && alreadyAccepted) {
                             recordViolation("forgotten", job.jobId() + " was accepted once more");
                         }
                         checkAnswer(
@@ -607,19 +607,18 @@
 
     /** Asks one controller; below 0: whichever the user asks. */
     void query(String id, int controller) {
-        boolean known = acceptedJobs.contains(id);
+        boolean alreadyAccepted = acceptedJobs.contains(id);
         String previousFinalStatus = finalStatusByJob.get(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
         network.call(
                 USERS_ADDRESS,
-                (controller < 0 ? controllerAskedAbout(id) : controllers.get(controller))
-                        .userAddress,
+                (controller < 0 ? controllerForQuery(id) : controllers.get(controller)).userAddress,
                 "GET",
                 "/v2/runs/" + id,
                 null,
                 2000,
                 (status, body, retryAfterSeconds) -> {
-                    if (status == 404 && known) {
+                    if (status == 404 && alreadyAccepted) {
                         recordViolation("forgotten", id);
                     } else if (status == 200) {
                         if (!jobsById.containsKey(id)) {
@@ -709,7 +708,7 @@
     public void cancel(String id, int controller) {
         cancellationRequests.add(id);
         String previousFinalStatus = finalStatusByJob.get(id);
-        boolean known = acceptedJobs.contains(id);
+        boolean alreadyAccepted = acceptedJobs.contains(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
         network.call(
                 USERS_ADDRESS,
@@ -735,7 +734,7 @@
                             cancellationConfirmedAtMillis.putIfAbsent(id, clock.nowMillis());
                         }
                     } else if (status == 404) {
-                        if (known) {
+                        if (alreadyAccepted) {
                             recordViolation("forgotten", id + " can't be cancelled");
                         } else {
                             clock.schedule(1000, () -> cancel(id, controller));
--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -83,7 +83,8 @@
     private static final int MAX_RETAINED_HEARTBEATS = 400;
 
     /** Whoever would hear the answer to a copy has given up or never asked. */
-    private static final ResponseHandler UNHEARD = (status, responseBody, retryAfterSeconds) -> {};
+    private static final ResponseHandler IGNORE_RESPONSE =
+            (status, responseBody, retryAfterSeconds) -> {};
 
     private final List<Request> retainedHeartbeats = new ArrayList<>();
     private final List<Runnable> heldHeartbeats = new ArrayList<>();
@@ -187,7 +188,7 @@
     /** The answer as the caller sees it: status 0 when none came in time. */
     @FunctionalInterface
     public interface ResponseHandler {
-        void onResponse(int status, byte[] body, int retryAfterS);
+        void onResponse(int status, byte[] body, int retryAfterSeconds);
     }
 
     /** Questions under way, and the most at once. */
@@ -262,7 +263,7 @@
             staleHeartbeatsSent++;
             clock.schedule(
                     clock.random.nextInt(2_000, maxStaleHeartbeatDelayMillis),
-                    () -> deliver(request, UNHEARD));
+                    () -> deliver(request, IGNORE_RESPONSE));
         }
     }
 
@@ -282,7 +283,7 @@
                         && request.isHeartbeat()
                         && clock.random.nextDouble() < heartbeatHoldRate;
         if (heldBack) {
-            heldHeartbeats.add(() -> deliver(request, UNHEARD));
+            heldHeartbeats.add(() -> deliver(request, IGNORE_RESPONSE));
         }
         return heldBack;
     }
@@ -306,7 +307,8 @@
 
     private void maybeDuplicate(Request request) {
         if (duplicationRate > 0 && clock.random.nextDouble() < duplicationRate) {
-            clock.schedule(clock.random.nextInt(100, 180_000), () -> deliver(request, UNHEARD));
+            clock.schedule(
+                    clock.random.nextInt(100, 180_000), () -> deliver(request, IGNORE_RESPONSE));
         }
     }
 
@@ -340,7 +342,7 @@
                         clock.random.nextInt(1, 400),
                         () -> {
                             replayedHeartbeats += handlersByAddress.containsKey(address) ? 1 : 0;
-                            deliver(copy, UNHEARD);
+                            deliver(copy, IGNORE_RESPONSE);
                         });
             }
         }
--- a/src/test/java/io/quincelead/simulation/SimulatedStore.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -132,13 +132,14 @@
     }
 
     /** After an outage all leases have their full time again. */
-    public void setDown(boolean enabled) {
+    public void setDown(boolean nowDown) {
         totalDownMillis += down ? clock.nowMillis() - downSinceMillis : 0;
         downSinceMillis = clock.nowMillis();
-        down = enabled;
-        if (!enabled) {
+        down = nowDown;
+        if (!nowDown) {
             leaseExpiryMillis.replaceAll(
-                    (leaseId, delayMillis) -> clock.nowMillis() + leaseDurationMillis.get(leaseId));
+                    (leaseId, expiryMillis) ->
+                            clock.nowMillis() + leaseDurationMillis.get(leaseId));
             notifyWatchers();
         }
     }
@@ -156,8 +157,8 @@
     }
 
     /** Refuses one controller alone, or serves it again. */
-    public void setRefused(String ip, boolean enabled) {
-        if (enabled) {
+    public void setRefused(String ip, boolean refused) {
+        if (refused) {
             refusedClients.add(ip);
         } else {
             refusedClients.remove(ip);
@@ -166,8 +167,8 @@
     }
 
     /** Keeps what changes from one controller, or lets it catch up. */
-    public void setWatchDelayed(String ip, boolean enabled) {
-        if (enabled) {
+    public void setWatchDelayed(String ip, boolean delayed) {
+        if (delayed) {
             delayedWatchers.add(ip);
         } else {
             delayedWatchers.remove(ip);
--- a/src/test/java/io/quincelead/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -150,7 +150,7 @@
     void sendUnusualRequest() {
         List<String> accepted = new ArrayList<>(cluster.acceptedJobs());
         String id = String.format("wk-7%05d", ++lastUnacceptableId);
-        ObjectNode job =
+        ObjectNode jobNode =
                 JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 3, 1, 5)
                         .encode()
                         .put("nameId", id);
@@ -177,25 +177,25 @@
                                     });
             case 2 ->
                     cluster.submitUnacceptable(
-                            id, WireFormat.CBOR.encode(job.put("vcpus", 1_000)), 422);
+                            id, WireFormat.CBOR.encode(jobNode.put("vcpus", 1_000)), 422);
             case 3 ->
                     cluster.submitUnacceptable(
-                            id, WireFormat.CBOR.encode(job.put("owner", "nobody")), 422);
+                            id, WireFormat.CBOR.encode(jobNode.put("owner", "nobody")), 422);
             case 4 ->
                     cluster.submitUnacceptable(
                             id,
                             WireFormat.CBOR.encode(
-                                    job.put("mode", "ensemble").put("members", 5_000)),
+                                    jobNode.put("mode", "ensemble").put("members", 5_000)),
                             422);
             case 5 -> {
-                job.remove(
+                jobNode.remove(
                         List.of("vcpus", "members", "owner", "mode", "container")
                                 .get(cluster.random().nextInt(5)));
-                cluster.submitUnacceptable(id, WireFormat.CBOR.encode(job), 400);
+                cluster.submitUnacceptable(id, WireFormat.CBOR.encode(jobNode), 400);
             }
             default ->
                     cluster.submitUnacceptable(
-                            id, WireFormat.CBOR.encode(job.put("members", -1)), 400);
+                            id, WireFormat.CBOR.encode(jobNode.put("members", -1)), 400);
         }
     }
 
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -29,8 +29,8 @@
         boolean checkpointStored;
         long doneAt;
 
-        SimulatedTask(String name, long attempt) {
-            this.id = name;
+        SimulatedTask(String id, long attempt) {
+            this.id = id;
             this.attempt = attempt;
         }
 
@@ -99,8 +99,8 @@
         this.targetController = clock.random.nextInt(cluster.controllers.size());
     }
 
-    private static String taskKey(String name, long attempt) {
-        return name + "#" + attempt;
+    private static String taskKey(String taskId, long attempt) {
+        return taskId + "#" + attempt;
     }
 
     /** Runs now, or when a hanging machine resumes, or never. */
@@ -137,9 +137,9 @@
         cluster.network.setHandler(address, null);
     }
 
-    void setHung(boolean enabled) {
-        hung = enabled;
-        if (!enabled) {
+    void setHung(boolean nowHung) {
+        hung = nowHung;
+        if (!nowHung) {
             List<Runnable> resumed = new ArrayList<>(suspendedActions);
             suspendedActions.clear();
             endTasksIfLeaseExpired();
@@ -278,11 +278,11 @@
             response.path("orders").forEach(this::execute);
             return;
         }
-        String namedController =
+        String redirectMemberId =
                 status == 421 && response != null ? response.path("controller").asText("") : "";
-        int namedIndex = cluster.indexOfController(namedController);
-        if (namedIndex >= 0 && namedIndex != targetController) {
-            targetController = namedIndex;
+        int redirectIndex = cluster.indexOfController(redirectMemberId);
+        if (redirectIndex >= 0 && redirectIndex != targetController) {
+            targetController = redirectIndex;
             heartbeatDue = true;
         } else {
             targetController = (targetController + 1) % cluster.controllers.size();
@@ -319,13 +319,13 @@
     }
 
     private void execute(JsonNode command) {
-        String name = command.path("member").asText();
+        String taskId = command.path("member").asText();
         long attempt = command.path("try").asLong();
-        SimulatedTask task = tasks.get(taskKey(name, attempt));
+        SimulatedTask task = tasks.get(taskKey(taskId, attempt));
         switch (command.path("verb").asText()) {
             case "start" -> {
                 if (task == null) {
-                    startTask(name, attempt);
+                    startTask(taskId, attempt);
                 }
             }
             case "kill" -> {
@@ -335,7 +335,7 @@
             }
             case "clear" -> {
                 if (task != null && task.hasEnded()) {
-                    tasks.remove(taskKey(name, attempt));
+                    tasks.remove(taskKey(taskId, attempt));
                 }
             }
             default -> throw new IllegalStateException("an unknown order " + command);
@@ -378,11 +378,11 @@
                                 }));
     }
 
-    private void startTask(String name, long attempt) {
-        SimulatedTask task = new SimulatedTask(name, attempt);
-        JobSpec job = cluster.jobOfTask(name);
-        String refusal = refusalReason(name, job);
-        tasks.put(taskKey(name, attempt), task);
+    private void startTask(String taskId, long attempt) {
+        SimulatedTask task = new SimulatedTask(taskId, attempt);
+        JobSpec job = cluster.jobOfTask(taskId);
+        String refusal = refusalReason(taskId, job);
+        tasks.put(taskKey(taskId, attempt), task);
         if (refusal != null) {
             endTask(task, refusal);
         } else {
@@ -391,7 +391,7 @@
     }
 
     /** Why the machine, as it is, can't take the task; null if it can. */
-    private String refusalReason(String name, JobSpec job) {
+    private String refusalReason(String taskId, JobSpec job) {
         if (job == null) {
             return "unknown";
         }
@@ -405,7 +405,7 @@
                 usedCpus += otherJob.cpus();
                 usedMemoryGb += otherJob.memoryGb();
                 usedGpus += otherJob.gpus();
-                alreadyHere |= otherTask.id.equals(name);
+                alreadyHere |= otherTask.id.equals(taskId);
             }
         }
         if (alreadyHere) {
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -120,11 +120,11 @@
             if (worker.isHealthy()) {
                 snapshot.freeCapacity.put(worker.host, new MachineFreeCapacity(worker));
             }
-            for (SimulatedWorker.SimulatedTask t : worker.tasks.values()) {
-                if (!t.hasEnded()) {
-                    JobSpec job = cluster.jobOfTask(t.id);
-                    snapshot.presentTasks.add(t.id);
-                    lastSightings.put(t, new TaskSighting(worker, job, cluster.nowMillis()));
+            for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+                if (!task.hasEnded()) {
+                    JobSpec job = cluster.jobOfTask(task.id);
+                    snapshot.presentTasks.add(task.id);
+                    lastSightings.put(task, new TaskSighting(worker, job, cluster.nowMillis()));
                     snapshot.tasksByZone
                             .computeIfAbsent(job.jobId(), key -> new HashMap<>())
                             .merge(worker.zone, 1, Integer::sum);
@@ -137,13 +137,15 @@
     private void subtractSightedTasks(Snapshot snapshot) {
         lastSightings
                 .values()
-                .removeIf(t -> cluster.nowMillis() - t.atMillis > HANDOVER_CHECKS * 1_000);
-        for (TaskSighting t : lastSightings.values()) {
+                .removeIf(
+                        sighting ->
+                                cluster.nowMillis() - sighting.atMillis > HANDOVER_CHECKS * 1_000);
+        for (TaskSighting sighting : lastSightings.values()) {
             addUsage(
-                    snapshot.usageByTeam.computeIfAbsent(t.job.team(), key -> new double[2]),
-                    t.job);
-            if (snapshot.freeCapacity.containsKey(t.worker.host)) {
-                snapshot.freeCapacity.get(t.worker.host).subtract(t.job);
+                    snapshot.usageByTeam.computeIfAbsent(sighting.job.team(), key -> new double[2]),
+                    sighting.job);
+            if (snapshot.freeCapacity.containsKey(sighting.worker.host)) {
+                snapshot.freeCapacity.get(sighting.worker.host).subtract(sighting.job);
             }
         }
     }
@@ -156,10 +158,10 @@
     /** Adds a second if the job could start, were it not for less urgent work of its team. */
     private void countIfStartable(JobSpec job, Snapshot snapshot) {
         double[] usageNotLessUrgent = new double[2];
-        for (TaskSighting t : lastSightings.values()) {
-            if (t.job.team().equals(job.team())
-                    && t.job.priority().compareTo(job.priority()) <= 0) {
-                addUsage(usageNotLessUrgent, t.job);
+        for (TaskSighting sighting : lastSightings.values()) {
+            if (sighting.job.team().equals(job.team())
+                    && sighting.job.priority().compareTo(job.priority()) <= 0) {
+                addUsage(usageNotLessUrgent, sighting.job);
             }
         }
         boolean startable =
--- a/src/test/java/io/quincelead/simulation/SubmissionReachability.java
+++ b/src/test/java/io/quincelead/simulation/SubmissionReachability.java
@@ -50,8 +50,8 @@
     /** The job's submission is being sent to this controller. */
     void onAttempt(String jobId, SimulatedCluster.SimulatedController controller) {
         attemptedJobs.add(jobId);
-        long sinceMillis = impairedAtMillis.getOrDefault(controller, 0L) + RECOVERY_MILLIS;
-        if (!isImpaired(controller) && cluster.nowMillis() >= sinceMillis) {
+        long readyAtMillis = impairedAtMillis.getOrDefault(controller, 0L) + RECOVERY_MILLIS;
+        if (!isImpaired(controller) && cluster.nowMillis() >= readyAtMillis) {
             reachedJobs.add(jobId);
         }
     }
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -26,7 +26,7 @@
         SimulatedCluster cluster = createCluster(Long.parseLong(args[2]), args[1].equals("on"));
         cluster.start();
         submitModels(cluster);
-        submitLowWork(cluster);
+        submitBestEffortJobs(cluster);
         cluster.runUntil(200_000);
         Map<String, Long> machinesByZone = machinesByZone(cluster);
         String lostZone =
@@ -34,8 +34,8 @@
                         .max(Map.Entry.comparingByValue())
                         .orElseThrow()
                         .getKey();
-        Expense before = Expense.of(cluster);
-        ReplicaWatch watch = new ReplicaWatch(runningReplicas(cluster).keySet());
+        ResourceUsage before = ResourceUsage.of(cluster);
+        ReplicaSampler sampler = new ReplicaSampler(runningReplicas(cluster).keySet());
         if (args[0].equals("dead")) {
             cluster.cloud.machines.values().stream()
                     .filter(worker -> worker.zone.equals(lostZone))
@@ -43,9 +43,9 @@
         } else {
             cluster.faults.partitionZone(lostZone, List.of(1), 90_000);
         }
-        watch.schedule(cluster);
+        sampler.schedule(cluster);
         cluster.runUntil(400_500);
-        Expense after = Expense.of(cluster);
+        ResourceUsage after = ResourceUsage.of(cluster);
         System.out.printf(
                 "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
                     + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
@@ -54,14 +54,14 @@
                 args[1],
                 machinesByZone,
                 lostZone,
-                watch.modelsOnceWithoutReplica(),
-                watch.longestSecondsWithoutReplica(),
-                watch.totalSecondsWithoutReplica(),
-                watch.upShare(),
-                watch.lastIncompleteMillis / 1000.0,
+                sampler.modelsOnceWithoutReplica(),
+                sampler.longestSecondsWithoutReplica(),
+                sampler.totalSecondsWithoutReplica(),
+                sampler.availability(),
+                sampler.lastIncompleteMillis / 1000.0,
                 after.fetchedGb - before.fetchedGb,
                 after.taskStarts - before.taskStarts,
-                after.rentedMachines - before.rentedMachines,
+                after.provisionedMachines - before.provisionedMachines,
                 cluster.violations());
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    private static void submitLowWork(SimulatedCluster cluster) {
+    private static void submitBestEffortJobs(SimulatedCluster cluster) {
         for (int i = MODEL_COUNT + 1; i < 140; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
             cluster.submitAfter(4_000 + (i - MODEL_COUNT - 1) * 3_500L, job);
@@ -111,9 +111,9 @@
     }
 
     /** What the scenario has cost so far. */
-    private record Expense(double fetchedGb, int rentedMachines, int taskStarts) {
-        static Expense of(SimulatedCluster cluster) {
-            return new Expense(
+    private record ResourceUsage(double fetchedGb, int provisionedMachines, int taskStarts) {
+        static ResourceUsage of(SimulatedCluster cluster) {
+            return new ResourceUsage(
                     cluster.fetchedImageGb,
                     cluster.cloud.provisionedMachineCount(),
                     cluster.taskStartsByJob.values().stream().mapToInt(count -> count).sum());
@@ -121,34 +121,34 @@
     }
 
     /** Counts running replicas twice a second from the loss of the zone on. */
-    private static final class ReplicaWatch {
+    private static final class ReplicaSampler {
         private static final long INTERVAL_MILLIS = 500;
 
         private final Set<String> models;
-        private final Map<String, Integer> checksWithoutReplica = new HashMap<>();
-        private double replicasSeen;
-        private double replicasWanted;
+        private final Map<String, Integer> samplesWithoutReplica = new HashMap<>();
+        private double runningReplicaCount;
+        private double expectedReplicaCount;
 
         /** ms after the loss at which a replica was last missing; -1: never. */
         private long lastIncompleteMillis = -1;
 
-        ReplicaWatch(Set<String> models) {
+        ReplicaSampler(Set<String> models) {
             this.models = models;
         }
 
         void schedule(SimulatedCluster cluster) {
             for (long delay = INTERVAL_MILLIS; delay <= 200_000; delay += INTERVAL_MILLIS) {
                 long delayMillis = delay;
-                cluster.after(delayMillis, () -> count(runningReplicas(cluster), delayMillis));
+                cluster.after(delayMillis, () -> sample(runningReplicas(cluster), delayMillis));
             }
         }
 
-        private void count(Map<String, Integer> replicas, long delayMillis) {
+        private void sample(Map<String, Integer> replicas, long delayMillis) {
             for (String model : models) {
                 int running = replicas.getOrDefault(model, 0);
-                checksWithoutReplica.merge(model, running == 0 ? 1 : 0, Integer::sum);
-                replicasSeen += running;
-                replicasWanted += REPLICAS_PER_MODEL;
+                samplesWithoutReplica.merge(model, running == 0 ? 1 : 0, Integer::sum);
+                runningReplicaCount += running;
+                expectedReplicaCount += REPLICAS_PER_MODEL;
             }
             if (replicas.values().stream().mapToInt(count -> count).sum()
                     < MODEL_COUNT * REPLICAS_PER_MODEL) {
@@ -157,20 +157,20 @@
         }
 
         long modelsOnceWithoutReplica() {
-            return checksWithoutReplica.values().stream().filter(count -> count > 0).count();
+            return samplesWithoutReplica.values().stream().filter(count -> count > 0).count();
         }
 
         double longestSecondsWithoutReplica() {
-            return checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
+            return samplesWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
                     / 2.0;
         }
 
         double totalSecondsWithoutReplica() {
-            return checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0;
+            return samplesWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0;
         }
 
-        double upShare() {
-            return replicasSeen / replicasWanted;
+        double availability() {
+            return runningReplicaCount / expectedReplicaCount;
         }
     }
 
