--- a/src/test/java/io/quincelead/simulation/ClusterAssertions.java
+++ b/src/test/java/io/quincelead/simulation/ClusterAssertions.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** What holds at the end of most scenarios. */
+/** Assertions that hold at the end of most scenarios. */
 final class ClusterAssertions {
     private ClusterAssertions() {}
 
-    /** No invariant was violated so far. */
+    /** Asserts that no invariant has been violated so far. */
     static void assertNoViolations(SimulatedCluster cluster) {
         assertEquals(Set.of(), cluster.violations());
     }
 
     /**
-     * Nor were they, and so many jobs were accepted, each of which has reached its end and its user
-     * knows.
+     * Asserts that no invariant has been violated and that so many jobs were accepted, each of
+     * which has a final status that its user was told.
      */
     static void assertAllJobsFinished(SimulatedCluster cluster, int jobCount) {
         assertNoViolations(cluster);
--- a/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultFixtures.java
@@ -8,15 +8,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** What tests of compound faults share. */
+/** Fixtures of tests of compound faults. */
 final class CompoundFaultFixtures {
-    /** A workers' lease, in ms, that outlasts a controller's. */
+    /** Duration in ms of a worker lease that is longer than a controller's lease. */
     static final long LONG_LEASE_MILLIS = 22_000;
 
     private CompoundFaultFixtures() {}
 
     /**
-     * A cluster of two zones whose small machines, so many in all, are up before its controllers.
+     * A cluster of two zones with {@code machineCount} small machines in all, added before its
+     * controllers start.
      */
     static SimulatedCluster clusterWithReadyMachines(
             long seed, int controllerCount, int machineCount) {
@@ -33,7 +34,7 @@
         return cluster;
     }
 
-    /** Whether a text under that field in one of the nodes begins so. */
+    /** Whether the text field of any of the nodes starts with the prefix. */
     static boolean anyStartsWith(JsonNode nodes, String field, String prefix) {
         for (JsonNode node : nodes) {
             if (node.path(field).asText().startsWith(prefix)) {
@@ -43,7 +44,7 @@
         return false;
     }
 
-    /** The machines of a controller's shard. */
+    /** The hosts of the machines in a controller's shard. */
     static Set<String> machinesOf(SimulatedCluster cluster, String memberId) {
         JsonNode shard = cluster.store.value("a/b/" + memberId);
         Set<String> result = new HashSet<>();
@@ -57,7 +58,10 @@
         return result;
     }
 
-    /** Commits past all controllers; {@code status} takes the answer's status. */
+    /**
+     * Commits a transaction directly at the store, not through a controller; {@code status[0]}
+     * receives the response's status.
+     */
     static void commitDirectly(SimulatedCluster cluster, ObjectNode transaction, int[] status) {
         cluster.network.call(
                 "10.0.0.1:0",
@@ -69,7 +73,7 @@
                 (responseStatus, body, retryAfterSeconds) -> status[0] = responseStatus);
     }
 
-    /** CPUs that tasks of the team occupy on machines. */
+    /** CPUs in use by the team's tasks on machines. */
     static double cpusInUse(SimulatedCluster cluster, String team) {
         return cluster.cloud.machines.values().stream()
                 .flatMap(worker -> worker.tasks.values().stream())
--- a/src/test/java/io/quincelead/simulation/CompoundFaults.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaults.java
@@ -6,78 +6,84 @@
 import java.util.function.Consumer;
 
 /**
- * Faults that coincide: each of the kinds that broke rules on real machines, alone or drawn
- * together a few seconds apart.
+ * Scenarios of coinciding faults: each kind that has violated invariants on real machines, alone or
+ * several kinds drawn at random a few seconds apart.
  */
 final class CompoundFaults {
     private CompoundFaults() {}
 
-    /** What can meet. */
+    /** Kinds of faults that can coincide. */
     enum FaultKind {
         /**
-         * The leader is cut from the store and from the other controllers; its workers and users
+         * The leader is partitioned from the store and the other controllers; its workers and users
          * still reach it.
          */
         LEADER_PARTITIONED,
-        /** Transactions get no answer and are carried out 2 to 12 s later. */
+        /** Transactions get no response and are committed 2 to 12 s later. */
         DELAYED_WRITES,
-        /** The store answers slowly. */
+        /** The store responds slowly. */
         SLOW_STORE,
-        /** The store refuses the leader alone. */
+        /** The store refuses only the leader's requests. */
         LEADER_REFUSED_BY_STORE,
-        /** The store is down for all. */
+        /** The store is down for all clients. */
         STORE_DOWN,
-        /** The leader ends, and is back late or at once. */
+        /** The leader crashes and restarts late or immediately. */
         LEADER_CRASH,
-        /** Machines can't be reached, nor reach anybody. */
+        /** Some machines and the controllers can't reach each other. */
         MACHINES_PARTITIONED,
-        /** Machines' reports arrive; answers and direct commands to them are lost. */
+        /** Heartbeats of some machines arrive; responses and direct commands to them are lost. */
         MACHINES_UNREACHABLE_INBOUND,
-        /** Old reports arrive again. */
+        /** Old heartbeats arrive again. */
         STALE_HEARTBEATS,
-        /** Direct commands and their answers are held for seconds. */
+        /** Direct commands and their responses are held for seconds. */
         DELAYED_COMMANDS,
-        /** Machines stand still and go on. */
+        /** Some machines hang and resume. */
         MACHINES_HANG,
-        /** All controllers end; one is back at once, the others later. */
+        /** All controllers crash; one restarts immediately, the others later. */
         ALL_CONTROLLERS_CRASH,
-        /** Transactions are carried out at once; only their answers are lost. */
+        /** Transactions are committed immediately; only their responses are lost. */
         LOST_STORE_RESPONSES,
-        /** Copies of reports are kept and brought to every controller as the next leader begins. */
+        /**
+         * Copies of heartbeats are kept and delivered to every controller when the next leader is
+         * elected.
+         */
         REPLAYED_HEARTBEATS,
-        /** Reports are held up until a new leader has acted. */
+        /** Heartbeats are held until a new leader has granted machines. */
         HELD_HEARTBEATS,
-        /** Machines reach no controller; direct commands reach them. */
+        /** Some machines reach no controller; direct commands reach them. */
         MACHINES_UNREACHABLE_OUTBOUND,
         /**
-         * Users ask all controllers and repeat submissions within milliseconds of each piece of
-         * news; some cancel at once.
+         * Users query all controllers and repeat submissions within milliseconds of each reported
+         * change; some cancel immediately.
          */
         CONSISTENCY_PROBES,
         /**
-         * Users repeat submissions of unfinished jobs, cancel what is done, and submit what fits
-         * nothing or lacks a field.
+         * Users repeat submissions of unfinished jobs, cancel done jobs, and submit jobs that fit
+         * no machine or lack a field.
          */
         UNACCEPTABLE_REQUESTS,
         /** Many running jobs are cancelled within 0.2 s. */
         MASS_CANCELLATION,
-        /** The same, and their machines hang. */
+        /** Many running jobs are cancelled within 0.2 s, and some of their machines hang. */
         MASS_CANCELLATION_WITH_HANGS,
-        /** Jobs are cancelled at the moment at which their last task ends. */
+        /** Jobs are cancelled when their last task ends. */
         CANCELLATION_AT_COMPLETION,
-        /** New machines are up within two seconds. */
+        /** New machines boot within two seconds. */
         FAST_BOOTS,
-        /** One-task jobs come four a second, a quarter of them cancelled. */
+        /** Single-task jobs arrive at four per second; a quarter of them are cancelled. */
         SINGLE_TASK_JOB_STREAM,
-        /** Links are slow while there is more work than room. */
+        /** Links are slow while there is more work than capacity. */
         SLOW_LINKS,
-        /** A zone's machines and one controller are cut off from all else. */
+        /** A zone's machines and one controller are partitioned from all other hosts. */
         ZONE_PARTITIONED,
-        /** Leaders change again and again. */
+        /** Leaders change repeatedly. */
         REPEATED_LEADER_CHANGES
     }
 
-    /** The kinds that the first drawn days know, whose seeds stay what they were. */
+    /**
+     * Number of kinds that the first version of these scenarios draws from; it stays, so that a
+     * seed keeps its scenario.
+     */
     private static final int INITIAL_KIND_COUNT = FaultKind.ALL_CONTROLLERS_CRASH.ordinal() + 1;
 
     static void inject(SimulatedCluster cluster, FaultKind kind) {
@@ -168,7 +174,7 @@
         }
     }
 
-    /** The index of the leader; of the first controller if nobody leads. */
+    /** The index of the leader, or of the first controller if there is no leader. */
     private static int leaderOrFirst(SimulatedCluster cluster) {
         return Math.max(0, cluster.leaderIndex());
     }
@@ -219,7 +225,7 @@
         cluster.after(hangMillis, () -> worker.setHung(false));
     }
 
-    /** Ends all controllers; one drawn at random is back at once, the others later. */
+    /** Crashes all controllers; a random one restarts immediately, the others later. */
     private static void crashAllControllers(SimulatedCluster cluster) {
         int first = cluster.random().nextInt(cluster.controllers.size());
         for (int i = 0; i < cluster.controllers.size(); i++) {
@@ -242,7 +248,7 @@
                 });
     }
 
-    /** Slows all links, and submits more work than there is room for. */
+    /** Slows all links, and submits more work than there is capacity for. */
     private static void slowLinksUnderLoad(SimulatedCluster cluster, long durationMillis) {
         cluster.network.maxExtraLatencyMillis = 50 + cluster.random().nextInt(350);
         cluster.after(durationMillis, () -> cluster.network.maxExtraLatencyMillis = 0);
@@ -259,7 +265,7 @@
         }
     }
 
-    /** A third of the machines that are up. */
+    /** Applies an action to each running machine with a probability of a third. */
     private static void forSomeMachines(
             SimulatedCluster cluster, Consumer<SimulatedWorker> action) {
         for (SimulatedWorker worker : new ArrayList<>(cluster.cloud.machines.values())) {
@@ -270,14 +276,14 @@
     }
 
     /**
-     * s. Who could have begun for so long and did not is starved; less is what a gap between two
-     * tasks of a team at its limit looks like.
+     * Time in s for which a job must have been startable without starting to count as starved.
+     * Shorter times occur in the gap between two tasks of a team at its limit.
      */
     private static final int STARTABLE_LIMIT_SECONDS = 45;
 
     /**
-     * The same without those whose team was at its limit with work as urgent, or for whom there was
-     * no room: by what was on the machines.
+     * Descriptions of the starved groups, and of the starved jobs for which there was capacity on
+     * the machines while their team's work of the same or higher priority was under its limit.
      */
     static List<String> starvedDespiteCapacity(SimulatedCluster cluster) {
         return starved(cluster).stream()
@@ -291,8 +297,8 @@
     }
 
     /**
-     * Who was starved, though the time in which the store was down is not counted: nothing begins
-     * without it.
+     * Descriptions of the groups and jobs that missed the service level. The limit is extended by
+     * the time for which the store was down, since no task starts without it.
      */
     static List<String> starved(SimulatedCluster cluster) {
         return cluster.serviceLevels()
@@ -302,14 +308,17 @@
     }
 
     /**
-     * Three times in a scenario, two or three kinds meet, 0 to 10 s apart; users submit, cancel and
-     * ask all the while.
+     * Runs a scenario in which three times two or three of the initial kinds coincide, 0 to 10 s
+     * apart, while users submit, cancel and query jobs.
      */
     static void playInitialKinds(SimulatedCluster cluster) {
         play(cluster, 0, INITIAL_KIND_COUNT);
     }
 
-    /** The same with every kind; the first of those that meet is always a newer one. */
+    /**
+     * Runs a scenario in which three times two or three of all kinds coincide, the first of them
+     * always a newer one, while users submit, cancel and query jobs.
+     */
     static void playAllKinds(SimulatedCluster cluster) {
         play(cluster, INITIAL_KIND_COUNT, FaultKind.values().length);
     }
@@ -319,8 +328,8 @@
         cluster.start();
         for (int i = 1; i <= 45; i++) {
             JobSpec randomJob = JobFixtures.randomJob(i, cluster.random());
-            // Long tasks, and jobs of two or three that end far apart: what is under way when a
-            // leader changes.
+            // Every third job has two or three long tasks that end far apart, so that they are
+            // running when the leader changes.
             JobSpec job =
                     i % 3 == 0
                             ? JobFixtures.array(
--- a/src/test/java/io/quincelead/simulation/FaultInjector.java
+++ b/src/test/java/io/quincelead/simulation/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What goes wrong in scenarios of the simulated cluster. */
+/** Injects faults into a simulated cluster. */
 final class FaultInjector {
     private final SimulatedCluster cluster;
 
@@ -14,7 +14,7 @@
         this.cluster = cluster;
     }
 
-    /** One of many, at random. */
+    /** Injects a fault of a random kind. */
     void injectRandomFault() {
         int controllerCount = cluster.controllers.size();
         long durationMillis = 2_000 + cluster.random().nextLong(25_000);
@@ -61,7 +61,7 @@
         return worker.address.substring(0, worker.address.indexOf(':'));
     }
 
-    /** Cuts a controller off from everything else. */
+    /** Partitions a controller from all other hosts. */
     private void isolateController(String ip, long durationMillis) {
         List<String> otherIps = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "10.3.0.1"));
         cluster.cloud.machines.values().forEach(worker -> otherIps.add(ipOf(worker)));
@@ -78,12 +78,15 @@
         }
     }
 
-    /** Ends a controller so many ms from now; it is back after {@code restartDelayMillis}. */
+    /** Crashes a controller after a delay in ms; it restarts {@code restartDelayMillis} later. */
     void crashAfter(long delayMillis, int controller, long restartDelayMillis) {
         cluster.after(delayMillis, () -> crashController(controller, restartDelayMillis));
     }
 
-    /** Ends whoever leads so many ms from now; the first controller if nobody does. */
+    /**
+     * Crashes the leader, or the first controller if there is no leader, after a delay in ms; it
+     * restarts {@code restartDelayMillis} later.
+     */
     void crashLeaderAfter(long delayMillis, long restartDelayMillis) {
         cluster.after(
                 delayMillis,
@@ -99,12 +102,12 @@
                 () -> otherIps.forEach(otherIp -> cluster.network.heal(ip, otherIp)));
     }
 
-    /** Cuts a zone's machines, with one controller among them, off from everything else. */
+    /** Partitions a zone's machines and one controller from all other hosts. */
     void partitionZone(String zone, int controller, long durationMillis) {
         partitionZone(zone, List.of(controller), durationMillis);
     }
 
-    /** The same with these controllers inside, perhaps none. */
+    /** Partitions a zone's machines and the given controllers, if any, from all other hosts. */
     void partitionZone(String zone, List<Integer> controllers, long durationMillis) {
         cluster.expectFaultsUntil(cluster.nowMillis() + durationMillis);
         List<String> insideIps =
@@ -148,14 +151,14 @@
         }
     }
 
-    /** ms. A process may be back within a fraction of a second. */
+    /** Returns a random restart delay of less than 500 ms. */
     long quickRestartDelayMillis() {
         return 50 + cluster.random().nextLong(450);
     }
 
     /**
-     * Processes that end and are back at once: one, all, one again and again, and leaders as they
-     * come to lead.
+     * Crashes controllers that restart immediately: one, all, one repeatedly, or the leader and its
+     * successor during the election.
      */
     void injectRandomQuickRestart() {
         int controllerCount = cluster.controllers.size();
@@ -174,7 +177,7 @@
         }
     }
 
-    /** Ends one process and, each time that it is back, ends it again a little later. */
+    /** Crashes one controller several times, each time a little after its restart. */
     private void crashRepeatedly(int controller, int count) {
         if (count > 0) {
             crashController(controller, quickRestartDelayMillis());
@@ -184,17 +187,20 @@
         }
     }
 
-    /** Moments of an election. */
+    /** Moments of an election at which the new leader may crash. */
     enum ElectionPhase {
-        /** Its candidacy has come to the store and is carried out; the answer finds nobody. */
+        /** The store has committed the candidacy; the response reaches no process. */
         CANDIDACY_COMMITTED,
-        /** It has just heard that it leads. */
+        /** The new leader has just learned that it is elected. */
         ELECTED,
-        /** Its first change of a shard is on its way. */
+        /** The store has just received the new leader's first change of a shard. */
         FIRST_GRANT
     }
 
-    /** Ends the leader, and its successor at that moment of its election; both are back at once. */
+    /**
+     * Crashes the leader, and its successor at the given moment of the election; both restart
+     * immediately.
+     */
     void crashLeaderAndSuccessor(ElectionPhase phase) {
         JsonNode leaderRecord = cluster.store.value("a/lead");
         if (leaderRecord == null) {
@@ -232,7 +238,10 @@
                 quickRestartDelayMillis());
     }
 
-    /** The leader ends, and is back at once or a little later; so often, so many ms apart. */
+    /**
+     * Crashes the leader {@code count} times at a fixed interval; it restarts immediately or after
+     * 3 s.
+     */
     void changeLeadersRepeatedly(int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
             cluster.after(
@@ -256,7 +265,7 @@
         cluster.after(durationMillis, () -> worker.unreachableOutbound = false);
     }
 
-    /** Calls this each time that somebody comes to lead, for so many ms. */
+    /** Runs an action at each election of a leader within the given time. */
     void onLeaderElected(long durationMillis, Runnable action) {
         onStoreWrite(durationMillis, "a/lead", action);
     }
@@ -278,8 +287,8 @@
     }
 
     /**
-     * Copies of that share of the reports arrive at every controller just as the next leader
-     * begins.
+     * Retains copies of a share of the heartbeats and delivers them to every controller when the
+     * next leader is elected.
      */
     void replayHeartbeats(double share, long durationMillis) {
         cluster.network.heartbeatRetentionRate = share;
@@ -291,8 +300,8 @@
     }
 
     /**
-     * That share of the reports is held up and arrives when the next leader has granted machines;
-     * at the latest after {@code latestMs}.
+     * Holds a share of the heartbeats and delivers them when the next leader has granted machines,
+     * at the latest after {@code releaseAtLatestMillis}.
      */
     void holdHeartbeats(double share, long holdMillis, long releaseAtLatestMillis) {
         cluster.network.heartbeatHoldRate = share;
--- a/src/test/java/io/quincelead/simulation/FleetScenario.java
+++ b/src/test/java/io/quincelead/simulation/FleetScenario.java
@@ -11,17 +11,18 @@
 import java.util.TreeMap;
 
 /**
- * Scenarios as large as the users' fleets and larger, with their mix of classes and their faults,
- * judged by what they accept: {@code FleetScenario counter|lakes restart|loss|calm TIMES SEED
- * [JOB|records]}. Not a test: it prints, by class and by its largest tenth, the times to the first
- * start, to the start of half, and the share served, and whoever was starved.
+ * Scenarios of the size of the users' fleets or larger, with the users' mix of classes, faults and
+ * service-level requirements: {@code FleetScenario counter|lakes restart|loss|calm TIMES SEED
+ * [JOB|records]}, where TIMES scales the fleet and its load. Not a test: it prints, for each class
+ * and for its largest tenth, the times until the first start and until half of the tasks have
+ * started, then the shares of served jobs and the groups and jobs that were starved.
  */
 public final class FleetScenario {
     private FleetScenario() {}
 
     /**
-     * A class of jobs: a minute's arrivals, jobs at the start, tasks (median, 95%, most), CPUs,
-     * memory, run time (median, 95%, most), image.
+     * A class of jobs. Task counts and run times are given as median, 95% quantile and maximum;
+     * initial jobs are submitted at the start, besides the arrivals.
      */
     private record JobProfile(
             String name,
@@ -248,7 +249,10 @@
         return Math.min(quantiles[2], quantiles[0] * Math.exp(sigma * normal));
     }
 
-    /** Arrivals over 500 s; the first class comes {@code burst} times as often for a minute. */
+    /**
+     * Schedules arrivals over 500 s; for one minute, jobs of the first class arrive {@code burst}
+     * times as often.
+     */
     private static Map<String, String> scheduleArrivals(
             SimulatedCluster cluster, List<JobProfile> profiles, double scale, double burst) {
         SplittableRandom random = new SplittableRandom(cluster.random().nextLong());
@@ -347,8 +351,9 @@
     }
 
     /**
-     * Operators' records: a class for each kind, the last arrivals of the first kind published at
-     * 420 s with a window of 150 s, in which the leader ends twice.
+     * Applies operators' records: a priority class for each class of jobs, and a calendar entry for
+     * the first of them, published at 420 s with a lead time of 150 s, in which the leader crashes
+     * twice.
      */
     private static void scheduleOperatorRecords(
             SimulatedCluster cluster, List<JobProfile> profiles) {
@@ -399,14 +404,14 @@
                                                         .orElse(""))));
     }
 
-    /** Prints now and then how a job and its team fare. */
+    /** Prints the state of a job and its team every 20 s. */
     private static void traceJob(SimulatedCluster cluster, String id) {
         for (long atMillis = 20_000; atMillis < 560_000; atMillis += 20_000) {
             cluster.after(atMillis, () -> printTrace(cluster, id));
         }
     }
 
-    /** Prints one line of a job that is unfinished; nothing else. */
+    /** Prints one line if the job is unfinished, that is, has a record in the store. */
     private static void printTrace(SimulatedCluster cluster, String id) {
         JobSpec job = cluster.jobsById.get(id);
         if (job == null || cluster.store.value("a/j/" + id) == null) {
@@ -441,7 +446,7 @@
                         + quotaSharesByController(cluster, job.team()));
     }
 
-    /** Adds a machine's CPUs in use to their team and class; their sum. */
+    /** Adds a machine's CPUs in use to the totals by team and class, and returns their sum. */
     private static double addCpusInUse(
             SimulatedCluster cluster, SimulatedWorker worker, Map<String, Double> cpusInUse) {
         double usedCpus = 0;
@@ -455,7 +460,7 @@
         return usedCpus;
     }
 
-    /** A team's share in each controller's shard; null for a controller without one. */
+    /** A team's quota share in each controller's shard; null for a controller without a shard. */
     private static List<JsonNode> quotaSharesByController(SimulatedCluster cluster, String team) {
         return cluster.controllers.stream()
                 .map(controller -> cluster.store.value("a/b/" + controller.memberId))
--- a/src/test/java/io/quincelead/simulation/GoldenCapture.java
+++ b/src/test/java/io/quincelead/simulation/GoldenCapture.java
@@ -14,12 +14,13 @@
 import java.util.TreeSet;
 
 /**
- * Picks examples of every form that messages and stored records take in a simulated scenario. The
- * form of a body is made of its fields, the types of their values and the words of enumerations; of
- * each such feature the shortest body that has it is kept, of equals the first.
+ * Collects examples of every form of messages and stored records in a simulated scenario. The form
+ * of a body consists of features: its fields, the types of their values and the values of
+ * enumerations. For each feature the shortest body that has it is kept; among equally short ones,
+ * the first.
  */
 final class GoldenCapture {
-    /** Fields whose texts are words of an enumeration or fixed sentences. */
+    /** Fields whose texts are values of an enumeration or fixed sentences. */
     private static final Set<String> ENUMERATION_FIELDS =
             Set.of(
                     "status",
@@ -42,7 +43,7 @@
                     "rankFrom",
                     "what");
 
-    /** Fields of the store's messages that name keys, of which the kind matters. */
+    /** Fields of the store's messages that hold keys; only the kind of the key is a feature. */
     private static final Set<String> KEY_FIELDS = Set.of("put", "remove", "path");
 
     private static final List<String> KEY_PREFIXES =
@@ -55,15 +56,17 @@
     private final Map<String, Example> messages = new TreeMap<>();
     private final Map<String, Example> records = new TreeMap<>();
 
-    /** The newest record of each job of the cluster that is observed. */
+    /** The latest record of each job of the observed cluster, by job id. */
     private final Map<String, ObjectNode> latestJobRecords = new LinkedHashMap<>();
 
-    /** By the number of a page of task states: the record of its job, which it is read with. */
+    /**
+     * The job record with which a page of task states is read, by the number of the page's example.
+     */
     private final Map<Long, ObjectNode> jobRecordByExampleNumber = new HashMap<>();
 
     private long nextNumber;
 
-    /** Picks examples of what is sent in this cluster from now on. */
+    /** Collects examples of the messages and records of this cluster from now on. */
     void observe(SimulatedCluster cluster) {
         latestJobRecords.clear();
         cluster.network.exchangeObserver = exchange -> onExchange(cluster, exchange);
@@ -71,8 +74,8 @@
     }
 
     /**
-     * What the scenario itself writes into the store: no controller changes anything without a
-     * precondition.
+     * Whether the scenario itself wrote the transaction: controllers never change anything without
+     * a precondition.
      */
     private static boolean isWrittenByScenario(ObjectNode transaction) {
         return transaction.path("guards").isEmpty() && !transaction.path("then").isEmpty();
@@ -153,7 +156,7 @@
         }
     }
 
-    /** The key without what it names: {@code a/j/wk-000001} is {@code a/j/}. */
+    /** The prefix of the key without ids: {@code a/j/wk-000001} becomes {@code a/j/}. */
     private static String keyKind(String key) {
         return KEY_PREFIXES.stream().filter(key::startsWith).findFirst().orElse(key);
     }
@@ -227,7 +230,9 @@
         }
     }
 
-    /** The forms that a table's examples show: fields, types of values, words of enumerations. */
+    /**
+     * The features of a table's rows: kinds, fields, types of values and values of enumerations.
+     */
     static Set<String> formsOf(Collection<GoldenTable.Row> rows) {
         Set<String> forms = new TreeSet<>();
         for (GoldenTable.Row row : rows) {
@@ -244,7 +249,7 @@
         return rows(messages.values());
     }
 
-    /** Examples of the stored records; with each page of task states its job's record. */
+    /** Examples of the stored records, with the job's record for each page of task states. */
     List<GoldenTable.Row> records() {
         List<Example> all = new ArrayList<>(records.values());
         for (Example example : records.values()) {
--- a/src/test/java/io/quincelead/simulation/GoldenTable.java
+++ b/src/test/java/io/quincelead/simulation/GoldenTable.java
@@ -13,16 +13,16 @@
 import java.util.stream.Stream;
 
 /**
- * Tables of recorded bytes in {@code src/test/resources/golden}: what messages and stored records
- * looked like when the table was written. One row a line, tab-separated: name, head, body (JSON as
- * it is, CBOR in hexadecimal), and the body of CBOR once more as JSON, for readers.
+ * Golden tables in {@code src/test/resources/golden}: the bytes of messages and stored records at
+ * the time the table was written. Each line is one row of tab-separated columns: name, head, body
+ * (JSON as it is, CBOR in hexadecimal), and for CBOR the body as JSON for human readers.
  */
 public final class GoldenTable {
     private GoldenTable() {}
 
     /**
-     * One row; {@code head}: the request line, the status with {@code Retry-After}, or the key of a
-     * record. {@code body}: null for none.
+     * One row. {@code head} is the request line, the status with {@code Retry-After}, or the key of
+     * a record; {@code body} is null if there is none.
      */
     public record Row(String name, String head, WireFormat codec, byte[] body) {
         static Row parse(String line) {
@@ -43,12 +43,12 @@
                             HexFormat.of().parseHex(columns[2]));
         }
 
-        /** The body as a tree, read anew. */
+        /** Decodes the body into a new tree. */
         public ObjectNode decodeBody() {
             return codec.decodeMap(body);
         }
 
-        /** The row of the same record with its value written again. */
+        /** Returns this row with the body replaced by an encoded value. */
         public Row withValue(JsonNode value) {
             return new Row(name, head, codec, codec.encode(value));
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The rows of a table, in its order. */
+    /** The rows of a table, in file order. */
     public static List<Row> rows(String table) {
         try (InputStream in = GoldenTable.class.getResourceAsStream("/golden/" + table + ".tsv")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The rows whose names begin so. */
+    /** The rows of a table whose names start with a prefix. */
     public static Stream<Row> rows(String table, String prefix) {
         return rows(table).stream().filter(row -> row.name().startsWith(prefix));
     }
--- a/src/test/java/io/quincelead/simulation/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 over all calls and answers of one simulation, in the order of simulated events: equal
- * digests mean equal behaviour, byte for byte.
+ * SHA-256 over all calls and responses of one simulation, in the order of simulated events. Equal
+ * digests mean byte-for-byte equal behaviour.
  */
 final class HistoryDigest {
     private final MessageDigest sha256;
@@ -26,7 +26,7 @@
         add(nowMillis + from + to + method + path, body);
     }
 
-    /** An answer as its caller sees it; status 0 is a time-out. */
+    /** Adds a response as its caller sees it; status 0 is a timeout. */
     void recordResponse(long nowMillis, int status, int retryAfterSeconds, byte[] body) {
         add(nowMillis + " " + status + retryAfterSeconds, body);
     }
@@ -39,7 +39,10 @@
         }
     }
 
-    /** The number of calls and answers, and the digest in hexadecimal; ends the history. */
+    /**
+     * Returns the number of calls and responses, and the digest in hexadecimal; nothing may be
+     * recorded afterwards.
+     */
     String finish() {
         return messageCount + "\t" + HexFormat.of().formatHex(sha256.digest());
     }
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Jobs for tests. */
+/** Builds job specifications for tests. */
 public final class JobFixtures {
     private JobFixtures() {}
 
@@ -41,13 +41,13 @@
         return job(id, team, JobSpec.Mode.SERVICE, priority, taskCount);
     }
 
-    /** Any job; what isn't stated is the least that a job may ask for. */
+    /** A job of any mode; the fields that aren't set have the builder's defaults. */
     public static Builder job(
             int id, String team, JobSpec.Mode mode, JobSpec.Priority priority, int taskCount) {
         return new Builder(id, team, mode, priority, taskCount);
     }
 
-    /** A job under construction; two GB of memory go with each CPU. */
+    /** Builder of a job specification; without a memory size a job gets two GB per CPU. */
     public static final class Builder {
         private final int id;
         private final String team;
--- a/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
+++ b/src/test/java/io/quincelead/simulation/LargeClusterScenario.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A large simulation without faults, for profiles of the controllers: {@code LargeClusterScenario
- * MACHINES SECONDS}. Not a test; run with a recorder such as {@code -XX:StartFlightRecording}.
+ * A large simulation without faults, for profiling the controllers: {@code LargeClusterScenario
+ * MACHINES SECONDS}. Not a test; run it with a profiler such as {@code -XX:StartFlightRecording}.
  */
 public final class LargeClusterScenario {
     private LargeClusterScenario() {}
@@ -75,7 +75,10 @@
         return cluster;
     }
 
-    /** Some 1.2 wide short jobs, 0.9 urgent ones and 0.3 long ones a second for 742 machines. */
+    /**
+     * Submits about 1.2 short jobs with many tasks, 0.9 high-priority jobs and 0.3 long jobs per
+     * second for 742 machines, or in proportion for other sizes.
+     */
     private static void scheduleJobs(SimulatedCluster cluster, int machineCount, long seconds) {
         double scale = machineCount / 742.0;
         int id = 0;
--- a/src/test/java/io/quincelead/simulation/OperatorCommands.java
+++ b/src/test/java/io/quincelead/simulation/OperatorCommands.java
@@ -8,17 +8,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What operators of a simulated cluster send: commands, calendar entries, times of day. */
+/** Builds and sends operators' commands to a simulated cluster. */
 final class OperatorCommands {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** The date on which every simulation begins, in UTC. */
+    /** The UTC date at the start of every simulation. */
     static final String DATE =
             Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS).toString().substring(0, 10);
 
     private OperatorCommands() {}
 
-    /** The map in a text whose quotation marks may be single. */
+    /** Parses a JSON object in which single quotation marks may stand for double ones. */
     static ObjectNode json(String text) {
         try {
             return (ObjectNode) JSON.readTree(text.replace('\'', '"'));
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The time of day in UTC at this ms of the simulation. */
+    /** The UTC time of day at a time in ms since the start of the simulation. */
     static String timeOfDay(long simulatedMillis) {
         return Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + simulatedMillis)
                 .toString()
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Repeats a command, at any controller, until it is answered with something else than "later":
-     * as an operator would.
+     * Retries a command at random controllers, as an operator would, until the response is
+     * something other than a timeout, 503 or 409.
      */
     static void commandUntilAnswered(
             SimulatedCluster cluster,
@@ -58,12 +58,12 @@
                 });
     }
 
-    /** The same where nobody wants to see the answer. */
+    /** Retries a command until it is answered, and discards the response. */
     static void commandUntilAnswered(SimulatedCluster cluster, String path, ObjectNode body) {
         commandUntilAnswered(cluster, path, body, new HashMap<>());
     }
 
-    /** A daily entry of the calendar, in the command that adds it. */
+    /** The command that adds a daily entry to the calendar. */
     static ObjectNode calendarEntry(
             String name, long publicationMillis, double leadSeconds, String covers) {
         return json(
--- a/src/test/java/io/quincelead/simulation/RandomScenarios.java
+++ b/src/test/java/io/quincelead/simulation/RandomScenarios.java
@@ -11,18 +11,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Scenarios drawn at random by their seeds; tests play some seeds, the scenario runner any. */
+/** Scenarios drawn at random from a seed; tests run some seeds, the scenario runner any. */
 final class RandomScenarios {
-    /** Calendar entries and changes of classes of the scenario of operators' records. */
+    /** Number of calendar entries in the scenario of operators' records. */
     private static final int CALENDAR_ENTRY_COUNT = 3;
 
+    /** Number of class changes in the scenario of operators' records. */
     private static final int CLASS_CHANGE_COUNT = 4;
 
     private RandomScenarios() {}
 
     /**
-     * Submits jobs over the first part of the scenario, cancels some, and asks for jobs that nobody
-     * has.
+     * Submits jobs over the first part of the scenario, cancels some, and queries jobs that don't
+     * exist.
      */
     static void submitRandomJobs(SimulatedCluster cluster, int jobCount, long intervalMillis) {
         for (int i = 1; i <= jobCount; i++) {
@@ -32,8 +33,8 @@
     }
 
     /**
-     * Submits a job at a random moment of so many ms, and cancels it later if it is a service, and
-     * else sometimes; when it is submitted.
+     * Submits a job at a random time, cancels it later if it is a service and otherwise sometimes,
+     * and returns the time of the submission.
      */
     private static long submitRandomJob(
             SimulatedCluster cluster, int jobNumber, long arrivalSpanMillis) {
@@ -48,7 +49,7 @@
         return atMillis;
     }
 
-    /** Everything at once, at random; see the test for what that is. */
+    /** Runs random jobs with random faults of all kinds; the test says which. */
     static void playRandomFaults(SimulatedCluster cluster) {
         cluster.network.responseLossRate = 0.003;
         cluster.cloud.bootFailureRate = 0.05;
@@ -64,7 +65,10 @@
         cluster.runUntil(600_000);
     }
 
-    /** Controllers that are back at once, while copies of old messages arrive. */
+    /**
+     * Runs random jobs while controllers crash and restart immediately and duplicates of old
+     * messages arrive.
+     */
     static void playQuickRestarts(SimulatedCluster cluster) {
         cluster.network.responseLossRate = 0.003;
         cluster.network.duplicationRate = 0.02;
@@ -85,7 +89,9 @@
         cluster.runUntil(600_000);
     }
 
-    /** A full cluster of three zones in which zones are partitioned and all else goes wrong. */
+    /**
+     * Overloads a cluster of three zones in which zones are partitioned and random faults occur.
+     */
     static SimulatedCluster playOverload(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
@@ -122,7 +128,7 @@
         return cluster;
     }
 
-    /** Submits more work than fits, most of the first of it at once, and cancels some. */
+    /** Submits more work than fits, the first 24 jobs within 6 s, and cancels some jobs. */
     private static void submitOverload(SimulatedCluster cluster) {
         for (int i = 1; i <= 66; i++) {
             JobSpec job = overloadJob(cluster, i);
@@ -174,8 +180,8 @@
     }
 
     /**
-     * The orders of waiting jobs as each controller has them, by the revisions that they were made
-     * of.
+     * Compares the queue orders of all live controllers that were built from the same revisions of
+     * classes and calendar.
      */
     static void compareQueueOrders(
             SimulatedCluster cluster, Map<String, String> knownRanks, int[] compared) {
@@ -195,8 +201,8 @@
     }
 
     /**
-     * Ranks by class and calendar, job by job: what these revisions say of a job is the same
-     * wherever it is asked.
+     * Checks that the rank, class and coverage of each job are the same on every controller for the
+     * same revisions of classes and calendar.
      */
     private static void compareRanks(
             JsonNode response, Map<String, String> knownRanks, int[] compared) {
@@ -216,7 +222,9 @@
         }
     }
 
-    /** Plays a random scenario; what is wrong with it, in words. */
+    /**
+     * Runs a random scenario with changes of classes and calendar, and returns the problems found.
+     */
     static ScenarioResult playOperatorRecords(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
@@ -323,8 +331,8 @@
     private static List<String> operatorRecordProblems(SimulatedCluster cluster) {
         List<String> problems = new ArrayList<>(cluster.violations());
         cluster.unfinishedJobs().forEach(id -> problems.add("open " + id));
-        // Faults go on for 200 s, and teams are small: low work at its team's limit waits behind
-        // the team's production and high work.
+        // Faults last for 200 s and the teams are small: best-effort work of a team at its limit
+        // waits behind the team's production and high work.
         problems.addAll(cluster.serviceLevels().starved(300_000));
         problems.addAll(ledgerProblems(cluster));
         if (cluster.store.value("a/oc/head").path("last").asLong() != CLASS_CHANGE_COUNT) {
@@ -333,7 +341,7 @@
         return problems;
     }
 
-    /** Occurrences that are not in the ledger exactly once, or whose counts don't sum up. */
+    /** Occurrences that are not in the ledger exactly once, or whose counts don't add up. */
     private static List<String> ledgerProblems(SimulatedCluster cluster) {
         List<String> problems = new ArrayList<>();
         cluster.store.ledgerWrites.forEach(
@@ -362,8 +370,8 @@
     }
 
     /**
-     * A random scenario: zones die, are cut, come back, while leaders end at every step, the cloud
-     * and the store fail; what is wrong, in words.
+     * Runs a random scenario in which zones crash, are partitioned and recover while leaders crash
+     * and the cloud and the store fail, and returns the problems found.
      */
     static ScenarioResult playZoneLoss(long seed) {
         SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(seed, true);
@@ -387,7 +395,7 @@
         return new ScenarioResult(cluster, String.join("; ", zoneLossProblems(cluster)));
     }
 
-    /** Puts a class in force that holds all models, with random bounds for lost zones. */
+    /** Applies a class that matches all models, with random settings for zone recovery. */
     private static void applyModelClass(SimulatedCluster cluster) {
         OperatorCommands.commandUntilAnswered(
                 cluster,
@@ -402,7 +410,10 @@
                                 + "}]}"));
     }
 
-    /** Three times, a zone's machines crash or it is partitioned, with a controller or without. */
+    /**
+     * Schedules three losses of a zone: its machines crash, or it is partitioned with or without a
+     * controller.
+     */
     private static void scheduleZoneLosses(SimulatedCluster cluster) {
         for (int i = 0; i < 3; i++) {
             String zone = List.of("a", "b", "c").get(cluster.random().nextInt(3));
@@ -426,7 +437,9 @@
         }
     }
 
-    /** The cloud fails for 15 s, or anything does, or (mostly) the leader ends. */
+    /**
+     * Makes the cloud unavailable for 15 s, injects a random fault, or (mostly) crashes the leader.
+     */
     private static void injectCloudOrLeaderFault(SimulatedCluster cluster) {
         JsonNode leaderRecord = cluster.store.value("a/lead");
         switch (cluster.random().nextInt(6)) {
--- a/src/test/java/io/quincelead/simulation/ScenarioArguments.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioArguments.java
@@ -5,11 +5,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.provider.Arguments;
 
-/** Arguments of tests that play one scenario for each case and seed. */
+/** Arguments of tests that run one scenario for each case and seed. */
 final class ScenarioArguments {
     private ScenarioArguments() {}
 
-    /** Each case with each of the seeds from 1 on. */
+    /** Combines each case with each of the seeds from 1 to {@code seeds}. */
     static Stream<Arguments> withSeeds(Object[] cases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
@@ -18,7 +18,9 @@
                                         .mapToObj(seed -> Arguments.of(testCase, seed)));
     }
 
-    /** Each combination of two kinds of cases with each of the seeds from 1 on. */
+    /**
+     * Combines each pair of a case and another case with each of the seeds from 1 to {@code seeds}.
+     */
     static Stream<Arguments> withSeeds(Object[] cases, Object[] otherCases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
--- a/src/test/java/io/quincelead/simulation/ScenarioResult.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioResult.java
@@ -1,4 +1,6 @@
 package io.quincelead.simulation;
 
-/** A scenario that was played, and what is wrong with it, in words; empty if nothing is. */
+/**
+ * The cluster after a scenario, and a description of the problems found; empty if there are none.
+ */
 record ScenarioResult(SimulatedCluster cluster, String problems) {}
--- a/src/test/java/io/quincelead/simulation/ScenarioRunner.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioRunner.java
@@ -12,13 +12,13 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays random scenarios of the simulated cluster, for many seeds. A program, not a test: {@code
- * ScenarioRunner KIND FROM TO [THREADS]} plays a range of seeds of one kind (rough, flood, quick,
- * meetings, first, operators or zones); {@code ScenarioRunner @FILE [THREADS]} plays the kinds and
+ * Runs random scenarios of the simulated cluster for many seeds. A program, not a test: {@code
+ * ScenarioRunner KIND FROM TO [THREADS]} runs a range of seeds of one kind (rough, flood, quick,
+ * meetings, first, operators or zones); {@code ScenarioRunner @FILE [THREADS]} runs the kinds and
  * seeds in the first two columns of a tab-separated file.
  *
  * <p>Prints kind, seed, number of messages and history digest of each scenario, separated by tabs;
- * what went wrong goes to standard error, and any failure makes the exit status 1.
+ * descriptions of failures go to standard error, and any failure makes the exit status 1.
  */
 public final class ScenarioRunner {
     private record Scenario(String kind, long seed) {}
@@ -56,7 +56,7 @@
                 .toList();
     }
 
-    /** Plays the scenarios in parallel and returns how many failed. */
+    /** Runs the scenarios in parallel and returns the number of failed ones. */
     private static int playAll(List<Scenario> scenarios, int threads)
             throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
--- a/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
+++ b/src/test/java/io/quincelead/simulation/ServiceLevelChecker.java
@@ -12,16 +12,20 @@
 import java.util.TreeMap;
 
 /**
- * How a scenario served its users, by the strictest reading of what they ask: half or more of each
- * class, of each team and of the largest tenth of each class (by tasks; at least one job), and a
- * first task on a machine within 240 s of the first attempt to submit. Jobs that their users
- * cancelled don't count. A service is served when half of its replicas have run.
+ * Checks the service level of a scenario by the strictest reading of the users' requirements: at
+ * least half of the jobs of each class, of each team and of the largest tenth of each class (by
+ * tasks; at least one job) are served, and the first task of each job starts within 240 s of the
+ * first submission attempt. Jobs that their users cancelled don't count. A service is served when
+ * half of its replicas have run, another job when its user was told that it is done.
  */
 public final class ServiceLevelChecker {
-    /** ms. The largest jobs too begin within this time. */
+    /** Longest time in ms to the first start; it applies to the largest jobs too. */
     static final long FIRST_START_LIMIT_MILLIS = 240_000;
 
-    /** Share of all jobs that may be given up by their users without having reached anybody. */
+    /**
+     * Share of all jobs whose submissions may be given up without having reached a controller that
+     * could accept them.
+     */
     private static final double MAX_UNREACHED_SHARE = 0.05;
 
     private final SimulatedCluster cluster;
@@ -52,14 +56,19 @@
         }
     }
 
-    /** ms from the first attempt to submit to the first start; -1: none yet. */
+    /**
+     * Time in ms from the first submission attempt to the first start; -1 if there was none yet.
+     */
     public long firstStartDelayMillis(String id) {
         return firstStartAtMillis.containsKey(id)
                 ? firstStartAtMillis.get(id) - submittedAtMillis.get(id)
                 : -1;
     }
 
-    /** ms from the first attempt to submit until half of the tasks had begun; -1: not yet. */
+    /**
+     * Time in ms from the first submission attempt until half of the tasks had started; -1 if they
+     * haven't yet.
+     */
     public long halfStartedDelayMillis(String id) {
         return halfStartedAtMillis.containsKey(id)
                 ? halfStartedAtMillis.get(id) - submittedAtMillis.get(id)
@@ -72,7 +81,10 @@
                 : cluster.wasToldFinalStatus(job.jobId(), "done");
     }
 
-    /** Jobs by everything whose service is judged: class, team, the largest tenth of a class. */
+    /**
+     * Jobs by the groups whose service level is checked: class, team, and the largest tenth of a
+     * class.
+     */
     private Map<String, List<JobSpec>> jobGroups() {
         Map<String, List<JobSpec>> result = new TreeMap<>();
         for (JobSpec job : submittedJobs.values()) {
@@ -96,7 +108,7 @@
         return result;
     }
 
-    /** Share served of each. */
+    /** Share of served jobs in each class, in each team and in the largest tenth of each class. */
     public Map<String, Double> servedShares() {
         Map<String, Double> result = new TreeMap<>();
         jobGroups()
@@ -109,19 +121,28 @@
         return result;
     }
 
-    /** Jobs that were never accepted since no attempt met a controller that could accept them. */
+    /**
+     * Jobs that were never accepted because no submission attempt reached a controller that could
+     * accept them.
+     */
     List<String> unreachedJobs() {
         return submittedJobs.keySet().stream()
                 .filter(cluster.reachability::neverReachedReadyController)
                 .toList();
     }
 
-    /** Whoever was starved, in words. */
+    /**
+     * Descriptions of the groups and jobs that missed the service level, with the usual limit for
+     * the first start.
+     */
     public List<String> starved() {
         return starved(FIRST_START_LIMIT_MILLIS);
     }
 
-    /** The same by another bound for the first start. */
+    /**
+     * Descriptions of the groups and jobs that missed the service level, with the given limit for
+     * the first start.
+     */
     public List<String> starved(long firstStartLimitMillis) {
         List<String> result = new ArrayList<>();
         servedShares()
--- a/src/test/java/io/quincelead/simulation/SimulatedClock.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedClock.java
@@ -4,10 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/**
- * Simulated time: one queue of events, run in order. After each event the observer looks at the
- * world.
- */
+/** Simulated time: one queue of events, run in order. The observer runs after each event. */
 public final class SimulatedClock {
     private record ScheduledEvent(long atMillis, long sequence, Runnable action)
             implements Comparable<ScheduledEvent> {
@@ -26,7 +23,9 @@
     private long nextSequence;
     private Runnable observer = () -> {};
 
-    /** Time passes while a process computes: its clock moves on from one look to the next. */
+    /**
+     * Whether time passes while a process computes: its clock advances from one read to the next.
+     */
     public boolean computationTakesTime;
 
     public SimulatedClock(long seed) {
@@ -55,7 +54,7 @@
         nowMillis = untilMillis;
     }
 
-    /** The loop of one process; its events die with it. */
+    /** The event loop of one process; a killed process runs no more of its events. */
     public final class SimulatedProcess implements EventLoop {
         private final double clockDrift;
         private final long wallClockOffsetMillis;
--- a/src/test/java/io/quincelead/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCloud.java
@@ -11,9 +11,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A stand-in for the cloud: rents and returns workers; its list lags. */
+/** A simulated cloud that provisions and releases machines; its list of machines lags. */
 public final class SimulatedCloud {
-    /** A machine type. */
+    /**
+     * A machine type that the cloud offers, with the zones that have it and the most machines that
+     * exist at once.
+     */
     public record MachineType(
             String name,
             double cpus,
@@ -24,7 +27,7 @@
             double bootSeconds,
             List<String> zones,
             int capacity) {
-        /** The usual machine of tests: 8 CPUs, 32 GB, no GPUs. */
+        /** The usual machine type of tests: 8 CPUs, 32 GB, no GPUs. */
         static MachineType small(double bootSeconds, List<String> zones, int capacity) {
             return new MachineType("small", 8, 0, 32, 0.4, 0.15, bootSeconds, zones, capacity);
         }
@@ -38,20 +41,20 @@
     private final Map<String, ArrayNode> hostsByRequest = new HashMap<>();
     private final List<InventorySnapshot> inventorySnapshots = new ArrayList<>();
 
-    /** Machines that exist, by name. */
+    /** Existing machines by host. */
     public final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
 
     public boolean down;
 
-    /** Share of machines that never come up. */
+    /** Share of machines that never boot. */
     public double bootFailureRate;
 
-    /** Machines are up within two seconds. */
+    /** Whether machines boot within two seconds. */
     public boolean fastBoots;
 
     private int lastInstanceNumber;
 
-    /** Machines ever provisioned. */
+    /** Number of machines that were ever provisioned. */
     public int provisionedMachineCount() {
         return lastInstanceNumber;
     }
@@ -149,7 +152,7 @@
         return worker;
     }
 
-    /** Machines that are there and up before any controller is. */
+    /** Adds machines that boot within one second of the call; called before controllers start. */
     public void addRunningMachines(String machineTypeName, String zone, int count) {
         for (int i = 0; i < count; i++) {
             SimulatedWorker worker = createMachine(machineType(machineTypeName), zone, false);
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -17,15 +17,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Real controllers among stand-ins, in simulated time, with every rule of the protocol checked
- * after each event.
+ * Runs real controllers against a simulated store, cloud, network, workers and users in simulated
+ * time, and checks the protocol's invariants after each event.
  */
 public final class SimulatedCluster {
     public static final String STORE_ADDRESS = "10.2.0.1:2379";
     public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
     public static final String USERS_ADDRESS = "10.3.0.1:0";
 
-    /** One controller's place; the process on it may be killed and started again. */
+    /** One controller's host and addresses; its process may be killed and restarted. */
     public final class SimulatedController {
         public final String memberId;
         public final String ip;
@@ -97,7 +97,7 @@
     public final SimulatedStore store;
     public final SimulatedCloud cloud;
 
-    /** Makes things go wrong. */
+    /** Injects faults into this cluster. */
     final FaultInjector faults = new FaultInjector(this);
 
     public final List<SimulatedController> controllers = new ArrayList<>();
@@ -107,19 +107,22 @@
     public Settings.StoreLimits storeLimits = new Settings.StoreLimits(400, 200, 8, 12);
     public long workerLeaseMillis = 10_000;
 
-    /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
+    /** GB per second at which machines fetch images; with 0, every fetch takes 0.3 s. */
     public double imageFetchGbPerSecond;
 
-    /** GB that machines have fetched. */
+    /** Total size in GB of the images that machines have fetched. */
     public double fetchedImageGb;
 
     public OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
     public final double cancellationDeadlineSeconds = 40;
 
-    /** ms for which a user repeats a submission. */
+    /** Time in ms for which a user retries a submission. */
     public long submissionRetryWindowMillis = 60_000;
 
-    /** ms. The users' own bound: after this time without an answer a job counts as forgotten. */
+    /**
+     * Time in ms that users accept without an answer about a job; after it the job counts as
+     * forgotten.
+     */
     static final long UNANSWERED_LIMIT_MILLIS = 75_000;
 
     final Map<String, JobSpec> jobsById = new HashMap<>();
@@ -128,24 +131,27 @@
     private final Map<String, String> finalStatusByJob = new HashMap<>();
     private final Map<String, Long> cancellationConfirmedAtMillis = new HashMap<>();
 
-    /** ms from the first attempt to submit until somebody was told that the job is accepted. */
+    /**
+     * Time in ms from the first submission attempt to the first response that accepts the job, by
+     * job id.
+     */
     final Map<String, Long> acceptanceDelayMillis = new HashMap<>();
 
-    /** When a question about a job was last answered, by its submission at first. */
+    /** When a query about a job was last answered; its acceptance counts as the first answer. */
     private final Map<String, Long> lastAnswerAtMillis = new HashMap<>();
 
     private final ServiceLevelChecker serviceLevels = new ServiceLevelChecker(this);
     final SubmissionReachability reachability = new SubmissionReachability(this);
 
-    /** From then on nothing is made to go wrong any more. */
+    /** Time from which on no injected fault is in force. */
     private long faultsEndAtMillis;
 
     private final Set<String> cancellationRequests = new HashSet<>();
 
-    /** Most tasks that anybody was told are done. */
+    /** The highest number of done tasks that any response has reported, by job id. */
     private final Map<String, Integer> maxReportedDoneTasks = new HashMap<>();
 
-    /** Jobs that can't run or lack a field. */
+    /** Ids of submitted jobs that can't run on any machine or lack a field. */
     final Set<String> unacceptableJobs = new HashSet<>();
 
     final SimulatedUsers users = new SimulatedUsers(this);
@@ -153,10 +159,12 @@
     private final Set<String> violations = new HashSet<>();
     public final Map<String, Integer> taskStartsByJob = new HashMap<>();
 
-    /** Off for measurements of large clusters: the checks look at every task after every event. */
+    /**
+     * Off when large clusters are measured, since the checks visit every task after every event.
+     */
     public boolean invariantChecksEnabled = true;
 
-    /** Tasks that began: only a beginning can take a team past its limit. */
+    /** Number of task starts; only a start can take a team over its limit. */
     long taskStartCount;
 
     private long lastCheckedTaskStartCount = -1;
@@ -207,19 +215,19 @@
     }
 
     /**
-     * Seconds for which a job that began late could have begun, by what was on the machines and
-     * what its team may use.
+     * Seconds for which a job could have started before its first start, judged by the free
+     * capacity of the machines and its team's limits.
      */
     int startableSeconds(String id) {
         return starvation.startableSeconds(id);
     }
 
-    /** Something is made to go wrong until then. */
+    /** Extends the period in which faults are in force to at least this time. */
     public void expectFaultsUntil(long untilMillis) {
         faultsEndAtMillis = Math.max(faultsEndAtMillis, untilMillis);
     }
 
-    /** How each class, team and size was served, and who was starved. */
+    /** Checks how well each class, team and job size was served, and which jobs were starved. */
     public ServiceLevelChecker serviceLevels() {
         return serviceLevels;
     }
@@ -237,70 +245,70 @@
         return -1;
     }
 
-    /** The leader's place among the controllers; -1: nobody leads. */
+    /** The index of the leader among the controllers; -1 if there is none. */
     int leaderIndex() {
         JsonNode leader = store.value("a/lead");
         return leader == null ? -1 : indexOfController(leader.path("m").asText());
     }
 
-    // ---- what a scenario is written with
+    // ---- building blocks of scenarios
 
     /** Simulated milliseconds since the start. */
     long nowMillis() {
         return clock.nowMillis();
     }
 
-    /** The one source of random numbers of the simulation. */
+    /** The simulation's only source of random numbers. */
     SplittableRandom random() {
         return clock.random;
     }
 
-    /** Does this so many ms from now. */
+    /** Schedules an action after a delay in ms. */
     void after(long delayMillis, Runnable action) {
         clock.schedule(delayMillis, action);
     }
 
-    /** Plays what is due until then, in ms since the start. */
+    /** Runs all events that are due up to a time in ms since the start. */
     void runUntil(long untilMillis) {
         clock.runUntil(untilMillis);
     }
 
-    /** Submits so many ms from now, at any controller. */
+    /** Submits a job to a random controller after a delay in ms. */
     void submitAfter(long delayMillis, JobSpec job) {
         after(delayMillis, () -> submit(job));
     }
 
-    /** Submits so many ms from now, at this controller. */
+    /** Submits a job to the given controller after a delay in ms. */
     void submitAfter(long delayMillis, JobSpec job, int controller) {
         after(delayMillis, () -> submit(job, controller));
     }
 
-    /** Cancels so many ms from now, at any controller. */
+    /** Cancels a job at a random controller after a delay in ms. */
     void cancelAfter(long delayMillis, String id) {
         after(delayMillis, () -> cancel(id));
     }
 
-    /** Cancels so many ms from now, at this controller. */
+    /** Cancels a job at the given controller after a delay in ms. */
     void cancelAfter(long delayMillis, String id, int controller) {
         after(delayMillis, () -> cancel(id, controller));
     }
 
-    /** Asks for a job so many ms from now, wherever its user asks. */
+    /** Queries a job after a delay in ms, at the controller that its user chooses. */
     void queryAfter(long delayMillis, String id) {
         after(delayMillis, () -> query(id));
     }
 
-    /** Asks this controller for a job so many ms from now. */
+    /** Queries a job at the given controller after a delay in ms. */
     void queryAfter(long delayMillis, String id, int controller) {
         after(delayMillis, () -> query(id, controller));
     }
 
-    /** A team's guaranteed and maximum CPUs; it has no GPUs. */
+    /** Sets a team's guaranteed and maximum CPUs; the team gets no GPUs. */
     void setTeam(String name, double guaranteedCpus, double maxCpus) {
         setTeam(name, guaranteedCpus, maxCpus, 0, 0);
     }
 
-    /** A team's guaranteed and maximum CPUs and GPUs. */
+    /** Sets a team's guaranteed and maximum CPUs and GPUs. */
     void setTeam(
             String name,
             double guaranteedCpus,
@@ -322,9 +330,9 @@
         violations.add(rule + ": " + detail);
     }
 
-    // ---- rules about machines
+    // ---- invariants of machines and tasks
 
-    /** Called at the moment a task has its image and begins. */
+    /** Called when a task's image has been fetched and the task starts. */
     void onTaskStarted(SimulatedWorker worker, SimulatedWorker.SimulatedTask task, JobSpec job) {
         taskStartsByJob.merge(job.jobId(), 1, Integer::sum);
         serviceLevels.onTaskStarted(job, task.id);
@@ -366,8 +374,8 @@
     }
 
     /**
-     * A machine goes on after it hung: what its users have been told is cancelled must not be there
-     * any more.
+     * Called when a hung machine resumes: tasks whose cancellation was confirmed to the user must
+     * no longer be on it.
      */
     void onWorkerResumed(SimulatedWorker worker) {
         for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
@@ -380,8 +388,8 @@
     }
 
     /**
-     * Called after each event. Where nothing has begun since the last look, no limit can have been
-     * passed.
+     * Checks team limits and cancelled jobs; called after each event. If no task has started since
+     * the last check, no limit can have been exceeded.
      */
     private void checkTaskInvariants() {
         if (!invariantChecksEnabled
@@ -481,9 +489,12 @@
                 });
     }
 
-    // ---- operators
+    // ---- operators' commands
 
-    /** An operator's command at a controller; {@code then} hears status and answer, 0 for none. */
+    /**
+     * Sends an operator's command to a controller; {@code onResponse} receives the status and the
+     * response, status 0 if there was none.
+     */
     public void sendOperatorCommand(
             int controller,
             String path,
@@ -500,7 +511,7 @@
                         onResponse.accept(status, WireFormat.JSON.decodeMap(responseBody)));
     }
 
-    // ---- users and rules about answers
+    // ---- users' requests and invariants of the responses
 
     public int acceptedJobCount() {
         return acceptedJobs.size();
@@ -514,7 +525,10 @@
         return controllers.get(clock.random.nextInt(controllers.size()));
     }
 
-    /** Some users stay with one controller, whatever becomes of it. */
+    /**
+     * The controller that a job's user queries: for a third of the jobs always the same one, even
+     * if it is down, for the others a random one.
+     */
     private SimulatedController controllerForQuery(String id) {
         SimulatedController any = randomController();
         int number = id.hashCode() & 0xffff;
@@ -522,8 +536,9 @@
     }
 
     /**
-     * Once all faults are over, each accepted job that its user didn't cancel is known: judged job
-     * by job, for a question that is never answered doesn't become better by what others are told.
+     * Checks that after all faults each accepted job that its user didn't cancel still gets
+     * answers. Each job is checked on its own, since answers to other users don't make up for a
+     * query that is never answered.
      */
     private void checkUnansweredJobs() {
         for (String id : acceptedJobs) {
@@ -536,7 +551,7 @@
         clock.schedule(1_000, this::checkUnansweredJobs);
     }
 
-    /** A user uploads the job's description, which workers fetch. */
+    /** Stores the job's specification, which the simulated workers look up. */
     public void upload(JobSpec job) {
         jobsById.put(job.jobId(), job);
     }
@@ -545,7 +560,10 @@
         submit(job, -1);
     }
 
-    /** Submits at one controller; below 0: at any, as the balancer likes. */
+    /**
+     * Submits a job to one controller; with a negative index, to a random one, as behind a load
+     * balancer.
+     */
     public void submit(JobSpec job, int controller) {
         upload(job);
         serviceLevels.onSubmitted(job);
@@ -600,12 +618,15 @@
         clock.schedule(finalStatusByJob.containsKey(id) ? 30_000 : 5_000, () -> pollRepeatedly(id));
     }
 
-    /** Asks once, for a job that may never have been submitted. */
+    /** Sends one query for a job, which may never have been submitted. */
     public void query(String id) {
         query(id, -1);
     }
 
-    /** Asks one controller; below 0: whichever the user asks. */
+    /**
+     * Sends one query to a controller; with a negative index, to the one that the job's user
+     * chooses.
+     */
     void query(String id, int controller) {
         boolean alreadyAccepted = acceptedJobs.contains(id);
         String previousFinalStatus = finalStatusByJob.get(id);
@@ -634,7 +655,7 @@
                 });
     }
 
-    /** Submits what can't be accepted: its body can't run or lacks a field. */
+    /** Submits a job that must be rejected, since it can't run or lacks a field. */
     void submitUnacceptable(String id, byte[] body, int expected) {
         unacceptableJobs.add(id);
         network.call(
@@ -657,8 +678,8 @@
     }
 
     /**
-     * Judges a whole answer: also how many tasks it calls done, against what anybody had been told
-     * when the user asked.
+     * Checks a whole response: besides the status, the number of done tasks must not be lower than
+     * any response had reported when the request was sent.
      */
     void checkAnswer(String id, ObjectNode body, String previousFinalStatus, int previouslyDone) {
         checkAnswer(id, body.path("status").asText(), previousFinalStatus);
@@ -675,8 +696,8 @@
     }
 
     /**
-     * Judges what a user was told, against the final state that was told when the user asked, if
-     * any.
+     * Checks the job status in a response against the final status, if any, that had been reported
+     * when the request was sent.
      */
     public void checkAnswer(String id, String status, String previousFinalStatus) {
         if (previousFinalStatus != null && !previousFinalStatus.equals(status)) {
@@ -704,7 +725,7 @@
         cancel(id, -1);
     }
 
-    /** Cancels at one controller; below 0: at any. */
+    /** Cancels a job at one controller; with a negative index, at a random one. */
     public void cancel(String id, int controller) {
         cancellationRequests.add(id);
         String previousFinalStatus = finalStatusByJob.get(id);
@@ -747,7 +768,7 @@
                 });
     }
 
-    /** When the user was told that the job is cancelled; -1: not yet. */
+    /** Time at which the job's cancellation was confirmed to its user; -1 if it wasn't yet. */
     public long cancellationConfirmedAtMillis(String id) {
         return cancellationConfirmedAtMillis.getOrDefault(id, -1L);
     }
@@ -764,7 +785,7 @@
         return finalStatusByJob.containsKey(id);
     }
 
-    /** Whether every accepted job has reached its end and its user was told. */
+    /** Accepted jobs, other than services, whose users have not been told a final status. */
     public List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
         for (String id : acceptedJobs) {
--- a/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedNetwork.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * The network between hosts: delays messages, loses answers, and cuts pairs of hosts, holding
- * packets or not.
+ * The simulated network between hosts: delays messages, loses responses, and partitions pairs of
+ * hosts, with or without buffering their packets.
  */
 public final class SimulatedNetwork {
-    /** A host answers through a callback, or never. */
+    /** Handles the requests to one address; it responds through the request, or never. */
     @FunctionalInterface
     public interface RequestHandler {
         void handle(IncomingRequest request);
@@ -29,41 +29,44 @@
     private final Set<String> bufferedPairs = new HashSet<>();
     private final Map<String, List<Runnable>> bufferedPackets = new HashMap<>();
 
-    /** Share of answers that get lost after the request was executed. */
+    /** Share of responses that are lost after the request was executed. */
     public double responseLossRate;
 
     /**
-     * Share of requests of which a copy arrives again, up to three minutes later; nobody hears the
-     * answer to a copy.
+     * Share of requests of which a copy arrives up to three minutes later; the response to a copy
+     * is discarded.
      */
     public double duplicationRate;
 
     /**
-     * Share of the workers' heartbeats of which a copy arrives again, from 2 s to well over a lease
-     * later.
+     * Share of the workers' heartbeats of which a copy arrives later: from 2 s to well over a
+     * lease's duration.
      */
     public double staleHeartbeatRate;
 
     public int maxStaleHeartbeatDelayMillis = 45_000;
 
-    /** Share of the workers' heartbeats of which a copy is kept for whoever leads next. */
+    /**
+     * Share of the workers' heartbeats of which a copy is kept, to be replayed to the next leader.
+     */
     public double heartbeatRetentionRate;
 
     /**
-     * Share of the workers' heartbeats that are held up themselves until {@link
+     * Share of the workers' heartbeats that are themselves held until {@link
      * #releaseHeldHeartbeats}.
      */
     public double heartbeatHoldRate;
 
-    /** ms. Each packet takes up to so much longer. */
+    /** Upper limit in ms of the random extra latency of each packet. */
     public int maxExtraLatencyMillis;
 
-    /** How many kept copies arrived, and how many reports were held up and then arrived. */
+    /** Number of retained copies of heartbeats that arrived at a running controller. */
     public int replayedHeartbeats;
 
+    /** Number of held heartbeats that {@link #releaseHeldHeartbeats} delivered. */
     public int releasedHeartbeats;
 
-    /** A request on its way; a copy of it is the same request again. */
+    /** A request in transit; a duplicate is the same request delivered again. */
     private record Request(String from, String to, String method, String path, byte[] body) {
         boolean isHeartbeat() {
             return path.equals("/v1/report");
@@ -74,42 +77,52 @@
         }
     }
 
-    /** ms by which a request and its answer are held up besides the latency of their packets. */
+    /**
+     * Time in ms by which a request and its response are held, in addition to the latency of their
+     * packets.
+     */
     private record Delays(long requestMillis, long responseMillis) {
         static final Delays NONE = new Delays(0, 0);
     }
 
-    /** Copies of heartbeats kept at most for the next leader. */
+    /** Maximum number of copies of heartbeats kept for the next leader. */
     private static final int MAX_RETAINED_HEARTBEATS = 400;
 
-    /** Whoever would hear the answer to a copy has given up or never asked. */
+    /** Discards the response to a copy: the sender has given up or never sent the copy. */
     private static final ResponseHandler IGNORE_RESPONSE =
             (status, responseBody, retryAfterSeconds) -> {};
 
     private final List<Request> retainedHeartbeats = new ArrayList<>();
     private final List<Runnable> heldHeartbeats = new ArrayList<>();
 
-    /** Share of direct commands that are held up for seconds, on their way or with their answer. */
+    /**
+     * Share of direct commands that are held for seconds, before their delivery or before their
+     * response.
+     */
     public double commandHoldRate;
 
-    /** ms by which the answers to such commands are held at least, and whether nothing else is. */
+    /**
+     * Time in ms by which the responses to held commands are delayed; if 0, commands and responses
+     * are held for random times. If positive, only the responses are held.
+     */
     public int minCommandResponseDelayMillis;
 
-    /** How many copies of reports arrived, and how many commands were held up. */
+    /** Number of copies of heartbeats that were scheduled to arrive late. */
     public int staleHeartbeatsSent;
 
+    /** Number of direct commands that were held. */
     public int heldCommandCount;
 
-    /** Everything that was called and answered. */
+    /** Digest of all calls and responses. */
     final HistoryDigest history = new HistoryDigest();
 
-    /** Sees path and body of each request as it is sent. */
+    /** Receives path and body of each request when it is sent. */
     public BiConsumer<String, byte[]> requestObserver = (path, body) -> {};
 
-    /** Who sent what is being handled. */
+    /** IP of the sender of the request that is being handled. */
     private String senderIp = "";
 
-    /** A call and what its caller gets for it; status 0: no response in time. */
+    /** A call and the response that its caller got; status 0 if there was none in time. */
     public record Exchange(
             String to,
             String method,
@@ -119,7 +132,7 @@
             int retryAfterSeconds,
             byte[] responseBody) {}
 
-    /** Sees each call once its caller has its response. */
+    /** Receives each call once its caller has the response or the timeout. */
     public Consumer<Exchange> exchangeObserver = exchange -> {};
 
     public SimulatedNetwork(SimulatedClock clock) {
@@ -145,8 +158,8 @@
     }
 
     /**
-     * Cuts two hosts; with {@code hold}, what was sent arrives late, even if the sender has given
-     * up.
+     * Partitions two hosts. With {@code buffer}, their packets are delivered when the partition
+     * heals, even if the sender has given up by then; else they are lost.
      */
     public void partition(String firstIp, String secondIp, boolean buffer) {
         partitionedPairs.add(pairKey(firstIp, secondIp));
@@ -155,7 +168,7 @@
         }
     }
 
-    /** Whether a host is cut off from the host of an address. */
+    /** Whether a host is partitioned from the host of an address. */
     boolean isPartitioned(String ip, String address) {
         return partitionedPairs.contains(pairKey(ip, hostOf(address)));
     }
@@ -170,7 +183,10 @@
         }
     }
 
-    /** A packet: now, late or never. */
+    /**
+     * Delivers a packet after the network's latency, after the partition of its hosts if packets
+     * are buffered, or never.
+     */
     private void sendPacket(String from, String to, Runnable delivery) {
         String pair = pairKey(hostOf(from), hostOf(to));
         if (!partitionedPairs.contains(pair)) {
@@ -185,18 +201,19 @@
         }
     }
 
-    /** The answer as the caller sees it: status 0 when none came in time. */
+    /** Receives the response as the caller sees it; status 0 if there was none in time. */
     @FunctionalInterface
     public interface ResponseHandler {
         void onResponse(int status, byte[] body, int retryAfterSeconds);
     }
 
-    /** Questions under way, and the most at once. */
+    /** Number of calls whose callers have neither a response nor a timeout yet. */
     private int openCalls;
 
+    /** The most calls that were open at the same time. */
     public int maxOpenCalls;
 
-    /** A call until its caller has its one answer, be it the timeout's. */
+    /** A call whose caller gets exactly one answer: the first response or the timeout. */
     private final class PendingCall {
         private final Request request;
         private final ResponseHandler caller;
@@ -207,7 +224,9 @@
             this.caller = caller;
         }
 
-        /** Only the first answer counts; status 0: the caller's time is up. */
+        /**
+         * Passes the first answer to the caller and ignores further ones; status 0 is the timeout.
+         */
         void answer(int status, byte[] responseBody, int retryAfterSeconds) {
             if (answered) {
                 return;
@@ -229,8 +248,8 @@
     }
 
     /**
-     * Sends a request with the faults in force. The order of the steps is that of their random
-     * draws: another one would play other scenarios.
+     * Sends a request with the faults in force. The order of the steps determines the order of the
+     * random draws; another order would change the scenario of each seed.
      */
     public void call(
             String from,
@@ -276,7 +295,7 @@
         }
     }
 
-    /** Whether the request itself is held up until {@link #releaseHeldHeartbeats}. */
+    /** Whether the request itself is held until {@link #releaseHeldHeartbeats}. */
     private boolean maybeHoldBack(Request request) {
         boolean heldBack =
                 heartbeatHoldRate > 0
@@ -288,7 +307,7 @@
         return heldBack;
     }
 
-    /** A direct command may be held up on its way, or its answer. */
+    /** Draws whether a direct command or its response is held, and for how long. */
     private Delays drawDelays(Request request) {
         boolean held =
                 commandHoldRate > 0
@@ -331,7 +350,7 @@
                 () -> runAfter(delays.requestMillis, () -> deliver(request, returnPath)));
     }
 
-    /** Brings a copy of each report that was kept to each of these addresses. */
+    /** Delivers a copy of each retained heartbeat to each of the addresses. */
     void replayRetainedHeartbeats(List<String> addresses) {
         for (Request heartbeat : retainedHeartbeats) {
             for (String address : addresses) {
@@ -349,7 +368,7 @@
         retainedHeartbeats.clear();
     }
 
-    /** What was held up arrives where it was sent to, long after its sender has given up. */
+    /** Delivers the held heartbeats to their addresses, long after their senders have given up. */
     void releaseHeldHeartbeats() {
         releasedHeartbeats += heldHeartbeats.size();
         heldHeartbeats.forEach(action -> clock.schedule(clock.random.nextInt(1, 400), action));
@@ -364,7 +383,7 @@
         }
     }
 
-    /** The IP of whoever sent the request that is being handled. */
+    /** The IP of the sender of the request that is being handled. */
     String senderIp() {
         return senderIp;
     }
--- a/src/test/java/io/quincelead/simulation/SimulatedStore.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedStore.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** A stand-in for the state service, written from the protocol. */
+/** A simulated state store, written from the specification of its protocol. */
 public final class SimulatedStore {
     private record VersionedValue(JsonNode value, long modRevision, long leaseId) {}
 
@@ -25,10 +25,12 @@
     private record Watch(
             String prefix, long afterRevision, IncomingRequest request, String clientIp) {}
 
-    /** Characters of JSON that a value has at most. */
+    /** Maximum length of a value, in characters of JSON. */
     private static final int MAX_VALUE_LENGTH = 8 * 1024;
 
-    /** ms after which it is asked again whether a transaction is still held up. */
+    /**
+     * Interval in ms at which {@link #holdsTransaction} is evaluated again for a held transaction.
+     */
     private static final long HOLD_CHECK_MILLIS = 20;
 
     private final SimulatedClock clock;
@@ -41,62 +43,67 @@
     private long revision;
     private long lastLeaseId;
 
-    /** Changes kept for watches. */
+    /** Number of changes kept for watches; a watch that starts before them gets 410. */
     public int maxRetainedChanges = 10_000;
 
     public boolean down;
     private long downSinceMillis;
 
-    /** ms for which the store has been down, when it is up again. */
+    /** Total time in ms of the outages that have ended. */
     public long totalDownMillis;
 
-    /** Controllers, by IP, that get 503 while the others are served; their open watches wait. */
+    /**
+     * IPs of controllers whose requests get 503 while others are served; their open watches get no
+     * response.
+     */
     private final Set<String> refusedClients = new HashSet<>();
 
-    /** Controllers, by IP, whose watches are late though all else is served. */
+    /** IPs of controllers whose watches get no response while their other requests are served. */
     private final Set<String> delayedWatchers = new HashSet<>();
 
     /**
-     * Share of transactions that get no answer and are carried out 2 to 12 s later, after newer
+     * Share of transactions that get no response and are committed 2 to 12 s later, after newer
      * ones.
      */
     public double delayedWriteRate;
 
-    /**
-     * Share of transactions that are carried out at once and of which only the answer is lost; how
-     * many there were.
-     */
+    /** Share of transactions that are committed immediately while their response is lost. */
     public double responseLossRate;
 
+    /** Number of committed transactions whose response was lost. */
     public int lostResponses;
 
-    /** Which transactions are carried out at once without an answer, whatever their share. */
+    /**
+     * Selects transactions that are committed immediately without a response, in addition to {@link
+     * #responseLossRate}.
+     */
     public Predicate<ObjectNode> dropsResponse = transaction -> false;
 
-    /** Sees each transaction that has just been carried out. */
+    /** Receives each transaction that has just been committed. */
     public Consumer<ObjectNode> commitObserver = transaction -> {};
 
-    /** How many of those were carried out, and how many failed by then. */
+    /** Number of delayed transactions that were committed when they arrived. */
     public int delayedWritesApplied;
 
+    /** Number of delayed transactions that were rejected when they arrived. */
     public int delayedWritesRejected;
 
-    /** Items that a page of a list holds at most. */
+    /** Maximum number of items on a page of a list. */
     public int maxPageSize = 1_000;
 
-    /** ms. Each request takes up to so much longer. */
+    /** Upper limit in ms of the random extra latency of each request. */
     public long maxExtraLatencyMillis;
 
-    /** How often each key of the ledger was written. */
+    /** Number of writes of each key of the ledger. */
     public final Map<String, Integer> ledgerWrites = new HashMap<>();
 
-    /** Which transactions get lost on their way, perhaps to arrive later. */
+    /** Selects transactions that are lost on their way; a test may commit them later. */
     public Predicate<ObjectNode> dropsTransaction = transaction -> false;
 
-    /** Which transactions are held up on their way for as long as this says so. */
+    /** Selects transactions that are held on their way until the predicate no longer matches. */
     public Predicate<ObjectNode> holdsTransaction = transaction -> false;
 
-    /** Sees each transaction as it arrives, before anything is done with it. */
+    /** Receives each transaction on arrival, before it is processed. */
     public Consumer<ObjectNode> arrivalObserver = transaction -> {};
 
     public int largestValueLength;
@@ -131,7 +138,7 @@
         clock.schedule(50, this::expireLeases);
     }
 
-    /** After an outage all leases have their full time again. */
+    /** Starts or ends an outage; after it all leases have their full duration again. */
     public void setDown(boolean nowDown) {
         totalDownMillis += down ? clock.nowMillis() - downSinceMillis : 0;
         downSinceMillis = clock.nowMillis();
@@ -156,7 +163,7 @@
         notifyWatchers();
     }
 
-    /** Refuses one controller alone, or serves it again. */
+    /** Starts or stops refusing the requests of one controller. */
     public void setRefused(String ip, boolean refused) {
         if (refused) {
             refusedClients.add(ip);
@@ -166,7 +173,7 @@
         }
     }
 
-    /** Keeps what changes from one controller, or lets it catch up. */
+    /** Delays the watches of one controller, or lets it catch up. */
     public void setWatchDelayed(String ip, boolean delayed) {
         if (delayed) {
             delayedWatchers.add(ip);
@@ -254,7 +261,7 @@
         }
     }
 
-    /** Carries a transaction out now, later, or without an answer. */
+    /** Commits a transaction now, later, or without a response. */
     private void commitWithFaults(IncomingRequest request, ObjectNode body) {
         if (delayedWriteRate > 0
                 && !body.path("then").isEmpty()
@@ -286,7 +293,7 @@
         request.respond(200, response);
     }
 
-    /** Carries a transaction out after so many ms; nobody hears of it. */
+    /** Commits a transaction after a delay in ms, without a response. */
     void commitLater(IncomingRequest request, ObjectNode body, long delayMillis) {
         clock.schedule(
                 delayMillis,
@@ -305,7 +312,7 @@
                 });
     }
 
-    /** Nobody hears the answer. */
+    /** Returns a request whose response is discarded. */
     static IncomingRequest requestWithoutResponse() {
         return new IncomingRequest("POST", "/commit", Map.of(), new byte[0]) {
             @Override
@@ -371,7 +378,9 @@
         }
     }
 
-    /** A controller that sends more than the real service takes is at fault: the scenario ends. */
+    /**
+     * Ends the scenario if a controller sends a transaction that exceeds the real service's limits.
+     */
     private void requireWithinLimits(int operationCount, int preconditionCount) {
         if (operationCount > maxOperations || preconditionCount > 4 * maxOperations) {
             throw new IllegalStateException(
@@ -384,8 +393,8 @@
     }
 
     /**
-     * Whether all leases that the operations name are alive; checks and notes the sizes of the
-     * values up to the first that isn't.
+     * Whether all leases that the operations refer to are alive. Checks and records the sizes of
+     * the values up to the first operation with an expired lease.
      */
     private boolean checkOperations(JsonNode operations) {
         for (JsonNode operation : operations) {
@@ -404,7 +413,9 @@
         return true;
     }
 
-    /** The keys whose mod revision isn't the required one; 0 requires that there is no such key. */
+    /**
+     * The keys whose mod revision isn't the required one; 0 requires that the key doesn't exist.
+     */
     private ArrayNode failedPreconditions(JsonNode preconditions) {
         ArrayNode failedKeys = WireFormat.newList();
         for (JsonNode precondition : preconditions) {
@@ -417,7 +428,7 @@
         return failedKeys;
     }
 
-    /** Puts or removes one key at the present revision. */
+    /** Puts or removes one key at the current store revision. */
     private void apply(JsonNode operation) {
         if (!operation.has("put")) {
             String removedKey = operation.path("remove").asText();
--- a/src/test/java/io/quincelead/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedUsers.java
@@ -6,33 +6,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What users do besides submitting, asking every few seconds and cancelling now and then. */
+/** Users' actions besides submitting jobs, polling them every few seconds and cancelling some. */
 final class SimulatedUsers {
     private final SimulatedCluster cluster;
 
     /**
-     * They ask all controllers, and repeat the submission, within milliseconds of an acceptance,
-     * end or cancellation.
+     * Whether users query all controllers and repeat the submission within milliseconds after a job
+     * is accepted, done or cancelled.
      */
     boolean consistencyProbes;
 
-    /** Share of jobs that are then cancelled at once. */
+    /** Share of jobs that are cancelled within 30 ms after their acceptance is first reported. */
     double cancelAtAcceptanceRate;
 
-    /** Share of jobs that are cancelled at the moment at which their last task ends. */
+    /** Share of jobs that are cancelled when their last task ends. */
     double cancelAtCompletionRate;
 
-    /** How often each has happened. */
+    /** Number of times that all controllers were queried about a job. */
     int probeCount;
 
+    /** Number of jobs cancelled when their acceptance was reported. */
     int cancelledAtAcceptanceCount;
+
+    /** Number of jobs cancelled when their last task ended. */
     int cancelledAtCompletionCount;
+
+    /** Number of jobs cancelled by {@link #cancelRunningJobs}. */
     int massCancelledCount;
 
-    /** Odd requests that got the refusal they should get, and those about jobs that are known. */
+    /** Number of unacceptable submissions that were rejected with the expected status. */
     int expectedRefusalCount;
 
+    /** Number of unusual requests that concerned known jobs. */
     int knownJobRequestCount;
+
     private int lastUnacceptableId;
     private int lastJobNumber = 1_000;
 
@@ -40,12 +47,12 @@
         this.cluster = cluster;
     }
 
-    /** The number of a job that nobody has submitted yet. */
+    /** Returns a job number that has not been used yet. */
     int nextJobNumber() {
         return ++lastJobNumber;
     }
 
-    /** The first time that anybody is told that the job is accepted. */
+    /** Called when the job's acceptance is first reported to a user. */
     void onAccepted(JobSpec job) {
         if (cancelAtAcceptanceRate > 0
                 && !job.isService()
@@ -56,12 +63,12 @@
         probe(job.jobId());
     }
 
-    /** The first time that anybody is told that it is done or cancelled. */
+    /** Called when the job is first reported to a user as done or cancelled. */
     void onFinalStatus(String id) {
         probe(id);
     }
 
-    /** A task of the job has just completed. */
+    /** Called when a task of the job has completed. */
     void onTaskCompleted(JobSpec job) {
         for (int i = 0; i < job.taskCount(); i++) {
             if (!cluster.completedTasks.contains(job.jobId() + "/" + i)) {
@@ -93,8 +100,8 @@
     }
 
     /**
-     * Cancels so many running jobs that have long to go, within 0.2 s; up to eight of their
-     * machines hang for so many ms.
+     * Cancels up to {@code count} running jobs with a run time of 5 s or more, within 0.2 s. If
+     * {@code hangMillis} is positive, up to eight of their machines hang for that time.
      */
     void cancelRunningJobs(int count, long hangMillis) {
         List<String> runningJobs = new ArrayList<>();
@@ -146,7 +153,10 @@
         }
     }
 
-    /** One odd request. */
+    /**
+     * Sends one unusual request: a repeated submission, the cancellation of a done job, or a job
+     * that must be rejected.
+     */
     void sendUnusualRequest() {
         List<String> accepted = new ArrayList<>(cluster.acceptedJobs());
         String id = String.format("wk-7%05d", ++lastUnacceptableId);
@@ -206,8 +216,8 @@
     }
 
     /**
-     * One-task jobs of both teams, so many a second, a quarter of them cancelled within three
-     * seconds.
+     * Submits single-task jobs of both teams at a fixed interval; a quarter of them are cancelled
+     * within three seconds.
      */
     void submitSingleTaskJobs(int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -12,15 +12,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for one machine and its worker, written from the protocol. */
+/** A simulated machine and its worker agent, written from the specification of their protocol. */
 public final class SimulatedWorker {
-    /** ms. gang_wait_s of the settings that the cluster hands out. */
+    /**
+     * Time in ms of the setting gang_wait_s that the simulated cluster gives to its controllers.
+     */
     static final long GANG_WAIT_MILLIS = 45_000;
 
-    /** A heartbeat's answer that comes later than this counts as none. */
+    /** Timeout in ms of a heartbeat; a later response is ignored. */
     private static final long HEARTBEAT_TIMEOUT_MILLIS = 4_000;
 
-    /** A task on the machine, or one that has ended there. */
+    /** A task that is on the machine or has ended there. */
     public static final class SimulatedTask {
         final String id;
         final long attempt;
@@ -34,7 +36,7 @@
             this.attempt = attempt;
         }
 
-        /** Whether it counts as being on the machine. */
+        /** Whether the task counts as being on the machine. */
         boolean occupiesMachine() {
             return status.equals("running") || status.equals("waiting") || status.equals("saving");
         }
@@ -58,10 +60,10 @@
     boolean hung;
     boolean failsTasks;
 
-    /** Its reports arrive; answers and direct commands to it are lost. */
+    /** Heartbeats of this worker arrive; responses and direct commands to it are lost. */
     boolean unreachableInbound;
 
-    /** It reaches no controller; direct commands reach it. */
+    /** This worker reaches no controller; direct commands reach it. */
     boolean unreachableOutbound;
 
     double reclaimNoticeSeconds = -1;
@@ -76,7 +78,7 @@
     private int heartbeatNumber;
     final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
-    /** Images, by when they are here. */
+    /** Time at which each image has been fetched, by image. */
     private final Map<String, Long> imageReadyAtMillis = new HashMap<>();
 
     private final List<Runnable> suspendedActions = new ArrayList<>();
@@ -103,7 +105,10 @@
         return taskId + "#" + attempt;
     }
 
-    /** Runs now, or when a hanging machine resumes, or never. */
+    /**
+     * Runs an action now, on resumption if the machine hangs, or never if the machine crashed or
+     * was released.
+     */
     private void runUnlessHung(Runnable action) {
         if (released || dead) {
             return;
@@ -217,7 +222,7 @@
         return node;
     }
 
-    /** A heartbeat under way: its number, when it was sent and the agent epoch it was sent in. */
+    /** A heartbeat that was sent: its number, its time and the agent epoch in which it was sent. */
     private record SentHeartbeat(int number, long sentMillis, long agentEpoch) {}
 
     private void sendHeartbeat() {
@@ -247,7 +252,10 @@
                 delayMillis, () -> runUnlessHung(() -> onHeartbeatResponse(heartbeat, 0, null)));
     }
 
-    /** A machine that is unreachable inbound waits for its timeout whatever came back. */
+    /**
+     * Handles the response to a heartbeat; a machine that is unreachable inbound gets the timeout
+     * instead.
+     */
     private void receiveResponse(SentHeartbeat heartbeat, int status, byte[] responseBody) {
         if (heartbeat.number != heartbeatNumber) {
             return;
@@ -342,7 +350,10 @@
         }
     }
 
-    /** Ends a task, after a last checkpoint if it has one to save and the time for it. */
+    /**
+     * Ends a task, after a last checkpoint if the task saves checkpoints and the drain time is long
+     * enough for one.
+     */
     private void killTask(SimulatedTask task, double drainSeconds) {
         JobSpec job = cluster.jobOfTask(task.id);
         boolean checkpointsFirst =
@@ -365,7 +376,10 @@
         }
     }
 
-    /** Runs later, unless the task is off the machine by then. */
+    /**
+     * Runs an action after a delay in ms, unless the task has been removed from the machine by
+     * then.
+     */
     private void scheduleForTask(SimulatedTask task, long delayMillis, Runnable action) {
         clock.schedule(
                 delayMillis,
@@ -390,7 +404,7 @@
         }
     }
 
-    /** Why the machine, as it is, can't take the task; null if it can. */
+    /** The reason why the machine can't accept the task at present; null if it can. */
     private String refusalReason(String taskId, JobSpec job) {
         if (job == null) {
             return "unknown";
@@ -460,7 +474,10 @@
         cluster.startGangIfComplete(job);
     }
 
-    /** A machine fetches an image once for all tasks that need it, and keeps it. */
+    /**
+     * Time in ms until the job's image is on the machine, which fetches each image once for all
+     * tasks and keeps it.
+     */
     private long imageFetchMillis(JobSpec job) {
         if (cluster.imageFetchGbPerSecond <= 0) {
             return 300;
--- a/src/test/java/io/quincelead/simulation/StarvationChecker.java
+++ b/src/test/java/io/quincelead/simulation/StarvationChecker.java
@@ -8,28 +8,30 @@
 import java.util.Set;
 
 /**
- * Who waits though there is room, by what is on the machines, never by the service's own books:
- * once faults are over, no job waits for 90 s while a machine that fits has room and its team is
- * under its limit.
+ * Finds jobs that wait although there is free capacity, judged by the tasks on the machines and
+ * never by the controllers' records. Once faults are over, no job may wait for 90 s while a
+ * suitable machine has room and the job's team is under its limit.
  */
 final class StarvationChecker {
-    /** ms. The users' own bound. */
+    /** Longest wait in ms that users accept. */
     static final long WAIT_LIMIT_MILLIS = 90_000;
 
     /**
-     * Looks, one a second: a place counts as free once it has been so for as long, which is what
-     * passing it on takes (the report that shows the end, a scheduling cycle, the report that takes
-     * the start along). A team at its limit whose tasks follow each other is not under it.
+     * Number of checks, one per second, for which the capacity of an ended task still counts as
+     * used. Handing it over takes that long: the heartbeat that reports the end, a scheduling
+     * cycle, and the heartbeat whose response carries the start command. Without this, a team at
+     * its limit whose tasks follow each other would count as under its limit.
      */
     private static final int HANDOVER_CHECKS = 5;
 
     private final SimulatedCluster cluster;
 
-    /** Since when each job could have gone on. */
+    /** Time since which each job could have started or continued, by job id. */
     private final Map<String, Long> startableSinceMillis = new HashMap<>();
 
     /**
-     * When each task that has ended or gone was last there; its place may be on its way to another.
+     * Last time at which each task was seen on a machine; the capacity of a task that has just
+     * ended or gone may be on its way to another task.
      */
     private final Map<SimulatedWorker.SimulatedTask, TaskSighting> lastSightings =
             new LinkedHashMap<>();
@@ -37,8 +39,8 @@
     private record TaskSighting(SimulatedWorker worker, JobSpec job, long atMillis) {}
 
     /**
-     * Seconds for which each job that has not begun could have, were it not for less urgent work of
-     * its own team.
+     * Seconds for which each job without a first start could have started if its team's less urgent
+     * work didn't count.
      */
     private final Map<String, Integer> startableSeconds = new HashMap<>();
 
@@ -46,7 +48,7 @@
         this.cluster = cluster;
     }
 
-    /** A machine as it is: what its tasks leave free. */
+    /** The capacity of a machine that its tasks leave free. */
     private static final class MachineFreeCapacity {
         final SimulatedWorker worker;
         double cpus;
@@ -79,26 +81,28 @@
         }
     }
 
-    /** For how long a job that has begun late could have begun sooner, in s. */
+    /** Seconds for which the job could have started before its first start. */
     int startableSeconds(String id) {
         return startableSeconds.getOrDefault(id, 0);
     }
 
-    /** What one look at the machines shows. */
+    /** The state of the machines at one check. */
     private static final class Snapshot {
-        /** What is free on each healthy machine, by host. */
+        /** Free capacity of each healthy machine, by host. */
         final Map<String, MachineFreeCapacity> freeCapacity = new HashMap<>();
 
-        /** CPUs and GPUs in use. */
+        /** CPUs and GPUs in use, by team. */
         final Map<String, double[]> usageByTeam = new HashMap<>();
 
-        /** Tasks of each job in each zone. */
+        /** Number of each job's tasks in each zone. */
         final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
 
         final Set<String> presentTasks = new HashSet<>();
     }
 
-    /** Looks at everything; called every second. Faults are over at {@code faultsEndAtMillis}. */
+    /**
+     * Checks all accepted jobs; called every second. Faults are over at {@code faultsEndAtMillis}.
+     */
     void check(long faultsEndAtMillis) {
         Snapshot snapshot = new Snapshot();
         recordPresentTasks(snapshot);
@@ -133,7 +137,10 @@
         }
     }
 
-    /** Places of tasks that have just ended or gone count as taken too. */
+    /**
+     * Subtracts all tasks seen lately; the capacity of tasks that have just ended or gone counts as
+     * used too.
+     */
     private void subtractSightedTasks(Snapshot snapshot) {
         lastSightings
                 .values()
@@ -155,7 +162,7 @@
         usage[1] += job.gpus();
     }
 
-    /** Adds a second if the job could start, were it not for less urgent work of its team. */
+    /** Adds a second if the job could start when its team's less urgent work isn't counted. */
     private void countIfStartable(JobSpec job, Snapshot snapshot) {
         double[] usageNotLessUrgent = new double[2];
         for (TaskSighting sighting : lastSightings.values()) {
@@ -175,7 +182,10 @@
         startableSeconds.merge(job.jobId(), startable ? 1 : 0, Integer::sum);
     }
 
-    /** Records a violation if the job could have gone on for longer than the users' bound. */
+    /**
+     * Records a violation if the job could have started or continued for longer than {@link
+     * #WAIT_LIMIT_MILLIS}.
+     */
     private void checkWait(JobSpec job, Snapshot snapshot, long faultsEndAtMillis) {
         String id = job.jobId();
         boolean startable =
--- a/src/test/java/io/quincelead/simulation/SubmissionReachability.java
+++ b/src/test/java/io/quincelead/simulation/SubmissionReachability.java
@@ -6,18 +6,19 @@
 import java.util.Set;
 
 /**
- * Which submissions met a controller that could have accepted them. A job that nobody ever accepted
- * has no first start; it counts as starved all the same unless each of its attempts met a
- * controller that was dead, or cut off from the user or the store, or had been until just before.
+ * Tracks which submissions reached a controller that could have accepted them. A job that was never
+ * accepted has no first start, but counts as starved unless at each of its submission attempts the
+ * controller was dead, was partitioned from the user or the store, was refused by the store, or had
+ * been so until just before.
  */
 final class SubmissionReachability {
     /**
-     * ms after which a controller is ready again once nothing impairs it any more, as
+     * Time in ms until a controller is ready again after the end of an impairment, as
      * docs/operations/capacity.md states.
      */
     private static final long RECOVERY_MILLIS = 500;
 
-    /** ms between two looks at the controllers. */
+    /** Interval in ms between two checks of the controllers. */
     static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final SimulatedCluster cluster;
@@ -38,7 +39,7 @@
                 || cluster.store.isUnavailableTo(controller.ip);
     }
 
-    /** Looks at every controller; called at each interval. */
+    /** Records which controllers are impaired; called every {@link #CHECK_INTERVAL_MILLIS}. */
     void check() {
         for (SimulatedCluster.SimulatedController controller : cluster.controllers) {
             if (isImpaired(controller)) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** The job's submission is being sent to this controller. */
+    /** Called when a submission of the job is sent to a controller. */
     void onAttempt(String jobId, SimulatedCluster.SimulatedController controller) {
         attemptedJobs.add(jobId);
         long readyAtMillis = impairedAtMillis.getOrDefault(controller, 0L) + RECOVERY_MILLIS;
@@ -56,7 +57,9 @@
         }
     }
 
-    /** Whether no attempt to submit the job met a controller that could have accepted it. */
+    /**
+     * Whether no submission attempt of the job reached a controller that could have accepted it.
+     */
     boolean neverReachedReadyController(String jobId) {
         return attemptedJobs.contains(jobId)
                 && !reachedJobs.contains(jobId)
--- a/src/test/java/io/quincelead/simulation/ThreeZoneFixtures.java
+++ b/src/test/java/io/quincelead/simulation/ThreeZoneFixtures.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Models, services of six replicas each, in a cluster of three zones. */
+/**
+ * Fixtures of tests that run models (services of six replicas each) in a cluster of three zones.
+ */
 final class ThreeZoneFixtures {
     static final int MODEL_COUNT = 12;
 
@@ -19,7 +21,8 @@
     }
 
     /**
-     * Three zones, 5 controllers, 12 models of 6 replicas, every other one spread, low work beside.
+     * A cluster of 3 zones and 5 controllers, with 12 models of 6 replicas, every other one spread
+     * over the zones, and best-effort jobs beside them.
      */
     static SimulatedCluster clusterWithThreeZones(long seed, boolean recoveryEnabled) {
         SimulatedCluster cluster =
@@ -51,7 +54,7 @@
         return cluster;
     }
 
-    /** Replicas that run, by model and zone. */
+    /** Number of running replicas, by model and zone. */
     static Map<String, Map<String, Integer>> runningReplicas(SimulatedCluster cluster) {
         Map<String, Map<String, Integer>> result = new TreeMap<>();
         for (int i = 1; i <= MODEL_COUNT; i++) {
@@ -68,19 +71,19 @@
         return result;
     }
 
-    /** Replicas in all zones together. */
+    /** Number of replicas in all zones together. */
     static int replicaCount(Map<String, Integer> byZone) {
         return byZone.values().stream().mapToInt(count -> count).sum();
     }
 
-    /** All machines of the zone end at once. */
+    /** Crashes all machines of the zone at once. */
     static void crashZone(SimulatedCluster cluster, String zone) {
         cluster.cloud.machines.values().stream()
                 .filter(worker -> worker.zone.equals(zone))
                 .forEach(SimulatedWorker::crash);
     }
 
-    /** The zone's state on record; {@code up} where there is none. */
+    /** The zone's recorded state; {@code up} if there is no record. */
     static String zoneState(SimulatedCluster cluster, String zone) {
         JsonNode record = cluster.store.value("a/oz/" + zone);
         return record == null ? "up" : record.path("st").asText();
--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -9,11 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off
- * SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on spot machines of 8 CPUs
- * beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica,
- * replicas' up-time, time to the last one back, GB fetched, low tasks started again, machines
- * provisioned.
+ * Measures the effect of losing a zone on models of 8 to 140 GB: {@code ZoneLossScenario dead|cut
+ * on|off SEED}, where on and off select zone recovery. Not a test. 3 zones, 5 controllers, and 12
+ * models of 6 replicas on spot machines of 8 CPUs beside best-effort jobs; at 200 s one zone's
+ * machines crash or the zone is partitioned for 90 s. Prints the time without any replica, the
+ * availability of the replicas, the time until the last one is back, the GB fetched, the tasks
+ * started and the machines provisioned since the loss.
  */
 public final class ZoneLossScenario {
     private ZoneLossScenario() {}
@@ -110,7 +111,7 @@
         return result;
     }
 
-    /** What the scenario has cost so far. */
+    /** Resources that the scenario has used so far. */
     private record ResourceUsage(double fetchedGb, int provisionedMachines, int taskStarts) {
         static ResourceUsage of(SimulatedCluster cluster) {
             return new ResourceUsage(
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Counts running replicas twice a second from the loss of the zone on. */
+    /** Counts the running replicas twice a second after the loss of the zone. */
     private static final class ReplicaSampler {
         private static final long INTERVAL_MILLIS = 500;
 
@@ -129,7 +130,7 @@
         private double runningReplicaCount;
         private double expectedReplicaCount;
 
-        /** ms after the loss at which a replica was last missing; -1: never. */
+        /** Time in ms after the loss at which a replica was last missing; -1 if none was. */
         private long lastIncompleteMillis = -1;
 
         ReplicaSampler(Set<String> models) {
@@ -174,7 +175,7 @@
         }
     }
 
-    /** Replicas that run on machines that are there, by model. */
+    /** Number of replicas that run on live machines, by model. */
     private static Map<String, Integer> runningReplicas(SimulatedCluster cluster) {
         Map<String, Integer> result = new TreeMap<>();
         for (int i = 1; i <= MODEL_COUNT; i++) {
