--- a/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
+++ b/src/test/java/io/quincelead/simulation/ZoneLossScenario.java
@@ -9,11 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * What the loss of a zone costs models of 8 to 140 GB: {@code ZoneLossScenario dead|cut on|off
- * SEED}. Not a test. Three zones, 5 controllers, 12 models of 6 replicas on spot machines of 8 CPUs
- * beside low work; one zone dies at 200 s or is cut for 90 s. Prints time without any replica,
- * replicas' up-time, time to the last one back, GB fetched, low tasks started again, machines
- * provisioned.
+ * Measures the effect of losing a zone on models of 8 to 140 GB: {@code ZoneLossScenario dead|cut
+ * on|off SEED}, where on and off select zone recovery. Not a test. 3 zones, 5 controllers, and 12
+ * models of 6 replicas on spot machines of 8 CPUs beside best-effort jobs; at 200 s one zone's
+ * machines crash or the zone is partitioned for 90 s. Prints the time without any replica, the
+ * availability of the replicas, the time until the last one is back, the GB fetched, the tasks
+ * started and the machines provisioned since the loss.
  */
 public final class ZoneLossScenario {
     private ZoneLossScenario() {}
@@ -26,7 +27,7 @@
         SimulatedCluster cluster = createCluster(Long.parseLong(args[2]), args[1].equals("on"));
         cluster.start();
         submitModels(cluster);
-        submitLowWork(cluster);
+        submitBestEffortJobs(cluster);
         cluster.runUntil(200_000);
         Map<String, Long> machinesByZone = machinesByZone(cluster);
         String lostZone =
@@ -34,8 +35,8 @@
                         .max(Map.Entry.comparingByValue())
                         .orElseThrow()
                         .getKey();
-        Expense before = Expense.of(cluster);
-        ReplicaWatch watch = new ReplicaWatch(runningReplicas(cluster).keySet());
+        ResourceUsage before = ResourceUsage.of(cluster);
+        ReplicaSampler sampler = new ReplicaSampler(runningReplicas(cluster).keySet());
         if (args[0].equals("dead")) {
             cluster.cloud.machines.values().stream()
                     .filter(worker -> worker.zone.equals(lostZone))
@@ -43,9 +44,9 @@
         } else {
             cluster.faults.partitionZone(lostZone, List.of(1), 90_000);
         }
-        watch.schedule(cluster);
+        sampler.schedule(cluster);
         cluster.runUntil(400_500);
-        Expense after = Expense.of(cluster);
+        ResourceUsage after = ResourceUsage.of(cluster);
         System.out.printf(
                 "%s %s: machines by zone %s, %s lost; without any replica: %d of 12 models, longest"
                     + " %.0f s, in all %.0f s; up %.3f; last one missing at %.0f s; fetched %.0f"
@@ -54,14 +55,14 @@
                 args[1],
                 machinesByZone,
                 lostZone,
-                watch.modelsOnceWithoutReplica(),
-                watch.longestSecondsWithoutReplica(),
-                watch.totalSecondsWithoutReplica(),
-                watch.upShare(),
-                watch.lastIncompleteMillis / 1000.0,
+                sampler.modelsOnceWithoutReplica(),
+                sampler.longestSecondsWithoutReplica(),
+                sampler.totalSecondsWithoutReplica(),
+                sampler.availability(),
+                sampler.lastIncompleteMillis / 1000.0,
                 after.fetchedGb - before.fetchedGb,
                 after.taskStarts - before.taskStarts,
-                after.rentedMachines - before.rentedMachines,
+                after.provisionedMachines - before.provisionedMachines,
                 cluster.violations());
     }
 
@@ -97,7 +98,7 @@
         }
     }
 
-    private static void submitLowWork(SimulatedCluster cluster) {
+    private static void submitBestEffortJobs(SimulatedCluster cluster) {
         for (int i = MODEL_COUNT + 1; i < 140; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
             cluster.submitAfter(4_000 + (i - MODEL_COUNT - 1) * 3_500L, job);
@@ -110,45 +111,45 @@
         return result;
     }
 
-    /** What the scenario has cost so far. */
-    private record Expense(double fetchedGb, int rentedMachines, int taskStarts) {
-        static Expense of(SimulatedCluster cluster) {
-            return new Expense(
+    /** Resources that the scenario has used so far. */
+    private record ResourceUsage(double fetchedGb, int provisionedMachines, int taskStarts) {
+        static ResourceUsage of(SimulatedCluster cluster) {
+            return new ResourceUsage(
                     cluster.fetchedImageGb,
                     cluster.cloud.provisionedMachineCount(),
                     cluster.taskStartsByJob.values().stream().mapToInt(count -> count).sum());
         }
     }
 
-    /** Counts running replicas twice a second from the loss of the zone on. */
-    private static final class ReplicaWatch {
+    /** Counts the running replicas twice a second after the loss of the zone. */
+    private static final class ReplicaSampler {
         private static final long INTERVAL_MILLIS = 500;
 
         private final Set<String> models;
-        private final Map<String, Integer> checksWithoutReplica = new HashMap<>();
-        private double replicasSeen;
-        private double replicasWanted;
+        private final Map<String, Integer> samplesWithoutReplica = new HashMap<>();
+        private double runningReplicaCount;
+        private double expectedReplicaCount;
 
-        /** ms after the loss at which a replica was last missing; -1: never. */
+        /** Time in ms after the loss at which a replica was last missing; -1 if none was. */
         private long lastIncompleteMillis = -1;
 
-        ReplicaWatch(Set<String> models) {
+        ReplicaSampler(Set<String> models) {
             this.models = models;
         }
 
         void schedule(SimulatedCluster cluster) {
             for (long delay = INTERVAL_MILLIS; delay <= 200_000; delay += INTERVAL_MILLIS) {
                 long delayMillis = delay;
-                cluster.after(delayMillis, () -> count(runningReplicas(cluster), delayMillis));
+                cluster.after(delayMillis, () -> sample(runningReplicas(cluster), delayMillis));
             }
         }
 
-        private void count(Map<String, Integer> replicas, long delayMillis) {
+        private void sample(Map<String, Integer> replicas, long delayMillis) {
             for (String model : models) {
                 int running = replicas.getOrDefault(model, 0);
-                checksWithoutReplica.merge(model, running == 0 ? 1 : 0, Integer::sum);
-                replicasSeen += running;
-                replicasWanted += REPLICAS_PER_MODEL;
+                samplesWithoutReplica.merge(model, running == 0 ? 1 : 0, Integer::sum);
+                runningReplicaCount += running;
+                expectedReplicaCount += REPLICAS_PER_MODEL;
             }
             if (replicas.values().stream().mapToInt(count -> count).sum()
                     < MODEL_COUNT * REPLICAS_PER_MODEL) {
@@ -157,24 +158,24 @@
         }
 
         long modelsOnceWithoutReplica() {
-            return checksWithoutReplica.values().stream().filter(count -> count > 0).count();
+            return samplesWithoutReplica.values().stream().filter(count -> count > 0).count();
         }
 
         double longestSecondsWithoutReplica() {
-            return checksWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
+            return samplesWithoutReplica.values().stream().mapToInt(count -> count).max().orElse(0)
                     / 2.0;
         }
 
         double totalSecondsWithoutReplica() {
-            return checksWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0;
+            return samplesWithoutReplica.values().stream().mapToInt(count -> count).sum() / 2.0;
         }
 
-        double upShare() {
-            return replicasSeen / replicasWanted;
+        double availability() {
+            return runningReplicaCount / expectedReplicaCount;
         }
     }
 
-    /** Replicas that run on machines that are there, by model. */
+    /** Number of replicas that run on live machines, by model. */
     private static Map<String, Integer> runningReplicas(SimulatedCluster cluster) {
         Map<String, Integer> result = new TreeMap<>();
         for (int i = 1; i <= MODEL_COUNT; i++) {
