--- a/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenMessagesTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every protocol's messages and every stored record, byte for byte as they were written when {@code
- * golden/messages.tsv} and {@code golden/records.tsv} were made. {@link #main} makes the tables
- * anew and prints each form that is new or gone: after a change of a form that is meant, or of
- * behaviour, which plays another history and may neither add nor take away a form.
+ * Compares the messages of every protocol and every stored record, byte for byte, with {@code
+ * golden/messages.tsv} and {@code golden/records.tsv}. {@link #main} regenerates the tables and
+ * prints each form that is new or gone. It is run after an intended change of a form, or after a
+ * change of behaviour, which produces another history and may neither add nor remove a form.
  */
 class GoldenMessagesTest {
-    /** Seeds whose histories together show every form that the tables have ever shown. */
+    /** Seeds whose scenarios together produce every form that the tables have ever contained. */
     private static final long[] SEEDS = {4701, 4704, 4707, 4717, 4734, 4749};
 
     private static Map<String, GoldenTable.Row> messages;
@@ -90,7 +90,7 @@
         assertEquals(byName(GoldenTable.rows("records")).keySet(), records.keySet());
     }
 
-    /** The examples of all these seeds' scenarios together. */
+    /** Captures examples from the scenarios of all these seeds. */
     static GoldenCapture play(long... seeds) {
         GoldenCapture capture = new GoldenCapture();
         for (long seed : seeds) {
@@ -99,7 +99,7 @@
         return capture;
     }
 
-    /** A scenario in which everything occurs that has a form of its own. */
+    /** Captures examples from a scenario that produces every form of message and record. */
     private static void play(GoldenCapture capture, long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
@@ -118,29 +118,29 @@
         cluster.cloud.addRunningMachines("small", "c", 2);
         capture.observe(cluster);
         cluster.start();
-        users(cluster);
-        operators(cluster);
-        faults(cluster);
+        scheduleUserRequests(cluster);
+        scheduleOperatorCommands(cluster);
+        scheduleFaults(cluster);
         cluster.runUntil(520_000);
     }
 
-    private static void users(SimulatedCluster cluster) {
+    private static void scheduleUserRequests(SimulatedCluster cluster) {
         for (int i = 1; i <= 45; i++) {
             JobSpec job = JobFixtures.randomJob(i, cluster.random());
-            long at = 3_000 + i * 3_000L;
-            cluster.submitAfter(at, job);
+            long atMillis = 3_000 + i * 3_000L;
+            cluster.submitAfter(atMillis, job);
             if (job.isService() || i % 6 == 0) {
-                cluster.cancelAfter(at + (job.isService() ? 150_000 : 9_000), job.jobId());
+                cluster.cancelAfter(atMillis + (job.isService() ? 150_000 : 9_000), job.jobId());
             }
-            cluster.queryAfter(at + 500, "wk-9" + job.jobId().substring(3));
+            cluster.queryAfter(atMillis + 500, "wk-9" + job.jobId().substring(3));
         }
         for (int i = 60; i < 80; i++) {
-            JobSpec brief = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 1, 1, 1);
-            cluster.submitAfter(80_000 + (i - 60) * 2_500L, brief);
+            JobSpec shortJob = JobFixtures.array(i, "blue", JobSpec.Priority.HIGH, 1, 1, 1);
+            cluster.submitAfter(80_000 + (i - 60) * 2_500L, shortJob);
         }
-        JobSpec large = JobFixtures.array(50, "red", JobSpec.Priority.NORMAL, 450, 0.2, 15);
-        cluster.submitAfter(20_000, large);
-        JobSpec due =
+        JobSpec largeJob = JobFixtures.array(50, "red", JobSpec.Priority.NORMAL, 450, 0.2, 15);
+        cluster.submitAfter(20_000, largeJob);
+        JobSpec deadlineJob =
                 JobFixtures.arrayJob(51, "blue", JobSpec.Priority.HIGH, 2)
                         .cpus(1)
                         .runtimeSeconds(10)
@@ -149,17 +149,17 @@
                         .checkpointIntervalSeconds(5)
                         .deadlineSeconds(90)
                         .build();
-        cluster.submitAfter(25_000, due);
-        JobSpec model =
+        cluster.submitAfter(25_000, deadlineJob);
+        JobSpec service =
                 JobFixtures.service(52, "red", JobSpec.Priority.PRODUCTION, 6)
                         .cpus(1)
                         .zoneSpread(true)
                         .build();
-        cluster.submitAfter(28_000, model);
-        for (int t = 30; t < 200; t += 17) {
-            cluster.after(t * 1000L, cluster.users::sendUnusualRequest);
+        cluster.submitAfter(28_000, service);
+        for (int second = 30; second < 200; second += 17) {
+            cluster.after(second * 1000L, cluster.users::sendUnusualRequest);
             cluster.after(
-                    t * 1000L + 300,
+                    second * 1000L + 300,
                     () ->
                             cluster.network.call(
                                     SimulatedCluster.USERS_ADDRESS,
@@ -170,28 +170,29 @@
                                     1_000,
                                     (status, body, retry) -> {}));
         }
-        cluster.submitAfter(40_000, large);
+        cluster.submitAfter(40_000, largeJob);
         cluster.cancelAfter(41_000, "wk-977777");
     }
 
-    private static void ask(
-            SimulatedCluster cluster, long at, int controller, String path, String body) {
+    private static void commandAt(
+            SimulatedCluster cluster, long atMillis, int controller, String path, String body) {
         cluster.after(
-                at,
+                atMillis,
                 () ->
                         cluster.sendOperatorCommand(
                                 controller,
                                 path,
                                 OperatorCommands.json(body),
-                                (status, out) -> {}));
+                                (status, response) -> {}));
     }
 
-    private static void put(SimulatedCluster cluster, long at, String key, ObjectNode value) {
+    private static void putAt(
+            SimulatedCluster cluster, long atMillis, String key, ObjectNode value) {
         ObjectNode transaction = WireFormat.newMap();
         transaction.putArray("guards");
         transaction.putArray("then").addObject().put("put", key).set("value", value);
         cluster.after(
-                at,
+                atMillis,
                 () ->
                         cluster.network.call(
                                 "10.0.0.1:0",
@@ -203,41 +204,59 @@
                                 (status, body, retry) -> {}));
     }
 
-    private static void operators(SimulatedCluster cluster) {
+    private static void scheduleOperatorCommands(SimulatedCluster cluster) {
         applyPriorityClasses(cluster);
         addCalendarEntries(cluster);
-        changeCalendar(cluster);
-        askForOverviews(cluster);
+        changeCalendarEntries(cluster);
+        queryOperatorState(cluster);
     }
 
-    /** Changes of the priority classes, one of them by a later version; then its reader ends. */
+    /**
+     * Changes the priority classes and overwrites one generation as a later version would write it;
+     * then a controller crashes and reads it at its restart.
+     */
     private static void applyPriorityClasses(SimulatedCluster cluster) {
         String classes =
                 "[{'name':'storm','description':'first','rank':10,'match':{'owner':'blue','urgency':'normal'},'keep':'urgent','passes':'normal','beginWithinS':60,'leastShare':0.25},"
                     + "{'name':'models','rank':20,'match':{'mode':'standing'},'zonePatienceS':25,'zoneSpare':0.5},{'name':'rest','rank':800,'match':{'jobClass':'slow'},'keep':'never'}]";
-        ask(
+        commandAt(
                 cluster,
                 12_000,
                 0,
                 "/ops/classes/apply",
                 "{'change':'c1','dryRun':true,'classes':" + classes + "}");
-        ask(cluster, 14_000, 1, "/ops/classes/apply", "{'change':'c1','classes':" + classes + "}");
-        ask(cluster, 14_050, 2, "/ops/classes/apply", "{'change':'c9','classes':" + classes + "}");
-        ask(cluster, 18_000, 1, "/ops/classes/apply", "{'change':'c1','classes':" + classes + "}");
-        ask(
+        commandAt(
+                cluster,
+                14_000,
+                1,
+                "/ops/classes/apply",
+                "{'change':'c1','classes':" + classes + "}");
+        commandAt(
+                cluster,
+                14_050,
+                2,
+                "/ops/classes/apply",
+                "{'change':'c9','classes':" + classes + "}");
+        commandAt(
+                cluster,
+                18_000,
+                1,
+                "/ops/classes/apply",
+                "{'change':'c1','classes':" + classes + "}");
+        commandAt(
                 cluster,
                 22_000,
                 2,
                 "/ops/classes/apply",
                 "{'change':'c2','classes':[{'name':'other','rank':5}]}");
-        ask(cluster, 26_000, 0, "/ops/classes/rollback", "{'change':'c3','to':1}");
-        ask(
+        commandAt(cluster, 26_000, 0, "/ops/classes/rollback", "{'change':'c3','to':1}");
+        commandAt(
                 cluster,
                 30_000,
                 0,
                 "/ops/classes/apply",
                 "{'change':'c4','classes':[{'name':'four','rank':5}]}");
-        put(
+        putAt(
                 cluster,
                 33_000,
                 "a/oc/p/4/0",
@@ -249,14 +268,14 @@
     }
 
     private static void addCalendarEntries(SimulatedCluster cluster) {
-        put(
+        putAt(
                 cluster,
                 9_000,
                 "a/ok/m/morning",
                 WireFormat.newMap()
                         .put("through", 0)
                         .set("cpus", WireFormat.newList().add(7.5).add(8.5)));
-        ask(
+        commandAt(
                 cluster,
                 10_000,
                 0,
@@ -267,14 +286,14 @@
                                 60,
                                 "{'owner':'blue'},{'jobClass':'quick','mode':'array'}")
                         .toString());
-        ask(
+        commandAt(
                 cluster,
                 10_500,
                 1,
                 "/ops/calendar/add",
                 OperatorCommands.calendarEntry("noon", 330_000, 250, "{'urgency':'high'}")
                         .toString());
-        ask(
+        commandAt(
                 cluster,
                 11_000,
                 1,
@@ -282,7 +301,7 @@
                 OperatorCommands.calendarEntry("dates", 330_000, 250, "{}")
                         .put("dryRun", true)
                         .toString());
-        ask(
+        commandAt(
                 cluster,
                 11_500,
                 1,
@@ -291,40 +310,40 @@
                     + "'skipped':['2027-01-31'],'moved':{'2028-02-29':'07:15'}}}");
     }
 
-    private static void changeCalendar(SimulatedCluster cluster) {
+    private static void changeCalendarEntries(SimulatedCluster cluster) {
         String date =
                 java.time.Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS)
                         .toString()
                         .substring(0, 10);
-        String next =
+        String nextDate =
                 java.time.Instant.ofEpochMilli(SimulatedClock.EPOCH_MILLIS + 86_400_000)
                         .toString()
                         .substring(0, 10);
-        ask(
+        commandAt(
                 cluster,
                 90_000,
                 0,
                 "/ops/calendar/move",
-                "{'change':'m1','name':'noon','date':'" + next + "','time':'05:30'}");
-        ask(
+                "{'change':'m1','name':'noon','date':'" + nextDate + "','time':'05:30'}");
+        commandAt(
                 cluster,
                 91_000,
                 0,
                 "/ops/calendar/move",
-                "{'change':'m1','name':'noon','date':'" + next + "','time':'05:30'}");
-        ask(
+                "{'change':'m1','name':'noon','date':'" + nextDate + "','time':'05:30'}");
+        commandAt(
                 cluster,
                 92_000,
                 1,
                 "/ops/calendar/skip",
                 "{'change':'s1','name':'noon','date':'" + date + "'}");
-        ask(cluster, 460_000, 1, "/ops/calendar/remove", "{'change':'r1','name':'yearly'}");
+        commandAt(cluster, 460_000, 1, "/ops/calendar/remove", "{'change':'r1','name':'yearly'}");
     }
 
-    /** Every question operators have, to each controller in turn. */
-    private static void askForOverviews(SimulatedCluster cluster) {
-        for (int t = 15; t < 500; t += 23) {
-            int c = t % 3;
+    /** Sends every read-only operator command, to each controller in turn. */
+    private static void queryOperatorState(SimulatedCluster cluster) {
+        for (int second = 15; second < 500; second += 23) {
+            int controller = second % 3;
             for (String path :
                     List.of(
                             "/ops/classes/list",
@@ -334,15 +353,20 @@
                             "/ops/queue",
                             "/ops/zones/list",
                             "/ops/zones/plan")) {
-                ask(cluster, t * 1000L, c, path, "{}");
+                commandAt(cluster, second * 1000L, controller, path, "{}");
             }
-            ask(cluster, t * 1000L, c, "/ops/calendar/ledger", "{'name':'morning'}");
-            ask(cluster, t * 1000L, c, "/ops/zones/plan", "{'lost':['a']}");
-            cluster.after(t * 1000L, () -> askWhyJobsWait(cluster, c));
+            commandAt(
+                    cluster,
+                    second * 1000L,
+                    controller,
+                    "/ops/calendar/ledger",
+                    "{'name':'morning'}");
+            commandAt(cluster, second * 1000L, controller, "/ops/zones/plan", "{'lost':['a']}");
+            cluster.after(second * 1000L, () -> explainWaitingJobs(cluster, controller));
         }
     }
 
-    private static void askWhyJobsWait(SimulatedCluster cluster, int controller) {
+    private static void explainWaitingJobs(SimulatedCluster cluster, int controller) {
         cluster.acceptedJobs().stream()
                 .filter(id -> !cluster.hasFinalStatus(id))
                 .limit(3)
@@ -353,15 +377,15 @@
                                         controller,
                                         "/ops/explain",
                                         WireFormat.newMap().put("job", id),
-                                        (status, out) -> {}));
+                                        (status, response) -> {}));
     }
 
-    private static void faults(SimulatedCluster cluster) {
+    private static void scheduleFaults(SimulatedCluster cluster) {
         stopLeaderStoreAndCloud(cluster);
         breakMachines(cluster);
         refuseAndLoseStoreResponses(cluster);
-        cutZoneOff(cluster);
-        loseZoneAndControllers(cluster);
+        partitionZone(cluster);
+        crashZoneAndControllers(cluster);
         cluster.expectFaultsUntil(330_000);
     }
 
@@ -374,38 +398,43 @@
 
     private static void breakMachines(SimulatedCluster cluster) {
         cluster.after(
-                60_000, () -> cluster.faults.onRandomMachine(m -> m.reclaimNoticeSeconds = 25));
+                60_000,
+                () -> cluster.faults.onRandomMachine(worker -> worker.reclaimNoticeSeconds = 25));
         cluster.after(80_000, () -> cluster.faults.onRandomMachine(SimulatedWorker::crash));
         cluster.after(
                 95_000,
                 () ->
                         cluster.faults.onRandomMachine(
-                                m -> cluster.faults.makeUnreachableOutbound(m, 20_000)));
+                                worker -> cluster.faults.makeUnreachableOutbound(worker, 20_000)));
         cluster.after(
                 100_000,
                 () ->
                         cluster.faults.onRandomMachine(
-                                m -> cluster.faults.makeUnreachableInbound(m, 30_000)));
+                                worker -> cluster.faults.makeUnreachableInbound(worker, 30_000)));
         cluster.after(
                 105_000,
                 () ->
                         cluster.faults.onRandomMachine(
-                                m -> {
-                                    m.setHung(true);
-                                    cluster.after(15_000, () -> m.setHung(false));
+                                worker -> {
+                                    worker.setHung(true);
+                                    cluster.after(15_000, () -> worker.setHung(false));
                                 }));
-        cluster.after(110_000, () -> cluster.faults.onRandomMachine(m -> m.failsTasks = true));
+        cluster.after(
+                110_000, () -> cluster.faults.onRandomMachine(worker -> worker.failsTasks = true));
     }
 
-    /** Operators' commands come while the store refuses a controller or its answers get lost. */
+    /**
+     * Sends operator commands while the store rejects a controller's requests or its responses get
+     * lost.
+     */
     private static void refuseAndLoseStoreResponses(SimulatedCluster cluster) {
         cluster.after(
                 112_000,
                 () -> cluster.faults.injectStoreRefusal((cluster.leaderIndex() + 1) % 3, 14_000));
-        ask(cluster, 72_000, 0, "/ops/classes/apply", "{'change':'c5','classes':[]}");
-        ask(cluster, 73_000, 1, "/ops/calendar/ledger", "{'name':'morning'}");
+        commandAt(cluster, 72_000, 0, "/ops/classes/apply", "{'change':'c5','classes':[]}");
+        commandAt(cluster, 73_000, 1, "/ops/calendar/ledger", "{'name':'morning'}");
         cluster.after(115_000, () -> cluster.store.responseLossRate = 1);
-        ask(
+        commandAt(
                 cluster,
                 115_500,
                 0,
@@ -416,14 +445,21 @@
         cluster.after(140_000, () -> cluster.store.responseLossRate = 0);
     }
 
-    /** A zone is cut off, held and released by operators, while one controller hears nothing. */
-    private static void cutZoneOff(SimulatedCluster cluster) {
+    /**
+     * Partitions a zone that operators hold and release, while one controller's watch is delayed.
+     */
+    private static void partitionZone(SimulatedCluster cluster) {
         cluster.after(150_000, () -> cluster.faults.partitionZone("b", List.of(), 60_000));
         for (int i = 0; i < 4; i++) {
-            ask(cluster, 158_000 + i * 10_000L, 0, "/ops/zones/hold", "{'zone':'b','dryRun':true}");
-            ask(cluster, 159_000 + i * 10_000L, i % 3, "/ops/zones/hold", "{'zone':'b'}");
-            ask(cluster, 160_000 + i * 10_000L, 1, "/ops/zones/hold", "{'zone':'b'}");
-            ask(cluster, 161_000 + i * 10_000L, 1, "/ops/zones/release", "{'zone':'b'}");
+            commandAt(
+                    cluster,
+                    158_000 + i * 10_000L,
+                    0,
+                    "/ops/zones/hold",
+                    "{'zone':'b','dryRun':true}");
+            commandAt(cluster, 159_000 + i * 10_000L, i % 3, "/ops/zones/hold", "{'zone':'b'}");
+            commandAt(cluster, 160_000 + i * 10_000L, 1, "/ops/zones/hold", "{'zone':'b'}");
+            commandAt(cluster, 161_000 + i * 10_000L, 1, "/ops/zones/release", "{'zone':'b'}");
         }
         cluster.after(
                 160_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, true));
@@ -431,12 +467,12 @@
                 195_000, () -> cluster.store.setWatchDelayed(cluster.controllers.get(2).ip, false));
     }
 
-    private static void loseZoneAndControllers(SimulatedCluster cluster) {
+    private static void crashZoneAndControllers(SimulatedCluster cluster) {
         cluster.after(
                 240_000,
                 () ->
                         cluster.cloud.machines.values().stream()
-                                .filter(m -> m.zone.equals("c"))
+                                .filter(worker -> worker.zone.equals("c"))
                                 .forEach(SimulatedWorker::crash));
         cluster.faults.crashLeaderAfter(300_000, 300);
         cluster.after(310_000, () -> cluster.store.maxExtraLatencyMillis = 1_500);
--- a/src/test/java/io/quincelead/simulation/GoldenRefusalsTest.java
+++ b/src/test/java/io/quincelead/simulation/GoldenRefusalsTest.java
@@ -19,16 +19,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Requests with missing and wrong fields, and what they are answered with, word for word: {@code
- * golden/refusals.tsv}. A line: when (cold: before the store is read; ready; down: without the
- * store), to whom (users, reports, operators, peers; unwatched: operators where zones aren't
- * watched), request line, body (JSON, in hexadecimal what is none), status with {@code
- * Retry-After}, answer. {@link #main} answers all anew.
+ * Compares the responses to requests with missing or wrong fields, word for word, with {@code
+ * golden/refusals.tsv}. The columns of a line: the controller's state (cold: before the store is
+ * read; ready; down: without the store), the interface (users, reports, operators, peers;
+ * unwatched: operators where zones aren't watched), request line, body (JSON, or hexadecimal if it
+ * isn't JSON), status with {@code Retry-After}, response body. {@link #main} regenerates the
+ * responses.
  */
 class GoldenRefusalsTest {
     private static final Path TABLE = Path.of("src/test/resources/golden/refusals.tsv");
     private static List<String> expected;
-    private static List<String> answered;
+    private static List<String> actual;
 
     public static void main(String[] args) throws IOException {
         Files.write(TABLE, play(Files.readAllLines(TABLE)));
@@ -37,7 +38,7 @@
     @BeforeAll
     static void playOnce() throws IOException {
         expected = Files.readAllLines(TABLE);
-        answered = play(expected);
+        actual = play(expected);
     }
 
     static IntStream lines() throws IOException {
@@ -47,7 +48,7 @@
     @ParameterizedTest
     @MethodSource("lines")
     void isAnsweredAsBefore(int line) {
-        assertEquals(expected.get(line), answered.get(line));
+        assertEquals(expected.get(line), actual.get(line));
     }
 
     private static List<String> play(List<String> table) {
@@ -58,58 +59,70 @@
                         new OperatorSettings.ZoneRecovery(true, 20, 30, 5));
         cluster.controllers.get(1).start();
         cluster.controllers.get(2).start();
-        List<String> out = new ArrayList<>();
+        List<String> lines = new ArrayList<>();
         for (String line : table) {
-            String[] f = line.split("\t", -1);
-            long from = f[0].equals("ready") ? 12_000 : f[0].equals("down") ? 400_000 : 0;
-            if (cluster.nowMillis() < from) {
-                cluster.store.setDown(f[0].equals("down"));
-                cluster.runUntil(from + 12_000);
+            String[] fields = line.split("\t", -1);
+            long startMillis =
+                    fields[0].equals("ready") ? 12_000 : fields[0].equals("down") ? 400_000 : 0;
+            if (cluster.nowMillis() < startMillis) {
+                cluster.store.setDown(fields[0].equals("down"));
+                cluster.runUntil(startMillis + 12_000);
             }
-            out.add(
-                    String.join("\t", f[0], f[1], f[2], f[3])
+            lines.add(
+                    String.join("\t", fields[0], fields[1], fields[2], fields[3])
                             + "\t"
-                            + call(cluster, f[1], f[2], f[3]));
+                            + call(cluster, fields[1], fields[2], fields[3]));
         }
-        return out;
+        return lines;
     }
 
-    private static byte[] body(WireFormat codec, String text) {
-        if (text.startsWith("{")) {
-            ObjectNode map = WireFormat.JSON.decodeMap(text.getBytes(StandardCharsets.UTF_8));
-            return codec.encode(map);
+    private static byte[] body(WireFormat codec, String bodyText) {
+        if (bodyText.startsWith("{")) {
+            ObjectNode decoded =
+                    WireFormat.JSON.decodeMap(bodyText.getBytes(StandardCharsets.UTF_8));
+            return codec.encode(decoded);
         }
-        return text.equals("-") ? null : HexFormat.of().parseHex(text);
+        return bodyText.equals("-") ? null : HexFormat.of().parseHex(bodyText);
     }
 
-    private static String call(SimulatedCluster cluster, String to, String line, String text) {
+    private static String call(
+            SimulatedCluster cluster, String recipient, String requestLine, String bodyText) {
         WireFormat codec =
-                to.equals("users") || to.equals("reports") ? WireFormat.CBOR : WireFormat.JSON;
+                recipient.equals("users") || recipient.equals("reports")
+                        ? WireFormat.CBOR
+                        : WireFormat.JSON;
         SimulatedCluster.SimulatedController controller =
-                cluster.controllers.get(to.equals("unwatched") ? 0 : 1);
-        byte[] body = body(codec, text);
+                cluster.controllers.get(recipient.equals("unwatched") ? 0 : 1);
+        byte[] body = body(codec, bodyText);
         try {
-            if (line.equals("POST /v2/runs")) {
+            if (requestLine.equals("POST /v2/runs")) {
                 cluster.upload(JobSpec.decode(codec.decodeMap(body)));
             }
         } catch (JobSpec.MalformedJobException e) {
-            // It is refused, and no worker will ask for it.
+            // The submission is rejected, and no worker will request the job.
         }
         String[] answer = {null};
         cluster.network.call(
                 SimulatedCluster.USERS_ADDRESS,
                 codec == WireFormat.CBOR ? controller.userAddress : controller.peerAddress,
-                line.substring(0, line.indexOf(' ')),
-                line.substring(line.indexOf(' ') + 1),
+                requestLine.substring(0, requestLine.indexOf(' ')),
+                requestLine.substring(requestLine.indexOf(' ') + 1),
                 body,
                 6_000,
-                (status, out, retry) -> {
-                    ObjectNode map = codec.decodeMap(out);
+                (status, encodedBody, retry) -> {
+                    ObjectNode responseBody = codec.decodeMap(encodedBody);
                     assertEquals(
-                            map == null ? "" : HexFormat.of().formatHex(codec.encode(map)),
-                            map == null ? "" : HexFormat.of().formatHex(out),
+                            responseBody == null
+                                    ? ""
+                                    : HexFormat.of().formatHex(codec.encode(responseBody)),
+                            responseBody == null ? "" : HexFormat.of().formatHex(encodedBody),
                             "the body's form");
-                    answer[0] = status + " " + retry + "\t" + (map == null ? "-" : map);
+                    answer[0] =
+                            status
+                                    + " "
+                                    + retry
+                                    + "\t"
+                                    + (responseBody == null ? "-" : responseBody);
                 });
         while (answer[0] == null) {
             cluster.runUntil(cluster.nowMillis() + 10);
--- a/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/quincelead/simulation/InvariantCheckerTest.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The checker can fail: a deliberately broken world trips each rule. */
+/**
+ * Shows that the invariant checker can fail: each test breaks the simulated cluster deliberately
+ * and expects the rule's violation.
+ */
 class InvariantCheckerTest {
     private final SimulatedCluster cluster = new SimulatedCluster(1);
     private int machineCount;
@@ -41,7 +44,7 @@
         return task;
     }
 
-    private void assertTripped(String rule) {
+    private void assertViolation(String rule) {
         assertTrue(
                 cluster.violations().stream().anyMatch(violation -> violation.startsWith(rule)),
                 rule + " in " + cluster.violations());
@@ -55,7 +58,7 @@
     void taskRunningTwiceIsDetected() {
         runTask(addMachine("a", true), plainJob(), 0, 1);
         runTask(addMachine("b", true), plainJob(), 0, 2);
-        assertTripped("ran_twice");
+        assertViolation("ran_twice");
     }
 
     @Test
@@ -64,7 +67,7 @@
         for (int i = 0; i < 4; i++) {
             runTask(addMachine("a", true), job, i, 1);
         }
-        assertTripped("quota");
+        assertViolation("quota");
     }
 
     @Test
@@ -78,7 +81,7 @@
                         .build(),
                 0,
                 1);
-        assertTripped("wrong_place");
+        assertViolation("wrong_place");
     }
 
     @Test
@@ -91,7 +94,7 @@
                         .build();
         runTask(addMachine("a", true), job, 0, 1);
         runTask(addMachine("b", true), job, 1, 1);
-        assertTripped("wrong_place");
+        assertViolation("wrong_place");
     }
 
     @Test
@@ -124,10 +127,10 @@
                                         .put("status", "cancelled")));
         cluster.cancel(job.jobId());
         cluster.runUntil(60_000);
-        assertTripped("ran_cancelled");
+        assertViolation("ran_cancelled");
     }
 
-    private void answerEverywhere(int status, String answer) {
+    private void respondFromAllControllers(int status, String answer) {
         cluster.controllers.forEach(
                 controller ->
                         cluster.network.setHandler(
@@ -145,13 +148,13 @@
 
     @Test
     void forgottenJobIsDetected() {
-        answerEverywhere(404, "");
+        respondFromAllControllers(404, "");
         cluster.submit(plainJob());
         cluster.runUntil(20_000);
-        assertTripped("forgotten");
+        assertViolation("forgotten");
     }
 
-    /** A poll that is never answered, whatever others are told. */
+    /** Polls of one job are never answered, while those of another job are. */
     @Test
     void unansweredJobIsDetected() {
         cluster.controllers.forEach(
@@ -178,10 +181,10 @@
         assertEquals(Set.of("forgotten: wk-000001 got no answer for 75 s"), cluster.violations());
     }
 
-    /** By class, by team, by size, and by the time of the first start. */
+    /** Starvation is detected by class, by team, by size, and by the time of the first start. */
     @Test
     void starvedJobsAreDetected() {
-        answerEverywhere(200, "pending");
+        respondFromAllControllers(200, "pending");
         for (int i = 1; i <= 11; i++) {
             cluster.submit(
                     JobFixtures.array(
@@ -218,7 +221,7 @@
                 "" + cluster.serviceLevels().starved());
     }
 
-    /** What was carried out arrives again. */
+    /** A copy of a request that was already executed arrives again. */
     @Test
     void duplicatedRequestsArrive() {
         int[] requests = {0};
@@ -243,26 +246,26 @@
 
     @Test
     void inventedJobIsDetected() {
-        answerEverywhere(200, "running");
+        respondFromAllControllers(200, "running");
         cluster.query("wk-77");
         cluster.runUntil(20_000);
-        assertTripped("invented");
+        assertViolation("invented");
     }
 
     @Test
     void unfinishedJobReportedDoneIsDetected() {
-        answerEverywhere(200, "done");
+        respondFromAllControllers(200, "done");
         cluster.submit(plainJob());
         cluster.runUntil(20_000);
-        assertTripped("not_done");
+        assertViolation("not_done");
     }
 
     @Test
     void revokedFinalStatusIsDetected() {
-        answerEverywhere(200, "cancelled");
+        respondFromAllControllers(200, "cancelled");
         cluster.submit(plainJob());
         cluster.runUntil(20_000);
-        assertTripped("went_back");
+        assertViolation("went_back");
     }
 
     private void confirmCancellation(JobSpec job) {
@@ -282,13 +285,15 @@
         assertTrue(cluster.cancellationConfirmedAtMillis(job.jobId()) >= 0);
     }
 
-    /** At once, not only after {@code cancel_s}. */
+    /**
+     * A start after a confirmed cancellation is detected at once, not only after {@code cancel_s}.
+     */
     @Test
     void startAfterConfirmedCancellationIsDetected() {
         confirmCancellation(plainJob());
         assertEquals(Set.of(), cluster.violations());
         runTask(addMachine("a", true), plainJob(), 0, 1);
-        assertTripped("ran_cancelled: wk-000001/0 starts");
+        assertViolation("ran_cancelled: wk-000001/0 starts");
     }
 
     @Test
@@ -301,12 +306,12 @@
         confirmCancellation(job);
         assertEquals(Set.of(), cluster.violations());
         worker.setHung(false);
-        assertTripped("ran_cancelled: wk-000001/0 goes on after i-1 hung");
+        assertViolation("ran_cancelled: wk-000001/0 goes on after i-1 hung");
     }
 
     /**
-     * Fewer tasks are done than anybody had been told before the question was sent; not: before its
-     * answer came.
+     * An answer is stale if it shows fewer tasks done than any user had been told before the query
+     * was sent; what users were told before the answer arrived doesn't matter.
      */
     @Test
     void staleAnswerIsDetected() {
@@ -329,7 +334,7 @@
                 "wk-000001", WireFormat.newMap().put("status", "running").put("done", 3), null, 0);
         cluster.query("wk-000001", 1);
         cluster.runUntil(1_100);
-        assertTripped("older: wk-000001: 2 tasks are done, there were 3");
+        assertViolation("older: wk-000001: 2 tasks are done, there were 3");
     }
 
     @Test
@@ -368,7 +373,7 @@
                         plainJob().encode().put("nameId", "wk-700001").put("vcpus", 1_000)),
                 422);
         cluster.runUntil(500);
-        assertTripped("accepted: wk-700001 can't run");
+        assertViolation("accepted: wk-700001 can't run");
     }
 
     @Test
@@ -379,7 +384,7 @@
                                 controller.userAddress, request -> request.respondError(422, "")));
         cluster.submitUnacceptable("wk-700001", new byte[] {1}, 400);
         cluster.runUntil(500);
-        assertTripped("accepted: wk-700001 got 422 instead of 400");
+        assertViolation("accepted: wk-700001 got 422 instead of 400");
         assertEquals(0, cluster.users.expectedRefusalCount);
     }
 
@@ -411,12 +416,13 @@
     }
 
     /**
-     * By real room: a machine that fits, a team under its limit, and nothing for 90 s; not where
-     * either is missing or just being passed on.
+     * A violation needs a machine with enough free capacity and a team under its limit while
+     * nothing starts for 90 s; there is none where either is missing or is just passing from one
+     * task to the next.
      */
     @Test
     void waitingDespiteFreeCapacityIsDetected() {
-        answerEverywhere(200, "pending");
+        respondFromAllControllers(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
         JobSpec waiting = plainJob();
@@ -442,16 +448,16 @@
     }
 
     @Test
-    void placeBeingHandedOverIsNotFree() {
-        answerEverywhere(200, "pending");
+    void recentlyFreedCapacityIsNotFree() {
+        respondFromAllControllers(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
         JobSpec waiting = JobFixtures.array(1, "red", JobSpec.Priority.NORMAL, 1, 8, 10);
-        JobSpec many = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 100, 8, 10);
+        JobSpec largeJob = JobFixtures.array(2, "red", JobSpec.Priority.NORMAL, 100, 8, 10);
         cluster.submit(waiting);
-        cluster.submit(many);
+        cluster.submit(largeJob);
         for (int i = 0; i < 40; i++) {
-            SimulatedWorker.SimulatedTask task = runTask(worker, many, i, 1);
+            SimulatedWorker.SimulatedTask task = runTask(worker, largeJob, i, 1);
             cluster.runUntil(cluster.nowMillis() + 2_000);
             worker.tasks.remove(task.id + "#1");
             cluster.runUntil(cluster.nowMillis() + 2_000);
@@ -461,12 +467,12 @@
     }
 
     /**
-     * Who could not have begun, for its team was at its limit with work as urgent, is not left
-     * behind; who could have is.
+     * A job that couldn't have started, because its team was at its limit with work at least as
+     * urgent, doesn't count as starved; a job that could have started does.
      */
     @Test
     void jobsBehindMoreUrgentWorkAreNotStarved() {
-        answerEverywhere(200, "pending");
+        respondFromAllControllers(200, "pending");
         SimulatedWorker worker = addMachine("a", true);
         worker.boot();
         JobSpec high = JobFixtures.array(1, "blue", JobSpec.Priority.HIGH, 1, 2, 10);
@@ -495,7 +501,7 @@
                         .noneMatch(line -> line.startsWith(low.jobId())));
     }
 
-    /** Carried out, and nobody hears of it. */
+    /** The store commits the transaction, and its response is lost. */
     @Test
     void storeResponseIsLostAfterCommit() {
         int[] status = {-1};
@@ -518,8 +524,8 @@
     }
 
     /**
-     * Reports are kept for the next leader, or held up until it acts; who reaches nobody answers
-     * direct commands.
+     * Heartbeats are retained for the next leader or held until it acts; a worker that can't reach
+     * anybody still answers direct commands.
      */
     @Test
     void heartbeatsAreRetainedAndHeld() {
@@ -580,9 +586,9 @@
         assertTrue(!cluster.acceptedJobs().contains(job.jobId()));
     }
 
-    /** A job once counted as begun late though no controller could have accepted it. */
+    /** A job once counted as started late although no controller could have accepted it. */
     @Test
-    void submissionThatReachedNobodyIsCountedApart() {
+    void submissionThatReachedNoControllerIsCountedSeparately() {
         for (SimulatedCluster.SimulatedController controller : cluster.controllers) {
             cluster.after(
                     15_000, () -> cluster.network.partition(controller.ip, "10.3.0.1", false));
@@ -610,7 +616,7 @@
                 cluster.serviceLevels().starved().toString());
     }
 
-    /** Attempts in the first five seconds after an outage were once excused. */
+    /** Attempts to submit in the first five seconds after an outage once didn't count. */
     @Test
     void submissionThatIsNotAcceptedASecondAfterAnOutageIsStarved() {
         cluster.submissionRetryWindowMillis = 500;
