--- a/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
+++ b/src/test/java/io/quincelead/simulation/DelayedWriteTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Writes that land late or twice, and controllers that know less than the store
+ * Writes that are committed late or twice, and controllers whose watch cache is behind the store
  * (docs/design/compound-faults.md).
  */
 class DelayedWriteTest {
     /**
-     * A scheduling cycle that got no answer lands seconds later, after a newer one that gave its
-     * team's room to somebody else. Its preconditions spoke of its own job and of the shard alone,
-     * which no later cycle had changed: a team once passed its limit.
+     * A scheduling cycle's transaction gets no response and is committed seconds later, after a
+     * newer cycle has given its team's quota to another job. Its preconditions once covered only
+     * its own job and the shard, which no later cycle had changed, and a team exceeded its limit.
      */
     @Test
     void delayedSchedulingCommitDoesNotExceedTeamLimit() {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The return of an idle machine got no answer and was carried out when work ran there again, of
-     * which its preconditions knew nothing.
+     * The transaction that released an idle machine once got no response and was committed when
+     * tasks ran on the machine again, which its preconditions didn't cover.
      */
     @Test
     void delayedScaleInCommitDoesNotReleaseMachineInUse() {
@@ -96,9 +96,9 @@
     }
 
     /**
-     * A lost controller's job, given to one whose watch is late: that one used its quota share once
-     * more beside what it had inherited, and the leader's next split counted only the one or the
-     * other. A team passed its limit.
+     * A lost controller's job is reassigned to a controller whose watch is delayed. The new owner
+     * once used its quota share a second time besides the use that came with the job, and the
+     * leader's next division of the quota counted only one of the two: a team exceeded its limit.
      */
     @Test
     void reassignedJobKeepsItsQuotaUse() {
@@ -152,8 +152,9 @@
     }
 
     /**
-     * A copy of a provisioning request's settling came when its machines had long gone: the record
-     * they shared, of which there was none again, came back.
+     * A copy of the transaction that settles a provisioning request arrives long after its machines
+     * were released. Their shared record was absent again, as before the first settlement, and the
+     * copy once restored it.
      */
     @Test
     void duplicatedProvisioningSettlementDoesNotRestoreReleasedMachines() {
@@ -185,7 +186,10 @@
         assertAllJobsFinished(cluster, 1);
     }
 
-    /** The same of a taking-in of machines that nobody had provisioned. */
+    /**
+     * A copy of the transaction that registers machines that no controller had provisioned arrives
+     * long after they were released. It must not restore their record.
+     */
     @Test
     void duplicatedMachineRegistrationDoesNotRestoreReleasedMachines() {
         SimulatedCluster cluster =
@@ -215,9 +219,9 @@
     }
 
     /**
-     * Controllers read the store anew, page by page, while large jobs come and begin: a chunk on a
-     * late page was seen before its job, taken for what an old job left behind, and later ignored
-     * as known; its tasks were placed twice.
+     * Restarted controllers list the store page by page while large jobs are submitted and started.
+     * A record of task states on a late page was once read before its job, taken for a leftover of
+     * an old job, and later ignored as already known; its tasks were placed twice.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -250,8 +254,8 @@
     }
 
     /**
-     * Controllers hand over and back, all end and one returns at once, the same one twice, with
-     * their writes still to land.
+     * Leadership moves between controllers and back; then all crash and one restarts at once,
+     * twice, while earlier writes are still to be committed.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -300,8 +304,8 @@
     }
 
     /**
-     * Jobs of two or three tasks that end far apart, with the leader and the job's controller
-     * ending in between.
+     * The two or three tasks of a job end far apart, and the leader and the job's owner crash in
+     * between: a completed task must not start again.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -343,8 +347,8 @@
     }
 
     /**
-     * The controller that is asked to cancel hasn't heard yet that the job's first tasks have
-     * places: it must not call it cancelled.
+     * The controller that is asked to cancel a job doesn't know yet of the placements of the job's
+     * first tasks: it must not confirm the cancellation.
      */
     @Test
     void controllerUnawareOfFirstPlacementsDoesNotConfirmCancellation() {
@@ -353,11 +357,11 @@
         cluster.runUntil(8_000);
         int askedController = (cluster.leaderIndex() + 1) % 3;
         int otherController = (cluster.leaderIndex() + 2) % 3;
-        boolean[] met = {false, false};
+        boolean[] observed = {false, false};
         cluster.store.arrivalObserver =
                 t -> {
-                    if (!met[0] && anyStartsWith(t.path("then"), "put", "a/t/wk-000001/")) {
-                        met[0] = true;
+                    if (!observed[0] && anyStartsWith(t.path("then"), "put", "a/t/wk-000001/")) {
+                        observed[0] = true;
                         cluster.store.setWatchDelayed(
                                 cluster.controllers.get(askedController).ip, true);
                         cluster.cancel("wk-000001", askedController);
@@ -376,7 +380,7 @@
             cluster.after(
                     t - 8_000,
                     () ->
-                            met[1] |=
+                            observed[1] |=
                                     cluster.cancellationConfirmedAtMillis("wk-000001") >= 0
                                             && cluster.cloud.machines.values().stream()
                                                     .anyMatch(
@@ -389,15 +393,15 @@
         }
         cluster.runUntil(60_000);
         assertTrue(
-                met[0] && cluster.taskStartsByJob.get("wk-000001") > 0,
+                observed[0] && cluster.taskStartsByJob.get("wk-000001") > 0,
                 "the meeting: " + cluster.taskStartsByJob);
-        assertTrue(!met[1], "told while tasks were on machines");
+        assertTrue(!observed[1], "told while tasks were on machines");
         assertAllJobsFinished(cluster, 1);
     }
 
     /**
-     * Half of the jobs are cancelled as soon as their places are on record: who had no start yet
-     * once waited for its machine's next report.
+     * Jobs are cancelled as soon as their placements are on record. A job without a started task
+     * once waited for its machine's next heartbeat before its cancellation was confirmed.
      */
     @Test
     void cancellationOfJobWithoutStartsIsConfirmedAtOnce() {
--- a/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
+++ b/src/test/java/io/quincelead/simulation/OperatorRecordsTest.java
@@ -19,20 +19,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Operators' records through the failure of controllers: what is wanted rules whoever leads, what
- * happened is on record once.
+ * Operators' records through failures of controllers: what operators set stays in force whichever
+ * controller leads, and each occurrence is in the ledger once.
  */
 class OperatorRecordsTest {
-    /** ms of the simulation at which the morning is published; its window opens 100 s before. */
+    /**
+     * Simulated time in ms at which the calendar entry {@code morning} is published; its window
+     * opens 100 s before.
+     */
     private static final long PUBLICATION_MILLIS = 220_000;
 
     private static final long WINDOW_OPENS_MILLIS = 120_000;
 
     /**
-     * A small cluster, full of routine work, and forecasts of the same urgency; published at 220 s,
-     * the window opens at 120 s. Forecasts come from 125 to 190 s.
+     * A small cluster that is full of routine jobs, and forecasts of the same urgency that are
+     * submitted from 125 to 190 s. The calendar entry is published at 220 s, and its window opens
+     * at 120 s.
      */
-    private static SimulatedCluster morningCluster(long seed, boolean calendar) {
+    private static SimulatedCluster clusterWithForecasts(long seed, boolean calendar) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed,
@@ -97,10 +101,12 @@
                 "" + cluster.store.keys());
     }
 
-    /** Without the calendar, forecasts wait behind all routine work that came before them. */
+    /**
+     * Without the calendar, forecasts wait behind all routine jobs that were submitted before them.
+     */
     @Test
     void forecastsWaitInOrderWithoutCalendar() {
-        SimulatedCluster cluster = morningCluster(1, false);
+        SimulatedCluster cluster = clusterWithForecasts(1, false);
         cluster.runUntil(220_000);
         assertTrue(
                 forecastWaitsMillis(cluster).stream()
@@ -111,9 +117,10 @@
     }
 
     /**
-     * The leader ends 10 s, 1 s and 0 s before and after the window opens, and before the
-     * publication; then all controllers do, back after 0.1 s and after 5 s. Forecasts go on ranking
-     * ahead, but for the take-over itself, and the ledger has one whole record.
+     * The leader crashes 10 s, 1 s and 0 s before and after the window opens, and before the
+     * publication; in further cases all controllers crash and are back after 0.1 s or 5 s.
+     * Forecasts must keep ranking first, except during the failover itself, and the ledger must
+     * have one complete record.
      */
     @ParameterizedTest
     @CsvSource({
@@ -130,7 +137,7 @@
         "221000, 5, 5000"
     })
     void forecastsRankFirstAcrossFailover(long atMillis, int crashCount, long restartDelayMillis) {
-        SimulatedCluster cluster = morningCluster(atMillis + crashCount, true);
+        SimulatedCluster cluster = clusterWithForecasts(atMillis + crashCount, true);
         cluster.after(
                 atMillis,
                 () -> {
@@ -152,11 +159,11 @@
         assertLedgerRecord(cluster, "published", 13);
     }
 
-    /** The store is away when the window opens, and across the publication. */
+    /** The store is down when the window opens, and in the other case at the publication. */
     @ParameterizedTest
     @CsvSource({"115000, 10000", "214000, 12000"})
     void storeOutageAtWindowEdgesKeepsTheLedger(long atMillis, long durationMillis) {
-        SimulatedCluster cluster = morningCluster(atMillis, true);
+        SimulatedCluster cluster = clusterWithForecasts(atMillis, true);
         cluster.after(atMillis, () -> cluster.store.setDown(true));
         cluster.after(atMillis + durationMillis, () -> cluster.store.setDown(false));
         cluster.runUntil(420_000);
@@ -164,10 +171,13 @@
         assertLedgerRecord(cluster, "published", 13);
     }
 
-    /** Work that isn't done in time is missed, once, and what was late is seen in the ledger. */
+    /**
+     * An occurrence whose jobs aren't done in time is recorded as missed, once, and the ledger
+     * shows how late it was.
+     */
     @Test
     void lateOccurrenceStaysMissed() {
-        SimulatedCluster cluster = morningCluster(3, true);
+        SimulatedCluster cluster = clusterWithForecasts(3, true);
         cluster.submitAfter(
                 200_000, JobFixtures.array(600, "blue", JobSpec.Priority.NORMAL, 2, 1, 120));
         cluster.after(260_000, () -> cluster.faults.crashController(cluster.leaderIndex(), 100));
@@ -184,12 +194,12 @@
     }
 
     /**
-     * Moved while its window is open, it stays open and is judged by the new time; skipped, it is
-     * in the ledger as skipped.
+     * An occurrence that is moved while its window is open stays open and is judged by the new
+     * time; one that is skipped is in the ledger as skipped.
      */
     @Test
     void openOccurrenceCanBeMovedAndSkipped() {
-        SimulatedCluster cluster = morningCluster(4, true);
+        SimulatedCluster cluster = clusterWithForecasts(4, true);
         cluster.after(
                 150_000,
                 () ->
@@ -213,7 +223,7 @@
                 cluster.store.value("z/oe/morning/" + OperatorCommands.DATE).path("pub").asLong(),
                 1_000);
 
-        SimulatedCluster skipCluster = morningCluster(5, true);
+        SimulatedCluster skipCluster = clusterWithForecasts(5, true);
         skipCluster.after(
                 150_000,
                 () ->
@@ -237,8 +247,8 @@
     }
 
     /**
-     * Machines are up when the morning starts, by what earlier mornings took, and go back if its
-     * work doesn't come.
+     * Machines are provisioned before an entry's window opens, by the use of its earlier
+     * occurrences, and are released if its jobs don't arrive.
      */
     @Test
     void machinesAreProvisionedBeforeTheWindowOpens() {
@@ -258,15 +268,15 @@
         cluster.after(
                 9_000,
                 () -> {
-                    ObjectNode memory = WireFormat.newMap().put("through", 0);
-                    memory.putArray("cpus").add(70).add(80).add(300);
+                    ObjectNode usageRecord = WireFormat.newMap().put("through", 0);
+                    usageRecord.putArray("cpus").add(70).add(80).add(300);
                     ObjectNode transaction = WireFormat.newMap();
                     transaction.putArray("guards");
                     transaction
                             .putArray("then")
                             .addObject()
                             .put("put", "a/ok/m/later")
-                            .set("value", memory);
+                            .set("value", usageRecord);
                     cluster.network.call(
                             "10.0.0.1:0",
                             SimulatedCluster.STORE_ADDRESS,
@@ -298,13 +308,13 @@
                 + "{'name':'routine','rank':800,'match':{'owner':'red'}}]}";
 
     /**
-     * Classes are proposed while the leader is lost; whoever leads next puts them in force, and a
-     * repeat takes effect once.
+     * Priority classes are proposed while the leader is lost. The next leader puts them in force,
+     * and a repeated command takes effect only once.
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void classesApplyAcrossFailover(long seed) {
-        SimulatedCluster cluster = morningCluster(seed, false);
+        SimulatedCluster cluster = clusterWithForecasts(seed, false);
         Map<String, ObjectNode> answers = new HashMap<>();
         Map<String, String> knownRanks = new HashMap<>();
         int[] compared = {0};
@@ -345,12 +355,13 @@
     }
 
     /**
-     * A ruling generation is spoilt under the controllers' hands: nothing is placed by half of it;
-     * on record, the last good one rules again, the same for all, and work goes on.
+     * The generation of priority classes in force is overwritten with one that can't be read.
+     * Nothing may be placed by a part of it; the last good generation must be back in force on
+     * record, the same for all controllers, and scheduling must continue.
      */
     @Test
     void unreadableClassesFallBackToLastGoodRevision() {
-        SimulatedCluster cluster = morningCluster(21, false);
+        SimulatedCluster cluster = clusterWithForecasts(21, false);
         Map<String, ObjectNode> answers = new HashMap<>();
         cluster.after(
                 20_000,
@@ -387,7 +398,7 @@
                 WireFormat.CBOR.encode(transaction),
                 1_000,
                 (status, body, retryAfterSeconds) -> assertEquals(200, status));
-        // Only those that start now read it anew.
+        // Only a controller that starts now reads the generation again.
         cluster.faults.crashAfter(1_000, 3, 100);
         cluster.runUntil(60_000);
         JsonNode head = cluster.store.value("a/oc/head");
@@ -398,7 +409,7 @@
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** A class set on top by mistake slows others; it doesn't starve them. */
+    /** A class that is ranked first by mistake delays other jobs but must not starve them. */
     @Test
     void topRankedClassStarvesNobody() {
         SimulatedCluster cluster =
@@ -434,10 +445,13 @@
         }
     }
 
-    /** No record: nothing is written, and scheduling cycles order as they did. */
+    /**
+     * Without operators' records, nothing is written for them, and scheduling cycles keep their
+     * order of jobs.
+     */
     @Test
     void nothingIsWrittenWithoutRecords() {
-        SimulatedCluster cluster = morningCluster(41, false);
+        SimulatedCluster cluster = clusterWithForecasts(41, false);
         cluster.runUntil(400_000);
         assertTrue(
                 cluster.store.keys().stream()
@@ -447,12 +461,12 @@
     }
 
     /**
-     * Bad input is refused in words and changes nothing; a dry run shows what would change and
-     * changes nothing.
+     * An invalid command is rejected with an explanation and changes nothing; a dry run shows what
+     * would change and changes nothing.
      */
     @Test
     void refusedCommandsAndDryRunsChangeNothing() {
-        SimulatedCluster cluster = morningCluster(51, false);
+        SimulatedCluster cluster = clusterWithForecasts(51, false);
         cluster.runUntil(40_000);
         Map<String, Integer> statuses = new HashMap<>();
         Map<String, ObjectNode> responses = new HashMap<>();
@@ -508,12 +522,12 @@
     }
 
     /**
-     * Everything at once: classes that change, a calendar, and all faults of a rough or a quick
-     * day.
+     * Changing classes and a calendar, together with all faults of a scenario of kind {@code rough}
+     * or {@code quick}.
      */
     @ParameterizedTest
-    // 103: a late gang saved up its team's quota share for ever, for services held what it needed;
-    // the rest of the team stood still.
+    // 103: an overdue gang accumulated its team's quota share indefinitely, because services held
+    // what it needed; the team's other jobs did not start.
     @ValueSource(longs = {101, 102, 103, 104, 105, 106})
     void randomScenarioWithOperatorRecordsKeepsInvariants(long seed) {
         assertEquals("", RandomScenarios.playOperatorRecords(seed).problems());
