--- a/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultInteractionTest.java
@@ -26,12 +26,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * More faults that coincide (docs/design/compound-faults.md): each test brings its faults about and
- * asserts that they coincided.
+ * Compound faults together with cancellations, provisioning, failover or a stream of small jobs
+ * (docs/design/compound-faults.md). Each test injects its faults and asserts that they really
+ * coincided.
  */
 class CompoundFaultInteractionTest {
 
-    /** What the machines of the cancelled jobs do meanwhile. */
+    /** The fault on the machines that run the cancelled jobs. */
     private enum MachineFault {
         PARTITIONED,
         HUNG,
@@ -44,9 +45,10 @@
     }
 
     /**
-     * Every team is at its limit, half of its jobs are cancelled, the machines that run them can't
-     * be asked, and the leader changes: what runs there counts until there is evidence, and is free
-     * again within the time that silence is borne.
+     * Every team is at its limit, half of its jobs are cancelled, the machines that run them are
+     * faulty, and the leader crashes. Tasks on such a machine count against the quota until there
+     * is evidence of their end; the quota must be released within the time for which a machine may
+     * be silent.
      */
     @ParameterizedTest
     @MethodSource("faultsAndSeeds")
@@ -68,8 +70,8 @@
         cancelled.forEach(id -> cluster.cancelAfter(cluster.random().nextLong(200), id));
         cluster.faults.crashAfter(300 * seed, oldLeader, 8_000);
         cluster.expectFaultsUntil(30_000 + durationMillis);
-        // The lease, its slack, the new leader and a scheduling cycle: from then on others of the
-        // team run there.
+        // Covers the lease, its slack, the election of a new leader and a scheduling cycle; other
+        // jobs of the team use the quota from then on.
         cluster.runUntil(30_000 + 75_000);
         assertTrue(
                 cancelled.stream()
@@ -78,8 +80,8 @@
                                         cluster.wasToldFinalStatus(id, "cancelled")
                                                 || cluster.wasToldFinalStatus(id, "done")),
                 fault + ": not all were told");
-        // Red's waiting jobs are short: they have all run in the room that came free. Blue has
-        // enough long ones to be at its limit still.
+        // Red's waiting jobs are short and have all started in the released quota. Blue still has
+        // enough long jobs to be at its limit.
         long startedJobs = startedJobCount(cluster, "red");
         assertTrue(
                 startedJobs == 20 && cpusInUse(cluster, "blue") > 19,
@@ -94,7 +96,9 @@
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Both teams are at their limits with long tasks; as much again waits. */
+    /**
+     * Submits long jobs that bring both teams to their limits, then as many short jobs that wait.
+     */
     private static void submitLongThenShortJobs(SimulatedCluster cluster) {
         for (int i = 1; i <= 40; i++) {
             JobSpec job =
@@ -121,7 +125,10 @@
         return running;
     }
 
-    /** Up to eight machines with tasks of those jobs suffer it; returns how many do. */
+    /**
+     * Injects the fault on up to eight machines that run those jobs; returns the number of
+     * machines.
+     */
     private static int breakMachinesOf(
             SimulatedCluster cluster, Set<String> jobs, MachineFault fault, long durationMillis) {
         int faultyMachines = 0;
@@ -185,7 +192,7 @@
         return duplicates;
     }
 
-    /** What the leader does last. */
+    /** The last write that the leader commits before it crashes. */
     private enum LastLeaderWrite {
         PROVISIONING_REQUEST(transaction -> anyStartsWith(transaction.path("then"), "put", "a/r/")),
         MACHINE_REGISTRATION(
@@ -213,8 +220,8 @@
     }
 
     /**
-     * Machines are up within two seconds and get work at once, writes lag, and the leader's last
-     * change is each of those that brought them.
+     * Machines boot within two seconds and get tasks at once, some writes are delayed, and the
+     * leader crashes after each kind of write that provisions a machine or puts it to use.
      */
     @ParameterizedTest
     @MethodSource("lastWritesAndSeeds")
@@ -271,7 +278,7 @@
                 lastWrite + ", seed " + seed + ": machines on two records");
     }
 
-    /** Of what the old reports are that arrive. */
+    /** The element of a replayed heartbeat that is out of date. */
     private enum StaleElement {
         FENCING_TOKEN,
         AGENT_EPOCH,
@@ -283,8 +290,8 @@
     }
 
     /**
-     * Old reports reach every controller as a leader begins: before its first grant, while it
-     * claims, and after that.
+     * Old heartbeats reach every controller just after an election: before the new leader's first
+     * grant, while it claims machines, and later. They must not count as evidence.
      */
     @ParameterizedTest
     @MethodSource("staleElementsAndSeeds")
@@ -309,7 +316,7 @@
         cluster.network.heartbeatRetentionRate = 0.5;
         cluster.runUntil(16_000);
         cluster.network.heartbeatRetentionRate = 0;
-        outdate(cluster, staleElement);
+        makeRetainedHeartbeatsStale(cluster, staleElement);
         cluster.runUntil(34_000);
         List<String> addresses =
                 cluster.controllers.stream().map(controller -> controller.userAddress).toList();
@@ -335,13 +342,14 @@
         assertAllJobsFinished(cluster, 16);
     }
 
-    /** Makes old what the reports retained so far say of that element. */
-    private static void outdate(SimulatedCluster cluster, StaleElement staleElement) {
+    /** Changes that element, so that the heartbeats retained so far are out of date. */
+    private static void makeRetainedHeartbeatsStale(
+            SimulatedCluster cluster, StaleElement staleElement) {
         switch (staleElement) {
-            // Machines change hands and get a new term.
+            // Machines change owners and get a new fencing token.
             case FENCING_TOKEN ->
                     cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 12_000);
-            // They lose their sessions with all that they run.
+            // Workers lose their sessions with all their tasks, and begin a new agent epoch.
             case AGENT_EPOCH ->
                     cluster.cloud.machines.values().stream()
                             .limit(6)
@@ -350,7 +358,7 @@
                                     worker ->
                                             cluster.faults.partition(
                                                     ipOf(worker), controllerIps(cluster), 12_000));
-            // Their tasks fail and begin again.
+            // Tasks fail and start again with a new attempt.
             default ->
                     cluster.cloud.machines.values().stream()
                             .filter(worker -> !worker.tasks.isEmpty())
@@ -368,7 +376,10 @@
         }
     }
 
-    /** A report is held up until a new leader has acted, and then arrives there. */
+    /**
+     * Heartbeats are held until a new leader has granted machines and then arrive there; they must
+     * not count as evidence.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void heartbeatsHeldUntilFailoverAreNoEvidence(long seed) {
@@ -392,14 +403,17 @@
         assertAllJobsFinished(cluster, 24);
     }
 
-    /** What goes wrong beside the stream of small jobs. */
+    /** The fault during the stream of single-task jobs. */
     private enum BackgroundFault {
         NOTHING,
         SLOW_STORE,
         LEADER_CRASHES_TWICE
     }
 
-    /** One-task jobs come four a second for five minutes, a quarter of them cancelled. */
+    /**
+     * Single-task jobs arrive at four a second for five minutes, and a quarter of them are
+     * cancelled. They must be accepted quickly, with few commits per job.
+     */
     @ParameterizedTest
     @EnumSource(BackgroundFault.class)
     void streamOfSingleTaskJobsIsAnsweredInTime(BackgroundFault fault) {
--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Work and quota after faults of many machines, zones or all controllers
+ * Recovery of jobs and quota after faults of many machines, of a zone or of all controllers
  * (docs/design/compound-faults.md).
  */
 class CompoundFaultRecoveryTest {
     /**
-     * A zone with its workers and one controller is cut off for longer than the lease, and jobs are
-     * cancelled on both sides.
+     * A zone's workers and one controller are partitioned from the rest for longer than the lease,
+     * and jobs are cancelled on both sides.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -55,7 +55,7 @@
         assertAllJobsFinished(cluster, 16);
     }
 
-    /** Leaders change ten times in two minutes, also while the store is down. */
+    /** The leader changes ten times in two minutes, on some seeds also while the store is down. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tenLeaderChangesInTwoMinutesKeepInvariants(long seed) {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Workers reach no controller while direct commands reach them: they are not taken for well,
-     * and what they run ends with their lease.
+     * Workers can't reach any controller, while direct commands reach them: they must not count as
+     * healthy, and their tasks end with their lease.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -136,9 +136,10 @@
     }
 
     /**
-     * Most machines of a zone reach nobody for several leases, and their silence is borne for
-     * longer than that: what ended there with the lease is free again as soon as it is over, for
-     * they are asked, and their refusal of the old session shows the new one.
+     * Most machines of a zone can't reach any controller for several leases, but aren't declared
+     * lost in that time. The quota of the tasks that ended with the lease must be released as soon
+     * as the lease is over: direct commands reach the machines, and their rejection of the old
+     * session is evidence of the new one.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -190,8 +191,8 @@
     }
 
     /**
-     * Jobs bound to one zone, by name or because all their tasks must be in one, arrays and gangs,
-     * lose machines again and again.
+     * Arrays and gangs that are bound to one zone, because they name it or because all their tasks
+     * must be in the same zone, lose machines repeatedly.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -255,8 +256,8 @@
     }
 
     /**
-     * All controllers are away for longer than the workers' lease; every machine has lost what it
-     * ran.
+     * All controllers are down for longer than the workers' lease, so every machine loses its
+     * tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -295,8 +296,8 @@
     }
 
     /**
-     * Many running jobs are cancelled within 0.2 s, and their machines hang: told by evidence,
-     * nothing goes on when they resume.
+     * Many running jobs are cancelled within 0.2 s, and their machines hang. Cancellations are
+     * confirmed on evidence, and no task may continue when the machines resume.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultTest.java
@@ -23,14 +23,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Faults that coincide (docs/design/compound-faults.md): each test brings its faults about and
- * asserts that they coincided.
+ * Faults that coincide (docs/design/compound-faults.md). Each test injects its faults and asserts
+ * that they really coincided.
  */
 class CompoundFaultTest {
     /**
-     * The store refuses the leader alone, the other controllers confirm cancellations, then the
-     * store is down for all for longer than {@code cancel_s}, and all the while the workers report
-     * to the old leader. Seeds vary how far apart the two are.
+     * The store rejects only the leader's requests, the other controllers confirm cancellations,
+     * and then the store is down for all controllers for longer than {@code cancel_s}. All the
+     * while the workers send their heartbeats to the old leader. The seed sets the time between the
+     * two faults.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
@@ -39,7 +40,7 @@
         cluster.workerLeaseMillis = LONG_LEASE_MILLIS;
         cluster.start();
         for (int i = 1; i <= 60; i++) {
-            // Of every four one belongs to a team at its limit, and most of those have no place
+            // One job in four belongs to a team at its limit, and most of those have no placement
             // yet.
             JobSpec job =
                     i % 4 == 0
@@ -69,8 +70,8 @@
                                                         <= 40_000 + gapMillis + 10)
                         .count();
         assertTrue(confirmedInGap > 0, "nobody was told in the gap");
-        // Also of jobs that the refused leader controls, if their tasks were on others' machines:
-        // they were once ended by nobody.
+        // Cancellations are also confirmed for jobs of the rejected leader whose tasks were on
+        // other controllers' machines: once no controller ended these tasks.
         assertNotEquals(List.of(), jobsElsewhere);
         if (gapMillis > 5_000) {
             jobsElsewhere.forEach(
@@ -90,7 +91,7 @@
                         .count());
     }
 
-    /** Of the first 40 jobs those that the controller owns and none of its machines runs. */
+    /** The jobs among the first 40 that the controller owns but that none of its machines runs. */
     private static List<String> jobsWithoutTaskOnOwnMachines(
             SimulatedCluster cluster, String controllerName) {
         Set<String> ownHosts = machinesOf(cluster, controllerName);
@@ -108,7 +109,7 @@
         return result;
     }
 
-    /** What else happens in the gap. */
+    /** A further fault besides the store's rejection of the leader and its outage. */
     private enum AdditionalFault {
         SECOND_CONTROLLER_REFUSED,
         CONFIRMING_CONTROLLER_CRASH,
@@ -176,8 +177,8 @@
     }
 
     /**
-     * The leader keeps its workers and users, and nothing else: cancellations and submissions go
-     * through its successor.
+     * The leader is partitioned from the store and the other controllers, while workers and users
+     * still reach it: cancellations and submissions must go through its successor.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -207,16 +208,16 @@
         assertNotEquals(oldLeader, cluster.leaderIndex());
         cluster.runUntil(400_000);
         assertAllJobsFinished(cluster, 30);
-        // What ran on the old leader's machines ran on: its successor called the workers away by
-        // the addresses on record.
+        // Tasks on the old leader's machines kept running: its successor claimed the workers by the
+        // addresses on record.
         for (int i = 11; i < 20; i++) {
             assertEquals(3, cluster.taskStartsByJob.get(JobFixtures.id(i)));
         }
     }
 
     /**
-     * The store is slow, refuses the leader, then everybody for longer than {@code cancel_s}, while
-     * users cancel and ask.
+     * The store is slow, then rejects the leader's requests, then is down for longer than {@code
+     * cancel_s}, while users cancel and query jobs.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -252,9 +253,10 @@
     }
 
     /**
-     * The leader ends while machines with long tasks hear nobody, though their reports arrive. They
-     * once counted as well: they got work that never began, a new owner waited for ever to be
-     * heard, and they were handed from one controller to the next.
+     * The leader crashes while machines with long tasks receive nothing, although their heartbeats
+     * arrive. Such machines once counted as healthy: they got tasks that never started, a new owner
+     * waited indefinitely for its claim to arrive, and they were passed from one controller to the
+     * next.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -289,8 +291,8 @@
     }
 
     /**
-     * The same with machines that can't be reached at all, for longer than their lease and for
-     * less.
+     * The leader crashes while machines with long tasks are partitioned from all controllers, for
+     * longer than their lease on some seeds and for less on others.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -324,8 +326,8 @@
     }
 
     /**
-     * Copies of old reports reach controllers that have handed the machine on: they once moved
-     * machines that were well where they were.
+     * Copies of old heartbeats reach controllers that no longer own the machine. They once caused
+     * healthy machines to be moved away from their owners.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -342,7 +344,8 @@
         cluster.network.staleHeartbeatRate = 1;
         cluster.network.maxStaleHeartbeatDelayMillis = seed == 1 ? 45_000 : 9_000;
         cluster.expectFaultsUntil(130_000);
-        // Machines change hands, by loss and by balance, so that copies reach those who had them.
+        // Machines change owners, by the loss of a controller and by rebalancing, so that copies
+        // reach former owners.
         cluster.faults.crashController((cluster.leaderIndex() + 1) % 3, 1_000);
         cluster.runUntil(25_000);
         long fencingToken = cluster.store.value("a/term").path("n").asLong();
@@ -371,8 +374,8 @@
     }
 
     /**
-     * Kills, claims and their answers arrive seconds late, after the next attempt, session or
-     * holder.
+     * Kills, claims and their responses arrive seconds late, after the next attempt, session or
+     * owner.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -406,8 +409,8 @@
     }
 
     /**
-     * The answer to a kill comes after the report that shows what has begun on the machine since:
-     * it proves nothing of that.
+     * The response to a kill arrives after the heartbeat that shows tasks started on the machine
+     * since then. It must not count as evidence about those tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -436,7 +439,7 @@
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Two or three of all faults, 0 to 10 s apart, three times in a scenario. */
+    /** Two or three faults of all kinds, 0 to 10 s apart, three times in a scenario. */
     @ParameterizedTest
     @ValueSource(
             longs = {
@@ -451,12 +454,11 @@
         assertEquals(List.of(), CompoundFaults.starvedDespiteCapacity(cluster));
     }
 
-    /** Two or three of the first kinds, 0 to 10 s apart, three times in a scenario. */
+    /** Two or three faults of the initial kinds, 0 to 10 s apart, three times in a scenario. */
     @ParameterizedTest
-    // 20559: while the store was slow, a controller inherited a lost one's job; a scheduling cycle
-    // of its own
-    // that knew nothing of the job's use landed
-    // after it, within the quota share, and the leader's next split counted only one of the two.
+    // 20559: while the store was slow, a lost controller's job was reassigned. A scheduling cycle
+    // that the new owner had planned without the job's use was committed after that, within the
+    // quota share, and the leader's next division of the quota counted only one of the two uses.
     @ValueSource(
             longs = {
                 20559, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21,
--- a/src/test/java/io/quincelead/simulation/LostResponseTest.java
+++ b/src/test/java/io/quincelead/simulation/LostResponseTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A change is carried out at once and only its answer is lost, while others read what it wrote and
- * act on it (docs/design/compound-faults.md); and cancellations at each step of a reassignment,
- * which is made of such changes.
+ * Transactions that are committed at once while only their responses are lost, so that others read
+ * and act on what they wrote (docs/design/compound-faults.md); and cancellations at each step of a
+ * reassignment, which consists of such transactions.
  */
 class LostResponseTest {
     private static boolean removes(ObjectNode transaction, String prefix) {
@@ -51,7 +51,7 @@
         return false;
     }
 
-    /** Every kind of commit, by what it writes and what it is conditional on. */
+    /** The kinds of commits, told apart by what they write and by their preconditions. */
     private enum CommitKind {
         SCHEDULING_CYCLE(
                 transaction ->
@@ -117,24 +117,26 @@
         }
     }
 
-    /** What its writer does then. */
-    private enum WriterFate {
+    /** What the writer of a commit does when the response is lost. */
+    private enum WriterBehavior {
         CONTINUES,
         CRASHES
     }
 
     static Stream<Arguments> commitsWritersAndSeeds() {
-        return ScenarioArguments.withSeeds(CommitKind.values(), WriterFate.values(), 3);
+        return ScenarioArguments.withSeeds(CommitKind.values(), WriterBehavior.values(), 3);
     }
 
     /**
-     * A scenario in which all of these happen: jobs of all kinds, cancellations, machines that
-     * come, go, hang and die, and controllers that end. The first answers of one kind are lost, and
-     * so is every second one after that; the writer goes on or ends.
+     * A scenario with every kind of commit: jobs of all kinds, cancellations, machines that are
+     * provisioned, released, hang and die, and controllers that crash. The first responses to one
+     * kind of commit are lost, and so is every second one after that; the writer continues or
+     * crashes.
      */
     @ParameterizedTest
     @MethodSource("commitsWritersAndSeeds")
-    void committedWriteWithLostResponseIsSettled(CommitKind kind, WriterFate writerFate, int seed) {
+    void committedWriteWithLostResponseIsSettled(
+            CommitKind kind, WriterBehavior writerFate, int seed) {
         SimulatedCluster cluster = new SimulatedCluster(40 + seed);
         cluster.submissionRetryWindowMillis = 200_000;
         int[] occurrences = {0};
@@ -154,7 +156,7 @@
                             () ->
                                     laterWrites[0] +=
                                             cluster.store.revision() > revision + 1 ? 1 : 0);
-                    if (writerFate == WriterFate.CRASHES
+                    if (writerFate == WriterBehavior.CRASHES
                             && occurrences[0] % 3 == 1
                             && occurrences[0] < 10) {
                         cluster.faults.crashAfter(2, writerOf(cluster, transaction), 400);
@@ -186,8 +188,8 @@
     }
 
     /**
-     * The controller that wrote it: whoever of them the records name; the leader where nobody is
-     * named.
+     * The controller that wrote the transaction: the one that its records name, or the leader if
+     * they name none.
      */
     private static int writerOf(SimulatedCluster cluster, ObjectNode transaction) {
         String name = transaction.toString().replaceAll("(?s).*(worker-\\d).*", "$1");
@@ -196,7 +198,7 @@
                 : Math.max(0, cluster.leaderIndex());
     }
 
-    /** 30 jobs, one of them large; services and every fifth job are cancelled. */
+    /** Submits 30 jobs, one of them large; services and every fifth job are cancelled. */
     private static void submitJobsOfAllKinds(SimulatedCluster cluster) {
         for (int i = 1; i <= 30; i++) {
             JobSpec job =
@@ -212,8 +214,8 @@
     }
 
     /**
-     * Where the cancellations come in: just before the change of the reassignment is carried out,
-     * or at once after, at one step of it.
+     * Which controllers receive the cancellations, just before or just after one step's transaction
+     * of the reassignment is committed.
      */
     private enum CancellationTarget {
         OLD_OWNER,
@@ -222,10 +224,13 @@
         ALL_CONTROLLERS
     }
 
-    /** How many of the moved controller's jobs are cancelled. */
+    /** Number of the lost controller's jobs that are cancelled. */
     private static final int CANCELLED_JOBS = 18;
 
-    /** Watches reassignments on their way to the store; at one of them the cancellations come. */
+    /**
+     * Observes reassignments as they arrive at the store, and sends the cancellations at one of
+     * them.
+     */
     private static final class ReassignmentCancellations {
         private final SimulatedCluster cluster;
         private final CancellationTarget target;
@@ -270,7 +275,8 @@
             if (variant == 1) {
                 cluster.after(3, () -> crashNewOwners(5_000));
             } else if (variant == 2) {
-                // It is back at once, and its new owner's work goes to it in turn.
+                // The lost controller is back at once, and the new owner's jobs are reassigned to
+                // it in turn.
                 cluster.after(5, () -> cluster.controllers.get(lostController).start());
                 cluster.after(6_000, () -> crashNewOwners(9_000));
             }
@@ -281,8 +287,8 @@
             for (int i = 1; i <= CANCELLED_JOBS; i++) {
                 String id = JobFixtures.id(i);
                 for (int controller : cancellingControllers) {
-                    // Some arrive before the change that is on its way here, some with it,
-                    // some after.
+                    // Some arrive before the transaction that is on its way to the store, some with
+                    // it, some after it.
                     cluster.cancelAfter(i % 3 * 4L, id, controller);
                 }
             }
@@ -305,7 +311,9 @@
         }
     }
 
-    /** Jobs of two teams for one controller; every third is over after {@code shortSeconds}. */
+    /**
+     * Submits jobs of two teams to one controller; every third one runs for {@code shortSeconds}.
+     */
     private static void submitShortAndLongJobs(
             SimulatedCluster cluster,
             int controller,
@@ -334,9 +342,9 @@
     }
 
     /**
-     * One controller's work changes hands while its jobs are cancelled: before, between and after
-     * the commits that move them, at the old controller (as it is back), at the new one, at a third
-     * and at all; then the new owner ends too, or the work goes back.
+     * A lost controller's jobs are reassigned while they are cancelled: before, between and after
+     * the commits that move them, at the old owner (once it is back), at the new one, at a third
+     * controller or at all; then the new owner crashes too, or the jobs move back.
      */
     @ParameterizedTest
     @MethodSource("targetsStepsAndVariants")
@@ -370,7 +378,7 @@
                 cancellations.reassignments > 0 && !cancellations.movedJobs.isEmpty(),
                 context + ": nothing was handed over");
         if (cancellations.reassignments <= step) {
-            // Fewer changes sufficed: the cancellations then come after the last of them.
+            // Fewer transactions sufficed, so the cancellations follow the last of them.
             for (int i = 1; i <= CANCELLED_JOBS; i++) {
                 cluster.cancel(JobFixtures.id(i));
             }
@@ -384,9 +392,9 @@
     }
 
     /**
-     * The store takes its time: cancellations and ends are recorded between a reassignment's plan
-     * and its landing, which must not undo them, as it rewrites the jobs' records as its writer
-     * knew them.
+     * The store is slow, so cancellations and completions are recorded between the planning of a
+     * reassignment and its commit. The reassignment rewrites the jobs' records as its writer knew
+     * them, and must not undo these changes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -425,7 +433,10 @@
         assertAllJobsFinished(cluster, 40);
     }
 
-    /** Whether it is a reassignment and knows nothing of the cancellation of one of its jobs. */
+    /**
+     * Whether the transaction is a reassignment with at least one job record that isn't marked as
+     * cancelled.
+     */
     private static boolean reassignsJobNotCancelled(ObjectNode transaction) {
         if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
             return false;
@@ -439,7 +450,9 @@
         return false;
     }
 
-    /** Job records of a reassignment that meanwhile were removed, or marked as cancelled. */
+    /**
+     * Number of a reassignment's job records that were meanwhile removed or marked as cancelled.
+     */
     private static int countOvertakenJobWrites(SimulatedCluster cluster, ObjectNode transaction) {
         if (!CommitKind.REASSIGNMENT.matcher.test(transaction)) {
             return 0;
@@ -456,8 +469,8 @@
     }
 
     /**
-     * As the change is sent, its jobs are cancelled at others: of two requests to a slow store
-     * either may be carried out first.
+     * Cancels a reassignment's jobs at other controllers as its transaction is sent: of two
+     * requests to a slow store, either may be executed first.
      */
     private static void cancelReassignedJobs(
             SimulatedCluster cluster, int lostController, ObjectNode transaction) {
@@ -479,8 +492,8 @@
     }
 
     /**
-     * Answers get lost while everybody reads and submits again, and leaders end: nothing is
-     * accepted twice or forgotten.
+     * Store responses get lost while users query and resubmit everywhere and leaders crash: no job
+     * may be accepted twice or forgotten.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
+++ b/src/test/java/io/quincelead/simulation/ReadConsistencyTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users who look closely (docs/design/compound-faults.md): no controller tells anybody anything
- * older than what somebody has been told.
+ * Consistency of the answers to users (docs/design/compound-faults.md): no controller may report a
+ * state older than one that any user has already been told.
  */
 class ReadConsistencyTest {
     /**
-     * Everybody asks everywhere and submits again, within milliseconds of each piece of news;
-     * controllers hear late of changes and answers get lost.
+     * Users query all controllers and resubmit jobs within milliseconds of each change, while
+     * controllers' watches are delayed and store responses get lost.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -69,9 +69,9 @@
     }
 
     /**
-     * A controller whose copy is behind finds that out, reads the store and once answered from the
-     * copy all the same; and of larger jobs it compared the job's own record alone, while their
-     * tasks are in others.
+     * A controller whose watch cache is behind detects this and reads the store, but once answered
+     * from the cache all the same. Of larger jobs it once compared only the job's own record, while
+     * their task states are in other records.
      */
     @ParameterizedTest
     @ValueSource(ints = {12, 450})
@@ -106,7 +106,7 @@
         assertAllJobsFinished(cluster, 1);
     }
 
-    /** What a request can be overtaken by. */
+    /** The commit that can overtake a request. */
     private enum CommitStep {
         /** The cancellation is recorded. */
         CANCELLATION(
@@ -115,13 +115,13 @@
                                 && transaction.path("then").get(0).path("value").has("x")),
         /** The job moves to its final key. */
         COMPLETION(transaction -> anyStartsWith(transaction.path("then"), "put", "z/wk-000001")),
-        /** It is accepted. */
+        /** The job is accepted. */
         ACCEPTANCE(
                 transaction ->
                         anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
                                 && anyStartsWith(
                                         transaction.path("guards"), "path", "z/wk-000001")),
-        /** Its last task gets a place, or its end is recorded. */
+        /** The job's last task is placed, or its end is recorded. */
         SCHEDULING_CYCLE(
                 transaction ->
                         anyStartsWith(transaction.path("then"), "put", "a/j/wk-000001")
@@ -139,8 +139,9 @@
     }
 
     /**
-     * A submission or a cancellation meets the end that it asks about at each step, whose answer
-     * gets lost; both are repeated elsewhere.
+     * Submissions, queries and cancellations of a job coincide with each kind of commit up to its
+     * end, while the store's response to that commit is lost; they are repeated at every
+     * controller.
      */
     @ParameterizedTest
     @MethodSource("stepsAndSeeds")
@@ -194,8 +195,8 @@
     }
 
     /**
-     * A cancellation, a question and a repeated submission at the very end of the last task, and
-     * nothing else.
+     * A cancellation, a query and a resubmission arrive just as the last task ends, without any
+     * other fault.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -222,8 +223,8 @@
     }
 
     /**
-     * Submissions of unfinished jobs, cancellations of finished ones, jobs that fit nothing or lack
-     * a field: nothing is lost by any of them.
+     * Resubmissions of unfinished jobs, cancellations of finished ones, and jobs that fit no
+     * machine or lack a field: none of these requests may cause a job to be lost.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -251,8 +252,8 @@
     }
 
     /**
-     * A job that is known is told as it is, whatever its repeated submission would get now; an
-     * answer that can't be given yet says so.
+     * A resubmission of a known job is answered with the job's status, however a new job with that
+     * body would be answered; if the status can't be determined yet, the response says so.
      */
     @Test
     void resubmissionOfKnownJobIsAnsweredWithItsStatus() {
