--- a/src/test/java/io/quincelead/simulation/FirstStartTest.java
+++ b/src/test/java/io/quincelead/simulation/FirstStartTest.java
@@ -8,9 +8,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** First starts within 240 s, on seeds where gangs began late though they could have begun. */
+/**
+ * Checks first starts within 240 s, on seeds where gangs started late although they could have
+ * started.
+ */
 class FirstStartTest {
-    /** Arrays of the gang's team kept its quota (docs/incidents/late-gangs.md). */
+    /**
+     * Arrays of the same team kept using the quota that the gang needed
+     * (docs/incidents/late-gangs.md).
+     */
     @ParameterizedTest
     @CsvSource({"quick, 2088", "rough, 2064", "quick, 50008", "rough, 60258"})
     void gangOfSmallTeamBeginsInTime(String kind, long seed) {
@@ -27,7 +33,10 @@
         assertEquals(List.of(), startableButLate);
     }
 
-    /** Less urgent work kept the quota of urgent gangs (docs/incidents/urgent-gang-quota.md). */
+    /**
+     * Less urgent jobs kept using the quota that urgent gangs needed
+     * (docs/incidents/urgent-gang-quota.md).
+     */
     @ParameterizedTest
     @ValueSource(longs = {12001, 12036, 8007, 8009})
     void urgentGangOnGpusBeginsInTime(long seed) {
--- a/src/test/java/io/quincelead/simulation/OverloadTest.java
+++ b/src/test/java/io/quincelead/simulation/OverloadTest.java
@@ -14,9 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Teams at their limits and more work than the machines hold (docs/design/compound-faults.md). */
+/**
+ * Teams at their limits, and more work than the machines can hold (docs/design/compound-faults.md).
+ */
 class OverloadTest {
-    /** There is more work than room, urgent and not, and each packet takes up to half a second. */
+    /**
+     * There is more work than capacity, urgent and not, and slow links delay each packet by up to
+     * 250 ms times the seed.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void overloadOverSlowLinksServesUrgentJobsFirst(long seed) {
@@ -61,7 +66,7 @@
                         + " in use, "
                         + maxWaitingJobs[0]
                         + " jobs waiting");
-        // What is urgent doesn't wait behind the rest.
+        // Urgent jobs must not wait behind the others.
         long startedUrgentJobs = startedUrgentJobCount(cluster);
         assertTrue(startedUrgentJobs > 12, "urgent jobs begun: " + startedUrgentJobs);
         cluster.runUntil(900_000);
@@ -86,9 +91,9 @@
     }
 
     /**
-     * A team at its limit: one task of it waits at a controller whose machines are full and that
-     * holds the quota share, and there is room in another's shard for one or two. It once waited
-     * for as long as the others ran.
+     * A team is at its limit. One of its tasks waits at a controller that holds the quota share but
+     * whose machines are full, while another controller's shard has capacity for one or two tasks.
+     * Such a task once waited for as long as the team's other tasks ran.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
@@ -108,8 +113,8 @@
     }
 
     /**
-     * An urgent gang that needs most of what its team may use comes together though single tasks of
-     * lower work fit into less.
+     * An urgent gang that needs most of its team's quota must start, although single tasks of lower
+     * priority fit into a smaller part of it.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -142,9 +147,10 @@
     }
 
     /**
-     * A larger job, whose tasks are in records of their own, is cancelled and ended by another
-     * controller while its own one hears nothing and finds room for it: the scheduling cycle is
-     * conditional on the job's record too, or tasks of a cancelled job would start.
+     * A larger job, whose task states have records of their own, is cancelled and ended by another
+     * controller, while its owner's watch is delayed and the owner finds capacity for it. The
+     * scheduling cycle needs a precondition on the job's record too, or tasks of a cancelled job
+     * would start.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -155,8 +161,8 @@
         cluster.runUntil(9_000);
         int ownController = (cluster.leaderIndex() + 1) % 3;
         int otherController = (cluster.leaderIndex() + 2) % 3;
-        // The team is at its limit by tasks that end at 20 s or a little later, so that the larger
-        // job has no place until then.
+        // Tasks that end at 20 s or a little later keep the team at its limit, so that the larger
+        // job can't be placed until then.
         cluster.submit(
                 JobFixtures.array(1, "red", JobSpec.Priority.PRODUCTION, 40, 1, 16), ownController);
         cluster.runUntil(12_000);
@@ -186,8 +192,8 @@
     }
 
     /**
-     * A controller that hears nothing has room left by a quota share that has gone to another: its
-     * cycle is conditional on its shard.
+     * A controller whose watch is delayed still counts on a quota share that has moved to another
+     * controller: the precondition on its shard must fail its scheduling cycle.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -197,7 +203,8 @@
         cluster.runUntil(9_000);
         int staleController = (cluster.leaderIndex() + 1) % 3;
         int otherController = (cluster.leaderIndex() + 2) % 3;
-        // The quota share comes to where the want is, and stays there when that has ended.
+        // The quota share moves to the controller with demand, and stays there after the demand has
+        // ended.
         cluster.submit(
                 JobFixtures.array(1, "blue", JobSpec.Priority.NORMAL, 12, 2, 4), staleController);
         cluster.runUntil(30_000);
--- a/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/RandomizedScenarioTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Scenarios of real controllers in the simulated cluster. Every rule is checked after every event.
+ * Scenarios of real controllers in the simulated cluster. Every invariant is checked after every
+ * event.
  */
 class RandomizedScenarioTest {
 
@@ -30,19 +31,19 @@
     }
 
     /**
-     * Everything at once, at random: crashes, cuts that hold packets, outages, lost answers, hung,
-     * dead and sick machines.
+     * Random faults of all kinds together: crashes, partitions that buffer packets, outages, lost
+     * responses, and machines that hang, die or fail their tasks.
      */
     @ParameterizedTest
-    // 15: evidence that came while a scheduling cycle was being committed was forgotten once
-    // nothing else
-    // waited. 19: an urgent gang
-    // never got its team's quota share, which was split evenly with a large low job. 423: two
-    // controllers passed machines to
-    // each other for ever, each taking the workers' way to the other for being stuck.
-    // 771: a machine was granted while its return was being recorded, and never released. 803:
-    // after a restart a machine that
-    // fails everything was never blamed, for what others had seen succeed was forgotten.
+    // 15: evidence that arrived during the commit of a scheduling cycle was dropped if nothing else
+    // was waiting.
+    // 19: an urgent gang never got its team's quota share, which was divided evenly with a large
+    // low-priority job.
+    // 423: two controllers passed machines to each other without end, each taking workers on their
+    // way to the other for stuck ones.
+    // 771: a machine was granted while its release was being recorded, and never released.
+    // 803: after a restart, a machine that fails every task was never blamed, because the tasks
+    // that others had seen succeed were forgotten.
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 190, 213, 423, 771, 803})
     void randomFaultsKeepInvariantsAndRecover(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
@@ -51,8 +52,8 @@
     }
 
     /**
-     * Processes that are back in a fraction of a second, also in the middle of elections, while
-     * copies of old messages arrive.
+     * Controllers restart within a fraction of a second, also during elections, while copies of old
+     * messages arrive.
      */
     @ParameterizedTest
     @ValueSource(longs = {7001, 7002, 7003, 7004})
@@ -64,8 +65,8 @@
     }
 
     /**
-     * A cancelled gang's task started after its user had been told: see UnrecordedTerminationsTest
-     * for the story.
+     * A cancelled gang's task started after its user had been told of the cancellation;
+     * UnrecordedTerminationsTest describes how.
      */
     @Test
     void cancelledGangStartsNothingOnAnotherControllersMachine() {
@@ -76,12 +77,13 @@
     }
 
     /**
-     * A cluster that is up at the start, in three zones: services spread over them, gangs in one
-     * zone on the few machines with GPUs, low work in what is left; then zones are cut and
-     * everything else goes wrong as in a scenario of random faults.
+     * A cluster whose machines already run at the start, in three zones: services spread over the
+     * zones, gangs in one zone on the few machines with GPUs, and low-priority jobs in the
+     * remaining capacity. Then zones are partitioned, besides all faults of a scenario of random
+     * faults.
      */
     @ParameterizedTest
-    // 55, 59: two gangs each held half of a team's GPU quota share, for ever.
+    // 55, 59: two gangs each held half of a team's GPU quota share indefinitely.
     @ValueSource(longs = {51, 55, 59})
     void overloadWithZonePartitionsKeepsInvariantsAndRecovers(long seed) {
         SimulatedCluster cluster = RandomScenarios.playOverload(seed);
@@ -92,8 +94,8 @@
 
     /**
      * Hundreds of machines and thousands of tasks, through the loss of each controller, of two at
-     * once and of the store: also a controller left alone holds every machine within the store's
-     * limit for a record.
+     * once and of the store. Even a single remaining controller must record all machines within the
+     * store's size limit for a record.
      */
     @Test
     void largeClusterKeepsInvariantsWhileControllersFail() {
--- a/src/test/java/io/quincelead/simulation/SingleFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/SingleFaultTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One fault at a time: machines, controllers, partitions and messages that come twice or late. */
+/**
+ * One fault at a time: failures of machines and controllers, partitions, and messages that arrive
+ * twice or late.
+ */
 class SingleFaultTest {
     private static SimulatedCluster clusterWithService(long seed) {
         SimulatedCluster cluster =
@@ -37,8 +40,8 @@
     }
 
     /**
-     * Outside, all machines of a zone that was cut off were once declared lost; inside, only the
-     * controller's own were kept alive.
+     * Controllers outside a partitioned zone once declared all its machines lost, and the
+     * controller inside kept only its own machines alive.
      */
     @ParameterizedTest
     @ValueSource(longs = {36, 37, 38})
@@ -53,8 +56,8 @@
     }
 
     /**
-     * A user was once told "cancelled" at once: behind a cut, with the cloud down, the tasks then
-     * ran on past the time.
+     * A user was once told "cancelled" at once; in a partitioned zone, with the cloud down, the
+     * tasks then ran past the allowed time.
      */
     @Test
     void cancellationIsConfirmedOnlyAfterTasksAreGone() {
@@ -74,7 +77,7 @@
         assertTrue(cluster.wasToldFinalStatus("wk-000001", "cancelled"));
     }
 
-    /** Submissions were once refused for seconds after the store was back. */
+    /** Submissions were once rejected for seconds after the store was back. */
     @ParameterizedTest
     @ValueSource(longs = {61, 62, 63, 64, 65, 66})
     void submissionsAreAcceptedSoonAfterAStoreOutage(long seed) {
@@ -141,9 +144,10 @@
     }
 
     /**
-     * A process ends while its announcement is on its way, and its successor is in before that
-     * arrives. The record of the member then once named the dead process's hold and went with it:
-     * the successor held a shard, led nobody and was counted as lost for good.
+     * A controller's process ends while its member announcement is on its way, and its successor
+     * joins before the announcement arrives. The member's record then once named the dead process's
+     * lease and was removed with it: the successor held a shard, commanded no workers and counted
+     * as lost permanently.
      */
     @Test
     void delayedMemberAnnouncementDoesNotReplaceSuccessor() {
@@ -179,8 +183,8 @@
     }
 
     /**
-     * The record of a provisioning request that was settled long ago was once made again by a copy
-     * of its change: its machines came back as ghosts.
+     * A copy of its transaction once recreated the record of a provisioning request that was
+     * settled long ago, and its machines reappeared on record although they no longer existed.
      */
     @Test
     void duplicatedProvisioningRequestIsNotRecordedAgain() {
@@ -216,8 +220,8 @@
     }
 
     /**
-     * One controller that is back at once displaces nothing, and five ends in a row make no storm
-     * of grants.
+     * A controller that restarts at once must not cause any task to be preempted, and five crashes
+     * in a row must not cause a flood of shard grants.
      */
     @Test
     void quickControllerRestartMovesNoTask() {
@@ -243,7 +247,8 @@
     }
 
     /**
-     * A poll whose barrier was out while another controller recorded the job's end once got 404.
+     * A poll whose read barrier was pending while another controller recorded the job's end once
+     * got 404.
      */
     @Test
     void queriesConcurrentWithCompletionAreAnswered() {
@@ -278,8 +283,8 @@
     }
 
     /**
-     * Workers go on reporting to a controller that is cut from the store alone; only the new
-     * owner's claim calls them away.
+     * Workers keep sending heartbeats to a controller that is partitioned only from the store; only
+     * the new owner's claim makes them switch.
      */
     @Test
     void tasksOfControllerPartitionedFromStoreKeepRunning() {
--- a/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/ZoneRecoveryTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A zone that is lost and comes back, with controllers that fail at every step of it. */
+/** Loss and return of a zone, with failures of controllers at every step. */
 class ZoneRecoveryTest {
     /**
-     * Once a model was whole in one zone and gone with it; now each has replicas left, and what is
-     * lost is back soon after the evidence.
+     * All replicas of a model were once in one zone and lost with it. Every model must keep
+     * replicas, and the lost ones must run again soon after the evidence of the loss.
      */
     @ParameterizedTest
     @ValueSource(strings = {"none", "leader", "two", "all"})
@@ -80,7 +80,7 @@
                 ThreeZoneFixtures.zoneState(cluster, "a"));
     }
 
-    /** Everything is gone: one replica of every model is back before any model has many. */
+    /** All zones are lost: one replica of every model must be back before any model has many. */
     @Test
     void oneReplicaOfEveryModelComesFirst() {
         SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(82, true);
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Cut off, with a controller inside, without one, and with the leader: nothing is started
-     * twice, and what served inside serves on.
+     * A zone is partitioned with a controller inside, without one, or with the leader: no task may
+     * run twice, and replicas inside the zone must keep serving.
      */
     @ParameterizedTest
     @CsvSource({"none, 40000", "one, 40000", "leader, 40000", "one, 1000", "none, 30000"})
@@ -149,8 +149,8 @@
         for (int i = 1; i <= ThreeZoneFixtures.MODEL_COUNT; i++) {
             starts += cluster.taskStartsByJob.getOrDefault(ThreeZoneFixtures.modelId(i), 0);
         }
-        // With five controllers a worker's lease is too short to look for its owner among them: cut
-        // for longer, tasks end by their leases.
+        // With five controllers, a worker's lease is too short to try each of them for its owner:
+        // in a longer partition, tasks end with their leases.
         assertTrue(starts <= (durationMillis > 17_500 ? 72 + 36 : 72 + 4), "starts: " + starts);
         ThreeZoneFixtures.runningReplicas(cluster)
                 .forEach(
@@ -162,8 +162,8 @@
     }
 
     /**
-     * Operators give a cut zone up: its replicas are back elsewhere, and by the cloud's word it is
-     * lost.
+     * Operators release a partitioned zone: its replicas must run again elsewhere, and the zone
+     * counts as lost on the cloud's confirmation.
      */
     @Test
     void releasedZoneIsLost() {
@@ -196,7 +196,7 @@
         assertEquals(Set.of(), cluster.violations());
     }
 
-    /** A class states how long its replicas may be left in a zone that is cut off. */
+    /** A priority class sets for how long its replicas may be left in a partitioned zone. */
     @Test
     void classSetsZonePatience() {
         SimulatedCluster cluster = ThreeZoneFixtures.clusterWithThreeZones(85, true);
@@ -224,8 +224,8 @@
     }
 
     /**
-     * Back, it must hold; then spread is restored by moves, one replica of a model away at a time,
-     * none while a window is open.
+     * A zone that returns must first stay up. Then the spread is restored by moves, with one
+     * replica of a model stopped at a time, and none while a calendar window is open.
      */
     @Test
     void zoneSpreadIsRestoredGradually() {
@@ -264,16 +264,18 @@
     }
 
     /**
-     * The same on seeds that failed in each of the two ways there were: five and three of the eight
-     * bad ones of 80 to 95.
+     * A returned zone gets replicas of every model again, on seeds that failed in each of the two
+     * known ways: five and three of the eight failing seeds of 80 to 95.
      *
-     * <p>82 and 89: the zone stayed "returning" for good. To settle it must have a machine that is
-     * heard, but machines were rented there only for moves, and nothing moved while a zone was
-     * returning; the other zones had room for all (32 machines each, 0 in the zone from 118 s on).
+     * <p>82 and 89: the zone stayed "returning" permanently. To settle it needs a machine that
+     * sends heartbeats, but machines were provisioned there only for moves, and nothing moved while
+     * a zone was returning; the other zones had capacity for all replicas (32 machines each, 0 in
+     * the returning zone from 118 s on).
      *
-     * <p>84 and 88: a replica was stopped to move and came back in a zone that it should leave, 23
-     * times in 300 s. The rebalancer had found room on any shard; the leader placed on its own
-     * machines first, and the zone with the fewest replicas was sought among those alone.
+     * <p>84 and 88: a replica was stopped to be moved and started again in a zone that it was to
+     * leave, 23 times in 300 s. The rebalancer had found capacity in any shard, while the leader
+     * placed on its own machines first and looked for the zone with the fewest replicas among those
+     * alone.
      */
     @ParameterizedTest
     @ValueSource(longs = {82, 84, 88, 89})
@@ -299,8 +301,8 @@
     }
 
     /**
-     * What if a zone went now: every replica that it holds has a way back, and nothing is touched
-     * by asking.
+     * The recovery plan for the assumed loss of a zone must have a step for every replica in that
+     * zone, and the query must change nothing.
      */
     @Test
     void recoveryPlanIsShownWithoutSideEffects() {
