--- a/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
+++ b/src/test/java/io/quincelead/simulation/SchedulingScenarioTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is placed, preempted and provisioned, and in which order, by a whole cluster. */
+/** Tests of what a whole cluster places, preempts and provisions, and in which order. */
 class SchedulingScenarioTest {
     @Test
     void higherPriorityPreemptsLowerPriority() {
@@ -34,8 +34,8 @@
     }
 
     /**
-     * A low job within its team's guarantee and a normal one beyond its own once displaced each
-     * other for ever.
+     * A low-priority job within its team's guarantee and a normal one beyond its own team's
+     * guarantee once preempted each other without end.
      */
     @Test
     void quotaGuaranteesDoNotCausePreemptionLoops() {
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Bursts of urgent work over a stream of normal work that alone nearly fills the cluster, and
-     * low work that its team is guaranteed. Low work once came after all normal work, also that of
-     * a team far beyond its guarantee, and hardly any of it was done.
+     * Bursts of urgent jobs on top of a stream of normal jobs that alone nearly fills the cluster,
+     * and low-priority jobs within their team's guarantee. Low-priority jobs once ranked after all
+     * normal ones, even those of a team far beyond its guarantee, and hardly any were done.
      */
     @ParameterizedTest
     @ValueSource(longs = {61, 62, 63})
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Plays a full cluster under endless small arrivals, and one large job of each class whose
-     * tasks take half a machine; the ids of the large ones.
+     * Plays a full cluster with continuous arrivals of small jobs and one large job of each class
+     * whose tasks take half a machine; returns the ids of the large jobs.
      */
     private static List<String> playLargeJobsAmongSmallOnes(SimulatedCluster cluster) {
         cluster.setTeam("red", 8, 200);
@@ -158,9 +158,9 @@
     }
 
     /**
-     * A full cluster under endless small arrivals, and one large job of each class whose tasks take
-     * half a machine. Small tasks once took each part of a machine as it came free, and the large
-     * ones began when the flood was over.
+     * A full cluster with continuous arrivals of small jobs, and one large job of each class whose
+     * tasks take half a machine. Small tasks once took each part of a machine as it became free,
+     * and the large jobs started only after the arrivals had ended.
      */
     @ParameterizedTest
     @ValueSource(longs = {71, 72})
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Services that are to be spread over zones, and low work beside them. All machines were once
-     * provisioned in the first zone, so half of the replicas never ran, and everything was gone
+     * Services that are to be spread over zones, besides low-priority jobs. All machines were once
+     * provisioned in the first zone, so half of the replicas never ran, and everything was lost
      * with that zone.
      */
     @Test
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Three zones, 5 controllers, 12 services of 6 replicas, every other one spread, low work
-     * beside.
+     * Three zones, 5 controllers, 12 services of 6 replicas, every other one spread over zones, and
+     * low-priority jobs.
      */
     private static SimulatedCluster clusterWithThreeZones(long seed) {
         SimulatedCluster cluster =
@@ -243,8 +243,8 @@
     }
 
     /**
-     * A busy controller's clock moves on from one look to the next, in a scheduling cycle too;
-     * urgent work displaces other work meanwhile.
+     * A busy controller's clock advances between two reads, also within a scheduling cycle, while
+     * urgent jobs preempt others.
      */
     @Test
     void schedulingCycleToleratesAdvancingClock() {
@@ -268,8 +268,8 @@
     }
 
     /**
-     * The leader once placed on machines that were granted while booting; their silence then cost
-     * them.
+     * The leader once placed tasks on machines that were granted while booting; the machines were
+     * then declared lost for their silence.
      */
     @Test
     void bootingMachineGetsNoTasksAndIsNotDeclaredLost() {
@@ -291,8 +291,8 @@
     }
 
     /**
-     * Hundreds of machines are up before the service is: each once cost a record, and nothing ran
-     * for a minute.
+     * Hundreds of machines run before the controllers start. Each once took a record of its own,
+     * and no task ran for a minute.
      */
     @Test
     void runningClusterIsRegisteredWithFewRecords() {
@@ -320,8 +320,8 @@
     }
 
     /**
-     * The one machine that a job may run on failed everything, and since nothing else ran there,
-     * the job was blamed for ever.
+     * The only machine that a job may run on failed every task, and since no other job ran there,
+     * the job was once blamed indefinitely.
      */
     @Test
     void jobWhoseOnlyMachineFailsTasksGetsAnotherMachine() {
@@ -389,12 +389,12 @@
     }
 
     /**
-     * A small job once waited for minutes where its controller's quota share was less than one
-     * task, and what shares left over of whole tasks idled.
+     * A small job once waited for minutes if its controller's quota share was less than one task,
+     * while what the shares had beyond whole tasks stayed unused.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void smallJobsOfTeamAtItsLimitBeginBesideArraysThatRefill(long seed) {
+    void smallJobsOfTeamAtItsLimitStartBesideRefillingArrays(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 20)));
@@ -422,10 +422,12 @@
         assertTrue(meanCpus > 24 - 3, "CPUs in use: " + meanCpus);
     }
 
-    /** The leader once refilled the machines that other controllers drained for overdue jobs. */
+    /**
+     * The leader once placed tasks on the machines that other controllers drained for overdue jobs.
+     */
     @ParameterizedTest
     @ValueSource(longs = {88, 97, 116, 118, 120, 125})
-    void machinesDrainedByTheirOwnersAreLeftAloneByTheLeader(long seed) {
+    void leaderPlacesNothingOnMachinesDrainedByTheirOwners(long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
                         seed, List.of(SimulatedCloud.MachineType.small(5, List.of("a", "b"), 6)));
@@ -438,8 +440,8 @@
     }
 
     /**
-     * Best-effort work that machines had room for once waited for as long as urgent work arrived,
-     * behind what is left free for the next arrivals.
+     * Best-effort jobs that fit on the machines once waited for as long as urgent jobs kept
+     * arriving, because of the capacity withheld for the next arrivals.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -481,12 +483,12 @@
     }
 
     /**
-     * Machines whose GPUs one gang had asked for once stood idle beside an array for five minutes,
-     * because a task of it was served elsewhere now and then.
+     * Machines whose GPUs a single gang had requested once stayed idle for five minutes while an
+     * array waited, because now and then one of the array's tasks was placed elsewhere.
      */
     @ParameterizedTest
     @CsvSource({"BEST_EFFORT, 1", "BEST_EFFORT, 2", "NORMAL, 1", "NORMAL, 2"})
-    void workDoesNotWaitForEverBesideIdleMachinesThatAreKeptForTheirGpus(
+    void workDoesNotWaitIndefinitelyBesideIdleMachinesWithheldForTheirGpus(
             JobSpec.Priority priority, long seed) {
         SimulatedCluster cluster =
                 new SimulatedCluster(
--- a/src/test/java/io/quincelead/simulation/SingleFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/SingleFaultTest.java
@@ -220,8 +220,8 @@
     }
 
     /**
-     * A controller that restarts at once must not cause any task to be preempted, and five crashes
-     * in a row must not cause a flood of shard grants.
+     * A controller that restarts at once must not cause any task to be moved, and five crashes in a
+     * row must not cause a flood of shard grants.
      */
     @Test
     void quickControllerRestartMovesNoTask() {
