--- a/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleOutPlanner.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Decides what is rented: machines for the work that those which are up or on their way can't
- * finish in time.
+ * Decides which machines to provision: those for the work that the machines which are up, booting
+ * or requested can't finish in time.
  */
 final class ScaleOutPlanner {
     private final EventLoop eventLoop;
@@ -53,33 +53,33 @@
     }
 
     /**
-     * Whether a machine of this offering that is only kept for recent demand should be returned,
+     * Whether a machine of this offering that is only kept for recent demand should be released,
      * because the cloud lacks machines for work that can't use this one; as of the last plan.
      */
-    boolean shouldYieldToStarvedWork(InstanceOffering offering) {
-        return constrainedWork.shouldYieldToStarvedWork(offering);
+    boolean shouldYieldToBlockedWork(InstanceOffering offering) {
+        return constrainedWork.shouldYieldToBlockedWork(offering);
     }
 
     /**
-     * How many machines of which offering are to be rented now.
+     * How many machines of which offering to provision now.
      *
      * @param demand what the unconstrained work needs; constrained work is planned task by task
      */
     Map<InstanceOffering, Integer> planScaleOut(CpuDemand demand, CapacityForecast capacity) {
         constrainedWork.begin(cluster.jobs());
         List<QueueOrder.QueueEntry> pendingJobs = pendingJobs();
-        PurchasePlan plan = new PurchasePlan();
+        ProvisioningPlan plan = new ProvisioningPlan();
         addExistingMachines(plan);
-        for (QueueOrder.QueueEntry ranked : pendingJobs) {
-            if (!ranked.job().spec.isUnconstrained()) {
-                constrainedWork.plan(ranked.job(), plan);
+        for (QueueOrder.QueueEntry entry : pendingJobs) {
+            if (!entry.job().spec.isUnconstrained()) {
+                constrainedWork.plan(entry.job(), plan);
             }
         }
         callbacks
                 .rebalanceDemand()
                 .forEach((zone, specs) -> specs.forEach(spec -> planRebalance(spec, zone, plan)));
         unconstrainedWork.plan(demand, capacity, plan);
-        return plan.purchases();
+        return plan.newMachineCounts();
     }
 
     /** The jobs with pending tasks, in the order of the queue. */
@@ -97,7 +97,7 @@
         return pendingJobs;
     }
 
-    private void addExistingMachines(PurchasePlan plan) {
+    private void addExistingMachines(ProvisioningPlan plan) {
         for (MachineTable.Machine machine : cluster.machines().all()) {
             MachineType machineType = cluster.machineTypes().get(machine.machineType());
             if (!machine.releasing() && machineType != null) {
@@ -120,8 +120,8 @@
         }
     }
 
-    /** Plans capacity for one replica that would move to a zone which came back. */
-    private void planRebalance(JobSpec spec, String zone, PurchasePlan plan) {
+    /** Plans capacity for one replica that would move to a zone that has recovered. */
+    private void planRebalance(JobSpec spec, String zone, ProvisioningPlan plan) {
         for (PlannedMachine machine : plan.machines()) {
             if (machine.offering().zone().equals(zone)
                     && machine.offering().allows(spec)
@@ -134,7 +134,7 @@
         if (offering != null) {
             PlannedMachine machine = new PlannedMachine(offering);
             machine.reserve(spec, 1);
-            plan.purchase(machine);
+            plan.addNew(machine);
         }
     }
 
--- a/src/main/java/io/quincelead/policy/ClassesOperations.java
+++ b/src/main/java/io/quincelead/policy/ClassesOperations.java
@@ -17,10 +17,11 @@
 import java.util.TreeMap;
 
 /**
- * Operators' commands on priority classes. A change is proposed here; the leader puts it in force.
+ * Operators' commands on priority classes. A command only proposes a change; the leader puts it in
+ * force.
  */
 final class ClassesOperations {
-    /** How the jobs of one class fare. */
+    /** Counts of the jobs and tasks of one class. */
     private static final class ClassTally {
         private int jobs;
         private int waitingTasks;
@@ -69,7 +70,7 @@
         if (head.rejectedGeneration() != 0) {
             out.put("refused", head.rejectedGeneration()).put("why", head.rejectionReason());
         }
-        if (!policy.isReady()) {
+        if (!policy.isActiveGenerationReadable()) {
             out.put("unread", head.activeGeneration());
         }
         ObjectNode talliesNode = out.putObject("now");
@@ -89,8 +90,9 @@
     private Map<String, ClassTally> tallyJobs() {
         Map<String, ClassTally> tallies = new TreeMap<>();
         for (Job job : jobs.all()) {
-            EffectivePriority priority = policy.priorityOf(job);
-            String className = priority.jobClass() == null ? "" : priority.jobClass().name();
+            EffectivePriority priority = policy.effectivePriorityOf(job);
+            String className =
+                    priority.priorityClass() == null ? "" : priority.priorityClass().name();
             ClassTally tally = tallies.computeIfAbsent(className, name -> new ClassTally());
             tally.jobs++;
             tally.waitingTasks += job.waitingTaskCount();
--- a/src/main/java/io/quincelead/policy/PriorityClasses.java
+++ b/src/main/java/io/quincelead/policy/PriorityClasses.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * One generation of the priority classes, in their stated order; the first that matches a job is
- * its class.
+ * One generation of the priority classes, in their stated order; the first class that matches a job
+ * is the job's class.
  */
 public final class PriorityClasses {
-    /** No record: every job is ranked as the protocol and the settings say. */
+    /** No classes on record: jobs are ranked by the protocol and the settings alone. */
     public static final PriorityClasses NONE = new PriorityClasses(0, List.of());
 
     private final long generation;
-    private final List<JobClass> all;
+    private final List<PriorityClass> all;
 
-    PriorityClasses(long generation, List<JobClass> all) {
+    PriorityClasses(long generation, List<PriorityClass> all) {
         this.generation = generation;
         this.all = List.copyOf(all);
     }
@@ -25,15 +25,15 @@
     }
 
     /** The classes in their stated order. */
-    public List<JobClass> all() {
+    public List<PriorityClass> all() {
         return all;
     }
 
     /** The job's class; null if none matches. */
-    public JobClass classOf(JobSpec spec) {
-        for (JobClass jobClass : all) {
-            if (jobClass.selector().matches(spec)) {
-                return jobClass;
+    public PriorityClass classOf(JobSpec spec) {
+        for (PriorityClass priorityClass : all) {
+            if (priorityClass.selector().matches(spec)) {
+                return priorityClass;
             }
         }
         return null;
--- a/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
+++ b/src/test/java/io/quincelead/simulation/CompoundFaultRecoveryTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Work and quota after faults of many machines, zones or all controllers
+ * Recovery of jobs and quota after faults of many machines, of a zone or of all controllers
  * (docs/design/compound-faults.md).
  */
 class CompoundFaultRecoveryTest {
     /**
-     * A zone with its workers and one controller is cut off for longer than the lease, and jobs are
-     * cancelled on both sides.
+     * A zone's workers and one controller are partitioned from the rest for longer than the lease,
+     * and jobs are cancelled on both sides.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -55,12 +55,12 @@
         assertAllJobsFinished(cluster, 16);
     }
 
-    /** Leaders change ten times in two minutes, also while the store is down. */
+    /** The leader changes ten times in two minutes, on some seeds also while the store is down. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void tenLeaderChangesInTwoMinutesKeepInvariants(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 30; i++) {
             JobSpec job =
@@ -80,7 +80,7 @@
         cluster.faults.onLeaderElected(200_000, () -> elections[0]++);
         cluster.after(8_000, () -> cluster.faults.changeLeadersRepeatedly(11, 11_000));
         if (seed % 2 == 0) {
-            cluster.after(50_000, () -> cluster.faults.storeOutage(30_000));
+            cluster.after(50_000, () -> cluster.faults.injectStoreOutage(30_000));
             for (int k = 0; k < 6; k++) {
                 int controller = k % 3;
                 cluster.faults.crashAfter(52_000 + k * 4_000L, controller, 300);
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Workers reach no controller while direct commands reach them: they are not taken for well,
-     * and what they run ends with their lease.
+     * Workers can't reach any controller, while direct commands reach them: they must not count as
+     * healthy, and their tasks end with their lease.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -136,9 +136,10 @@
     }
 
     /**
-     * Most machines of a zone reach nobody for several leases, and their silence is borne for
-     * longer than that: what ended there with the lease is free again as soon as it is over, for
-     * they are asked, and their refusal of the old session shows the new one.
+     * Most machines of a zone can't reach any controller for several leases, but aren't declared
+     * lost in that time. The quota of the tasks that ended with the lease must be released as soon
+     * as the lease is over: direct commands reach the machines, and their rejection of the old
+     * session is evidence of the new one.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -182,7 +183,7 @@
         assertEquals(10, unreachable.stream().filter(worker -> !worker.released).count());
         for (int i = 11; i <= 14; i++) {
             assertTrue(
-                    cluster.taskStarts.containsKey("wk-0000" + i),
+                    cluster.taskStartsByJob.containsKey("wk-0000" + i),
                     "job " + i + " waits for quota that nothing uses");
         }
         cluster.runUntil(1_500_000);
@@ -190,8 +191,8 @@
     }
 
     /**
-     * Jobs bound to one zone, by name or because all their tasks must be in one, arrays and gangs,
-     * lose machines again and again.
+     * Arrays and gangs that are bound to one zone, because they name it or because all their tasks
+     * must be in the same zone, lose machines repeatedly.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -255,14 +256,14 @@
     }
 
     /**
-     * All controllers are away for longer than the workers' lease; every machine has lost what it
-     * ran.
+     * All controllers are down for longer than the workers' lease, so every machine loses its
+     * tasks.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsSurviveControllersDownLongerThanTheLease(long seed) {
         SimulatedCluster cluster = clusterWithReadyMachines(seed, 3, 16);
-        cluster.submissionRetryMillis = 300_000;
+        cluster.submissionRetryWindowMillis = 300_000;
         cluster.start();
         for (int i = 1; i <= 20; i++) {
             JobSpec job =
@@ -295,8 +296,8 @@
     }
 
     /**
-     * Many running jobs are cancelled within 0.2 s, and their machines hang: told by evidence,
-     * nothing goes on when they resume.
+     * Many running jobs are cancelled within 0.2 s, and their machines hang. Cancellations are
+     * confirmed on evidence, and no task may continue when the machines resume.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/io/quincelead/simulation/HistoryDigest.java
+++ b/src/test/java/io/quincelead/simulation/HistoryDigest.java
@@ -6,12 +6,12 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 over all calls and answers of one simulation, in the order of simulated events: equal
- * digests mean equal behaviour, byte for byte.
+ * SHA-256 over all calls and responses of one simulation, in the order of simulated events. Equal
+ * digests mean byte-for-byte equal behaviour.
  */
 final class HistoryDigest {
     private final MessageDigest sha256;
-    private long messages;
+    private long messageCount;
 
     HistoryDigest() {
         try {
@@ -21,25 +21,29 @@
         }
     }
 
-    void call(long now, String from, String to, String method, String path, byte[] body) {
-        add(now + from + to + method + path, body);
+    void recordCall(
+            long nowMillis, String from, String to, String method, String path, byte[] body) {
+        add(nowMillis + from + to + method + path, body);
     }
 
-    /** An answer as its caller sees it; status 0 is a time-out. */
-    void answer(long now, int status, int retryAfterS, byte[] body) {
-        add(now + " " + status + retryAfterS, body);
+    /** Adds a response as its caller sees it; status 0 is a timeout. */
+    void recordResponse(long nowMillis, int status, int retryAfterSeconds, byte[] body) {
+        add(nowMillis + " " + status + retryAfterSeconds, body);
     }
 
     private void add(String head, byte[] body) {
-        messages++;
+        messageCount++;
         sha256.update(head.getBytes(StandardCharsets.UTF_8));
         if (body != null) {
             sha256.update(body);
         }
     }
 
-    /** The number of calls and answers, and the digest in hexadecimal; ends the history. */
+    /**
+     * Returns the number of calls and responses, and the digest in hexadecimal; nothing may be
+     * recorded afterwards.
+     */
     String finish() {
-        return messages + "\t" + HexFormat.of().formatHex(sha256.digest());
+        return messageCount + "\t" + HexFormat.of().formatHex(sha256.digest());
     }
 }
--- a/src/test/java/io/quincelead/simulation/JobFixtures.java
+++ b/src/test/java/io/quincelead/simulation/JobFixtures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Jobs for tests. */
+/** Builds job specifications for tests. */
 public final class JobFixtures {
     private JobFixtures() {}
 
@@ -41,13 +41,13 @@
         return job(id, team, JobSpec.Mode.SERVICE, priority, taskCount);
     }
 
-    /** Any job; what isn't stated is the least that a job may ask for. */
+    /** A job of any mode; the fields that aren't set have the builder's defaults. */
     public static Builder job(
             int id, String team, JobSpec.Mode mode, JobSpec.Priority priority, int taskCount) {
         return new Builder(id, team, mode, priority, taskCount);
     }
 
-    /** A job under construction; two GB of memory go with each CPU. */
+    /** Builder of a job specification; without a memory size a job gets two GB per CPU. */
     public static final class Builder {
         private final int id;
         private final String team;
@@ -180,12 +180,12 @@
     public static JobSpec randomJob(int id, SplittableRandom random) {
         JobSpec.Priority priority = JobSpec.Priority.values()[random.nextInt(4)];
         String team = random.nextBoolean() ? "red" : "blue";
-        double run = 2 + random.nextInt(25);
+        double runtimeSeconds = 2 + random.nextInt(25);
         return switch (random.nextInt(8)) {
             case 0 ->
                     gang(id, team, priority, 2 + random.nextInt(4))
                             .cpus(2)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zoneAffinity(random.nextBoolean())
                             .checkpointIntervalSeconds(random.nextBoolean() ? 5 : 0)
                             .build();
@@ -199,13 +199,13 @@
                     arrayJob(id, team, priority, 1 + random.nextInt(3))
                             .cpus(1)
                             .gpus(1)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .machineTypes(List.of("big"))
                             .build();
             case 3 ->
                     arrayJob(id, team, priority, 1 + random.nextInt(6))
                             .cpus(2)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zone("b")
                             .preemptible(false)
                             .checkpointIntervalSeconds(5)
@@ -213,11 +213,17 @@
             case 4 ->
                     arrayJob(id, team, priority, 1 + random.nextInt(5))
                             .cpus(1)
-                            .runtimeSeconds(run)
+                            .runtimeSeconds(runtimeSeconds)
                             .zoneAffinity(true)
                             .build();
             default ->
-                    array(id, team, priority, 1 + random.nextInt(20), 1 + random.nextInt(3), run);
+                    array(
+                            id,
+                            team,
+                            priority,
+                            1 + random.nextInt(20),
+                            1 + random.nextInt(3),
+                            runtimeSeconds);
         };
     }
 }
--- a/src/test/java/io/quincelead/simulation/ScenarioArguments.java
+++ b/src/test/java/io/quincelead/simulation/ScenarioArguments.java
@@ -5,32 +5,35 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.provider.Arguments;
 
-/** Arguments of tests that play one scenario for each case and seed. */
+/** Arguments of tests that run one scenario for each case and seed. */
 final class ScenarioArguments {
     private ScenarioArguments() {}
 
-    /** Each case with each of the seeds from 1 on. */
+    /** Combines each case with each of the seeds from 1 to {@code seeds}. */
     static Stream<Arguments> withSeeds(Object[] cases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
-                        each ->
+                        testCase ->
                                 IntStream.rangeClosed(1, seeds)
-                                        .mapToObj(seed -> Arguments.of(each, seed)));
+                                        .mapToObj(seed -> Arguments.of(testCase, seed)));
     }
 
-    /** Each combination of two kinds of cases with each of the seeds from 1 on. */
-    static Stream<Arguments> withSeeds(Object[] cases, Object[] others, int seeds) {
+    /**
+     * Combines each pair of a case and another case with each of the seeds from 1 to {@code seeds}.
+     */
+    static Stream<Arguments> withSeeds(Object[] cases, Object[] otherCases, int seeds) {
         return Arrays.stream(cases)
                 .flatMap(
-                        each ->
-                                Arrays.stream(others)
+                        testCase ->
+                                Arrays.stream(otherCases)
                                         .flatMap(
-                                                other ->
+                                                otherCase ->
                                                         IntStream.rangeClosed(1, seeds)
                                                                 .mapToObj(
                                                                         seed ->
                                                                                 Arguments.of(
-                                                                                        each, other,
+                                                                                        testCase,
+                                                                                        otherCase,
                                                                                         seed))));
     }
 }
--- a/src/test/java/io/quincelead/simulation/SimulatedCluster.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedCluster.java
@@ -17,24 +17,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Real controllers among stand-ins, in simulated time, with every rule of the protocol checked
- * after each event.
+ * Runs real controllers against a simulated store, cloud, network, workers and users in simulated
+ * time, and checks the protocol's invariants after each event.
  */
 public final class SimulatedCluster {
     public static final String STORE_ADDRESS = "10.2.0.1:2379";
     public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
     public static final String USERS_ADDRESS = "10.3.0.1:0";
 
-    /** One controller's place; the process on it may be killed and started again. */
+    /** One controller's host and addresses; its process may be killed and restarted. */
     public final class SimulatedController {
-        public final String name;
+        public final String memberId;
         public final String ip;
         final String userAddress;
         final String peerAddress;
         private SimulatedClock.SimulatedProcess process;
 
         SimulatedController(int index) {
-            name = "worker-" + index;
+            memberId = "worker-" + index;
             ip = "10.0.0." + (index + 1);
             userAddress = ip + ":8080";
             peerAddress = ip + ":8081";
@@ -43,10 +43,10 @@
         public void start() {
             process = clock.newProcess();
             Map<String, String> peers = new LinkedHashMap<>();
-            controllers.forEach(peer -> peers.put(peer.name, peer.peerAddress));
+            controllers.forEach(peer -> peers.put(peer.memberId, peer.peerAddress));
             Settings settings =
                     new Settings(
-                            name,
+                            memberId,
                             "a",
                             userAddress,
                             peerAddress,
@@ -63,7 +63,7 @@
                                     SimulatedWorker.GANG_WAIT_MILLIS / 1000.0,
                                     6,
                                     cancellationDeadlineSeconds),
-                            storeSettings,
+                            storeLimits,
                             new Settings.CloudLimits(4, 4),
                             new Settings.ProcessLimits(1, 256, 500));
             SimulatedClock.SimulatedProcess currentProcess = process;
@@ -97,29 +97,32 @@
     public final SimulatedStore store;
     public final SimulatedCloud cloud;
 
-    /** Makes things go wrong. */
+    /** Injects faults into this cluster. */
     final FaultInjector faults = new FaultInjector(this);
 
     public final List<SimulatedController> controllers = new ArrayList<>();
     public final Map<String, Settings.Team> teams = new LinkedHashMap<>();
     public final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
     public long heartbeatIntervalMillis = 1000;
-    public Settings.StoreLimits storeSettings = new Settings.StoreLimits(400, 200, 8, 12);
+    public Settings.StoreLimits storeLimits = new Settings.StoreLimits(400, 200, 8, 12);
     public long workerLeaseMillis = 10_000;
 
-    /** GB a second at which machines fetch images; 0: every fetch takes 0.3 s. */
+    /** GB per second at which machines fetch images; with 0, every fetch takes 0.3 s. */
     public double imageFetchGbPerSecond;
 
-    /** GB that machines have fetched. */
+    /** Total size in GB of the images that machines have fetched. */
     public double fetchedImageGb;
 
     public OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
     public final double cancellationDeadlineSeconds = 40;
 
-    /** ms for which a user repeats a submission. */
-    public long submissionRetryMillis = 60_000;
+    /** Time in ms for which a user retries a submission. */
+    public long submissionRetryWindowMillis = 60_000;
 
-    /** ms. The users' own bound: after this time without an answer a job counts as forgotten. */
+    /**
+     * Time in ms that users accept without an answer about a job; after it the job counts as
+     * forgotten.
+     */
     static final long UNANSWERED_LIMIT_MILLIS = 75_000;
 
     final Map<String, JobSpec> jobsById = new HashMap<>();
@@ -128,35 +131,40 @@
     private final Map<String, String> finalStatusByJob = new HashMap<>();
     private final Map<String, Long> cancellationConfirmedAtMillis = new HashMap<>();
 
-    /** ms from the first attempt to submit until somebody was told that the job is accepted. */
+    /**
+     * Time in ms from the first submission attempt to the first response that accepts the job, by
+     * job id.
+     */
     final Map<String, Long> acceptanceDelayMillis = new HashMap<>();
 
-    /** When a question about a job was last answered, by its submission at first. */
+    /** When a query about a job was last answered; its acceptance counts as the first answer. */
     private final Map<String, Long> lastAnswerAtMillis = new HashMap<>();
 
     private final ServiceLevelChecker serviceLevels = new ServiceLevelChecker(this);
     final SubmissionReachability reachability = new SubmissionReachability(this);
 
-    /** From then on nothing is made to go wrong any more. */
+    /** Time from which on no injected fault is in force. */
     private long faultsEndAtMillis;
 
     private final Set<String> cancellationRequests = new HashSet<>();
 
-    /** Most tasks that anybody was told are done. */
+    /** The highest number of done tasks that any response has reported, by job id. */
     private final Map<String, Integer> maxReportedDoneTasks = new HashMap<>();
 
-    /** Jobs that can't run or lack a field. */
+    /** Ids of submitted jobs that can't run on any machine or lack a field. */
     final Set<String> unacceptableJobs = new HashSet<>();
 
     final SimulatedUsers users = new SimulatedUsers(this);
     private final StarvationChecker starvation = new StarvationChecker(this);
     private final Set<String> violations = new HashSet<>();
-    public final Map<String, Integer> taskStarts = new HashMap<>();
+    public final Map<String, Integer> taskStartsByJob = new HashMap<>();
 
-    /** Off for measurements of large clusters: the checks look at every task after every event. */
+    /**
+     * Off when large clusters are measured, since the checks visit every task after every event.
+     */
     public boolean invariantChecksEnabled = true;
 
-    /** Tasks that began: only a beginning can take a team past its limit. */
+    /** Number of task starts; only a start can take a team over its limit. */
     long taskStartCount;
 
     private long lastCheckedTaskStartCount = -1;
@@ -180,7 +188,7 @@
         network = new SimulatedNetwork(clock);
         store = new SimulatedStore(clock, 12);
         cloud = new SimulatedCloud(this, machineTypes);
-        network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.sender()));
+        network.setHandler(STORE_ADDRESS, request -> store.handle(request, network.senderIp()));
         network.setHandler(CLOUD_ADDRESS, cloud::handle);
         teams.put("red", new Settings.Team("red", 16, 40, 2, 4));
         teams.put("blue", new Settings.Team("blue", 16, 24, 2, 8));
@@ -207,19 +215,19 @@
     }
 
     /**
-     * Seconds for which a job that began late could have begun, by what was on the machines and
-     * what its team may use.
+     * Seconds for which a job could have started before its first start, judged by the free
+     * capacity of the machines and its team's limits.
      */
     int startableSeconds(String id) {
         return starvation.startableSeconds(id);
     }
 
-    /** Something is made to go wrong until then. */
+    /** Extends the period in which faults are in force to at least this time. */
     public void expectFaultsUntil(long untilMillis) {
         faultsEndAtMillis = Math.max(faultsEndAtMillis, untilMillis);
     }
 
-    /** How each class, team and size was served, and who was starved. */
+    /** Checks how well each class, team and job size was served, and which jobs were starved. */
     public ServiceLevelChecker serviceLevels() {
         return serviceLevels;
     }
@@ -228,79 +236,79 @@
         controllers.forEach(SimulatedController::start);
     }
 
-    int indexOfController(String controllerName) {
+    int indexOfController(String memberId) {
         for (int i = 0; i < controllers.size(); i++) {
-            if (controllers.get(i).name.equals(controllerName)) {
+            if (controllers.get(i).memberId.equals(memberId)) {
                 return i;
             }
         }
         return -1;
     }
 
-    /** The leader's place among the controllers; -1: nobody leads. */
+    /** The index of the leader among the controllers; -1 if there is none. */
     int leaderIndex() {
         JsonNode leader = store.value("a/lead");
         return leader == null ? -1 : indexOfController(leader.path("m").asText());
     }
 
-    // ---- what a scenario is written with
+    // ---- building blocks of scenarios
 
     /** Simulated milliseconds since the start. */
     long nowMillis() {
         return clock.nowMillis();
     }
 
-    /** The one source of random numbers of the simulation. */
+    /** The simulation's only source of random numbers. */
     SplittableRandom random() {
         return clock.random;
     }
 
-    /** Does this so many ms from now. */
+    /** Schedules an action after a delay in ms. */
     void after(long delayMillis, Runnable action) {
         clock.schedule(delayMillis, action);
     }
 
-    /** Plays what is due until then, in ms since the start. */
+    /** Runs all events that are due up to a time in ms since the start. */
     void runUntil(long untilMillis) {
         clock.runUntil(untilMillis);
     }
 
-    /** Submits so many ms from now, at any controller. */
+    /** Submits a job to a random controller after a delay in ms. */
     void submitAfter(long delayMillis, JobSpec job) {
         after(delayMillis, () -> submit(job));
     }
 
-    /** Submits so many ms from now, at this controller. */
+    /** Submits a job to the given controller after a delay in ms. */
     void submitAfter(long delayMillis, JobSpec job, int controller) {
         after(delayMillis, () -> submit(job, controller));
     }
 
-    /** Cancels so many ms from now, at any controller. */
+    /** Cancels a job at a random controller after a delay in ms. */
     void cancelAfter(long delayMillis, String id) {
         after(delayMillis, () -> cancel(id));
     }
 
-    /** Cancels so many ms from now, at this controller. */
+    /** Cancels a job at the given controller after a delay in ms. */
     void cancelAfter(long delayMillis, String id, int controller) {
         after(delayMillis, () -> cancel(id, controller));
     }
 
-    /** Asks for a job so many ms from now, wherever its user asks. */
+    /** Queries a job after a delay in ms, at the controller that its user chooses. */
     void queryAfter(long delayMillis, String id) {
         after(delayMillis, () -> query(id));
     }
 
-    /** Asks this controller for a job so many ms from now. */
+    /** Queries a job at the given controller after a delay in ms. */
     void queryAfter(long delayMillis, String id, int controller) {
         after(delayMillis, () -> query(id, controller));
     }
 
-    /** A team's guaranteed and maximum CPUs; it has no GPUs. */
+    /** Sets a team's guaranteed and maximum CPUs; the team gets no GPUs. */
     void setTeam(String name, double guaranteedCpus, double maxCpus) {
         setTeam(name, guaranteedCpus, maxCpus, 0, 0);
     }
 
-    /** A team's guaranteed and maximum CPUs and GPUs. */
+    /** Sets a team's guaranteed and maximum CPUs and GPUs. */
     void setTeam(
             String name,
             double guaranteedCpus,
@@ -310,8 +318,8 @@
         teams.put(name, new Settings.Team(name, guaranteedCpus, maxCpus, guaranteedGpus, maxGpus));
     }
 
-    JobSpec jobOfTask(String task) {
-        return jobsById.get(task.substring(0, task.indexOf('/')));
+    JobSpec jobOfTask(String taskId) {
+        return jobsById.get(taskId.substring(0, taskId.indexOf('/')));
     }
 
     public Set<String> violations() {
@@ -322,12 +330,12 @@
         violations.add(rule + ": " + detail);
     }
 
-    // ---- rules about machines
+    // ---- invariants of machines and tasks
 
-    /** Called at the moment a task has its image and begins. */
+    /** Called when a task's image has been fetched and the task starts. */
     void onTaskStarted(SimulatedWorker worker, SimulatedWorker.SimulatedTask task, JobSpec job) {
-        taskStarts.merge(job.jobId(), 1, Integer::sum);
-        serviceLevels.onTaskStarted(job, task.name);
+        taskStartsByJob.merge(job.jobId(), 1, Integer::sum);
+        serviceLevels.onTaskStarted(job, task.id);
         taskStartCount++;
         if (!invariantChecksEnabled) {
             return;
@@ -339,11 +347,11 @@
                 if (!otherTask.occupiesMachine() || otherTask == task) {
                     continue;
                 }
-                if (otherTask.name.equals(task.name)) {
+                if (otherTask.id.equals(task.id)) {
                     recordViolation(
                             "ran_twice",
-                            task.name + " on " + otherWorker.host + " and " + worker.host);
-                } else if (jobOfTask(otherTask.name) == job) {
+                            task.id + " on " + otherWorker.host + " and " + worker.host);
+                } else if (jobOfTask(otherTask.id) == job) {
                     otherZone |= !otherWorker.zone.equals(worker.zone);
                     inZone += otherWorker.zone.equals(worker.zone) ? 1 : 0;
                 }
@@ -357,31 +365,31 @@
                         || job.zoneAffinity() && otherZone
                         || job.zoneSpread() && inZone + 1 > (job.taskCount() + 1) / 2;
         if (misplaced) {
-            recordViolation("wrong_place", task.name + " on " + worker.host);
+            recordViolation("wrong_place", task.id + " on " + worker.host);
         }
         Long confirmedAtMillis = cancellationConfirmedAtMillis.get(job.jobId());
         if (confirmedAtMillis != null) {
-            recordViolation("ran_cancelled", task.name + " starts");
+            recordViolation("ran_cancelled", task.id + " starts");
         }
     }
 
     /**
-     * A machine goes on after it hung: what its users have been told is cancelled must not be there
-     * any more.
+     * Called when a hung machine resumes: tasks whose cancellation was confirmed to the user must
+     * no longer be on it.
      */
     void onWorkerResumed(SimulatedWorker worker) {
         for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
             if (task.occupiesMachine()
-                    && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.name).jobId())) {
+                    && cancellationConfirmedAtMillis.containsKey(jobOfTask(task.id).jobId())) {
                 recordViolation(
-                        "ran_cancelled", task.name + " goes on after " + worker.host + " hung");
+                        "ran_cancelled", task.id + " goes on after " + worker.host + " hung");
             }
         }
     }
 
     /**
-     * Called after each event. Where nothing has begun since the last look, no limit can have been
-     * passed.
+     * Checks team limits and cancelled jobs; called after each event. If no task has started since
+     * the last check, no limit can have been exceeded.
      */
     private void checkTaskInvariants() {
         if (!invariantChecksEnabled
@@ -396,7 +404,7 @@
                 if (!task.occupiesMachine()) {
                     continue;
                 }
-                JobSpec job = jobOfTask(task.name);
+                JobSpec job = jobOfTask(task.id);
                 double[] usage = usageByTeam.computeIfAbsent(job.team(), key -> new double[2]);
                 usage[0] += job.cpus();
                 usage[1] += job.gpus();
@@ -404,7 +412,7 @@
                 if (confirmedAtMillis != null
                         && clock.nowMillis() - confirmedAtMillis
                                 > cancellationDeadlineSeconds * 1000) {
-                    recordViolation("ran_cancelled", task.name + " on " + worker.host);
+                    recordViolation("ran_cancelled", task.id + " on " + worker.host);
                 }
             }
         }
@@ -418,7 +426,7 @@
     }
 
     void onTaskCompleted(SimulatedWorker.SimulatedTask task, JobSpec job) {
-        completedTasks.add(task.name);
+        completedTasks.add(task.id);
         users.onTaskCompleted(job);
         if (job.isGang()) {
             for (int i = 0; i < job.taskCount(); i++) {
@@ -428,7 +436,7 @@
                 for (SimulatedWorker.SimulatedTask otherTask :
                         new ArrayList<>(worker.tasks.values())) {
                     if (otherTask != task
-                            && jobOfTask(otherTask.name) == job
+                            && jobOfTask(otherTask.id) == job
                             && otherTask.attempt == task.attempt
                             && otherTask.status.equals("running")) {
                         worker.endTask(otherTask, "done");
@@ -442,22 +450,22 @@
         Map<Long, List<Object[]>> waiting = new HashMap<>();
         for (SimulatedWorker worker : cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                if (jobOfTask(task.name) == job && task.status.equals("waiting")) {
+                if (jobOfTask(task.id) == job && task.status.equals("waiting")) {
                     waiting.computeIfAbsent(task.attempt, attempt -> new ArrayList<>())
                             .add(new Object[] {worker, task});
                 }
             }
         }
         waiting.values().stream()
-                .filter(members -> members.size() == job.taskCount())
+                .filter(gangTasks -> gangTasks.size() == job.taskCount())
                 .forEach(
-                        members ->
-                                members.forEach(
-                                        member ->
-                                                ((SimulatedWorker) member[0])
+                        gangTasks ->
+                                gangTasks.forEach(
+                                        gangTask ->
+                                                ((SimulatedWorker) gangTask[0])
                                                         .beginRunning(
                                                                 (SimulatedWorker.SimulatedTask)
-                                                                        member[1],
+                                                                        gangTask[1],
                                                                 job)));
     }
 
@@ -471,7 +479,7 @@
                     for (SimulatedWorker worker : cloud.machines.values()) {
                         for (SimulatedWorker.SimulatedTask task :
                                 new ArrayList<>(worker.tasks.values())) {
-                            if (jobOfTask(task.name) == job
+                            if (jobOfTask(task.id) == job
                                     && task.attempt == attempt
                                     && task.status.equals("running")) {
                                 worker.endTask(task, "peers");
@@ -481,9 +489,12 @@
                 });
     }
 
-    // ---- operators
+    // ---- operators' commands
 
-    /** An operator's command at a controller; {@code then} hears status and answer, 0 for none. */
+    /**
+     * Sends an operator's command to a controller; {@code onResponse} receives the status and the
+     * response, status 0 if there was none.
+     */
     public void sendOperatorCommand(
             int controller,
             String path,
@@ -500,7 +511,7 @@
                         onResponse.accept(status, WireFormat.JSON.decodeMap(responseBody)));
     }
 
-    // ---- users and rules about answers
+    // ---- users' requests and invariants of the responses
 
     public int acceptedJobCount() {
         return acceptedJobs.size();
@@ -514,16 +525,20 @@
         return controllers.get(clock.random.nextInt(controllers.size()));
     }
 
-    /** Some users stay with one controller, whatever becomes of it. */
-    private SimulatedController controllerAskedAbout(String id) {
+    /**
+     * The controller that a job's user queries: for a third of the jobs always the same one, even
+     * if it is down, for the others a random one.
+     */
+    private SimulatedController controllerForQuery(String id) {
         SimulatedController any = randomController();
         int number = id.hashCode() & 0xffff;
         return number % 3 == 0 ? controllers.get(number / 3 % controllers.size()) : any;
     }
 
     /**
-     * Once all faults are over, each accepted job that its user didn't cancel is known: judged job
-     * by job, for a question that is never answered doesn't become better by what others are told.
+     * Checks that after all faults each accepted job that its user didn't cancel still gets
+     * answers. Each job is checked on its own, since answers to other users don't make up for a
+     * query that is never answered.
      */
     private void checkUnansweredJobs() {
         for (String id : acceptedJobs) {
@@ -536,7 +551,7 @@
         clock.schedule(1_000, this::checkUnansweredJobs);
     }
 
-    /** A user uploads the job's description, which workers fetch. */
+    /** Stores the job's specification, which the simulated workers look up. */
     public void upload(JobSpec job) {
         jobsById.put(job.jobId(), job);
     }
@@ -545,15 +560,18 @@
         submit(job, -1);
     }
 
-    /** Submits at one controller; below 0: at any, as the balancer likes. */
+    /**
+     * Submits a job to one controller; with a negative index, to a random one, as behind a load
+     * balancer.
+     */
     public void submit(JobSpec job, int controller) {
         upload(job);
         serviceLevels.onSubmitted(job);
-        submit(job, controller, clock.nowMillis() + submissionRetryMillis);
+        submit(job, controller, clock.nowMillis() + submissionRetryWindowMillis);
     }
 
     private void submit(JobSpec job, int controller, long untilMillis) {
-        boolean known = acceptedJobs.contains(job.jobId());
+        boolean alreadyAccepted = acceptedJobs.contains(job.jobId());
         String previousFinalStatus = finalStatusByJob.get(job.jobId());
         int previouslyDone = maxReportedDoneTasks.getOrDefault(job.jobId(), 0);
         SimulatedController target =
@@ -577,7 +595,7 @@
                             clock.schedule(5000, () -> pollRepeatedly(job.jobId()));
                             users.onAccepted(job);
                         }
-                        if (status == 201 && known) {
+                        if (status == 201 && alreadyAccepted) {
                             recordViolation("forgotten", job.jobId() + " was accepted once more");
                         }
                         checkAnswer(
@@ -600,26 +618,28 @@
         clock.schedule(finalStatusByJob.containsKey(id) ? 30_000 : 5_000, () -> pollRepeatedly(id));
     }
 
-    /** Asks once, for a job that may never have been submitted. */
+    /** Sends one query for a job, which may never have been submitted. */
     public void query(String id) {
         query(id, -1);
     }
 
-    /** Asks one controller; below 0: whichever the user asks. */
+    /**
+     * Sends one query to a controller; with a negative index, to the one that the job's user
+     * chooses.
+     */
     void query(String id, int controller) {
-        boolean known = acceptedJobs.contains(id);
+        boolean alreadyAccepted = acceptedJobs.contains(id);
         String previousFinalStatus = finalStatusByJob.get(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
         network.call(
                 USERS_ADDRESS,
-                (controller < 0 ? controllerAskedAbout(id) : controllers.get(controller))
-                        .userAddress,
+                (controller < 0 ? controllerForQuery(id) : controllers.get(controller)).userAddress,
                 "GET",
                 "/v2/runs/" + id,
                 null,
                 2000,
                 (status, body, retryAfterSeconds) -> {
-                    if (status == 404 && known) {
+                    if (status == 404 && alreadyAccepted) {
                         recordViolation("forgotten", id);
                     } else if (status == 200) {
                         if (!jobsById.containsKey(id)) {
@@ -635,7 +655,7 @@
                 });
     }
 
-    /** Submits what can't be accepted: its body can't run or lacks a field. */
+    /** Submits a job that must be rejected, since it can't run or lacks a field. */
     void submitUnacceptable(String id, byte[] body, int expected) {
         unacceptableJobs.add(id);
         network.call(
@@ -649,7 +669,7 @@
                     if (status == 200 || status == 201) {
                         recordViolation("accepted", id + " can't run or lacks a field");
                     } else if (status == expected) {
-                        users.refusedCount++;
+                        users.expectedRefusalCount++;
                     } else if (status == 400 || status == 422) {
                         recordViolation(
                                 "accepted", id + " got " + status + " instead of " + expected);
@@ -658,8 +678,8 @@
     }
 
     /**
-     * Judges a whole answer: also how many tasks it calls done, against what anybody had been told
-     * when the user asked.
+     * Checks a whole response: besides the status, the number of done tasks must not be lower than
+     * any response had reported when the request was sent.
      */
     void checkAnswer(String id, ObjectNode body, String previousFinalStatus, int previouslyDone) {
         checkAnswer(id, body.path("status").asText(), previousFinalStatus);
@@ -676,8 +696,8 @@
     }
 
     /**
-     * Judges what a user was told, against the final state that was told when the user asked, if
-     * any.
+     * Checks the job status in a response against the final status, if any, that had been reported
+     * when the request was sent.
      */
     public void checkAnswer(String id, String status, String previousFinalStatus) {
         if (previousFinalStatus != null && !previousFinalStatus.equals(status)) {
@@ -705,11 +725,11 @@
         cancel(id, -1);
     }
 
-    /** Cancels at one controller; below 0: at any. */
+    /** Cancels a job at one controller; with a negative index, at a random one. */
     public void cancel(String id, int controller) {
         cancellationRequests.add(id);
         String previousFinalStatus = finalStatusByJob.get(id);
-        boolean known = acceptedJobs.contains(id);
+        boolean alreadyAccepted = acceptedJobs.contains(id);
         int previouslyDone = maxReportedDoneTasks.getOrDefault(id, 0);
         network.call(
                 USERS_ADDRESS,
@@ -735,7 +755,7 @@
                             cancellationConfirmedAtMillis.putIfAbsent(id, clock.nowMillis());
                         }
                     } else if (status == 404) {
-                        if (known) {
+                        if (alreadyAccepted) {
                             recordViolation("forgotten", id + " can't be cancelled");
                         } else {
                             clock.schedule(1000, () -> cancel(id, controller));
@@ -748,7 +768,7 @@
                 });
     }
 
-    /** When the user was told that the job is cancelled; -1: not yet. */
+    /** Time at which the job's cancellation was confirmed to its user; -1 if it wasn't yet. */
     public long cancellationConfirmedAtMillis(String id) {
         return cancellationConfirmedAtMillis.getOrDefault(id, -1L);
     }
@@ -765,7 +785,7 @@
         return finalStatusByJob.containsKey(id);
     }
 
-    /** Whether every accepted job has reached its end and its user was told. */
+    /** Accepted jobs, other than services, whose users have not been told a final status. */
     public List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
         for (String id : acceptedJobs) {
--- a/src/test/java/io/quincelead/simulation/SimulatedWorker.java
+++ b/src/test/java/io/quincelead/simulation/SimulatedWorker.java
@@ -12,29 +12,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for one machine and its worker, written from the protocol. */
+/** A simulated machine and its worker agent, written from the specification of their protocol. */
 public final class SimulatedWorker {
-    /** ms. gang_wait_s of the settings that the cluster hands out. */
+    /**
+     * Time in ms of the setting gang_wait_s that the simulated cluster gives to its controllers.
+     */
     static final long GANG_WAIT_MILLIS = 45_000;
 
-    /** A heartbeat's answer that comes later than this counts as none. */
+    /** Timeout in ms of a heartbeat; a later response is ignored. */
     private static final long HEARTBEAT_TIMEOUT_MILLIS = 4_000;
 
-    /** A task on the machine, or one that has ended there. */
+    /** A task that is on the machine or has ended there. */
     public static final class SimulatedTask {
-        final String name;
+        final String id;
         final long attempt;
         String status = "fetching";
         String endReason = "";
         boolean checkpointStored;
         long doneAt;
 
-        SimulatedTask(String name, long attempt) {
-            this.name = name;
+        SimulatedTask(String id, long attempt) {
+            this.id = id;
             this.attempt = attempt;
         }
 
-        /** Whether it counts as being on the machine. */
+        /** Whether the task counts as being on the machine. */
         boolean occupiesMachine() {
             return status.equals("running") || status.equals("waiting") || status.equals("saving");
         }
@@ -51,20 +53,20 @@
     final SimulatedCloud.MachineType machineType;
     final String zone;
     final boolean spot;
-    final long rentedAtMillis;
+    final long provisionedAtMillis;
     boolean up;
     boolean dead;
     boolean released;
     boolean hung;
     boolean failsTasks;
 
-    /** Its reports arrive; answers and direct commands to it are lost. */
+    /** Heartbeats of this worker arrive; responses and direct commands to it are lost. */
     boolean unreachableInbound;
 
-    /** It reaches no controller; direct commands reach it. */
+    /** This worker reaches no controller; direct commands reach it. */
     boolean unreachableOutbound;
 
-    double preemptionWarningSeconds = -1;
+    double reclaimNoticeSeconds = -1;
     private long agentEpoch = 1;
     private long serial;
     private long fencingToken;
@@ -76,7 +78,7 @@
     private int heartbeatNumber;
     final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
-    /** Images, by when they are here. */
+    /** Time at which each image has been fetched, by image. */
     private final Map<String, Long> imageReadyAtMillis = new HashMap<>();
 
     private final List<Runnable> suspendedActions = new ArrayList<>();
@@ -95,15 +97,18 @@
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
-        this.rentedAtMillis = clock.nowMillis();
+        this.provisionedAtMillis = clock.nowMillis();
         this.targetController = clock.random.nextInt(cluster.controllers.size());
     }
 
-    private static String taskKey(String name, long attempt) {
-        return name + "#" + attempt;
+    private static String taskKey(String taskId, long attempt) {
+        return taskId + "#" + attempt;
     }
 
-    /** Runs now, or when a hanging machine resumes, or never. */
+    /**
+     * Runs an action now, on resumption if the machine hangs, or never if the machine crashed or
+     * was released.
+     */
     private void runUnlessHung(Runnable action) {
         if (released || dead) {
             return;
@@ -137,9 +142,9 @@
         cluster.network.setHandler(address, null);
     }
 
-    void setHung(boolean enabled) {
-        hung = enabled;
-        if (!enabled) {
+    void setHung(boolean nowHung) {
+        hung = nowHung;
+        if (!nowHung) {
             List<Runnable> resumed = new ArrayList<>(suspendedActions);
             suspendedActions.clear();
             endTasksIfLeaseExpired();
@@ -167,7 +172,7 @@
                 && !unreachableInbound
                 && !unreachableOutbound
                 && !failsTasks
-                && preemptionWarningSeconds < 0;
+                && reclaimNoticeSeconds < 0;
     }
 
     private void scheduleHeartbeats() {
@@ -199,15 +204,15 @@
                         .put("tenure", agentEpoch)
                         .put("serial", ++serial)
                         .put("epoch", fencingToken);
-        if (preemptionWarningSeconds >= 0) {
-            node.put("warningS", preemptionWarningSeconds);
+        if (reclaimNoticeSeconds >= 0) {
+            node.put("warningS", reclaimNoticeSeconds);
         }
         ArrayNode taskNodes = node.putArray("members");
         for (SimulatedTask task : tasks.values()) {
             ObjectNode taskNode =
                     taskNodes
                             .addObject()
-                            .put("member", task.name)
+                            .put("member", task.id)
                             .put("try", task.attempt)
                             .put("status", task.status);
             if (task.hasEnded()) {
@@ -217,7 +222,7 @@
         return node;
     }
 
-    /** A heartbeat under way: its number, when it was sent and the agent epoch it was sent in. */
+    /** A heartbeat that was sent: its number, its time and the agent epoch in which it was sent. */
     private record SentHeartbeat(int number, long sentMillis, long agentEpoch) {}
 
     private void sendHeartbeat() {
@@ -247,7 +252,10 @@
                 delayMillis, () -> runUnlessHung(() -> onHeartbeatResponse(heartbeat, 0, null)));
     }
 
-    /** A machine that is unreachable inbound waits for its timeout whatever came back. */
+    /**
+     * Handles the response to a heartbeat; a machine that is unreachable inbound gets the timeout
+     * instead.
+     */
     private void receiveResponse(SentHeartbeat heartbeat, int status, byte[] responseBody) {
         if (heartbeat.number != heartbeatNumber) {
             return;
@@ -278,11 +286,11 @@
             response.path("orders").forEach(this::execute);
             return;
         }
-        String namedController =
+        String redirectMemberId =
                 status == 421 && response != null ? response.path("controller").asText("") : "";
-        int namedIndex = cluster.indexOfController(namedController);
-        if (namedIndex >= 0 && namedIndex != targetController) {
-            targetController = namedIndex;
+        int redirectIndex = cluster.indexOfController(redirectMemberId);
+        if (redirectIndex >= 0 && redirectIndex != targetController) {
+            targetController = redirectIndex;
             heartbeatDue = true;
         } else {
             targetController = (targetController + 1) % cluster.controllers.size();
@@ -319,13 +327,13 @@
     }
 
     private void execute(JsonNode command) {
-        String name = command.path("member").asText();
+        String taskId = command.path("member").asText();
         long attempt = command.path("try").asLong();
-        SimulatedTask task = tasks.get(taskKey(name, attempt));
+        SimulatedTask task = tasks.get(taskKey(taskId, attempt));
         switch (command.path("verb").asText()) {
             case "start" -> {
                 if (task == null) {
-                    startTask(name, attempt);
+                    startTask(taskId, attempt);
                 }
             }
             case "kill" -> {
@@ -335,16 +343,19 @@
             }
             case "clear" -> {
                 if (task != null && task.hasEnded()) {
-                    tasks.remove(taskKey(name, attempt));
+                    tasks.remove(taskKey(taskId, attempt));
                 }
             }
             default -> throw new IllegalStateException("an unknown order " + command);
         }
     }
 
-    /** Ends a task, after a last checkpoint if it has one to save and the time for it. */
+    /**
+     * Ends a task, after a last checkpoint if the task saves checkpoints and the drain time is long
+     * enough for one.
+     */
     private void killTask(SimulatedTask task, double drainSeconds) {
-        JobSpec job = cluster.jobOfTask(task.name);
+        JobSpec job = cluster.jobOfTask(task.id);
         boolean checkpointsFirst =
                 task.status.equals("running")
                         && job.checkpointIntervalSeconds() > 0
@@ -365,24 +376,27 @@
         }
     }
 
-    /** Runs later, unless the task is off the machine by then. */
+    /**
+     * Runs an action after a delay in ms, unless the task has been removed from the machine by
+     * then.
+     */
     private void scheduleForTask(SimulatedTask task, long delayMillis, Runnable action) {
         clock.schedule(
                 delayMillis,
                 () ->
                         runUnlessHung(
                                 () -> {
-                                    if (tasks.get(taskKey(task.name, task.attempt)) == task) {
+                                    if (tasks.get(taskKey(task.id, task.attempt)) == task) {
                                         action.run();
                                     }
                                 }));
     }
 
-    private void startTask(String name, long attempt) {
-        SimulatedTask task = new SimulatedTask(name, attempt);
-        JobSpec job = cluster.jobOfTask(name);
-        String refusal = refusalReason(name, job);
-        tasks.put(taskKey(name, attempt), task);
+    private void startTask(String taskId, long attempt) {
+        SimulatedTask task = new SimulatedTask(taskId, attempt);
+        JobSpec job = cluster.jobOfTask(taskId);
+        String refusal = refusalReason(taskId, job);
+        tasks.put(taskKey(taskId, attempt), task);
         if (refusal != null) {
             endTask(task, refusal);
         } else {
@@ -390,8 +404,8 @@
         }
     }
 
-    /** Why the machine, as it is, can't take the task; null if it can. */
-    private String refusalReason(String name, JobSpec job) {
+    /** The reason why the machine can't accept the task at present; null if it can. */
+    private String refusalReason(String taskId, JobSpec job) {
         if (job == null) {
             return "unknown";
         }
@@ -401,11 +415,11 @@
         boolean alreadyHere = false;
         for (SimulatedTask otherTask : tasks.values()) {
             if (!otherTask.hasEnded()) {
-                JobSpec otherJob = cluster.jobOfTask(otherTask.name);
+                JobSpec otherJob = cluster.jobOfTask(otherTask.id);
                 usedCpus += otherJob.cpus();
                 usedMemoryGb += otherJob.memoryGb();
                 usedGpus += otherJob.gpus();
-                alreadyHere |= otherTask.name.equals(name);
+                alreadyHere |= otherTask.id.equals(taskId);
             }
         }
         if (alreadyHere) {
@@ -426,7 +440,7 @@
         heartbeatDue = true;
         if (failsTasks) {
             failSoon(task);
-        } else if (job.isGang() && cluster.completedTasks.contains(task.name)) {
+        } else if (job.isGang() && cluster.completedTasks.contains(task.id)) {
             endTask(task, "done");
         } else if (job.isGang()) {
             waitForGang(task, job);
@@ -460,7 +474,10 @@
         cluster.startGangIfComplete(job);
     }
 
-    /** A machine fetches an image once for all tasks that need it, and keeps it. */
+    /**
+     * Time in ms until the job's image is on the machine, which fetches each image once for all
+     * tasks and keeps it.
+     */
     private long imageFetchMillis(JobSpec job) {
         if (cluster.imageFetchGbPerSecond <= 0) {
             return 300;
@@ -482,7 +499,7 @@
             double runtimeSeconds = job.runtimeSeconds() * (0.5 + clock.random.nextDouble());
             scheduleForTask(
                     task,
-                    cluster.completedTasks.contains(task.name) ? 0 : (long) (runtimeSeconds * 1000),
+                    cluster.completedTasks.contains(task.id) ? 0 : (long) (runtimeSeconds * 1000),
                     () -> {
                         if (task.status.equals("running")) {
                             cluster.onTaskCompleted(task, job);
@@ -496,7 +513,7 @@
         task.status = "ended";
         task.endReason = reason;
         heartbeatDue = true;
-        JobSpec job = cluster.jobOfTask(task.name);
+        JobSpec job = cluster.jobOfTask(task.id);
         if (job != null && job.isGang()) {
             cluster.onGangTaskEnded(job, task.attempt, reason);
         }
--- a/src/test/java/io/quincelead/simulation/SingleFaultTest.java
+++ b/src/test/java/io/quincelead/simulation/SingleFaultTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One fault at a time: machines, controllers, partitions and messages that come twice or late. */
+/**
+ * One fault at a time: failures of machines and controllers, partitions, and messages that arrive
+ * twice or late.
+ */
 class SingleFaultTest {
     private static SimulatedCluster clusterWithService(long seed) {
         SimulatedCluster cluster =
@@ -37,8 +40,8 @@
     }
 
     /**
-     * Outside, all machines of a zone that was cut off were once declared lost; inside, only the
-     * controller's own were kept alive.
+     * Controllers outside a partitioned zone once declared all its machines lost, and the
+     * controller inside kept only its own machines alive.
      */
     @ParameterizedTest
     @ValueSource(longs = {36, 37, 38})
@@ -47,12 +50,14 @@
         cluster.after(20_000, () -> cluster.faults.partitionZone("a", 0, 40_000));
         cluster.runUntil(120_000);
         assertNoViolations(cluster);
-        assertTrue(cluster.taskStarts.get("wk-000001") <= 63, "starts: " + cluster.taskStarts);
+        assertTrue(
+                cluster.taskStartsByJob.get("wk-000001") <= 63,
+                "starts: " + cluster.taskStartsByJob);
     }
 
     /**
-     * A user was once told "cancelled" at once: behind a cut, with the cloud down, the tasks then
-     * ran on past the time.
+     * A user was once told "cancelled" at once; in a partitioned zone, with the cloud down, the
+     * tasks then ran past the allowed time.
      */
     @Test
     void cancellationIsConfirmedOnlyAfterTasksAreGone() {
@@ -72,14 +77,14 @@
         assertTrue(cluster.wasToldFinalStatus("wk-000001", "cancelled"));
     }
 
-    /** Submissions were once refused for seconds after the store was back. */
+    /** Submissions were once rejected for seconds after the store was back. */
     @ParameterizedTest
     @ValueSource(longs = {61, 62, 63, 64, 65, 66})
     void submissionsAreAcceptedSoonAfterAStoreOutage(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(seed);
         cluster.workerLeaseMillis = 24_000;
         cluster.start();
-        cluster.after(20_000, () -> cluster.faults.storeOutage(20_000 + 100 * (seed % 6)));
+        cluster.after(20_000, () -> cluster.faults.injectStoreOutage(20_000 + 100 * (seed % 6)));
         for (int controller = 0; controller < 3; controller++) {
             JobSpec job = JobFixtures.array(1 + controller, "red", JobSpec.Priority.HIGH, 1, 1, 5);
             cluster.submitAfter(40_900 + 100 * (seed % 6), job, controller);
@@ -139,9 +144,10 @@
     }
 
     /**
-     * A process ends while its announcement is on its way, and its successor is in before that
-     * arrives. The record of the member then once named the dead process's hold and went with it:
-     * the successor held a shard, led nobody and was counted as lost for good.
+     * A controller's process ends while its member announcement is on its way, and its successor
+     * joins before the announcement arrives. The member's record then once named the dead process's
+     * lease and was removed with it: the successor held a shard, commanded no workers and counted
+     * as lost permanently.
      */
     @Test
     void delayedMemberAnnouncementDoesNotReplaceSuccessor() {
@@ -177,8 +183,8 @@
     }
 
     /**
-     * The record of a provisioning request that was settled long ago was once made again by a copy
-     * of its change: its machines came back as ghosts.
+     * A copy of its transaction once recreated the record of a provisioning request that was
+     * settled long ago, and its machines reappeared on record although they no longer existed.
      */
     @Test
     void duplicatedProvisioningRequestIsNotRecordedAgain() {
@@ -214,8 +220,8 @@
     }
 
     /**
-     * One controller that is back at once displaces nothing, and five ends in a row make no storm
-     * of grants.
+     * A controller that restarts at once must not cause any task to be moved, and five crashes in a
+     * row must not cause a flood of shard grants.
      */
     @Test
     void quickControllerRestartMovesNoTask() {
@@ -232,7 +238,7 @@
             cluster.faults.crashAfter(i * 2_000L, 1, 100);
         }
         cluster.runUntil(90_000);
-        assertEquals(100, cluster.taskStarts.get("wk-000001"));
+        assertEquals(100, cluster.taskStartsByJob.get("wk-000001"));
         assertTrue(
                 cluster.store.value("a/term").path("n").asLong() - initialToken < 30,
                 "terms: " + (cluster.store.value("a/term").path("n").asLong() - initialToken));
@@ -241,7 +247,8 @@
     }
 
     /**
-     * A poll whose barrier was out while another controller recorded the job's end once got 404.
+     * A poll whose read barrier was pending while another controller recorded the job's end once
+     * got 404.
      */
     @Test
     void queriesConcurrentWithCompletionAreAnswered() {
@@ -276,8 +283,8 @@
     }
 
     /**
-     * Workers go on reporting to a controller that is cut from the store alone; only the new
-     * owner's claim calls them away.
+     * Workers keep sending heartbeats to a controller that is partitioned only from the store; only
+     * the new owner's claim makes them switch.
      */
     @Test
     void tasksOfControllerPartitionedFromStoreKeepRunning() {
@@ -294,7 +301,9 @@
                         cluster.faults.partition(
                                 cluster.controllers.get(1).ip, List.of("10.2.0.1"), 30_000));
         cluster.runUntil(100_000);
-        assertTrue(cluster.taskStarts.get("wk-000001") <= 48, "starts: " + cluster.taskStarts);
+        assertTrue(
+                cluster.taskStartsByJob.get("wk-000001") <= 48,
+                "starts: " + cluster.taskStartsByJob);
         cluster.runUntil(500_000);
         assertAllJobsFinished(cluster, 1);
     }
--- a/src/test/java/io/quincelead/simulation/ZoneModels.java
+++ b/src/test/java/io/quincelead/simulation/ThreeZoneFixtures.java
@@ -7,11 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Models, services of six replicas each, in a cluster of three zones. */
-final class ZoneModels {
-    static final int MODELS = 12;
+/**
+ * Fixtures of tests that run models (services of six replicas each) in a cluster of three zones.
+ */
+final class ThreeZoneFixtures {
+    static final int MODEL_COUNT = 12;
 
-    private ZoneModels() {}
+    private ThreeZoneFixtures() {}
 
     /** The job id of a model. */
     static String modelId(int model) {
@@ -19,7 +21,8 @@
     }
 
     /**
-     * Three zones, 5 controllers, 12 models of 6 replicas, every other one spread, low work beside.
+     * A cluster of 3 zones and 5 controllers, with 12 models of 6 replicas, every other one spread
+     * over the zones, and best-effort jobs beside them.
      */
     static SimulatedCluster clusterWithThreeZones(long seed, boolean recoveryEnabled) {
         SimulatedCluster cluster =
@@ -35,7 +38,7 @@
                 OperatorSettings.DEFAULTS.withZoneRecovery(
                         new OperatorSettings.ZoneRecovery(recoveryEnabled, 20, 30, 0.1));
         cluster.start();
-        for (int i = 1; i <= MODELS; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             JobSpec job =
                     JobFixtures.service(i, "red", JobSpec.Priority.PRODUCTION, 6)
                             .cpus(3)
@@ -44,22 +47,22 @@
                             .build();
             cluster.submitAfter(3_000, job);
         }
-        for (int i = MODELS + 1; i < 60; i++) {
+        for (int i = MODEL_COUNT + 1; i < 60; i++) {
             JobSpec job = JobFixtures.array(i, "blue", JobSpec.Priority.BEST_EFFORT, 20, 1, 30);
-            cluster.submitAfter(4_000 + (i - MODELS - 1) * 3_500L, job);
+            cluster.submitAfter(4_000 + (i - MODEL_COUNT - 1) * 3_500L, job);
         }
         return cluster;
     }
 
-    /** Replicas that run, by model and zone. */
+    /** Number of running replicas, by model and zone. */
     static Map<String, Map<String, Integer>> runningReplicas(SimulatedCluster cluster) {
         Map<String, Map<String, Integer>> result = new TreeMap<>();
-        for (int i = 1; i <= MODELS; i++) {
+        for (int i = 1; i <= MODEL_COUNT; i++) {
             result.put(modelId(i), new TreeMap<>());
         }
         for (SimulatedWorker worker : cluster.cloud.machines.values()) {
             for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
-                String jobId = task.name.substring(0, task.name.indexOf('/'));
+                String jobId = task.id.substring(0, task.id.indexOf('/'));
                 if (task.status.equals("running") && result.containsKey(jobId) && !worker.dead) {
                     result.get(jobId).merge(worker.zone, 1, Integer::sum);
                 }
@@ -68,19 +71,19 @@
         return result;
     }
 
-    /** Replicas in all zones together. */
+    /** Number of replicas in all zones together. */
     static int replicaCount(Map<String, Integer> byZone) {
         return byZone.values().stream().mapToInt(count -> count).sum();
     }
 
-    /** All machines of the zone end at once. */
+    /** Crashes all machines of the zone at once. */
     static void crashZone(SimulatedCluster cluster, String zone) {
         cluster.cloud.machines.values().stream()
                 .filter(worker -> worker.zone.equals(zone))
                 .forEach(SimulatedWorker::crash);
     }
 
-    /** The zone's state on record; {@code up} where there is none. */
+    /** The zone's recorded state; {@code up} if there is no record. */
     static String zoneState(SimulatedCluster cluster, String zone) {
         JsonNode record = cluster.store.value("a/oz/" + zone);
         return record == null ? "up" : record.path("st").asText();
