--- a/src/main/java/io/quincelead/autoscaler/Autoscaler.java
+++ b/src/main/java/io/quincelead/autoscaler/Autoscaler.java
@@ -157,7 +157,7 @@
         }
         // No machine is provisioned while heartbeats of machines on no record arrive at this
         // controller: these machines may be the missing capacity.
-        if (!committer.isBusy() && !leaderStore.leader().hasUnregisteredMachines()) {
+        if (!committer.isBusy() && !leaderStore.leader().hasUnexpectedMachines()) {
             Map<InstanceOffering, Integer> newMachineCounts =
                     scaleOutPlanner.planScaleOut(demand, capacity);
             if (!newMachineCounts.isEmpty()) {
--- a/src/main/java/io/quincelead/config/constants/WorkerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/WorkerConstants.java
@@ -92,7 +92,7 @@
      * Fraction of the cancellation time ({@code cancel_s}) after which a machine is declared lost
      * if it hasn't shown that a cancelled task is gone.
      */
-    public static final double CANCEL_RELEASE_FRACTION = 0.5;
+    public static final double CANCEL_DECLARED_LOST_FRACTION = 0.5;
 
     /** Maximum number of commands in one message; 400 of them stay well under 64 KiB. */
     public static final int MAX_COMMANDS_PER_MESSAGE = 400;
--- a/src/main/java/io/quincelead/leadership/Leader.java
+++ b/src/main/java/io/quincelead/leadership/Leader.java
@@ -133,8 +133,8 @@
      * Whether this leader knows of heartbeats from machines that are on no record. No machine
      * should be provisioned until those are registered.
      */
-    public boolean hasUnregisteredMachines() {
-        return shardAssigner.hasUnregisteredMachines();
+    public boolean hasUnexpectedMachines() {
+        return shardAssigner.hasUnexpectedMachines();
     }
 
     /**
--- a/src/main/java/io/quincelead/leadership/ShardAssigner.java
+++ b/src/main/java/io/quincelead/leadership/ShardAssigner.java
@@ -90,7 +90,7 @@
     }
 
     /** Whether some misrouted worker's machine is on no record. */
-    boolean hasUnregisteredMachines() {
+    boolean hasUnexpectedMachines() {
         return misroutedWorkers.keySet().stream().anyMatch(host -> machines.get(host) == null);
     }
 
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -121,7 +121,7 @@
      * responses: the fault is in the network, not in the machines.
      */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
-        long heardSinceMillis =
+        long reachableSinceMillis =
                 loop.nowMillis()
                         - (long)
                                 (settings.workerTimings().heartbeatSeconds()
@@ -134,9 +134,9 @@
                 counts[0]++;
                 counts[1] +=
                         worker.hasMadeContact
-                                        && worker.lastContactAtMillis >= heardSinceMillis
+                                        && worker.lastContactAtMillis >= reachableSinceMillis
                                         && !worker.isUnreachableInboundFor(
-                                                loop.nowMillis() - heardSinceMillis)
+                                                loop.nowMillis() - reachableSinceMillis)
                                 ? 1
                                 : 0;
             }
@@ -212,7 +212,7 @@
         double limitMillis =
                 settings.workerTimings().cancelSeconds()
                         * 1000
-                        * WorkerConstants.CANCEL_RELEASE_FRACTION;
+                        * WorkerConstants.CANCEL_DECLARED_LOST_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.job.isCancelled()
                     && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis() > limitMillis
