--- a/src/main/java/io/quincelead/autoscaler/CpuDemand.java
+++ b/src/main/java/io/quincelead/autoscaler/CpuDemand.java
@@ -21,7 +21,7 @@
         double pendingCpus,
         double calendarCpus) {
 
-    /** The same demand with another number of CPUs that calendar windows will need. */
+    /** Returns a copy of this demand with the given {@link #calendarCpus}. */
     CpuDemand withCalendarCpus(double cpus) {
         return new CpuDemand(
                 steadyStateCpus, shortfallCpus, usedCpus, deadlineCpus, pendingCpus, cpus);
--- a/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
+++ b/src/main/java/io/quincelead/autoscaler/MachineReleaser.java
@@ -38,8 +38,8 @@
     private final Map<String, Long> markRevisionByReleasedHost = new HashMap<>();
 
     /**
-     * @param onTaskTerminated told of each task that terminated with its machine
-     * @param onReleased told of each host whose release the cloud has confirmed
+     * @param onTaskTerminated receives the placement of each task that terminated with its machine
+     * @param onReleased receives each host whose release the cloud has confirmed
      */
     MachineReleaser(
             EventLoop eventLoop,
--- a/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
+++ b/src/main/java/io/quincelead/autoscaler/ProvisioningRequests.java
@@ -187,7 +187,9 @@
             receivedCount = provisioned.hosts().size();
             recordMachines(request, provisioned.hosts(), transaction);
         } else if (result instanceof ProvisioningResult.Malformed) {
-            LOG.error("the cloud calls a rental malformed: {}", CloudCodec.encodeRequest(request));
+            LOG.error(
+                    "the cloud rejected a provisioning request as malformed: {}",
+                    CloudCodec.encodeRequest(request));
         }
         if (receivedCount < request.machineCount()) {
             capacityBackoff.recordRefusal(
--- a/src/main/java/io/quincelead/autoscaler/ScaleInController.java
+++ b/src/main/java/io/quincelead/autoscaler/ScaleInController.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Whether an idle machine is kept because recent constrained work could use it. The demand
-     * forecast does not cover such work.
+     * Whether an idle machine is kept because constrained work that could use it was requested
+     * recently. The demand forecast does not cover constrained work.
      */
     private boolean isKeptForConstrainedWork(
             MachineTable.Machine machine,
--- a/src/main/java/io/quincelead/config/constants/SchedulerConstants.java
+++ b/src/main/java/io/quincelead/config/constants/SchedulerConstants.java
@@ -67,13 +67,16 @@
 
     /**
      * Minimum time that a task with checkpoints runs before it is evicted from a cordoned machine.
-     * A start counts only after 30 s.
+     * Users' service-level objectives count a task's start only if no command stops the task within
+     * 30 s.
      */
     public static final long MIN_RUN_BEFORE_MOVE_MILLIS = 32_000;
 
     /**
-     * Fraction of the time within which a job should have started at which its first tasks begin to
-     * precede other teams' surplus.
+     * Fraction of the time within which a job should have started after which its first start is
+     * overdue. From then on, the number of tasks that must have started for the job not to be
+     * starving rises linearly; until these tasks have started, the queue orders them before
+     * non-urgent work beyond the guarantee of its team.
      */
     public static final double OVERDUE_RAMP_START_FRACTION = 0.375;
 
@@ -98,8 +101,9 @@
     public static final double RESERVED_QUOTA_PAUSE_SECONDS = 30;
 
     /**
-     * Fraction of the time within which a job should have started at which the required fraction of
-     * its tasks precedes other teams' surplus.
+     * Fraction of the time within which a job should have started at which the number of tasks that
+     * must have started for the job not to be starving reaches the share of its tasks that its
+     * priority class requires.
      */
     public static final double OVERDUE_RAMP_END_FRACTION = 0.8;
 
@@ -143,7 +147,8 @@
     public static final int MIN_DRAIN_RESERVE_MACHINES = 2;
 
     /**
-     * Time for which machines that constrained work has asked for are kept for further such work.
+     * Time for which machines that constrained work has requested are kept for further constrained
+     * work.
      */
     public static final long CONSTRAINED_DEMAND_RETENTION_MILLIS = 300_000;
 
--- a/src/main/java/io/quincelead/policy/ClassesReconciler.java
+++ b/src/main/java/io/quincelead/policy/ClassesReconciler.java
@@ -68,7 +68,7 @@
                     && leadership.activeMemberIds().contains(report.getKey())) {
                 LOG.error(
                         "generation {} of the priority classes can't be read by {}: generation {}"
-                                + " rules again",
+                                + " is in force again",
                         head.activeGeneration(),
                         report.getKey(),
                         head.previousGeneration());
--- a/src/main/java/io/quincelead/scheduler/DrainReservations.java
+++ b/src/main/java/io/quincelead/scheduler/DrainReservations.java
@@ -10,7 +10,7 @@
 
 /**
  * Reserves machines to be drained for tasks that need more capacity than is free on them: on a full
- * cluster, smaller tasks would take all capacity as it comes free, indefinitely. Created for one
+ * cluster, smaller tasks would take all capacity as it becomes free, indefinitely. Created for one
  * plan.
  */
 final class DrainReservations {
--- a/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
+++ b/src/main/java/io/quincelead/scheduler/EscalationPolicy.java
@@ -87,9 +87,9 @@
          * shard allows are escalated at once; any other job when it has waited in this shard for a
          * while and other shards have free capacity that this one lacks. Without the second
          * condition a full cluster would escalate every job to the leader, which would then place
-         * all work alone. A little free capacity counts when it lasts: a team at its limit, whose
-         * quota share lay with controllers without free capacity, leaves it unused for as long as
-         * tasks run.
+         * all work alone. Free capacity for only a few tasks counts once it has lasted for a while:
+         * if a team at its limit has its quota share at controllers without free capacity, such
+         * capacity in other shards would stay unused until running tasks end.
          */
         boolean shouldEscalate(Job job) {
             JobSpec spec = job.spec;
@@ -173,8 +173,8 @@
 
         /**
          * Claims lasting free capacity for one job; otherwise all jobs that wait in this shard
-         * would be escalated for it. Capacity that best-effort work leaves to urgent arrivals
-         * lasts, too, and isn't available to best-effort work.
+         * would be escalated for it. Free capacity that is reserved for urgent arrivals lasts, too,
+         * but isn't available to best-effort work.
          */
         private boolean claimLastingCapacity(JobSpec spec, LastingCapacity capacity) {
             boolean leavesReserve =
--- a/src/main/java/io/quincelead/scheduler/LeaderReservations.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Closes each pool that could run such work to work of later tiers ({@link
-     * MachinePool#maxTier}). A leader that hasn't used the free capacity within {@link
-     * SchedulerConstants#LEADER_RESERVATION_MILLIS} can't use it; reserving it for longer would
-     * idle the shard.
+     * Closes each pool that a job waiting at the leader may use to work of later tiers than the
+     * job's ({@link MachinePool#maxTier}). A leader that hasn't used this shard's free capacity for
+     * the job within {@link SchedulerConstants#LEADER_RESERVATION_MILLIS} can't use it; reserving
+     * it for longer would idle the shard.
      */
     void reserveCapacityForLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         capacitySinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
--- a/src/main/java/io/quincelead/scheduler/MachinePool.java
+++ b/src/main/java/io/quincelead/scheduler/MachinePool.java
@@ -21,8 +21,8 @@
     boolean gpusInDemand;
 
     /**
-     * Only work of this tier or a smaller one may use the machines ({@link QueueOrder#tier}); set
-     * while the leader is placing such work.
+     * Only work of this tier or a smaller one may use the machines ({@link QueueOrder#tier}). While
+     * the pool is reserved for jobs that wait at the leader, the smallest of their tiers.
      */
     int maxTier = Integer.MAX_VALUE;
 
--- a/src/main/java/io/quincelead/scheduler/PeerDrainReservations.java
+++ b/src/main/java/io/quincelead/scheduler/PeerDrainReservations.java
@@ -10,7 +10,7 @@
 
 /**
  * Reserves the machines that other controllers drain for overdue first starts, so that the leader,
- * which may place on all shards, doesn't use capacity that comes free there. Drains aren't on
+ * which may place on all shards, doesn't use capacity that becomes free there. Drains aren't on
  * record, so the leader derives them from the waiting jobs, as the jobs' owners do.
  */
 final class PeerDrainReservations {
--- a/src/main/java/io/quincelead/scheduler/Placer.java
+++ b/src/main/java/io/quincelead/scheduler/Placer.java
@@ -33,11 +33,15 @@
     private final boolean spreadsServices;
 
     /**
-     * Demands that found no free capacity on any suitable machine; {@link
-     * #unsatisfiableAsLastResort}: on any allowed one.
+     * Demands that found no free capacity, without machines that are withheld from them or reserved
+     * for the leader's work.
      */
     private final UnsatisfiableDemands unsatisfiable = new UnsatisfiableDemands();
 
+    /**
+     * Demands that found no free capacity, not even on machines that are withheld from them or
+     * reserved for the leader's work.
+     */
     private final UnsatisfiableDemands unsatisfiableAsLastResort = new UnsatisfiableDemands();
 
     Placer(OperatorSettings operatorSettings, ClusterView cluster, SchedulingPlan plan) {
@@ -142,7 +146,7 @@
 
     /**
      * Reserves machines to be drained for tasks that found no free capacity, so that smaller tasks
-     * don't take it.
+     * don't take what becomes free on them.
      */
     void reserveMachines(QueueOrder.QueueEntry entry, int tasks) {
         drainReservations.reserve(entry.job().spec, entry.tier(), tasks);
--- a/src/main/java/io/quincelead/scheduler/QueueOrder.java
+++ b/src/main/java/io/quincelead/scheduler/QueueOrder.java
@@ -19,7 +19,7 @@
  * Orders the queue: urgent work first, then the first few tasks of starving jobs, then work within
  * its team's guarantee, whatever its priority, then further tasks of starving jobs, then the rest
  * by priority; last by nearness to the deadline or objective. Guaranteed work comes before other
- * teams' surplus, or the guarantee would have no effect.
+ * teams' surplus (what a team uses beyond its guarantee), or the guarantee would have no effect.
  */
 public final class QueueOrder {
     /** Tier of the first few tasks of a starving job. */
@@ -84,7 +84,7 @@
             int maxTasks,
             EffectivePriority effectivePriority,
             double replicaRank) {
-        /** This entry with another order among services, for this many tasks. */
+        /** Returns a copy of this entry with this replica rank, for at most this many tasks. */
         QueueEntry withReplicaRank(double rank, int tasks) {
             return new QueueEntry(
                     job,
@@ -115,8 +115,8 @@
         }
 
         /**
-         * Tier by the priority that the job's class orders it by; work covered by an open window
-         * doesn't wait behind starving work.
+         * Tier by the job's priority in the queue's order, which its class may raise; work covered
+         * by an open window doesn't wait behind starving work.
          */
         int orderingTier() {
             int tier =
@@ -136,7 +136,7 @@
                     + (long) (effectivePriority.startWithinSeconds() * 1000);
         }
 
-        /** The same job's entry for this many overdue tasks. */
+        /** Returns a copy of this entry for at most this many overdue tasks of the job. */
         QueueEntry asStarving(boolean atFirstStart, int tasks) {
             return new QueueEntry(
                     job,
--- a/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
+++ b/src/main/java/io/quincelead/scheduler/QuotaAccumulator.java
@@ -12,8 +12,8 @@
 
 /**
  * Manages teams' quota shares during one walk over the queue: records terminations to free quota
- * share, withholds reserved quota share, and accumulates quota share that comes free for gangs that
- * would otherwise starve.
+ * share, withholds reserved quota share, and accumulates quota share that becomes free for gangs
+ * that would otherwise starve.
  */
 final class QuotaAccumulator {
     private final SchedulingPlan plan;
