--- a/src/main/java/io/quincelead/autoscaler/DemandForecast.java
+++ b/src/main/java/io/quincelead/autoscaler/DemandForecast.java
@@ -21,7 +21,7 @@
     private final EventLoop eventLoop;
     private final QueueOrder queueOrder;
     private final Settings settings;
-    private final OfferedLoad arrivingLoad = new OfferedLoad();
+    private final OfferedLoad offeredLoad = new OfferedLoad();
 
     DemandForecast(EventLoop eventLoop, QueueOrder queueOrder, Settings settings) {
         this.eventLoop = eventLoop;
@@ -34,7 +34,7 @@
      * scaling pass.
      */
     void observe(JobTable jobs) {
-        arrivingLoad.observe(jobs, eventLoop.nowMillis());
+        offeredLoad.observe(jobs, eventLoop.nowMillis());
     }
 
     /**
@@ -64,12 +64,12 @@
         }
         double[] steadyCpusBefore = new double[JobSpec.Priority.values().length];
         for (int priority = 0; priority < steadyCpusBefore.length; priority++) {
-            steadyCpusBefore[priority] = arrivingLoad.steadyStateCpus(priority, nowMillis);
+            steadyCpusBefore[priority] = offeredLoad.steadyStateCpus(priority, nowMillis);
         }
         WorkByDeadline.Requirement requirement =
                 workByDeadline.compareWith(capacity, steadyCpusBefore);
         return new CpuDemand(
-                arrivingLoad.steadyStateCpus(nowMillis)
+                offeredLoad.steadyStateCpus(nowMillis)
                         * AutoscalerConstants.STEADY_STATE_LOAD_MARGIN_FACTOR,
                 requirement.shortfallCpus(),
                 usedCpus,
--- a/src/main/java/io/quincelead/scheduler/LeaderReservations.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Reserves free capacity of this controller's shard for work that comes first and that the leader
- * is placing.
+ * Reserves free capacity of this controller's shard for jobs that wait at the leader, so that work
+ * of later tiers isn't placed there.
  */
 final class LeaderReservations {
     private final EventLoop loop;
--- a/src/main/java/io/quincelead/scheduler/PreemptionRules.java
+++ b/src/main/java/io/quincelead/scheduler/PreemptionRules.java
@@ -47,8 +47,9 @@
                 && QueueOrder.tier(forJob.spec.priority().ordinal(), withinGuarantee, false)
                         >= QueueOrder.TIER_FIRST_START) {
             // The few tasks that keep a job from starving are preempted by urgent work only. Work
-            // within a guarantee preempts other surplus; otherwise the two would preempt each other
-            // in turn.
+            // within a guarantee preempts surplus (what a team uses beyond its guarantee) of jobs
+            // that aren't starving; otherwise it and these few tasks would preempt each other in
+            // turn.
             return false;
         }
         if (victim.priority().ordinal() > forJob.spec.priority().ordinal()) {
--- a/src/main/java/io/quincelead/scheduler/QueueScheduler.java
+++ b/src/main/java/io/quincelead/scheduler/QueueScheduler.java
@@ -28,8 +28,8 @@
     private final QueueOrder queueOrder;
     private final QuotaReservations quotaReservations;
     private final CapacityReader capacityReader;
-    private final LeaderReservations leaderPrecedence;
-    private final PeerDrainReservations ownerDrains;
+    private final LeaderReservations leaderReservations;
+    private final PeerDrainReservations peerDrainReservations;
     private final EscalationPolicy escalationPolicy;
     private final UnservedJobTracker unservedJobs;
     private final CapacityWithholdingTimer gpuWithholdingTimer;
@@ -61,8 +61,8 @@
                         cluster.machineTypes(),
                         cluster.policy());
         this.capacityReader = new CapacityReader(cluster, machineStatus);
-        this.leaderPrecedence = new LeaderReservations(loop, cluster);
-        this.ownerDrains = new PeerDrainReservations(cluster);
+        this.leaderReservations = new LeaderReservations(loop, cluster);
+        this.peerDrainReservations = new PeerDrainReservations(cluster);
         this.escalationPolicy = new EscalationPolicy(loop, capacityReader);
         this.unservedJobs = new UnservedJobTracker(loop, cluster.jobs());
         this.gpuWithholdingTimer = new CapacityWithholdingTimer(loop);
@@ -83,7 +83,7 @@
      * terminated.
      */
     boolean canLeaderUse(String host) {
-        return leaderPrecedence.canLeaderUse(host);
+        return leaderReservations.canLeaderUse(host);
     }
 
     /**
@@ -104,7 +104,7 @@
             // by any others. Terminations are recorded all the same.
             candidates.clear();
         }
-        leaderPrecedence.setJobsAtLeader(jobsAtLeader);
+        leaderReservations.setJobsAtLeader(jobsAtLeader);
         workWaiting = !candidates.isEmpty();
         largestGangPages = largestGangPages(candidates);
         if (!workWaiting) {
@@ -122,9 +122,9 @@
         plan.gpuWithholding =
                 gpuWithholdingTimer.beginPass(isAnyOnGpus(candidates) || isAnyOnGpus(jobsAtLeader));
         plan.jobsWithinGuarantee = queueOrder.jobsWithinGuarantee(cluster.jobs().jobsOldestFirst());
-        leaderPrecedence.reserveCapacityForLeader(plan, jobsAtLeader);
+        leaderReservations.reserveCapacityForLeader(plan, jobsAtLeader);
         if (plan.leading) {
-            ownerDrains.reserve(plan);
+            peerDrainReservations.reserve(plan);
         }
         walkQueue(plan, candidates, terminations);
     }
--- a/src/main/java/io/quincelead/scheduler/QueueWalk.java
+++ b/src/main/java/io/quincelead/scheduler/QueueWalk.java
@@ -18,8 +18,8 @@
      * Conditions that hold for the whole walk.
      *
      * @param wallMillis wall-clock time in milliseconds since 1970
-     * @param storeUnderPressure whether backpressure is so high that saving writes comes before
-     *     saving work
+     * @param storeUnderPressure whether backpressure is so high that minimising writes takes
+     *     precedence over minimising lost work
      * @param gpusInDemand whether constrained work demands the GPUs of some machines
      * @param bestEffortDue whether best-effort work is placed in this walk
      */
--- a/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
+++ b/src/main/java/io/quincelead/scheduler/SchedulingCycle.java
@@ -62,7 +62,7 @@
     private final TaskEvictor taskEvictor;
     private final QueueScheduler queueScheduler;
     private final PlanEncoder planEncoder;
-    private final EscalationEncoder leaderEscalation;
+    private final EscalationEncoder escalationEncoder;
 
     /**
      * Blocks cycles while a write is indeterminate: two cycles unaware of each other could use up
@@ -117,7 +117,7 @@
                         cluster,
                         new ReportedMachineStatus(settings, components));
         this.planEncoder = new PlanEncoder(watchCache, membership, cluster.policy());
-        this.leaderEscalation = new EscalationEncoder(storeAccess, membership, settings);
+        this.escalationEncoder = new EscalationEncoder(storeAccess, membership, settings);
         this.fence =
                 new IndeterminateWriteFence(
                         loop,
@@ -341,7 +341,7 @@
                         : null,
                 terminations);
         planEncoder.encode(plan);
-        leaderEscalation.encode(plan);
+        escalationEncoder.encode(plan);
         return plan;
     }
 
--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -156,7 +156,9 @@
      * How long a machine may be silent before it is declared lost. In an unreachable zone a
      * controller inside that zone keeps the machine's tasks alive, and declaring the machine lost
      * would only lose them. In a reachable zone a silent machine is dead or hung, so a machine with
-     * a service gets only half of the silence timeout.
+     * a service gets only half of the silence timeout. The operators' order for the zone takes
+     * precedence: under HOLD, there is no limit while the zone is unreachable or unavailable
+     * ({@link ZoneTable#isUnavailable}); under RELEASE, the limit in an unreachable zone is zero.
      */
     private long maxSilenceMillis(ShardWorker worker, boolean zoneUnreachable) {
         ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
