--- a/src/main/java/io/quincelead/scheduler/LeaderReservations.java
+++ b/src/main/java/io/quincelead/scheduler/LeaderReservations.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Reserves free capacity of this controller's shard for work that comes first and that the leader
- * is placing.
+ * Reserves free capacity of this controller's shard for jobs that wait at the leader, so that work
+ * of later tiers isn't placed there.
  */
 final class LeaderReservations {
     private final EventLoop loop;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Closes each pool that could run such work to work of later tiers ({@link
-     * MachinePool#maxTier}). A leader that hasn't used the free capacity within {@link
-     * SchedulerConstants#LEADER_RESERVATION_MILLIS} can't use it; reserving it for longer would
-     * idle the shard.
+     * Closes each pool that a job waiting at the leader may use to work of later tiers than the
+     * job's ({@link MachinePool#maxTier}). A leader that hasn't used this shard's free capacity for
+     * the job within {@link SchedulerConstants#LEADER_RESERVATION_MILLIS} can't use it; reserving
+     * it for longer would idle the shard.
      */
     void reserveCapacityForLeader(SchedulingPlan plan, List<Job> jobsAtLeader) {
         capacitySinceMillis.keySet().retainAll(Set.copyOf(jobsAtLeader));
