--- a/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
+++ b/src/main/java/io/quincelead/worker/WorkerFailureDetector.java
@@ -121,7 +121,7 @@
      * responses: the fault is in the network, not in the machines.
      */
     private Set<String> unreachableZones(Collection<ShardWorker> workers) {
-        long heardSinceMillis =
+        long reachableSinceMillis =
                 loop.nowMillis()
                         - (long)
                                 (settings.workerTimings().heartbeatSeconds()
@@ -134,9 +134,9 @@
                 counts[0]++;
                 counts[1] +=
                         worker.hasMadeContact
-                                        && worker.lastContactAtMillis >= heardSinceMillis
+                                        && worker.lastContactAtMillis >= reachableSinceMillis
                                         && !worker.isUnreachableInboundFor(
-                                                loop.nowMillis() - heardSinceMillis)
+                                                loop.nowMillis() - reachableSinceMillis)
                                 ? 1
                                 : 0;
             }
@@ -156,7 +156,9 @@
      * How long a machine may be silent before it is declared lost. In an unreachable zone a
      * controller inside that zone keeps the machine's tasks alive, and declaring the machine lost
      * would only lose them. In a reachable zone a silent machine is dead or hung, so a machine with
-     * a service gets only half of the silence timeout.
+     * a service gets only half of the silence timeout. The operators' order for the zone takes
+     * precedence: under HOLD, there is no limit while the zone is unreachable or unavailable
+     * ({@link ZoneTable#isUnavailable}); under RELEASE, the limit in an unreachable zone is zero.
      */
     private long maxSilenceMillis(ShardWorker worker, boolean zoneUnreachable) {
         ZoneTable.OperatorOrder order = zones.get(zoneOf(worker)).operatorOrder();
@@ -212,7 +214,7 @@
         double limitMillis =
                 settings.workerTimings().cancelSeconds()
                         * 1000
-                        * WorkerConstants.CANCEL_RELEASE_FRACTION;
+                        * WorkerConstants.CANCEL_DECLARED_LOST_FRACTION;
         for (Placement placement : jobs.placementsOn(worker.host).values()) {
             if (placement.job.isCancelled()
                     && loop.wallClockMillis() - placement.job.cancelledAtEpochMillis() > limitMillis
